--- /dev/null
+++ b/tests/compatibility/record.py
@@ -0,0 +1,63 @@
+"""Write the files in ``data`` anew: ``python -m compatibility.record`` in ``tests``, with the code of commit 1ac93b2.
+
+The tests never run this.  A form that changes on purpose gets a file of its own, and the old one stays.
+"""
+
+import asyncio
+import tempfile
+from pathlib import Path
+
+import orjson
+from drive import Host, with_settings
+
+from compatibility.samples import DATA, WRITERS, Lending, as_lines, restart_packets, write_store
+from heronlug import ListKind, Outcome, PeerMessage, WorkerEntry
+from heronlug.halls.table import Hall, Phase
+from heronlug.learned import learned
+
+
+def record_learned(zones: bool) -> bytes:
+    """What a dispatcher has learned that has seen failures, an ejection, and servers that warm up."""
+    host = Host(with_settings(halls=zones, tells_start=True, report_fields=()), workers=0)
+    listed = [WorkerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
+    host.listed(ListKind.FULL, tuple(listed))
+    for number in range(60):
+        host.job(0 if number % 10 else 2)
+        host.now += 25
+        for request, attempt in host.open_attempts()[:2]:
+            failed = host.sent[request][attempt] == 2
+            host.end(request, attempt, Outcome.ERROR if failed else Outcome.SERVED)
+    host.job(0)
+    host.dispatcher.kinds[0].top, host.dispatcher.kinds[0].low = 3.0, 2.5
+    host.dispatcher.workers[2].stuck_until = 2600.0
+    if zones:
+        host.dispatcher.halls.halls[0] = Hall(Phase.RETURNING, 1200.0, 2, 1, 0.0, "")
+        host.dispatcher.halls.halls[1] = Hall(Phase.LEFT, 1300.0, 0, 3, float("inf"), "")
+    return orjson.dumps(learned(host.dispatcher))
+
+
+def record_loan() -> bytes:
+    """An ask for capacity at a server that warms up, and its grant."""
+    position, asker = next((at, member) for at in range(14) if not (member := Lending(at)).server.budget)
+    (ask, holder), *_ = asker.ask()
+    lender = Lending(holder)
+    ((grant, _),) = lender.shares.heard(PeerMessage(position, ask), lender.state, 21.0)
+    return as_lines({"ask": ask, "grant": grant})
+
+
+def main() -> None:
+    """Write all files."""
+    for name, writer in WRITERS.items():
+        (DATA / name).write_bytes(writer())
+    (DATA / "learned.json").write_bytes(record_learned(False))
+    (DATA / "learned-zones.json").write_bytes(record_learned(True))
+    (DATA / "loan.txt").write_bytes(record_loan())
+    (DATA / "store.sqlite").unlink(missing_ok=True)
+    write_store(DATA / "store.sqlite")
+    with tempfile.TemporaryDirectory() as folder:
+        packets = asyncio.run(restart_packets(Path(folder)))
+    (DATA / "restart-packets.json").write_bytes(orjson.dumps(list(map(list, packets)), option=orjson.OPT_INDENT_2))
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/compatibility/samples.py
@@ -0,0 +1,333 @@
+"""Sample values of each recorded form, and functions that write them with the present code.
+
+``record.py`` ran these functions with the code of commit 1ac93b2 and kept what they wrote in ``data``.
+"""
+
+import asyncio
+import os
+import socket
+import sqlite3
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple, cast
+from unittest.mock import MagicMock
+
+import orjson
+
+from heronlug.arrival.kept import write
+from heronlug.arrival.parts import Parts
+from heronlug.cluster import trie
+from heronlug.cluster.codec import (
+    Accept,
+    Ack,
+    Announce,
+    Ask,
+    Deny,
+    Done,
+    Free,
+    Grant,
+    Nack,
+    Offer,
+    Part,
+    Piece,
+    Ping,
+    PingFor,
+    Pull,
+    Seal,
+    Sync,
+    encode_part,
+)
+from heronlug.cluster.model import Fence, Health, News
+from heronlug.decisions.model import Job, Kind, Worker
+from heronlug.decisions.peer_reports import PeerReports
+from heronlug.decisions.state import State
+from heronlug.interface import (
+    Effect,
+    JobArrived,
+    JobClass,
+    ListKind,
+    NoteKind,
+    Outcome,
+    Settings,
+    WorkerEntry,
+    WorkerList,
+    WorkerState,
+)
+from heronlug.life.takeover import Takeover
+from heronlug.memory.core import Core, HostEntry
+from heronlug.memory.deadlines import Deadlines
+from heronlug.store.model import Kept
+from heronlug.store.sqlite import SqliteStore
+from heronlug.wire.north import Request
+from heronlug.wire.peers import Peers
+from heronlug.wire.register import rows_of
+from heronlug.wire.server_list import read_list, write_list
+
+DATA = Path(__file__).parent / "data"
+NOW = 1_700_000_000_000.0
+ZONES, MACHINE_TYPES = ["zone-a", "zone-b"], ["small", "large"]
+SERVERS = [
+    HostEntry("server-1", "10.0.0.1:80", WorkerState.READY, 0, 0, 0, 1.0, 0.0),
+    HostEntry("server-2", "10.0.0.2:80", WorkerState.READY, 1, 1, 3, 0.5, 1_699_999_000_000.0),
+    HostEntry("server-3", "[::1]:8080", WorkerState.DRAINING, 0, 1, 7, 2.0, 12.5),
+    HostEntry("server-4", "10.0.0.4:80", WorkerState.GONE, 2, 2, 0, 1.0, 0.0),  # zone and type are unknown
+]
+SETTINGS = Settings(
+    classes=(JobClass(aim=200, deadline=5000, effect=Effect.REPEATABLE, waits=(0.0, 25.0), name="safe"),),
+    instances=2, may_tell=True, tells_start=True,
+)  # fmt: skip
+PARTS: list[Part] = [
+    Ping(1), Ack(2), PingFor(3, 0xA1B2C3D4), Nack(4), Sync(), Ask(5, Fence(2**40, 6), 7, Fence(8, 9)),
+    Grant(10, Fence(11, 12), 13), Deny(14, Fence(15, 16), 17), Offer(18, Fence(19, 20)), Accept(21, Fence(22, 23)),
+    Done(24, Fence(25, 26)), News("dispatcher-1", "127.0.0.1:7001", 2**41, Health.SUSPECT), Free(27, Fence(28, 29)),
+    Announce(30, Fence(31, 32), 33, 2**63), Pull((34, 2**64 - 1)), Piece(b"L\x01\x02kvv"),
+]  # fmt: skip
+KEYS = {3: b"the key of the recorded datagrams", 4: b"another key"}
+ROWS = {b"key-%02d" % number: b"value of row %d" % number for number in range(24)}
+JOBS = [
+    Kept("jid-1", "safe", "default", b'{"jid":"jid-1"}', 1000.5, 800.0),
+    Kept("jid-2", "once", "mail", b'{"jid":"jid-2","after":["jid-1"]}', 1001.0, 900.0, 5000.0, 1100.0),
+    Kept("jid-3", "safe", "default", b"", 1002.0, 700.0, 0.0, 1200.0, "served", 1300.0),
+]
+
+
+class Packet(NamedTuple):
+    """One packet of a hot restart, and how many descriptors go with it."""
+
+    data: str
+    descriptors: int
+
+
+def kept_list() -> bytes:
+    """The file of the kept list."""
+    return write("127.0.0.1:8500", NOW, write_list(42, SERVERS, ZONES, MACHINE_TYPES))
+
+
+def server_list() -> bytes:
+    """The list of servers with those that are gone."""
+    return orjson.dumps(write_list(42, SERVERS, ZONES, MACHINE_TYPES, True))
+
+
+def register_rows() -> bytes:
+    """The rows of the shared server list."""
+    return as_lines({key.decode(): value for key, value in rows_of(SERVERS, ZONES, MACHINE_TYPES).items()})
+
+
+def cluster_parts() -> bytes:
+    """Each part of a cluster datagram, by its name on these pages."""
+    return as_lines({type(part).__name__: encode_part(part) for part in PARTS})
+
+
+def cluster_datagrams() -> bytes:
+    """All parts, sealed with the first of two keys."""
+    datagrams = Seal(0x01020304, KEYS, 1000).pack(PARTS)
+    return as_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
+
+
+def table_nodes() -> bytes:
+    """The nodes of a replicated table, its root first."""
+    nodes: dict[int, bytes] = {}
+    root = trie.build(ROWS, nodes)
+    return as_lines({f"{name:016x}": nodes[name] for name in trie.names(nodes, root)})
+
+
+def as_lines(values: dict[str, bytes]) -> bytes:
+    """A line for each value: its name and its bytes in hexadecimal digits."""
+    return "".join(f"{name} {value.hex()}\n" for name, value in values.items()).encode()
+
+
+def from_lines(data: bytes) -> dict[str, bytes]:
+    """The values of such lines."""
+    lines = [line.split(" ") for line in data.decode().splitlines()]
+    return {name: bytes.fromhex(digits) for name, digits in lines}
+
+
+def workers(count: int) -> dict[int, Worker]:
+    """Servers as one dispatcher knows them."""
+    return {number: Worker(WorkerEntry(number), Kind()) for number in range(1, count + 1)}
+
+
+def load_reports() -> bytes:
+    """Counts of slots in flight, and a load summary in two datagrams."""
+    reports, servers = PeerReports(), workers(500)
+    servers[1].own, servers[2].own, servers[3].own = 3.0, 70.0, 0.0
+    reports.changed = {number: servers[number] for number in (1, 2, 3)}
+    reports.ended = {1: 64, 3: 128}  # well, badly
+    reports.list_ready(list(servers.values()))
+    summary = reports.summary([number % 16 for number in range(1, 501)])
+    return as_lines({"counts": reports.counts(NOW), "summary-0": summary[0], "summary-1": summary[1]})
+
+
+class Lending:
+    """One of fourteen dispatchers, with server 7 warming up."""
+
+    def __init__(self, position: int) -> None:
+        settings = Settings(
+            SETTINGS.classes, instances=14, position=position, lends=True, may_tell=True, cold_from=0.15,
+            warm_after=20_000.0, tip_multiple=3.0, overload_for=3000.0,
+        )  # fmt: skip
+        self.shares, self.state = Parts(settings), State()
+        self.state.kinds[0] = Kind(4.0)
+        self.state.listed(WorkerList(ListKind.FULL, (WorkerEntry(7, started_at=1.0),)))
+        self.server = self.state.workers[7]
+        self.server.budget = self.shares.share(self.server, 0.2, 100.0, 10.0)
+
+    def request(self) -> Job:
+        """A request of usual size."""
+        job = Job(JobArrived(1, 0, 10_000.0), SETTINGS.classes[0])
+        job.work = 100.0
+        return job
+
+    def ask(self) -> list[tuple[bytes, int]]:
+        """What it asks others for, and whom."""
+        told = self.shares.ask([(0.0, 0, self.request())], [self.server], 20.0)
+        return [(content, peer) for content, peer in told]
+
+
+def gossip() -> bytes:
+    """What goes over the socket to two peers: a message, the goodbye alone, and a message with that mark."""
+    transport = MagicMock()
+    peers = Peers(["127.0.0.1:7001", "127.0.0.1:7002"], None, 0, MagicMock(), MagicMock(), MagicMock(), lambda: NOW)
+    peers.connection_made(transport)
+    peers.tell(b"cat", -1)
+    peers.leave()
+    peers.tell(b"cat", 1)
+    return as_lines({str(number): call.args[0] for number, call in enumerate(transport.sendto.call_args_list)})
+
+
+def write_store(path: Path) -> None:
+    """A store with three requests: one accepted, one delivered, one served."""
+    store = SqliteStore(path, lambda call: call(), MagicMock())
+    for job in JOBS:
+        store.accept(job._replace(table=job.table or b"{}", delivered_at=0.0, final="", ended_at=0.0), MagicMock())
+        if job.delivered_at:
+            store.deliver(job.jid, job.delivered_at, MagicMock())
+        if job.final:
+            store.end(job.jid, job.final, job.ended_at)
+    store.close()
+
+
+def dump(path: Path) -> list[str]:
+    """All that stands in a database, as SQL."""
+    database = sqlite3.connect(path)
+    try:
+        return [*database.iterdump(), str(database.execute("pragma user_version").fetchone()[0])]
+    finally:
+        database.close()
+
+
+class Process:
+    """One process of a dispatcher: a real core and takeover, without sockets to clients and servers."""
+
+    def __init__(self, folder: str) -> None:
+        self.deadlines = Deadlines(lambda: NOW)
+        front = MagicMock()
+        front.send.side_effect = self._sent
+        self.core = Core(SETTINGS, 1, front, self.deadlines)
+        self.sockets = [socket.socket(), socket.socket(type=socket.SOCK_DGRAM)]
+        self.daemon = MagicMock()
+        self.daemon.core = self.core
+        config = self.daemon.config
+        config.name, config.listen, config.zones, config.kinds = "d1", ("127.0.0.1", 80), ZONES, MACHINE_TYPES
+        self.daemon.north.max_connections = self.daemon.south.max_connections = 100
+        self.daemon.listener.fileno.return_value, self.daemon.peers.fileno.return_value = self.descriptors()
+        self.daemon.leaving.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
+        self.daemon.leaving.stopping = True
+        self.daemon.keep = None
+        self.daemon.inventory.version = 42
+        self.daemon.inventory.freshness.remaining.return_value = 7500.0
+        self.daemon.inventory.read = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
+        self.daemon.inventory.news = self.core.inventory
+        self.daemon.north.adopt.side_effect = self._adopted
+        self.takeover = Takeover(cast(Any, self.daemon), self.deadlines, folder)
+
+    def descriptors(self) -> list[int]:
+        """Of a TCP and of a UDP socket."""
+        return [sock.fileno() for sock in self.sockets]
+
+    def close(self) -> None:
+        """Close the sockets."""
+        self.takeover.handover.close()
+        for sock in self.sockets:
+            sock.close()
+
+    def connection(self) -> MagicMock:
+        """A client's or a server's, that may be handed over."""
+        connection = MagicMock()
+        connection.can_pass.return_value = True
+        return connection
+
+    def _sent(self, relay: Any) -> None:
+        relay.wire = self.connection()
+        relay.wire.pause.return_value = self.descriptors()[0], {"answered": True, "last": False}
+
+    def _adopted(self, sock: socket.socket, served: bool, made: Callable[[Any], None] | None = None) -> None:
+        sock.close()
+        if made is not None:
+            client = self.connection()
+            client.pause.return_value = self.descriptors()[0]
+            made(client)
+
+    def run_request(self) -> None:
+        """Take a request whose first attempt has failed and whose second one has started."""
+        self.core.inventory(ListKind.FULL, SERVERS[:3])
+        request = Request()
+        request.method, request.target, request.body = b"POST", b"/x?a=\xfe", b"\x00\xff body"
+        request.headers, request.txn, request.lane = {b"x-txn": b"t-1", b"x-labels": b"\xe4=1"}, "t-1", 0
+        request.figures, request.keep_alive, request.connection = {"slots": 2.0, "retry": True}, False, None
+        message = self.core.take(request, 0, 4000.0, name="t-1", **request.figures)
+        request.connection = self.connection()
+        cast(Any, request.connection).pause.return_value = self.descriptors()[0]
+        self.core.ended(message.relays[0], Outcome.FULL)
+        self.core.noted(message.relays[1], NoteKind.STARTED)
+
+
+HELLO = Packet('.{"kind":"hello","version":1,"name":"d1"}', 0)
+SERVING = Packet('.{"kind":"serving"}', 0)
+
+
+async def receive(sock: socket.socket) -> Packet:
+    """The next packet; its descriptors are closed."""
+    for _ in range(500):
+        try:
+            data, descriptors, _, _ = socket.recv_fds(sock, 65536, 8)
+        except BlockingIOError:
+            await asyncio.sleep(0.01)
+            continue
+        for descriptor in descriptors:
+            os.close(descriptor)
+        return Packet(data.decode(), len(descriptors))
+    raise TimeoutError("no packet came")
+
+
+async def restart_packets(folder: Path) -> list[Packet]:
+    """What an old process tells a new one that joins, serves and is handed a client and a request."""
+    process = Process(str(folder))
+    process.run_request()
+    process.daemon.north.pass_on.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
+    process.takeover.handover.listen()
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
+        sock.connect(str(next(folder.glob("heronlug-*"))))
+        sock.setblocking(False)
+        sock.send(HELLO.data.encode())
+        packets = [await receive(sock)]
+        sock.send(SERVING.data.encode())
+        packets += [await receive(sock), await receive(sock)]
+        process.takeover.named("t-2", True)
+        process.takeover.named("t-1", False)
+        reports = process.core.dispatcher.peers
+        reports.changed = dict(process.core.dispatcher.workers)
+        process.takeover.tell(reports.counts(NOW), -1)
+        packets += [await receive(sock) for _ in range(3)]
+        parting = asyncio.create_task(process.takeover.handover.part())
+        packets.append(await receive(sock))
+    await asyncio.wait_for(parting, 5)
+    process.close()
+    return packets
+
+
+WRITERS: dict[str, Callable[[], bytes]] = {
+    "kept-list.txt": kept_list, "server-list.json": server_list, "register-rows.txt": register_rows,
+    "cluster-parts.txt": cluster_parts, "cluster-datagrams.txt": cluster_datagrams, "table-nodes.txt": table_nodes,
+    "load-reports.txt": load_reports, "gossip.txt": gossip,
+}  # fmt: skip
--- /dev/null
+++ b/tests/compatibility/test_recorded_forms.py
@@ -0,0 +1,346 @@
+"""The present code reads what commit 1ac93b2 wrote, and writes the very same bytes."""
+
+import asyncio
+import shutil
+import socket
+import sqlite3
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+from unittest.mock import MagicMock
+
+import orjson
+import pytest
+from drive import with_settings
+
+from compatibility.samples import (
+    DATA,
+    HELLO,
+    JOBS,
+    KEYS,
+    MACHINE_TYPES,
+    NOW,
+    PARTS,
+    ROWS,
+    SERVERS,
+    SERVING,
+    WRITERS,
+    ZONES,
+    Lending,
+    Packet,
+    Process,
+    dump,
+    from_lines,
+    receive,
+    restart_packets,
+    workers,
+    write_store,
+)
+from heronlug.arrival.kept import read
+from heronlug.cluster import trie
+from heronlug.cluster.codec import Seal, decode_parts
+from heronlug.cluster.ownership import tag
+from heronlug.decisions.peer_reports import PeerReports
+from heronlug.halls.table import Hall, Phase
+from heronlug.interface import ListKind, PeerMessage, WorkerEntry, WorkerList
+from heronlug.learned import learned, recall
+from heronlug.life.keep import Keep
+from heronlug.logic import Dispatcher
+from heronlug.memory.deadlines import Deadlines
+from heronlug.store.model import Final
+from heronlug.store.sqlite import connect, rows
+from heronlug.wire.partner import listen, place
+from heronlug.wire.peers import Peers
+from heronlug.wire.register import ANEW, DUTY, SCOUT, STATE, VERSION, entry_of
+from heronlug.wire.server_list import read_list, write_list
+
+SECOND_SERVER = 494609309  # the number of "server-2" at every dispatcher
+JOBS_TABLE = (
+    "CREATE TABLE jobs (\n    jid text primary key, lane text not null, queue text not null, job blob not null,"
+    " accepted_at real not null,\n    remaining real not null, due real not null, delivered_at real not null,"
+    " final text not null, ended_at real not null\n) without rowid\n"
+)
+
+
+def recorded(name: str) -> bytes:
+    """The bytes of a recorded form."""
+    return (DATA / name).read_bytes()
+
+
+def recorded_packets() -> list[Packet]:
+    """What an old process told a new one."""
+    return [Packet(*packet) for packet in orjson.loads(recorded("restart-packets.json"))]
+
+
+@pytest.mark.parametrize("name", WRITERS)
+def test_writes_the_recorded_bytes(name: str) -> None:
+    assert WRITERS[name]() == recorded(name)
+
+
+# -- what was learned
+
+
+def taken_up(name: str) -> Dispatcher:
+    """A fresh dispatcher that has taken a recorded table up."""
+    zones = name == "learned-zones.json"
+    dispatcher = Dispatcher(with_settings(halls=zones, tells_start=True, report_fields=()), 2)
+    listed = [WorkerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
+    dispatcher.handle(2400.0, WorkerList(ListKind.FULL, tuple(listed)))
+    recall(dispatcher, orjson.loads(recorded(name)), 0, 2500.0)
+    return dispatcher
+
+
+@pytest.mark.parametrize("name", ["learned.json", "learned-zones.json"])
+def test_learned_table_is_taken_up_and_written_again(name: str) -> None:
+    dispatcher, table = taken_up(name), orjson.loads(recorded(name))
+    for number, _, own, *_ in table["workers"]:
+        server = dispatcher.workers[number]
+        assert server.told == own  # in flight at the other process
+        server.own = own
+    assert orjson.dumps(learned(dispatcher)) == recorded(name)
+
+
+def test_learned_table_has_these_keys_and_columns() -> None:
+    table, dispatcher = orjson.loads(recorded("learned-zones.json")), taken_up("learned-zones.json")
+    assert list(table) == ["all", "span", "usual_pace", "retries", "halls", "kinds", "workers"]
+    assert list(learned(dispatcher)) == list(table)
+    every = [dispatcher.sends, dispatcher.ranked_at, dispatcher.mean_span, dispatcher.arrivals]
+    assert every == table["all"] == [20.139767179386283, 2500.0, 25.0, 61]
+    assert (dispatcher.span[2], dispatcher.usual_pace[2], dispatcher.retries.level) == (25.0, 25.0, 19.0)
+    kind = dispatcher.kinds[0]
+    assert [0, kind.top, kind.low, kind.slots] == table["kinds"][0] == [0, 3.0, 2.5, 4.0]
+    assert table["halls"] == [[1, "left", 1300.0, 0, 3, -1.0], [0, "returning", 1200.0, 2, 1, 0.0]]
+    zones = dispatcher.halls.halls
+    assert zones[0] == Hall(Phase.RETURNING, 1200.0, 2, 1, 0.0, "taken up")
+    assert zones[1] == Hall(Phase.LEFT, 1300.0, 0, 3, float("inf"), "taken up")
+
+
+def test_columns_of_a_server_in_the_learned_table() -> None:
+    server = taken_up("learned.json").workers[2]
+    row = orjson.loads(recorded("learned.json"))["workers"][1]
+    assert row[:4] == [2, 0.0, 0.0, [[1050.0, 25.0], [2175.0, 25.0]]]
+    assert row[4:] == [0.5770689968174234, 0.0, 0.5625, 0.0, 2600.0, 4430.978680908411, 2, 4]
+    assert (server.id, server.started_at) == (2, 0.0)
+    assert server.recent.items() == [(1050.0, 25.0), (2175.0, 25.0)]
+    assert [server.n, server.mean, server.health, server.heard] == row[4:8]
+    assert [server.stuck_until, server.ejected_until, server.ejections, server.trials] == row[8:]
+    assert taken_up("learned.json").workers[1].heard == 2425.0
+    assert taken_up("learned.json").workers[1].mean == 4.0
+
+
+# -- hot restart
+
+
+def test_processes_find_each_other_at_the_recorded_place() -> None:
+    assert place("/run", "d1", "127.0.0.1:8080") == "/run/heronlug-c79aea7f"
+
+
+def test_new_process_is_told_what_the_old_one_told(tmp_path: Path) -> None:
+    assert asyncio.run(restart_packets(tmp_path)) == recorded_packets()
+
+
+def test_old_process_hands_over_to_the_present_code(tmp_path: Path) -> None:
+    process = Process(str(tmp_path))
+    asyncio.run(take_over(process, tmp_path))
+    assert process.daemon.north.adopt.call_args_list[0].args[1] is True
+    process.close()
+
+
+async def take_over(process: Process, tmp_path: Path) -> None:
+    """Play the recorded old process to a new one that joins, serves and hands the request on."""
+    state, *rest = recorded_packets()
+    path = place(str(tmp_path), "d1", "127.0.0.1:80")
+    spare = process.descriptors()
+    with listen(path) as listening:
+        joining = asyncio.create_task(process.takeover.join())
+        await asyncio.sleep(0)
+        sock, _ = listening.accept()
+        with sock:
+            sock.setblocking(False)
+            assert await receive(sock) == HELLO
+            socket.send_fds(sock, [state.data.encode()], spare)
+            await asyncio.wait_for(joining, 5)
+            process.takeover.take_up()
+            assert [server.entry for server in process.core.hosts.values()] == SERVERS[:3]
+            process.daemon.inventory.begin_clock.assert_called_once_with(7500.0)
+            assert process.core.elsewhere == {"t-1"}
+            process.takeover.handover.serving()
+            assert await receive(sock) == SERVING
+            assert process.core.dispatcher.workers[SECOND_SERVER].told == 2.0
+            for packet in rest[:-1]:
+                socket.send_fds(sock, [packet.data.encode()], spare[:1] * packet.descriptors)
+            server = process.core.dispatcher.workers[SECOND_SERVER]
+            await until(lambda: (server.told, server.own) == (0.0, 2.0))  # the attempt is the new process's now
+            assert process.core.elsewhere == {"t-2"}
+            sock.send(rest[-1].data.encode())
+            await until(lambda: process.takeover.handover.before is None)
+    assert hands_on(process) == orjson.loads(rest[1].data[1:])
+
+
+async def until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds, for five seconds at most."""
+    for _ in range(500):
+        if condition():
+            return
+        await asyncio.sleep(0.01)
+    raise TimeoutError("the present code did not take up what it was told")
+
+
+def hands_on(process: Process) -> Any:
+    """The message that hands the adopted request on to a third process."""
+    (message,) = process.core.messages
+    for attempt in message.relays:
+        if attempt.out:
+            attempt.wire = process.connection()
+            attempt.wire.pause.return_value = 0, {"answered": True, "last": False}
+    third = MagicMock()
+    process.takeover.handover.after = third
+    process.takeover.give_way()
+    process.takeover.handover.after = None
+    sent: dict[str, Any] = third.send.call_args.args[0]
+    return orjson.loads(orjson.dumps(sent))
+
+
+def test_a_request_is_handed_over_in_these_words() -> None:
+    table = orjson.loads(recorded_packets()[2].data[1:])
+    assert list(table) == [
+        "kind", "request", "give_up_at", "taken_at", "terms", "not_before", "hosts", "attempts", "wires",
+    ]  # fmt: skip
+    assert list(table["request"]) == [
+        "method", "target", "headers", "body", "txn", "lane", "figures", "keep_alive",
+    ]  # fmt: skip
+    assert [attempt[2:5] for attempt in table["attempts"]] == [[False, False, False], [True, False, True]]
+    assert table["wires"] == [{"answered": True, "last": False}]
+
+
+# -- datagrams between dispatchers
+
+
+def test_counts_of_another_dispatcher_are_read() -> None:
+    reports, servers = PeerReports(), workers(3)
+    outcomes = reports.hear(PeerMessage(1, from_lines(recorded("load-reports.txt"))["counts"]), servers, NOW)
+    assert [server.told for server in servers.values()] == [3.0, 63.0, 0.0]
+    assert outcomes == [(servers[1], False), (servers[3], True)]
+
+
+def test_load_summary_of_another_dispatcher_is_read() -> None:
+    reports, servers, lines = PeerReports(), workers(500), from_lines(recorded("load-reports.txt"))
+    reports.list_ready(list(servers.values()))
+    for name in ("summary-0", "summary-1"):
+        reports.hear(PeerMessage(1, lines[name]), servers, NOW)
+    assert [server.level for server in servers.values()] == [number % 16 for number in range(1, 501)]
+    assert [number for number, server in servers.items() if server.suspect] == list(range(15, 501, 16))
+
+
+def test_loan_is_asked_for_and_granted_in_the_recorded_bytes() -> None:
+    lines = from_lines(recorded("loan.txt"))
+    asker = next(member for member in map(Lending, range(14)) if not member.server.budget)
+    ((ask, holder),) = asker.ask()
+    assert ask == lines["ask"]
+    lender = Lending(holder)
+    assert lender.shares.heard(PeerMessage(0, lines["ask"]), lender.state, 21.0) == [(lines["grant"], 0)]
+    assert not asker.shares.may(asker.server, 100.0, 22.0)
+    asker.shares.heard(PeerMessage(holder, lines["grant"]), asker.state, 22.0)
+    assert asker.shares.may(asker.server, 100.0, 22.0)
+
+
+def test_gossip_of_another_dispatcher_is_read() -> None:
+    heard: list[tuple[int, bytes]] = []
+    peers = Peers(
+        ["127.0.0.1:7001", "127.0.0.1:7002"], None, 1, lambda peer, data: heard.append((peer, data)),
+        MagicMock(), MagicMock(), lambda: NOW,
+    )  # fmt: skip
+    serving = []
+    for data in from_lines(recorded("gossip.txt")).values():
+        peers.datagram_received(data, ("127.0.0.1", 7001))
+        serving.append(peers.serving())
+    assert heard == [(0, b"cat"), (0, b"cat")]
+    assert serving == [True, False, False]
+
+
+# -- cluster
+
+
+def test_each_part_of_a_cluster_datagram_is_read() -> None:
+    lines = from_lines(recorded("cluster-parts.txt"))
+    assert [decode_parts(data) for data in lines.values()] == [[part] for part in PARTS]
+    assert [data[0] for data in lines.values()] == [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16]
+
+
+def test_sealed_cluster_datagrams_are_read() -> None:
+    seal = Seal(1, KEYS, 1)
+    unpacked = [seal.unpack(data) for data in from_lines(recorded("cluster-datagrams.txt")).values()]
+    assert [part for found in unpacked if found for part in found[1]] == PARTS
+    assert {found[0] for found in unpacked if found} == {0x01020304}
+    assert not seal.dropped
+
+
+def test_nodes_of_a_replicated_table_are_read() -> None:
+    nodes = {int(name, 16): node for name, node in from_lines(recorded("table-nodes.txt")).items()}
+    assert dict(trie.walk(nodes, next(iter(nodes)))) == ROWS
+    assert all(trie.name_of(node) == name for name, node in nodes.items())
+
+
+def test_shared_server_list_has_the_recorded_names_and_keys() -> None:
+    assert [tag(name) for name in (DUTY, SCOUT)] == [3923872814, 3712889818]
+    assert (VERSION, STATE, ANEW) == (b"v", b"s", b"b")
+
+
+def test_rows_of_the_shared_server_list_are_read() -> None:
+    lines = from_lines(recorded("register-rows.txt"))
+    assert list(lines) == ["hserver-1", "hserver-2", "hserver-3", "hserver-4"]
+    assert [entry_of(key.encode(), value, ZONES, MACHINE_TYPES) for key, value in lines.items()] == SERVERS
+
+
+# -- what is stored
+
+
+def test_server_list_is_read() -> None:
+    table = orjson.loads(recorded("server-list.json"))
+    assert read_list(table, ZONES, MACHINE_TYPES, lambda at: at) == (42, True, SERVERS)
+
+
+def test_kept_list_is_read() -> None:
+    kept = read(recorded("kept-list.txt"), "127.0.0.1:8500", NOW + 1000, 5000.0)
+    assert kept.at == NOW
+    assert read_list(kept.table, ZONES, MACHINE_TYPES, lambda at: at) == (42, True, SERVERS[:3])
+
+
+def test_kept_list_file_is_read_and_written(tmp_path: Path) -> None:
+    asyncio.run(read_and_write_kept_list(tmp_path / "kept"))
+
+
+async def read_and_write_kept_list(path: Path) -> None:
+    """Read the recorded file, and write it again."""
+    path.write_bytes(recorded("kept-list.txt"))
+    table = write_list(42, SERVERS, ZONES, MACHINE_TYPES)
+    keep = Keep(str(path), 5000.0, lambda: "127.0.0.1:8500", lambda: table, Deadlines(lambda: NOW), MagicMock())
+    assert keep.load() == table
+    path.unlink()
+    keep.changed()
+    await keep.close()
+    assert path.read_bytes() == recorded("kept-list.txt")
+
+
+def test_recorded_store_is_read(tmp_path: Path) -> None:
+    path = Path(shutil.copy(DATA / "store.sqlite", tmp_path))
+    database = connect(path, create=False)
+    try:
+        assert list(rows(database)) == JOBS
+    finally:
+        database.close()
+
+
+def test_outcomes_are_stored_in_these_words() -> None:
+    assert [outcome.value for outcome in Final] == ["served", "refused", "failed"]
+
+
+def test_new_store_has_the_recorded_schema_and_rows(tmp_path: Path) -> None:
+    copy, path = Path(shutil.copy(DATA / "store.sqlite", tmp_path / "old")), tmp_path / "new"
+    write_store(path)
+    assert dump(path) == dump(copy)
+    for each in (path, copy):
+        database = sqlite3.connect(each)
+        assert database.execute("select sql from sqlite_master").fetchall() == [(JOBS_TABLE,)]
+        assert database.execute("pragma user_version").fetchone() == (1,)
+        database.close()
