--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	RIG_ALL=1 $(PYTHON) -m pytest -q tests/rig/test_scripts.py
 
 lint: .venv-dev/ready
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -116,19 +116,24 @@
     pack, unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
     fence = Fence(1_796_138_343_696, 0xB5C3A1D2)
     for part in (
-        codec.Ping(0x6B3F21C4), codec.Ask(0xB5C3A1D2, fence, 0x6B3F21C4, fence),
+        codec.Ping(0x6B3F21C4),
+        codec.Ask(0xB5C3A1D2, fence, 0x6B3F21C4, fence),
         codec.Announce(0xB5C3A1D2, fence, 4711, 0xB5C3A1D2B5C3A1D2),
         News("dispatcher-12", "10.0.0.12:7946", 1_796_138_343_696, Health.ALIVE),
-    ):  # fmt: skip
+    ):
         fixed = codec.encode_part(part)
         flat = (type(part).__name__[0], *part)
         packed = pack(flat)
-        print(f"{type(part).__name__:>10} {len(fixed):8} {len(packed):8} "
-              f"{per_call(lambda p=part: codec.encode_part(p)):8.2f} {per_call(lambda f=flat: pack(f)):8.2f} "
-              f"{per_call(lambda d=fixed: codec.decode_parts(d)):8.2f} {per_call(lambda d=packed: unpack(d)):8.2f}")
+        print(
+            f"{type(part).__name__:>10} {len(fixed):8} {len(packed):8} "
+            f"{per_call(lambda p=part: codec.encode_part(p)):8.2f} {per_call(lambda f=flat: pack(f)):8.2f} "
+            f"{per_call(lambda d=fixed: codec.decode_parts(d)):8.2f} {per_call(lambda d=packed: unpack(d)):8.2f}"
+        )
     seal, other = codec.Seal(1, {1: b"k" * 32}, 0), codec.Seal(2, {1: b"k" * 32}, 0)
-    print(f"seal a datagram {per_call(lambda: seal.pack([codec.Ping(1)])):.2f} us, "
-          f"open one {per_call(lambda: other.unpack(seal.pack([codec.Ping(1)])[0])):.2f} us with its sealing")
+    print(
+        f"seal a datagram {per_call(lambda: seal.pack([codec.Ping(1)])):.2f} us, "
+        f"open one {per_call(lambda: other.unpack(seal.pack([codec.Ping(1)])[0])):.2f} us with its sealing"
+    )
 
 
 @click.command()
@@ -143,8 +148,10 @@
             hours = sum(each[2] for each in told)
             p50, p99, most = np.nanpercentile(took, [50, 99, 100])
             wrong, dead = (sum(each[n] for each in told) / hours for n in (0, 1))
-            print(f"{loss:5.0%} {p50:13.0f} {p99:7.0f} {most:7.0f}      {wrong:10.1f} {dead:10.1f}"
-                  f"   ({np.isnan(took).sum()} of {kills} had no owner to kill)")  # fmt: skip
+            print(
+                f"{loss:5.0%} {p50:13.0f} {p99:7.0f} {most:7.0f}      {wrong:10.1f} {dead:10.1f}"
+                f"   ({np.isnan(took).sum()} of {kills} had no owner to kill)"
+            )
         print(f"\n{'members':>7} {'datagrams/s':>12} {'bytes/s':>9} {'CPU ms/s':>9}   a member, four duties, no loss")
         for size, datagrams, data, cpu in pool.map(traffic, SIZES):
             print(f"{size:7} {datagrams:12.1f} {data:9.0f} {cpu:9.2f}")
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -26,8 +26,21 @@
 from heronlug.rig.script import parse
 
 MOST = 150.0  # s for a case
-COLUMNS = ("case", "version", "all there s", "calls", "whole", "turned away", "most in 100 ms", "most in 1 s",
-           "reading in the end", "least calls", "least s", "CPU s", "MB each")  # fmt: skip
+COLUMNS = (
+    "case",
+    "version",
+    "all there s",
+    "calls",
+    "whole",
+    "turned away",
+    "most in 100 ms",
+    "most in 1 s",
+    "reading in the end",
+    "least calls",
+    "least s",
+    "CPU s",
+    "MB each",
+)
 
 
 class Case(NamedTuple):
@@ -119,13 +132,19 @@
             memory = [_memory(p.program.pid) for p in rig.processes.values() if p.runs and p.program is not None]
             least = 1 if case.cluster else case.count * (1 if case.down_s else 2)
             return {
-                "all there s": round(after, 1), "calls": calls["all"], "whole": calls["whole"],
-                "turned away": calls["turned"], "most in 100 ms": rig.checker.call_rush[0].most,
-                "most in 1 s": rig.checker.call_rush[1].most, "reading in the end": len(set(rig.reading())),
-                "least calls": least, "least s": round(least * case.call_ms / 1000, 1),
-                "CPU s": round(_cpu(rig) - cpu, 1), "MB each": round(sum(memory) / len(memory), 1) if memory else 0.0,
+                "all there s": round(after, 1),
+                "calls": calls["all"],
+                "whole": calls["whole"],
+                "turned away": calls["turned"],
+                "most in 100 ms": rig.checker.call_rush[0].most,
+                "most in 1 s": rig.checker.call_rush[1].most,
+                "reading in the end": len(set(rig.reading())),
+                "least calls": least,
+                "least s": round(least * case.call_ms / 1000, 1),
+                "CPU s": round(_cpu(rig) - cpu, 1),
+                "MB each": round(sum(memory) / len(memory), 1) if memory else 0.0,
                 "took s": round(time.monotonic() - began, 1),
-            }  # fmt: skip
+            }
         finally:
             playing.cancel()
             await asyncio.gather(playing, return_exceptions=True)
@@ -135,8 +154,9 @@
     """Calls of a start from nothing, alone, by a guess and told; the hosts are warm and few jobs come."""
     ways = {"alone": (False, False), "guess": (True, False), "told": (True, True)}
     jobs = [(count, way, *ways[way]) for count in (50, 200, 500, 1000) for way in ways]
-    rows = [["dispatchers", "way", "least calls", "calls, renewals too", "turned away", "last watches after s",
-             "least s"]]  # fmt: skip
+    rows = [
+        ["dispatchers", "way", "least calls", "calls, renewals too", "turned away", "last watches after s", "least s"]
+    ]
     with ProcessPoolExecutor() as pool:
         rows += pool.map(_modelled, jobs)
     return rows
@@ -145,14 +165,27 @@
 def _modelled(job: tuple[int, str, bool, bool]) -> list[str]:
     count, way, paced, told = job
     changes = {
-        "dispatchers.count": count, "dispatchers.paced": paced, "register.told": told, "span_s": 10 + count * 0.1,
-        "trouble": [], "arrivals.0.rate": 5, "arrivals.1.rate": 1, "dispatchers.may_tell": False,
-    }  # fmt: skip
+        "dispatchers.count": count,
+        "dispatchers.paced": paced,
+        "register.told": told,
+        "span_s": 10 + count * 0.1,
+        "trouble": [],
+        "arrivals.0.rate": 5,
+        "arrivals.1.rate": 1,
+        "dispatchers.may_tell": False,
+    }
     world = World(load_scenario(Path(__file__).parents[1] / "scenarios" / "coldstart.toml", changes), 1)
     figures = world.run()
     least = 2 * count
-    return [str(count), way, str(least), str(figures.calls), str(figures.turned), f"{figures.watched / 1000:.1f}"
-            + (f" ({figures.unread} never)" if figures.unread else ""), f"{least * 0.02:.1f}"]  # fmt: skip
+    return [
+        str(count),
+        way,
+        str(least),
+        str(figures.calls),
+        str(figures.turned),
+        f"{figures.watched / 1000:.1f}" + (f" ({figures.unread} never)" if figures.unread else ""),
+        f"{least * 0.02:.1f}",
+    ]
 
 
 def _cpu(rig: Rig) -> float:
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -67,9 +67,13 @@
     """The tests' fleet at another size, with the same load for each host: 7.5 jobs a second, or a share of that."""
     source = Source.parse("benchmark.toml", (TEXT + more).encode())
     for key, value in {
-        "pool.0.count": hosts // 2, "pool.1.count": hosts - hosts // 2, "arrivals.0.rate": load * 6.0 * hosts,
-        "arrivals.1.rate": load * 1.5 * hosts, "dispatchers.count": dispatchers, "span_s": span,
-    }.items():  # fmt: skip
+        "pool.0.count": hosts // 2,
+        "pool.1.count": hosts - hosts // 2,
+        "arrivals.0.rate": load * 6.0 * hosts,
+        "arrivals.1.rate": load * 1.5 * hosts,
+        "dispatchers.count": dispatchers,
+        "span_s": span,
+    }.items():
         put(source.table, key, value)
     return parse(source)
 
@@ -79,8 +83,15 @@
     hosts, dispatchers, span, more, load = job
     figures = World(scenario(hosts, dispatchers, span, more, load), 1).run()
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    return (hosts, dispatchers, figures.events / figures.wall, span / figures.wall, peak, figures.service,
-            figures.violations)  # fmt: skip
+    return (
+        hosts,
+        dispatchers,
+        figures.events / figures.wall,
+        span / figures.wall,
+        peak,
+        figures.service,
+        figures.violations,
+    )
 
 
 def one(seed: int) -> float:
@@ -100,8 +111,10 @@
         jobs += [(5000, 16, 1.0, "", 1.0), (1000, 50, 40.0, deploy, 0.1)]
     with ProcessPoolExecutor(5, max_tasks_per_child=1) as pool:
         for hosts, dispatchers, events, pace, peak, service, violations in pool.map(measured, jobs):
-            print(f"{hosts:6} {dispatchers:11} {events:9,.0f} {pace:7.2f} {peak:6.0f} {service:8.4f}  {violations}",
-                  flush=True)  # fmt: skip
+            print(
+                f"{hosts:6} {dispatchers:11} {events:9,.0f} {pace:7.2f} {peak:6.0f} {service:8.4f}  {violations}",
+                flush=True,
+            )
     alone = 0.0
     for workers in (1, 2, 4, 8):
         with ProcessPoolExecutor(workers) as pool:
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -41,8 +41,9 @@
 
 def play(run: Run) -> dict[str, float]:
     """The figures of one run."""
-    scenario = load(FILE, {"dispatchers.count": run.dispatchers, "dispatchers.halls": run.way == WAYS[1],
-                           "span_s": run.span})  # fmt: skip
+    scenario = load(
+        FILE, {"dispatchers.count": run.dispatchers, "dispatchers.halls": run.way == WAYS[1], "span_s": run.span}
+    )
     if run.way == Oracle.name:
         scenario.policy = Oracle.name
     sent: list[Sent] = []
@@ -63,16 +64,24 @@
         return float(earned[seconds].sum() / asked[seconds].sum())
 
     usual = came(dies - 5000, dies)
-    full = next((at for at in range(int(back), int(run.span * 1000) - 2000, 500) if came(at, at + 2000) >= 0.9 * usual),
-                float("nan"))  # fmt: skip
+    full = next(
+        (at for at in range(int(back), int(run.span * 1000) - 2000, 500) if came(at, at + 2000) >= 0.9 * usual),
+        float("nan"),
+    )
     flat = figures.flat()
     return {
-        "worth": flat["service"], "worth while dead": share(dies, back), "worth after": share(back, run.span * 1000),
-        "spent on finding out": came(dies, dies + 1000), "in the 2nd s": came(dies + 1000, dies + 2000),
-        "then a second": came(dies + 2000, back), "1st s back": came(back, back + 1000),
-        "full share after s": (full - back) / 1000, "cold load": flat["cold_peak"], "fell": flat["fell"],
+        "worth": flat["service"],
+        "worth while dead": share(dies, back),
+        "worth after": share(back, run.span * 1000),
+        "spent on finding out": came(dies, dies + 1000),
+        "in the 2nd s": came(dies + 1000, dies + 2000),
+        "then a second": came(dies + 2000, back),
+        "1st s back": came(back, back + 1000),
+        "full share after s": (full - back) / 1000,
+        "cold load": flat["cold_peak"],
+        "fell": flat["fell"],
         "rules broken": flat["violations"],
-    }  # fmt: skip
+    }
 
 
 def calm(run: Run) -> int:
@@ -82,8 +91,9 @@
     world.run()
     return sum(
         hall.phase is Phase.LEFT
-        for dispatcher in world.dispatchers for _, hall in dispatcher.core.dispatcher.halls.changes
-    )  # fmt: skip
+        for dispatcher in world.dispatchers
+        for _, hall in dispatcher.core.dispatcher.halls.changes
+    )
 
 
 def table(runs: list[Run], pool: ProcessPoolExecutor) -> list[list[str]]:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -53,7 +53,10 @@
     """A release under steady traffic, and an outage of discovery in it."""
     share = servers * 6 // 10 // STEPS
     script = Script(
-        name=f"{servers} servers", span_s=span, begin="listed", relays=["register"],
+        name=f"{servers} servers",
+        span_s=span,
+        begin="listed",
+        relays=["register"],
         dispatchers=DispatchersTable(count=DISPATCHERS, peers=peers),
         register=RegisterTable(),
         runners=RunnersTable(count=servers, slots=max(1, SLOTS // servers), warm_after_ms=5000.0),
@@ -62,7 +65,7 @@
             ClassTable(name="once", effect="once", rate=10, work_ms=200, deadline_ms=3000),
         ],
         expect=ExpectTable(served_least=0.5),
-    )  # fmt: skip
+    )
     for number in range(STEPS):
         at = span * (0.2 + 0.5 * number / STEPS)
         who = [f"r{n}" for n in range(number * share, (number + 1) * share)]
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -19,9 +19,17 @@
 CLASSES = (
     pk.JobClass(aim=500, deadline=10_000, effect=pk.Effect.REPEATABLE, stretch=2, worth=2, late_value=0.5, name="safe"),
     pk.JobClass(aim=1_000, deadline=20_000, stretch=1.75, worth=8, late_value=0.5, name="once"),
-    pk.JobClass(aim=4_000, deadline=25_000, effect=pk.Effect.BY_KEY, stretch=2, repeat_window=40_000, worth=5,
-                late_value=0.5, name="keyed"),
-)  # fmt: skip
+    pk.JobClass(
+        aim=4_000,
+        deadline=25_000,
+        effect=pk.Effect.BY_KEY,
+        stretch=2,
+        repeat_window=40_000,
+        worth=5,
+        late_value=0.5,
+        name="keyed",
+    ),
+)
 START = 1_700_000_000_000.0
 WARM_AFTER = 18_000.0
 CHANGES = 100  # servers in one list of changes
@@ -64,11 +72,26 @@
 
     def __post_init__(self) -> None:
         settings = pk.Settings(
-            classes=CLASSES, instances=200, position=7, ask_every=1_000, attempts_cap=6, second_copies=True,
-            may_cancel=True, may_tell=self.peers, lends=self.peers, tells_start=True, progress_every=1_000,
-            drain_grace=2_500, cold_from=0.2, warm_after=WARM_AFTER, tip_multiple=3, overload_for=3_000,
-            cpu_per_request=10, cross_zone_price=0.02, worst_class=0.3,
-        )  # fmt: skip
+            classes=CLASSES,
+            instances=200,
+            position=7,
+            ask_every=1_000,
+            attempts_cap=6,
+            second_copies=True,
+            may_cancel=True,
+            may_tell=self.peers,
+            lends=self.peers,
+            tells_start=True,
+            progress_every=1_000,
+            drain_grace=2_500,
+            cold_from=0.2,
+            warm_after=WARM_AFTER,
+            tip_multiple=3,
+            overload_for=3_000,
+            cpu_per_request=10,
+            cross_zone_price=0.02,
+            worst_class=0.3,
+        )
         self.deadlines = Deadlines(lambda: self.now)
         self.core = Core(settings, 1, self.sockets, self.deadlines)
 
@@ -78,7 +101,7 @@
         return [
             HostEntry(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, at)
             for n in range(first, first + count)
-        ]  # fmt: skip
+        ]
 
     def list_all(self) -> None:
         """The whole list."""
@@ -203,11 +226,18 @@
 
 
 ROWS: dict[str, Callable[[int, bool, int], float]] = {
-    "whole list, first": whole_list, "whole list, again": same_list, "100 new servers": new_servers,
-    "100 draining": draining, "request, placed": arrival, "attempt served": end, "request, held": arrival_held,
-    "a second, requests held": idle_second, "peer's counts": datagram, "load summary": load_summary,
+    "whole list, first": whole_list,
+    "whole list, again": same_list,
+    "100 new servers": new_servers,
+    "100 draining": draining,
+    "request, placed": arrival,
+    "attempt served": end,
+    "request, held": arrival_held,
+    "a second, requests held": idle_second,
+    "peer's counts": datagram,
+    "load summary": load_summary,
     "figures": figures,
-}  # fmt: skip
+}
 WAITING = frozenset({"request, held", "a second, requests held", "peer's counts", "load summary"})
 
 
@@ -227,10 +257,11 @@
     servers, queue = [int(n) for n in sizes.split(",")], [int(n) for n in queues.split(",")]
     rows = [
         measure(name, servers, peers, waiting)
-        for name in ROWS if name.startswith(only)
+        for name in ROWS
+        if name.startswith(only)
         for peers in (True, False)
         for waiting in (queue if name in WAITING else queue[:1])
-    ]  # fmt: skip
+    ]
     head = ["event", "peers", *(f"{count} servers" for count in servers), "ratio"]
     print_columns([head, *rows])
 
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -30,10 +30,21 @@
 SERVERS, RATE, SPAN = 12, 60.0, 8.0  # servers, requests a second, s of load
 BEGIN, WINDOW, SHORT = 3_000.0, 4_000.0, 1_000.0  # ms after the start of the process; of the failures
 ROWS = (
-    "accept:ENFILE", "accept:EMFILE", "accept:ENOBUFS", "accept:ENOMEM", "accept:ECONNABORTED", "connect:EADDRNOTAVAIL",
-    "connect:ENETUNREACH", "connect:EAGAIN", "socket:ENFILE", "socket:ENOBUFS", "recv:EINTR", "send:EINTR",
-    "recv:ETIMEDOUT", "send:EHOSTUNREACH",
-)  # fmt: skip
+    "accept:ENFILE",
+    "accept:EMFILE",
+    "accept:ENOBUFS",
+    "accept:ENOMEM",
+    "accept:ECONNABORTED",
+    "connect:EADDRNOTAVAIL",
+    "connect:ENETUNREACH",
+    "connect:EAGAIN",
+    "socket:ENFILE",
+    "socket:ENOBUFS",
+    "recv:EINTR",
+    "send:EINTR",
+    "recv:ETIMEDOUT",
+    "send:EHOSTUNREACH",
+)
 RARE = {"recv:ETIMEDOUT", "send:EHOSTUNREACH"}  # a connection that ends so is over: one call in twenty
 DEADLINE = 3.0  # s
 FINAL = (b"200", b"503", b"500")
@@ -48,16 +59,32 @@
 
 def _config(folder: Path, listen: str, discovery: str, servers: list[int]) -> Path:
     settings = {
-        "instances": 1, "position": 0, "zones": ["a"], "skus": ["m1"], "discovery": "on_request", "tick": 5.0,
+        "instances": 1,
+        "position": 0,
+        "zones": ["a"],
+        "skus": ["m1"],
+        "discovery": "on_request",
+        "tick": 5.0,
         "lanes": [{"name": "once", "deadline": 1000 * DEADLINE, "effect": "once", "goal_time": 500.0, "worth": 1.0}],
         "limits": {
-            "attempts_cap": 4, "conn_idle": 10_000.0, "dial_timeout": 300.0, "max_open": 500, "may_cancel": True,
+            "attempts_cap": 4,
+            "conn_idle": 10_000.0,
+            "dial_timeout": 300.0,
+            "max_open": 500,
+            "may_cancel": True,
         },
         "safety": {"ask_every": 10_000.0, "drain_grace": 2_500.0, "warm_after": 1.0},
-    }  # fmt: skip
+    }
     known = {"generation": 0, "reset": True, "instances": []}
-    raw = {"name": "n0", "listen": listen, "discovery": discovery, "seed": "1", "settings": settings, "known": known,
-           "limits": {"sockets": 512, "memory_mb": 128}}  # fmt: skip
+    raw = {
+        "name": "n0",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": "1",
+        "settings": settings,
+        "known": known,
+        "limits": {"sockets": 512, "memory_mb": 128},
+    }
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
     return path
--- a/heronlug/arrival/parts.py
+++ b/heronlug/arrival/parts.py
@@ -49,9 +49,23 @@
     """One dispatcher's parts of the cold workers, what it lends of them, and what it has been lent."""
 
     __slots__ = (
-        "_asked", "_born", "_granted", "_hold", "_instances", "_lends", "_open", "_position", "_s", "_stands",
-        "_tickets", "_turn", "apart", "asked", "lent", "used",
-    )  # fmt: skip
+        "_asked",
+        "_born",
+        "_granted",
+        "_hold",
+        "_instances",
+        "_lends",
+        "_open",
+        "_position",
+        "_s",
+        "_stands",
+        "_tickets",
+        "_turn",
+        "apart",
+        "asked",
+        "lent",
+        "used",
+    )
 
     def __init__(self, settings: pk.Settings) -> None:
         self._s = settings
--- a/heronlug/arrival/reading.py
+++ b/heronlug/arrival/reading.py
@@ -80,9 +80,7 @@
         self.role = self._role(now, owner, place, read_by, tried_by, works)
         return self.role
 
-    def _role(
-        self, now: float, owner: bool, place: Place, read_by: float, tried_by: float, works: bool
-    ) -> Role:
+    def _role(self, now: float, owner: bool, place: Place, read_by: float, tried_by: float, works: bool) -> Role:
         self._note(now, read_by, tried_by)
         if owner:
             return Role.READ
--- a/heronlug/arrival/tickets.py
+++ b/heronlug/arrival/tickets.py
@@ -63,9 +63,19 @@
     """One dispatcher's."""
 
     __slots__ = (
-        "_bounds", "_cold", "_due", "_level", "_looked_at", "_most", "_near", "_news", "_places", "_s", "_told",
+        "_bounds",
+        "_cold",
+        "_due",
+        "_level",
+        "_looked_at",
+        "_most",
+        "_near",
+        "_news",
+        "_places",
+        "_s",
+        "_told",
         "_used",
-    )  # fmt: skip
+    )
 
     def __init__(self, settings: pk.Settings, margin: float) -> None:
         """``margin`` of what a cold worker stands is used at most."""
--- a/heronlug/cli/__init__.py
+++ b/heronlug/cli/__init__.py
@@ -30,9 +30,23 @@
 
 
 for command in (
-    serve, check, plan, apply, limits, cluster, halls, store, try_, emulate, experiment, rules, load, stand_in, demo,
+    serve,
+    check,
+    plan,
+    apply,
+    limits,
+    cluster,
+    halls,
+    store,
+    try_,
+    emulate,
+    experiment,
+    rules,
+    load,
+    stand_in,
+    demo,
     fleet,
-):  # fmt: skip
+):
     group.add_command(command)
 
 
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -59,8 +59,10 @@
     else:
         print_columns(figures.table())
         loads = figures.flat()
-        print(f"service {figures.service:.4f}, hosts {loads['load_mean']:.0%} loaded, "
-              f"{loads['attempts_per_job']:.3f} attempts a job; {figures.events} events in {figures.wall:.1f} s")
+        print(
+            f"service {figures.service:.4f}, hosts {loads['load_mean']:.0%} loaded, "
+            f"{loads['attempts_per_job']:.3f} attempts a job; {figures.events} events in {figures.wall:.1f} s"
+        )
         for violation in world.checker.violations[:10]:
             print(f"rule {violation.rule} broken at {violation.at:.0f} ms: {violation.what}")
     return 1 if figures.violations else 0
--- a/heronlug/cli/fleet.py
+++ b/heronlug/cli/fleet.py
@@ -33,8 +33,16 @@
         raise click.ClickException(str(error)) from None
     if as_json:
         broken = [[v.rule, v.at, v.what] for v in verdict.violations]
-        print_json({"name": verdict.name, "kept": verdict.kept, "faults": verdict.faults, "violations": broken,
-                    "figures": verdict.figures, "steps": verdict.steps})  # fmt: skip
+        print_json(
+            {
+                "name": verdict.name,
+                "kept": verdict.kept,
+                "faults": verdict.faults,
+                "violations": broken,
+                "figures": verdict.figures,
+                "steps": verdict.steps,
+            }
+        )
     else:
         for at, what in verdict.steps:
             print(f"{at / 1000:8.2f} s  {what}")
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -33,9 +33,14 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 @SET
 def load(
-    file: Path, doors: tuple[str, ...], faktory: str | None, seconds: float, seed: int | None, as_json: bool,
+    file: Path,
+    doors: tuple[str, ...],
+    faktory: str | None,
+    seconds: float,
+    seed: int | None,
+    as_json: bool,
     changes: tuple[str, ...],
-) -> int:  # fmt: skip
+) -> int:
     """Play the arrivals of the scenario FILE against running dispatchers, each job when it is due."""
     from heronlug.load import tally as tallying
     from heronlug.load.faktory import FaktoryLoad
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -135,17 +135,39 @@
 
 
 Part = (
-    Ping | Ack | PingFor | Nack | Sync | Ask | Grant | Deny | Offer | Accept | Done | Free | News
-    | Announce | Pull | Piece
-)  # fmt: skip
+    Ping
+    | Ack
+    | PingFor
+    | Nack
+    | Sync
+    | Ask
+    | Grant
+    | Deny
+    | Offer
+    | Accept
+    | Done
+    | Free
+    | News
+    | Announce
+    | Pull
+    | Piece
+)
 
 _FORMS: dict[type, tuple[int, struct.Struct]] = {
-    Ping: (1, struct.Struct(">I")), Ack: (2, struct.Struct(">I")), PingFor: (3, struct.Struct(">II")),
-    Nack: (4, struct.Struct(">I")), Sync: (5, struct.Struct(">")), Ask: (6, struct.Struct(">IQIIQI")),
-    Grant: (7, struct.Struct(">IQII")), Deny: (8, struct.Struct(">IQII")), Offer: (9, struct.Struct(">IQI")),
-    Accept: (10, struct.Struct(">IQI")), Done: (11, struct.Struct(">IQI")),
-    Free: (13, struct.Struct(">IQI")), Announce: (14, struct.Struct(">IQIQQ")),
-}  # fmt: skip
+    Ping: (1, struct.Struct(">I")),
+    Ack: (2, struct.Struct(">I")),
+    PingFor: (3, struct.Struct(">II")),
+    Nack: (4, struct.Struct(">I")),
+    Sync: (5, struct.Struct(">")),
+    Ask: (6, struct.Struct(">IQIIQI")),
+    Grant: (7, struct.Struct(">IQII")),
+    Deny: (8, struct.Struct(">IQII")),
+    Offer: (9, struct.Struct(">IQI")),
+    Accept: (10, struct.Struct(">IQI")),
+    Done: (11, struct.Struct(">IQI")),
+    Free: (13, struct.Struct(">IQI")),
+    Announce: (14, struct.Struct(">IQIQQ")),
+}
 _KINDS = {kind: (part, form) for part, (kind, form) in _FORMS.items()}
 _PULL, _PIECE = 15, 16  # then how many names, or bytes
 PULL_MOST = 24  # names in one part
--- a/heronlug/cluster/duties.py
+++ b/heronlug/cluster/duties.py
@@ -79,6 +79,4 @@
 
     def next(self) -> float:
         """When something is due, or has to be over."""
-        return min(
-            (r.began + r.duty.longest if r.busy else r.due for r in self.duties.values()), default=inf
-        )
+        return min((r.began + r.duty.longest if r.busy else r.due for r in self.duties.values()), default=inf)
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -58,8 +58,27 @@
 class Duty:
     """One duty as one member sees it."""
 
-    __slots__ = ("asked", "fence", "freed", "frees", "gained", "granted", "heir", "key", "name", "next", "promised",
-                 "promises", "rest", "seen", "stage", "taking", "tries", "until", "vote")  # fmt: skip
+    __slots__ = (
+        "asked",
+        "fence",
+        "freed",
+        "frees",
+        "gained",
+        "granted",
+        "heir",
+        "key",
+        "name",
+        "next",
+        "promised",
+        "promises",
+        "rest",
+        "seen",
+        "stage",
+        "taking",
+        "tries",
+        "until",
+        "vote",
+    )
 
     def __init__(self, name: str) -> None:
         self.name, self.key = name, tag(name)
@@ -86,10 +105,16 @@
     """All duties of one member."""
 
     def __init__(
-        self, name: str, incarnation: int, duties: list[str], terms: Terms,
-        send: Callable[[int, Part], None], told: Callable[[Gained | Lost], None],
-        voters: Callable[[str, float], dict[int, str]], candidates: Callable[[float], list[str]],
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        incarnation: int,
+        duties: list[str],
+        terms: Terms,
+        send: Callable[[int, Part], None],
+        told: Callable[[Gained | Lost], None],
+        voters: Callable[[str, float], dict[int, str]],
+        candidates: Callable[[float], list[str]],
+    ) -> None:
         """``voters`` of a duty are others by tag, ``candidates`` the names of those that may own, perhaps us too."""
         self.name, self.tag, self.terms = name, tag(name), terms
         self.life = tag(f"{name}\0{incarnation}")  # of this process: a restart never repeats a fence
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -56,9 +56,16 @@
     """The members as one of them sees them.  ``send`` takes an address and parts; ``told`` each change."""
 
     def __init__(
-        self, name: str, address: str, incarnation: int, seeds: Iterable[str], terms: Terms, rng: Random,
-        send: Callable[[str, list[Part]], None], told: Callable[[Changed], None],
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        address: str,
+        incarnation: int,
+        seeds: Iterable[str],
+        terms: Terms,
+        rng: Random,
+        send: Callable[[str, list[Part]], None],
+        told: Callable[[Changed], None],
+    ) -> None:
         self.name, self.address, self.incarnation, self.terms = name, address, incarnation, terms
         self.members: dict[str, Member] = {}
         self.by_tag: dict[int, Member] = {}
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -19,9 +19,16 @@
     """A member of a cluster."""
 
     def __init__(
-        self, name: str, address: str, seeds: Iterable[str], duties: Iterable[str], keys: Mapping[int, bytes],
-        incarnation: int, rng: Random, terms: Terms | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        address: str,
+        seeds: Iterable[str],
+        duties: Iterable[str],
+        keys: Mapping[int, bytes],
+        incarnation: int,
+        rng: Random,
+        terms: Terms | None = None,
+    ) -> None:
         """``incarnation`` is Unix milliseconds at the start: above that of every process of this name before."""
         self.name, self.address, self.terms = name, address, terms or Terms()
         self.seal = Seal(tag(name), keys, incarnation << 20)
@@ -32,9 +39,13 @@
             name, incarnation, list(duties), self.terms, self._send_to, self._out.append, self._voters, self._candidates
         )
         self.sheets = Sheets(
-            self.terms, rng, self._send_to, self._out.append,
-            lambda: [member.tag for member in self.members.others()], self.may_act,
-        )  # fmt: skip
+            self.terms,
+            rng,
+            self._send_to,
+            self._out.append,
+            lambda: [member.tag for member in self.members.others()],
+            self.may_act,
+        )
         self._claims: dict[str, Fence] = {}
         self._addresses: dict[int, str] = {}
         self._born: float | None = None
--- a/heronlug/cluster/schema.py
+++ b/heronlug/cluster/schema.py
@@ -87,8 +87,11 @@
             wrong_text = f"{duty.name!r} is a duty of the program's own"
             faults.append(source.fault((AT, "duty", number, "name"), wrong_text, "another name"))
         if (duty.command is None) is (duty.sweep is None):
-            faults.append(source.fault((AT, "duty", number), "there is nothing, or more than one thing, to do",
-                                       "either command or sweep"))  # fmt: skip
+            faults.append(
+                source.fault(
+                    (AT, "duty", number), "there is nothing, or more than one thing, to do", "either command or sweep"
+                )
+            )
         elif duty.sweep is not None:
             sweep, wrong = decode(SweepTable, duty.sweep, source, (AT, "duty", number, "sweep"))
             faults += wrong
@@ -103,8 +106,9 @@
         duties.append(structs.asdict(duty))
     shared: dict[str, dict[str, Any]] = {"register": {}, "probe": {}}
     forms: tuple[tuple[str, type[Struct], Any], ...] = (
-        ("register", RegisterTable, table.register), ("probe", ProbeTable, table.probe),
-    )  # fmt: skip
+        ("register", RegisterTable, table.register),
+        ("probe", ProbeTable, table.probe),
+    )
     for key, form, given in forms:
         if given is not None:
             made, wrong = decode(form, given, source, (AT, key))
--- a/heronlug/cluster/sheets.py
+++ b/heronlug/cluster/sheets.py
@@ -39,8 +39,22 @@
 class Topic:
     """One sheet as it is known here."""
 
-    __slots__ = ("asked", "asked_at", "before", "brought", "fresh_at", "key", "missing", "name", "ours", "pushed",
-                 "root", "source", "version", "wanted")  # fmt: skip
+    __slots__ = (
+        "asked",
+        "asked_at",
+        "before",
+        "brought",
+        "fresh_at",
+        "key",
+        "missing",
+        "name",
+        "ours",
+        "pushed",
+        "root",
+        "source",
+        "version",
+        "wanted",
+    )
 
     def __init__(self, name: str) -> None:
         self.name, self.key = name, tag(name)
@@ -60,9 +74,14 @@
     """All sheets of a member.  ``send`` takes a member's tag, ``told`` what has changed, ``others`` who is there."""
 
     def __init__(
-        self, terms: Terms, rng: Random, send: Callable[[int, Part], None], told: Callable[[Sheet], None],
-        others: Callable[[], list[int]], may_act: Callable[[str, float], Fence | None],
-    ) -> None:  # fmt: skip
+        self,
+        terms: Terms,
+        rng: Random,
+        send: Callable[[int, Part], None],
+        told: Callable[[Sheet], None],
+        others: Callable[[], list[int]],
+        may_act: Callable[[str, float], Fence | None],
+    ) -> None:
         self.terms = terms
         self.topics: dict[int, Topic] = {}
         self.nodes: dict[int, bytes] = {trie.EMPTY: b"L"}
--- a/heronlug/decisions/candidates.py
+++ b/heronlug/decisions/candidates.py
@@ -61,9 +61,7 @@
         """What the condition reads of this server has changed."""
         self._touched[worker.id] = worker
 
-    def ranked(
-        self, kind: int = ANY_KIND, group: Group | None = None, worst_first: bool = False
-    ) -> Iterator[Worker]:
+    def ranked(self, kind: int = ANY_KIND, group: Group | None = None, worst_first: bool = False) -> Iterator[Worker]:
         """The servers of a kind that may fit, best first; of a group, those of all kinds."""
         self._refresh()
         places: Sequence[int] = self._places.get(kind, ()) if group is None else self._of_group(group)
--- a/heronlug/decisions/estimates.py
+++ b/heronlug/decisions/estimates.py
@@ -1,7 +1,6 @@
 """Small running figures: budgets, delays and shares, each fed by the caller's own clock."""
 
 
-
 class TokenBucket:
     """A token bucket, filled at a rate along any clock that the caller counts."""
 
--- a/heronlug/decisions/model.py
+++ b/heronlug/decisions/model.py
@@ -66,11 +66,45 @@
     """What one dispatcher knows of a worker."""
 
     __slots__ = (
-        "bad", "budget", "cell", "closed", "eased_at", "ejected_until", "ejections", "ended_at", "flights", "health",
-        "heard", "id", "kind", "known_before", "level", "marked", "mean", "model", "moved", "moved_at", "mute", "n",
-        "own", "place", "rank", "ranked", "recent", "started_at", "state", "still", "stuck_until", "suspect", "told",
-        "trials", "trying", "users", "waiting", "zone",
-    )  # fmt: skip
+        "bad",
+        "budget",
+        "cell",
+        "closed",
+        "eased_at",
+        "ejected_until",
+        "ejections",
+        "ended_at",
+        "flights",
+        "health",
+        "heard",
+        "id",
+        "kind",
+        "known_before",
+        "level",
+        "marked",
+        "mean",
+        "model",
+        "moved",
+        "moved_at",
+        "mute",
+        "n",
+        "own",
+        "place",
+        "rank",
+        "ranked",
+        "recent",
+        "started_at",
+        "state",
+        "still",
+        "stuck_until",
+        "suspect",
+        "told",
+        "trials",
+        "trying",
+        "users",
+        "waiting",
+        "zone",
+    )
 
     HEALTH = 1 / 4  # of the way to how the last attempt ended
 
@@ -125,9 +159,26 @@
     """A job taken and not yet answered."""
 
     __slots__ = (
-        "attempts", "cap", "cls", "due", "faulted", "give_up_at", "harmless", "id", "lane", "last_start", "need",
-        "not_before", "once", "over", "patient_until", "room", "size", "value", "work",
-    )  # fmt: skip
+        "attempts",
+        "cap",
+        "cls",
+        "due",
+        "faulted",
+        "give_up_at",
+        "harmless",
+        "id",
+        "lane",
+        "last_start",
+        "need",
+        "not_before",
+        "once",
+        "over",
+        "patient_until",
+        "room",
+        "size",
+        "value",
+        "work",
+    )
 
     def __init__(self, event: pk.JobArrived, lane: pk.JobClass) -> None:
         self.id, self.cls, self.give_up_at, self.lane = event.job, event.job_class, event.give_up_at, lane
--- a/heronlug/decisions/peer_reports.py
+++ b/heronlug/decisions/peer_reports.py
@@ -26,9 +26,23 @@
     """
 
     __slots__ = (
-        "_checksum", "_counts", "_heard", "_ids", "_parts", "_read_as", "_stamps", "born", "changed", "ended",
-        "moved", "reads", "relaying", "relays", "roster", "told_at",
-    )  # fmt: skip
+        "_checksum",
+        "_counts",
+        "_heard",
+        "_ids",
+        "_parts",
+        "_read_as",
+        "_stamps",
+        "born",
+        "changed",
+        "ended",
+        "moved",
+        "reads",
+        "relaying",
+        "relays",
+        "roster",
+        "told_at",
+    )
 
     COUNTS, SUMMARY = b"c", b"s"  # what a message begins with
     STAMP = struct.Struct(">cd")  # before counts: the clock of who tells
@@ -63,9 +77,7 @@
         pairs = [self.PAIR.pack(w.id, code) for w, code in zip(told, codes, strict=True)]
         return self.STAMP.pack(self.COUNTS, now) + b"".join(pairs)
 
-    def hear(
-        self, event: pk.PeerMessage, workers: dict[int, Worker], now: float
-    ) -> list[tuple[Worker, bool]]:
+    def hear(self, event: pk.PeerMessage, workers: dict[int, Worker], now: float) -> list[tuple[Worker, bool]]:
         """Book what another dispatcher tells, and return how its attempts ended; True for badly.
 
         Bytes that make no sense, and unknown workers, are skipped.
--- a/heronlug/decisions/state.py
+++ b/heronlug/decisions/state.py
@@ -93,7 +93,12 @@
     def avoided(self, now: float) -> set[int]:
         """Workers that get no ordinary jobs now: told off, ejected or on trial, standing still, or marked."""
         return {
-            w.id for w in self.workers.values()
-            if w.state is not pk.WorkerState.READY or now < w.ejected_until
-            or w.trials or w.still or w.suspect or w.closed
-        }  # fmt: skip
+            w.id
+            for w in self.workers.values()
+            if w.state is not pk.WorkerState.READY
+            or now < w.ejected_until
+            or w.trials
+            or w.still
+            or w.suspect
+            or w.closed
+        }
--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -44,9 +44,15 @@
         settings = world.settings(self.number, self.zone)
         self.deadlines = VirtualDeadlines(world.line)
         self.core = Core(
-            settings, seed, self, self.deadlines, subscribe=self._watch, tell=self._tell,
-            max_open=world.scenario.dispatchers.max_open, max_come_back=MAX_COME_BACK,
-        )  # fmt: skip
+            settings,
+            seed,
+            self,
+            self.deadlines,
+            subscribe=self._watch,
+            tell=self._tell,
+            max_open=world.scenario.dispatchers.max_open,
+            max_come_back=MAX_COME_BACK,
+        )
         if world.scenario.policy != OURS:
             self.core.dispatcher = POLICIES[world.scenario.policy](settings, seed, self._look)  # type: ignore[assignment]
         elif world.module is not None:
@@ -105,8 +111,9 @@
             self.core.ended(relay, Outcome.MOOT)
             return
         if host is None or world.cut(self.zone, host.zone):
-            world.line.after(world.scenario.network.dial_timeout_ms, self._ended, self.life, relay,
-                             Outcome.CONNECT_FAILED)  # fmt: skip
+            world.line.after(
+                world.scenario.network.dial_timeout_ms, self._ended, self.life, relay, Outcome.CONNECT_FAILED
+            )
             return
         world.tell(Sent(world.line.now, self.name, job.name, host.name))
         self.core.written()
--- a/heronlug/emulator/draws.py
+++ b/heronlug/emulator/draws.py
@@ -46,8 +46,10 @@
     frozen = kind(**given)
     low, mean = frozen.support()[0], frozen.mean()
     if not (np.isfinite(mean) and low >= 0):
-        raise ValueError(f"{name} with these has a mean of {mean:g} and begins at {low:g}: times are 0 or more, "
-                         "and their mean is finite")  # fmt: skip
+        raise ValueError(
+            f"{name} with these has a mean of {mean:g} and begins at {low:g}: times are 0 or more, "
+            "and their mean is finite"
+        )
     return frozen
 
 
--- a/heronlug/emulator/figures.py
+++ b/heronlug/emulator/figures.py
@@ -83,10 +83,14 @@
         earned, possible = self.by_second
         rates = np.divide(earned, possible, out=np.full(len(earned), np.nan), where=possible > 0)
         first = int(at)
-        before = np.nanmean(rates[max(0, first - 10) : first]) if first and possible[max(0, first - 10):first].any() \
-            else 1.0  # fmt: skip
-        smooth = np.array([np.nanmean(rates[n : n + 3]) if possible[n : n + 3].any() else np.nan
-                           for n in range(first, len(rates))])  # fmt: skip
+        before = (
+            np.nanmean(rates[max(0, first - 10) : first])
+            if first and possible[max(0, first - 10) : first].any()
+            else 1.0
+        )
+        smooth = np.array(
+            [np.nanmean(rates[n : n + 3]) if possible[n : n + 3].any() else np.nan for n in range(first, len(rates))]
+        )
         below = np.flatnonzero(smooth < level * before)
         if not len(below):
             return 0.0
@@ -99,16 +103,21 @@
         jobs = sum(lane.jobs for lane in self.lanes)
         loads = np.array([host.load for host in self.hosts]) if self.hosts else np.zeros(1)
         found = {
-            "service": self.service, "jobs": float(jobs), "attempts_per_job": attempts / jobs if jobs else float("nan"),
+            "service": self.service,
+            "jobs": float(jobs),
+            "attempts_per_job": attempts / jobs if jobs else float("nan"),
             "crossing": self.crossing / attempts if attempts else 0.0,
-            "load_mean": float(loads.mean()), "load_sd": float(loads.std()),
+            "load_mean": float(loads.mean()),
+            "load_sd": float(loads.std()),
             "cold_peak": max((host.peak for host in self.hosts), default=0.0),
             "fell": float(sum(host.fell for host in self.hosts)),
             "violations": float(sum(self.violations.values())),
             "told_per_job": self.told / jobs if jobs else 0.0,
-            "calls": float(self.calls), "turned": float(self.turned), "watched_ms": self.watched,
+            "calls": float(self.calls),
+            "turned": float(self.turned),
+            "watched_ms": self.watched,
             "unread": float(self.unread),
-        }  # fmt: skip
+        }
         for lane in self.lanes:
             ended = lane.jobs or 1
             found[f"{lane.name}.jobs"] = float(lane.jobs)
--- a/heronlug/emulator/policies.py
+++ b/heronlug/emulator/policies.py
@@ -228,7 +228,6 @@
 
 MEAN_WORK = 200.0  # ms: only the proportion of waiting to distance depends on it
 POLICIES: dict[str, type[Policy]] = {
-    policy.name: policy
-    for policy in (RandomChoice, RoundRobin, LeastInFlight, TwoChoices, ShortestQueue, Oracle)
+    policy.name: policy for policy in (RandomChoice, RoundRobin, LeastInFlight, TwoChoices, ShortestQueue, Oracle)
 }
 OURS = "heronlug"
--- a/heronlug/emulator/register.py
+++ b/heronlug/emulator/register.py
@@ -41,9 +41,13 @@
     """All entries, and who watches them."""
 
     def __init__(
-        self, line: Timeline, lag: Draws, call_ms: float = 0.0, wait_most: float = 1000.0,
+        self,
+        line: Timeline,
+        lag: Draws,
+        call_ms: float = 0.0,
+        wait_most: float = 1000.0,
         tell: Callable[[Event], None] = lambda event: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.entries: dict[str, HostEntry] = {}
         self.readers: dict[Reader, float] = {}  # and up to when each has been told: news keep their order
         self.silent = False
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -78,9 +78,9 @@
     slots: Annotated[int, Meta(ge=1, le=1024, description="a whole number, 1 to 1024")]
     speed: Annotated[float, Meta(gt=0, le=1000, description="a factor, more than 0")] = 1.0
     queue: Annotated[int, Meta(ge=0, le=100_000, description="jobs, 0 or more")] = 64
-    order: Annotated[
-        Literal["fifo", "backfill", "priority"], Meta(description='"fifo", "backfill" or "priority"')
-    ] = "fifo"
+    order: Annotated[Literal["fifo", "backfill", "priority"], Meta(description='"fifo", "backfill" or "priority"')] = (
+        "fifo"
+    )
 
 
 class Pool(Struct, forbid_unknown_fields=True):
@@ -129,12 +129,21 @@
 
     what: Annotated[
         Literal[
-            "crash", "hang", "pause", "deploy", "dispatcher-kill", "partition", "slow-zone", "register-silent",
+            "crash",
+            "hang",
+            "pause",
+            "deploy",
+            "dispatcher-kill",
+            "partition",
+            "slow-zone",
+            "register-silent",
             "hall-dies",
         ],
-        Meta(description='"crash", "hang", "pause", "deploy", "dispatcher-kill", "partition", "slow-zone", '
-             '"register-silent" or "hall-dies"'),
-    ]  # fmt: skip
+        Meta(
+            description='"crash", "hang", "pause", "deploy", "dispatcher-kill", "partition", "slow-zone", '
+            '"register-silent" or "hall-dies"'
+        ),
+    ]
     at_s: When
     for_s: Seconds = 10.0
     share: Share = 0.1  # of the hosts, or of the dispatchers
@@ -168,11 +177,18 @@
 
 
 TABLES: dict[str, type[Struct]] = {
-    "dispatchers": Dispatchers, "network": Network, "register": RegisterTable, "safety": Safety,
-}  # fmt: skip
+    "dispatchers": Dispatchers,
+    "network": Network,
+    "register": RegisterTable,
+    "safety": Safety,
+}
 LISTS: dict[str, type[Struct]] = {
-    "class": ClassTable, "kind": KindTable, "pool": Pool, "arrivals": Arrivals, "trouble": TroubleTable,
-}  # fmt: skip
+    "class": ClassTable,
+    "kind": KindTable,
+    "pool": Pool,
+    "arrivals": Arrivals,
+    "trouble": TroubleTable,
+}
 
 
 def load(path: Path, changes: dict[str, Any] | None = None) -> Scenario:
--- a/heronlug/emulator/world.py
+++ b/heronlug/emulator/world.py
@@ -29,9 +29,13 @@
     """All parts, and what they tell.  ``module`` makes another decision module in place of ours, for tests."""
 
     def __init__(
-        self, scenario: Scenario, seed: int | None = None, record: Callable[[Event], None] | None = None,
-        module: Callable[[pk.Settings, int], Any] | None = None, guarded: bool = True,
-    ) -> None:  # fmt: skip
+        self,
+        scenario: Scenario,
+        seed: int | None = None,
+        record: Callable[[Event], None] | None = None,
+        module: Callable[[pk.Settings, int], Any] | None = None,
+        guarded: bool = True,
+    ) -> None:
         self.scenario, self.seed, self.module = scenario, scenario.seed if seed is None else seed, module
         self.guarded = guarded  # whether the core looks again at the write, as it does; off only to see that it does
         self.line = Timeline()
@@ -40,17 +44,26 @@
         effects = {"repeatable": pk.Effect.REPEATABLE, "by_key": pk.Effect.BY_KEY, "once": pk.Effect.ONCE}
         self.lanes = tuple(
             pk.JobClass(
-                aim=lane.aim_ms, deadline=lane.deadline_ms, effect=effects[lane.effect], worth=lane.worth,
-                late_value=lane.late_worth, name=lane.name,
+                aim=lane.aim_ms,
+                deadline=lane.deadline_ms,
+                effect=effects[lane.effect],
+                worth=lane.worth,
+                late_value=lane.late_worth,
+                name=lane.name,
             )
             for lane in scenario.classes
-        )  # fmt: skip
+        )
         self.cut_off: set[int] = set()  # zones that nothing passes into or out of
         self.held: list[tuple[Any, ...]] = []  # what waits for a cut to heal
-        self._kinds = {kind.name: Kind(kind.name, kind.slots, kind.speed, kind.queue, kind.order)
-                       for kind in scenario.kind}  # fmt: skip
-        self._warmth = Warmth(scenario.safety.cold_from, scenario.safety.warm_after_ms, scenario.safety.tip_multiple,
-                              scenario.safety.overload_for_ms)  # fmt: skip
+        self._kinds = {
+            kind.name: Kind(kind.name, kind.slots, kind.speed, kind.queue, kind.order) for kind in scenario.kind
+        }
+        self._warmth = Warmth(
+            scenario.safety.cold_from,
+            scenario.safety.warm_after_ms,
+            scenario.safety.tip_multiple,
+            scenario.safety.overload_for_ms,
+        )
         self.hosts: dict[str, Host] = {}
         self._gone: list[Host] = []
         self._ways: dict[str, Draws] = {}
@@ -60,9 +73,13 @@
         table = scenario.register
         self.register = Register(self.line, lag, table.call_ms, table.wait_most_ms, self.tell)
         self.figures = Figures(
-            scenario.name, scenario.policy, self.seed, (scenario.span_s - scenario.warm_up_s) * 1000,
-            [Lane(lane.name, lane.worth) for lane in scenario.classes], np.zeros((2, int(scenario.span_s) + 1)),
-        )  # fmt: skip
+            scenario.name,
+            scenario.policy,
+            self.seed,
+            (scenario.span_s - scenario.warm_up_s) * 1000,
+            [Lane(lane.name, lane.worth) for lane in scenario.classes],
+            np.zeros((2, int(scenario.span_s) + 1)),
+        )
         self.clients = Clients(self)
         for pool_number, pool in enumerate(scenario.pool):
             zone = scenario.zones.index(pool.zone) if pool.zone else 0
@@ -115,13 +132,27 @@
         """What a dispatcher is told at its start."""
         table, safety = self.scenario.dispatchers, self.scenario.safety
         return pk.Settings(
-            classes=self.lanes, instances=table.count, position=position, zone=zone, attempts_cap=table.attempts_cap,
-            second_copies=table.second_copies, may_cancel=True, may_tell=table.may_tell, lends=table.lends,
+            classes=self.lanes,
+            instances=table.count,
+            position=position,
+            zone=zone,
+            attempts_cap=table.attempts_cap,
+            second_copies=table.second_copies,
+            may_cancel=True,
+            may_tell=table.may_tell,
+            lends=table.lends,
             halls=table.halls,
-            dial_timeout=self.scenario.network.dial_timeout_ms, tick=1.0, answer_slack=ANSWER_SLACK,
-            progress_every=1000.0, tells_start=True, drain_grace=safety.drain_grace_ms, cold_from=safety.cold_from,
-            warm_after=safety.warm_after_ms, tip_multiple=safety.tip_multiple, overload_for=safety.overload_for_ms,
-        )  # fmt: skip
+            dial_timeout=self.scenario.network.dial_timeout_ms,
+            tick=1.0,
+            answer_slack=ANSWER_SLACK,
+            progress_every=1000.0,
+            tells_start=True,
+            drain_grace=safety.drain_grace_ms,
+            cold_from=safety.cold_from,
+            warm_after=safety.warm_after_ms,
+            tip_multiple=safety.tip_multiple,
+            overload_for=safety.overload_for_ms,
+        )
 
     def median(self, one: int, other: int) -> float:
         """The median of one way between two zones, in milliseconds."""
@@ -220,8 +251,9 @@
 
     def _entry(self, host: Host, state: WorkerState) -> HostEntry:
         kinds = list(self._kinds)
-        return HostEntry(host.name, f"{host.name}:1", state, host.zone, kinds.index(host.kind.name), 0, 1.0,
-                         host.started_at)  # fmt: skip
+        return HostEntry(
+            host.name, f"{host.name}:1", state, host.zone, kinds.index(host.kind.name), 0, 1.0, host.started_at
+        )
 
     def _tipped(self, host: Host) -> None:
         stands = self._warmth.tip_multiple * host.capacity()
--- a/heronlug/halls/offers.py
+++ b/heronlug/halls/offers.py
@@ -95,13 +95,17 @@
             hall = self.halls.get(number, Hall())
             tried = [worker for worker in workers if worker.ended_at >= now - LATELY]
             rows[number] = {
-                "state": hall.phase.value, "hosts": len(workers),
+                "state": hall.phase.value,
+                "hosts": len(workers),
                 "offered": sum(not worker.closed or worker.trying for worker in workers),
                 "stage": hall.stage + 1 if hall.phase is Phase.RETURNING else None,
-                "tried": len(tried), "failed": sum(worker.bad for worker in tried), "falls": hall.falls,
-                "for_s": round((now - hall.since) / 1000) if hall.since else None, "cause": hall.cause or None,
+                "tried": len(tried),
+                "failed": sum(worker.bad for worker in tried),
+                "falls": hall.falls,
+                "for_s": round((now - hall.since) / 1000) if hall.since else None,
+                "cause": hall.cause or None,
                 "decided": "by hand" if now < hall.held else decides,
-            }  # fmt: skip
+            }
         return rows
 
     def order(self, state: Any, number: int, phase: Phase | None, until: float, now: float) -> None:
@@ -169,10 +173,12 @@
             tally = Tally(len(seen), sum(w.bad for w in seen))
             since = [w for w in workers if w.ended_at > hall.since]
             view = View(
-                ratio=ratio(tally, elsewhere(found, number)), bad=tally.bad,
+                ratio=ratio(tally, elsewhere(found, number)),
+                bad=tally.bad,
                 may_leave=away + len(workers) <= MOST * count,
-                served=sum(not w.bad for w in since), failed_at=max((w.ended_at for w in since if w.bad), default=0.0),
-            )  # fmt: skip
+                served=sum(not w.bad for w in since),
+                failed_at=max((w.ended_at for w in since if w.bad), default=0.0),
+            )
             while hall.look(view, now):
                 self.changes.append((number, replace(hall)))
                 if hall.phase is Phase.LEFT:
@@ -252,12 +258,22 @@
             return
         quiet = now - UNHEARD * max(self._s.progress_every, self._s.dial_timeout)
         left = self._left
-        there = [
-            flight for flight in state.flights.values()
-            if flight.worker.zone in left and flight.out and flight.heard <= quiet and not flight.worker.trying
-            and flight.job.lane.effect is pk.Effect.REPEATABLE and state.jobs.get(flight.job.id) is flight.job
-            and sum(other.out for other in flight.job.attempts) == 1 and len(flight.job.attempts) < flight.job.cap
-        ] if left else []  # fmt: skip
+        there = (
+            [
+                flight
+                for flight in state.flights.values()
+                if flight.worker.zone in left
+                and flight.out
+                and flight.heard <= quiet
+                and not flight.worker.trying
+                and flight.job.lane.effect is pk.Effect.REPEATABLE
+                and state.jobs.get(flight.job.id) is flight.job
+                and sum(other.out for other in flight.job.attempts) == 1
+                and len(flight.job.attempts) < flight.job.cap
+            ]
+            if left
+            else []
+        )
         there.sort(key=lambda flight: flight.sent)
         for flight in there[:BACK_AT_ONCE]:
             state.out.append(pk.Cancel(flight.job.id, flight.job.attempts.index(flight)))
--- a/heronlug/lab/compare.py
+++ b/heronlug/lab/compare.py
@@ -76,8 +76,17 @@
             continue
         change = values[:, 1] - values[:, 0]
         low, high = interval(change)
-        found.append(Difference(name, float(values[:, 0].mean()), float(values[:, 1].mean()), float(change.mean()), low,
-                                high, len(values)))  # fmt: skip
+        found.append(
+            Difference(
+                name,
+                float(values[:, 0].mean()),
+                float(values[:, 1].mean()),
+                float(change.mean()),
+                low,
+                high,
+                len(values),
+            )
+        )
     return found
 
 
@@ -87,6 +96,7 @@
         return math.nan, math.nan
     if np.ptp(values) == 0:  # nothing to draw from
         return float(values[0]), float(values[0])
-    result = stats.bootstrap((values,), np.mean, confidence_level=CONFIDENCE, n_resamples=RESAMPLES,
-                             random_state=np.random.default_rng(0))  # fmt: skip
+    result = stats.bootstrap(
+        (values,), np.mean, confidence_level=CONFIDENCE, n_resamples=RESAMPLES, random_state=np.random.default_rng(0)
+    )
     return float(result.confidence_interval.low), float(result.confidence_interval.high)
--- a/heronlug/lab/experiment.py
+++ b/heronlug/lab/experiment.py
@@ -1,15 +1,15 @@
 """An experiment file: a scenario, what is set for all runs, what varies, and how many seeds.
 
-    name = "dispatchers"
-    scenario = "../scenarios/steady.toml"   # beside this file
-    seeds = 10
+name = "dispatchers"
+scenario = "../scenarios/steady.toml"   # beside this file
+seeds = 10
 
-    [set]
-    span_s = 30
+[set]
+span_s = 30
 
-    [vary]
-    policy = ["heronlug", "random"]
-    dispatchers.count = [4, 16, 50]
+[vary]
+policy = ["heronlug", "random"]
+dispatchers.count = [4, 16, 50]
 """
 
 import hashlib
@@ -68,8 +68,14 @@
 def version() -> str:
     """What of the program bears on a run: its version and a digest of the code that plays it."""
     digest, root = hashlib.sha256(), Path(heronlug.__file__).parent
-    for path in sorted([*root.glob("*.py"), *(root / "memory").glob("*.py"), *(root / "emulator").glob("*.py"),
-                        *(root / "rules").glob("*.py")]):  # fmt: skip
+    for path in sorted(
+        [
+            *root.glob("*.py"),
+            *(root / "memory").glob("*.py"),
+            *(root / "emulator").glob("*.py"),
+            *(root / "rules").glob("*.py"),
+        ]
+    ):
         digest.update(path.name.encode() + path.read_bytes())
     return f"{heronlug.__version__}+{digest.hexdigest()[:8]}"
 
--- a/heronlug/lab/report.py
+++ b/heronlug/lab/report.py
@@ -39,14 +39,24 @@
     cases = [_case(label, group, lanes) for label, group in grouped.items()]
     drawn = dict(list(grouped.items())[:LINES])
     folder = Path(__file__).parent
-    loader = Environment(loader=FileSystemLoader(folder), autoescape=select_autoescape(["html"]),
-                         undefined=StrictUndefined)  # fmt: skip
+    loader = Environment(
+        loader=FileSystemLoader(folder), autoescape=select_autoescape(["html"]), undefined=StrictUndefined
+    )
     return loader.get_template("report.html").render(
-        name=name, runs=len(runs), seeds=max(len(group) for group in grouped.values()), version=runs[0].version,
-        cases=cases, lanes=lanes, lane_heads=HEADS, cdfs={lane: _cdf(lane, drawn) for lane in lanes},
-        over_time=_over_time(drawn), loads=_loads(drawn), colds=_colds(drawn), recoveries=_recoveries(grouped),
+        name=name,
+        runs=len(runs),
+        seeds=max(len(group) for group in grouped.values()),
+        version=runs[0].version,
+        cases=cases,
+        lanes=lanes,
+        lane_heads=HEADS,
+        cdfs={lane: _cdf(lane, drawn) for lane in lanes},
+        over_time=_over_time(drawn),
+        loads=_loads(drawn),
+        colds=_colds(drawn),
+        recoveries=_recoveries(grouped),
         violations=_violations(grouped),
-    )  # fmt: skip
+    )
 
 
 def _mean(values: Sequence[float]) -> float:
@@ -105,8 +115,14 @@
         axes.plot(shares, label=label, linewidth=1)
     for trouble in next(iter(grouped.values()))[0].details["recovery"]:
         axes.axvline(trouble["at_s"], color="grey", linestyle=":")
-        axes.annotate(trouble["what"], (trouble["at_s"], 0.02), xycoords=("data", "axes fraction"), fontsize=8,
-                      rotation=90, color="grey")  # fmt: skip
+        axes.annotate(
+            trouble["what"],
+            (trouble["at_s"], 0.02),
+            xycoords=("data", "axes fraction"),
+            fontsize=8,
+            rotation=90,
+            color="grey",
+        )
     axes.legend(fontsize=8)
     return _svg(figure)
 
@@ -122,8 +138,10 @@
 
 def _colds(grouped: dict[str, list[Kept]]) -> str:
     figure, axes = _axes("Most in a cold host, in shares of what it stands", "", "share")
-    peaks = {label: [max((host["peak"] for host in run.details["hosts"]), default=0.0) for run in group]
-             for label, group in grouped.items()}  # fmt: skip
+    peaks = {
+        label: [max((host["peak"] for host in run.details["hosts"]), default=0.0) for run in group]
+        for label, group in grouped.items()
+    }
     axes.boxplot(list(peaks.values()), tick_labels=[label[:24] for label in peaks])
     axes.axhline(1.0, color="red", linestyle=":", label="falls over if it lasts")
     axes.tick_params(axis="x", labelrotation=20, labelsize=8)
@@ -147,6 +165,8 @@
 def _violations(grouped: dict[str, list[Kept]]) -> list[dict[str, Any]]:
     found = [
         {"label": label, "seed": run.seed, **each}
-        for label, group in grouped.items() for run in group for each in run.details["violations"]
-    ]  # fmt: skip
+        for label, group in grouped.items()
+        for run in group
+        for each in run.details["violations"]
+    ]
     return found[:SHOWN]
--- a/heronlug/lab/runner.py
+++ b/heronlug/lab/runner.py
@@ -30,7 +30,8 @@
     return {
         "quantiles": {
             lane.name: np.quantile(np.frombuffer(lane.latencies), shares).round(2).tolist()
-            for lane in figures.lanes if len(lane.latencies)
+            for lane in figures.lanes
+            if len(lane.latencies)
         },
         "by_second": figures.by_second.tolist(),
         "hosts": [host._asdict() for host in figures.hosts],
@@ -44,7 +45,7 @@
         ],
         "aims": {lane.name: lane.aim for lane in world.lanes},
         "tip": world.scenario.safety.tip_multiple,
-    }  # fmt: skip
+    }
 
 
 def run(
--- a/heronlug/lab/store.py
+++ b/heronlug/lab/store.py
@@ -66,9 +66,16 @@
     def put(self, experiment: str, key: str, run: Kept) -> None:
         """Keep a run."""
         values = (
-            key, experiment, _text(run.params), run.seed, run.version, _text(run.figures), _text(run.details), run.wall,
+            key,
+            experiment,
+            _text(run.params),
+            run.seed,
+            run.version,
+            _text(run.figures),
+            _text(run.details),
+            run.wall,
             time.time(),
-        )  # fmt: skip
+        )
         with self._db:
             self._db.execute("insert or replace into runs values (?, ?, ?, ?, ?, ?, ?, ?, ?)", values)
 
@@ -76,13 +83,15 @@
         """All runs of an experiment, or of all; of the version that ran last where none is named."""
         rows = self._db.execute(
             "select params, seed, version, figures, details, wall from runs where ? in ('', experiment)"
-            " order by at, key", (experiment,),
-        ).fetchall()  # fmt: skip
+            " order by at, key",
+            (experiment,),
+        ).fetchall()
         wanted = version or (rows[-1][2] if rows else "")
         return [
             Kept(orjson.loads(params), seed, code, _numbers(figures), orjson.loads(details), wall)
-            for params, seed, code, figures, details, wall in rows if code == wanted
-        ]  # fmt: skip
+            for params, seed, code, figures, details, wall in rows
+            if code == wanted
+        ]
 
     def experiments(self) -> list[tuple[str, str, int]]:
         """Names, versions and how many runs."""
--- a/heronlug/learned.py
+++ b/heronlug/learned.py
@@ -9,8 +9,15 @@
 from heronlug.interface import Attempt
 
 WORKER = (
-    "n", "mean", "health", "heard", "stuck_until", "ejected_until", "ejections", "trials",
-)  # fmt: skip
+    "n",
+    "mean",
+    "health",
+    "heard",
+    "stuck_until",
+    "ejected_until",
+    "ejections",
+    "trials",
+)
 ALL = ("sends", "ranked_at", "mean_span", "arrivals")
 KIND = ("top", "low", "slots")
 
--- a/heronlug/life/config.py
+++ b/heronlug/life/config.py
@@ -18,8 +18,11 @@
 
 
 FROM_ENVIRONMENT = {
-    "name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY", "admin_addr": "RELAY_ADMIN_ADDR",
-}  # fmt: skip
+    "name": "RELAY_NAME",
+    "listen": "RELAY_LISTEN",
+    "discovery": "RELAY_DISCOVERY",
+    "admin_addr": "RELAY_ADMIN_ADDR",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,11 +96,7 @@
         raise ConfigError(f"environment: RELAY_INHERITED_FD: {inherited!r} is no descriptor")
     raw = {
         **raw,
-        **{
-            key: environ[variable]
-            for key, variable in FROM_ENVIRONMENT.items()
-            if environ.get(variable)
-        },
+        **{key: environ[variable] for key, variable in FROM_ENVIRONMENT.items() if environ.get(variable)},
     }
     return replace(parse(raw, where), inherited_fd=int(inherited) if inherited else None)
 
--- a/heronlug/life/handover.py
+++ b/heronlug/life/handover.py
@@ -48,9 +48,14 @@
     """Both ends of it; a process may have one before it and one after it."""
 
     def __init__(
-        self, parts: Parts, name: str, path: str, deadlines: Deadlines, log: Callable[..., None],
+        self,
+        parts: Parts,
+        name: str,
+        path: str,
+        deadlines: Deadlines,
+        log: Callable[..., None],
         turn: Callable[[], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._parts, self._name, self._path = parts, name, path
         self._deadlines, self._log, self._turn = deadlines, log, turn
         self._listening: socket.socket | None = None
--- a/heronlug/life/keep.py
+++ b/heronlug/life/keep.py
@@ -15,9 +15,14 @@
     """One file."""
 
     def __init__(
-        self, path: str, longest: float, register: Callable[[], str], table: Callable[[], dict[str, Any]],
-        deadlines: Deadlines, log: Callable[..., None],
-    ) -> None:  # fmt: skip
+        self,
+        path: str,
+        longest: float,
+        register: Callable[[], str],
+        table: Callable[[], dict[str, Any]],
+        deadlines: Deadlines,
+        log: Callable[..., None],
+    ) -> None:
         """``table`` is the list as it is held now, in the register's form."""
         self.path, self._longest = Path(path), longest
         self._register, self._table, self._deadlines, self._log = register, table, deadlines, log
--- a/heronlug/life/log.py
+++ b/heronlug/life/log.py
@@ -9,10 +9,20 @@
 
 LEVELS = {"debug": 0, "info": 1, "warning": 2}
 LEVEL_OF = {
-    "taken": 0, "client_gone": 0, "exception": 2, "overdue": 2, "inventory_failed": 2, "too_many_clients": 2,
-    "too_many_connections": 2, "hook_disabled": 2, "reload_failed": 2, "bad_host": 2, "slow_event": 2, "late_turn": 2,
+    "taken": 0,
+    "client_gone": 0,
+    "exception": 2,
+    "overdue": 2,
+    "inventory_failed": 2,
+    "too_many_clients": 2,
+    "too_many_connections": 2,
+    "hook_disabled": 2,
+    "reload_failed": 2,
+    "bad_host": 2,
+    "slow_event": 2,
+    "late_turn": 2,
     "accept_failed": 2,
-}  # fmt: skip
+}
 HELD = 4096  # lines kept while the reader is slow; what comes beyond is counted and dropped
 
 
--- a/heronlug/life/member.py
+++ b/heronlug/life/member.py
@@ -23,10 +23,17 @@
     """This daemon's membership."""
 
     def __init__(
-        self, table: dict[str, Any], inventory: Inventory, core: Core,
-        tell: Callable[[ListKind, list[HostEntry]], None], deadlines: Deadlines, log: Callable[..., None],
-        turn: Callable[[], None], zones: list[str], kinds: list[str],
-    ) -> None:  # fmt: skip
+        self,
+        table: dict[str, Any],
+        inventory: Inventory,
+        core: Core,
+        tell: Callable[[ListKind, list[HostEntry]], None],
+        deadlines: Deadlines,
+        log: Callable[..., None],
+        turn: Callable[[], None],
+        zones: list[str],
+        kinds: list[str],
+    ) -> None:
         """``table`` is as the schema reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
         self.table, self._inventory, self._tell = table, inventory, tell
         sharing, probing = table["register"], table["probe"]
@@ -35,8 +42,17 @@
             # one reads, and calls with nobody else; where all read, each has its place
             many = Terms() if sharing["share"] == "list" else Terms(core.settings.instances, core.settings.position)
             inventory.pace = Pacer(many, Random().random)
-        self.register = Register(self.view, inventory, self._news, deadlines, log, zones, kinds,
-                                 sharing.get("stale_after_ms", 1500.0), len(table["seeds"]))  # fmt: skip
+        self.register = Register(
+            self.view,
+            inventory,
+            self._news,
+            deadlines,
+            log,
+            zones,
+            kinds,
+            sharing.get("stale_after_ms", 1500.0),
+            len(table["seeds"]),
+        )
         self.probes = Probes(probing, self.view, self._news, deadlines, log, turn) if probing else None
         self.cluster = Cluster(table, deadlines, log, turn, self.register, self.probes)
         self._shares = bool(sharing or probing)
--- a/heronlug/life/operate.py
+++ b/heronlug/life/operate.py
@@ -68,9 +68,12 @@
 
 
 def calls(
-    parting: Parting, takes_clients: Callable[[], bool], cores: Callable[[], list[Core]], log: Callable[..., None],
+    parting: Parting,
+    takes_clients: Callable[[], bool],
+    cores: Callable[[], list[Core]],
+    log: Callable[..., None],
     more: Callable[[], str] = str,
-) -> Calls:  # fmt: skip
+) -> Calls:
     """The table of the admin front.  Each call may come again and again; ``more`` are further figures."""
 
     def health() -> Answer:
--- a/heronlug/life/site.py
+++ b/heronlug/life/site.py
@@ -41,9 +41,7 @@
     """One class of jobs: what an answer is worth and what its effect allows."""
 
     name: Text
-    effect: Annotated[
-        Literal["repeatable", "by_key", "once"], Meta(description='"repeatable", "by_key" or "once"')
-    ]
+    effect: Annotated[Literal["repeatable", "by_key", "once"], Meta(description='"repeatable", "by_key" or "once"')]
     aim_ms: Span
     deadline_ms: Span
     worth: Factor = 1.0
@@ -169,40 +167,68 @@
     """The same as the platform's object."""
     lanes = [
         {
-            "name": lane.name, "effect": lane.effect, "goal_time": lane.aim_ms, "deadline": lane.deadline_ms,
-            "worth": lane.worth, "late_value": lane.late_worth, "aim_stretch": lane.stretch,
-            "key_scope": lane.key_scope, "repeat_window": lane.repeat_window_ms,
+            "name": lane.name,
+            "effect": lane.effect,
+            "goal_time": lane.aim_ms,
+            "deadline": lane.deadline_ms,
+            "worth": lane.worth,
+            "late_value": lane.late_worth,
+            "aim_stretch": lane.stretch,
+            "key_scope": lane.key_scope,
+            "repeat_window": lane.repeat_window_ms,
         }
         for lane in classes
-    ]  # fmt: skip
+    ]
     settings = {
-        "lanes": lanes, "zones": site.zones, "skus": site.kinds, "tick": 5.0,
+        "lanes": lanes,
+        "zones": site.zones,
+        "skus": site.kinds,
+        "tick": 5.0,
         "discovery": "on_request" if serve.discovery else "pushed",
-        "instances": site.dispatchers, "position": serve.position,
+        "instances": site.dispatchers,
+        "position": serve.position,
         "family_info": {"tells_start": site.tells_start, "progress": site.progress_every_ms},
         "limits": {
-            "attempts_cap": site.attempts_cap, "second_copies": site.second_copies, "may_cancel": site.may_cancel,
-            "dial_timeout": site.dial_timeout_ms, "conn_idle": site.conn_idle_ms, "max_open": site.max_open,
-            "may_tell": bool(serve.peers), "halls": site.leave_halls,
-            "retry_after": site.retry_after_ms > 0, "max_retry_after": site.retry_after_ms,
+            "attempts_cap": site.attempts_cap,
+            "second_copies": site.second_copies,
+            "may_cancel": site.may_cancel,
+            "dial_timeout": site.dial_timeout_ms,
+            "conn_idle": site.conn_idle_ms,
+            "max_open": site.max_open,
+            "may_tell": bool(serve.peers),
+            "halls": site.leave_halls,
+            "retry_after": site.retry_after_ms > 0,
+            "max_retry_after": site.retry_after_ms,
         },
         "safety": {
-            "drain_grace": site.drain_grace_ms, "cold_from": site.cold_from, "warm_after": site.warm_after_ms,
-            "tip_multiple": site.tip_multiple, "overload_for": site.overload_for_ms,
+            "drain_grace": site.drain_grace_ms,
+            "cold_from": site.cold_from,
+            "warm_after": site.warm_after_ms,
+            "tip_multiple": site.tip_multiple,
+            "overload_for": site.overload_for_ms,
         },
-    }  # fmt: skip
+    }
     instances = [
         {
-            "instanceId": host.name, "hostPort": host.address, "zone": host.zone or site.zones[0],
-            "machineType": host.kind or site.kinds[0], "cell": host.cell,
-            "lifecycle": "leaving" if host.draining else "active", "weight": 1.0, "startedAtMs": 0,
+            "instanceId": host.name,
+            "hostPort": host.address,
+            "zone": host.zone or site.zones[0],
+            "machineType": host.kind or site.kinds[0],
+            "cell": host.cell,
+            "lifecycle": "leaving" if host.draining else "active",
+            "weight": 1.0,
+            "startedAtMs": 0,
         }
         for host in hosts
-    ]  # fmt: skip
+    ]
     return {
-        "name": serve.name, "listen": serve.listen, "discovery": serve.discovery, "admin_addr": serve.operators,
-        "peers": serve.peers, "peer_listen": serve.peers[serve.position] if serve.peers else None,
+        "name": serve.name,
+        "listen": serve.listen,
+        "discovery": serve.discovery,
+        "admin_addr": serve.operators,
+        "peers": serve.peers,
+        "peer_listen": serve.peers[serve.position] if serve.peers else None,
         "limits": {"sockets": serve.sockets, "memory_mb": serve.memory_mb},
         "known": {"generation": 0 if serve.discovery else 1, "reset": True, "instances": instances},
         "settings": settings,
-    }  # fmt: skip
+    }
--- a/heronlug/life/start.py
+++ b/heronlug/life/start.py
@@ -103,33 +103,56 @@
         half = max(16, (config.sockets - SPARE_DESCRIPTORS) // 2)
         spare = max(MIN_HELD, (config.memory_mb - PROGRAM_MB) / 2)  # half of what the program itself leaves
         self.south = South(
-            deadlines, log, self.turn,
-            conn_idle=config.conn_idle, dial_timeout=settings.dial_timeout, max_connections=half,
-        )  # fmt: skip
+            deadlines,
+            log,
+            self.turn,
+            conn_idle=config.conn_idle,
+            dial_timeout=settings.dial_timeout,
+            max_connections=half,
+        )
         self.peers = Peers(
             config.peers, config.peers_all, settings.position, self._heard, log, self.turn, deadlines.clock
         )
         read = partial(read_list, zones=config.zones, kinds=config.kinds, to_clock=float)  # our clock is Unix time
         self.inventory = Inventory(
-            config.discovery, 0, read, self._news, deadlines, log, self.turn,
+            config.discovery,
+            0,
+            read,
+            self._news,
+            deadlines,
+            log,
+            self.turn,
             Freshness(config.pushed, settings.ask_every, settings.drain_grace),
             part=1.0 - SPREAD * settings.position / settings.instances,
-        )  # fmt: skip
+        )
         self.core = Core(
-            settings, config.seed, self, deadlines, log=log,
-            subscribe=self._subscribe, tell=lambda content, peer: self.takeover.tell(content, peer),
+            settings,
+            config.seed,
+            self,
+            deadlines,
+            log=log,
+            subscribe=self._subscribe,
+            tell=lambda content, peer: self.takeover.tell(content, peer),
             max_open=min(config.max_open, int(config.memory_mb * 32)),  # bodies apart, a message takes a few KB
-            max_come_back=config.max_come_back, behind=self.inventory.behind,
-        )  # fmt: skip
+            max_come_back=config.max_come_back,
+            behind=self.inventory.behind,
+        )
         self.south.core = self.core
         if not config.paced:  # operators' files that pace their calls go by the list they have for longer
             self.inventory.on_good = self.core.use_list
         self.north = North(self, settings, half, int(spare * 1024 * 1024), self.turn)
         self.leaving = Parting(
-            deadlines, max(lane.deadline for lane in settings.classes), self._busy, lambda: self.north.came_at,
-            self.peers.serving, self.peers.leave, self.peers.stay, self.core.give_up_all, self.north.close_idle,
+            deadlines,
+            max(lane.deadline for lane in settings.classes),
+            self._busy,
+            lambda: self.north.came_at,
+            self.peers.serving,
+            self.peers.leave,
+            self.peers.stay,
+            self.core.give_up_all,
+            self.north.close_idle,
             self.left.set,
-        )  # fmt: skip
+        )
         self.listener = Listener(Acceptor("clients", self.north.protocol, log))
         self.listener.acceptor.exhausted = self.north.make_room
         self.operators = Listener(Acceptor("operators", lambda: self.admin.protocol(), log))
@@ -142,8 +165,13 @@
         table = calls(self.leaving, self._takes_clients, self._cores, log, self._more_figures)
         self.admin = Admin(table, deadlines, log, self.turn)
         self.reload = Reload(
-            config, partial(files.load, again=True), self._moved, self.running.limit, log,
-            lambda: self.member.read_keys() if self.member is not None else None, self._use_keys,
+            config,
+            partial(files.load, again=True),
+            self._moved,
+            self.running.limit,
+            log,
+            lambda: self.member.read_keys() if self.member is not None else None,
+            self._use_keys,
         )
 
     # -- the front of the platform's protocol
@@ -281,16 +309,31 @@
         if terms.get("keep"):
             from heronlug.life.keep import Keep
 
-            self.keep = Keep(terms["keep"], terms["keep_for_s"] * 1000, lambda: self.inventory.address,
-                             self.takeover.listed, self.loop.deadlines, self.log)  # fmt: skip
+            self.keep = Keep(
+                terms["keep"],
+                terms["keep_for_s"] * 1000,
+                lambda: self.inventory.address,
+                self.takeover.listed,
+                self.loop.deadlines,
+                self.log,
+            )
 
     async def join_cluster(self, terms: dict[str, Any]) -> None:
         """Be a member; its code is loaded only here."""
         from heronlug.life.member import Member
 
         config = self.config
-        member = Member(terms, self.inventory, self.core, self._news, self.loop.deadlines, self.log, self.turn,
-                        config.zones, config.kinds)  # fmt: skip
+        member = Member(
+            terms,
+            self.inventory,
+            self.core,
+            self._news,
+            self.loop.deadlines,
+            self.log,
+            self.turn,
+            config.zones,
+            config.kinds,
+        )
         await member.open()
         self.member = member
 
@@ -367,13 +410,26 @@
         """The second front has a core of its own: its workers cannot run what came by HTTP, nor the other way."""
         front = Faktory(terms, self.loop.deadlines, self.log, self.turn, open_store(terms.store, self.log, self.turn))
         settings = replace(
-            self.core.settings, instances=1, position=0, may_tell=False, list_pushed=True, report_fields=(),
-            halls=False, retry_share=1e3, retry_burst=1e6,  # workers pull: no storm; the cap of attempts holds
-        )  # fmt: skip
+            self.core.settings,
+            instances=1,
+            position=0,
+            may_tell=False,
+            list_pushed=True,
+            report_fields=(),
+            halls=False,
+            retry_share=1e3,
+            retry_burst=1e6,  # workers pull: no storm; the cap of attempts holds
+        )
         front.core = Core(
-            settings, self.config.seed ^ 1, front, self.loop.deadlines, log=self.log,
-            max_open=self.core.max_open, max_come_back=self.config.max_come_back, hooks=self.core.hooks,
-        )  # fmt: skip
+            settings,
+            self.config.seed ^ 1,
+            front,
+            self.loop.deadlines,
+            log=self.log,
+            max_open=self.core.max_open,
+            max_come_back=self.config.max_come_back,
+            hooks=self.core.hooks,
+        )
         return front
 
     def _on_signal(self) -> None:
--- a/heronlug/life/state.py
+++ b/heronlug/life/state.py
@@ -35,9 +35,15 @@
 State = dict[str, Any]
 EMPTY: State = {"log_level": "info", "faktory": {}, "plugins": {}, "classes": {}, "cluster": {}, "register": {}}
 FAKTORY: dict[str, Any] = {
-    "listen": "", "password": "", "beat_timeout_s": 60.0, "reserve_for_s": 1800.0, "remember_s": 86400.0,
-    "max_known": 100_000, "max_connections": 200, "store": "",
-}  # fmt: skip
+    "listen": "",
+    "password": "",
+    "beat_timeout_s": 60.0,
+    "reserve_for_s": 1800.0,
+    "remember_s": 86400.0,
+    "max_known": 100_000,
+    "max_connections": 200,
+    "store": "",
+}
 PLUGIN: dict[str, Any] = {"name": "", "file": "", "fuel": 100_000, "memory_kb": 1024}
 KEYS = ("log_level", "faktory", "plugin", "class", "cluster", "register")
 WHOLE = ("serve", "site", "host")  # what stands beside them in a file that is the whole configuration
@@ -109,9 +115,13 @@
     if faults:
         raise Faults(faults)
     return {
-        "log_level": level, "faktory": faktory if faktory["listen"] else {}, "plugins": plugins, "classes": classes,
-        "cluster": cluster, "register": register,
-    }  # fmt: skip
+        "log_level": level,
+        "faktory": faktory if faktory["listen"] else {},
+        "plugins": plugins,
+        "classes": classes,
+        "cluster": cluster,
+        "register": register,
+    }
 
 
 def _plugins(listed: Any, source: Source, faults: list[Fault]) -> State:
--- a/heronlug/limits/rules.py
+++ b/heronlug/limits/rules.py
@@ -235,11 +235,25 @@
 
 
 RULES: tuple[Callable[[Case], Break | None], ...] = (
-    attempts_past_cap, give_up_past_site, timeout_without_cancel, timeout_past_give_up, again_without_timeout,
-    again_for_once, copy_of_once, copies_not_allowed, copy_denied_and_timed, copy_without_attempt, copy_past_timeout,
-    copy_past_give_up, window_without_key, window_past_hosts, window_past_use, waits_past_attempts,
-    waits_past_give_up, times_past_give_up,
-)  # fmt: skip
+    attempts_past_cap,
+    give_up_past_site,
+    timeout_without_cancel,
+    timeout_past_give_up,
+    again_without_timeout,
+    again_for_once,
+    copy_of_once,
+    copies_not_allowed,
+    copy_denied_and_timed,
+    copy_without_attempt,
+    copy_past_timeout,
+    copy_past_give_up,
+    window_without_key,
+    window_past_hosts,
+    window_past_use,
+    waits_past_attempts,
+    waits_past_give_up,
+    times_past_give_up,
+)
 
 
 def notes(case: Case) -> list[str]:
--- a/heronlug/limits/schema.py
+++ b/heronlug/limits/schema.py
@@ -20,9 +20,7 @@
 
     attempts: Annotated[int, Meta(ge=1, le=MOST, description="a whole number from 1 on")] | UnsetType = UNSET
     attempt_timeout_ms: Span | UnsetType = UNSET
-    after_timeout: Annotated[
-        Literal["again", "end"], Meta(description='"again" or "end"')
-    ] | UnsetType = UNSET
+    after_timeout: Annotated[Literal["again", "end"], Meta(description='"again" or "end"')] | UnsetType = UNSET
     wait_ms: Waits | UnsetType = UNSET
     second_copy: Annotated[bool, Meta(description="true or false")] | UnsetType = UNSET
     second_copy_after_ms: Span | UnsetType = UNSET
--- a/heronlug/load/demo.py
+++ b/heronlug/load/demo.py
@@ -69,13 +69,25 @@
         self.programs = []
         for number in range(count):
             path = folder / f"d{number}.toml"
-            path.write_text(FILE.render(s=scenario, number=number, doors=self.doors, operators=self.operators,
-                                        peers=peers, discovery=discovery))  # fmt: skip
+            path.write_text(
+                FILE.render(
+                    s=scenario,
+                    number=number,
+                    doors=self.doors,
+                    operators=self.operators,
+                    peers=peers,
+                    discovery=discovery,
+                )
+            )
             with (folder / f"d{number}.log").open("wb") as log:
-                self.programs.append(subprocess.Popen(
-                    [sys.executable, "-m", "heronlug", "serve", str(path)], stdout=log, stderr=log,
-                    env={**os.environ, "TMPDIR": str(folder)},
-                ))  # fmt: skip
+                self.programs.append(
+                    subprocess.Popen(
+                        [sys.executable, "-m", "heronlug", "serve", str(path)],
+                        stdout=log,
+                        stderr=log,
+                        env={**os.environ, "TMPDIR": str(folder)},
+                    )
+                )
         self.folder = folder
 
     async def ready(self) -> None:
--- a/heronlug/load/faktory.py
+++ b/heronlug/load/faktory.py
@@ -66,9 +66,7 @@
 class FaktoryLoad(Pace):
     """Producers and workers of one scenario."""
 
-    def __init__(
-        self, address: tuple[str, int], scenario: Scenario, tallies: dict[str, Tally], seconds: float
-    ) -> None:
+    def __init__(self, address: tuple[str, int], scenario: Scenario, tallies: dict[str, Tally], seconds: float) -> None:
         """``seconds`` bounds the whole; the front has no password."""
         super().__init__(tallies, seconds)
         self.address = address
@@ -103,8 +101,13 @@
                 jid = secrets.token_hex(12)
                 left = max(1, round(due.lane.deadline_ms - (self.now() - due.at)))
                 self.out[jid] = due
-                job = {"jid": jid, "jobtype": due.lane.name, "queue": "default", "args": [due.work],
-                       "custom": {"remaining_ms": left}}  # fmt: skip
+                job = {
+                    "jid": jid,
+                    "jobtype": due.lane.name,
+                    "queue": "default",
+                    "args": [due.work],
+                    "custom": {"remaining_ms": left},
+                }
                 try:
                     await client.call(b"PUSH " + orjson.dumps(job))
                 except FaktoryError:
--- a/heronlug/load/tally.py
+++ b/heronlug/load/tally.py
@@ -68,8 +68,11 @@
             rest = sum(each.finals[final] for final in ("refused", "failed", "lost"))
             shares = [100 * n / ended for n in (each.finals["on_time"], each.finals["late"], rest)]
             values.append([*shares, times["p50"], times["p90"], times["p99"]])
-        for what, row in (("sockets", values[0]), ("model", values[1]),
-                          ("gap", [a - b for a, b in zip(*values, strict=True)])):  # fmt: skip
+        for what, row in (
+            ("sockets", values[0]),
+            ("model", values[1]),
+            ("gap", [a - b for a, b in zip(*values, strict=True)]),
+        ):
             texts = [f"{value:.2f}" for value in row[:3]] + [f"{value:.1f}" for value in row[3:]]
             rows.append([tally.lane.name if what == "sockets" else "", what, *texts])
     return rows
--- a/heronlug/logic.py
+++ b/heronlug/logic.py
@@ -71,12 +71,18 @@
         if self.by_starts:
             self.kinds.default_factory = lambda: Kind(UNTOLD)
         self.handlers: dict[type, Callable[..., None]] = {
-            pk.JobArrived: self._on_job, pk.AttemptEnded: self._on_ended, pk.JobPassedOn: self._on_passed_on,
-            pk.WorkerList: self._on_list, pk.ClientGone: lambda event, now: self._close(event.job),
-            pk.NoTimeLeft: self._on_no_time, pk.JobAdopted: self._on_adopted, pk.Note: self._on_note,
+            pk.JobArrived: self._on_job,
+            pk.AttemptEnded: self._on_ended,
+            pk.JobPassedOn: self._on_passed_on,
+            pk.WorkerList: self._on_list,
+            pk.ClientGone: lambda event, now: self._close(event.job),
+            pk.NoTimeLeft: self._on_no_time,
+            pk.JobAdopted: self._on_adopted,
+            pk.Note: self._on_note,
             pk.PeerGone: lambda event, now: self.peers.forget(event.peer, self.workers),
-            pk.TimerFired: lambda event, now: self.agenda.fired(), pk.PeerMessage: self._on_peer,
-        }  # fmt: skip
+            pk.TimerFired: lambda event, now: self.agenda.fired(),
+            pk.PeerMessage: self._on_peer,
+        }
 
     def handle(self, now: float, event: pk.Event) -> list[pk.Action]:
         """The actions that follow from one event; events of unknown type or id are ignored."""
@@ -276,8 +282,9 @@
         return all(
             f.worker.zone == worker.zone
             and (job.lane.key_scope is not pk.KeyScope.CELL or f.worker.cell == worker.cell)
-            for f in job.attempts if f.may_have_run
-        )  # fmt: skip
+            for f in job.attempts
+            if f.may_have_run
+        )
 
     def _send(self, job: Job, worker: Worker, now: float) -> None:
         if not all(f.waiting for f in job.attempts):  # copies of waiting work are no load
--- a/heronlug/memory/core.py
+++ b/heronlug/memory/core.py
@@ -182,9 +182,16 @@
         return name in self.names or name in self.elsewhere
 
     def take(
-        self, load: Any, lane: int, remaining: float, *, name: str = "", size: int = 0,
-        terms: pk.JobClass | None = None, **fields: Any,
-    ) -> Message:  # fmt: skip
+        self,
+        load: Any,
+        lane: int,
+        remaining: float,
+        *,
+        name: str = "",
+        size: int = 0,
+        terms: pk.JobClass | None = None,
+        **fields: Any,
+    ) -> Message:
         """Take a message in; from here on it is owed one final answer.  ``fields`` are those of ``JobArrived``.
 
         ``terms`` are those it was accepted under, where that was earlier.
@@ -211,10 +218,17 @@
         return message
 
     def adopt(
-        self, load: Any, lane: int, give_up_at: float, taken_at: float, name: str,
-        passed: Sequence[tuple[HostEntry, pk.Attempt]], terms: pk.JobClass, not_before: float = 0.0,
+        self,
+        load: Any,
+        lane: int,
+        give_up_at: float,
+        taken_at: float,
+        name: str,
+        passed: Sequence[tuple[HostEntry, pk.Attempt]],
+        terms: pk.JobClass,
+        not_before: float = 0.0,
         **fields: Any,
-    ) -> Message:  # fmt: skip
+    ) -> Message:
         """Go on with a message that another process took; its relays that are out need their wires."""
         message = Message(load, lane, terms, give_up_at, taken_at, name)
         message.ticket = self.messages.put(message)
@@ -330,15 +344,18 @@
         message, now = relay.message, self.deadlines.clock()
         if outcome != pk.Outcome.SERVED:
             self._log(
-                "relay_ended", message=message.ticket, id=message.name, relay=relay.number, host=relay.host.entry.name,
-                outcome=outcome.name.lower(), ms=round(now - relay.sent_at, 1),
-            )  # fmt: skip
+                "relay_ended",
+                message=message.ticket,
+                id=message.name,
+                relay=relay.number,
+                host=relay.host.entry.name,
+                outcome=outcome.name.lower(),
+                ms=round(now - relay.sent_at, 1),
+            )
         elif not message.closed:
             self._close(message, Final.SERVED, result)
         latency = max(0.0, now - relay.sent_at)
-        self._give(
-            pk.AttemptEnded(message.ticket, relay.number, relay.host.number, outcome, latency, message.closed)
-        )
+        self._give(pk.AttemptEnded(message.ticket, relay.number, relay.host.number, outcome, latency, message.closed))
         self._forget(message)
 
     # -- the inventory and the peers
@@ -450,9 +467,13 @@
         """An event has held the loop up, or the process had no processor meanwhile."""
         self.slow_events += 1
         self._log(
-            "slow_event", kind=type(event).__name__, ms=round(took, 1), hosts=len(self.hosts), open=self.open,
+            "slow_event",
+            kind=type(event).__name__,
+            ms=round(took, 1),
+            hosts=len(self.hosts),
+            open=self.open,
             waiting=len(self.dispatcher.held) + len(self.dispatcher.late),
-        )  # fmt: skip
+        )
 
     def _do(self, action: pk.Action, now: float) -> None:
         if isinstance(action, pk.Send):
@@ -488,9 +509,12 @@
         if relay.number:
             hedged = any(other.out for other in message.relays[:-1])
             self._log(
-                "attempt_hedged" if hedged else "attempt_retried", message=message.ticket, id=message.name,
-                relay=relay.number, host=host.entry.name,
-            )  # fmt: skip
+                "attempt_hedged" if hedged else "attempt_retried",
+                message=message.ticket,
+                id=message.name,
+                relay=relay.number,
+                host=host.entry.name,
+            )
         if now >= message.give_up_at or relay.number >= self.settings.cap(message.terms) or self._left(message):
             self.ended(relay, pk.Outcome.MOOT)
         elif self.behind():
@@ -538,18 +562,22 @@
             self._close(message, Final.FAILED, b"", reason="overdue")
         self._forget(message)
 
-    def _close(
-        self, message: Message, final: Final, body: bytes, come_back: float = 0.0, reason: str = ""
-    ) -> None:
+    def _close(self, message: Message, final: Final, body: bytes, come_back: float = 0.0, reason: str = "") -> None:
         """The one place where a final answer goes out."""
         message.final = final
         self.open -= 1
         self.turned_away(message.lane, final)
         took = self.deadlines.clock() - message.taken_at
         self._log(
-            "answer", message=message.ticket, id=message.name, lane=self.settings.classes[message.lane].name,
-            final=final.value, relays=len(message.relays), ms=round(took, 1), **({"why": reason} if reason else {}),
-        )  # fmt: skip
+            "answer",
+            message=message.ticket,
+            id=message.name,
+            lane=self.settings.classes[message.lane].name,
+            final=final.value,
+            relays=len(message.relays),
+            ms=round(took, 1),
+            **({"why": reason} if reason else {}),
+        )
         self.front.answer(message, final, body, come_back)
         if self.hooks is not None:
             self.hooks.observe(message.lane, final, took)
--- a/heronlug/rig/processes.py
+++ b/heronlug/rig/processes.py
@@ -17,7 +17,7 @@
 from heronlug.rig.script import Script
 from heronlug.standin.ports import starting
 
-HOLD_OFF = ("/bin/sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"")  # until the program minds SIGHUP: as deployed
+HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
 UTIME = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
 LOG_LOST = 0.2  # s before the end of a log that is cut off, in which lines may be missing
 
@@ -103,9 +103,12 @@
             told = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
             self.program = subprocess.Popen(
                 [*HOLD_OFF, sys.executable, "-m", "heronlug", *(() if told else ("serve", file))],
-                stdout=log, stderr=log, stdin=subprocess.DEVNULL, cwd=self.source,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                cwd=self.source,
                 env={**os.environ, "TMPDIR": str(private), "HERONLUG_CONTROL": str(private / "control"), **told},
-            )  # fmt: skip
+            )
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal; after SIGKILL and SIGTERM it is not wanted any more."""
@@ -185,15 +188,32 @@
 
 
 def write_file(
-    process: Process, script: Script, *, door: int, discovery: str, peers: list[str], member: int, advertised: int,
+    process: Process,
+    script: Script,
+    *,
+    door: int,
+    discovery: str,
+    peers: list[str],
+    member: int,
+    advertised: int,
     seeds: list[int],
-) -> None:  # fmt: skip
+) -> None:
     """The operators' file of a dispatcher."""
     position = int(process.name[1:])
     more = script.dispatchers.more.replace("{name}", process.name).replace("{folder}", str(process.folder))
-    text = FILE.render(s=script, name=process.name, door=door, operators=process.operators, position=position,
-                       discovery=discovery, peers=peers, member=member, advertised=advertised, seeds=seeds,
-                       more=more)  # fmt: skip
+    text = FILE.render(
+        s=script,
+        name=process.name,
+        door=door,
+        operators=process.operators,
+        position=position,
+        discovery=discovery,
+        peers=peers,
+        member=member,
+        advertised=advertised,
+        seeds=seeds,
+        more=more,
+    )
     (process.folder / f"{process.name}.toml").write_text(text)
 
 
--- a/heronlug/rig/rig.py
+++ b/heronlug/rig/rig.py
@@ -90,9 +90,7 @@
 class Rig:
     """One run of a script in a folder of its own."""
 
-    def __init__(
-        self, script: Script, folder: Path, events: Path | None = None, source: Path | None = None
-    ) -> None:
+    def __init__(self, script: Script, folder: Path, events: Path | None = None, source: Path | None = None) -> None:
         """``source`` is the folder of another version of the program, in place of this one."""
         self.script, self.folder, self._source = script, folder, source
         self.rng = Random(script.seed)
@@ -107,8 +105,9 @@
         self.register.unwatched, self.register.changed = self._unwatched, self._listed_as
         self._unreachable: set[str] = set()  # dispatchers that discovery is out of reach of, as the judge has it
         self.register.address_of = self._address_of
-        self.runners = Runners(script, self.register, self.history, lambda txn: self.clients.at.get(txn, ""),
-                               self.paths.gone)  # fmt: skip
+        self.runners = Runners(
+            script, self.register, self.history, lambda txn: self.clients.at.get(txn, ""), self.paths.gone
+        )
         self.processes: dict[str, Process] = {}
         self.clients: Clients
         self.lost_with = 0  # jobs that ended with their dispatcher
@@ -142,10 +141,18 @@
             await self.behind.caught_up()
             return judge(
                 Run(
-                    self.script, self.history, self.processes, self.clients.tallies.values(), reading, listed,
-                    self.listed_after, self.lost_with, self.register.wrote_bytes, self._failed,
+                    self.script,
+                    self.history,
+                    self.processes,
+                    self.clients.tallies.values(),
+                    reading,
+                    listed,
+                    self.listed_after,
+                    self.lost_with,
+                    self.register.wrote_bytes,
+                    self._failed,
                 )
-            )  # fmt: skip
+            )
         finally:
             await self._close()
 
@@ -187,9 +194,16 @@
             process = self.processes[name] = Process(name, self.folder, operators[name], self._source)
             told = [f"127.0.0.1:{peers[o] if o == name else seen_peers[o]}" for o in names]
             seeds = [seen_members[o] for o in names[: script.dispatchers.seeds] if o != name]
-            write_file(process, script, door=self._doors[name], discovery=where, member=members[name],
-                       peers=told if script.dispatchers.peers and count > 1 else [], advertised=seen_members[name],
-                       seeds=seeds)  # fmt: skip
+            write_file(
+                process,
+                script,
+                door=self._doors[name],
+                discovery=where,
+                member=members[name],
+                peers=told if script.dispatchers.peers and count > 1 else [],
+                advertised=seen_members[name],
+                seeds=seeds,
+            )
             if script.dispatchers.platform:
                 listed = list(self.register.instances.values())
                 write_platform_files(process, self.register.table(name, self.register.version, listed, True))
@@ -496,9 +510,7 @@
             self._note_reach([path.name[0]])
 
 
-def play(
-    script: Script, folder: Path | None = None, events: Path | None = None, source: Path | None = None
-) -> Verdict:
+def play(script: Script, folder: Path | None = None, events: Path | None = None, source: Path | None = None) -> Verdict:
     """Play a script in a folder, or in one that is deleted afterwards; raises ``OSError``."""
     where = folder or Path(tempfile.mkdtemp(prefix="heronlug-rig-"))
     try:
--- a/heronlug/rig/runners.py
+++ b/heronlug/rig/runners.py
@@ -23,10 +23,15 @@
     """The script's classes as the stand-ins know them."""
     return {
         lane.name: ClassTable(
-            lane.name, lane.effect, lane.aim_ms, lane.deadline_ms, {"dist": "uniform"}, lane.worth,
+            lane.name,
+            lane.effect,
+            lane.aim_ms,
+            lane.deadline_ms,
+            {"dist": "uniform"},
+            lane.worth,
         )
         for lane in script.classes
-    }  # fmt: skip
+    }
 
 
 class Requests:
@@ -58,9 +63,13 @@
     """All runners by name; the register lists them."""
 
     def __init__(
-        self, script: Script, register: Register, history: History, sender: Callable[[str], str],
+        self,
+        script: Script,
+        register: Register,
+        history: History,
+        sender: Callable[[str], str],
         gone: Callable[[str, bool], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """``sender`` knows the dispatcher that a request was handed to; ``gone`` hears of processes that end."""
         self.script, self.register, self.history = script, register, history
         self.lanes = lanes_of(script)
@@ -95,8 +104,14 @@
         """The register has it so."""
         host = self.hosts[name]
         started = round(self._unix(host.started_at)) if host.started_at else 0
-        self.register.put(name, hostPort=self.address(name), zone=self.script.halls[host.zone], machineType=KIND,
-                          lifecycle=state, startedAtMs=started)  # fmt: skip
+        self.register.put(
+            name,
+            hostPort=self.address(name),
+            zone=self.script.halls[host.zone],
+            machineType=KIND,
+            lifecycle=state,
+            startedAtMs=started,
+        )
 
     def die(self, name: str) -> None:
         """Its process ends."""
--- a/heronlug/rig/script.py
+++ b/heronlug/rig/script.py
@@ -30,9 +30,22 @@
 HOSTS = ("die", "back", "list", "slow")  # of runners
 DOING = (*PROCESS, *BETWEEN, *REGISTER, *HOSTS)
 LASTING = {  # what ``for_s`` takes back
-    "cut", "silent", "refuse", "full", "delay", "loss", "trickle", "half", "stop", "kill", "down", "hang", "turn",
-    "die", "slow",
-}  # fmt: skip
+    "cut",
+    "silent",
+    "refuse",
+    "full",
+    "delay",
+    "loss",
+    "trickle",
+    "half",
+    "stop",
+    "kill",
+    "down",
+    "hang",
+    "turn",
+    "die",
+    "slow",
+}
 
 
 class DispatchersTable(Struct, forbid_unknown_fields=True):
@@ -77,9 +90,9 @@
 
     name: Text
     rate: Annotated[float, Meta(gt=0, le=10_000, description="jobs a second, more than 0")]
-    effect: Annotated[
-        Literal["repeatable", "by_key", "once"], Meta(description='"repeatable", "by_key" or "once"')
-    ] = "repeatable"
+    effect: Annotated[Literal["repeatable", "by_key", "once"], Meta(description='"repeatable", "by_key" or "once"')] = (
+        "repeatable"
+    )
     work_ms: Millis = 50.0  # the mean; each job's is drawn from 0.5 to 1.5 times that
     aim_ms: Millis = 1000.0
     deadline_ms: Millis = 5000.0
@@ -101,9 +114,7 @@
     bytes: Annotated[int, Meta(ge=0, le=10_000_000, description="bytes, 0 or more")] = 0  # a second, or of an answer
     share: Share = 0.0  # of a loss, of calls turned away
     factor: Annotated[float, Meta(gt=0, le=1000, description="a factor, more than 0")] = 1.0
-    state: Annotated[
-        Literal["active", "leaving", "left"], Meta(description='"active", "leaving" or "left"')
-    ] = "active"
+    state: Annotated[Literal["active", "leaving", "left"], Meta(description='"active", "leaving" or "left"')] = "active"
     cold: Flag = True  # a runner that comes back
 
 
@@ -171,8 +182,11 @@
 
 
 TABLES: dict[str, type[Struct]] = {
-    "dispatchers": DispatchersTable, "register": RegisterTable, "runners": RunnersTable, "expect": ExpectTable,
-}  # fmt: skip
+    "dispatchers": DispatchersTable,
+    "register": RegisterTable,
+    "runners": RunnersTable,
+    "expect": ExpectTable,
+}
 LISTS: dict[str, type[Struct]] = {"class": ClassTable, "step": Step}
 
 
--- a/heronlug/rig/soak.py
+++ b/heronlug/rig/soak.py
@@ -31,14 +31,18 @@
     rng = Random(seed)
     dispatchers, runners = rng.randint(2, 4), rng.randint(3, 8)
     script = Script(
-        name=f"soak-{seed}", span_s=SPAN, seed=seed, halls=["a", "b"][: rng.randint(1, 2)],
-        dispatchers=DispatchersTable(count=dispatchers, peers=rng.random() < 0.5, log_taken=True,
-                                     platform=rng.random() < PLATFORM),
+        name=f"soak-{seed}",
+        span_s=SPAN,
+        seed=seed,
+        halls=["a", "b"][: rng.randint(1, 2)],
+        dispatchers=DispatchersTable(
+            count=dispatchers, peers=rng.random() < 0.5, log_taken=True, platform=rng.random() < PLATFORM
+        ),
         register=RegisterTable(call_ms=rng.choice([0.0, 5.0, 150.0])),
         runners=RunnersTable(count=runners, slots=rng.randint(2, 6), warm_after_ms=5000.0, cold=rng.random() < 0.3),
         classes=[_class(rng, number) for number in range(rng.randint(1, 3))],
         expect=ExpectTable(),
-    )  # fmt: skip
+    )
     for _ in range(rng.randint(3, 7)):
         script.step += rng.choice(FAULTS)(rng, rng.uniform(FIRST, LAST), script)
     script.step.sort(key=lambda step: step.at_s)
@@ -54,9 +58,13 @@
 def _class(rng: Random, number: int) -> ClassTable:
     deadline = rng.choice([1500.0, 2500.0, 3000.0])
     return ClassTable(
-        name=f"class{number}", rate=rng.uniform(4, 15), effect=rng.choice(EFFECTS),
-        work_ms=rng.choice([30.0, 80.0, 300.0]), aim_ms=deadline / 3, deadline_ms=deadline,
-    )  # fmt: skip
+        name=f"class{number}",
+        rate=rng.uniform(4, 15),
+        effect=rng.choice(EFFECTS),
+        work_ms=rng.choice([30.0, 80.0, 300.0]),
+        aim_ms=deadline / 3,
+        deadline_ms=deadline,
+    )
 
 
 def _dispatcher(rng: Random, script: Script) -> list[str]:
@@ -136,13 +144,28 @@
 
 
 def _runners_cut(rng: Random, at: float, script: Script) -> list[Step]:
-    return [Step(at_s=at, do=rng.choice(["cut", "silent", "refuse"]), source=["d*"], target=_some_runners(rng, script),
-                 for_s=rng.uniform(0.5, 3))]  # fmt: skip
+    return [
+        Step(
+            at_s=at,
+            do=rng.choice(["cut", "silent", "refuse"]),
+            source=["d*"],
+            target=_some_runners(rng, script),
+            for_s=rng.uniform(0.5, 3),
+        )
+    ]
 
 
 def _runners_late(rng: Random, at: float, script: Script) -> list[Step]:
-    return [Step(at_s=at, do="delay", source=["d*"], target=_some_runners(rng, script), ms=rng.uniform(20, 700),
-                 for_s=rng.uniform(0.5, 3))]  # fmt: skip
+    return [
+        Step(
+            at_s=at,
+            do="delay",
+            source=["d*"],
+            target=_some_runners(rng, script),
+            ms=rng.uniform(20, 700),
+            for_s=rng.uniform(0.5, 3),
+        )
+    ]
 
 
 def _runners_die(rng: Random, at: float, script: Script) -> list[Step]:
@@ -163,7 +186,24 @@
 
 
 FAULTS: tuple[Any, ...] = (
-    _killed, _replaced, _replaced, _held_up, _reloaded, _register_down, _register_silent, _register_slow,
-    _register_reset, _register_refuses, _register_hangs, _register_in_half, _away, _runners_reset, _runners_cut,
-    _runners_late, _runners_die, _runners_drain, _runners_drain, _runners_slow,
-)  # fmt: skip
+    _killed,
+    _replaced,
+    _replaced,
+    _held_up,
+    _reloaded,
+    _register_down,
+    _register_silent,
+    _register_slow,
+    _register_reset,
+    _register_refuses,
+    _register_hangs,
+    _register_in_half,
+    _away,
+    _runners_reset,
+    _runners_cut,
+    _runners_late,
+    _runners_die,
+    _runners_drain,
+    _runners_drain,
+    _runners_slow,
+)
--- a/heronlug/rig/verdict.py
+++ b/heronlug/rig/verdict.py
@@ -70,29 +70,36 @@
     after = sorted(run.listed_after.values())
     used = [process.usage() for process in run.processes.values() if process.runs]
     return {
-        "calls": checker.calls["all"], "calls for the whole list": checker.calls["whole"],
-        "calls turned away": checker.calls["turned"], "most calls in 100 ms": checker.call_rush[0].most,
-        "most calls in 1 s": checker.call_rush[1].most, "reading in the end": len(run.reading),
-        "listed in the end": sum(run.listed.values()), "running in the end": len(run.listed),
+        "calls": checker.calls["all"],
+        "calls for the whole list": checker.calls["whole"],
+        "calls turned away": checker.calls["turned"],
+        "most calls in 100 ms": checker.call_rush[0].most,
+        "most calls in 1 s": checker.call_rush[1].most,
+        "reading in the end": len(run.reading),
+        "listed in the end": sum(run.listed.values()),
+        "running in the end": len(run.listed),
         "first and last listed after s": (round(after[0], 2), round(after[-1], 2)) if after else None,
         "jobs": sum(tally.jobs for tally in tallies),
         "served": sum(tally.finals["on_time"] + tally.finals["late"] for tally in tallies),
         "lost with their dispatcher": run.lost_with,
-        "most dials at a runner in 1 s": max(dials.values(), default=0), "dials": sum(checker.dials.values()),
+        "most dials at a runner in 1 s": max(dials.values(), default=0),
+        "dials": sum(checker.dials.values()),
         "most of what a cold runner stands": round(checker.coldest, 2),
         "CPU s of those that run": round(sum(usage.cpu_s for usage in used), 2),
         "peak MB of one": round(max((usage.peak_mb for usage in used), default=0.0), 1),
         "descriptors of one": max((usage.descriptors for usage in used), default=0),
         "bytes of lists": run.list_bytes,
-    }  # fmt: skip
+    }
 
 
 def _bounds(expect: ExpectTable) -> dict[str, float | None]:
     return {
-        "calls": expect.calls_most, "most calls in 1 s": expect.calls_in_1s_most,
-        "most calls in 100 ms": expect.calls_in_100ms_most, "calls turned away": expect.turned_most,
+        "calls": expect.calls_most,
+        "most calls in 1 s": expect.calls_in_1s_most,
+        "most calls in 100 ms": expect.calls_in_100ms_most,
+        "calls turned away": expect.turned_most,
         "most dials at a runner in 1 s": expect.dials_in_1s_most,
-    }  # fmt: skip
+    }
 
 
 def _missed(run: Run, figures: dict[str, Any]) -> list[str]:
--- a/heronlug/rules/__init__.py
+++ b/heronlug/rules/__init__.py
@@ -22,6 +22,25 @@
     write,
 )
 
-__all__ = ["Answered", "Began", "Called", "Changed", "Checker", "Dialled", "Ended", "Event", "Listed", "Load",
-           "Reachable", "Sent", "Started", "Stopped", "Taken", "Violation", "WatchOver", "Watching", "read",
-           "write"]  # fmt: skip
+__all__ = [
+    "Answered",
+    "Began",
+    "Called",
+    "Changed",
+    "Checker",
+    "Dialled",
+    "Ended",
+    "Event",
+    "Listed",
+    "Load",
+    "Reachable",
+    "Sent",
+    "Started",
+    "Stopped",
+    "Taken",
+    "Violation",
+    "WatchOver",
+    "Watching",
+    "read",
+    "write",
+]
--- a/heronlug/rules/events.py
+++ b/heronlug/rules/events.py
@@ -138,9 +138,22 @@
 
 
 Event = (
-    Started | Stopped | Taken | Answered | Sent | Began | Ended | Listed | Changed | Watching | WatchOver | Reachable
-    | Load | Called | Dialled
-)  # fmt: skip
+    Started
+    | Stopped
+    | Taken
+    | Answered
+    | Sent
+    | Began
+    | Ended
+    | Listed
+    | Changed
+    | Watching
+    | WatchOver
+    | Reachable
+    | Load
+    | Called
+    | Dialled
+)
 KINDS: dict[str, Any] = {kind.__name__: kind for kind in get_args(Event)}
 
 
--- a/heronlug/standin/first_job.py
+++ b/heronlug/standin/first_job.py
@@ -18,9 +18,11 @@
     connection = http.client.HTTPConnection(*config.listen, timeout=seconds + 1)
     try:
         headers = {
-            "X-Txn": secrets.token_hex(8), "X-Lane": lane, "X-Remaining-Ms": str(round(seconds * 1000)),
+            "X-Txn": secrets.token_hex(8),
+            "X-Lane": lane,
+            "X-Remaining-Ms": str(round(seconds * 1000)),
             "Idempotency-Key": secrets.token_hex(16),
-        }  # fmt: skip
+        }
         connection.request("POST", f"/{lane}", b"a first job", headers)
         answer = connection.getresponse()
         return answer.status, answer.read().decode("utf-8", "replace").strip()
--- a/heronlug/standin/fleet.py
+++ b/heronlug/standin/fleet.py
@@ -57,8 +57,9 @@
         safety = scenario.safety
         self._warmth = Warmth(safety.cold_from, safety.warm_after_ms, safety.tip_multiple, safety.overload_for_ms)
         self.lanes = {lane.name: lane for lane in scenario.classes}
-        self.works = {lane.name: Draws(distribution(lane.work), stream(self.seed, "work", lane.name))
-                      for lane in scenario.classes}  # fmt: skip
+        self.works = {
+            lane.name: Draws(distribution(lane.work), stream(self.seed, "work", lane.name)) for lane in scenario.classes
+        }
         self._began_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self.fell = 0
@@ -99,9 +100,13 @@
         kind = host.kind.name
         started = host.started_at and self.unix(host.started_at)
         self.register.put(
-            host.name, hostPort=f"127.0.0.1:{self.servers[host.name].port}", zone=self.scenario.zones[host.zone],
-            machineType=kind, lifecycle=WORDS[state], startedAtMs=round(started),
-        )  # fmt: skip
+            host.name,
+            hostPort=f"127.0.0.1:{self.servers[host.name].port}",
+            zone=self.scenario.zones[host.zone],
+            machineType=kind,
+            lifecycle=WORDS[state],
+            startedAtMs=round(started),
+        )
         if state is WorkerState.READY and not self.servers[host.name].listening:
             self._do(self.servers[host.name].open())
 
--- a/heronlug/store/sqlite.py
+++ b/heronlug/store/sqlite.py
@@ -91,9 +91,7 @@
 
     lasts = True
 
-    def __init__(
-        self, path: Path, soon: Callable[[Callable[[], None]], object], log: Callable[..., None]
-    ) -> None:
+    def __init__(self, path: Path, soon: Callable[[Callable[[], None]], object], log: Callable[..., None]) -> None:
         """``soon`` calls something on the loop, from any thread; raises :class:`StoreError`."""
         self._db, self._soon, self._log = connect(path), soon, log
         self._ops: deque[_Op] = deque()
--- a/heronlug/wire/cluster.py
+++ b/heronlug/wire/cluster.py
@@ -24,9 +24,15 @@
     """This process as a member."""
 
     def __init__(
-        self, table: dict[str, Any], deadlines: Deadlines, log: Callable[..., None], turn: Callable[[], None],
-        register: Register | None = None, probes: Probes | None = None, terms: Terms | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        table: dict[str, Any],
+        deadlines: Deadlines,
+        log: Callable[..., None],
+        turn: Callable[[], None],
+        register: Register | None = None,
+        probes: Probes | None = None,
+        terms: Terms | None = None,
+    ) -> None:
         """``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
         self.listen = split_address(table["listen"])
         self._table, self._deadlines, self._log, self._turn = table, deadlines, log, turn
@@ -35,9 +41,15 @@
         kept = [REGISTER] if register is not None and register.view.share != "none" else []  # duties
         kept += probes.names if probes is not None else []
         self.node = Node(
-            table["name"], table["advertise"] or table["listen"], table["seeds"], [*self.runs.names, *kept],
-            keys(table["key_files"]), int(deadlines.clock()), Random(), terms,
-        )  # fmt: skip
+            table["name"],
+            table["advertise"] or table["listen"],
+            table["seeds"],
+            [*self.runs.names, *kept],
+            keys(table["key_files"]),
+            int(deadlines.clock()),
+            Random(),
+            terms,
+        )
         for part in (register, probes):
             if part is not None:
                 part.join(self.node, self._flush)
@@ -93,13 +105,26 @@
     def members(self) -> list[dict[str, Any]]:
         """Everybody, ourselves first."""
         node, now = self.node, self._deadlines.clock()
-        own = {"name": node.name, "address": node.address, "health": "self", "incarnation": node.members.incarnation,
-               "for_s": 0.0}  # fmt: skip
-        return [own, *(
-            {"name": m.name, "address": m.address, "health": m.health.name.lower(), "incarnation": m.incarnation,
-             "for_s": round((now - m.since) / 1000, 1)}
-            for m in sorted(node.members.members.values(), key=lambda m: m.name)
-        )]  # fmt: skip
+        own = {
+            "name": node.name,
+            "address": node.address,
+            "health": "self",
+            "incarnation": node.members.incarnation,
+            "for_s": 0.0,
+        }
+        return [
+            own,
+            *(
+                {
+                    "name": m.name,
+                    "address": m.address,
+                    "health": m.health.name.lower(),
+                    "incarnation": m.incarnation,
+                    "for_s": round((now - m.since) / 1000, 1),
+                }
+                for m in sorted(node.members.members.values(), key=lambda m: m.name)
+            ),
+        ]
 
     def duties(self) -> list[dict[str, Any]]:
         """All duties as this member knows them; those without runs are done as long as they are owned."""
@@ -107,10 +132,16 @@
         for lease in self.node.leases.duties.values():
             ours = self.node.may_act(lease.name, now) is not None
             row: dict[str, Any] = {
-                "name": lease.name, "owner": self.node.name if ours else None, "stage": lease.stage.value,
-                "fence": lease.fence.number if ours else None, "lease_left_ms": round(lease.until - now) if ours else 0,
-                "last_run_s": None, "runs": None, "failed": None, "takeovers": lease.gained,
-            }  # fmt: skip
+                "name": lease.name,
+                "owner": self.node.name if ours else None,
+                "stage": lease.stage.value,
+                "fence": lease.fence.number if ours else None,
+                "lease_left_ms": round(lease.until - now) if ours else 0,
+                "last_run_s": None,
+                "runs": None,
+                "failed": None,
+                "takeovers": lease.gained,
+            }
             running = self.runs.schedule.duties.get(lease.name)
             if running is not None:
                 last = round((now - running.began) / 1000, 1) if running.runs else None
@@ -203,8 +234,9 @@
 
     def _owned(self, action: Gained | Lost) -> None:
         gained = isinstance(action, Gained)
-        self._log("duty_gained" if gained else "duty_lost", duty=action.duty, fence=action.fence.number,
-                  cause=action.cause)  # fmt: skip
+        self._log(
+            "duty_gained" if gained else "duty_lost", duty=action.duty, fence=action.fence.number, cause=action.cause
+        )
         if action.duty in self.runs.names:
             if gained:
                 self.runs.gained(action.duty, action.fence)
--- a/heronlug/wire/duties.py
+++ b/heronlug/wire/duties.py
@@ -29,8 +29,9 @@
     environ = {**os.environ, "HERONLUG_DUTY": name, "HERONLUG_FENCE": f"{fence.number}.{fence.owner}"}
     program: Process | None = None
     try:
-        program = await asyncio.create_subprocess_exec(*words, env=environ, stdin=DEVNULL, stdout=DEVNULL,
-                                                       stderr=DEVNULL)  # fmt: skip
+        program = await asyncio.create_subprocess_exec(
+            *words, env=environ, stdin=DEVNULL, stdout=DEVNULL, stderr=DEVNULL
+        )
         return await program.wait()
     finally:
         if program is not None and program.returncode is None:
@@ -70,15 +71,21 @@
     """The periodic duties of this member."""
 
     def __init__(
-        self, tables: list[dict[str, Any]], may_act: Callable[[str, float], Fence | None], deadlines: Deadlines,
-        log: Callable[..., None], turn: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        tables: list[dict[str, Any]],
+        may_act: Callable[[str, float], Fence | None],
+        deadlines: Deadlines,
+        log: Callable[..., None],
+        turn: Callable[[], None],
+    ) -> None:
         """``tables`` as :mod:`heronlug.cluster.schema` reads ``[[cluster.duty]]``."""
         self._works = {table["name"]: work_of(table, log) for table in tables}
-        self.schedule = Schedule.of([
-            Duty(table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, table["longest_s"] * 1000)
-            for table in tables
-        ])  # fmt: skip
+        self.schedule = Schedule.of(
+            [
+                Duty(table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, table["longest_s"] * 1000)
+                for table in tables
+            ]
+        )
         self._may_act, self._deadlines, self._log, self._turn = may_act, deadlines, log, turn
         self._due: Key | None = None
         self._tasks: dict[str, asyncio.Task[int]] = {}
--- a/heronlug/wire/faktory.py
+++ b/heronlug/wire/faktory.py
@@ -494,9 +494,10 @@
         # a parent that has been forgotten had ended long ago, and let go of this one by then
         known = [(edge, self.jobs[edge.parent]) for edge in edges if edge.parent in self.jobs]
         start = self._chains.add(
-            job.jid, [edge for edge, parent in known if parent.final is None],
+            job.jid,
+            [edge for edge, parent in known if parent.final is None],
             [(edge, parent.final is Final.SERVED) for edge, parent in known if parent.final is not None],
-        )  # fmt: skip
+        )
         if start is Start.WAITS:
             self._chained[job.jid] = job, wait, due
         elif start is Start.FAILED:
--- a/heronlug/wire/http.py
+++ b/heronlug/wire/http.py
@@ -7,10 +7,19 @@
 MAX_LINE = 256 * 1024
 
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    409: "Conflict", 413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+}
 
 
 def response(status: int, body: bytes = b"", *, close: bool = False, retry_after: float = 0.0) -> bytes:
--- a/heronlug/wire/inventory.py
+++ b/heronlug/wire/inventory.py
@@ -209,9 +209,13 @@
         if freshness.state is not before:
             left = freshness.good_until - now
             self._log(
-                "list_state", state=freshness.state.value, before=before.value, why=event.value, version=self.version,
+                "list_state",
+                state=freshness.state.value,
+                before=before.value,
+                why=event.value,
+                version=self.version,
                 good_ms=round(left) if math.isfinite(left) else None,
-            )  # fmt: skip
+            )
         self._set_clock()
         if self.on_good is not None and not was_good and now < freshness.good_until and event is not Event.ANSWERED:
             self.on_good(True)  # an answer tells it itself, with its news
@@ -236,9 +240,11 @@
             self._fresh = True  # the next answer lifts it, whatever it brings
             age = self._deadlines.clock() - self._answered_at
             self._log(
-                "list_stale", state=self.freshness.state.value, version=self.version,
+                "list_stale",
+                state=self.freshness.state.value,
+                version=self.version,
                 answered_ms_ago=round(age) if math.isfinite(age) else None,
-            )  # fmt: skip
+            )
             self.on_good(False)
 
     def behind(self) -> bool:
@@ -346,9 +352,12 @@
         retry_after = call.retry_after if call is not None else 0.0
         self._drop()
         self._log(
-            "inventory_failed", why=why, how=how.value, at_once=call is not None and call.at_once,
+            "inventory_failed",
+            why=why,
+            how=how.value,
+            at_once=call is not None and call.at_once,
             after_ms=round(now - call.asked_at) if call is not None and call.asked_at else None,
-        )  # fmt: skip
+        )
         if silent and call is not None and not call.at_once:
             self.at_once = True
             self._ask()
--- a/heronlug/wire/north.py
+++ b/heronlug/wire/north.py
@@ -37,8 +37,19 @@
 class Request:
     """One request as it came."""
 
-    __slots__ = ("body", "connection", "figures", "headers", "held", "keep_alive", "lane", "method", "remaining",
-                 "target", "txn")  # fmt: skip
+    __slots__ = (
+        "body",
+        "connection",
+        "figures",
+        "headers",
+        "held",
+        "keep_alive",
+        "lane",
+        "method",
+        "remaining",
+        "target",
+        "txn",
+    )
 
     def __init__(self) -> None:
         self.method, self.target, self.body = b"", b"", b""
--- a/heronlug/wire/probes.py
+++ b/heronlug/wire/probes.py
@@ -46,9 +46,14 @@
     """The shards that are ours, and the verdicts on all of them."""
 
     def __init__(
-        self, table: dict[str, Any], view: HostView, tell: Callable[[ListKind, list[HostEntry]], None],
-        deadlines: Deadlines, log: Callable[..., None], turn: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        table: dict[str, Any],
+        view: HostView,
+        tell: Callable[[ListKind, list[HostEntry]], None],
+        deadlines: Deadlines,
+        log: Callable[..., None],
+        turn: Callable[[], None],
+    ) -> None:
         """``table`` is ``[cluster.probe]``."""
         self.shards = int(table["shards"])
         self.names = [shard_name(number) for number in range(self.shards)]
--- a/heronlug/wire/register.py
+++ b/heronlug/wire/register.py
@@ -41,12 +41,19 @@
 def rows_of(entries: Iterable[HostEntry], zones: list[str], kinds: list[str]) -> trie.Rows:
     """The rows of hosts; zones and kinds go by name, for another dispatcher may number them otherwise."""
     return {
-        b"h" + entry.name.encode(): pack((
-            entry.address, int(entry.state), zones[entry.zone] if entry.zone < len(zones) else "",
-            kinds[entry.kind] if entry.kind < len(kinds) else "", entry.cell, entry.weight, entry.started_at,
-        ))
+        b"h" + entry.name.encode(): pack(
+            (
+                entry.address,
+                int(entry.state),
+                zones[entry.zone] if entry.zone < len(zones) else "",
+                kinds[entry.kind] if entry.kind < len(kinds) else "",
+                entry.cell,
+                entry.weight,
+                entry.started_at,
+            )
+        )
         for entry in entries
-    }  # fmt: skip
+    }
 
 
 def entry_of(key: bytes, value: bytes, zones: list[str], kinds: list[str]) -> HostEntry:
@@ -54,9 +61,15 @@
     line: Line = msgspec.msgpack.decode(value, type=Line)
     address, state, zone, kind, cell, weight, started = line
     return HostEntry(
-        key[1:].decode(), address, WorkerState(state), zones.index(zone) if zone in zones else len(zones),
-        kinds.index(kind) if kind in kinds else len(kinds), cell, weight, started,
-    )  # fmt: skip
+        key[1:].decode(),
+        address,
+        WorkerState(state),
+        zones.index(zone) if zone in zones else len(zones),
+        kinds.index(kind) if kind in kinds else len(kinds),
+        cell,
+        weight,
+        started,
+    )
 
 
 class Writer:
@@ -150,10 +163,17 @@
     """Between the inventory and the core."""
 
     def __init__(
-        self, view: HostView, inventory: Inventory, tell: Callable[[ListKind, list[HostEntry]], None],
-        deadlines: Deadlines, log: Callable[..., None], zones: list[str], kinds: list[str], stale_after: float = 1500.0,
+        self,
+        view: HostView,
+        inventory: Inventory,
+        tell: Callable[[ListKind, list[HostEntry]], None],
+        deadlines: Deadlines,
+        log: Callable[..., None],
+        zones: list[str],
+        kinds: list[str],
+        stale_after: float = 1500.0,
         seeds: int = 0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """``stale_after`` in milliseconds without a word of whoever reads for all; ``seeds`` is how many we know."""
         self.view = view
         self.reading = Reading(stale_after, seeds, Random().random())
@@ -301,9 +321,12 @@
         before = self.reading.role
         place = Place(*self._node.place(DUTY))
         role = self.reading.decide(
-            self._deadlines.clock(), self._owner is not None, place, [h for h in heard.values() if h is not None],
+            self._deadlines.clock(),
+            self._owner is not None,
+            place,
+            [h for h in heard.values() if h is not None],
             self.view.watching,
-        )  # fmt: skip
+        )
         self._choose()
         if role is Role.READ:
             self._watch()
@@ -319,8 +342,14 @@
                 self._tell(*told)
         if role is Role.READ and before is not Role.READ:
             cause = "owner" if self._owner is not None else "turn" if before is Role.WAIT else "nobody is heard"
-            self._log("register_own", cause=cause, place=place.rank, of=place.others + 1,
-                      shared_version=self.view.shared.version, own_version=self.view.own.version)  # fmt: skip
+            self._log(
+                "register_own",
+                cause=cause,
+                place=place.rank,
+                of=place.others + 1,
+                shared_version=self.view.shared.version,
+                own_version=self.view.own.version,
+            )
         elif role is not before:
             self._log("register_role", role=role.value)
 
--- a/heronlug/wire/simulator.py
+++ b/heronlug/wire/simulator.py
@@ -147,9 +147,7 @@
 
 def _cut(tail: memoryview, offset: int, length: int, at: int, what: str) -> memoryview:
     if offset + length > len(tail):
-        raise WireError(
-            f"record at byte {at}: {what} ends at byte {offset + length} of a tail of {len(tail)} bytes"
-        )
+        raise WireError(f"record at byte {at}: {what} ends at byte {offset + length} of a tail of {len(tail)} bytes")
     return tail[offset : offset + length]
 
 
@@ -215,9 +213,18 @@
 
 
 _DECODERS: dict[int, Callable[[memoryview, int, memoryview], WireEvent | None]] = {
-    1: _job, 2: _note, 3: _peer, 4: _list, KILL: _kill, SPAWN: _spawn,
-    7: _timer, 8: _ended, 9: _probed, 10: _aborted, 11: _begun,
-}  # fmt: skip
+    1: _job,
+    2: _note,
+    3: _peer,
+    4: _list,
+    KILL: _kill,
+    SPAWN: _spawn,
+    7: _timer,
+    8: _ended,
+    9: _probed,
+    10: _aborted,
+    11: _begun,
+}
 
 
 def decode_header(header: bytes) -> tuple[int, int, float]:
--- a/heronlug/wire/south.py
+++ b/heronlug/wire/south.py
@@ -176,9 +176,7 @@
         remaining = relay.message.give_up_at - self.south.deadlines.clock()
         if relay.message.terms.attempt_timeout:
             remaining = min(remaining, relay.message.terms.attempt_timeout)
-        data = http.request(
-            request.method, request.target, self.address, relay_head(request, remaining), request.body
-        )
+        data = http.request(request.method, request.target, self.address, relay_head(request, remaining), request.body)
         self.relay = relay
         self.txn, self._before = request.txn, self.txn
         self._parser = httptools.HttpResponseParser(self)
--- a/tests/arrival/test_broken.py
+++ b/tests/arrival/test_broken.py
@@ -8,13 +8,21 @@
 
 ROOT = Path(__file__).parents[2]
 BROKEN = {  # script: file, what stands there, what is put in its place, and a word of the fault that has to be told
-    "own-told": ("arrival/pacing.py", "if self.terms.cost is None or self.terms.many == 1:", "if True:",
-                 "calls turned away"),
+    "own-told": (
+        "arrival/pacing.py",
+        "if self.terms.cost is None or self.terms.many == 1:",
+        "if True:",
+        "calls turned away",
+    ),
     "own-kept": ("arrival/kept.py", "at > now + AHEAD", "at < now + AHEAD", "served"),
-    "halls-dead": ("halls/offers.py", "shut.update(w.id for w in ranked[ceil(hall.offered * len(ranked)) :])", "pass",
-                   "failed relays"),
+    "halls-dead": (
+        "halls/offers.py",
+        "shut.update(w.id for w in ranked[ceil(hall.offered * len(ranked)) :])",
+        "pass",
+        "failed relays",
+    ),
     "shared-silent": ("wire/register.py", "if claims and scout.fence is None:", "if claims and works:", "calls"),
-}  # fmt: skip
+}
 
 
 def broken(folder: Path, file: str, stands: str, instead: str) -> Path:
--- a/tests/arrival/test_crowd.py
+++ b/tests/arrival/test_crowd.py
@@ -12,12 +12,21 @@
 def blind() -> Scenario:
     """Sixty dispatchers, one job a second each, half of what hosts do while warm; late jobs earn nothing."""
     return scenario(
-        DEPLOY, span_s=24, dispatchers__count=60, dispatchers__may_tell=False, dispatchers__lends=False,
-        dispatchers__second_copies=False, class__0__late_worth=0.0, class__1__late_worth=0.0,
-        class__1__effect="repeatable", class__1__deadline_ms=10_000.0, arrivals__0__rate=44.0, arrivals__1__rate=18.0,
+        DEPLOY,
+        span_s=24,
+        dispatchers__count=60,
+        dispatchers__may_tell=False,
+        dispatchers__lends=False,
+        dispatchers__second_copies=False,
+        class__0__late_worth=0.0,
+        class__1__late_worth=0.0,
+        class__1__effect="repeatable",
+        class__1__deadline_ms=10_000.0,
+        arrivals__0__rate=44.0,
+        arrivals__1__rate=18.0,
         class__0__work={"dist": "lognorm", "s": 0.5, "scale": 400.0},
         class__1__work={"dist": "lognorm", "s": 0.5, "scale": 600.0},
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
--- a/tests/arrival/test_pacing.py
+++ b/tests/arrival/test_pacing.py
@@ -24,9 +24,16 @@
 
 
 def play(
-    many: int, cost: float, *, told: bool = False, starts: float = 0.0, seed: int = 1, listed: bool = False,
-    down_until: float = 0.0, make: Callable[[Terms, Callable[[], float]], Pacer] = Pacer,
-) -> Played:  # fmt: skip
+    many: int,
+    cost: float,
+    *,
+    told: bool = False,
+    starts: float = 0.0,
+    seed: int = 1,
+    listed: bool = False,
+    down_until: float = 0.0,
+    make: Callable[[Terms, Callable[[], float]], Pacer] = Pacer,
+) -> Played:
     """All start within ``starts`` ms; each needs its list, unless it has one, and then a watch."""
     rng, heap, order = Random(seed), list[tuple[float, int, int]](), 0
     pacers = [make(Terms(many, n, cost if told else None), Random(seed * 7919 + n).random) for n in range(many)]
@@ -77,9 +84,14 @@
 
 
 @given(
-    many=st.integers(1, 60), cost=st.floats(1.0, 80.0), told=st.booleans(), starts=st.floats(0.0, 5000.0),
-    listed=st.booleans(), down=st.sampled_from([0.0, 3000.0, 20_000.0]), seed=st.integers(0, 10_000),
-)  # fmt: skip
+    many=st.integers(1, 60),
+    cost=st.floats(1.0, 80.0),
+    told=st.booleans(),
+    starts=st.floats(0.0, 5000.0),
+    listed=st.booleans(),
+    down=st.sampled_from([0.0, 3000.0, 20_000.0]),
+    seed=st.integers(0, 10_000),
+)
 def test_whatever_the_order_everybody_gets_its_watch(
     many: int, cost: float, told: bool, starts: float, listed: bool, down: float, seed: int
 ) -> None:
--- a/tests/arrival/test_parts.py
+++ b/tests/arrival/test_parts.py
@@ -30,9 +30,16 @@
     def __post_init__(self) -> None:
         lane = pk.JobClass(aim=USUAL, deadline=10_000.0)
         told = pk.Settings(
-            (lane,), instances=self.count, position=self.position, lends=True, may_tell=True, cold_from=0.15,
-            warm_after=20_000.0, tip_multiple=TIP, overload_for=SPAN,
-        )  # fmt: skip
+            (lane,),
+            instances=self.count,
+            position=self.position,
+            lends=True,
+            may_tell=True,
+            cold_from=0.15,
+            warm_after=20_000.0,
+            tip_multiple=TIP,
+            overload_for=SPAN,
+        )
         self.parts, self.lane = Parts(told), lane
         kind = pk.ListKind.CACHED if self.known else pk.ListKind.FULL
         self.state.kinds[0] = Kind(SLOTS)
@@ -113,11 +120,19 @@
     assert not asker.parts.may(worker, 250.0, 121.0)
 
 
-@pytest.mark.parametrize("content", [
-    b"", b"g", FORM.pack(GRANT, 7, 100.0, 50.0), FORM.pack(GRANT, 7, float("nan"), 100.0),
-    FORM.pack(GRANT, 7, float("inf"), 100.0), FORM.pack(GRANT, 99, 1.0, 100.0), FORM.pack(b"a", 7, -5.0, 1.0),
-    FORM.pack(b"a", 7, 1e9, 1.0),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "content",
+    [
+        b"",
+        b"g",
+        FORM.pack(GRANT, 7, 100.0, 50.0),
+        FORM.pack(GRANT, 7, float("nan"), 100.0),
+        FORM.pack(GRANT, 7, float("inf"), 100.0),
+        FORM.pack(GRANT, 99, 1.0, 100.0),
+        FORM.pack(b"a", 7, -5.0, 1.0),
+        FORM.pack(b"a", 7, 1e9, 1.0),
+    ],
+)
 def test_what_nobody_asked_for_or_makes_no_sense_changes_nothing(content: bytes) -> None:
     fleet = members(40)
     for member in fleet:
--- a/tests/arrival/test_reading.py
+++ b/tests/arrival/test_reading.py
@@ -105,8 +105,12 @@
 
 
 @settings(max_examples=40)
-@given(count=st.integers(1, 40), seed=st.integers(0, 9999), loss=st.sampled_from([0.0, 0.1, 0.3]),
-       spread=st.sampled_from([0.0, 500.0, 4000.0]))  # fmt: skip
+@given(
+    count=st.integers(1, 40),
+    seed=st.integers(0, 9999),
+    loss=st.sampled_from([0.0, 0.1, 0.3]),
+    spread=st.sampled_from([0.0, 500.0, 4000.0]),
+)
 def test_a_fleet_that_starts_has_its_list_soon_from_few_calls(
     count: int, seed: int, loss: float, spread: float
 ) -> None:
--- a/tests/arrival/test_tickets.py
+++ b/tests/arrival/test_tickets.py
@@ -22,9 +22,14 @@
 def told(position: int, count: int = MANY, tip: float = TIP) -> pk.Settings:
     lane = pk.JobClass(aim=USUAL, deadline=10_000.0)
     return pk.Settings(
-        (lane,), instances=count, position=position, cold_from=LOW, warm_after=WHOLE, tip_multiple=tip,
+        (lane,),
+        instances=count,
+        position=position,
+        cold_from=LOW,
+        warm_after=WHOLE,
+        tip_multiple=tip,
         overload_for=SPAN,
-    )  # fmt: skip
+    )
 
 
 def worker(number: int = 7) -> Worker:
@@ -195,10 +200,19 @@
     ours = 0
     for position in range(count):
         lane = pk.JobClass(aim=USUAL, deadline=10_000.0)
-        parts = Parts(pk.Settings(
-            (lane,), instances=count, position=position, lends=lends, may_tell=lends, cold_from=LOW, warm_after=WHOLE,
-            tip_multiple=TIP, overload_for=SPAN,
-        ))  # fmt: skip
+        parts = Parts(
+            pk.Settings(
+                (lane,),
+                instances=count,
+                position=position,
+                lends=lends,
+                may_tell=lends,
+                cold_from=LOW,
+                warm_after=WHOLE,
+                tip_multiple=TIP,
+                overload_for=SPAN,
+            )
+        )
         there.budget = parts.share(there, LOW, USUAL, BORN)
         ours += bool(parts.turns(BORN))
         assert not apart or (there.budget == 0.0 and parts.may(there, USUAL, BORN) == ((7 - position) % count == 0))
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -13,12 +13,19 @@
 FENCE = st.builds(Fence, st.integers(0, 2**63), WORD)
 NAME = st.text("abcdefåäö-", min_size=1, max_size=20)
 PARTS = st.one_of(
-    st.builds(codec.Ping, WORD), st.builds(codec.Ack, WORD), st.builds(codec.PingFor, WORD, WORD),
-    st.builds(codec.Nack, WORD), st.builds(codec.Sync), st.builds(codec.Ask, WORD, FENCE, WORD, FENCE),
-    st.builds(codec.Grant, WORD, FENCE, WORD), st.builds(codec.Deny, WORD, FENCE, WORD),
-    st.builds(codec.Offer, WORD, FENCE), st.builds(codec.Accept, WORD, FENCE), st.builds(codec.Done, WORD, FENCE),
+    st.builds(codec.Ping, WORD),
+    st.builds(codec.Ack, WORD),
+    st.builds(codec.PingFor, WORD, WORD),
+    st.builds(codec.Nack, WORD),
+    st.builds(codec.Sync),
+    st.builds(codec.Ask, WORD, FENCE, WORD, FENCE),
+    st.builds(codec.Grant, WORD, FENCE, WORD),
+    st.builds(codec.Deny, WORD, FENCE, WORD),
+    st.builds(codec.Offer, WORD, FENCE),
+    st.builds(codec.Accept, WORD, FENCE),
+    st.builds(codec.Done, WORD, FENCE),
     st.builds(News, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
-)  # fmt: skip
+)
 
 
 def seals() -> tuple[Seal, Seal]:
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -76,8 +76,18 @@
         seeds = json.dumps([f"127.0.0.1:{self.ports[other][2]}" for other in NAMES if other != name])
         http, operators, port = self.ports[name]
         file = self.folder / f"{name}.toml"
-        file.write_text(FILE.format(name=name, http=http, operators=operators, port=port, seeds=seeds, more=self.more,
-                                    discovery=self.discovery, position=NAMES.index(name)))  # fmt: skip
+        file.write_text(
+            FILE.format(
+                name=name,
+                http=http,
+                operators=operators,
+                port=port,
+                seeds=seeds,
+                more=self.more,
+                discovery=self.discovery,
+                position=NAMES.index(name),
+            )
+        )
         environ = {**os.environ, "HERONLUG_CONTROL": str(self.folder / f"{name}.sock")}
         with (self.folder / f"{name}.log").open("ab") as log:
             self.programs[name] = subprocess.Popen(
--- a/tests/cluster/test_sheets.py
+++ b/tests/cluster/test_sheets.py
@@ -175,8 +175,14 @@
         assert net.publish(owner, TOPIC, {b"h%d" % (turn % 200): b"%d" % turn})
         net.run(20)
     net.run(2000)
-    live = len(set(trie.names(net.processes[owner].node.sheets.nodes, net.processes[owner].node.sheets.topics[
-        next(iter(net.processes[owner].node.sheets.topics))].root)))  # fmt: skip
+    live = len(
+        set(
+            trie.names(
+                net.processes[owner].node.sheets.nodes,
+                net.processes[owner].node.sheets.topics[next(iter(net.processes[owner].node.sheets.topics))].root,
+            )
+        )
+    )
     for process in net.processes.values():
         assert len(process.node.sheets.nodes) < 3 * live + 1100
     assert not behind(net, net.processes[owner].sheets[TOPIC])
--- a/tests/cluster/test_sockets.py
+++ b/tests/cluster/test_sockets.py
@@ -63,8 +63,13 @@
 
     def start(self, name: str) -> None:
         seeds = json.dumps([f"127.0.0.1:{self.seen[other]}" for other in NAMES if other != name])
-        text = FILE.format(name=name, http=self.http[name], own=f"127.0.0.1:{self.real[name]}",
-                           relay=f"127.0.0.1:{self.seen[name]}", seeds=seeds)  # fmt: skip
+        text = FILE.format(
+            name=name,
+            http=self.http[name],
+            own=f"127.0.0.1:{self.real[name]}",
+            relay=f"127.0.0.1:{self.seen[name]}",
+            seeds=seeds,
+        )
         for duty in DUTIES:
             path = self.folder / f"{duty}.runs"
             fence = "os.environ['HERONLUG_FENCE'].encode()"
--- a/tests/cluster/test_states.py
+++ b/tests/cluster/test_states.py
@@ -41,8 +41,16 @@
 
     def member(self, name: str) -> Leases:
         others = {tag(other): other for other in NAMES if other != name}
-        made = Leases(name, 1000 + self.lives[name], ["duty"], TERMS, lambda whom, part: None, lambda told: None,
-                      lambda duty, now: others, lambda now: [])  # fmt: skip
+        made = Leases(
+            name,
+            1000 + self.lives[name],
+            ["duty"],
+            TERMS,
+            lambda whom, part: None,
+            lambda told: None,
+            lambda duty, now: others,
+            lambda now: [],
+        )
         return made
 
     def act(self, name: str, what: Any) -> None:
@@ -72,20 +80,37 @@
 
     def key(self) -> Any:
         """What makes two states the same: times as spans from now, fences and requests as they are."""
+
         def rel(when: float) -> float:
             return max(-1.0, when - self.now)
 
         members = []
         for member in self.members.values():
             d = member.duties[KEY]
-            members.append((
-                d.stage, d.fence, d.seen, d.freed, rel(d.until), rel(d.promised), d.heir, d.tries,
-                tuple(sorted((voter, rel(until)) for voter, until in d.granted.items())),
-                tuple((rel(sent), sounding) for sent, sounding in list(d.asked.values())[-2:]),
-                d.taking, tuple(sorted((voter, rel(until)) for voter, until in d.promises.items())), len(d.frees),
-                rel(d.rest), d.vote.promised, rel(d.vote.promised_until),
-                d.vote.fence, d.vote.highest, rel(d.vote.until), rel(member.votes_from),
-            ))  # fmt: skip
+            members.append(
+                (
+                    d.stage,
+                    d.fence,
+                    d.seen,
+                    d.freed,
+                    rel(d.until),
+                    rel(d.promised),
+                    d.heir,
+                    d.tries,
+                    tuple(sorted((voter, rel(until)) for voter, until in d.granted.items())),
+                    tuple((rel(sent), sounding) for sent, sounding in list(d.asked.values())[-2:]),
+                    d.taking,
+                    tuple(sorted((voter, rel(until)) for voter, until in d.promises.items())),
+                    len(d.frees),
+                    rel(d.rest),
+                    d.vote.promised,
+                    rel(d.vote.promised_until),
+                    d.vote.fence,
+                    d.vote.highest,
+                    rel(d.vote.until),
+                    rel(member.votes_from),
+                )
+            )
         links = tuple(sorted((link, tuple(map(repr, parts))) for link, parts in self.links.items() if parts))
         return tuple(members), links, tuple(self.first.values()), tuple(self.lives.values())
 
@@ -95,8 +120,11 @@
     def bound_too_soon(self) -> list[str]:
         """Who binds a vote, perhaps its own, while it is not promised all."""
         duties = {name: member.duties[KEY] for name, member in self.members.items()}
-        asking = {d.fence: name for name, d in duties.items()
-                  if d.stage is leases.Stage.ASKING and not d.taking and d.freed == NO_FENCE}  # fmt: skip
+        asking = {
+            d.fence: name
+            for name, d in duties.items()
+            if d.stage is leases.Stage.ASKING and not d.taking and d.freed == NO_FENCE
+        }
         votes = [d.vote for d in duties.values()]
         return [f"{asking[v.fence]} too soon" for v in votes if v.fence in asking and v.until > self.now]
 
--- a/tests/cluster/virtual.py
+++ b/tests/cluster/virtual.py
@@ -42,9 +42,15 @@
     """All members, and what is on its way between them."""
 
     def __init__(
-        self, names: Iterable[str], seed: int, duties: Iterable[str] = ("register", "sweep", "probe", "audit"),
-        loss: float = 0.0, terms: Terms | None = None, drift: float = 0.01, topics: Iterable[str] = (),
-    ) -> None:  # fmt: skip
+        self,
+        names: Iterable[str],
+        seed: int,
+        duties: Iterable[str] = ("register", "sweep", "probe", "audit"),
+        loss: float = 0.0,
+        terms: Terms | None = None,
+        drift: float = 0.01,
+        topics: Iterable[str] = (),
+    ) -> None:
         self.rng, self.seed = Random(seed), seed
         self.names, self.duties, self.topics, self.keys = list(names), list(duties), list(topics), KEYS
         self.seeds = 3 if len(self.names) > 16 else len(self.names)  # the first ones, that the others are told of
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,10 +18,17 @@
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MOST_KNOWN = 3
 SLOWEST = (  # files that take a quarter of a minute and more, slowest first: several processes begin with them
-    "tests/rig/test_scripts.py", "tests/arrival/test_broken.py", "tests/rig/test_soak.py", "tests/test_exchanges.py",
-    "tests/halls/test_offers.py", "tests/cluster/test_states.py", "tests/cluster/test_sockets.py",
-    "tests/cluster/test_register.py", "tests/emulator/test_maths.py", "tests/limits/test_load.py",
-)  # fmt: skip
+    "tests/rig/test_scripts.py",
+    "tests/arrival/test_broken.py",
+    "tests/rig/test_soak.py",
+    "tests/test_exchanges.py",
+    "tests/halls/test_offers.py",
+    "tests/cluster/test_states.py",
+    "tests/cluster/test_sockets.py",
+    "tests/cluster/test_register.py",
+    "tests/emulator/test_maths.py",
+    "tests/limits/test_load.py",
+)
 LAST = len(SLOWEST)
 
 
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -27,9 +27,7 @@
 )
 
 SAFE = JobClass(aim=200, deadline=5000, effect=Effect.REPEATABLE, stretch=2, name="safe")
-KEYED = JobClass(
-    aim=200, deadline=5000, effect=Effect.BY_KEY, stretch=2, key_scope=KeyScope.CELL, repeat_window=1500
-)
+KEYED = JobClass(aim=200, deadline=5000, effect=Effect.BY_KEY, stretch=2, key_scope=KeyScope.CELL, repeat_window=1500)
 ONCE = JobClass(aim=400, deadline=8000, effect=Effect.ONCE, stretch=2, name="once")
 SETTINGS = Settings(
     classes=(SAFE, KEYED, ONCE),
@@ -129,9 +127,7 @@
 
     def _check_refusal(self, job: int) -> None:
         lane = self._class(job)
-        free = lane.effect is Effect.REPEATABLE or (
-            lane.effect is Effect.BY_KEY and lane.key_scope is KeyScope.ALL
-        )
+        free = lane.effect is Effect.REPEATABLE or (lane.effect is Effect.BY_KEY and lane.key_scope is KeyScope.ALL)
         assert free or not self._maybe_ran(job), "a refusal that is not harmless"
 
     def listed(self, kind: ListKind, listed: tuple[WorkerEntry, ...]) -> list[Action]:
--- a/tests/emulator/test_checker.py
+++ b/tests/emulator/test_checker.py
@@ -6,9 +6,13 @@
 
 TAKEN = Taken(0.0, "d", "j", "once", True, 5000.0)
 GOOD: list[Event] = [
-    Started(0.0, "d"), Listed(0.0, "d", "h", "ready"), TAKEN, Sent(1.0, "d", "j", "h"), Began(2.0, "h", "j"),
+    Started(0.0, "d"),
+    Listed(0.0, "d", "h", "ready"),
+    TAKEN,
+    Sent(1.0, "d", "j", "h"),
+    Began(2.0, "h", "j"),
     Answered(90.0, "d", "j", "served"),
-]  # fmt: skip
+]
 
 
 def found(*events: Event, end: float = 1e6) -> list[tuple[int, str]]:
@@ -25,8 +29,16 @@
     assert found(TAKEN, Stopped(10.0, "d", True)) == []
     assert found(TAKEN, end=4999.0) == []
     assert found(Listed(0.0, "d", "h", "draining"), TAKEN, Sent(2400.0, "d", "j", "h"), end=4000.0) == []
-    assert found(Listed(0.0, "d", "h", "gone"), Listed(9.0, "d", "h", "ready"), TAKEN, Sent(4000.0, "d", "j", "h"),
-                 end=4000.0) == []  # fmt: skip
+    assert (
+        found(
+            Listed(0.0, "d", "h", "gone"),
+            Listed(9.0, "d", "h", "ready"),
+            TAKEN,
+            Sent(4000.0, "d", "j", "h"),
+            end=4000.0,
+        )
+        == []
+    )
     assert found(Load(0.0, "h", 0.99, False)) == []
 
 
@@ -41,13 +53,25 @@
         ([*GOOD, Sent(99.0, "d", "j", "h")], 1, "is not open"),
         ([TAKEN, Stopped(9.0, "d", False)], 1, "when d ended"),
         ([TAKEN, Began(2.0, "h", "j"), Began(3.0, "g", "j"), Answered(9.0, "d", "j", "failed")], 2, "ran at g"),
-        ([*GOOD, Taken(100.0, "e", "j", "once", True, 9e3), Began(101.0, "h", "j"), Answered(102.0, "e", "j", "x")],
-         2, "ran at h after it had at h"),
-        ([Listed(0.0, "d", "h", "draining"), Listed(2000.0, "d", "h", "gone"), TAKEN, Sent(2501.0, "d", "j", "h"),
-          Answered(2600.0, "d", "j", "failed")], 3, "2501 ms after"),
+        (
+            [*GOOD, Taken(100.0, "e", "j", "once", True, 9e3), Began(101.0, "h", "j"), Answered(102.0, "e", "j", "x")],
+            2,
+            "ran at h after it had at h",
+        ),
+        (
+            [
+                Listed(0.0, "d", "h", "draining"),
+                Listed(2000.0, "d", "h", "gone"),
+                TAKEN,
+                Sent(2501.0, "d", "j", "h"),
+                Answered(2600.0, "d", "j", "failed"),
+            ],
+            3,
+            "2501 ms after",
+        ),
         ([Load(0.0, "h", 1.2, True)], 4, "pushed over"),
     ],
-)  # fmt: skip
+)
 def test_each_way_to_break_a_rule_is_found(events: list[Event], rule: int, what: str) -> None:
     violations = found(*events)
     assert [each for each, _ in violations] == [rule] * len(violations) and violations
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -215,9 +215,7 @@
         fit(np.zeros(100))
 
 
-def test_a_run_from_the_command_line_and_its_events_checked(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_a_run_from_the_command_line_and_its_events_checked(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path, events = tmp_path / "fleet.toml", tmp_path / "events.jsonl"
     path.write_text(TEXT)
     assert call("emulate", path, "--set", "span_s=3", "--events", events) == 0
--- a/tests/endings/house.py
+++ b/tests/endings/house.py
@@ -197,10 +197,15 @@
             settings[table] = {**SETTINGS[table], **changes.pop(table, {})}
         self.listen = f"127.0.0.1:{free_port()}"
         self.raw = {
-            "name": "n0", "listen": self.listen, "discovery": self.register.address, "seed": "ab12",
+            "name": "n0",
+            "listen": self.listen,
+            "discovery": self.register.address,
+            "seed": "ab12",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)},
-            "known": self.listed(3, *changes.pop("listed", self.hosts)), "settings": settings, **changes,
-        }  # fmt: skip
+            "known": self.listed(3, *changes.pop("listed", self.hosts)),
+            "settings": settings,
+            **changes,
+        }
         self.level = "debug"
         self.daemon: Daemon
         self._serving: asyncio.Task[None]
@@ -218,10 +223,18 @@
         entries = []
         for line in lines:
             name, _, state = line.partition(":")
-            entries.append({
-                "instanceId": name, "hostPort": self.hosts[name].address, "zone": "a", "machineType": "m1", "cell": 0,
-                "lifecycle": state or "active", "weight": 1.0, "startedAtMs": 0,
-            })  # fmt: skip
+            entries.append(
+                {
+                    "instanceId": name,
+                    "hostPort": self.hosts[name].address,
+                    "zone": "a",
+                    "machineType": "m1",
+                    "cell": 0,
+                    "lifecycle": state or "active",
+                    "weight": 1.0,
+                    "startedAtMs": 0,
+                }
+            )
         return {"generation": version, "reset": whole, "instances": entries}
 
     def news(self, version: int, *lines: str, whole: bool = False, indent: int | None = None) -> bytes:
--- a/tests/endings/test_deployments.py
+++ b/tests/endings/test_deployments.py
@@ -19,10 +19,12 @@
             {"name": "letters", "deadline": 1500.0, "effect": "once", "goal_time": 300.0, "worth": 9.0},
             {"name": "readings", "deadline": 60_000.0, "effect": "repeatable", "goal_time": 400.0},
         ],
-        "customers": [], "discovery": "pushed",
+        "customers": [],
+        "discovery": "pushed",
     },
-    "limits": {"max_retry_after": 4000.0, "attempts_cap": 3}, "safety": {"drain_grace": 400.0},
-}  # fmt: skip
+    "limits": {"max_retry_after": 4000.0, "attempts_cap": 3},
+    "safety": {"drain_grace": 400.0},
+}
 SECOND: dict[str, Any] = {
     "settings": {
         "lanes": [
@@ -33,7 +35,7 @@
         "customers": [{"name": "north", "quota_per_s": 1.0}, {"name": "south", "quota_per_s": 3.0}],
     },
     "limits": {"retry_after": False, "attempts_cap": 2},
-}  # fmt: skip
+}
 
 
 async def breaks(house: House, lane: str) -> bytes:
--- a/tests/endings/test_faktory.py
+++ b/tests/endings/test_faktory.py
@@ -13,9 +13,14 @@
 from heronlug.wire.faktory import Faktory, Reservation
 
 TERMS = {
-    "password": "", "beat_timeout_s": 60, "reserve_for_s": 1800, "remember_s": 3600, "max_known": 1000,
-    "max_connections": 20, "store": "",
-}  # fmt: skip
+    "password": "",
+    "beat_timeout_s": 60,
+    "reserve_for_s": 1800,
+    "remember_s": 3600,
+    "max_known": 1000,
+    "max_connections": 20,
+    "store": "",
+}
 
 
 class Client(Kernel):
--- a/tests/endings/test_hosts.py
+++ b/tests/endings/test_hosts.py
@@ -282,8 +282,12 @@
 
 
 KEYED = {
-    "name": "keyed", "deadline": 9000.0, "effect": "by_key", "goal_time": 400.0, "repeat_window": 2000.0,
-}  # fmt: skip
+    "name": "keyed",
+    "deadline": 9000.0,
+    "effect": "by_key",
+    "goal_time": 400.0,
+    "repeat_window": 2000.0,
+}
 
 
 @pytest.mark.parametrize(("broken_after", "repeated"), [(1_300, True), (1_500, False), (1_900, False)])
@@ -393,10 +397,14 @@
             await house.settle()
             assert served(running) and not end.over
             host.sock.close()
-            house.daemon.core.inventory(ListKind.CHANGES, [
-                each.entry._replace(state=WorkerState.DRAINING) for each in house.daemon.core.hosts.values()
-                if each.entry.address == host.address
-            ])  # fmt: skip
+            house.daemon.core.inventory(
+                ListKind.CHANGES,
+                [
+                    each.entry._replace(state=WorkerState.DRAINING)
+                    for each in house.daemon.core.hosts.values()
+                    if each.entry.address == host.address
+                ],
+            )
             await house.pass_time(2_000)
             following = await house.post("t3")
             assert end.over
--- a/tests/endings/test_leaving.py
+++ b/tests/endings/test_leaving.py
@@ -253,10 +253,17 @@
             request.figures = {"slots": 1.0, "memory": 0.0, "retry": False, "tenant": 0}
             if way:
                 client.leave(way)
-            house.daemon.takeover.message({
-                "request": write_request(request), "give_up_at": house.clock.at + 4_000, "taken_at": house.clock.at,
-                "hosts": write_list(0, [], [], []), "attempts": [], "wires": [],
-            }, [passed.detach()])  # fmt: skip
+            house.daemon.takeover.message(
+                {
+                    "request": write_request(request),
+                    "give_up_at": house.clock.at + 4_000,
+                    "taken_at": house.clock.at,
+                    "hosts": write_list(0, [], [], []),
+                    "attempts": [],
+                    "wires": [],
+                },
+                [passed.detach()],
+            )
             house.stall(LONG)
             await house.settle()
             assert nothing_sent(house) is bool(way)
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -54,14 +54,26 @@
     ],
     "family_info": {"class_stretch": [0, 0, 0], "tells_start": True, "progress": 1000.0},
     "limits": {
-        "attempts_cap": 3, "second_copies": False, "may_cancel": True, "may_tell": True, "conn_idle": 4000.0,
-        "dial_timeout": 300.0, "max_open": 50, "max_retry_after": 2000.0, "retry_after": True,
+        "attempts_cap": 3,
+        "second_copies": False,
+        "may_cancel": True,
+        "may_tell": True,
+        "conn_idle": 4000.0,
+        "dial_timeout": 300.0,
+        "max_open": 50,
+        "max_retry_after": 2000.0,
+        "retry_after": True,
     },
     "safety": {
-        "answer_slack": 20.0, "ask_every": 10000.0, "cold_from": 0.2, "drain_grace": 2500.0, "overload_for": 3000.0,
-        "tip_multiple": 3.0, "warm_after": 20000.0,
+        "answer_slack": 20.0,
+        "ask_every": 10000.0,
+        "cold_from": 0.2,
+        "drain_grace": 2500.0,
+        "overload_for": 3000.0,
+        "tip_multiple": 3.0,
+        "warm_after": 20000.0,
     },
-}  # fmt: skip
+}
 FREE_FORM = (
     (rb"Host: [0-9.:]+", b"Host: H"),
     (rb'"connections":\d+', b'"connections":N'),
@@ -90,9 +102,14 @@
     """The stand-ins of one exchange, and the program that they speak with."""
 
     def __init__(
-        self, hosts: int = 1, state: str = "", inherited: bool = False, partner: str = "", taken: bool = False,
+        self,
+        hosts: int = 1,
+        state: str = "",
+        inherited: bool = False,
+        partner: str = "",
+        taken: bool = False,
         **changes: Any,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.listeners = {f"h{n + 1}": listener() for n in range(hosts)}
         self.listeners["inv"], self.listeners["inv2"] = listener(), listener()
         self.peers = {f"p{n}": listener(socket.SOCK_DGRAM) for n in range(2)}
@@ -110,11 +127,18 @@
         settings = {**SETTINGS, **changes.pop("settings", {})}
         settings["limits"] = {**SETTINGS["limits"], **changes.pop("limits", {})}
         config = {
-            "name": "n0", "listen": self.listen, "discovery": address(self.listeners["inv"]), "seed": "ab12",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)}, "settings": settings,
-            "admin_addr": self.admin, "peer_listen": self.own, "peers": [self.own, address(self.peers["p1"])],
-            "known": self.listed(3, True, *(f"h{n + 1}" for n in range(hosts))), **changes,
-        }  # fmt: skip
+            "name": "n0",
+            "listen": self.listen,
+            "discovery": address(self.listeners["inv"]),
+            "seed": "ab12",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)},
+            "settings": settings,
+            "admin_addr": self.admin,
+            "peer_listen": self.own,
+            "peers": [self.own, address(self.peers["p1"])],
+            "known": self.listed(3, True, *(f"h{n + 1}" for n in range(hosts))),
+            **changes,
+        }
         self.config = config
         path = Path(self.folder.name) / "config.json"
         path.write_text(json.dumps(config))
@@ -128,10 +152,14 @@
             self.door = socket.create_server((host, int(port)))
         self.partner = self._partner(partner) if partner else None
         self.environ = {
-            **os.environ, "RELAY_CONFIG": str(path), "RELAY_DISCOVERY": address(self.listeners["inv"]),
-            "HERONLUG_STATE": str(self.desired), "HERONLUG_CONTROL": self.control, "TMPDIR": self.folder.name,
+            **os.environ,
+            "RELAY_CONFIG": str(path),
+            "RELAY_DISCOVERY": address(self.listeners["inv"]),
+            "HERONLUG_STATE": str(self.desired),
+            "HERONLUG_CONTROL": self.control,
+            "TMPDIR": self.folder.name,
             **({"RELAY_INHERITED_FD": str(self.door.fileno())} if self.door is not None else {}),
-        }  # fmt: skip
+        }
         self.log = (Path(self.folder.name) / "log").open("w+b")
         self.beside: subprocess.Popen[bytes] | None = None
         self.program = self._start({})
@@ -140,9 +168,12 @@
 
     def _start(self, more: dict[str, str]) -> "subprocess.Popen[bytes]":
         return subprocess.Popen(
-            [sys.executable, "-m", "heronlug"], env={**self.environ, **more}, stdout=self.log, stderr=self.log,
+            [sys.executable, "-m", "heronlug"],
+            env={**self.environ, **more},
+            stdout=self.log,
+            stderr=self.log,
             pass_fds=[self.door.fileno()] if self.door is not None else [],
-        )  # fmt: skip
+        )
 
     def _partner(self, kind: str) -> socket.socket:
         """What the program finds in place of another process: nobody, one that is silent, or one that babbles."""
@@ -154,7 +185,6 @@
             threading.Thread(target=lambda: sock.accept()[0].sendall(ANSWERS[kind]), daemon=True).start()
         return sock
 
-
     def _until_ready(self, admin: str) -> None:
         end = time.monotonic() + 3 * PATIENCE
         while True:
@@ -180,10 +210,16 @@
             name, state, started = (line + ":" + ":".join(["active", "0"][line.count(":") :])).rstrip(":").split(":")
             instances.append(
                 {
-                    "instanceId": name, "hostPort": address(self.listeners[name]), "zone": "a", "machineType": "m1",
-                    "cell": 0, "lifecycle": state, "weight": 1.0, "startedAtMs": int(started),
+                    "instanceId": name,
+                    "hostPort": address(self.listeners[name]),
+                    "zone": "a",
+                    "machineType": "m1",
+                    "cell": 0,
+                    "lifecycle": state,
+                    "weight": 1.0,
+                    "startedAtMs": int(started),
                 }
-            )  # fmt: skip
+            )
         return {"generation": version, "reset": whole, "instances": instances}
 
     # -- the steps
--- a/tests/halls/test_evidence.py
+++ b/tests/halls/test_evidence.py
@@ -24,15 +24,18 @@
     assert (found[0].tried, found[0].bad, found[3].tried, found[3].bad) == (2, 1, 1, 1)
 
 
-@pytest.mark.parametrize(("halls", "left"), [
-    (((3, 3), (9, 0), (9, 0), (9, 0)), True),  # three hosts of three
-    (((5, 5), (0, 0), (0, 0), (0, 0)), True),  # nobody has tried elsewhere
-    (((10, 9), (30, 1), (30, 2), (30, 0)), True),  # one is well, or was just before
-    (((2, 2), (9, 0), (9, 0), (9, 0)), False),  # two are no hall
-    (((50, 12), (50, 11), (50, 13), (50, 12)), False),  # a quarter of all hosts died at once
-    (((50, 40), (50, 41), (50, 39), (50, 42)), False),  # a bad release everywhere, or an uplink of ours
-    (((10, 6), (30, 0), (30, 0), (30, 0)), False),  # half of a hall: some of its racks
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("halls", "left"),
+    [
+        (((3, 3), (9, 0), (9, 0), (9, 0)), True),  # three hosts of three
+        (((5, 5), (0, 0), (0, 0), (0, 0)), True),  # nobody has tried elsewhere
+        (((10, 9), (30, 1), (30, 2), (30, 0)), True),  # one is well, or was just before
+        (((2, 2), (9, 0), (9, 0), (9, 0)), False),  # two are no hall
+        (((50, 12), (50, 11), (50, 13), (50, 12)), False),  # a quarter of all hosts died at once
+        (((50, 40), (50, 41), (50, 39), (50, 42)), False),  # a bad release everywhere, or an uplink of ours
+        (((10, 6), (30, 0), (30, 0), (30, 0)), False),  # half of a hall: some of its racks
+    ],
+)
 def test_a_hall_is_told_from_hosts_that_fail_each_for_itself(halls: tuple[tuple[int, int], ...], left: bool) -> None:
     assert (verdict(of(*halls), 0) >= LEAVE) is left
 
--- a/tests/halls/test_offers.py
+++ b/tests/halls/test_offers.py
@@ -54,12 +54,16 @@
     assert on.figures.service >= off.figures.service - 0.01
 
 
-@pytest.mark.parametrize("trouble", [
-    {"what": "crash", "at_s": 10, "share": 0.24},
-    {"what": "deploy", "at_s": 5, "share": 0.6, "over_s": 15, "drain_s": 1},
-    {"what": "dispatcher-kill", "at_s": 10, "share": 0.7},
-    {"what": "pause", "at_s": 10, "for_s": 3, "share": 0.2},
-], ids=lambda trouble: trouble["what"])  # fmt: skip
+@pytest.mark.parametrize(
+    "trouble",
+    [
+        {"what": "crash", "at_s": 10, "share": 0.24},
+        {"what": "deploy", "at_s": 5, "share": 0.6, "over_s": 15, "drain_s": 1},
+        {"what": "dispatcher-kill", "at_s": 10, "share": 0.7},
+        {"what": "pause", "at_s": 10, "for_s": 3, "share": 0.2},
+    ],
+    ids=lambda trouble: trouble["what"],
+)
 def test_what_is_no_hall_that_fails_leaves_none(trouble: dict[str, Any]) -> None:
     for count in (4, 12):
         played = Played(scenario(count, trouble=[trouble]))
@@ -68,8 +72,9 @@
 
 
 def test_no_more_than_half_of_all_hosts_is_ever_left() -> None:
-    troubles = [{"what": "hall-dies", "at_s": 10 + n, "for_s": 20, "zone": zone, "share": 1.0}
-                for n, zone in enumerate("abc")]  # fmt: skip
+    troubles = [
+        {"what": "hall-dies", "at_s": 10 + n, "for_s": 20, "zone": zone, "share": 1.0} for n, zone in enumerate("abc")
+    ]
     played = Played(scenario(4, trouble=troubles, **{"arrivals.0.rate": 40, "arrivals.1.rate": 8}))
     for dispatcher in played.world.dispatchers:
         away: set[int] = set()
--- a/tests/halls/test_words.py
+++ b/tests/halls/test_words.py
@@ -40,9 +40,10 @@
     (folder / "site.toml").write_text(FILE.format(ports[0], leaves) + hosts)
     with starting:
         process = subprocess.Popen(
-            [sys.executable, "-m", "heronlug", "serve", str(folder / "site.toml")], stdout=subprocess.DEVNULL,
+            [sys.executable, "-m", "heronlug", "serve", str(folder / "site.toml")],
+            stdout=subprocess.DEVNULL,
             env={**os.environ, "HERONLUG_CONTROL": str(folder / "control"), "TMPDIR": str(folder)},
-        )  # fmt: skip
+        )
     for _ in range(200):
         if (folder / "control").exists():
             break
@@ -59,9 +60,10 @@
         assert left.returncode == 0
         assert "by hand" in left.stdout
         for given, wrong in (
-            (("leave", "c"), "4 of 6 hosts would be left, more than 50%"), (("leave", "z"), "there are a, b, c"),
+            (("leave", "c"), "4 of 6 hosts would be left, more than 50%"),
+            (("leave", "z"), "there are a, b, c"),
             (("return", "b", "--for", "-1"), "more than 0"),
-        ):  # fmt: skip
+        ):
             refused = words(tmp_path, "halls", *given)
             assert refused.returncode == 1
             assert wrong in refused.stderr
--- a/tests/limits/test_files.py
+++ b/tests/limits/test_files.py
@@ -90,11 +90,25 @@
 
 
 COVERED = {
-    "attempts_past_cap", "give_up_past_site", "timeout_without_cancel", "timeout_past_give_up",
-    "again_without_timeout", "again_for_once", "copy_of_once", "copies_not_allowed", "copy_denied_and_timed",
-    "copy_without_attempt", "copy_past_timeout", "copy_past_give_up", "window_without_key", "window_past_hosts",
-    "window_past_use", "waits_past_attempts", "waits_past_give_up", "times_past_give_up",
-}  # fmt: skip
+    "attempts_past_cap",
+    "give_up_past_site",
+    "timeout_without_cancel",
+    "timeout_past_give_up",
+    "again_without_timeout",
+    "again_for_once",
+    "copy_of_once",
+    "copies_not_allowed",
+    "copy_denied_and_timed",
+    "copy_without_attempt",
+    "copy_past_timeout",
+    "copy_past_give_up",
+    "window_without_key",
+    "window_past_hosts",
+    "window_past_use",
+    "waits_past_attempts",
+    "waits_past_give_up",
+    "times_past_give_up",
+}
 
 
 @settings(max_examples=120)
@@ -209,8 +223,18 @@
 
 def test_the_line_of_a_key_that_is_absent_is_that_of_its_table() -> None:
     source = Source.parse("x", b"a = 1\n\n[t.u]\nb.c = 2\n[[l]]\nx = 1\n[[l]]\n[l.m]\ny = [1,\n 2]\n")
-    wanted = {("a",): 1, ("t",): 3, ("t", "u"): 3, ("t", "u", "b", "c"): 4, ("t", "u", "z"): 3, ("l", 0, "x"): 6,
-              ("l", 1): 7, ("l", 1, "m"): 8, ("l", 1, "m", "y", 1): 10, ("none",): 0}  # fmt: skip
+    wanted = {
+        ("a",): 1,
+        ("t",): 3,
+        ("t", "u"): 3,
+        ("t", "u", "b", "c"): 4,
+        ("t", "u", "z"): 3,
+        ("l", 0, "x"): 6,
+        ("l", 1): 7,
+        ("l", 1, "m"): 8,
+        ("l", 1, "m", "y", 1): 10,
+        ("none",): 0,
+    }
     assert {keys: source.line(keys) for keys in wanted} == wanted
 
 
--- a/tests/limits/test_load.py
+++ b/tests/limits/test_load.py
@@ -80,8 +80,9 @@
             self.listed += f'[[host]]\nname = "h{number}"\naddress = "127.0.0.1:{port}"\n'
         self.write("two")
         with self.log.open("wb") as log:
-            program = subprocess.Popen([sys.executable, "-m", "heronlug", "serve", str(self.path)], stdout=log,
-                                       stderr=subprocess.STDOUT)  # fmt: skip
+            program = subprocess.Popen(
+                [sys.executable, "-m", "heronlug", "serve", str(self.path)], stdout=log, stderr=subprocess.STDOUT
+            )
         await self.until('"started"', 1)
         return program
 
@@ -99,8 +100,10 @@
     async def _post(self, txn: str, lane: str) -> Sent:
         sets = {self.current, self.coming}
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(f"POST /{lane} HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Remaining-Ms: 11000\r\n"
-                     "Content-Length: 2\r\n\r\nhi".encode())  # fmt: skip
+        writer.write(
+            f"POST /{lane} HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Remaining-Ms: 11000\r\n"
+            "Content-Length: 2\r\n\r\nhi".encode()
+        )
         while txn.startswith("silent") and not any(host.begun[txn] for host in self.hosts):
             await asyncio.sleep(0.005)  # until it has begun somewhere, it may not have been accepted yet
             sets |= {self.current, self.coming}
--- a/tests/limits/test_module.py
+++ b/tests/limits/test_module.py
@@ -25,7 +25,7 @@
     Send,
     Settings,
     WorkerEntry,
-)  # fmt: skip
+)
 from heronlug.limits import model
 
 
@@ -239,21 +239,36 @@
     new.finish()
 
 
-@pytest.mark.parametrize("table", [
-    None, {}, {"attempts": 1}, {**model.write(SAFE), "attempts": -1}, {**model.write(SAFE), "give_up_ms": "x"},
-    {**model.write(SAFE), "wait_ms": [float("nan")]}, {**model.write(SAFE), "after_timeout": "maybe"},
-    {**model.write(SAFE), "second_copy": 1}, {**model.write(SAFE), "more": 1},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "table",
+    [
+        None,
+        {},
+        {"attempts": 1},
+        {**model.write(SAFE), "attempts": -1},
+        {**model.write(SAFE), "give_up_ms": "x"},
+        {**model.write(SAFE), "wait_ms": [float("nan")]},
+        {**model.write(SAFE), "after_timeout": "maybe"},
+        {**model.write(SAFE), "second_copy": 1},
+        {**model.write(SAFE), "more": 1},
+    ],
+)
 def test_limits_of_another_process_that_make_no_sense(table: Any) -> None:
     with pytest.raises((ValueError, TypeError)):
         model.read(SAFE, table)
 
 
-LIMITS = st.fixed_dictionaries({}, optional={
-    "attempts": st.integers(1, 4), "attempt_timeout": st.sampled_from([40.0, 150.0, 900.0]), "again": st.booleans(),
-    "waits": st.sampled_from([(), (30.0,), (5.0, 200.0)]), "second_copy": st.booleans(),
-    "second_copy_after": st.sampled_from([0.0, 60.0, 300.0]),
-})  # fmt: skip
+LIMITS = st.fixed_dictionaries(
+    {},
+    optional={
+        "attempts": st.integers(1, 4),
+        "attempt_timeout": st.sampled_from([40.0, 150.0, 900.0]),
+        "again": st.booleans(),
+        "waits": st.sampled_from([(), (30.0,), (5.0, 200.0)]),
+        "second_copy": st.booleans(),
+        "second_copy_after": st.sampled_from([0.0, 60.0, 300.0]),
+    },
+)
 
 
 @settings(max_examples=60)
@@ -287,7 +302,18 @@
 
 def test_fields_of_the_module_and_keys_of_the_file_are_the_same() -> None:
     """A limit that a file may set and that does not pass to another process would be lost at an upgrade."""
-    lane = JobClass(aim=1, deadline=9, effect=Effect.BY_KEY, attempts=2, attempt_timeout=3, again=False, waits=(1.0,),
-                    second_copy=False, second_copy_after=2, give_up=8, repeat_window=7)  # fmt: skip
+    lane = JobClass(
+        aim=1,
+        deadline=9,
+        effect=Effect.BY_KEY,
+        attempts=2,
+        attempt_timeout=3,
+        again=False,
+        waits=(1.0,),
+        second_copy=False,
+        second_copy_after=2,
+        give_up=8,
+        repeat_window=7,
+    )
     bare = JobClass(aim=1, deadline=9, effect=Effect.BY_KEY)
     assert model.read(bare, model.write(lane)) == lane
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -79,8 +79,11 @@
 
 def test_a_deploy_on_sockets_keeps_the_rules() -> None:
     """Two dispatchers, sixteen hosts of which most are replaced by cold ones, 150 jobs a second."""
-    made = scenario('[[trouble]]\nwhat = "deploy"\nat_s = 2\nshare = 0.6\nover_s = 4\ndrain_s = 2.6\n', span_s=8,
-                    dispatchers__count=2)  # fmt: skip
+    made = scenario(
+        '[[trouble]]\nwhat = "deploy"\nat_s = 2\nshare = 0.6\nover_s = 4\ndrain_s = 2.6\n',
+        span_s=8,
+        dispatchers__count=2,
+    )
     events: list[object] = []
     tallies = asyncio.run(on_sockets(made, 3, events))  # type: ignore[arg-type]
     due = sum(1 for _ in plan(made, 3))
@@ -98,8 +101,13 @@
 def test_troubles_of_hosts_are_played_on_sockets() -> None:
     more = '[[trouble]]\nwhat = "crash"\nat_s = 1\nshare = 0.6\n[[trouble]]\nwhat = "pause"\nat_s = 2\nshare = 0.3\n'
     # eighteen of what runs once run at any time: it is never all on the hosts that stay
-    made = scenario(more + "for_s = 0.5\n", span_s=4, dispatchers__count=1, safety__warm_after_ms=100.0,
-                    **{"class__1__work": {"dist": "gamma", "a": 2.0, "scale": 300.0}})  # fmt: skip
+    made = scenario(
+        more + "for_s = 0.5\n",
+        span_s=4,
+        dispatchers__count=1,
+        safety__warm_after_ms=100.0,
+        **{"class__1__work": {"dist": "gamma", "a": 2.0, "scale": 300.0}},
+    )
     tallies = asyncio.run(on_sockets(made, 4))
     assert sum(tally.jobs for tally in tallies) == sum(1 for _ in plan(made, 4))
     lost = sum(tally.finals["failed"] for tally in tallies if tally.lane.effect == "once")
@@ -119,8 +127,17 @@
     with (tmp_path / "log").open("wb") as log:
         program = subprocess.Popen([sys.executable, "-m", "heronlug", "serve", str(file)], stdout=log, stderr=log)
     try:
-        words = ["load", str(fleet), "--faktory", f"127.0.0.1:{port}", "--json", "--set", "span_s=2",
-                 "--set", "arrivals.0.rate=60"]  # fmt: skip
+        words = [
+            "load",
+            str(fleet),
+            "--faktory",
+            f"127.0.0.1:{port}",
+            "--json",
+            "--set",
+            "span_s=2",
+            "--set",
+            "arrivals.0.rate=60",
+        ]
         end = time.monotonic() + 30
         while True:
             try:
@@ -141,7 +158,10 @@
     fleet = tmp_path / "fleet.toml"
     fleet.write_text(TEXT)
     done = subprocess.run(
-        [sys.executable, "-m", "heronlug", "stand-in", str(fleet), "--seconds", "1"], capture_output=True, timeout=60,
-        check=True, text=True,
-    )  # fmt: skip
+        [sys.executable, "-m", "heronlug", "stand-in", str(fleet), "--seconds", "1"],
+        capture_output=True,
+        timeout=60,
+        check=True,
+        text=True,
+    )
     assert done.stdout.startswith("register 127.0.0.1:") and "16 hosts" in done.stdout
--- a/tests/recorded/record.py
+++ b/tests/recorded/record.py
@@ -18,9 +18,19 @@
 from heronlug.logic import Dispatcher
 
 HERE = Path(__file__).parent
-EVENTS = {kind.__name__: kind for kind in (
-    pk.WorkerList, pk.JobArrived, pk.AttemptEnded, pk.Note, pk.ClientGone, pk.NoTimeLeft, pk.PeerMessage, pk.TimerFired,
-)}  # fmt: skip
+EVENTS = {
+    kind.__name__: kind
+    for kind in (
+        pk.WorkerList,
+        pk.JobArrived,
+        pk.AttemptEnded,
+        pk.Note,
+        pk.ClientGone,
+        pk.NoTimeLeft,
+        pk.PeerMessage,
+        pk.TimerFired,
+    )
+}
 SITES: dict[str, dict[str, Any]] = {
     "starts": {"tells_start": True, "progress_every": 1000.0, "may_tell": True, "instances": 3},
     "reports": {"report_fields": ("x0",), "instances": 1},
@@ -36,9 +46,19 @@
         pk.JobClass(aim=2000, deadline=9000, effect=pk.Effect.BY_KEY, stretch=2, worth=5, repeat_window=3000),
     )
     return pk.Settings(
-        classes=lanes, attempts_cap=4, second_copies=True, may_cancel=True, tick=5.0, drain_grace=2500.0,
-        cold_from=0.2, warm_after=5000.0, tip_multiple=3.0, overload_for=3000.0, cross_zone_price=0.02, **SITES[name],
-    )  # fmt: skip
+        classes=lanes,
+        attempts_cap=4,
+        second_copies=True,
+        may_cancel=True,
+        tick=5.0,
+        drain_grace=2500.0,
+        cold_from=0.2,
+        warm_after=5000.0,
+        tip_multiple=3.0,
+        overload_for=3000.0,
+        cross_zone_price=0.02,
+        **SITES[name],
+    )
 
 
 class Fleet:
--- a/tests/rig/test_rig.py
+++ b/tests/rig/test_rig.py
@@ -92,6 +92,10 @@
     words = [sys.executable, "-m", "heronlug", "fleet", str(path), "--events", str(tmp_path / "events")]
     done = subprocess.run(words, capture_output=True, text=True, timeout=60)
     assert done.returncode == 1 and "kill d0" in done.stdout and "x: BROKEN" in done.stdout, done
-    rules = subprocess.run([sys.executable, "-m", "heronlug", "rules", "check", str(tmp_path / "events")],
-                           capture_output=True, text=True, timeout=60)  # fmt: skip
+    rules = subprocess.run(
+        [sys.executable, "-m", "heronlug", "rules", "check", str(tmp_path / "events")],
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert rules.returncode == 0, rules
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -28,7 +28,27 @@
 def test_a_seed_draws_the_same_script_and_many_draw_each_kind_of_fault() -> None:
     assert draw(3) == draw(3) != draw(4)
     drawn = {step.do for seed in range(100) for step in draw(seed).step}
-    assert drawn == set(DOING) & drawn >= {"kill", "replace", "stop", "hup", "down", "silent", "cut", "delay", "reset",
-                                           "refuse", "die", "list", "slow", "turn", "hang", "half",
-                                           "trickle"}  # fmt: skip
+    assert (
+        drawn
+        == set(DOING) & drawn
+        >= {
+            "kill",
+            "replace",
+            "stop",
+            "hup",
+            "down",
+            "silent",
+            "cut",
+            "delay",
+            "reset",
+            "refuse",
+            "die",
+            "list",
+            "slow",
+            "turn",
+            "hang",
+            "half",
+            "trickle",
+        }
+    )
     assert all(step.at_s <= 2 * LAST for seed in range(100) for step in draw(seed).step)
--- a/tests/rules/test_notified.py
+++ b/tests/rules/test_notified.py
@@ -24,13 +24,14 @@
     "the watch ended before": ([WATCH, WatchOver(500.0, "d", 1), GONE], 7_000.0),
     "a process that was away": ([GONE, Started(9_000.0, "d")], 7_000.0),
     "told to the process before": (
-        [WATCH, GONE, Listed(1_100.0, "d", "s", "gone"), Started(2_000.0, "d")], 1_100.0,
+        [WATCH, GONE, Listed(1_100.0, "d", "s", "gone"), Started(2_000.0, "d")],
+        1_100.0,
     ),
     "out of reach for a while": ([Reachable(500.0, "d", False), GONE, Reachable(8_000.0, "d", True)], 14_000.0),
     "out of reach of another": ([Reachable(500.0, "e", False), GONE], 7_000.0),
     "out of reach later": ([GONE, Reachable(3_000.0, "d", False)], 7_000.0),
     "drains first, and leaves": ([Changed(200.0, "s", "draining"), GONE], 6_200.0),
-}  # fmt: skip
+}
 
 
 def breaks(events: Sequence[Event], at: float) -> list[str]:
--- a/tests/scale/days.py
+++ b/tests/scale/days.py
@@ -40,21 +40,45 @@
     effects = [pk.Effect.REPEATABLE, pk.Effect.ONCE, pk.Effect.BY_KEY]
     classes = tuple(
         pk.JobClass(
-            aim=rng.choice([200, 500, 1000]), deadline=rng.choice([2000, 4000]), effect=effect, stretch=2,
-            worth=rng.choice([1, 3, 8]), late_value=rng.choice([0.0, 0.5]), repeat_window=1500,
-            key_scope=rng.choice(list(pk.KeyScope)), worker_kind=rng.choice([-1, -1, 1]), name=effect.value,
+            aim=rng.choice([200, 500, 1000]),
+            deadline=rng.choice([2000, 4000]),
+            effect=effect,
+            stretch=2,
+            worth=rng.choice([1, 3, 8]),
+            late_value=rng.choice([0.0, 0.5]),
+            repeat_window=1500,
+            key_scope=rng.choice(list(pk.KeyScope)),
+            worker_kind=rng.choice([-1, -1, 1]),
+            name=effect.value,
         )
         for effect in effects
-    )  # fmt: skip
+    )
     starts = rng.random() < 0.7
     return pk.Settings(
-        classes=classes, instances=instances, position=position, attempts_cap=4, second_copies=rng.random() < 0.7,
-        may_cancel=True, may_tell=peers, lends=peers and rng.random() < 0.7, tells_start=starts,
-        progress_every=500.0 if starts else 0.0, drain_grace=2500, cold_from=0.2, warm_after=rng.choice([2000, 8000]),
-        tip_multiple=3, overload_for=2000, cross_zone_price=0.02, worst_class=0.3, zone=position % 3, tick=2.0,
-        report_fields=() if starts or rng.random() < 0.5 else ("x0",), halls=rng.random() < 0.3,
-        cpu_per_request=rng.choice([0.0, 10.0]), retry_burst=rng.choice([1.0, 3.0, 20.0]),
-    )  # fmt: skip
+        classes=classes,
+        instances=instances,
+        position=position,
+        attempts_cap=4,
+        second_copies=rng.random() < 0.7,
+        may_cancel=True,
+        may_tell=peers,
+        lends=peers and rng.random() < 0.7,
+        tells_start=starts,
+        progress_every=500.0 if starts else 0.0,
+        drain_grace=2500,
+        cold_from=0.2,
+        warm_after=rng.choice([2000, 8000]),
+        tip_multiple=3,
+        overload_for=2000,
+        cross_zone_price=0.02,
+        worst_class=0.3,
+        zone=position % 3,
+        tick=2.0,
+        report_fields=() if starts or rng.random() < 0.5 else ("x0",),
+        halls=rng.random() < 0.3,
+        cpu_per_request=rng.choice([0.0, 10.0]),
+        retry_burst=rng.choice([1.0, 3.0, 20.0]),
+    )
 
 
 class Day:
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -69,7 +69,8 @@
         super().__init__(
             STEPS + 1,
             settings={
-                "instances": DISPATCHERS, "position": 7,
+                "instances": DISPATCHERS,
+                "position": 7,
                 "lanes": [{**lane, "goal_time": AIM} for lane in SETTINGS["lanes"]],
             },
             limits={"second_copies": True, "attempts_cap": 6, "may_tell": peers, "max_open": 5000},
@@ -101,10 +102,23 @@
         self, version: int, names: list[str], state: str = "active", started: float = 0.0, whole: bool = False
     ) -> dict[str, object]:
         """A list, or changes of it, in the form of discovery."""
-        return {"generation": version, "reset": whole, "instances": [
-            {"instanceId": name, "hostPort": self.hosts[self.address[name]].address, "zone": "a", "machineType": "m1",
-             "cell": 0, "lifecycle": state, "weight": 1.0, "startedAtMs": started} for name in names
-        ]}  # fmt: skip
+        return {
+            "generation": version,
+            "reset": whole,
+            "instances": [
+                {
+                    "instanceId": name,
+                    "hostPort": self.hosts[self.address[name]].address,
+                    "zone": "a",
+                    "machineType": "m1",
+                    "cell": 0,
+                    "lifecycle": state,
+                    "weight": 1.0,
+                    "startedAtMs": started,
+                }
+                for name in names
+            ],
+        }
 
     def at(self, when: float, act: Callable[[], None]) -> None:
         """Do it at that time, however far behind the daemon is."""
--- a/tests/schedule/test_chains.py
+++ b/tests/schedule/test_chains.py
@@ -101,9 +101,12 @@
     assert edges_of(["a", {"jid": "b", "on_failure": "release"}], None) == [Edge("a"), Edge("b", OnFailure.RELEASE)]
     assert edges_of(["a", {"jid": "b"}], "release") == [Edge("a", OnFailure.RELEASE), Edge("b", OnFailure.RELEASE)]
     broken: list[tuple[object, object, str]] = [
-        ("a", None, "no list"), ([1], None, "no jid"), (["a"], "stop", "neither"),
-        ([{"jid": "a", "on_failure": 1}], None, "neither"), (["a"] * 65, None, "64"),
-    ]  # fmt: skip
+        ("a", None, "no list"),
+        ([1], None, "no jid"),
+        (["a"], "stop", "neither"),
+        ([{"jid": "a", "on_failure": 1}], None, "neither"),
+        (["a"] * 65, None, "64"),
+    ]
     for given_, default, why in broken:
         with pytest.raises(ValueError, match=why):
             edges_of(given_, default)
--- a/tests/store/test_kills.py
+++ b/tests/store/test_kills.py
@@ -164,8 +164,11 @@
     assert '"exception"' not in text and "Traceback" not in text, text[-3000:]
 
 
-FAULTS = [f"{kind}:{number}:{when}" for kind, number in (("accept", 30), ("deliver", 9), ("end", 14))
-          for when in ("before", "after")]  # fmt: skip
+FAULTS = [
+    f"{kind}:{number}:{when}"
+    for kind, number in (("accept", 30), ("deliver", 9), ("end", 14))
+    for when in ("before", "after")
+]
 
 
 def test_a_kill_round_each_kind_of_commit(tmp_path: Path) -> None:
--- a/tests/telling/test_farewell.py
+++ b/tests/telling/test_farewell.py
@@ -52,10 +52,17 @@
         """SIGTERM; a job that runs on keeps it there to the last."""
         telling = self.tellings[number]
         parting = Parting(
-            self.deadlines, 20_000.0, lambda: int(self.deadlines.clock() < parting.answer_by), lambda: 0.0,
-            lambda: telling.serving(self.now), lambda: self.leave(number), telling.stay, lambda: None, lambda: None,
+            self.deadlines,
+            20_000.0,
+            lambda: int(self.deadlines.clock() < parting.answer_by),
+            lambda: 0.0,
+            lambda: telling.serving(self.now),
+            lambda: self.leave(number),
+            telling.stay,
+            lambda: None,
+            lambda: None,
             lambda: self.left.add(number),
-        )  # fmt: skip
+        )
         parting.stop()
 
     def leave(self, number: int) -> None:
@@ -82,9 +89,12 @@
 
 
 @given(
-    count=st.sampled_from([3, 9, 10, 40, 120]), loss=st.sampled_from([0.0, 0.3]), seed=st.integers(0, 2**32),
-    batch=st.integers(1, 12), gap=st.floats(0, 3000),
-)  # fmt: skip
+    count=st.sampled_from([3, 9, 10, 40, 120]),
+    loss=st.sampled_from([0.0, 0.3]),
+    seed=st.integers(0, 2**32),
+    batch=st.integers(1, 12),
+    gap=st.floats(0, 3000),
+)
 @settings(max_examples=25, deadline=None, derandomize=True)
 def test_a_rolling_restart_stays_under_the_bound_and_lets_every_client_go(
     count: int, loss: float, seed: int, batch: int, gap: float
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -128,8 +128,11 @@
 
 
 class TornAnswers(unittest.TestCase):
-    LINES = (b'{"id":"t","state":"started"}\n', b'{"id":"t","state":"running","share":0.5}\n',
-             b'{"id":"t","state":"done","result":"ok"}\n')  # fmt: skip
+    LINES = (
+        b'{"id":"t","state":"started"}\n',
+        b'{"id":"t","state":"running","share":0.5}\n',
+        b'{"id":"t","state":"done","result":"ok"}\n',
+    )
 
     def connection(self) -> tuple[Core, list[bytes], Connection, Any]:
         now, answers = [1e12], list[bytes]()
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -171,9 +171,7 @@
 
 
 def test_worthless_class_does_no_harm() -> None:
-    host = Host(
-        with_settings(classes=(replace(SAFE, worth=0.0), replace(SAFE, late_value=0.5)), worst_class=0.5)
-    )
+    host = Host(with_settings(classes=(replace(SAFE, worth=0.0), replace(SAFE, late_value=0.5)), worst_class=0.5))
     for _ in range(40):
         host.job(0), host.job(1)
     host.until(host.now + 600)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -36,9 +36,7 @@
 
 @pytest.mark.parametrize("wait", [10.0, 990.0, 1010.0, 1490.0, 1600.0])
 @pytest.mark.parametrize("outcome", OUTCOMES)
-@pytest.mark.parametrize(
-    "lane", [SAFE, ONCE, keyed(KeyScope.ALL), keyed(KeyScope.ZONE), keyed(KeyScope.CELL)], ids=str
-)
+@pytest.mark.parametrize("lane", [SAFE, ONCE, keyed(KeyScope.ALL), keyed(KeyScope.ZONE), keyed(KeyScope.CELL)], ids=str)
 def test_effect_table(lane: JobClass, outcome: Outcome, wait: float) -> None:
     settings = with_settings(classes=(lane,))
     last = lane.repeat_window - 2 * settings.dial_timeout  # the dial and the way there take some of the window
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -59,9 +59,7 @@
     request += "40c0e62000000000 00 00000000 01"
     reminder, aborted = "07 00000003 000000000000004d", "0a 00000005 0001788b0e6f2b19"
     job, timer, gone = events_of(frame([request, reminder, aborted]))
-    arrived = pk.JobArrived(
-        0x7D1245D3A91C4, 0, 8652.25, slots=2.0, hint=12.0, tenant=0, key=0x91F03B7C55D20A64
-    )
+    arrived = pk.JobArrived(0x7D1245D3A91C4, 0, 8652.25, slots=2.0, hint=12.0, tenant=0, key=0x91F03B7C55D20A64)
     assert job == (3, arrived)
     assert timer == (3, pk.TimerFired(77))
     assert gone == (5, pk.ClientGone(0x1788B0E6F2B19))
