--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -22,7 +22,7 @@
 from cluster.virtual import Net  # noqa: E402
 
 from heronlug.cluster import codec  # noqa: E402
-from heronlug.cluster.model import Fence, Health, News  # noqa: E402
+from heronlug.cluster.model import FencingToken, Health, MemberUpdate  # noqa: E402
 
 LOSSES = (0.0, 0.1, 0.3, 0.5)
 SIZES = (4, 16, 48, 200)
@@ -114,12 +114,12 @@
 def forms() -> None:
     """The fixed form beside msgpack of the same tuples, by size and cost."""
     pack, unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
-    fence = Fence(1_796_138_343_696, 0xB5C3A1D2)
+    fence = FencingToken(1_796_138_343_696, 0xB5C3A1D2)
     for part in (
         codec.Ping(0x6B3F21C4),
         codec.Ask(0xB5C3A1D2, fence, 0x6B3F21C4, fence),
         codec.Announce(0xB5C3A1D2, fence, 4711, 0xB5C3A1D2B5C3A1D2),
-        News("dispatcher-12", "10.0.0.12:7946", 1_796_138_343_696, Health.ALIVE),
+        MemberUpdate("dispatcher-12", "10.0.0.12:7946", 1_796_138_343_696, Health.ALIVE),
     ):
         fixed = codec.encode_part(part)
         flat = (type(part).__name__[0], *part)
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -18,12 +18,12 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from heronlug.cli.words import print_columns, print_json
+from heronlug.cli.helpers import print_columns, print_json
+from heronlug.config.strict_toml import Source
 from heronlug.emulator.scenario import load as load_scenario
 from heronlug.emulator.world import World
-from heronlug.forms import Source
-from heronlug.rig.rig import Rig
-from heronlug.rig.script import parse
+from heronlug.faults.harness import Rig
+from heronlug.faults.plan import parse
 
 MOST = 150.0  # s for a case
 COLUMNS = (
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -18,10 +18,10 @@
 
 from emulator.fleets import TEXT  # noqa: E402
 
+from heronlug.config.strict_toml import Source  # noqa: E402
 from heronlug.emulator.scenario import Scenario, parse, put  # noqa: E402
 from heronlug.emulator.timeline import Timeline  # noqa: E402
 from heronlug.emulator.world import World  # noqa: E402
-from heronlug.forms import Source  # noqa: E402
 
 EVENTS, ACTORS = 400_000, 1000
 
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -13,12 +13,12 @@
 import numpy as np
 from scipy import stats
 
-from heronlug.cli.words import print_columns, print_json
+from heronlug.balancer.zone_failover.zone_state import ZonePhase
+from heronlug.cli.helpers import print_columns, print_json
+from heronlug.conformance import Sent
 from heronlug.emulator.policies import Oracle
 from heronlug.emulator.scenario import load
 from heronlug.emulator.world import World
-from heronlug.halls.table import Phase
-from heronlug.rules import Sent
 
 FILE = Path(__file__).parents[1] / "scenarios" / "halls-dead.toml"
 WAYS = ("each for itself", "as one", "oracle")
@@ -90,7 +90,7 @@
     world = World(scenario, run.seed)
     world.run()
     return sum(
-        hall.phase is Phase.LEFT
+        hall.phase is ZonePhase.LEFT
         for dispatcher in world.dispatchers
         for _, hall in dispatcher.core.dispatcher.halls.changes
     )
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 import sys, time
 sys.path[:0] = [{tests!r}, {root!r}]
 from recorded import record
-from heronlug.logic import Dispatcher
+from heronlug.balancer.dispatcher import Dispatcher
 total = jobs = 0
 for name in record.SITES:
     _, events = record.read(name)
@@ -79,13 +79,13 @@
 
 def swaps(folder: Path) -> list[tuple[str, list[float]]]:
     """How long the loop stands still while a file is read, checked and swapped in, with jobs open; and idle."""
-    from heronlug.interface import JobClass, Settings
-    from heronlug.life.beside import beside
-    from heronlug.life.control import Running
-    from heronlug.life.files import Files
-    from heronlug.limits import load, resolve
-    from heronlug.memory.core import Core
-    from heronlug.memory.deadlines import Deadlines
+    from heronlug.balancer.settings import RequestClass, Settings
+    from heronlug.config.files import Files
+    from heronlug.config.limits import load, resolve
+    from heronlug.lifecycle.background import beside
+    from heronlug.lifecycle.control import RunningState
+    from heronlug.requests.core import Core
+    from heronlug.requests.deadlines import Deadlines
 
     paths = [folder / "a.toml", folder / "b.toml"]
     for path, attempts in zip(paths, ("attempts = 4", "attempts = 3"), strict=True):
@@ -102,10 +102,10 @@
         def broken_limits(self, classes: Any) -> list[tuple[str, str, str, str]]:
             return [(b.name, b.key, b.wrong, b.right) for b in load.check(settings, classes)]
 
-        def resolved_limits(self, classes: Any) -> tuple[JobClass, ...]:
+        def resolved_limits(self, classes: Any) -> tuple[RequestClass, ...]:
             return resolve(settings.classes, classes)
 
-        def use_limits(self, classes: tuple[JobClass, ...]) -> None:
+        def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
             start = time.perf_counter()
             core.use(classes)
             swapped.append((time.perf_counter() - start) * 1000)
@@ -133,7 +133,7 @@
         stops[name].append(await watch)
 
     async def play() -> None:
-        running = Running(quiet)
+        running = RunningState(quiet)
         for number in range(ROUNDS):
             await stand("idle", lambda: asyncio.sleep(0.15))
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -9,9 +9,9 @@
 
 import click
 
-from heronlug.cli.words import print_columns
-from heronlug.rig.rig import play
-from heronlug.rig.script import (
+from heronlug.cli.helpers import print_columns
+from heronlug.faults.harness import play
+from heronlug.faults.plan import (
     ClassTable,
     DispatchersTable,
     ExpectTable,
@@ -20,7 +20,7 @@
     Script,
     Step,
 )
-from heronlug.rig.verdict import Verdict
+from heronlug.faults.verdict import Verdict
 
 SMALL, LARGE = 200, 3200
 DISPATCHERS, SLOTS = 2, 3200  # of all servers together
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -11,18 +11,20 @@
 
 import click
 
-from heronlug import interface as pk
-from heronlug.cli.words import print_columns
-from heronlug.memory.core import Core, Final, HostEntry, Message, Relay
-from heronlug.memory.deadlines import Deadlines
+from heronlug.balancer.events import ListKind, Outcome, ProgressKind, ServerState
+from heronlug.balancer.settings import Effect, RequestClass, Settings
+from heronlug.cli.helpers import print_columns
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
 
 CLASSES = (
-    pk.JobClass(aim=500, deadline=10_000, effect=pk.Effect.REPEATABLE, stretch=2, worth=2, late_value=0.5, name="safe"),
-    pk.JobClass(aim=1_000, deadline=20_000, stretch=1.75, worth=8, late_value=0.5, name="once"),
-    pk.JobClass(
+    RequestClass(aim=500, deadline=10_000, effect=Effect.REPEATABLE, stretch=2, worth=2, late_value=0.5, name="safe"),
+    RequestClass(aim=1_000, deadline=20_000, stretch=1.75, worth=8, late_value=0.5, name="once"),
+    RequestClass(
         aim=4_000,
         deadline=25_000,
-        effect=pk.Effect.BY_KEY,
+        effect=Effect.BY_KEY,
         stretch=2,
         repeat_window=40_000,
         worth=5,
@@ -40,21 +42,21 @@
     """A front that keeps what it is told to send."""
 
     def __init__(self) -> None:
-        self.sent: list[Relay] = []
+        self.sent: list[Attempt] = []
         self.answers = 0
 
-    def send(self, relay: Relay) -> None:
+    def send(self, relay: Attempt) -> None:
         """Keep an attempt."""
         self.sent.append(relay)
 
-    def cancel(self, relay: Relay) -> None:
+    def cancel(self, relay: Attempt) -> None:
         """Nothing is on a wire."""
 
-    def answer(self, message: Message, final: Final, body: bytes, come_back: float) -> None:
+    def answer(self, message: Request, final: FinalAnswer, body: bytes, come_back: float) -> None:
         """Count an answer."""
         self.answers += 1
 
-    def here(self, message: Message) -> bool:
+    def here(self, message: Request) -> bool:
         """Clients stay."""
         return True
 
@@ -71,7 +73,7 @@
     sockets: Sockets = field(default_factory=Sockets)
 
     def __post_init__(self) -> None:
-        settings = pk.Settings(
+        settings = Settings(
             classes=CLASSES,
             instances=200,
             position=7,
@@ -95,17 +97,17 @@
         self.deadlines = Deadlines(lambda: self.now)
         self.core = Core(settings, 1, self.sockets, self.deadlines)
 
-    def entries(self, first: int, count: int, state: pk.WorkerState = pk.WorkerState.READY) -> list[HostEntry]:
+    def entries(self, first: int, count: int, state: ServerState = ServerState.READY) -> list[ListedServer]:
         """Lines of a list, by number."""
         at = self.started_at
         return [
-            HostEntry(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, at)
+            ListedServer(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, at)
             for n in range(first, first + count)
         ]
 
     def list_all(self) -> None:
         """The whole list."""
-        self.core.inventory(pk.ListKind.FULL, self.entries(0, self.servers))
+        self.core.inventory(ListKind.FULL, self.entries(0, self.servers))
 
     def arrive(self, lane: int = 0, remaining: float = 9_000.0) -> None:
         """A request."""
@@ -114,9 +116,9 @@
     def serve_one(self) -> None:
         """The oldest attempt starts and is served."""
         relay = self.sockets.sent.pop(0)
-        self.core.noted(relay, pk.NoteKind.STARTED)
+        self.core.noted(relay, ProgressKind.STARTED)
         self.now += 1
-        self.core.ended(relay, pk.Outcome.SERVED, b"ok")
+        self.core.ended(relay, Outcome.SERVED, b"ok")
 
     def pass_time(self, span: float) -> None:
         """Timers that are due fire in order."""
@@ -170,14 +172,14 @@
     fleet = warm(servers, peers)
     fleet.started_at = START
     lines = fleet.entries(servers, CHANGES)
-    return timed(lambda: fleet.core.inventory(pk.ListKind.CHANGES, lines))
+    return timed(lambda: fleet.core.inventory(ListKind.CHANGES, lines))
 
 
 def draining(servers: int, peers: bool, _: int) -> float:
     """Changes: servers that begin to drain."""
     fleet = warm(servers, peers)
-    lines = fleet.entries(0, CHANGES, pk.WorkerState.DRAINING)
-    return timed(lambda: fleet.core.inventory(pk.ListKind.CHANGES, lines))
+    lines = fleet.entries(0, CHANGES, ServerState.DRAINING)
+    return timed(lambda: fleet.core.inventory(ListKind.CHANGES, lines))
 
 
 def arrival(servers: int, peers: bool, _: int) -> float:
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -22,10 +22,10 @@
 
 import click
 
-from heronlug.rig.processes import UTIME
-from heronlug.standin.host import Host
-from heronlug.standin.ports import free_port
-from heronlug.standin.register import Register
+from heronlug.faults.processes import UTIME
+from heronlug.standins.discovery import Register
+from heronlug.standins.ports import free_port
+from heronlug.standins.server import Host
 
 SERVERS, RATE, SPAN = 12, 60.0, 8.0  # servers, requests a second, s of load
 BEGIN, WINDOW, SHORT = 3_000.0, 4_000.0, 1_000.0  # ms after the start of the process; of the failures
--- a/heronlug/__init__.py
+++ b/heronlug/__init__.py
@@ -1,8 +1,81 @@
-"""heronlug makes the decisions of a dispatcher that pushes jobs to workers."""
+"""The decisions of a dispatcher that forwards requests to servers."""
 
-from heronlug.interface import *  # noqa: F403
-from heronlug.interface import __all__ as _interface_names
-from heronlug.logic import Dispatcher
+from heronlug.balancer.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    GiveUpReason,
+    LogLine,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from heronlug.balancer.dispatcher import Dispatcher
+from heronlug.balancer.events import (
+    FORGET_AFTER,
+    NEVER_RAN,
+    AnswerStarted,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptSnapshot,
+    ClientGone,
+    Event,
+    FinalAnswerDue,
+    ListKind,
+    Outcome,
+    PeerGone,
+    PeerMessage,
+    ProbeResult,
+    ProgressKind,
+    RequestAdopted,
+    RequestArrived,
+    RequestHandedOver,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
+    TimerFired,
+)
+from heronlug.balancer.settings import Effect, KeyScope, RequestClass, Settings
 
 __version__ = "0.1.0"
-__all__ = ["Dispatcher", *_interface_names]
+__all__ = [
+    "FORGET_AFTER",
+    "NEVER_RAN",
+    "Action",
+    "AnswerStarted",
+    "AttemptEnded",
+    "AttemptProgress",
+    "AttemptSnapshot",
+    "CancelAttempt",
+    "ClientGone",
+    "Dispatcher",
+    "Effect",
+    "Event",
+    "Fail",
+    "FinalAnswerDue",
+    "GiveUpReason",
+    "KeyScope",
+    "ListKind",
+    "LogLine",
+    "Outcome",
+    "PeerGone",
+    "PeerMessage",
+    "ProbeResult",
+    "ProgressKind",
+    "Reject",
+    "RequestAdopted",
+    "RequestArrived",
+    "RequestClass",
+    "RequestHandedOver",
+    "SendPeerMessage",
+    "ServerEntry",
+    "ServerListUpdate",
+    "ServerState",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "Subscribe",
+    "TimerFired",
+]
--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -4,14 +4,14 @@
 import sys
 from collections.abc import Callable
 
-from heronlug.life.early import early
+from heronlug.lifecycle.startup_signals import early
 
 if sys.argv[1:2] in ([], ["serve"]):
     early.listen()  # before the imports below, which take most of the start
 
-from heronlug.life.config import Config, ConfigError
-from heronlug.life.files import Files
-from heronlug.life.state import State, StateError
+from heronlug.config.desired_state import State, StateError
+from heronlug.config.files import Files
+from heronlug.config.platform import Config, ConfigError
 
 
 def main() -> int:
@@ -31,7 +31,7 @@
         print("\n".join(f"heronlug: {line}" for line in str(error).splitlines()), file=sys.stderr)
         return 2
     tell(config, desired)
-    from heronlug.life.start import main as serve
+    from heronlug.lifecycle.application import main as serve
 
     return serve(config, desired, files, os.environ.get("HERONLUG_CONTROL", ""))
 
--- a/heronlug/adapter.py
+++ b/heronlug/adapter/host.py
@@ -4,8 +4,8 @@
 import traceback
 from typing import BinaryIO
 
-from heronlug.logic import Dispatcher
-from heronlug.wire.simulator import HEADER, Kill, Reply, Spawn, WireError, decode_events, decode_header
+from heronlug.adapter.frames import HEADER, Kill, Reply, Spawn, WireError, decode_events, decode_header
+from heronlug.balancer.dispatcher import Dispatcher
 
 
 class Host:
@@ -54,7 +54,3 @@
         print(f"heronlug.adapter: {error}", file=sys.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- /dev/null
+++ b/heronlug/backends/__init__.py
@@ -0,0 +1,1 @@
+"""The backends: connections to servers, and health checks of servers."""
--- a/heronlug/wire/probes.py
+++ b/heronlug/backends/health_checker.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from heronlug.cluster.hosts import HostView
-from heronlug.cluster.model import Fence
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.cluster.health_checks import Prober, shard_name, shard_of
+from heronlug.cluster.model import FencingToken
 from heronlug.cluster.node import Node
-from heronlug.cluster.probing import Prober, shard_name, shard_of
-from heronlug.interface import ListKind, WorkerState
-from heronlug.memory.core import HostEntry
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.wire import http
+from heronlug.cluster.server_view import ServerView
+from heronlug.net import http
+from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.model import ListedServer
 
 STATUS_LINE = 64  # bytes of an answer that are read
 MOST = 64  # probes out at once
@@ -42,14 +42,14 @@
             writer.transport.abort()
 
 
-class Probes:
+class HealthChecker:
     """The shards that are ours, and the verdicts on all of them."""
 
     def __init__(
         self,
         table: dict[str, Any],
-        view: HostView,
-        tell: Callable[[ListKind, list[HostEntry]], None],
+        view: ServerView,
+        tell: Callable[[ListKind, list[ListedServer]], None],
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
@@ -60,7 +60,7 @@
         self._path, self._timeout = table["path"], table["timeout_ms"]
         self._view, self._tell, self._deadlines, self._log, self._turn = view, tell, deadlines, log, turn
         self._prober = Prober(table["every_s"] * 1000, table["fall"], table["rise"], MOST)
-        self._fences: dict[str, Fence] = {}
+        self._fences: dict[str, FencingToken] = {}
         self._node: Node | None = None
         self._flush: Callable[[], None] = lambda: None  # after each publication
         self._wake: Key | None = None
@@ -76,13 +76,13 @@
 
     def close(self) -> None:
         """End all probes."""
-        self._deadlines.drop(self._wake)
+        self._deadlines.cancel(self._wake)
         for task in self._tasks:
             task.cancel()
 
     # -- the duties
 
-    def gained(self, shard: str, fence: Fence) -> None:
+    def gained(self, shard: str, fence: FencingToken) -> None:
         """Probe the hosts of a shard."""
         assert self._node is not None
         self._fences[shard] = fence
@@ -103,7 +103,7 @@
             return
         hosts: dict[str, str] = {}
         for name, entry in self._view.told.items():
-            if shard_name(shard_of(name, self.shards)) in self._fences and entry.state is not WorkerState.GONE:
+            if shard_name(shard_of(name, self.shards)) in self._fences and entry.state is not ServerState.REMOVED:
                 hosts[name] = entry.address
         now = self._deadlines.clock()
         self._prober.use(hosts, self._view.down, now)
@@ -167,9 +167,9 @@
             task = asyncio.get_running_loop().create_task(self._probe(name, address))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        self._deadlines.drop(self._wake)
+        self._deadlines.cancel(self._wake)
         when = self._prober.next()
-        self._wake = self._deadlines.at(max(when, now + 1.0), self._plan) if when < float("inf") else None
+        self._wake = self._deadlines.call_at(max(when, now + 1.0), self._plan) if when < float("inf") else None
 
     async def _probe(self, name: str, address: str) -> None:
         why = await probe(address, self._path, self._timeout)
--- a/heronlug/wire/south.py
+++ b/heronlug/backends/pool.py
@@ -9,13 +9,14 @@
 import httptools
 import orjson
 
-from heronlug.interface import NoteKind, Outcome
-from heronlug.memory.core import POSTPONED, Core, Host, Relay
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.memory.slots import Slots
-from heronlug.wire import http
-from heronlug.wire.ends import cut, unread
-from heronlug.wire.north import relay_head
+from heronlug.balancer.events import Outcome, ProgressKind
+from heronlug.frontends.http.frontend import relay_head
+from heronlug.net import http
+from heronlug.net.connection_state import cut, unread
+from heronlug.requests.core import POSTPONED_MS, Core
+from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.model import Attempt, Server
+from heronlug.requests.slots import SlotTable
 
 # The host closes an idle connection at the latest after conn_idle, and a request written to it from then on is a
 # reset, which send-invites does not survive: ours are retired at this share of that time.
@@ -32,13 +33,13 @@
 ENDS = {"done": Outcome.SERVED, "failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
 
-class Connection(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection to a host."""
 
-    def __init__(self, south: "South", host: Host, address: str) -> None:
+    def __init__(self, south: "ConnectionPool", host: Server, address: str) -> None:
         self.south, self.host, self.address = south, host, address
         self.ticket = 0
-        self.relay: Relay | None = None
+        self.relay: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.dial: asyncio.Task[None] | None = None
         self.deadline: Key | None = None  # of the dial, of the idle time, or of the last chunk
@@ -137,7 +138,7 @@
         if self._status in (503, 504) and self._turned_away:
             self._verdict = Outcome.FULL, b""
         elif 400 <= self._status < 500 and self._status not in OF_THE_HOST:
-            self._verdict = Outcome.UNUSABLE, b""
+            self._verdict = Outcome.REJECTED_BY_SERVER, b""
         elif self._status >= 200 and self._status != 200:
             self._verdict = Outcome.ERROR, b""
 
@@ -169,13 +170,13 @@
 
     # -- the relay on it
 
-    def write(self, relay: Relay) -> None:
+    def write(self, relay: Attempt) -> None:
         """Send the relay's request; its first byte goes out here."""
         assert self.transport is not None
-        request = relay.message.load
-        remaining = relay.message.give_up_at - self.south.deadlines.clock()
-        if relay.message.terms.attempt_timeout:
-            remaining = min(remaining, relay.message.terms.attempt_timeout)
+        request = relay.request.payload
+        remaining = relay.request.give_up_at - self.south.deadlines.clock()
+        if relay.request.policy.attempt_timeout:
+            remaining = min(remaining, relay.request.policy.attempt_timeout)
         data = http.request(request.method, request.target, self.address, relay_head(request, remaining), request.body)
         self.relay = relay
         self.txn, self._before = request.txn, self.txn
@@ -183,9 +184,9 @@
         self._verdict, self._complete = None, False
         self._expect()
         self.sent, self.unwritten, self.held_back = True, False, b""
-        if self.south.core.runs_once(relay):
+        if self.south.core.is_non_idempotent(relay):
             data, self.held_back = data[:-1], data[-1:]
-            self.deadline = self.south.deadlines.after(HOLD_BACK, self._write_last)
+            self.deadline = self.south.deadlines.call_after(HOLD_BACK, self._write_last)
         self.transport.write(data)
         if not self.held_back:
             self._count(relay)
@@ -200,7 +201,7 @@
         """Close it, and leave whatever is on it."""
         if not self.closed:
             self.closed = True
-            self.south.deadlines.drop(self.deadline)
+            self.south.deadlines.cancel(self.deadline)
             self.south.forget(self)
             if self.transport is not None:
                 self.transport.abort()
@@ -229,9 +230,9 @@
         self.relay = None
         self.close()
 
-    def read_on(self, relay: Relay, answered: bool, last: bool) -> None:
+    def read_on(self, relay: Attempt, answered: bool, last: bool) -> None:
         """Go on with an answer in chunks that another process has begun to read, or with one not begun."""
-        self.relay, self.sent, self.txn = relay, True, relay.message.load.txn
+        self.relay, self.sent, self.txn = relay, True, relay.request.payload.txn
         self._parser = httptools.HttpResponseParser(self)
         if answered:
             end = b"Connection: close\r\n" if last else b""
@@ -251,16 +252,16 @@
             self._end(Outcome.CONNECT_FAILED)
             self.close()
 
-    def _count(self, relay: Relay) -> None:
+    def _count(self, relay: Attempt) -> None:
         """Have the relay counted once its last byte is out: the loop writes at the end of a turn, or later."""
         if self.transport is None or self.closed:
             return
         if self.transport.get_write_buffer_size() == 0:
-            self.south.core.written()
+            self.south.core.attempt_written()
         elif not self.unwritten:
             asyncio.get_running_loop().call_soon(self._count, relay)
         elif self.relay is relay:
-            self.south.deadlines.after(HOLD_BACK, self._count, relay)
+            self.south.deadlines.call_after(HOLD_BACK, self._count, relay)
 
     def sound(self) -> bool:
         """Whether no end of it is waiting to be read, nor anything else."""
@@ -282,9 +283,9 @@
                     raise ValueError("a line of another message")
                 self._stray = True
             elif state == "started":
-                self.south.core.noted(relay, NoteKind.STARTED)
+                self.south.core.attempt_progressed(relay, ProgressKind.STARTED)
             elif state == "running":
-                self.south.core.noted(relay, NoteKind.PROGRESS, float(told.get("share", 0.0)))
+                self.south.core.attempt_progressed(relay, ProgressKind.PROGRESS, float(told.get("share", 0.0)))
             elif state == "done":
                 self._verdict = Outcome.SERVED, told["result"].encode()
             else:
@@ -299,7 +300,7 @@
         if self._verdict is None or self.closed:
             return
         relay, self.relay = self.relay, None
-        if self.held_back and self._verdict[0] not in (Outcome.FULL, Outcome.UNUSABLE):
+        if self.held_back and self._verdict[0] not in (Outcome.FULL, Outcome.REJECTED_BY_SERVER):
             self._verdict = Outcome.CONNECT_FAILED, b""  # no answer to what lacks its last byte: it never ran
         nameless = self._status != 200 or self._verdict[0] is Outcome.FULL
         self.nameless_until = self.south.deadlines.clock() + STRAYS if nameless else 0.0
@@ -308,22 +309,22 @@
         elif self._complete or self.held_back:
             self.close()
         elif relay is not None:
-            self.south.deadlines.drop(self.deadline)
-            self.deadline = self.south.deadlines.after(LAST_CHUNK_WAIT, self.close)
+            self.south.deadlines.cancel(self.deadline)
+            self.deadline = self.south.deadlines.call_after(LAST_CHUNK_WAIT, self.close)
         if relay is not None:
-            relay.wire = None
-            self.south.core.ended(relay, *self._verdict)
+            relay.exchange = None
+            self.south.core.attempt_ended(relay, *self._verdict)
 
     def _end(self, outcome: Outcome) -> None:
         relay, self.relay = self.relay, None
         if self.held_back:
             outcome = Outcome.CONNECT_FAILED
         if relay is not None:
-            relay.wire = None
-            self.south.core.ended(relay, outcome)
+            relay.exchange = None
+            self.south.core.attempt_ended(relay, outcome)
 
 
-class South:
+class ConnectionPool:
     """The connections to all hosts."""
 
     core: Core
@@ -342,102 +343,102 @@
         self.retire_after = RETIRE_SHARE * conn_idle
         self.dial_timeout = dial_timeout
         self.max_connections = max_connections
-        self.connections: Slots[Connection] = Slots()
-        self.idle: dict[int, deque[Connection]] = {}  # by host, the one used last at the end
+        self.connections: SlotTable[ServerConnection] = SlotTable()
+        self.idle: dict[int, deque[ServerConnection]] = {}  # by host, the one used last at the end
         self._adopting: set[asyncio.Task[Any]] = set()
         self.dials = 0  # so many made so far
         self.distrust_until = 0.0  # warm connections have broken lately
 
-    def send(self, relay: Relay) -> None:
+    def send(self, relay: Attempt) -> None:
         """Put a relay on a warm connection, or dial one for it."""
-        pool, once = self.idle.get(relay.host.number), self.core.runs_once(relay)
+        pool, once = self.idle.get(relay.server.number), self.core.is_non_idempotent(relay)
         if self.deadlines.clock() < self.distrust_until and once:
             pool = None
         while pool:
             connection = pool.pop()
             rested = connection.deadline is not None and connection.deadline[0] <= self.deadlines.clock()
-            named = connection.txn != relay.message.load.txn and self.deadlines.clock() >= connection.nameless_until
+            named = connection.txn != relay.request.payload.txn and self.deadlines.clock() >= connection.nameless_until
             if rested:
                 connection.close()  # its time is over, though the loop has not come to close it
             elif not named or (once and connection.nameless_until):
                 connection.close()  # its last answer, come twice, would be taken for the next one's
-            elif connection.address == relay.host.entry.address and connection.sound():
-                self.deadlines.drop(connection.deadline)
-                relay.wire = connection
+            elif connection.address == relay.server.entry.address and connection.sound():
+                self.deadlines.cancel(connection.deadline)
+                relay.exchange = connection
                 connection.write(relay)
                 return
             else:
                 connection.close()
         if len(self.connections) >= self.max_connections and not self._evict():
             self.log("too_many_connections", connections=len(self.connections))
-            self.core.ended(relay, Outcome.CONNECT_FAILED)
+            self.core.attempt_ended(relay, Outcome.CONNECT_FAILED)
             return
-        connection = Connection(self, relay.host, relay.host.entry.address)
-        connection.ticket = self.connections.put(connection)
+        connection = ServerConnection(self, relay.server, relay.server.entry.address)
+        connection.ticket = self.connections.add(connection)
         connection.relay = relay
-        relay.wire = connection
-        connection.deadline = self.deadlines.after(self.dial_timeout, self._dial_over, connection)
+        relay.exchange = connection
+        connection.deadline = self.deadlines.call_after(self.dial_timeout, self._dial_over, connection)
         connection.dial = asyncio.get_running_loop().create_task(self._dial(connection))
         self.dials += 1
 
-    def adopt(self, relay: Relay, sock: socket.socket, answered: bool, last: bool) -> None:
+    def adopt(self, relay: Attempt, sock: socket.socket, answered: bool, last: bool) -> None:
         """Go on with a relay that another process has written."""
         sock.setblocking(False)
-        connection = Connection(self, relay.host, relay.host.entry.address)
-        connection.ticket = self.connections.put(connection)
-        relay.wire = connection
+        connection = ServerConnection(self, relay.server, relay.server.entry.address)
+        connection.ticket = self.connections.add(connection)
+        relay.exchange = connection
         connection.read_on(relay, answered, last)
         loop = asyncio.get_running_loop()
         task = loop.create_task(loop.connect_accepted_socket(lambda: connection, sock))
         self._adopting.add(task)
         task.add_done_callback(self._adopting.discard)
 
-    def cancel(self, relay: Relay) -> None:
+    def cancel(self, relay: Attempt) -> None:
         """Give a relay up by closing its connection."""
-        connection, relay.wire = relay.wire, None
+        connection, relay.exchange = relay.exchange, None
         if connection is not None:
             connection.relay = None
             if connection.sent and connection.transport is not None:
                 cut(connection.transport)  # else the next attempt might be out beside this one
             connection.close()
 
-    def dialled(self, connection: Connection) -> None:
+    def dialled(self, connection: ServerConnection) -> None:
         """A connection is up.  Guards the rules at the write: its relay may have lost its right to go out."""
         relay = connection.relay
         if connection.closed:
             return
-        if relay is not None and self.core.behind():
-            self.deadlines.after(POSTPONED, self.dialled, connection)
+        if relay is not None and self.core.has_unread_update():
+            self.deadlines.call_after(POSTPONED_MS, self.dialled, connection)
             return
-        self.deadlines.drop(connection.deadline)
+        self.deadlines.cancel(connection.deadline)
         if relay is None:
             self.rest(connection)
-        elif connection.address == relay.host.entry.address and self.core.may_write(relay):
+        elif connection.address == relay.server.entry.address and self.core.may_write(relay):
             connection.write(relay)
         else:
             connection.relay = None
-            relay.wire = None
+            relay.exchange = None
             self.rest(connection)
-            self.core.ended(relay, Outcome.CONNECT_FAILED)
+            self.core.attempt_ended(relay, Outcome.CONNECT_FAILED)
 
-    def rest(self, connection: Connection) -> None:
+    def rest(self, connection: ServerConnection) -> None:
         """A connection is free: keep it warm for a while."""
         if connection.closed:
             return
         connection._parser = None
         connection.warm, connection.sent = connection.warm or connection.sent, False
-        self.deadlines.drop(connection.deadline)
-        connection.deadline = self.deadlines.after(self.retire_after, connection.close)
+        self.deadlines.cancel(connection.deadline)
+        connection.deadline = self.deadlines.call_after(self.retire_after, connection.close)
         self.idle.setdefault(connection.host.number, deque()).append(connection)
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: ServerConnection) -> None:
         """A connection has ended."""
-        self.connections.take(connection.ticket)
+        self.connections.remove(connection.ticket)
         pool = self.idle.get(connection.host.number)
         if pool and connection in pool:
             pool.remove(connection)
 
-    def retire(self, hosts: dict[int, Host]) -> None:
+    def retire(self, hosts: dict[int, Server]) -> None:
         """Close what stands idle to hosts that are not ready, or not there any more."""
         for number, pool in list(self.idle.items()):
             host = hosts.get(number)
@@ -461,7 +462,7 @@
         min(oldest, key=lambda c: c.deadline or (0.0, 0)).close()
         return True
 
-    async def _dial(self, connection: Connection) -> None:
+    async def _dial(self, connection: ServerConnection) -> None:
         host, port = http.split_address(connection.address)
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, host, port)
@@ -469,9 +470,9 @@
             self._dial_over(connection)
             self.turn()
 
-    def _dial_over(self, connection: Connection) -> None:
+    def _dial_over(self, connection: ServerConnection) -> None:
         relay, connection.relay = connection.relay, None
         connection.close()
         if relay is not None:
-            relay.wire = None
-            self.core.ended(relay, Outcome.CONNECT_FAILED)
+            relay.exchange = None
+            self.core.attempt_ended(relay, Outcome.CONNECT_FAILED)
--- /dev/null
+++ b/heronlug/balancer/exploration.py
@@ -0,0 +1,66 @@
+"""Exploration: the round that follows a change of the ranking, and probe requests to servers reported as failing.
+
+After a change of the ranking each ready server gets one request, the best first, so that also a server whose score has
+fallen is observed again.  A server that load summaries report as failing gets no ordinary request; instead it
+belongs to one dispatcher after the other, by the clock, which may send it a single probe request.
+"""
+
+from collections.abc import Sequence
+
+from heronlug.balancer.model import LEVEL_FAILING, Server
+from heronlug.balancer.outlier_detection import EJECTION_DIALS
+from heronlug.balancer.peer_load import PeerLoad
+from heronlug.balancer.settings import Settings
+
+
+class Exploration:
+    """Servers that are to be visited beside the ranking.
+
+    Attributes:
+        pending: servers that the round has still to visit, the next one last.
+        probe_server: the server reported as failing that is ours to probe.
+        zone_probes: servers of an excluded zone that are ours to probe; they come first.
+        changed: servers that have become or ceased to be ours to probe, until somebody takes note of them.
+    """
+
+    __slots__ = ("_peer_load", "_settings", "_turn", "changed", "pending", "probe_server", "zone_probes")
+
+    def __init__(self, settings: Settings, peer_load: PeerLoad) -> None:
+        self._settings, self._peer_load = settings, peer_load
+        self._turn = 0
+        self.pending: list[Server] = []
+        self.probe_server: Server | None = None
+        self.zone_probes: list[Server] = []
+        self.changed: list[Server] = []
+
+    def begin_round(self, ranking: Sequence[Server]) -> None:
+        """Visit each server of the ranking once, the best first."""
+        self.pending = list(ranking[::-1])
+
+    def visit(self, servers: Sequence[Server]) -> None:
+        """Visit these servers first, the last one before all others."""
+        self.pending += servers
+
+    def take_turn(self, now: float) -> None:
+        """Choose the server that is ours to probe, once in each term of the rotation."""
+        turn = int(now / (EJECTION_DIALS * self._settings.dial_timeout))
+        if turn == self._turn:
+            return
+        self._turn = turn
+        instances = self._settings.instances
+        ours = self._peer_load.servers_in_order[(self._settings.position - turn) % instances :: instances]
+        self.set_probe_server(self._next_failing([*self.zone_probes, *ours]))
+        if self.probe_server is not None:
+            self.pending.append(self.probe_server)
+
+    def set_probe_server(self, server: Server | None) -> None:
+        """Probe this server from now on, in place of the one before."""
+        self.changed += [changed for changed in (self.probe_server, server) if changed is not None]
+        self.probe_server = server
+
+    @staticmethod
+    def _next_failing(servers: Sequence[Server]) -> Server | None:
+        failing = (
+            server for server in servers if server.load.level == LEVEL_FAILING and not server.zone_standing.excluded
+        )
+        return next(failing, None)
--- /dev/null
+++ b/heronlug/balancer/hedging.py
@@ -0,0 +1,113 @@
+"""Hedging: when a copy of a request goes out beside an attempt in flight.
+
+* After the time that its class sets, beside the only attempt in flight.
+* Where servers report starts and the settings allow it, when a start is overdue: the attempt waits behind others.
+* When all its attempts in flight are silent.
+
+A copy goes only to a server that :mod:`heronlug.balancer.selection` finds room at, and never of a non-idempotent
+request.
+"""
+
+from collections.abc import Callable
+from math import log
+
+from heronlug.balancer.attempt_starts import AttemptStarts
+from heronlug.balancer.model import Attempt, Request, Server
+from heronlug.balancer.selection import Selection
+from heronlug.balancer.state import BalancerState
+
+CHECK_INTERVALS = 2
+"""Check intervals until a request that could not be hedged is looked at again."""
+
+
+class Hedging:
+    """Watches attempts in flight, and starts copies of their requests."""
+
+    __slots__ = (
+        "_can_hedge",
+        "_has_queue",
+        "_open_requests",
+        "_recheck_after",
+        "_run_times",
+        "_selection",
+        "_settings",
+        "_start",
+        "_starts",
+        "_timers",
+    )
+
+    def __init__(
+        self,
+        state: BalancerState,
+        starts: AttemptStarts,
+        selection: Selection,
+        *,
+        start: Callable[[Request, Server, float], None],
+        has_queue: Callable[[], bool],
+    ) -> None:
+        """Make it.
+
+        Args:
+            state: of the dispatcher.
+            starts: delays of reported starts.
+            selection: chooses the server of a copy.
+            start: starts an attempt of a request at a server.
+            has_queue: whether requests wait for a server that may still be in time.
+        """
+        self._settings, self._can_hedge = state.settings, state.derived.can_hedge
+        self._recheck_after = CHECK_INTERVALS * state.derived.check_interval
+        self._timers, self._open_requests, self._run_times = state.timers, state.open_requests, state.run_times
+        self._starts, self._selection = starts, selection
+        self._start, self._has_queue = start, has_queue
+
+    def watch(self, attempt: Attempt, now: float) -> None:
+        """Plan when to look at an attempt that has just started to be in flight here."""
+        request, policy = attempt.request, attempt.request.policy
+        if not policy.hedge or request.non_idempotent:
+            return
+        if policy.hedge_after:
+            self._timers.call_at(attempt.sent_at + policy.hedge_after, self._on_still_in_flight, attempt)
+        elif self._can_hedge and attempt.unstarted:
+            delay = self._starts.delays[attempt.server.zone].usual_at_most(self._settings.dial_timeout)
+            self._timers.call_at(now + delay + self._recheck_after, self._on_still_unstarted, attempt)
+
+    def hedge_silent(self, attempt: Attempt, now: float) -> None:
+        """Start a copy of a request whose attempts are all silent, unless others wait for a server."""
+        request, policy = attempt.request, attempt.request.policy
+        if not self._open_requests.is_open(request):
+            return
+        all_silent = all(other.silent or not other.in_flight for other in request.attempts)
+        too_early = not policy.hedge or now < attempt.sent_at + policy.hedge_after
+        if not all_silent or not self._can_hedge or self._has_queue() or request.non_idempotent or too_early:
+            return
+        self._start_copy(request, now)
+
+    def _on_still_in_flight(self, attempt: Attempt, now: float) -> None:
+        """The time that its class sets is over."""
+        request = attempt.request
+        in_flight = [other for other in request.attempts if other.in_flight]
+        if not self._open_requests.is_open(request) or in_flight != [attempt]:
+            return
+        if not self._start_copy(request, now) and len(request.attempts) < request.max_attempts:
+            self._timers.call_at(now + self._recheck_after, self._on_still_in_flight, attempt)
+
+    def _on_still_unstarted(self, attempt: Attempt, now: float) -> None:
+        """A start is overdue: its server has no free slot for a while, and the request may go elsewhere as well."""
+        request, server = attempt.request, attempt.server
+        if not attempt.unstarted or not self._open_requests.is_open(request):
+            return
+        self._starts.record_wait(attempt)
+        other_slots = max(1.0, server.capacity.slots - 1)
+        until_one_ends = self._run_times.overall * log(1 + 1 / other_slots)
+        server.outlier.saturated_until = now + until_one_ends
+        if any(other.in_flight and not other.unstarted for other in request.attempts):
+            return
+        if not self._start_copy(request, now) and len(request.attempts) < request.max_attempts:
+            self._timers.call_at(now + self._recheck_after, self._on_still_unstarted, attempt)
+
+    def _start_copy(self, request: Request, now: float) -> bool:
+        server = self._selection.choose(request, now)
+        if server is None:
+            return False
+        self._start(request, server, now)
+        return True
--- /dev/null
+++ b/heronlug/balancer/peer_load.py
@@ -0,0 +1,258 @@
+"""Load that dispatchers report to each other: slots of their attempts in flight, or a summary of all load.
+
+No I/O and no clock.  Reports hold counts, not changes, with the sender's clock, so that a loss heals and a report that
+comes late changes nothing.  A summary holds the load level of all ready servers in the order of their numbers, half a
+byte each, under a checksum of those numbers; lists of before are kept, as other dispatchers may still use them.
+"""
+
+import struct
+from array import array
+from collections.abc import Callable, Iterable
+from itertools import zip_longest
+from operator import attrgetter
+from typing import NamedTuple
+from zlib import crc32
+
+from heronlug.balancer.events import PeerMessage
+from heronlug.balancer.model import LEVEL_FAILING, Server
+
+HEX_DIGITS = "0123456789abcdef"
+LEVEL_OF_DIGIT = {digit: value for value, digit in enumerate(HEX_DIGITS)}
+
+MAX_REPORTED_SLOTS = 63
+ENDED_WELL = 64
+ENDED_BADLY = 128
+"""Codes in a report, added to the slots: how the sender's last attempt at the server ended since its last report."""
+
+COUNTS_IN_MESSAGE = 49
+LEVELS_IN_MESSAGE = 496
+"""What fits into a message of at most 256 bytes."""
+
+LISTS_KEPT = 8
+"""Endpoint lists whose summaries can be read."""
+
+
+class PeerOutcome(NamedTuple):
+    """How an attempt of another dispatcher ended."""
+
+    server: Server
+    badly: bool
+
+
+class PeerLoad:
+    """Reports of other dispatchers, and what this one has still to report.
+
+    Attributes:
+        unreported: servers whose count of ours has changed since it was reported, by number.
+        unreported_outcomes: how our last attempt there ended since then, one of the codes, by number.
+        servers_in_order: the ready servers by number, the order of a summary.
+        summaries_read: parts of summaries read so far.
+        aggregators: when each aggregator was last heard, by peer.
+        aggregating: this dispatcher is an aggregator.
+        last_report_at: when it last reported.
+        on_load_changed: called with a server when what is known of its load has changed.
+    """
+
+    __slots__ = (
+        "_began_at",
+        "_checksum",
+        "_clocks",
+        "_counts",
+        "_heard_at",
+        "_parts",
+        "_read_checksum",
+        "_server_ids",
+        "aggregating",
+        "aggregators",
+        "last_report_at",
+        "on_load_changed",
+        "servers_in_order",
+        "summaries_read",
+        "unreported",
+        "unreported_outcomes",
+    )
+
+    COUNTS, SUMMARY = b"c", b"s"  # the first byte of a message
+    STAMP = struct.Struct(">cd")  # before counts: the clock of the sender
+    PAIR = struct.Struct(">IB")  # a server, and its slots with the code of the last end there
+    HEAD = struct.Struct(">cIB")  # of a summary: the checksum, and which part
+
+    def __init__(self) -> None:
+        self.unreported: dict[int, Server] = {}
+        self.unreported_outcomes: dict[int, int] = {}
+        self.servers_in_order: list[Server] = []
+        self.summaries_read = 0
+        self.aggregators: dict[int, float] = {}
+        self.aggregating = False
+        self.last_report_at = 0.0
+        self.on_load_changed: Callable[[Server], None] = lambda server: None
+        self._began_at = 0.0
+        self._counts: dict[tuple[int, int], tuple[int, float]] = {}  # slots and time by peer and server, oldest first
+        self._clocks: dict[int, float] = {}  # of each peer's last report
+        self._heard_at: dict[int, float] = {}  # by our clock
+        self._checksum = 0
+        self._server_ids: dict[int, array[int]] = {}  # the order of a summary, by checksum
+        self._read_checksum = 0  # of the last summary that was read
+        self._parts: dict[int, str] = {}  # the levels in its parts
+
+    # -- our own load
+
+    def own_load_changed(self, server: Server) -> None:
+        """Note that our attempts in flight at a server have changed."""
+        self.unreported[server.id] = server
+        self.on_load_changed(server)
+
+    def record_outcome(self, server: Server, badly: bool) -> None:
+        """Note how our last attempt at a server ended, to be reported with the next count."""
+        self.unreported_outcomes[server.id] = ENDED_BADLY if badly else ENDED_WELL
+
+    def repeat_counts(self, servers: Iterable[Server]) -> None:
+        """Report the counts at these servers again."""
+        self.unreported.update({server.id: server for server in servers})
+
+    def report(self, now: float) -> bytes:
+        """A message with what there is to report, as far as it fits; the rest stays to be reported."""
+        reported = list(self.unreported.values())[:COUNTS_IN_MESSAGE]
+        pairs = []
+        for server in reported:
+            del self.unreported[server.id]
+            slots = min(MAX_REPORTED_SLOTS, round(server.load.own_slots))
+            pairs.append(self.PAIR.pack(server.id, slots + self.unreported_outcomes.pop(server.id, 0)))
+        return self.STAMP.pack(self.COUNTS, now) + b"".join(pairs)
+
+    # -- the load of others
+
+    def receive(self, message: PeerMessage, servers: dict[int, Server], now: float) -> list[PeerOutcome]:
+        """Take in a report or a summary; returns how attempts of the sender ended.
+
+        Bytes that make no sense, and unknown servers, are skipped.
+        """
+        kind = message.content[:1]
+        if kind == self.COUNTS and len(message.content) >= self.STAMP.size:
+            return self._receive_counts(message, servers, now)
+        if kind == self.SUMMARY:
+            self.aggregators[message.peer] = now
+            self.read_summary(message.content, servers)
+        return []
+
+    def _receive_counts(self, message: PeerMessage, servers: dict[int, Server], now: float) -> list[PeerOutcome]:
+        _, clock = self.STAMP.unpack_from(message.content)
+        if clock < self._clocks.get(message.peer, clock):
+            return []  # a later report has overtaken it
+        self._clocks[message.peer], self._heard_at[message.peer] = clock, now
+        pairs, size = message.content[self.STAMP.size :], self.PAIR.size
+        outcomes = []
+        for server_id, code in self.PAIR.iter_unpack(pairs[: len(pairs) // size * size]):
+            server = servers.get(server_id)
+            if server is None:
+                continue
+            if code > MAX_REPORTED_SLOTS:
+                outcomes.append(PeerOutcome(server, code >= ENDED_BADLY))
+            slots = code & MAX_REPORTED_SLOTS
+            self._replace_count(message.peer, server, slots, now)
+            if slots:
+                self._counts[message.peer, server_id] = (slots, now)
+        return outcomes
+
+    def _replace_count(self, peer: int, server: Server, slots: int, now: float) -> None:
+        before, _ = self._counts.pop((peer, server.id), (0, now))
+        server.load.peer_slots += slots - before
+        self.on_load_changed(server)
+
+    def set_counts(self, peer: int, counts: dict[int, int], servers: dict[int, Server], now: float) -> None:
+        """Set the slots that a peer has in flight, as known from elsewhere than a report."""
+        self._heard_at[peer] = now
+        for server_id, slots in counts.items():
+            self._replace_count(peer, servers[server_id], slots, now)
+            self._counts[peer, server_id] = (slots, now)
+
+    def forget_peer(self, peer: int, servers: dict[int, Server]) -> None:
+        """Void all counts of a peer."""
+        for key in [key for key in self._counts if key[0] == peer]:
+            self._void(key, servers)
+
+    def forget_server(self, server_id: int) -> None:
+        """Forget what is reported of a server that is forgotten."""
+        self.unreported.pop(server_id, None)
+        self.unreported_outcomes.pop(server_id, None)
+        for key in [key for key in self._counts if key[1] == server_id]:
+            del self._counts[key]
+
+    def expire(self, before: float, servers: dict[int, Server], repeated: bool) -> None:
+        """Void counts of before that time: all if counts are repeated, else those of peers not heard since."""
+        while self._counts:
+            key = next(iter(self._counts))
+            slots, at = self._counts[key]
+            if at >= before:
+                return
+            if not repeated and self._heard_at[key[0]] >= before:
+                del self._counts[key]
+                self._counts[key] = (slots, self._heard_at[key[0]])
+            else:
+                self._void(key, servers)
+
+    def _void(self, key: tuple[int, int], servers: dict[int, Server]) -> None:
+        server = servers[key[1]]
+        server.load.peer_slots -= self._counts.pop(key)[0]
+        self.on_load_changed(server)
+
+    # -- summaries
+
+    def aggregators_since(self, since: float) -> list[int]:
+        """The aggregators that have been heard since that time."""
+        return [peer for peer, at in self.aggregators.items() if at > since]
+
+    def aggregators_heard_at(self, position: int, count: int, now: float) -> float:
+        """When so many aggregators of a lower position were last heard; with fewer, when we began to listen."""
+        self._began_at = self._began_at or now
+        heard = sorted((at for peer, at in self.aggregators.items() if peer < position), reverse=True)
+        return heard[count - 1] if len(heard) >= count else self._began_at
+
+    def set_ready_servers(self, ready: Iterable[Server]) -> None:
+        """Use these servers in the order of their numbers for summaries from now on."""
+        self.servers_in_order = sorted(ready, key=attrgetter("id"))
+        ids = array("Q", [server.id for server in self.servers_in_order])
+        self._checksum = crc32(struct.pack(f">{len(ids)}Q", *ids))
+        self._server_ids = dict([*self._server_ids.items(), (self._checksum, ids)][-LISTS_KEPT:])
+
+    def summary(self, levels: list[int]) -> list[bytes]:
+        """Messages with a level below 16 for each ready server."""
+        text = "".join([HEX_DIGITS[level] for level in levels]) + "0"
+        parts = [text[at : at + LEVELS_IN_MESSAGE] for at in range(0, len(levels), LEVELS_IN_MESSAGE)]
+        return [
+            self.HEAD.pack(self.SUMMARY, self._checksum, number) + bytes.fromhex(part[: len(part) // 2 * 2])
+            for number, part in enumerate(parts)
+        ]
+
+    def read_summary(self, content: bytes, servers: dict[int, Server]) -> None:
+        """Take in a part of a summary; one of a list that is not known here is skipped."""
+        if len(content) < self.HEAD.size:
+            return
+        _, checksum, part = self.HEAD.unpack_from(content)
+        ids = self._server_ids.get(checksum)
+        if ids is None:
+            return
+        if checksum != self._read_checksum:
+            self._read_checksum, self._parts = checksum, {}
+            for server in servers.values():
+                self._set_level(server, 0)
+        first, digits = part * LEVELS_IN_MESSAGE, content[self.HEAD.size :].hex()
+        before = self._parts.get(part, "0" * LEVELS_IN_MESSAGE)
+        self._parts[part] = digits
+        self.summaries_read += 1
+        if digits != before:
+            pairs = zip_longest(digits, before[: max(0, len(ids) - first)], fillvalue="0")
+            self._set_levels(pairs, ids[first:], servers)
+
+    def _set_levels(self, digits: Iterable[tuple[str, str]], ids: Iterable[int], servers: dict[int, Server]) -> None:
+        """Set the levels whose digits have changed."""
+        for (digit, before), server_id in zip(digits, ids, strict=False):
+            server = servers.get(server_id) if digit != before else None
+            if server is not None:
+                self._set_level(server, LEVEL_OF_DIGIT[digit])
+
+    def _set_level(self, server: Server, level: int) -> None:
+        if server.load.level != level:
+            server.load.level = level
+            server.load.reported_failing = level == LEVEL_FAILING
+            self.on_load_changed(server)
--- /dev/null
+++ b/heronlug/balancer/placement.py
@@ -0,0 +1,60 @@
+"""Placement: what becomes of a request that is to have its next attempt: sent, queued, or given up."""
+
+from collections.abc import Callable
+
+from heronlug.balancer.actions import GiveUpReason
+from heronlug.balancer.model import Request, Server
+from heronlug.balancer.queue import RequestQueue
+from heronlug.balancer.selection import Selection
+from heronlug.balancer.state import BalancerState
+
+
+class Placement:
+    """Places requests, at once or when their backoff is over."""
+
+    __slots__ = ("_dial_allowance", "_open_requests", "_queue", "_selection", "_start", "_tick", "_timers")
+
+    def __init__(
+        self,
+        state: BalancerState,
+        selection: Selection,
+        queue: RequestQueue,
+        *,
+        start: Callable[[Request, Server, float], None],
+    ) -> None:
+        """Make it; ``start`` starts an attempt of a request at a server."""
+        self._tick, self._dial_allowance = state.settings.tick, state.derived.dial_allowance
+        self._timers, self._open_requests = state.timers, state.open_requests
+        self._selection, self._queue, self._start = selection, queue, start
+
+    def give_up_in_time(self, request: Request) -> None:
+        """Set the timer that gives a request up one tick before its client's time is over."""
+        self._timers.call_at(request.give_up_at - self._tick, self._on_time_over, request)
+
+    def place_after_backoff(self, request: Request, backoff_ends: float, now: float) -> None:
+        """Place a request when its backoff is over; if its time is over by then, it is given up now."""
+        request.not_before = backoff_ends
+        if now >= backoff_ends:
+            self.place(request, now)
+        elif len(request.attempts) >= request.max_attempts:
+            self._open_requests.finish(request, GiveUpReason.NO_ATTEMPT)
+        elif backoff_ends < request.give_up_at - self._tick:
+            self._timers.call_at(backoff_ends, self.place, request)
+        else:
+            self._open_requests.finish(request, GiveUpReason.NO_TIME)
+
+    def place(self, request: Request, now: float) -> None:
+        """Send the next attempt of a request, queue it, or give it up."""
+        if request.give_up_at - self._tick <= now:
+            self._open_requests.finish(request, GiveUpReason.NO_TIME)
+        elif request.attempts_spent_by(now + self._dial_allowance):
+            self._open_requests.finish(request, GiveUpReason.NO_ATTEMPT)
+        elif (server := self._selection.choose(request, now)) is not None:
+            self._start(request, server, now)
+        elif request.rejected_by:
+            self._open_requests.finish(request, GiveUpReason.FAULTY)  # no wait for a second server's opinion
+        else:
+            self._queue.add(request, now)
+
+    def _on_time_over(self, request: Request, _: float) -> None:
+        self._open_requests.finish(request, GiveUpReason.NO_TIME)
--- /dev/null
+++ b/heronlug/balancer/queue.py
@@ -0,0 +1,200 @@
+"""The queue: requests that no server has room for wait here, where they can still go anywhere.
+
+Requests that may be in time wait apart from those that are overdue or beyond the quota of their tenant; the former go
+first.  Within a class the newest goes first, so that in an overload some are in time.  Between classes the one with the
+shortest latency objective goes first; once some are overdue, the one with the highest priority weight, and the class
+that has been served worst gets the weight that the settings give it.
+"""
+
+from collections.abc import Callable, Sequence
+from heapq import heapify, heappop, heappush
+from typing import NamedTuple
+
+from heronlug.balancer.actions import GiveUpReason
+from heronlug.balancer.estimates import ClassValues
+from heronlug.balancer.model import Request, Server
+from heronlug.balancer.overload import OverloadDetector
+from heronlug.balancer.retries import RetryBudget
+from heronlug.balancer.run_times import RunTimes
+from heronlug.balancer.selection import Selection
+from heronlug.balancer.settings import Settings
+from heronlug.balancer.slow_start import LOANS_AT_ONCE
+from heronlug.balancer.state import BalancerState
+
+NO_CLASS = -1
+RECHECK_INTERVALS = 2
+"""Check intervals between two looks at the queue, where no load summaries give the rhythm."""
+
+
+class QueuedRequest(NamedTuple):
+    """An entry of a queue; the lowest goes first."""
+
+    priority: float
+    sequence: int
+    request: Request
+
+
+class QueueOrder:
+    """Who goes first among the requests that may be in time."""
+
+    __slots__ = ("_class_values", "_run_times", "_settings", "_worst_class")
+
+    def __init__(self, settings: Settings, run_times: RunTimes, class_values: ClassValues) -> None:
+        self._settings, self._run_times, self._class_values = settings, run_times, class_values
+        self._worst_class = NO_CLASS
+
+    def priority(self, request: Request) -> float:
+        """The lowest goes first: by latency objective, or by weight once requests that are worth something are late."""
+        policy = request.policy
+        if self._worst_class == NO_CLASS:
+            return (
+                policy.latency_objective + (policy.latency_factor - 1) * self._run_times.by_class[request.class_index]
+            )
+        weight_of_worst = self._settings.worst_class_weight
+        extra = 0.0
+        if request.class_index == self._worst_class:
+            extra = weight_of_worst / self._class_values.share(request.class_index)
+        return -policy.priority_weight * (1 - weight_of_worst + extra)
+
+    def update(self, overdue: Sequence[QueuedRequest]) -> bool:
+        """Find the class that is served worst, while there is not enough for all; returns whether that has changed."""
+        not_enough_for_all = len(overdue) > 0 and overdue[0].priority < 0.0
+        worst = self._class_values.worst_class() if not_enough_for_all else NO_CLASS
+        changed = worst != self._worst_class
+        self._worst_class = worst
+        return changed
+
+
+class RequestQueue:
+    """Requests that wait for a server.
+
+    Attributes:
+        in_time: those that may still be in time, as a heap.
+        overdue: those that are overdue or beyond the quota of their tenant, as a heap.
+    """
+
+    __slots__ = (
+        "_ask_for_loans",
+        "_budget",
+        "_dial_allowance",
+        "_open_requests",
+        "_order",
+        "_overload",
+        "_peer_load",
+        "_recheck_interval",
+        "_recheck_planned",
+        "_selection",
+        "_sequence",
+        "_start",
+        "_summaries_seen",
+        "_timers",
+        "in_time",
+        "overdue",
+    )
+
+    def __init__(
+        self,
+        state: BalancerState,
+        order: QueueOrder,
+        selection: Selection,
+        overload: OverloadDetector,
+        budget: RetryBudget,
+        *,
+        start: Callable[[Request, Server, float], None],
+        ask_for_loans: Callable[[Sequence[Request], float], None],
+    ) -> None:
+        """Make it.
+
+        Args:
+            state: of the dispatcher.
+            order: who goes first among those that may be in time.
+            selection: chooses servers.
+            overload: says which overdue request is hopeless.
+            budget: of retries.
+            start: starts an attempt of a request at a server.
+            ask_for_loans: asks other dispatchers for capacity at servers that warm up.
+        """
+        derived = state.derived
+        self._dial_allowance = derived.dial_allowance
+        check_interval = RECHECK_INTERVALS * derived.check_interval
+        self._recheck_interval = derived.summary_interval if derived.aggregated else check_interval
+        self._timers, self._open_requests, self._peer_load = state.timers, state.open_requests, state.peer_load
+        self._order, self._selection, self._overload, self._budget = order, selection, overload, budget
+        self._start, self._ask_for_loans = start, ask_for_loans
+        self.in_time: list[QueuedRequest] = []
+        self.overdue: list[QueuedRequest] = []
+        self._sequence = 0
+        self._recheck_planned = False
+        self._summaries_seen = 0
+
+    def __len__(self) -> int:
+        return len(self.in_time) + len(self.overdue)
+
+    @property
+    def has_new_summary(self) -> bool:
+        """Whether something that may free a server was read since the queue was last looked at."""
+        return self._summaries_seen != self._peer_load.summaries_read
+
+    def check_again(self) -> None:
+        """Something other than a summary may have freed a server."""
+        self._summaries_seen = -1
+
+    def add(self, request: Request, now: float) -> None:
+        """Have a request wait for a server."""
+        self._sequence += 1
+        late = request.over_quota or now > request.latest_start
+        priority = -request.late_weight if late else self._order.priority(request)
+        entry = QueuedRequest(priority, -self._sequence, request)
+        heappush(self.overdue if late else self.in_time, entry)
+        self._ask_for_loans([request], now)
+        if not self._recheck_planned:  # one chain of timers, not one for each request
+            self._plan_recheck(None, now)
+
+    def drain(self, now: float) -> None:
+        """Start what a server has room for: what may be in time first, then what is overdue."""
+        self._summaries_seen = self._peer_load.summaries_read
+        if self._order.update(self.overdue):
+            self.in_time = [entry._replace(priority=self._order.priority(entry.request)) for entry in self.in_time]
+            heapify(self.in_time)
+        if self._drain_heap(self.in_time, now, overdue=False):
+            self._drain_heap(self.overdue, now, overdue=True)
+
+    def _drain_heap(self, heap: list[QueuedRequest], now: float, *, overdue: bool) -> bool:
+        """Start the first ones of a heap until no server has room; returns whether the heap was worked through."""
+        out_of_budget: list[QueuedRequest] = []
+        room = True
+        while heap and room:
+            entry = heap[0]
+            request = entry.request
+            if not self._open_requests.is_open(request) or request.in_flight:
+                heappop(heap)
+            elif not overdue and request.latest_start < now:
+                heappop(heap)
+                heappush(self.overdue, QueuedRequest(-request.late_weight, entry.sequence, request))
+            elif self._is_hopeless(request, now, overdue=overdue):
+                heappop(heap)
+                self._open_requests.finish(request, GiveUpReason.HOPELESS)
+            elif (server := self._selection.choose(request, now, overdue=overdue)) is not None:
+                heappop(heap)
+                self._start(request, server, now)
+            elif request.attempts and self._budget.is_spent():
+                out_of_budget.append(heappop(heap))  # its retry has to wait, which must not hold up the others
+            else:
+                room = False
+        for entry in out_of_budget:
+            heappush(heap, entry)
+        return room
+
+    def _is_hopeless(self, request: Request, now: float, *, overdue: bool) -> bool:
+        """Whether it could not end in time: it is rejected now, while its client can still do something else."""
+        if request.repeat_window_over_by(now + self._dial_allowance):
+            return True
+        return overdue and self._overload.is_hopeless(request, now)
+
+    def _plan_recheck(self, _: None, now: float) -> None:
+        """Plan to look at the queue again: the timer itself is enough to have it drained."""
+        self._recheck_planned = len(self) > 0
+        if self._recheck_planned:
+            first = (self.in_time or self.overdue)[:LOANS_AT_ONCE]
+            self._ask_for_loans([entry.request for entry in first], now)
+            self._timers.call_at(now + self._recheck_interval, self._plan_recheck, None)
--- /dev/null
+++ b/heronlug/balancer/silence.py
@@ -0,0 +1,42 @@
+"""Silent attempts: a server reports the progress of what it runs every period, unless it or the way to it fails."""
+
+from math import inf
+
+from heronlug.balancer.derived_settings import DerivedSettings
+from heronlug.balancer.hedging import Hedging
+from heronlug.balancer.open_requests import OpenRequests
+from heronlug.balancer.settings import Settings
+
+SILENT_PERIODS = 2.25
+"""Progress periods without a report after which an attempt is silent."""
+
+CHECKS_PER_SILENCE = 4
+"""How often attempts are checked within that time."""
+
+
+class SilenceDetection:
+    """Marks silent attempts and unresponsive servers, and has the requests hedged."""
+
+    __slots__ = ("_hedging", "_next_check", "_open_requests", "_silence")
+
+    def __init__(
+        self, settings: Settings, derived: DerivedSettings, open_requests: OpenRequests, hedging: Hedging
+    ) -> None:
+        self._silence = SILENT_PERIODS * settings.progress_interval
+        self._next_check = 0.0 if derived.silence_is_known else inf
+        self._open_requests, self._hedging = open_requests, hedging
+
+    def check(self, now: float) -> None:
+        """Look at all attempts in flight, if it is time."""
+        if now < self._next_check:
+            return
+        self._next_check = now + self._silence / CHECKS_PER_SILENCE
+        attempts = self._open_requests.attempts.values()
+        silent = [a for a in attempts if not a.unstarted and now - a.last_progress_at >= self._silence]
+        for attempt in silent:
+            server = attempt.server
+            server.load.silent_attempts += not attempt.silent
+            attempt.silent = True
+            if now - server.outlier.last_progress_at >= self._silence:
+                server.outlier.unresponsive = True
+            self._hedging.hedge_silent(attempt, now)
--- a/heronlug/cli/__init__.py
+++ b/heronlug/cli/__init__.py
@@ -9,13 +9,13 @@
 from heronlug.cli.cluster import cluster
 from heronlug.cli.emulate import emulate, experiment, rules
 from heronlug.cli.fleet import fleet
-from heronlug.cli.halls import halls
 from heronlug.cli.inspect import check, limits
 from heronlug.cli.load import demo, load, stand_in
 from heronlug.cli.serve import serve, try_
 from heronlug.cli.store import store
-from heronlug.life.config import ConfigError
-from heronlug.life.state import StateError
+from heronlug.cli.zones import halls
+from heronlug.config.desired_state import StateError
+from heronlug.config.platform import ConfigError
 
 LAB = {"hdrh", "jinja2", "matplotlib", "numpy", "rich", "scipy"}  # of requirements-lab.txt
 
--- a/heronlug/cli/change.py
+++ b/heronlug/cli/change.py
@@ -6,11 +6,11 @@
 import click
 import orjson
 
-from heronlug.cli.words import FILE, SOCKET
-from heronlug.forms import Faults, Source
-from heronlug.life.control import ask
-from heronlug.life.state import State, StateError, difference, digest, parse
-from heronlug.limits import load
+from heronlug.cli.helpers import FILE, SOCKET
+from heronlug.config.desired_state import State, StateError, difference, digest, parse
+from heronlug.config.limits import load
+from heronlug.config.strict_toml import ConfigProblems, Source
+from heronlug.lifecycle.control import ask
 
 
 def _running(control: str) -> State:
@@ -26,9 +26,9 @@
         if state["classes"]:
             broken = ask(control, {"ask": "check", "classes": state["classes"]})["broken"]
             if broken:
-                raise Faults(load.faults(source, (load.Broken(*each) for each in broken)))
+                raise ConfigProblems(load.faults(source, (load.Broken(*each) for each in broken)))
         return state
-    except Faults as faults:
+    except ConfigProblems as faults:
         raise StateError(str(faults)) from None
 
 
--- a/heronlug/cli/cluster.py
+++ b/heronlug/cli/cluster.py
@@ -2,8 +2,8 @@
 
 import click
 
-from heronlug.cli.words import JSON, SOCKET, print_rows
-from heronlug.life.control import ask
+from heronlug.cli.helpers import JSON, SOCKET, print_rows
+from heronlug.lifecycle.control import ask
 
 
 @click.group()
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -7,7 +7,7 @@
 import click
 import orjson
 
-from heronlug.cli.words import FILE, print_columns, print_json
+from heronlug.cli.helpers import FILE, print_columns, print_json
 
 SET = click.option("--set", "changes", multiple=True, metavar="KEY=VALUE", help="another value of the scenario's")
 STORE = click.argument("store", type=FILE)
@@ -39,9 +39,9 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object of all figures")
 def emulate(file: Path, changes: tuple[str, ...], seed: int | None, events: Path | None, as_json: bool) -> int:
     """Play the scenario FILE once.  The exit status is 1 where a rule was broken."""
+    from heronlug.conformance import write
     from heronlug.emulator.scenario import load
     from heronlug.emulator.world import World
-    from heronlug.rules import write
 
     try:
         scenario = load(file, changed(changes))
@@ -79,7 +79,7 @@
 @click.option("--slack-ms", default=50.0, help="for the clocks of several processes")
 def check_rules(file: Path, drain_grace_ms: float, slack_ms: float) -> int:
     """Check the events in FILE, as ``emulate --events`` writes them.  The exit status is 1 where a rule was broken."""
-    from heronlug.rules import Checker, read
+    from heronlug.conformance import Checker, read
 
     checker, last = Checker(drain_grace_ms, slack_ms), 0.0
     try:
@@ -114,9 +114,9 @@
     """Play what of FILE has not been played yet.  Interrupted, it goes on from there next time."""
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-    from heronlug.lab import runner
-    from heronlug.lab.experiment import Job, read
-    from heronlug.lab.store import Kept, Store
+    from heronlug.experiments import runner
+    from heronlug.experiments.experiment import Job, read
+    from heronlug.experiments.store import Kept, Store
 
     try:
         experiment, jobs = read(file)
@@ -147,8 +147,8 @@
 @click.option("--json", "as_json", is_flag=True)
 def compare(store: Path, a: str, b: str, figures: tuple[str, ...], name: str, as_json: bool) -> int:
     """What changes from A to B in STORE, each such as ``policy=heronlug``, over pairs of the same seed."""
-    from heronlug.lab import compare as comparing
-    from heronlug.lab.store import Store
+    from heronlug.experiments import compare as comparing
+    from heronlug.experiments.store import Store
 
     try:
         with Store(store, create=False) as kept:
@@ -173,8 +173,8 @@
 @click.option("--experiment", "name", default="", help="of these runs, where the store has several")
 def report(store: Path, out: Path | None, name: str) -> int:
     """Write one HTML page of what is in STORE."""
-    from heronlug.lab.report import page
-    from heronlug.lab.store import Store
+    from heronlug.experiments.report import page
+    from heronlug.experiments.store import Store
 
     try:
         with Store(store, create=False) as kept:
--- a/heronlug/cli/fleet.py
+++ b/heronlug/cli/fleet.py
@@ -4,7 +4,7 @@
 
 import click
 
-from heronlug.cli.words import FILE, print_json
+from heronlug.cli.helpers import FILE, print_json
 
 
 @click.command()
@@ -15,13 +15,13 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object of verdict and figures")
 def fleet(file: Path, keep: Path | None, events: Path | None, seed: int | None, as_json: bool) -> int:
     """Play the script FILE on loopback.  The exit status is 1 where a rule or an expectation was broken."""
-    from heronlug.forms import Faults
-    from heronlug.rig.rig import play
-    from heronlug.rig.script import load
+    from heronlug.config.strict_toml import ConfigProblems
+    from heronlug.faults.harness import play
+    from heronlug.faults.plan import load
 
     try:
         script = load(file)
-    except Faults as error:
+    except ConfigProblems as error:
         raise click.ClickException(str(error)) from None
     if seed is not None:
         script.seed = seed
--- a/heronlug/cli/inspect.py
+++ b/heronlug/cli/inspect.py
@@ -5,20 +5,20 @@
 import click
 import orjson
 
-from heronlug.cli.words import FILE, print_columns, print_json
-from heronlug.forms import Fault
-from heronlug.interface import Settings
-from heronlug.life.config import ConfigError, load
-from heronlug.life.files import gather
-from heronlug.life.state import State, StateError
-from heronlug.limits.load import advice, rows
+from heronlug.balancer.settings import Settings
+from heronlug.cli.helpers import FILE, print_columns, print_json
+from heronlug.config.desired_state import State, StateError
+from heronlug.config.files import gather
+from heronlug.config.limits.load import advice, rows
+from heronlug.config.platform import ConfigError, load
+from heronlug.config.strict_toml import ConfigProblem
 
 CONFIG = click.option(
     "--config", type=FILE, envvar="RELAY_CONFIG", help="the platform's JSON, where FILE holds no [site]"
 )
 
 
-def look(file: Path, config: Path | None) -> tuple[State | None, Settings | None, list[Fault]]:
+def look(file: Path, config: Path | None) -> tuple[State | None, Settings | None, list[ConfigProblem]]:
     """A file's state, the site that it was checked against, and all its faults."""
     platform = load({"RELAY_CONFIG": str(config)}) if config is not None else None
     conf, state, faults = gather(file, lambda: platform)
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -9,7 +9,7 @@
 import click
 
 from heronlug.cli.emulate import SET, changed
-from heronlug.cli.words import FILE, print_columns, print_json
+from heronlug.cli.helpers import FILE, print_columns, print_json
 
 if TYPE_CHECKING:
     from heronlug.emulator.scenario import Scenario
@@ -42,10 +42,10 @@
     changes: tuple[str, ...],
 ) -> int:
     """Play the arrivals of the scenario FILE against running dispatchers, each job when it is due."""
-    from heronlug.load import tally as tallying
-    from heronlug.load.faktory import FaktoryLoad
-    from heronlug.load.http import HttpLoad
-    from heronlug.load.plan import loopback, plan
+    from heronlug.loadgen import tally as tallying
+    from heronlug.loadgen.faktory import FaktoryLoad
+    from heronlug.loadgen.http import HttpLoad
+    from heronlug.loadgen.plan import loopback, plan
 
     scenario = _scenario(file, changes)
     if bool(doors) is bool(faktory):
@@ -77,7 +77,7 @@
 @SET
 def stand_in(file: Path, port: int, seconds: float, changes: tuple[str, ...]) -> int:
     """Run the hosts of the scenario FILE and a register that lists them, on 127.0.0.1."""
-    from heronlug.standin.fleet import Fleet
+    from heronlug.standins.fleet import Fleet
 
     scenario = _scenario(file, changes)
 
@@ -109,8 +109,8 @@
 @SET
 def demo(file: Path, seed: int | None, changes: tuple[str, ...]) -> int:
     """Stand-in hosts, dispatchers and load of the scenario FILE in one go; then the same on the model, and the gap."""
-    from heronlug.load import demo as playing
-    from heronlug.load import tally as tallying
+    from heronlug.loadgen import demo as playing
+    from heronlug.loadgen import tally as tallying
 
     scenario = _scenario(file, changes)
     seed = scenario.seed if seed is None else seed
--- a/heronlug/cli/serve.py
+++ b/heronlug/cli/serve.py
@@ -7,10 +7,10 @@
 
 import click
 
-from heronlug.cli.words import FILE
-from heronlug.life.config import Config
-from heronlug.life.files import Files
-from heronlug.life.state import State
+from heronlug.cli.helpers import FILE
+from heronlug.config.desired_state import State
+from heronlug.config.files import Files
+from heronlug.config.platform import Config
 
 
 @click.command()
@@ -47,7 +47,7 @@
 
     Where nothing listens at a host's loopback address in FILE, a stand-in host answers there meanwhile.
     """
-    from heronlug.standin.first_job import run
+    from heronlug.standins.first_request import run
 
     config, _ = Files(file, os.environ).load()
     return int(run(config, seconds))
--- a/heronlug/cli/store.py
+++ b/heronlug/cli/store.py
@@ -5,8 +5,8 @@
 import click
 import orjson
 
-from heronlug.cli.words import FILE, print_columns
-from heronlug.store import sqlite
+from heronlug.cli.helpers import FILE, print_columns
+from heronlug.storage import sqlite
 
 
 @click.group()
--- a/heronlug/cli/halls.py
+++ b/heronlug/cli/zones.py
@@ -2,8 +2,8 @@
 
 import click
 
-from heronlug.cli.words import JSON, SOCKET, print_rows
-from heronlug.life.control import ask
+from heronlug.cli.helpers import JSON, SOCKET, print_rows
+from heronlug.lifecycle.control import ask
 
 FOR = click.option("--for", "seconds", type=float, help="seconds, then what is seen decides again; else until told")
 
--- a/heronlug/cluster/__init__.py
+++ b/heronlug/cluster/__init__.py
@@ -2,5 +2,5 @@
 
 ``node`` puts ``membership`` (who is there), ``ownership`` (who should own) and ``leases`` (who may act) together;
 ``codec`` is what goes between them, ``duties`` when a duty is run, ``schema`` the operators' table. Sockets are in
-``heronlug.wire.cluster``.
+``heronlug.cluster.transport``.
 """
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -19,7 +19,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from heronlug.cluster.model import Fence, Health, News
+from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
 VERSION, MOST, TAG = 1, 256, 12
 HEAD = struct.Struct(">cBBIQ")
@@ -64,16 +64,16 @@
     """
 
     duty: int
-    fence: Fence
+    fence: FencingToken
     number: int
-    freed: Fence
+    freed: FencingToken
 
 
 class Grant(NamedTuple):
     """It has it, for the lease's time from when this was sent by the clock of who grants."""
 
     duty: int
-    fence: Fence
+    fence: FencingToken
     number: int
 
 
@@ -81,7 +81,7 @@
     """Another has it, or has had it with a higher fence."""
 
     duty: int
-    held: Fence
+    held: FencingToken
     number: int
 
 
@@ -89,35 +89,35 @@
     """Handover: take this duty after ``fence``."""
 
     duty: int
-    fence: Fence
+    fence: FencingToken
 
 
 class Accept(NamedTuple):
     """Handover: yes."""
 
     duty: int
-    fence: Fence
+    fence: FencingToken
 
 
 class Done(NamedTuple):
     """Handover: the sender acts no more under ``fence``."""
 
     duty: int
-    fence: Fence
+    fence: FencingToken
 
 
 class Free(NamedTuple):
     """The sender has let go of this fence: votes for it are free."""
 
     duty: int
-    fence: Fence
+    fence: FencingToken
 
 
 class Announce(NamedTuple):
     """A sheet is at this version: the owner's fence, the number of its publication or beat, the root of the table."""
 
     topic: int
-    fence: Fence
+    fence: FencingToken
     number: int
     root: int
 
@@ -147,7 +147,7 @@
     | Accept
     | Done
     | Free
-    | News
+    | MemberUpdate
     | Announce
     | Pull
     | Piece
@@ -176,7 +176,7 @@
 
 def encode_part(part: Part) -> bytes:
     """One part."""
-    if isinstance(part, News):
+    if isinstance(part, MemberUpdate):
         name, address = part.name.encode(), part.address.encode()
         head = _NEWS_FORM.pack(part.incarnation, part.health, len(name), len(address))
         return bytes([_NEWS]) + head + name + address
@@ -187,7 +187,7 @@
     kind, form = _FORMS[type(part)]
     flat: list[int] = []
     for value in part:
-        flat += value if isinstance(value, Fence) else [value]
+        flat += value if isinstance(value, FencingToken) else [value]
     return bytes([kind]) + form.pack(*flat)
 
 
@@ -204,7 +204,7 @@
                 if at + name + address > len(body) or not name:
                     raise ValueError("news is cut off")
                 words = body[at : at + name].decode(), body[at + name : at + name + address].decode()
-                parts.append(News(*words, incarnation, Health(health)))
+                parts.append(MemberUpdate(*words, incarnation, Health(health)))
                 at += name + address
             elif kind == _PULL:
                 parts.append(Pull(struct.unpack_from(f">{body[at]}Q", body, at + 1)))
@@ -226,13 +226,13 @@
 
 def _part(kind: type, flat: tuple[int, ...]) -> Part:
     if kind in (Grant, Deny):
-        return kind(flat[0], Fence(*flat[1:3]), flat[3])  # type: ignore[no-any-return]
+        return kind(flat[0], FencingToken(*flat[1:3]), flat[3])  # type: ignore[no-any-return]
     if kind in (Offer, Accept, Done, Free):
-        return kind(flat[0], Fence(*flat[1:3]))  # type: ignore[no-any-return]
+        return kind(flat[0], FencingToken(*flat[1:3]))  # type: ignore[no-any-return]
     if kind is Announce:
-        return Announce(flat[0], Fence(*flat[1:3]), flat[3], flat[4])
+        return Announce(flat[0], FencingToken(*flat[1:3]), flat[3], flat[4])
     if kind is Ask:
-        return Ask(flat[0], Fence(*flat[1:3]), flat[3], Fence(*flat[4:6]))
+        return Ask(flat[0], FencingToken(*flat[1:3]), flat[3], FencingToken(*flat[4:6]))
     return kind(*flat)  # type: ignore[no-any-return]
 
 
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -21,7 +21,7 @@
 from xxhash import xxh32_intdigest
 
 from heronlug.cluster.codec import Accept, Ask, Deny, Done, Free, Grant, Offer, Part
-from heronlug.cluster.model import NO_FENCE, Fence, Gained, Lost, Terms
+from heronlug.cluster.model import NO_FENCE, ClusterTiming, FencingToken, LeaseGained, LeaseLost
 from heronlug.cluster.ownership import first, tag
 
 OFFERS = 12  # offers, and farewells, before one lets go without an answer
@@ -30,9 +30,9 @@
 FREES = 3  # times that a vote is freed again after the first: the word of it may be lost
 
 
-def unowned(fence: Fence) -> Fence:
+def unowned(fence: FencingToken) -> FencingToken:
     """What a request that only wants a promise has in place of a fence that was freed."""
-    return Fence(fence.number, 0)
+    return FencingToken(fence.number, 0)
 
 
 class Stage(Enum):
@@ -91,7 +91,7 @@
         self.asked: dict[int, tuple[float, bool]] = {}  # when we sent which request; whether for a promise
         self.promises: dict[int, float] = {}  # by voter: until when, by our clock
         self.taking = False  # all have promised: now they are asked for their votes
-        self.frees: list[Fence] = []  # what to tell the voters again that we have let go of
+        self.frees: list[FencingToken] = []  # what to tell the voters again that we have let go of
         self.rest = -inf  # so long we ask for nothing
         self.freed = NO_FENCE  # whose owner has let go of it for us
         self.promised = -inf  # so long we ask for it, for somebody hands it to us
@@ -109,9 +109,9 @@
         name: str,
         incarnation: int,
         duties: list[str],
-        terms: Terms,
+        terms: ClusterTiming,
         send: Callable[[int, Part], None],
-        told: Callable[[Gained | Lost], None],
+        told: Callable[[LeaseGained | LeaseLost], None],
         voters: Callable[[str, float], dict[int, str]],
         candidates: Callable[[float], list[str]],
     ) -> None:
@@ -129,7 +129,7 @@
 
     # -- what is known
 
-    def may_act(self, key: int, now: float) -> Fence | None:
+    def may_act(self, key: int, now: float) -> FencingToken | None:
         """Our fence while the lease holds; to be asked again before each step that matters."""
         duty = self.duties[key]
         return duty.fence if duty.stage in (Stage.HOLDING, Stage.OFFERING) and now < duty.until else None
@@ -206,7 +206,7 @@
 
     def _new_fence(self, duty: Duty) -> None:
         number = max(duty.vote.highest.number, duty.seen.number, duty.fence.number, self._floor) + 1
-        duty.fence = Fence(number, self.life)
+        duty.fence = FencingToken(number, self.life)
         duty.granted.clear()
         duty.promises.clear()
         duty.asked.clear()
@@ -253,14 +253,14 @@
             cause = "handed over" if duty.freed != NO_FENCE else "taken over"
             duty.stage, duty.freed, duty.promised = Stage.HOLDING, NO_FENCE, -inf
             duty.gained += 1
-            self._told(Gained(duty.name, duty.fence, cause))
+            self._told(LeaseGained(duty.name, duty.fence, cause))
 
     def _stop(self, duty: Duty, stage: Stage, cause: str) -> None:
         duty.stage = stage
         if stage is Stage.IDLE:
             duty.until = -inf
             duty.granted.clear()
-        self._told(Lost(duty.name, duty.fence, cause))
+        self._told(LeaseLost(duty.name, duty.fence, cause))
 
     # -- datagrams
 
@@ -358,7 +358,7 @@
         duty.rest = now + self.terms.lease * (0.4 + 0.4 * share)
         duty.next = now + self.terms.ask_every
 
-    def _free(self, duty: Duty, fence: Fence, now: float) -> None:
+    def _free(self, duty: Duty, fence: FencingToken, now: float) -> None:
         """Votes for it are free; the word of that may be lost."""
         for voter in self._voters(duty.name, now):
             self._send(voter, Free(duty.key, fence))
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from heronlug.cluster.codec import ROOM, Ack, Nack, Part, Ping, PingFor, Sync, encode_part
-from heronlug.cluster.model import Changed, Health, News, Terms
+from heronlug.cluster.model import ClusterTiming, Health, MemberChanged, MemberUpdate
 from heronlug.cluster.ownership import tag
 
 PINGS = 4  # direct ones within a period: a lost datagram is no reason to suspect anybody
@@ -61,10 +61,10 @@
         address: str,
         incarnation: int,
         seeds: Iterable[str],
-        terms: Terms,
+        terms: ClusterTiming,
         rng: Random,
         send: Callable[[str, list[Part]], None],
-        told: Callable[[Changed], None],
+        told: Callable[[MemberChanged], None],
     ) -> None:
         self.name, self.address, self.incarnation, self.terms = name, address, incarnation, terms
         self.members: dict[str, Member] = {}
@@ -80,7 +80,7 @@
         self._next_probe = self._next_join = -inf
         self._began = inf
         self._for: dict[int, tuple[float, str, int]] = {}  # probes for others: until, whom to tell, its number
-        self._news: dict[str, tuple[int, News]] = {}  # by name: how often it has been told, and what
+        self._news: dict[str, tuple[int, MemberUpdate]] = {}  # by name: how often it has been told, and what
 
     # -- what is known
 
@@ -99,10 +99,10 @@
         times += [self._over(member) for member in self.members.values() if member.health is Health.SUSPECT]
         return min(times)
 
-    def news(self, room: int = ROOM - PART) -> list[News]:
+    def news(self, room: int = ROOM - PART) -> list[MemberUpdate]:
         """What to tell next, within so many bytes: what has been told least first."""
         limit = self.terms.spread * ceil(log(len(self.members) + 2, 2))
-        chosen: list[News] = []
+        chosen: list[MemberUpdate] = []
         for name in sorted(self._news, key=lambda name: self._news[name][0]):
             told, item = self._news[name]
             size = len(encode_part(item))
@@ -224,7 +224,7 @@
                     self._ping(whom, self._number)
             elif isinstance(part, Sync):
                 self._send(address, [*map(self._about, self.members.values()), self._self()])
-            elif isinstance(part, News):
+            elif isinstance(part, MemberUpdate):
                 self.learn(part, sender, now)
 
     def _answered(self, number: int, now: float) -> None:
@@ -236,7 +236,7 @@
             probe.answered = True
             self._slow(-1)
 
-    def learn(self, item: News, sender: int, now: float) -> None:
+    def learn(self, item: MemberUpdate, sender: int, now: float) -> None:
         """Take news in, by SWIM's order: the higher incarnation, and at the same one the worse health."""
         if item.name == self.name:
             self._about_us(item)
@@ -252,7 +252,7 @@
             self.by_tag[member.tag] = member
             self._round.insert(self._rng.randrange(len(self._round) + 1), member)
             self._spread(member)
-            self._told(Changed(member.name, Health.ALIVE, "joined"))
+            self._told(MemberChanged(member.name, Health.ALIVE, "joined"))
             if item.health is Health.SUSPECT:
                 self._suspect(member, sender, now, "told")
             return
@@ -273,7 +273,7 @@
         elif item.health > member.health:
             self._turn(member, item.health, now, "told")
 
-    def _about_us(self, item: News) -> None:
+    def _about_us(self, item: MemberUpdate) -> None:
         """We are suspected, or held dead: refute with a higher incarnation, unless we leave."""
         if item.incarnation >= self.incarnation and item.health is not Health.ALIVE and not self.leaving:
             self.incarnation = item.incarnation + 1
@@ -296,10 +296,10 @@
         member.health = health
         if changed:
             member.since = now
-            self._told(Changed(member.name, health, cause))
+            self._told(MemberChanged(member.name, health, cause))
         self._spread(member)
 
-    def leave(self) -> News:
+    def leave(self) -> MemberUpdate:
         """We go on purpose: nobody has to suspect us."""
         self.leaving = True
         return self._self()
@@ -307,9 +307,9 @@
     def _spread(self, member: Member) -> None:
         self._news[member.name] = 0, self._about(member)
 
-    def _self(self) -> News:
-        return News(self.name, self.address, self.incarnation, Health.LEFT if self.leaving else Health.ALIVE)
+    def _self(self) -> MemberUpdate:
+        return MemberUpdate(self.name, self.address, self.incarnation, Health.LEFT if self.leaving else Health.ALIVE)
 
     @staticmethod
-    def _about(member: Member) -> News:
-        return News(member.name, member.address, member.incarnation, member.health)
+    def _about(member: Member) -> MemberUpdate:
+        return MemberUpdate(member.name, member.address, member.incarnation, member.health)
--- a/heronlug/cluster/model.py
+++ b/heronlug/cluster/model.py
@@ -17,7 +17,7 @@
     LEFT = 3  # on purpose
 
 
-class News(NamedTuple):
+class MemberUpdate(NamedTuple):
     """One member's health as somebody tells it (SWIM, section 4)."""
 
     name: str
@@ -26,18 +26,18 @@
     health: Health
 
 
-class Fence(NamedTuple):
+class FencingToken(NamedTuple):
     """A fencing number: whoever writes under a lower one than was seen is late.  No two owners ever have the same."""
 
     number: int  # never below Unix milliseconds of the owner's start, and above all that it has seen
     owner: int  # the owner's tag, unique among the members
 
 
-NO_FENCE = Fence(0, 0)
+NO_FENCE = FencingToken(0, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class ClusterTiming:
     """How a cluster keeps time.  All figures in milliseconds; the same at every member."""
 
     period: float = 400.0  # between two probes of ours
@@ -78,7 +78,7 @@
     when: float
 
 
-class Changed(NamedTuple):
+class MemberChanged(NamedTuple):
     """A member's health has changed here."""
 
     name: str
@@ -86,27 +86,27 @@
     cause: str
 
 
-class Gained(NamedTuple):
+class LeaseGained(NamedTuple):
     """We own a duty: its work may be done, each step only while ``Node.may_act`` says so."""
 
     duty: str
-    fence: Fence
+    fence: FencingToken
     cause: str
 
 
-class Lost(NamedTuple):
+class LeaseLost(NamedTuple):
     """We own a duty no more."""
 
     duty: str
-    fence: Fence
+    fence: FencingToken
     cause: str
 
 
-class Sheet(NamedTuple):
+class TableChanged(NamedTuple):
     """A sheet has changed: rows by their keys, None for those that are gone."""
 
     topic: str
     changes: dict[bytes, bytes | None]
 
 
-Action = SendTo | WakeAt | Changed | Gained | Lost | Sheet
+Action = SendTo | WakeAt | MemberChanged | LeaseGained | LeaseLost | TableChanged
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -7,9 +7,9 @@
 from heronlug.cluster.codec import Ack, Nack, Part, Ping, PingFor, Seal, Sync
 from heronlug.cluster.leases import Leases
 from heronlug.cluster.membership import Membership
-from heronlug.cluster.model import Action, Fence, News, SendTo, Terms, WakeAt
+from heronlug.cluster.model import Action, ClusterTiming, FencingToken, MemberUpdate, SendTo, WakeAt
 from heronlug.cluster.ownership import foremost, tag, weight
-from heronlug.cluster.sheets import Sheets
+from heronlug.cluster.replicated_tables import ReplicatedTables
 
 FAREWELLS = 3  # times that a leave is told to everybody
 RIDERS = (Ping, Ack, PingFor, Nack, Sync)  # what news ride on
@@ -27,10 +27,10 @@
         keys: Mapping[int, bytes],
         incarnation: int,
         rng: Random,
-        terms: Terms | None = None,
+        terms: ClusterTiming | None = None,
     ) -> None:
         """``incarnation`` is Unix milliseconds at the start: above that of every process of this name before."""
-        self.name, self.address, self.terms = name, address, terms or Terms()
+        self.name, self.address, self.terms = name, address, terms or ClusterTiming()
         self.seal = Seal(tag(name), keys, incarnation << 20)
         self._out: list[Action] = []
         self._queued: dict[str, list[Part]] = {}
@@ -38,7 +38,7 @@
         self.leases = Leases(
             name, incarnation, list(duties), self.terms, self._send_to, self._out.append, self._voters, self._candidates
         )
-        self.sheets = Sheets(
+        self.sheets = ReplicatedTables(
             self.terms,
             rng,
             self._send_to,
@@ -46,7 +46,7 @@
             lambda: [member.tag for member in self.members.others()],
             self.may_act,
         )
-        self._claims: dict[str, Fence] = {}
+        self._claims: dict[str, FencingToken] = {}
         self._addresses: dict[int, str] = {}
         self._born: float | None = None
         self._last = inf  # when we last ran
@@ -100,16 +100,16 @@
         """Whether there is something to carry out that no call has returned."""
         return bool(self._queued or self._out)
 
-    def may_act(self, duty: str, now: float) -> Fence | None:
+    def may_act(self, duty: str, now: float) -> FencingToken | None:
         """The fence to act under, or None: to be asked again before each step that matters."""
         if self.left:
             return None
         return self._claims.get(duty) or self.leases.may_act(tag(duty), now)
 
-    def claim(self, sheet: str, now: float) -> Fence:
+    def claim(self, sheet: str, now: float) -> FencingToken:
         """A fence to write a sheet under that no lease guards: the last claim counts, and who hears of it gives way."""
         seen = self.sheets.topics[tag(sheet)].version.fence.number
-        fence = self._claims[sheet] = Fence(max(int(now), seen + 1), tag(self.name))
+        fence = self._claims[sheet] = FencingToken(max(int(now), seen + 1), tag(self.name))
         return fence
 
     def release(self, sheet: str) -> None:
@@ -164,7 +164,7 @@
         queued, self._queued = self._queued, {}
         for address, parts in queued.items():
             if any(isinstance(part, RIDERS) for part in parts):
-                told = {part.name for part in parts if isinstance(part, News)}
+                told = {part.name for part in parts if isinstance(part, MemberUpdate)}
                 parts += [item for item in self.members.news() if item.name not in told]
             self._out += [SendTo(address, data) for data in self.seal.pack(parts)]
         out = [*self._out]
--- a/heronlug/cluster/duties.py
+++ b/heronlug/cluster/periodic_tasks.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from heronlug.cluster.model import Fence
+from heronlug.cluster.model import FencingToken
 from heronlug.cluster.ownership import tag
 
 
@@ -22,7 +22,7 @@
     """What is known here of a duty."""
 
     duty: Duty
-    fence: Fence | None = None  # while it is ours
+    fence: FencingToken | None = None  # while it is ours
     due: float = inf
     began: float = -inf  # of the last run here
     ended: float = -inf
@@ -43,7 +43,7 @@
         """A schedule of these."""
         return cls({duty.name: Running(duty) for duty in duties})
 
-    def gained(self, name: str, fence: Fence, now: float) -> None:
+    def gained(self, name: str, fence: FencingToken, now: float) -> None:
         """It is ours: its first run here is due at once, for nobody knows how long the last one is past."""
         running = self.duties[name]
         running.fence, running.due = fence, now
@@ -55,9 +55,9 @@
         running.fence, running.due = None, inf
         return running.busy
 
-    def begin(self, now: float) -> list[tuple[str, Fence]]:
+    def begin(self, now: float) -> list[tuple[str, FencingToken]]:
         """What is due now: each begins with this, and is not due again before it has ended."""
-        begun: list[tuple[str, Fence]] = []
+        begun: list[tuple[str, FencingToken]] = []
         for name, running in self.duties.items():
             if running.fence is not None and not running.busy and running.due <= now:
                 running.busy, running.began = True, now
--- a/heronlug/cluster/sheets.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -13,9 +13,9 @@
 from random import Random
 from typing import NamedTuple
 
-from heronlug.cluster import trie
+from heronlug.cluster import merkle_trie
 from heronlug.cluster.codec import PULL_MOST, Announce, Part, Piece, Pull, Sync
-from heronlug.cluster.model import NO_FENCE, Fence, Sheet, Terms
+from heronlug.cluster.model import NO_FENCE, ClusterTiming, FencingToken, TableChanged
 from heronlug.cluster.ownership import tag
 
 WINDOW = 192  # nodes asked for at once
@@ -29,14 +29,14 @@
 class Version(NamedTuple):
     """The order of publications: a later owner's are all above those before."""
 
-    fence: Fence
+    fence: FencingToken
     number: int
 
 
 NEVER = Version(NO_FENCE, 0)
 
 
-class Topic:
+class TableState:
     """One sheet as it is known here."""
 
     __slots__ = (
@@ -58,10 +58,10 @@
 
     def __init__(self, name: str) -> None:
         self.name, self.key = name, tag(name)
-        self.version, self.root, self.before = NEVER, trie.EMPTY, trie.EMPTY  # what is there whole
+        self.version, self.root, self.before = NEVER, merkle_trie.EMPTY, merkle_trie.EMPTY  # what is there whole
         self.fresh_at = -inf  # when something new was last heard of its owner
         self.pushed: tuple[int, ...] = ()  # nodes that the present root has brought
-        self.ours: Fence | None = None  # while we publish it
+        self.ours: FencingToken | None = None  # while we publish it
         self.wanted: Announce | None = None  # what is being pulled
         self.source = 0  # from whom
         self.missing: dict[int, int | None] = {}  # nodes of it that are not there, with their counterparts
@@ -70,21 +70,21 @@
         self.brought: list[int] = []  # nodes that have come for it
 
 
-class Sheets:
+class ReplicatedTables:
     """All sheets of a member.  ``send`` takes a member's tag, ``told`` what has changed, ``others`` who is there."""
 
     def __init__(
         self,
-        terms: Terms,
+        terms: ClusterTiming,
         rng: Random,
         send: Callable[[int, Part], None],
-        told: Callable[[Sheet], None],
+        told: Callable[[TableChanged], None],
         others: Callable[[], list[int]],
-        may_act: Callable[[str, float], Fence | None],
+        may_act: Callable[[str, float], FencingToken | None],
     ) -> None:
         self.terms = terms
-        self.topics: dict[int, Topic] = {}
-        self.nodes: dict[int, bytes] = {trie.EMPTY: b"L"}
+        self.topics: dict[int, TableState] = {}
+        self.nodes: dict[int, bytes] = {merkle_trie.EMPTY: b"L"}
         self.counts: Counter[str] = Counter()
         self._rng, self._send, self._told, self._others, self._may_act = rng, send, told, others, may_act
         self._loose: OrderedDict[int, bytes] = OrderedDict()
@@ -95,23 +95,23 @@
 
     def follow(self, name: str) -> None:
         """Read this sheet; others than those followed are not taken in."""
-        topic = Topic(name)
+        topic = TableState(name)
         self.topics.setdefault(topic.key, topic)
 
-    def rows(self, name: str) -> trie.Rows:
+    def rows(self, name: str) -> merkle_trie.Rows:
         """All rows of a sheet."""
-        return dict(trie.walk(self.nodes, self.topics[tag(name)].root))
+        return dict(merkle_trie.walk(self.nodes, self.topics[tag(name)].root))
 
     def age(self, name: str, now: float) -> float:
         """How long ago its owner was last heard of it; 0 for one of ours."""
         topic = self.topics[tag(name)]
         return 0.0 if topic.ours is not None else now - topic.fresh_at
 
-    def ours(self, name: str) -> Fence | None:
+    def ours(self, name: str) -> FencingToken | None:
         """The fence that we write it under, until a later one is heard of."""
         return self.topics[tag(name)].ours
 
-    def fence(self, name: str) -> Fence:
+    def fence(self, name: str) -> FencingToken:
         """The fence of the latest version that is known."""
         return self.topics[tag(name)].version.fence
 
@@ -132,7 +132,7 @@
 
     # -- what we write
 
-    def publish(self, name: str, fence: Fence, changes: Mapping[bytes, bytes | None], now: float) -> None:
+    def publish(self, name: str, fence: FencingToken, changes: Mapping[bytes, bytes | None], now: float) -> None:
         """Put rows in, and take those out that are None; raises ``ValueError`` for one that is too long.
 
         The first publication under a fence goes on from what is known of the owner before.
@@ -142,10 +142,10 @@
         nodes = _Over(self.nodes, fresh)
         root = topic.root
         for key, value in changes.items():
-            root = trie.change(nodes, root, key, value)
+            root = merkle_trie.change(nodes, root, key, value)
         self._publish(topic, fence, root, fresh, now)
 
-    def publish_whole(self, name: str, fence: Fence, root: int, nodes: Mapping[int, bytes], now: float) -> None:
+    def publish_whole(self, name: str, fence: FencingToken, root: int, nodes: Mapping[int, bytes], now: float) -> None:
         """Put a table, built beside, in the place of what was there."""
         self._publish(self.topics[tag(name)], fence, root, nodes, now)
 
@@ -155,7 +155,9 @@
         topic.ours = None
         topic.fresh_at = -inf
 
-    def _publish(self, topic: Topic, fence: Fence, root: int, fresh: Mapping[int, bytes], now: float) -> None:
+    def _publish(
+        self, topic: TableState, fence: FencingToken, root: int, fresh: Mapping[int, bytes], now: float
+    ) -> None:
         self.nodes.update(fresh)
         topic.wanted, topic.ours = None, fence
         topic.missing.clear()
@@ -169,7 +171,7 @@
         self._announce(topic, 0)
         self._beat_at = min(self._beat_at, now + self.terms.beat) if self._beat_at > now else now + self.terms.beat
 
-    def _announce(self, topic: Topic, heard_of: int) -> None:
+    def _announce(self, topic: TableState, heard_of: int) -> None:
         """Tell a few; the fewer nodes it has brought, the more of it goes along."""
         others = [whom for whom in self._others() if whom != heard_of]
         part = Announce(topic.key, topic.version.fence, topic.version.number, topic.root)
@@ -225,16 +227,16 @@
         for topic in self.topics.values():
             self._answer(topic, sender, now)
 
-    def _answer(self, topic: Topic, sender: int, now: float) -> None:
+    def _answer(self, topic: TableState, sender: int, now: float) -> None:
         if topic.version != NEVER and (topic.ours is not None or now - topic.fresh_at <= OLD * self.terms.beat):
             self._send(sender, Announce(topic.key, topic.version.fence, topic.version.number, topic.root))
 
-    def _fresh(self, topic: Topic, now: float) -> float:
+    def _fresh(self, topic: TableState, now: float) -> float:
         """When its writer was last heard: what was asked for may be as old as it may be told."""
         asked = topic.version == NEVER or now - topic.asked_at < ANSWERED
         return max(topic.fresh_at, now - OLD * self.terms.beat) if asked else now
 
-    def _heard_of(self, topic: Topic, sender: int, part: Announce, now: float) -> None:
+    def _heard_of(self, topic: TableState, sender: int, part: Announce, now: float) -> None:
         version = Version(part.fence, part.number)
         if version < topic.version:
             self._answer(topic, sender, now)
@@ -263,24 +265,24 @@
         else:
             self._adopt(topic, now)
 
-    def _still_absent(self, topic: Topic, old: int | None, new: int) -> dict[int, int | None]:
+    def _still_absent(self, topic: TableState, old: int | None, new: int) -> dict[int, int | None]:
         """What is missing below a node, after what has come by itself is put in."""
-        missing = trie.absent(self.nodes, old, new)
+        missing = merkle_trie.absent(self.nodes, old, new)
         while found := [name for name in missing if name in self._loose]:
             for name in found:
                 self.nodes[name] = self._loose.pop(name)
                 topic.brought.append(name)
-                missing.update(trie.absent(self.nodes, missing.pop(name), name))
+                missing.update(merkle_trie.absent(self.nodes, missing.pop(name), name))
         return missing
 
     def _piece(self, data: bytes, now: float) -> None:
         try:
-            trie.rows_of(data)
-            trie.children_of(data)
-        except trie.BadNode:
+            merkle_trie.rows_of(data)
+            merkle_trie.children_of(data)
+        except merkle_trie.BadNode:
             self.counts["bad_nodes"] += 1
             return
-        name = trie.name_of(data)
+        name = merkle_trie.name_of(data)
         if name in self.nodes:
             return
         wanting = [topic for topic in self.topics.values() if name in topic.missing]
@@ -301,7 +303,7 @@
             else:
                 self._adopt(topic, now)
 
-    def _pull(self, topic: Topic, now: float) -> None:
+    def _pull(self, topic: TableState, now: float) -> None:
         """Ask for what is missing, as much at once as the window has room for and in whole datagrams where it can."""
         room = WINDOW - len(topic.asked)
         free = [name for name in topic.missing if name not in topic.asked][:room]
@@ -312,12 +314,12 @@
             topic.asked.update(dict.fromkeys(chosen, now + self.terms.pull_wait))
             self._send(topic.source, Pull(tuple(chosen)))
 
-    def _adopt(self, topic: Topic, now: float) -> None:
+    def _adopt(self, topic: TableState, now: float) -> None:
         """It is there whole: read it, and tell others."""
         part, topic.wanted = topic.wanted, None
         assert part is not None
         topic.asked.clear()
-        changes = trie.difference(self.nodes, topic.root, part.root)
+        changes = merkle_trie.difference(self.nodes, topic.root, part.root)
         topic.before, topic.root = topic.root, part.root
         topic.fresh_at = self._fresh(topic, now)
         topic.version = _version(part)
@@ -325,21 +327,21 @@
         topic.brought.clear()
         self._announce(topic, topic.source)
         self._sweep()
-        self._told(Sheet(topic.name, changes))
+        self._told(TableChanged(topic.name, changes))
 
     def _sweep(self) -> None:
         """Forget nodes that are in no sheet of now, of before, or being pulled."""
         if len(self.nodes) <= self._sweep_at:
             return
-        live: set[int] = {trie.EMPTY}
+        live: set[int] = {merkle_trie.EMPTY}
         for topic in self.topics.values():
             roots = [topic.root, topic.before, *([topic.wanted.root] if topic.wanted is not None else [])]
             for root in roots:
-                live.update(trie.names(self.nodes, root))
+                live.update(merkle_trie.names(self.nodes, root))
             # below a node that is missing nothing can be told apart yet
             for counterpart in topic.missing.values():
                 if counterpart is not None:
-                    live.update(trie.names(self.nodes, counterpart))
+                    live.update(merkle_trie.names(self.nodes, counterpart))
         self.nodes = {name: node for name, node in self.nodes.items() if name in live}
         self._sweep_at = 2 * len(self.nodes) + 1024
 
--- a/heronlug/cluster/schema.py
+++ b/heronlug/cluster/schema.py
@@ -6,10 +6,10 @@
 
 from msgspec import Meta, Struct, field, structs
 
-from heronlug.forms import Fault, Source
-from heronlug.forms.decode import decode
-from heronlug.forms.kinds import Text
-from heronlug.wire.http import split_address
+from heronlug.config.strict_toml import ConfigProblem, Source
+from heronlug.config.strict_toml.decode import decode
+from heronlug.config.strict_toml.value_types import Text
+from heronlug.net.http import split_address
 
 AT = "cluster"
 LEAST_KEY = 16  # bytes
@@ -72,7 +72,7 @@
     probe: Any = None
 
 
-def read(source: Source) -> tuple[dict[str, Any], list[Fault]]:
+def read(source: Source) -> tuple[dict[str, Any], list[ConfigProblem]]:
     """The table as plain values, paths made whole; and the faults of it."""
     table, faults = decode(ClusterTable, source.table.get(AT, {}), source, (AT,))
     if table is None:
--- a/heronlug/cluster/hosts.py
+++ b/heronlug/cluster/server_view.py
@@ -1,7 +1,7 @@
 """Which hosts this dispatcher holds to be there, out of its own reading, the shared list and the verdicts of probes.
 
 Decides and does nothing: which list holds, and what the core is to be told. Whether our own watch of the register has
-to be on is decided in :mod:`heronlug.arrival.reading`.
+to be on is decided in :mod:`heronlug.discovery.reader_election`.
 
 ``share = "list"``: one member reads the register for all.
 ``share = "news"``: all read; of the shared list counts only that a host which our own list names drains or has gone.
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from heronlug.interface import ListKind, WorkerState
-from heronlug.memory.core import HostEntry
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.requests.model import ListedServer
 
 
 class Source(Enum):
@@ -32,11 +32,11 @@
 class Listed:
     """One list, whole."""
 
-    hosts: dict[str, HostEntry] = field(default_factory=dict)
+    hosts: dict[str, ListedServer] = field(default_factory=dict)
     version: int = -1  # the register's; -1 for none
     known: bool = False
 
-    def take(self, version: int, entries: Iterable[HostEntry], gone: Iterable[str]) -> None:
+    def take(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> None:
         """It has changed."""
         self.known, self.version = version >= 0, version
         for entry in entries:
@@ -45,7 +45,7 @@
             self.hosts.pop(name, None)
 
 
-class HostView:
+class ServerView:
     """The hosts as the core is told of them."""
 
     def __init__(self, share: str = "none", panic_share: float = 0.5) -> None:
@@ -56,12 +56,12 @@
         self.down: dict[str, str] = {}  # hosts that probes have found down, and which shard says so
         self.panic = False
         self.ahead = False  # the others' list is newer than ours, and counts for what it takes away
-        self.told: dict[str, HostEntry] = {}
+        self.told: dict[str, ListedServer] = {}
         self.switches = 0
 
     # -- our own watch
 
-    def use(self, own: bool) -> tuple[ListKind, list[HostEntry]] | None:
+    def use(self, own: bool) -> tuple[ListKind, list[ListedServer]] | None:
         """Go by our own list, or by the shared one; what the core is to be told, if anything changes."""
         self.watching = own
         ours = own and self.own.known
@@ -75,8 +75,8 @@
         return self._news(None)
 
     def own_news(
-        self, kind: ListKind, version: int | None, entries: Iterable[HostEntry]
-    ) -> tuple[ListKind, list[HostEntry]] | None:
+        self, kind: ListKind, version: int | None, entries: Iterable[ListedServer]
+    ) -> tuple[ListKind, list[ListedServer]] | None:
         """Our own watch has brought this; what the core is to be told, if anything."""
         entries = list(entries)
         if kind is ListKind.FAILED:
@@ -85,7 +85,7 @@
         if kind is not ListKind.CHANGES:
             self.own.hosts = {entry.name: entry for entry in entries}
         for entry in entries:
-            if entry.state is WorkerState.GONE:
+            if entry.state is ServerState.REMOVED:
                 self.own.hosts.pop(entry.name, None)
             else:
                 self.own.hosts[entry.name] = entry
@@ -105,7 +105,7 @@
 
     # -- what others say
 
-    def shared_news(self, version: int, entries: Iterable[HostEntry], gone: Iterable[str]) -> list[HostEntry]:
+    def shared_news(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> list[ListedServer]:
         """The shared list has changed; what the core is to be told as changes."""
         entries, gone = list(entries), list(gone)
         self.shared.take(version, entries, gone)
@@ -113,12 +113,12 @@
             return []
         return self._news({entry.name for entry in entries} | set(gone))[1]
 
-    def prefer(self, listed: Listed) -> list[HostEntry]:
+    def prefer(self, listed: Listed) -> list[ListedServer]:
         """Of several shared lists this one counts from now on; what the core is to be told as changes."""
         self.shared = listed
         return self._news(None)[1] if self.source is Source.SHARED or self.share == "news" else []
 
-    def verdicts(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[HostEntry]:
+    def verdicts(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
         """A shard's owner holds these hosts down, and these up again; what the core is to be told as changes."""
         touched = set()
         for name in up:
@@ -130,13 +130,13 @@
             touched.add(name)
         return self._news(touched)[1]
 
-    def withdraw(self, shard: str) -> list[HostEntry]:
+    def withdraw(self, shard: str) -> list[ListedServer]:
         """Nobody probes this shard any more: what was said of its hosts counts no more."""
         return self.verdicts(shard, (), [name for name, by in self.down.items() if by == shard])
 
     # -- inside
 
-    def _news(self, names: set[str] | None) -> tuple[ListKind, list[HostEntry]]:
+    def _news(self, names: set[str] | None) -> tuple[ListKind, list[ListedServer]]:
         """What has changed for the core among these hosts, or among all."""
         base = self.shared.hosts if self.source is Source.SHARED else self.own.hosts
         held_down = sum(name in base for name in self.down)
@@ -150,13 +150,13 @@
             before = self.told.get(name)
             if entry is None and before is not None:
                 del self.told[name]
-                told.append(before._replace(state=WorkerState.GONE))
+                told.append(before._replace(state=ServerState.REMOVED))
             elif entry is not None and entry != before:
                 self.told[name] = entry
                 told.append(entry)
         return ListKind.CHANGES, told
 
-    def _entry(self, entry: HostEntry | None) -> HostEntry | None:
+    def _entry(self, entry: ListedServer | None) -> ListedServer | None:
         """A host as it counts here."""
         if entry is None:
             return None
@@ -164,8 +164,8 @@
             other = self.shared.hosts.get(entry.name)
             if other is None:
                 return None
-            if other.state is not WorkerState.READY:
+            if other.state is not ServerState.READY:
                 entry = entry._replace(state=other.state)
-        if entry.name in self.down and not self.panic and entry.state is WorkerState.READY:
-            entry = entry._replace(state=WorkerState.DRAINING)
+        if entry.name in self.down and not self.panic and entry.state is ServerState.READY:
+            entry = entry._replace(state=ServerState.DRAINING)
         return entry
--- a/heronlug/wire/duties.py
+++ b/heronlug/cluster/task_runner.py
@@ -1,4 +1,7 @@
-"""Runs of periodic duties: a command, or a sweep of old files.  When one is run says :mod:`heronlug.cluster.duties`."""
+"""Runs periodic tasks: a command, or the deletion of old files.
+
+:mod:`heronlug.cluster.periodic_tasks` decides when one runs.
+"""
 
 import asyncio
 import os
@@ -9,11 +12,13 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.cluster.duties import Duty, Schedule
-from heronlug.cluster.model import Fence
-from heronlug.memory.deadlines import Deadlines, Key
+from heronlug.cluster.model import FencingToken
+from heronlug.cluster.periodic_tasks import Duty, Schedule
+from heronlug.requests.deadlines import Deadlines, Key
 
-Work = Callable[[str, Fence], Awaitable[int]]  # one run, returns its status, 0 for well; cancelled when it is late
+Work = Callable[
+    [str, FencingToken], Awaitable[int]
+]  # one run, returns its status, 0 for well; cancelled when it is late
 SWEEP_SLICE = 256  # files looked at before somebody else has the thread
 
 
@@ -24,7 +29,7 @@
     return partial(_command, list(table["command"]))
 
 
-async def _command(words: list[str], name: str, fence: Fence) -> int:
+async def _command(words: list[str], name: str, fence: FencingToken) -> int:
     """Run a command under our fence; it is killed when this is cancelled.  Raises ``OSError``."""
     environ = {**os.environ, "HERONLUG_DUTY": name, "HERONLUG_FENCE": f"{fence.number}.{fence.owner}"}
     program: Process | None = None
@@ -39,7 +44,7 @@
             await program.wait()
 
 
-async def _sweep(table: dict[str, Any], log: Callable[..., None], name: str, fence: Fence) -> int:
+async def _sweep(table: dict[str, Any], log: Callable[..., None], name: str, fence: FencingToken) -> int:
     """Delete files of a folder that are older than they may be; links and folders stay.  Raises ``OSError``."""
     before = time.time() - table["keep_s"]
     swept, kept = await asyncio.to_thread(_sweep_folder, Path(table["folder"]), table["pattern"], before)
@@ -73,7 +78,7 @@
     def __init__(
         self,
         tables: list[dict[str, Any]],
-        may_act: Callable[[str, float], Fence | None],
+        may_act: Callable[[str, float], FencingToken | None],
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
@@ -95,7 +100,7 @@
         """The duties' names."""
         return list(self._works)
 
-    def gained(self, name: str, fence: Fence) -> None:
+    def gained(self, name: str, fence: FencingToken) -> None:
         """It is ours."""
         self.schedule.gained(name, fence, self._deadlines.clock())
         self._plan()
@@ -107,7 +112,7 @@
 
     async def close(self) -> None:
         """Begin nothing more, and end what runs."""
-        self._deadlines.drop(self._due)
+        self._deadlines.cancel(self._due)
         for name in self.names:
             self.schedule.lost(name)
         tasks = [*self._tasks.values()]
@@ -124,11 +129,11 @@
         for name, fence in self.schedule.begin(now):
             task = self._tasks[name] = asyncio.get_running_loop().create_task(self._run(name, fence))
             task.add_done_callback(partial(self._ended, name))
-        self._deadlines.drop(self._due)
+        self._deadlines.cancel(self._due)
         when = self.schedule.next()
-        self._due = self._deadlines.at(max(when, now + 10.0), self._plan) if when < float("inf") else None
+        self._due = self._deadlines.call_at(max(when, now + 10.0), self._plan) if when < float("inf") else None
 
-    async def _run(self, name: str, fence: Fence) -> int:
+    async def _run(self, name: str, fence: FencingToken) -> int:
         """One run under our fence."""
         if self._may_act(name, self._deadlines.clock()) != fence:
             return -1
--- a/heronlug/wire/cluster.py
+++ b/heronlug/cluster/transport.py
@@ -5,22 +5,32 @@
 from random import Random
 from typing import Any, cast
 
-from heronlug.cluster.model import Action, Changed, Fence, Gained, Lost, SendTo, Sheet, Terms, WakeAt
+from heronlug.backends.health_checker import HealthChecker
+from heronlug.cluster.model import (
+    Action,
+    ClusterTiming,
+    FencingToken,
+    LeaseGained,
+    LeaseLost,
+    MemberChanged,
+    SendTo,
+    TableChanged,
+    WakeAt,
+)
 from heronlug.cluster.node import Node
 from heronlug.cluster.schema import keys
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.wire.duties import Runs
-from heronlug.wire.http import split_address
-from heronlug.wire.probes import Probes
-from heronlug.wire.register import DUTY as REGISTER
-from heronlug.wire.register import SCOUT, Register
+from heronlug.cluster.task_runner import Runs
+from heronlug.discovery.shared_client import DUTY as REGISTER
+from heronlug.discovery.shared_client import SCOUT, SharedDiscovery
+from heronlug.net.http import split_address
+from heronlug.requests.deadlines import Deadlines, Key
 
 LEAVE_WAIT = 3000.0  # so long a planned leave may take
 STAND = 10_000.0  # verdicts of probes count so long after their prober was last heard of
 LOOK = 500.0
 
 
-class Cluster(asyncio.DatagramProtocol):
+class ClusterTransport(asyncio.DatagramProtocol):
     """This process as a member."""
 
     def __init__(
@@ -29,9 +39,9 @@
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
-        register: Register | None = None,
-        probes: Probes | None = None,
-        terms: Terms | None = None,
+        register: SharedDiscovery | None = None,
+        probes: HealthChecker | None = None,
+        terms: ClusterTiming | None = None,
     ) -> None:
         """``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
         self.listen = split_address(table["listen"])
@@ -73,14 +83,14 @@
         """Hand over what we own, say that we go, and close."""
         if self._transport is not None:
             self._left = asyncio.get_running_loop().create_future()
-            over = self._deadlines.after(LEAVE_WAIT, self._gone)
+            over = self._deadlines.call_after(LEAVE_WAIT, self._gone)
             self.act(self.node.leave(self._deadlines.clock()))
             self._turn()
             await self._left
-            self._deadlines.drop(over)
+            self._deadlines.cancel(over)
             self._transport.close()
         for key in (self._wake, self._look_at):
-            self._deadlines.drop(key)
+            self._deadlines.cancel(key)
         for part in (self.register, self.probes):
             if part is not None:
                 part.close()
@@ -209,17 +219,17 @@
                     self._transport.sendto(action.data, split_address(action.address))
             elif isinstance(action, WakeAt):
                 self._wake_at(action.when)
-            elif isinstance(action, Changed):
+            elif isinstance(action, MemberChanged):
                 health = action.health.name.lower()
                 self._log("member", name=action.name, health=health, cause=action.cause)
-            elif isinstance(action, Sheet):
+            elif isinstance(action, TableChanged):
                 self._sheet(action)
             else:
                 self._owned(action)
 
     def _wake_at(self, when: float) -> None:
-        self._deadlines.drop(self._wake)
-        self._wake = self._deadlines.at(when, self._woken)
+        self._deadlines.cancel(self._wake)
+        self._wake = self._deadlines.call_at(when, self._woken)
 
     def _woken(self) -> None:
         self._wake = None
@@ -229,11 +239,11 @@
         if self._left is not None and not self._left.done():
             self._left.set_result(None)
 
-    def _may_act(self, name: str, now: float) -> Fence | None:
+    def _may_act(self, name: str, now: float) -> FencingToken | None:
         return self.node.may_act(name, now)
 
-    def _owned(self, action: Gained | Lost) -> None:
-        gained = isinstance(action, Gained)
+    def _owned(self, action: LeaseGained | LeaseLost) -> None:
+        gained = isinstance(action, LeaseGained)
         self._log(
             "duty_gained" if gained else "duty_lost", duty=action.duty, fence=action.fence.number, cause=action.cause
         )
@@ -253,7 +263,7 @@
             else:
                 self.probes.lost(action.duty)
 
-    def _sheet(self, sheet: Sheet) -> None:
+    def _sheet(self, sheet: TableChanged) -> None:
         if sheet.topic in (REGISTER, SCOUT) and self.register is not None:
             self.register.sheet(sheet.topic, sheet.changes)
         elif self.probes is not None:
@@ -261,6 +271,6 @@
 
     def _look(self) -> None:
         """Verdicts that nobody stands for are withdrawn."""
-        self._look_at = self._deadlines.after(LOOK, self._look)
+        self._look_at = self._deadlines.call_after(LOOK, self._look)
         if self.probes is not None:
             self.probes.stale(STAND)
--- /dev/null
+++ b/heronlug/config/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration: files and environment, their schemas, validation and reload."""
--- a/heronlug/life/state.py
+++ b/heronlug/config/desired_state.py
@@ -26,11 +26,11 @@
 
 import orjson
 
-from heronlug.forms import Fault, Faults, Source
-from heronlug.forms.source import Keys
-from heronlug.interface import Settings
-from heronlug.life.log import LEVELS
-from heronlug.wire.http import split_address
+from heronlug.balancer.settings import Settings
+from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
+from heronlug.config.strict_toml.source import Keys
+from heronlug.lifecycle.log import LEVELS
+from heronlug.net.http import split_address
 
 State = dict[str, Any]
 EMPTY: State = {"log_level": "info", "faktory": {}, "plugins": {}, "classes": {}, "cluster": {}, "register": {}}
@@ -54,7 +54,7 @@
     """A file or a change that cannot be had; the text has a line for each fault, with file, line and key."""
 
 
-def _checked(table: Any, form: Mapping[str, Any], source: Source, at: Keys, faults: list[Fault]) -> State:
+def _checked(table: Any, form: Mapping[str, Any], source: Source, at: Keys, faults: list[ConfigProblem]) -> State:
     """The table with what it leaves out; every key is known, and of its type."""
     if not isinstance(table, dict):
         faults.append(source.fault(at, "not a table", f"[{at[0]}]"))
@@ -75,11 +75,11 @@
 
 
 def parse(source: Source, site: Settings | None = None) -> State:
-    """The state that a file describes; raises :class:`Faults` with all that is wrong.
+    """The state that a file describes; raises :class:`ConfigProblems` with all that is wrong.
 
     With a site its limits are checked against that too, else only their form.
     """
-    table, faults = source.table, list[Fault]()
+    table, faults = source.table, list[ConfigProblem]()
     for key in table.keys() - {*KEYS, *WHOLE}:
         faults.append(source.fault((key,), "unknown key", "one of " + ", ".join((*KEYS, *WHOLE))))
     level = table.get("log_level", "info")
@@ -96,7 +96,7 @@
     plugins = _plugins(table.get("plugin", []), source, faults)
     classes: dict[str, Any] = {}
     if "class" in table:
-        from heronlug.limits import load
+        from heronlug.config.limits import load
 
         classes, wrong = load.read(source)
         faults += [*wrong, *(load.faults(source, load.check(site, classes)) if site is not None else ())]
@@ -108,12 +108,12 @@
         faults += wrong
     register: State = {}
     if "register" in table:
-        from heronlug.arrival import schema as arrival
+        from heronlug.discovery import schema as arrival
 
         register, wrong = arrival.read(source)
         faults += wrong
     if faults:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     return {
         "log_level": level,
         "faktory": faktory if faktory["listen"] else {},
@@ -124,7 +124,7 @@
     }
 
 
-def _plugins(listed: Any, source: Source, faults: list[Fault]) -> State:
+def _plugins(listed: Any, source: Source, faults: list[ConfigProblem]) -> State:
     if not isinstance(listed, list):
         faults.append(source.fault(("plugin",), "not a list of tables", "[[plugin]]"))
         return {}
--- a/heronlug/life/files.py
+++ b/heronlug/config/files.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from heronlug.forms import Fault, Faults, Source
-from heronlug.life import config
-from heronlug.life.config import Config
-from heronlug.life.state import State, StateError, parse
+from heronlug.config import platform as config
+from heronlug.config.desired_state import State, StateError, parse
+from heronlug.config.platform import Config
+from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
 
 STATE = Path(__file__).parents[2] / "deploy" / "faktory.toml"
 
@@ -30,27 +30,29 @@
         read = config.reload if again else config.load
         conf, state, faults = gather(self.state, lambda: read(self.environ))
         if conf is None or state is None or faults:
-            raise StateError(str(Faults(faults)))
+            raise StateError(str(ConfigProblems(faults)))
         return conf, state
 
 
-def gather(path: Path, platform: Callable[[], Config | None]) -> tuple[Config | None, State | None, list[Fault]]:
+def gather(
+    path: Path, platform: Callable[[], Config | None]
+) -> tuple[Config | None, State | None, list[ConfigProblem]]:
     """The configuration and the state that a file holds, or all that is wrong with it, in the order of its lines.
 
     Where it is not the whole configuration, ``platform`` gives that; None checks the file by its form alone.
     """
-    faults: list[Fault] = []
+    faults: list[ConfigProblem] = []
     conf: Config | None = None
     state: State | None = None
     try:
         source = Source.read(path)
         if source.table.keys() & {"serve", "site"}:
-            from heronlug.life.site import read_site
+            from heronlug.config.site import read_site
 
             conf, faults = read_site(source)
         else:
             conf = platform()
         state = parse(source, conf.settings if conf is not None else None)
-    except Faults as error:
+    except ConfigProblems as error:
         faults = [*faults, *error.faults]
-    return conf, state, Faults(faults).faults
+    return conf, state, ConfigProblems(faults).faults
--- a/heronlug/limits/__init__.py
+++ b/heronlug/config/limits/__init__.py
@@ -4,6 +4,6 @@
 only where there is one to check.
 """
 
-from heronlug.limits.model import KEYS, Given, resolve
+from heronlug.config.limits.model import KEYS, Given, resolve
 
 __all__ = ["KEYS", "Given", "resolve"]
--- a/heronlug/limits/load.py
+++ b/heronlug/config/limits/load.py
@@ -5,24 +5,24 @@
 
 import msgspec
 
-from heronlug.forms import Fault, Source
-from heronlug.forms.decode import decode
-from heronlug.forms.faults import near
-from heronlug.interface import Settings
-from heronlug.limits.model import KEYS, Given, limit
-from heronlug.limits.rules import RULES, Case, notes
-from heronlug.limits.schema import ClassTable
+from heronlug.balancer.settings import Settings
+from heronlug.config.limits.model import KEYS, Given, limit
+from heronlug.config.limits.rules import RULES, ClassUnderCheck, notes
+from heronlug.config.limits.schema import ClassTable
+from heronlug.config.strict_toml import ConfigProblem, Source
+from heronlug.config.strict_toml.decode import decode
+from heronlug.config.strict_toml.errors import near
 
 AT = "class"  # the key of the tables
 
 
-def read(source: Source) -> tuple[dict[str, Given], list[Fault]]:
+def read(source: Source) -> tuple[dict[str, Given], list[ConfigProblem]]:
     """What a file gives for each class, by its form alone, and the faults of it; a class with faults gives nothing."""
     table = source.table.get(AT, {})
     if not isinstance(table, dict) or (table and not any(isinstance(value, dict) for value in table.values())):
         return {}, [source.fault((AT,), "not a table of classes", "[class.NAME]")]
     given: dict[str, Given] = {}
-    faults: list[Fault] = []
+    faults: list[ConfigProblem] = []
     for name, values in table.items():
         decoded, wrong = decode(ClassTable, values, source, (AT, name))
         faults += wrong
@@ -50,14 +50,14 @@
         if lane is None:
             yield Broken(name, "", "the site has no such class", near(name, lanes))
             continue
-        case = Case(site, lane, limits)
+        case = ClassUnderCheck(site, lane, limits)
         for rule in RULES:
             broken = rule(case)
             if broken is not None:
                 yield Broken(name, *broken)
 
 
-def faults(source: Source, broken: Iterator[Broken]) -> list[Fault]:
+def faults(source: Source, broken: Iterator[Broken]) -> list[ConfigProblem]:
     """Broken rules as faults of the file that gave the limits."""
     return [source.fault((AT, b.name, b.key) if b.key else (AT, b.name), b.wrong, b.right) for b in broken]
 
@@ -69,7 +69,7 @@
         f"class.{name}.{note}"
         for name, limits in given.items()
         if name in lanes
-        for note in notes(Case(site, lanes[name], limits))
+        for note in notes(ClassUnderCheck(site, lanes[name], limits))
     ]
 
 
@@ -88,11 +88,11 @@
         limits = given.get(lane.name, {})
         held = limit(lane, limits)
         absent = {
-            "attempts": (site.attempts_cap, "site: attempts_cap"),
+            "attempts": (site.max_attempts, "site: attempts_cap"),
             "attempt_timeout_ms": ("as long as the job has", "default"),
             "after_timeout": ("end" if lane.effect.value == "once" else "again", "default"),
             "wait_ms": ([], "default"),
-            "second_copy": (site.second_copies and lane.effect.value != "once", "site: second_copies"),
+            "second_copy": (site.hedging and lane.effect.value != "once", "site: second_copies"),
             "second_copy_after_ms": ("when it seems stuck", "default"),
             "repeat_window_ms": (lane.repeat_window, "site: repeat_window"),
             "give_up_ms": (lane.deadline, "site: deadline"),
@@ -101,6 +101,6 @@
             value, whence = absent[key]
             if key in limits:
                 value, whence = getattr(held, field) if key != "after_timeout" else limits[key], origin
-            if key == "second_copy_after_ms" and not (held.second_copy and absent["second_copy"][0]):
+            if key == "second_copy_after_ms" and not (held.hedge and absent["second_copy"][0]):
                 value, whence = "never", "no second copies"
             yield Row(lane.name, key, list(value) if isinstance(value, tuple) else value, whence)
--- a/heronlug/limits/model.py
+++ b/heronlug/config/limits/model.py
@@ -4,45 +4,49 @@
 from dataclasses import replace
 from typing import Any
 
-from heronlug.interface import JobClass
+from heronlug.balancer.settings import RequestClass
 
 Given = dict[str, Any]
 """What a file gives for one class: the keys of ``KEYS`` with plain values; times in milliseconds."""
 
 KEYS = {
-    "attempts": "attempts",
+    "attempts": "max_attempts",
     "attempt_timeout_ms": "attempt_timeout",
-    "after_timeout": "again",
-    "wait_ms": "waits",
-    "second_copy": "second_copy",
-    "second_copy_after_ms": "second_copy_after",
+    "after_timeout": "retry_after_timeout",
+    "wait_ms": "retry_backoff",
+    "second_copy": "hedge",
+    "second_copy_after_ms": "hedge_after",
     "repeat_window_ms": "repeat_window",
-    "give_up_ms": "give_up",
+    "give_up_ms": "give_up_after",
 }
-"""The keys of a ``[class]`` table, and the field of :class:`JobClass` that each sets."""
+"""The keys of a ``[class]`` table, and the field of :class:`RequestClass` that each sets."""
 
 
 def _field(key: str, value: Any) -> Any:
     return value == "again" if key == "after_timeout" else tuple(value) if key == "wait_ms" else value
 
 
-def limit(lane: JobClass, given: Given) -> JobClass:
+def limit(lane: RequestClass, given: Given) -> RequestClass:
     """The class under these limits; what is not given stays."""
     return replace(lane, **{KEYS[key]: _field(key, value) for key, value in given.items()}) if given else lane
 
 
-def resolve(classes: Sequence[JobClass], given: Mapping[str, Given]) -> tuple[JobClass, ...]:
+def resolve(classes: Sequence[RequestClass], given: Mapping[str, Given]) -> tuple[RequestClass, ...]:
     """All classes, in their order, under the limits that a file gives for some of them by name."""
     return tuple(limit(lane, given.get(lane.name, {})) for lane in classes)
 
 
-def write(lane: JobClass) -> Given:
+def write(lane: RequestClass) -> Given:
     """All limits of a class, for another process to go on with."""
     values = {key: getattr(lane, field) for key, field in KEYS.items()}
-    return {**values, "after_timeout": "again" if lane.again else "end", "wait_ms": list(lane.waits)}
+    return {
+        **values,
+        "after_timeout": "again" if lane.retry_after_timeout else "end",
+        "wait_ms": list(lane.retry_backoff),
+    }
 
 
-def read(lane: JobClass, table: Any) -> JobClass:
+def read(lane: RequestClass, table: Any) -> RequestClass:
     """The class under limits that another process wrote; raises ``ValueError`` or ``TypeError``."""
     if not isinstance(table, dict) or table.keys() != KEYS.keys():
         raise ValueError("no table of limits")
--- a/heronlug/life/config.py
+++ b/heronlug/config/platform.py
@@ -8,9 +8,9 @@
 
 import orjson
 
-from heronlug.interface import Settings
-from heronlug.wire.http import split_address
-from heronlug.wire.simulator import parse_settings
+from heronlug.balancer.settings import Settings
+from heronlug.config.settings_json import parse_settings
+from heronlug.net.http import split_address
 
 
 class ConfigError(ValueError):
--- a/heronlug/life/reload.py
+++ b/heronlug/config/reload.py
@@ -4,9 +4,9 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import fields
 
-from heronlug.life.beside import beside
-from heronlug.life.config import Config, ConfigError
-from heronlug.life.state import State, StateError
+from heronlug.config.desired_state import State, StateError
+from heronlug.config.platform import Config, ConfigError
+from heronlug.lifecycle.background import beside
 
 APPLIED = "discovery"
 FRESH = {"seed", "known"}  # new with each file, and of use at a start only
--- a/heronlug/life/site.py
+++ b/heronlug/config/site.py
@@ -9,12 +9,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from heronlug.forms import Fault, Source
-from heronlug.forms.decode import decode
-from heronlug.forms.kinds import Text
-from heronlug.forms.source import Keys
-from heronlug.life.config import Config, ConfigError, parse
-from heronlug.wire.http import split_address
+from heronlug.config.platform import Config, ConfigError, parse
+from heronlug.config.strict_toml import ConfigProblem, Source
+from heronlug.config.strict_toml.decode import decode
+from heronlug.config.strict_toml.source import Keys
+from heronlug.config.strict_toml.value_types import Text
+from heronlug.net.http import split_address
 
 Address = Annotated[str, Meta(min_length=1, description="an address such as 127.0.0.1:8081")]
 Span = Annotated[float, Meta(gt=0, le=86_400_000, description="milliseconds, more than 0 and at most a day")]
@@ -86,7 +86,7 @@
     draining: Annotated[bool, Meta(description="true or false")] = False
 
 
-def read_site(source: Source) -> tuple[Config | None, list[Fault]]:
+def read_site(source: Source) -> tuple[Config | None, list[ConfigProblem]]:
     """The configuration in a file, or all that is wrong with it."""
     raw, faults = read_object(source)
     if raw is None:
@@ -95,12 +95,12 @@
         watched = raw["discovery"] is not None
         return replace(parse(raw, source.path, watched=watched), paced=watched), []
     except ConfigError as error:
-        return None, [Fault(source.path, 0, "", str(error))]
+        return None, [ConfigProblem(source.path, 0, "", str(error))]
 
 
-def read_object(source: Source) -> tuple[dict[str, Any] | None, list[Fault]]:
+def read_object(source: Source) -> tuple[dict[str, Any] | None, list[ConfigProblem]]:
     """The same as the platform's object, or all that is wrong with the file."""
-    faults: list[Fault] = []
+    faults: list[ConfigProblem] = []
 
     def form(kind: type[Any], table: Any, *at: str | int) -> Any:
         decoded, wrong = decode(kind, table, source, at)
@@ -155,7 +155,7 @@
     return _raw(serve, site, classes, hosts), []
 
 
-def _address(text: str | None, source: Source, at: tuple[str | int, ...], faults: list[Fault]) -> None:
+def _address(text: str | None, source: Source, at: tuple[str | int, ...], faults: list[ConfigProblem]) -> None:
     try:
         if text is not None:
             split_address(text)
--- /dev/null
+++ b/heronlug/config/strict_toml/__init__.py
@@ -0,0 +1,6 @@
+"""Operators' files: TOML read whole, decoded strictly, and every fault told with its line."""
+
+from heronlug.config.strict_toml.errors import ConfigProblem, ConfigProblems
+from heronlug.config.strict_toml.source import Source
+
+__all__ = ["ConfigProblem", "ConfigProblems", "Source"]
--- a/heronlug/forms/decode.py
+++ b/heronlug/config/strict_toml/decode.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from heronlug.forms.faults import Fault, near
-from heronlug.forms.source import Keys, Source
+from heronlug.config.strict_toml.errors import ConfigProblem, near
+from heronlug.config.strict_toml.source import Keys, Source
 
 Form = TypeVar("Form", bound=msgspec.Struct)
 INSIDE = re.compile(r" - at `\$(.*)`$")
 STEP = re.compile(r"\[(\d+)\]|\.(\w+)")
 
 
-def decode(form: type[Form], table: Any, source: Source, at: Keys) -> tuple[Form | None, list[Fault]]:
+def decode(form: type[Form], table: Any, source: Source, at: Keys) -> tuple[Form | None, list[ConfigProblem]]:
     """The struct of a table, or None with the faults that stood in its way.
 
     A field's ``Meta(description=...)`` says in an error what would be right.
@@ -23,7 +23,7 @@
         return None, [source.fault(at, f"{_shown(table)} is no table", f"[{'.'.join(map(str, at))}]")]
     hints = get_type_hints(form, include_extras=True)
     fields = {field.encode_name: field for field in msgspec.structs.fields(form)}
-    faults: list[Fault] = []
+    faults: list[ConfigProblem] = []
     values: dict[str, Any] = {}
     for key, value in table.items():
         field = fields.get(key)
--- a/heronlug/forms/faults.py
+++ b/heronlug/config/strict_toml/errors.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Fault(NamedTuple):
+class ConfigProblem(NamedTuple):
     """One thing that is wrong: where, what, and what would be right."""
 
     path: str
@@ -28,9 +28,9 @@
     return f"perhaps {close[0]}" if close else "one of " + ", ".join(words)
 
 
-class Faults(ValueError):
+class ConfigProblems(ValueError):
     """All faults of a file, one line each, in the order of their lines."""
 
-    def __init__(self, faults: Iterable[Fault]) -> None:
+    def __init__(self, faults: Iterable[ConfigProblem]) -> None:
         self.faults = sorted(faults, key=lambda fault: (fault.path, fault.line, fault.key))
         super().__init__("\n".join(map(str, self.faults)))
--- a/heronlug/forms/places.py
+++ b/heronlug/config/strict_toml/key_lines.py
@@ -3,7 +3,7 @@
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
 
-from heronlug.forms.source import Keys
+from heronlug.config.strict_toml.source import Keys
 
 PLAIN = {"bare_key", "quoted_key", "dotted_key"}
 
--- a/heronlug/forms/source.py
+++ b/heronlug/config/strict_toml/source.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.forms.faults import Fault, Faults
+from heronlug.config.strict_toml.errors import ConfigProblem, ConfigProblems
 
 MAX_BYTES = 1024 * 1024
 TRIES = 5  # a file that changes while it is read is read anew so often
@@ -24,39 +24,43 @@
 
     @classmethod
     def read(cls, path: Path) -> "Source":
-        """Read a file; raises :class:`Faults`."""
+        """Read a file; raises :class:`ConfigProblems`."""
         try:
             return cls.parse(str(path), _whole(path))
         except OSError as error:
-            raise Faults([Fault(str(path), 0, "", error.strerror or str(error), "a file that can be read")]) from None
+            raise ConfigProblems(
+                [ConfigProblem(str(path), 0, "", error.strerror or str(error), "a file that can be read")]
+            ) from None
 
     @classmethod
     def parse(cls, path: str, data: bytes) -> "Source":
-        """A file's bytes; raises :class:`Faults`."""
+        """A file's bytes; raises :class:`ConfigProblems`."""
         if len(data) > MAX_BYTES:
             right = f"{MAX_BYTES} bytes at most"
-            raise Faults([Fault(path, 0, "", f"it holds more than {MAX_BYTES} bytes", right)])
+            raise ConfigProblems([ConfigProblem(path, 0, "", f"it holds more than {MAX_BYTES} bytes", right)])
         if not data.strip():  # perhaps it is just being written; all that it set would be taken back
-            raise Faults([Fault(path, 0, "", "it is empty", 'at least log_level = "info"')])
+            raise ConfigProblems([ConfigProblem(path, 0, "", "it is empty", 'at least log_level = "info"')])
         try:
             text = data.decode()
         except UnicodeDecodeError as error:
             line = data.count(b"\n", 0, error.start) + 1
-            raise Faults([Fault(path, line, "", f"byte {data[error.start]:#04x} is no UTF-8", "UTF-8 text")]) from None
+            raise ConfigProblems(
+                [ConfigProblem(path, line, "", f"byte {data[error.start]:#04x} is no UTF-8", "UTF-8 text")]
+            ) from None
         try:
             return cls(path, text, tomllib.loads(text))
         except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
             wrong, line = _syntax(str(error) or "nested too deeply", text)
-            raise Faults([Fault(path, line, "", wrong, "TOML 1.0")]) from None
+            raise ConfigProblems([ConfigProblem(path, line, "", wrong, "TOML 1.0")]) from None
 
-    def fault(self, keys: Keys, wrong: str, right: str = "") -> Fault:
+    def fault(self, keys: Keys, wrong: str, right: str = "") -> ConfigProblem:
         """A fault of a key; where the key is absent, at the table it should be in."""
-        return Fault(self.path, self.line(keys), ".".join(map(str, keys)), wrong, right)
+        return ConfigProblem(self.path, self.line(keys), ".".join(map(str, keys)), wrong, right)
 
     def line(self, keys: Keys) -> int:
         """The line of a key, or else of the nearest table round it; 0 if there is none."""
         if self._lines is None:
-            from heronlug.forms.places import places
+            from heronlug.config.strict_toml.key_lines import places
 
             self._lines = places(self.text)
         while keys and keys not in self._lines:
--- a/heronlug/rules/__init__.py
+++ b/heronlug/conformance/__init__.py
@@ -1,7 +1,7 @@
 """The four rules as a checker of any run's events, emulated or from sockets: no I/O, nothing of the module's own."""
 
-from heronlug.rules.checker import Checker, Violation
-from heronlug.rules.events import (
+from heronlug.conformance.checker import Checker, Violation
+from heronlug.conformance.events import (
     Answered,
     Began,
     Called,
--- a/heronlug/rules/checker.py
+++ b/heronlug/conformance/checker.py
@@ -3,7 +3,7 @@
 1. Every accepted job ends in exactly one final answer, in time.
 2. What must not run twice does not.
 3. A host that counts as draining or gone for a dispatcher gets nothing new of it after the grace
-   (:mod:`heronlug.rules.notified`).
+   (:mod:`heronlug.conformance.notification`).
 4. No cold host is pushed over, by all dispatchers together.
 
 Beside these it counts what spares others: calls of the register and dials at hosts, the most in any window of time.
@@ -16,7 +16,7 @@
 from math import inf
 from typing import NamedTuple
 
-from heronlug.rules.events import (
+from heronlug.conformance.events import (
     Answered,
     Began,
     Called,
@@ -34,7 +34,7 @@
     Watching,
     WatchOver,
 )
-from heronlug.rules.notified import Notified
+from heronlug.conformance.notification import Notified
 
 TRAIL = 12  # events kept for each open job, and for each host
 KEPT = 200  # violations kept whole; all are counted
--- a/heronlug/arrival/kept.py
+++ b/heronlug/discovery/cache.py
@@ -16,7 +16,7 @@
 GAP = 5_000.0  # ms between two writings, at least
 
 
-class Kept(NamedTuple):
+class CachedList(NamedTuple):
     """What a file holds."""
 
     at: float  # Unix ms of the writing
@@ -29,7 +29,7 @@
     return blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
 
-def read(data: bytes, register: str, now: float, longest: float) -> Kept:
+def read(data: bytes, register: str, now: float, longest: float) -> CachedList:
     """What stands in a file, if it may be trusted; raises ``ValueError`` that says why not.
 
     ``longest`` in milliseconds is how old it may be.
@@ -51,10 +51,10 @@
         raise ValueError(f"it is from the future: written {(at - now) / 1000:.0f} s after now")
     if now - at > longest:
         raise ValueError(f"it is too old: written {(now - at) / 1000:.0f} s ago")
-    return Kept(float(at), found["list"])
+    return CachedList(float(at), found["list"])
 
 
-class Writing:
+class CacheSchedule:
     """When to write: soon after a change, and rarely."""
 
     def __init__(self, gap: float = GAP) -> None:
--- a/heronlug/life/keep.py
+++ b/heronlug/discovery/cache_file.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.arrival.kept import MOST, Writing, read, write
-from heronlug.life.beside import beside
-from heronlug.memory.deadlines import Deadlines, Key
+from heronlug.discovery.cache import MOST, CacheSchedule, read, write
+from heronlug.lifecycle.background import beside
+from heronlug.requests.deadlines import Deadlines, Key
 
 
-class Keep:
+class CacheFile:
     """One file."""
 
     def __init__(
@@ -26,7 +26,7 @@
         """``table`` is the list as it is held now, in the register's form."""
         self.path, self._longest = Path(path), longest
         self._register, self._table, self._deadlines, self._log = register, table, deadlines, log
-        self._writing = Writing()
+        self._writing = CacheSchedule()
         self._at: Key | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -50,17 +50,17 @@
 
     async def close(self) -> None:
         """Write what is not written yet."""
-        self._deadlines.drop(self._at)
+        self._deadlines.cancel(self._at)
         if self._task is not None:
             await self._task
-            self._deadlines.drop(self._at)
+            self._deadlines.cancel(self._at)
         self._begin()
         if self._task is not None:
             await self._task
 
     def _plan(self, when: float | None) -> None:
         if when is not None:
-            self._at = self._deadlines.at(when, self._begin)
+            self._at = self._deadlines.call_at(when, self._begin)
 
     def _begin(self) -> None:
         now = self._deadlines.clock()
--- a/heronlug/wire/inventory.py
+++ b/heronlug/discovery/client.py
@@ -10,14 +10,14 @@
 import httptools
 import orjson
 
-from heronlug.arrival.freshness import Event, Freshness, State
-from heronlug.arrival.why import Why
-from heronlug.interface import ListKind
-from heronlug.memory.core import HostEntry
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.wire import http
-from heronlug.wire.ends import unread
-from heronlug.wire.server_list import BadList
+from heronlug.balancer.events import ListKind
+from heronlug.discovery.endpoint_list import EndpointListError
+from heronlug.discovery.freshness import Event, Freshness, State
+from heronlug.discovery.poll_failure import PollFailure
+from heronlug.net import http
+from heronlug.net.connection_state import unread
+from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.model import ListedServer
 
 WAIT = 20_000.0  # a call waits so long for something new
 SPREAD = 0.4  # or for up to so much of it less, each dispatcher in its place: calls of many do not end together
@@ -27,12 +27,16 @@
 READ_WITHIN = 500.0  # what has been written to us longer ago than this has been read; far below the grace for drains
 RETRY_FIRST, RETRY_MOST = 300.0, 1_000.0  # the pause after a call that failed is up to twice the first, then more
 MAX_LIST = 8 * 1024 * 1024
-EVENTS = {Why.SLOW: Event.GIVEN_UP, Why.REFUSED: Event.REFUSED, Why.UNREACHABLE: Event.UNREACHABLE}  # else it failed
+EVENTS = {
+    PollFailure.SLOW: Event.GIVEN_UP,
+    PollFailure.REFUSED: Event.REFUSED,
+    PollFailure.UNREACHABLE: Event.UNREACHABLE,
+}  # else it failed
 UNREACHABLE = {errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT}
 
 
 class Pace(Protocol):
-    """When to call: :class:`heronlug.arrival.pacing.Pacer`.  Without one a watch begins when the module asks for it."""
+    """When to poll, see :class:`heronlug.discovery.poll_pacing.Pacer`; without one, when the balancer subscribes."""
 
     patience: float  # ms that an answer is waited for that does not wait for news
 
@@ -46,14 +50,14 @@
     def answered(self, took: float) -> None:
         """A call that did not wait for news was answered."""
 
-    def failed(self, now: float, how: Why, listed: bool, retry_after: float = 0.0) -> float:
+    def failed(self, now: float, how: PollFailure, listed: bool, retry_after: float = 0.0) -> float:
         """When the next may go after one that failed."""
 
 
 class _Call(asyncio.Protocol):
     """A connection to discovery, and the call on it."""
 
-    def __init__(self, watch: "Inventory") -> None:
+    def __init__(self, watch: "DiscoveryClient") -> None:
         self.watch = watch
         self.transport: asyncio.Transport | None = None
         self.lost = False
@@ -91,13 +95,13 @@
         """Bytes of the answer."""
         try:
             if self._parser is None:
-                raise BadList("an answer that nobody asked for")
+                raise EndpointListError("an answer that nobody asked for")
             if not self._heard:
                 self._heard = True
                 self.watch.hears(self)
             self._parser.feed_data(data)
         except Exception as error:
-            self.watch.failed(self, repr(error.__context__ or error), Why.BAD)
+            self.watch.failed(self, repr(error.__context__ or error), PollFailure.BAD)
         self.watch.turn()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -124,7 +128,7 @@
         """A piece of the answer."""
         self._size += len(body)
         if self._size > MAX_LIST:
-            raise BadList("the list is too large")
+            raise EndpointListError("the list is too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -137,18 +141,20 @@
         if status == 200:
             self.watch.answered(self, b"".join(self._body))
         else:
-            self.watch.failed(self, f"status {status}", Why.TURNED_AWAY if status in (429, 503) else Why.BAD)
+            self.watch.failed(
+                self, f"status {status}", PollFailure.TURNED_AWAY if status in (429, 503) else PollFailure.BAD
+            )
 
 
-class Inventory:
+class DiscoveryClient:
     """Watches while asked to; a failure ends the watch, and the module asks again."""
 
     def __init__(
         self,
         address: str,
         version: int | None,  # the last that was read; None asks for the whole list
-        read: Callable[[Any], tuple[int, bool, list[HostEntry]]],
-        news: Callable[[ListKind, list[HostEntry]], None],
+        read: Callable[[Any], tuple[int, bool, list[ListedServer]]],
+        news: Callable[[ListKind, list[ListedServer]], None],
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
@@ -183,7 +189,7 @@
         now = self._deadlines.clock()
         if self.pace is not None and not self._begun and (when := self.pace.begin(now, self.listed)) > now:
             self._begun = True
-            self._again = self._deadlines.at(when, self._begin)
+            self._again = self._deadlines.call_at(when, self._begin)
         else:
             self._begin()
 
@@ -222,7 +228,7 @@
 
     def _set_clock(self) -> None:
         """Have it told when the list that is held may not be gone by any more."""
-        self._deadlines.drop(self._stale_at)
+        self._deadlines.cancel(self._stale_at)
         self._stale_at = None
         if self.on_good is None or not self.address:
             return
@@ -231,7 +237,7 @@
             return
         self._noted_stale = False
         if math.isfinite(self.freshness.good_until):
-            self._stale_at = self._deadlines.at(self.freshness.good_until, self._note_stale)
+            self._stale_at = self._deadlines.call_at(self.freshness.good_until, self._note_stale)
 
     def _note_stale(self) -> None:
         self._stale_at = None
@@ -293,7 +299,7 @@
         self.freshness.called(call.asked_at, wait)
         self._set_clock()
         patience = self.pace.patience if self.pace is not None else LIST_WAIT
-        self._expect(call, patience if call.at_once else wait + LATE, "no answer in time", Why.SLOW)
+        self._expect(call, patience if call.at_once else wait + LATE, "no answer in time", PollFailure.SLOW)
 
     def lists(self, call: _Call) -> None:
         """A list has begun: what it tells counts from its writing on, whenever the rest of it comes."""
@@ -303,17 +309,17 @@
     def hears(self, call: _Call) -> None:
         """An answer has begun; its bytes may come slowly."""
         if call is self.call and not call.at_once:
-            self._expect(call, LIST_WAIT, "no whole answer in time", Why.SLOW)
+            self._expect(call, LIST_WAIT, "no whole answer in time", PollFailure.SLOW)
 
-    def _expect(self, call: _Call, wait: float, why: str, how: Why) -> None:
+    def _expect(self, call: _Call, wait: float, why: str, how: PollFailure) -> None:
         """A call has failed unless it comes further within this time."""
-        self._deadlines.drop(self._deadline)
-        self._deadline = self._deadlines.after(wait, self.failed, call, why, how)
+        self._deadlines.cancel(self._deadline)
+        self._deadline = self._deadlines.call_after(wait, self.failed, call, why, how)
 
     def stop(self) -> None:
         """Close the connection, and call no more until the next :meth:`subscribe`."""
         self._watching = False
-        self._deadlines.drop(self._stale_at)
+        self._deadlines.cancel(self._stale_at)
         self._stale_at = None
         self._drop()
 
@@ -324,9 +330,9 @@
         try:
             version, whole, entries = self.read(orjson.loads(body))
             if not whole and self.version is not None and version < self.version:
-                raise BadList(f"changes of version {version} after {self.version}")
+                raise EndpointListError(f"changes of version {version} after {self.version}")
         except ValueError as error:
-            self.failed(call, f"bad list: {error}", Why.BAD)
+            self.failed(call, f"bad list: {error}", PollFailure.BAD)
             return
         self.version = version
         fresh, self._fresh, self.listed = self._fresh, False, True
@@ -339,7 +345,7 @@
             self._log("inventory", version=version, whole=whole, entries=len(entries))
             self.news(ListKind.FULL if whole else ListKind.CHANGES, entries)
 
-    def failed(self, call: _Call | None, why: str, how: Why = Why.DOWN) -> None:
+    def failed(self, call: _Call | None, why: str, how: PollFailure = PollFailure.DOWN) -> None:
         """A call has failed: the list held so far stays, and the module decides when to ask again, or the pace.
 
         But a watch that has fallen silent is opened anew at once, and what has been missed is asked for: it counts as
@@ -347,7 +353,7 @@
         """
         if call is not self.call or not self._watching:
             return
-        now, silent = self._deadlines.clock(), how is Why.SLOW
+        now, silent = self._deadlines.clock(), how is PollFailure.SLOW
         self._happened(EVENTS.get(how, Event.FAILED))
         retry_after = call.retry_after if call is not None else 0.0
         self._drop()
@@ -364,9 +370,9 @@
             return
         self._watching = False
         if self.pace is not None:
-            self._again = self._deadlines.at(self.pace.failed(now, how, self.listed, retry_after), self._begin)
+            self._again = self._deadlines.call_at(self.pace.failed(now, how, self.listed, retry_after), self._begin)
         elif self.on_good is not None:
-            self._again = self._deadlines.after(self._pause(), self._begin)
+            self._again = self._deadlines.call_after(self._pause(), self._begin)
         self.news(ListKind.FAILED, [])
 
     def _pause(self) -> float:
@@ -383,12 +389,12 @@
             if self.freshness.state is State.WATCHED:
                 self._happened(Event.FAILED)
             call = self.call = _Call(self)
-            self._expect(call, DIAL_WAIT, "dial: no answer in time", Why.UNREACHABLE)
+            self._expect(call, DIAL_WAIT, "dial: no answer in time", PollFailure.UNREACHABLE)
             self._dial = asyncio.get_running_loop().create_task(self._connect(call))
 
     def _drop(self) -> None:
-        self._deadlines.drop(self._deadline)
-        self._deadlines.drop(self._again)
+        self._deadlines.cancel(self._deadline)
+        self._deadlines.cancel(self._again)
         call, self.call, self._again = self.call, None, None
         if call is not None and call.transport is not None:
             call.transport.abort()
@@ -404,8 +410,8 @@
             self.turn()
 
 
-def _why(error: OSError) -> Why:
+def _why(error: OSError) -> PollFailure:
     """What a dial that failed says of the other side; a failure of our own machine says nothing."""
     if isinstance(error, ConnectionRefusedError):
-        return Why.REFUSED
-    return Why.UNREACHABLE if error.errno in UNREACHABLE else Why.DOWN
+        return PollFailure.REFUSED
+    return PollFailure.UNREACHABLE if error.errno in UNREACHABLE else PollFailure.DOWN
--- a/heronlug/wire/server_list.py
+++ b/heronlug/discovery/endpoint_list.py
@@ -4,31 +4,31 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from heronlug.interface import WorkerState
-from heronlug.memory.core import HostEntry
-from heronlug.wire import http
+from heronlug.balancer.events import ServerState
+from heronlug.net import http
+from heronlug.requests.model import ListedServer
 
-STATES = {"active": WorkerState.READY, "leaving": WorkerState.DRAINING, "left": WorkerState.GONE}
+STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 
 
-class BadList(ValueError):
+class EndpointListError(ValueError):
     """An answer that is no list; what was held stays."""
 
 
 def read_list(
     table: Any, zones: list[str], kinds: list[str], to_clock: Callable[[float], float]
-) -> tuple[int, bool, list[HostEntry]]:
-    """Version, whether it is the whole list, and the entries; raises :class:`BadList`.
+) -> tuple[int, bool, list[ListedServer]]:
+    """Version, whether it is the whole list, and the entries; raises :class:`EndpointListError`.
 
     All or nothing: half of a list taken in would tell hosts off that are well.
     """
     try:
         version, whole = table["generation"], table["reset"]
         if type(version) is not int or type(whole) is not bool:
-            raise BadList("generation or reset is of the wrong type")
+            raise EndpointListError("generation or reset is of the wrong type")
         entries = [_entry(line, zones, kinds, to_clock) for line in table["instances"]]
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise BadList(f"{type(error).__name__}: {error}") from None
+        raise EndpointListError(f"{type(error).__name__}: {error}") from None
     return version, whole, entries
 
 
@@ -39,13 +39,13 @@
 
 def _entry(
     line: Mapping[str, Any], zones: list[str], kinds: list[str], to_clock: Callable[[float], float]
-) -> HostEntry:
+) -> ListedServer:
     started, weight = float(line.get("startedAtMs", 0)), float(line.get("weight", 1.0))
     if not (math.isfinite(started) and math.isfinite(weight)):
-        raise BadList("a figure is not finite")
+        raise EndpointListError("a figure is not finite")
     address = line["hostPort"]
     http.split_address(address)
-    return HostEntry(
+    return ListedServer(
         name=str(line["instanceId"]),
         address=address,
         state=STATES[line["lifecycle"]],
@@ -58,12 +58,12 @@
 
 
 def write_list(
-    version: int, entries: list[HostEntry], zones: list[str], kinds: list[str], gone: bool = False
+    version: int, entries: list[ListedServer], zones: list[str], kinds: list[str], gone: bool = False
 ) -> dict[str, Any]:
     """A whole list in the form that is read here; who is gone is on it only if so wanted."""
     words, listed = {state: word for word, state in STATES.items()}, []
     for entry in entries:
-        if gone or entry.state is not WorkerState.GONE:
+        if gone or entry.state is not ServerState.REMOVED:
             listed.append(
                 {
                     "instanceId": entry.name,
--- a/heronlug/arrival/why.py
+++ b/heronlug/discovery/poll_failure.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class Why(Enum):
+class PollFailure(Enum):
     """How a call failed."""
 
     TURNED_AWAY = "turned away"
@@ -16,4 +16,4 @@
     @property
     def nobody(self) -> bool:
         """Whether nobody answers, so that few who call cost discovery nothing."""
-        return self in (Why.DOWN, Why.REFUSED, Why.UNREACHABLE)
+        return self in (PollFailure.DOWN, PollFailure.REFUSED, PollFailure.UNREACHABLE)
--- a/heronlug/arrival/pacing.py
+++ b/heronlug/discovery/poll_pacing.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from heronlug.arrival.why import Why
+from heronlug.discovery.poll_failure import PollFailure
 
 GUESS = 20.0  # ms that a call is held to cost the register before anything is known
 RISE_AFTER = 3  # calls turned away in a row, and the guess doubles: rounds of few lengths, so that places fit together
@@ -29,7 +29,7 @@
 PATIENCE_MOST = 12_000.0
 
 
-class Terms(NamedTuple):
+class PollTerms(NamedTuple):
     """What is known of those that call."""
 
     many: int = 1  # dispatchers that read the register for themselves
@@ -37,10 +37,10 @@
     cost: float | None = None  # ms that a call costs the register, where the operators say so
 
 
-class Pacer:
+class PollPacer:
     """One dispatcher's calls.  ``draw`` gives a number from 0 to 1, for those whose places are the same."""
 
-    def __init__(self, terms: Terms, draw: Callable[[], float]) -> None:
+    def __init__(self, terms: PollTerms, draw: Callable[[], float]) -> None:
         self.terms, self._draw = terms, draw
         self.guess = terms.cost or GUESS
         self.patience = PATIENCE
@@ -64,13 +64,13 @@
         if self.terms.cost is None:
             self.guess = min(self.guess, max(1.0, took))
 
-    def failed(self, now: float, why: Why, listed: bool, retry_after: float = 0.0) -> float:
+    def failed(self, now: float, why: PollFailure, listed: bool, retry_after: float = 0.0) -> float:
         """A call has failed; when the next may go.  ``listed``: there is a list, so that one call is enough."""
         self.failures += 1
-        if why is Why.SLOW:  # an answer that comes late is worth more than another call that comes late
+        if why is PollFailure.SLOW:  # an answer that comes late is worth more than another call that comes late
             self.patience = min(PATIENCE_MOST, 2 * self.patience)
         span = self._round(listed)
-        if why is Why.TURNED_AWAY and self.terms.cost is None and self.failures % RISE_AFTER == 0:
+        if why is PollFailure.TURNED_AWAY and self.terms.cost is None and self.failures % RISE_AFTER == 0:
             self.guess = min(GUESS_MOST, 2 * self.guess)
         if why.nobody or self.terms.many == 1:  # few that call: each waits longer the longer it lasts
             span = max(span, min(DOWN_LONGEST, SHORTEST * 2 ** min(self.failures - 1, 8)))
--- a/heronlug/arrival/reading.py
+++ b/heronlug/discovery/reader_election.py
@@ -43,7 +43,7 @@
     READ = "read"
 
 
-class Heard(NamedTuple):
+class SharedListStatus(NamedTuple):
     """One shared list, as its writer was last heard."""
 
     age: float  # ms since then
@@ -51,14 +51,14 @@
     behind: bool  # the list is of a version below one that we have seen
 
 
-class Place(NamedTuple):
+class MemberPosition(NamedTuple):
     """Ours among the members that we know."""
 
     rank: int  # 0 comes first
     others: int
 
 
-class Reading:
+class ReaderElection:
     """One member's part."""
 
     def __init__(self, stale_after: float, seeds: int, chance: float) -> None:
@@ -71,7 +71,9 @@
         self._turned = 0  # the last turn that we took
         self.role = Role.LISTEN
 
-    def decide(self, now: float, owner: bool, place: Place, heard: Iterable[Heard], works: bool) -> Role:
+    def decide(
+        self, now: float, owner: bool, place: MemberPosition, heard: Iterable[SharedListStatus], works: bool
+    ) -> Role:
         """The role from now on; ``works``: our own watch is on."""
         self._began = now if self._began is None else self._began
         good = [one for one in heard if not one.behind]
@@ -80,7 +82,9 @@
         self.role = self._role(now, owner, place, read_by, tried_by, works)
         return self.role
 
-    def _role(self, now: float, owner: bool, place: Place, read_by: float, tried_by: float, works: bool) -> Role:
+    def _role(
+        self, now: float, owner: bool, place: MemberPosition, read_by: float, tried_by: float, works: bool
+    ) -> Role:
         self._note(now, read_by, tried_by)
         if owner:
             return Role.READ
@@ -112,7 +116,7 @@
         elif self._tried_since == inf:
             self._tried_since, self._turned = now, 0
 
-    def _due(self, place: Place, started: bool) -> float:
+    def _due(self, place: MemberPosition, started: bool) -> float:
         """After how much silence our place comes; at a start sooner, for there is no list to go by."""
         first = LISTEN if started else STANDBY
         last = self.stale_after
--- a/heronlug/arrival/schema.py
+++ b/heronlug/discovery/schema.py
@@ -5,8 +5,8 @@
 
 from msgspec import Meta, Struct, structs
 
-from heronlug.forms import Fault, Source
-from heronlug.forms.decode import decode
+from heronlug.config.strict_toml import ConfigProblem, Source
+from heronlug.config.strict_toml.decode import decode
 
 AT = "register"
 
@@ -19,7 +19,7 @@
     calls_per_s: Annotated[float, Meta(gt=0, le=100_000, description="calls a second, more than 0")] | None = None
 
 
-def read(source: Source) -> tuple[dict[str, Any], list[Fault]]:
+def read(source: Source) -> tuple[dict[str, Any], list[ConfigProblem]]:
     """The table as plain values, the path made whole; and the faults of it."""
     table, faults = decode(RegisterTable, source.table.get(AT, {}), source, (AT,))
     if table is None:
--- a/heronlug/wire/register.py
+++ b/heronlug/discovery/shared_client.py
@@ -1,11 +1,11 @@
-"""The node register, read by one member for all: our own watch and the shared sheets, put together for the core.
-
-Who reads is decided in :class:`heronlug.arrival.reading.Reading`, which list holds in
-:class:`heronlug.cluster.hosts.HostView`. There are two sheets of the same form. The duty's is written by the owner of
-the lease while its watch is on. The scouts' is written by whoever reads before there is an owner, or instead of one
-that cannot, under a claim: the last one counts. Rows are ``h`` and a host's name, with the line of the register as
-msgpack; ``v`` has the register's version, ``s`` is there while the writer's watch is not on, ``b`` says when the
-register's versions began anew.
+"""Shares service discovery among the members of a cluster: one member polls, all others read a replicated table.
+
+:class:`heronlug.discovery.reader_election.Reading` decides who polls, and
+:class:`heronlug.cluster.server_view.HostView` which endpoint list holds.  There are two tables of the same form: one is
+written by the lease holder while its watch is open, the other by whichever member polls before there is a lease holder
+or in place of one that cannot; its last claim counts.  A row's key is ``h`` and a server's name, its value the server's
+entry as msgpack; ``v`` holds the list's version, ``s`` is there while the writer's watch is closed, ``b`` says when the
+versions of service discovery began anew.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 
 import msgspec
 
-from heronlug.arrival.reading import Heard, Place, Reading, Role
-from heronlug.cluster import trie
-from heronlug.cluster.hosts import HostView, Listed, Source
-from heronlug.cluster.model import Fence
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.cluster import merkle_trie
+from heronlug.cluster.model import FencingToken
 from heronlug.cluster.node import Node
-from heronlug.interface import ListKind, WorkerState
-from heronlug.life.beside import beside
-from heronlug.memory.core import HostEntry
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.wire.inventory import Inventory
+from heronlug.cluster.server_view import Listed, ServerView, Source
+from heronlug.discovery.client import DiscoveryClient
+from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
+from heronlug.lifecycle.background import beside
+from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.model import ListedServer
 
 DUTY = "register"  # and the sheet's name
 SCOUT = "register-scout"
@@ -38,7 +38,7 @@
 pack, unpack = msgspec.msgpack.encode, msgspec.msgpack.decode
 
 
-def rows_of(entries: Iterable[HostEntry], zones: list[str], kinds: list[str]) -> trie.Rows:
+def rows_of(entries: Iterable[ListedServer], zones: list[str], kinds: list[str]) -> merkle_trie.Rows:
     """The rows of hosts; zones and kinds go by name, for another dispatcher may number them otherwise."""
     return {
         b"h" + entry.name.encode(): pack(
@@ -56,14 +56,14 @@
     }
 
 
-def entry_of(key: bytes, value: bytes, zones: list[str], kinds: list[str]) -> HostEntry:
+def entry_of(key: bytes, value: bytes, zones: list[str], kinds: list[str]) -> ListedServer:
     """The host of a row; raises ``ValueError`` for one that makes no sense."""
     line: Line = msgspec.msgpack.decode(value, type=Line)
     address, state, zone, kind, cell, weight, started = line
-    return HostEntry(
+    return ListedServer(
         key[1:].decode(),
         address,
-        WorkerState(state),
+        ServerState(state),
         zones.index(zone) if zone in zones else len(zones),
         kinds.index(kind) if kind in kinds else len(kinds),
         cell,
@@ -79,14 +79,14 @@
         self, topic: str, node: Node, deadlines: Deadlines, flush: Callable[[], None], refused: Callable[[str], None]
     ) -> None:
         self.topic = topic
-        self.fence: Fence | None = None
+        self.fence: FencingToken | None = None
         self._node, self._deadlines, self._flush, self._refused = node, deadlines, flush, refused
-        self._published: trie.Rows = {}
+        self._published: merkle_trie.Rows = {}
         self._said = False  # something has been written under this fence
-        self._wanted: trie.Rows | None = None  # what came while a sheet was being built
+        self._wanted: merkle_trie.Rows | None = None  # what came while a sheet was being built
         self._building: asyncio.Task[None] | None = None
 
-    def begin(self, fence: Fence) -> None:
+    def begin(self, fence: FencingToken) -> None:
         """Write from now on; what is known of the writer before is gone on with."""
         self.fence, self._published, self._said = fence, self._node.sheets.rows(self.topic), False
 
@@ -102,7 +102,7 @@
         """Whether somebody else has begun to write after us."""
         return self.fence is not None and self._said and self._node.sheets.ours(self.topic) is None
 
-    def put(self, rows: trie.Rows) -> None:
+    def put(self, rows: merkle_trie.Rows) -> None:
         """The rows are these now."""
         if self.fence is None:
             return
@@ -133,10 +133,10 @@
         if self._building is not None:
             self._building.cancel()
 
-    async def _build(self, fence: Fence, rows: trie.Rows) -> None:
+    async def _build(self, fence: FencingToken, rows: merkle_trie.Rows) -> None:
         nodes: dict[int, bytes] = {}
         try:
-            root = await beside(trie.build, rows, nodes)
+            root = await beside(merkle_trie.build, rows, nodes)
             if self.fence == fence:
                 self._node.sheets.publish_whole(self.topic, fence, root, nodes, self._deadlines.clock())
                 self._published, self._said = rows, True
@@ -159,14 +159,14 @@
     anew: float = 0.0  # when the register's versions began anew, Unix ms
 
 
-class Register:
+class SharedDiscovery:
     """Between the inventory and the core."""
 
     def __init__(
         self,
-        view: HostView,
-        inventory: Inventory,
-        tell: Callable[[ListKind, list[HostEntry]], None],
+        view: ServerView,
+        inventory: DiscoveryClient,
+        tell: Callable[[ListKind, list[ListedServer]], None],
         deadlines: Deadlines,
         log: Callable[..., None],
         zones: list[str],
@@ -176,7 +176,7 @@
     ) -> None:
         """``stale_after`` in milliseconds without a word of whoever reads for all; ``seeds`` is how many we know."""
         self.view = view
-        self.reading = Reading(stale_after, seeds, Random().random())
+        self.reading = ReaderElection(stale_after, seeds, Random().random())
         self._inventory, self._tell, self._deadlines, self._log = inventory, tell, deadlines, log
         self._zones, self._kinds = zones, kinds
         self._node: Node | None = None
@@ -184,11 +184,11 @@
         self._shared = {DUTY: Shared(), SCOUT: Shared()}
         self._chosen = DUTY
         view.prefer(self._shared[DUTY].listed)
-        self._owner: Fence | None = None
+        self._owner: FencingToken | None = None
         self._look_at: Key | None = None
         self._read_at = -inf  # when our own watch last brought something
         self._anew = 0.0
-        self._made: trie.Rows | None = None
+        self._made: merkle_trie.Rows | None = None
         self._ask_at = -inf
         self._flush: Callable[[], None] = lambda: None
         self.readings = 0  # lists that our own watch has brought
@@ -201,11 +201,11 @@
             for topic in (DUTY, SCOUT):
                 node.sheets.follow(topic)
                 self._writers[topic] = Writer(topic, node, self._deadlines, flush, self._refused)
-            self._look_at = self._deadlines.after(0.0, self._look)
+            self._look_at = self._deadlines.call_after(0.0, self._look)
 
     def close(self) -> None:
         """Look no more."""
-        self._deadlines.drop(self._look_at)
+        self._deadlines.cancel(self._look_at)
         for writer in self._writers.values():
             writer.close()
 
@@ -216,7 +216,7 @@
         if self._node is None or self.view.share != "list" or self.reading.role is Role.READ:
             self._watch()
 
-    def own_news(self, kind: ListKind, entries: list[HostEntry]) -> None:
+    def own_news(self, kind: ListKind, entries: list[ListedServer]) -> None:
         """Our own watch has brought something."""
         before, now = self.view.own, self._deadlines.clock()
         failed = kind is ListKind.FAILED
@@ -233,7 +233,7 @@
 
     # -- the duty
 
-    def gained(self, fence: Fence) -> None:
+    def gained(self, fence: FencingToken) -> None:
         """We read for all from now on."""
         self._owner = fence
         self._writers[DUTY].begin(fence)
@@ -284,7 +284,7 @@
             rows.setdefault(key, None)
         self.sheet(topic, rows)
 
-    def _heard(self, topic: str) -> Heard | None:
+    def _heard(self, topic: str) -> SharedListStatus | None:
         """A sheet that somebody else writes."""
         assert self._node is not None
         sheets, shared, now = self._node.sheets, self._shared[topic], self._deadlines.clock()
@@ -293,7 +293,7 @@
         watched = shared.watched and shared.listed.known
         own = self.view.own
         behind = watched and own.known and shared.listed.version < own.version and shared.anew <= self._read_at
-        return Heard(sheets.age(topic, now), watched, behind)
+        return SharedListStatus(sheets.age(topic, now), watched, behind)
 
     def _watch(self) -> None:
         """Our own watch is wanted; after a failure the pace says when it begins again."""
@@ -302,7 +302,7 @@
 
     def _look(self) -> None:
         """Who reads now, and what follows from it for us."""
-        self._look_at = self._deadlines.after(LOOK, self._look)
+        self._look_at = self._deadlines.call_after(LOOK, self._look)
         scout = self._writers[SCOUT]
         if scout.lost:
             scout.end()
@@ -319,7 +319,7 @@
         heard = {topic: self._heard(topic) for topic in (DUTY, SCOUT)}
         self._ask(heard)
         before = self.reading.role
-        place = Place(*self._node.place(DUTY))
+        place = MemberPosition(*self._node.place(DUTY))
         role = self.reading.decide(
             self._deadlines.clock(),
             self._owner is not None,
@@ -353,7 +353,7 @@
         elif role is not before:
             self._log("register_role", role=role.value)
 
-    def _ask(self, heard: dict[str, Heard | None]) -> None:
+    def _ask(self, heard: dict[str, SharedListStatus | None]) -> None:
         """Some others may have heard a reader that we have not: the word of it goes by chance."""
         assert self._node is not None
         age, now = min((h.age for h in heard.values() if h is not None), default=0.0), self._deadlines.clock()
@@ -411,7 +411,7 @@
         heard = self._heard(SCOUT)
         return heard is not None and heard.age <= self.reading.stale_after
 
-    def _rows(self) -> trie.Rows:
+    def _rows(self) -> merkle_trie.Rows:
         """What we have read, or what we hold from others where we have not; made anew after each change."""
         if self._made is not None:
             return self._made
--- a/heronlug/emulator/clients.py
+++ b/heronlug/emulator/clients.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from heronlug.balancer.settings import Effect
 from heronlug.emulator.draws import BATCH, Draws, distribution, stream
 from heronlug.emulator.scenario import Arrivals
-from heronlug.interface import Effect
-from heronlug.memory.core import Final
+from heronlug.requests.model import FinalAnswer
 
 if TYPE_CHECKING:
     from heronlug.emulator.world import World
@@ -118,12 +118,12 @@
         else:
             self._over(job, "lost")
 
-    def answered(self, job: Job, final: Final, come_back: float) -> None:
+    def answered(self, job: Job, final: FinalAnswer, come_back: float) -> None:
         """A final answer of a dispatcher."""
         now, table = self._world.line.now, self._world.scenario.classes[job.lane]
-        if final is Final.SERVED:
+        if final is FinalAnswer.SERVED:
             self._over(job, "on_time" if now - job.arrived_at <= table.aim_ms else "late")
-        elif final is Final.REFUSED:
+        elif final is FinalAnswer.REFUSED:
             self._again(job, max(come_back, table.retry_wait_ms), "refused")
         else:
             self._over(job, "failed")
@@ -131,7 +131,7 @@
     def lost(self, job: Job) -> None:
         """Its dispatcher is gone: only what may run twice is handed in again."""
         lane = self._world.lanes[job.lane]
-        if lane.effect is Effect.ONCE:
+        if lane.effect is Effect.NON_IDEMPOTENT:
             self._over(job, "lost")
         else:
             self._again(job, self._world.scenario.classes[job.lane].retry_wait_ms, "lost")
--- a/heronlug/emulator/register.py
+++ b/heronlug/emulator/discovery.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.conformance import Called, Event
 from heronlug.emulator.draws import Draws
 from heronlug.emulator.timeline import Timeline
-from heronlug.interface import ListKind, WorkerState
-from heronlug.memory.core import HostEntry
-from heronlug.rules import Called, Event
+from heronlug.requests.model import ListedServer
 
 TURNED = 1.0  # ms that it costs to turn a call away
 
@@ -27,7 +27,7 @@
     def watch_ms(self) -> float:
         """How long its watch waits for news."""
 
-    def listed(self, kind: ListKind, entries: list[HostEntry]) -> None:
+    def listed(self, kind: ListKind, entries: list[ListedServer]) -> None:
         """News."""
 
     def answered(self, took: float) -> None:
@@ -48,16 +48,16 @@
         wait_most: float = 1000.0,
         tell: Callable[[Event], None] = lambda event: None,
     ) -> None:
-        self.entries: dict[str, HostEntry] = {}
+        self.entries: dict[str, ListedServer] = {}
         self.readers: dict[Reader, float] = {}  # and up to when each has been told: news keep their order
         self.silent = False
         self.calls = self.turned = 0
         self.watched_at: dict[str, float] = {}  # when a reader's first watch waited for news
         self._line, self._lag, self._tell_event = line, lag, tell
         self._call_ms, self._wait_most, self._free_at = call_ms, wait_most, 0.0
-        self._held: list[HostEntry] = []
+        self._held: list[ListedServer] = []
 
-    def put(self, entry: HostEntry) -> None:
+    def put(self, entry: ListedServer) -> None:
         """A host's entry is new or other."""
         self.entries[entry.name] = entry
         if self.silent:
@@ -121,13 +121,13 @@
     def _open(self, reader: Reader) -> None:
         self.readers[reader] = self._line.now
         if not self.silent:
-            self._tell(reader, ListKind.FULL, [e for e in self.entries.values() if e.state is not WorkerState.GONE])
+            self._tell(reader, ListKind.FULL, [e for e in self.entries.values() if e.state is not ServerState.REMOVED])
 
-    def _tell(self, reader: Reader, kind: ListKind, entries: list[HostEntry]) -> None:
+    def _tell(self, reader: Reader, kind: ListKind, entries: list[ListedServer]) -> None:
         when = max(self._line.now + self._lag.next(), self.readers[reader])
         self.readers[reader] = when
         self._line.at(when, self._arrive, reader, kind, entries)
 
-    def _arrive(self, reader: Reader, kind: ListKind, entries: list[HostEntry]) -> None:
+    def _arrive(self, reader: Reader, kind: ListKind, entries: list[ListedServer]) -> None:
         if reader in self.readers and reader.up:
             reader.listed(kind, entries)
--- a/heronlug/emulator/troubles.py
+++ b/heronlug/emulator/faults.py
@@ -4,10 +4,10 @@
 
 import numpy as np
 
+from heronlug.balancer.events import ServerState
 from heronlug.emulator.draws import stream
-from heronlug.emulator.hosts import Host
 from heronlug.emulator.scenario import TroubleTable
-from heronlug.interface import WorkerState
+from heronlug.emulator.servers import Host
 
 if TYPE_CHECKING:
     from heronlug.emulator.world import World
@@ -43,12 +43,12 @@
         """A process is gone, and is started again."""
         world = self._world
         world.lose(host)
-        world.list_host(host, WorkerState.GONE)
+        world.list_host(host, ServerState.REMOVED)
         world.line.after(back, self._start, host)
 
     def _start(self, host: Host) -> None:
         host.start()
-        self._world.list_host(host, WorkerState.READY)
+        self._world.list_host(host, ServerState.READY)
 
     def _hang(self, table: TroubleTable, rng: np.random.Generator) -> None:
         """They stand still, and are started anew after that."""
@@ -74,13 +74,13 @@
 
     def _drain(self, host: Host, table: TroubleTable) -> None:
         if host.up:
-            self._world.list_host(host, WorkerState.DRAINING)
+            self._world.list_host(host, ServerState.DRAINING)
             self._world.line.after(table.drain_s * 1000, self._replace, host)
 
     def _replace(self, host: Host) -> None:
         if host.up:
             self._world.lose(host)
-            self._world.list_host(host, WorkerState.GONE)
+            self._world.list_host(host, ServerState.REMOVED)
             self._world.replace(host)
 
     def _dispatcher_kill(self, table: TroubleTable, rng: np.random.Generator) -> None:
@@ -102,7 +102,7 @@
         for host in hosts:
             world.lose(host)
             if not table.listed:
-                world.list_host(host, WorkerState.GONE)
+                world.list_host(host, ServerState.REMOVED)
         world.line.after(table.for_s * 1000, self._hall_returns, hosts, table)
 
     def _hall_returns(self, hosts: list[Host], table: TroubleTable) -> None:
@@ -112,7 +112,7 @@
             else:
                 host.up = True
             if table.cold or not table.listed:
-                self._world.list_host(host, WorkerState.READY)
+                self._world.list_host(host, ServerState.READY)
 
     def _slow_zone(self, table: TroubleTable, rng: np.random.Generator) -> None:
         zone = self._world.scenario.zones.index(table.zone)
