--- a/heronlug/emulator/policies.py
+++ b/heronlug/emulator/policies.py
@@ -9,7 +9,21 @@
 from random import Random
 from typing import NamedTuple
 
-from heronlug import interface as pk
+from heronlug.balancer.actions import Action, CancelAttempt, Fail, Reject, StartAttempt, Subscribe
+from heronlug.balancer.events import (
+    NEVER_RAN,
+    AttemptEnded,
+    ClientGone,
+    Event,
+    FinalAnswerDue,
+    ListKind,
+    RequestArrived,
+    RequestHandedOver,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
+)
+from heronlug.balancer.settings import Effect, Settings
 
 
 class Look(NamedTuple):
@@ -29,8 +43,8 @@
 
     __slots__ = ("entry", "number", "out")
 
-    def __init__(self, entry: pk.WorkerEntry) -> None:
-        self.number, self.entry = entry.worker, entry
+    def __init__(self, entry: ServerEntry) -> None:
+        self.number, self.entry = entry.server, entry
         self.out = 0.0  # slots that we have sent and that have not ended
 
 
@@ -39,7 +53,7 @@
 
     __slots__ = ("arrived", "hosts", "out", "spoiled", "tries")
 
-    def __init__(self, arrived: pk.JobArrived) -> None:
+    def __init__(self, arrived: RequestArrived) -> None:
         self.arrived = arrived
         self.tries = 0
         self.out: set[int] = set()
@@ -52,7 +66,7 @@
 
     name = ""
 
-    def __init__(self, settings: pk.Settings, seed: int, look: Callable[[int], Look]) -> None:
+    def __init__(self, settings: Settings, seed: int, look: Callable[[int], Look]) -> None:
         self.s, self.rng, self.look = settings, Random(seed), look
         self.workers: dict[int, Worker] = {}
         self.ready: list[Worker] = []
@@ -67,84 +81,84 @@
         """None is avoided for what it did."""
         return set()
 
-    def handle(self, now: float, event: pk.Event) -> list[pk.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """The actions that an event leads to."""
-        out: list[pk.Action] = []
-        if isinstance(event, pk.JobArrived):
-            self.jobs[event.job] = Job(event)
-            self._send(event.job, now, out)
-        elif isinstance(event, pk.AttemptEnded):
+        out: list[Action] = []
+        if isinstance(event, RequestArrived):
+            self.jobs[event.request] = Job(event)
+            self._send(event.request, now, out)
+        elif isinstance(event, AttemptEnded):
             self._ended(event, now, out)
-        elif isinstance(event, pk.WorkerList):
+        elif isinstance(event, ServerListUpdate):
             self._listed(event, out)
-        elif isinstance(event, pk.ClientGone | pk.JobPassedOn):
-            job = self.jobs.pop(event.job, None)
+        elif isinstance(event, ClientGone | RequestHandedOver):
+            job = self.jobs.pop(event.request, None)
             if job is not None:
-                out += [pk.Cancel(event.job, attempt) for attempt in job.out]
-        elif isinstance(event, pk.NoTimeLeft):
-            if self.jobs.pop(event.job, None) is not None:
-                out.append(pk.Fail(event.job))
+                out += [CancelAttempt(event.request, attempt) for attempt in job.out]
+        elif isinstance(event, FinalAnswerDue):
+            if self.jobs.pop(event.request, None) is not None:
+                out.append(Fail(event.request))
         return out
 
-    def _listed(self, event: pk.WorkerList, out: list[pk.Action]) -> None:
-        if event.kind is pk.ListKind.FAILED:
+    def _listed(self, event: ServerListUpdate, out: list[Action]) -> None:
+        if event.kind is ListKind.FAILED:
             self._subscribed = False
             return
-        if event.kind is not pk.ListKind.CHANGES:
-            here = {entry.worker for entry in event.entries}
+        if event.kind is not ListKind.CHANGES:
+            here = {entry.server for entry in event.entries}
             for gone in self.workers.keys() - here:
                 del self.workers[gone]
         for entry in event.entries:
-            if entry.state is pk.WorkerState.GONE:
-                self.workers.pop(entry.worker, None)
-            elif entry.worker in self.workers:
-                self.workers[entry.worker].entry = entry
+            if entry.state is ServerState.REMOVED:
+                self.workers.pop(entry.server, None)
+            elif entry.server in self.workers:
+                self.workers[entry.server].entry = entry
             else:
-                self.workers[entry.worker] = Worker(entry)
-        self.ready = [worker for worker in self.workers.values() if worker.entry.state is pk.WorkerState.READY]
+                self.workers[entry.server] = Worker(entry)
+        self.ready = [worker for worker in self.workers.values() if worker.entry.state is ServerState.READY]
         if not self._subscribed:
             self._subscribed = True
-            out.append(pk.Subscribe())
+            out.append(Subscribe())
 
-    def _send(self, number: int, now: float, out: list[pk.Action]) -> None:
+    def _send(self, number: int, now: float, out: list[Action]) -> None:
         job = self.jobs[number]
         arrived = job.arrived
-        lane = arrived.terms or self.s.classes[arrived.job_class]
-        if job.tries >= self.s.cap(lane) or now >= arrived.give_up_at or not self.ready:
+        lane = arrived.policy or self.s.classes[arrived.request_class]
+        if job.tries >= self.s.max_attempts_of(lane) or now >= arrived.give_up_at or not self.ready:
             del self.jobs[number]
-            out.append(pk.Fail(number) if job.spoiled else pk.Refuse(number))
+            out.append(Fail(number) if job.spoiled else Reject(number))
             return
         among = [worker for worker in self.ready if worker.number not in job.hosts] or self.ready
         worker = self.choose(job, among)
         if worker is None:
             del self.jobs[number]
-            out.append(pk.Fail(number) if job.spoiled else pk.Refuse(number))
+            out.append(Fail(number) if job.spoiled else Reject(number))
             return
         worker.out += arrived.slots
         job.out.add(job.tries)
         job.hosts.append(worker.number)
         job.tries += 1
-        out.append(pk.Send(number, worker.number))
+        out.append(StartAttempt(number, worker.number))
 
-    def _ended(self, event: pk.AttemptEnded, now: float, out: list[pk.Action]) -> None:
-        job = self.jobs.get(event.job)
-        worker = self.workers.get(event.worker)
+    def _ended(self, event: AttemptEnded, now: float, out: list[Action]) -> None:
+        job = self.jobs.get(event.request)
+        worker = self.workers.get(event.server)
         if worker is not None:
             worker.out = max(0.0, worker.out - (job.arrived.slots if job is not None else 1.0))
         if job is None:
             return
         job.out.discard(event.attempt)
         if event.final:
-            del self.jobs[event.job]
+            del self.jobs[event.request]
             return
-        lane = job.arrived.terms or self.s.classes[job.arrived.job_class]
-        ran = event.outcome not in pk.NEVER_RAN
+        lane = job.arrived.policy or self.s.classes[job.arrived.request_class]
+        ran = event.outcome not in NEVER_RAN
         job.spoiled = job.spoiled or ran
-        if ran and lane.effect is not pk.Effect.REPEATABLE:
-            del self.jobs[event.job]
-            out.append(pk.Fail(event.job))
+        if ran and lane.effect is not Effect.IDEMPOTENT:
+            del self.jobs[event.request]
+            out.append(Fail(event.request))
         else:
-            self._send(event.job, now, out)
+            self._send(event.request, now, out)
 
 
 class RandomChoice(Policy):
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -10,12 +10,12 @@
 import msgspec
 from msgspec import Meta, Struct, field, structs
 
+from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
+from heronlug.config.strict_toml.decode import decode
+from heronlug.config.strict_toml.source import Keys
+from heronlug.config.strict_toml.value_types import Share, Text
 from heronlug.emulator.draws import distribution
 from heronlug.emulator.policies import OURS, POLICIES
-from heronlug.forms import Fault, Faults, Source
-from heronlug.forms.decode import decode
-from heronlug.forms.kinds import Share, Text
-from heronlug.forms.source import Keys
 
 Seconds = Annotated[float, Meta(gt=0, le=1e6, description="seconds, more than 0")]
 When = Annotated[float, Meta(ge=0, le=1e6, description="seconds, 0 or more")]
@@ -192,7 +192,7 @@
 
 
 def load(path: Path, changes: dict[str, Any] | None = None) -> Scenario:
-    """Read a file, with other values in place of some of it; raises :class:`Faults` with all that is wrong."""
+    """Read a file, with other values in place of some of it; raises :class:`ConfigProblems` with all that is wrong."""
     source = Source.read(path)
     for key, value in (changes or {}).items():
         put(source.table, key, value)
@@ -215,10 +215,10 @@
 
 
 def parse(source: Source) -> Scenario:
-    """The scenario of a file; raises :class:`Faults`."""
+    """The scenario of a file; raises :class:`ConfigProblems`."""
     scenario, faults = decode(Scenario, {k: v for k, v in source.table.items() if k != "folder"}, source, ())
     if scenario is None:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     scenario.folder = str(Path(source.path).parent)
 
     def form(kind: type[Any], table: Any, *at: str | int) -> Any:
@@ -237,14 +237,14 @@
     if not faults:
         faults = list(_wrong(scenario, source))
     if faults:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     return scenario
 
 
 def _wrong(scenario: Scenario, source: Source) -> Any:
     """What the tables have wrong among each other."""
 
-    def fault(at: Keys, wrong: str, right: str) -> Fault:
+    def fault(at: Keys, wrong: str, right: str) -> ConfigProblem:
         return source.fault(at, wrong, right)
 
     if scenario.policy not in (OURS, *POLICIES):
--- a/heronlug/emulator/timeline.py
+++ b/heronlug/emulator/timeline.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from heronlug.memory.deadlines import Deadlines, Key
+from heronlug.requests.deadlines import Deadlines, Key
 
 Entry = list[Any]  # when, number, what, its arguments; what is None once it is cancelled
 
@@ -69,14 +69,14 @@
     def __len__(self) -> int:
         return len(self._live)
 
-    def at(self, when: float, what: Callable[..., object], *args: Any) -> Key:
+    def call_at(self, when: float, what: Callable[..., object], *args: Any) -> Key:
         """As :meth:`Deadlines.at`."""
         self._seq += 1
         key = (when, self._seq)
         self._live[key] = self._line.at(when, self._call, key, what, args)
         return key
 
-    def drop(self, key: Key | None) -> None:
+    def cancel(self, key: Key | None) -> None:
         """As :meth:`Deadlines.drop`."""
         if key is not None:
             self._line.cancel(self._live.pop(key, None))
--- a/heronlug/emulator/world.py
+++ b/heronlug/emulator/world.py
@@ -7,19 +7,19 @@
 import numpy as np
 from scipy.stats import lognorm
 
-from heronlug import interface as pk
+from heronlug.balancer.events import ServerState
+from heronlug.balancer.settings import Effect, RequestClass, Settings
+from heronlug.conformance import Began, Checker, Event, Load
 from heronlug.emulator.clients import Clients, Job
+from heronlug.emulator.discovery import Register
 from heronlug.emulator.dispatchers import Dispatcher
 from heronlug.emulator.draws import Draws, stream
+from heronlug.emulator.faults import Troubles
 from heronlug.emulator.figures import Figures, HostFigures, Lane
-from heronlug.emulator.hosts import Host, Kind, Run, Warmth
-from heronlug.emulator.register import Register
 from heronlug.emulator.scenario import Scenario
+from heronlug.emulator.servers import Host, Kind, Run, Warmth
 from heronlug.emulator.timeline import Timeline
-from heronlug.emulator.troubles import Troubles
-from heronlug.interface import WorkerState
-from heronlug.memory.core import HostEntry
-from heronlug.rules import Began, Checker, Event, Load
+from heronlug.requests.model import ListedServer
 
 ANSWER_SLACK = 5.0  # ms that an answer needs to its client
 MODULE_MS = 1e-6  # answers are due at a moment, and events of the same moment come in some order
@@ -33,7 +33,7 @@
         scenario: Scenario,
         seed: int | None = None,
         record: Callable[[Event], None] | None = None,
-        module: Callable[[pk.Settings, int], Any] | None = None,
+        module: Callable[[Settings, int], Any] | None = None,
         guarded: bool = True,
     ) -> None:
         self.scenario, self.seed, self.module = scenario, scenario.seed if seed is None else seed, module
@@ -41,13 +41,13 @@
         self.line = Timeline()
         self.checker = Checker(scenario.safety.drain_grace_ms, MODULE_MS)
         self._record = record
-        effects = {"repeatable": pk.Effect.REPEATABLE, "by_key": pk.Effect.BY_KEY, "once": pk.Effect.ONCE}
+        effects = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
         self.lanes = tuple(
-            pk.JobClass(
-                aim=lane.aim_ms,
+            RequestClass(
+                latency_objective=lane.aim_ms,
                 deadline=lane.deadline_ms,
                 effect=effects[lane.effect],
-                worth=lane.worth,
+                priority_weight=lane.worth,
                 late_value=lane.late_worth,
                 name=lane.name,
             )
@@ -128,30 +128,30 @@
         if self._record is not None:
             self._record(event)
 
-    def settings(self, position: int, zone: int) -> pk.Settings:
+    def settings(self, position: int, zone: int) -> Settings:
         """What a dispatcher is told at its start."""
         table, safety = self.scenario.dispatchers, self.scenario.safety
-        return pk.Settings(
+        return Settings(
             classes=self.lanes,
             instances=table.count,
             position=position,
             zone=zone,
-            attempts_cap=table.attempts_cap,
-            second_copies=table.second_copies,
+            max_attempts=table.attempts_cap,
+            hedging=table.second_copies,
             may_cancel=True,
-            may_tell=table.may_tell,
-            lends=table.lends,
-            halls=table.halls,
+            gossip=table.may_tell,
+            lends_capacity=table.lends,
+            zone_failover=table.halls,
             dial_timeout=self.scenario.network.dial_timeout_ms,
             tick=1.0,
             answer_slack=ANSWER_SLACK,
-            progress_every=1000.0,
-            tells_start=True,
+            progress_interval=1000.0,
+            reports_start=True,
             drain_grace=safety.drain_grace_ms,
-            cold_from=safety.cold_from,
-            warm_after=safety.warm_after_ms,
-            tip_multiple=safety.tip_multiple,
-            overload_for=safety.overload_for_ms,
+            warmup_capacity=safety.cold_from,
+            warmup_time=safety.warm_after_ms,
+            overload_multiple=safety.tip_multiple,
+            overload_window=safety.overload_for_ms,
         )
 
     def median(self, one: int, other: int) -> float:
@@ -204,7 +204,7 @@
         for run in host.end():
             run.told(run, "lost")
 
-    def list_host(self, host: Host, state: WorkerState) -> None:
+    def list_host(self, host: Host, state: ServerState) -> None:
         """The register has it so."""
         self.register.put(self._entry(host, state))
 
@@ -215,7 +215,7 @@
         self._gone.append(self.hosts.pop(host.name))
         successor.slow = host.slow
         successor.start()
-        self.list_host(successor, WorkerState.READY)
+        self.list_host(successor, ServerState.READY)
 
     def kill(self, dispatcher: Dispatcher) -> None:
         """It is gone, and started again."""
@@ -246,12 +246,12 @@
         self._ways[name] = self._spread(self.scenario.network.sigma, name)
         host.tipped, host.began = self._tipped, self._began
         if self.line.now == 0:
-            self.register.entries[name] = self._entry(host, WorkerState.READY)
+            self.register.entries[name] = self._entry(host, ServerState.READY)
         return host
 
-    def _entry(self, host: Host, state: WorkerState) -> HostEntry:
+    def _entry(self, host: Host, state: ServerState) -> ListedServer:
         kinds = list(self._kinds)
-        return HostEntry(
+        return ListedServer(
             host.name, f"{host.name}:1", state, host.zone, kinds.index(host.kind.name), 0, 1.0, host.started_at
         )
 
@@ -262,7 +262,7 @@
 
     def _began(self, host: Host, run: Run) -> None:
         relay, _, _ = run.job
-        self.tell(Began(self.line.now, host.name, relay.message.load.name))
+        self.tell(Began(self.line.now, host.name, relay.request.payload.name))
 
 
 def play(scenario: Scenario, seed: int | None = None) -> Figures:
--- a/heronlug/lab/compare.py
+++ b/heronlug/experiments/compare.py
@@ -8,7 +8,7 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-from heronlug.lab.store import Kept
+from heronlug.experiments.store import Kept
 
 CONFIDENCE = 0.95
 RESAMPLES = 4000
--- a/heronlug/lab/experiment.py
+++ b/heronlug/experiments/experiment.py
@@ -23,10 +23,10 @@
 from msgspec import Meta, Struct, field
 
 import heronlug
+from heronlug.config.strict_toml import ConfigProblems, Source
+from heronlug.config.strict_toml.decode import decode
 from heronlug.emulator import scenario as scenarios
 from heronlug.emulator.scenario import Scenario
-from heronlug.forms import Faults, Source
-from heronlug.forms.decode import decode
 
 Params = dict[str, Any]
 MOST = 100_000  # runs of one experiment
@@ -81,11 +81,11 @@
 
 
 def read(path: Path) -> tuple[Experiment, list[Job]]:
-    """An experiment and all its runs, each scenario checked; raises :class:`Faults`."""
+    """An experiment and all its runs, each scenario checked; raises :class:`ConfigProblems`."""
     source = Source.read(path)
     experiment, faults = decode(Experiment, source.table, source, ())
     if experiment is None:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     experiment.set, experiment.vary = flat(experiment.set), flat(experiment.vary)
     for key, values in experiment.vary.items():
         at = ("vary", *key.split("."))
@@ -96,23 +96,23 @@
         if key in experiment.set or key == "seed":
             faults.append(source.fault(at, "it is set by something else", "seeds, or in [set], or here"))
     if faults:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     base = path.parent / experiment.scenario
     jobs, code = [], version()
     for params in combinations(experiment.vary):
         try:
             scenario = scenarios.load(base, {**experiment.set, **params})
-        except Faults as error:
+        except ConfigProblems as error:
             with_params = ", ".join(f"{key} = {value!r}" for key, value in params.items())
             text = f"with {with_params or 'what is set'}: {error.faults[0]}"
-            raise Faults([source.fault(("scenario",), text, "a scenario that holds")]) from None
+            raise ConfigProblems([source.fault(("scenario",), text, "a scenario that holds")]) from None
         except ValueError as error:
-            raise Faults([source.fault(("vary",), str(error), "a key of the scenario")]) from None
+            raise ConfigProblems([source.fault(("vary",), str(error), "a key of the scenario")]) from None
         for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
             key = hashlib.sha256(orjson.dumps([known(scenario), seed, code], option=orjson.OPT_SORT_KEYS)).hexdigest()
             jobs.append(Job(key[:24], str(base), params, experiment.set, seed, code))
     if len(jobs) > MOST:
-        raise Faults([source.fault(("vary",), f"{len(jobs)} runs", f"{MOST} at most")])
+        raise ConfigProblems([source.fault(("vary",), f"{len(jobs)} runs", f"{MOST} at most")])
     return experiment, jobs
 
 
--- a/heronlug/lab/report.py
+++ b/heronlug/experiments/report.py
@@ -12,8 +12,8 @@
 from jinja2 import Environment, FileSystemLoader, StrictUndefined, select_autoescape
 
 from heronlug.emulator.figures import FINALS
-from heronlug.lab.compare import interval
-from heronlug.lab.store import Kept
+from heronlug.experiments.compare import interval
+from heronlug.experiments.store import Kept
 
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
--- a/heronlug/lab/runner.py
+++ b/heronlug/experiments/runner.py
@@ -10,8 +10,8 @@
 from heronlug.emulator import scenario as scenarios
 from heronlug.emulator.figures import Figures
 from heronlug.emulator.world import World
-from heronlug.lab.experiment import Job
-from heronlug.lab.store import Kept, Store
+from heronlug.experiments.experiment import Job
+from heronlug.experiments.store import Kept, Store
 
 QUANTILES = 200
 SHOWN = 20  # violations kept with what led to them
@@ -43,7 +43,7 @@
             {"what": trouble.what, "at_s": trouble.at_s, "seconds": figures.recovery(trouble.at_s)}
             for trouble in world.scenario.trouble
         ],
-        "aims": {lane.name: lane.aim for lane in world.lanes},
+        "aims": {lane.name: lane.latency_objective for lane in world.lanes},
         "tip": world.scenario.safety.tip_multiple,
     }
 
--- a/heronlug/rig/rig.py
+++ b/heronlug/faults/harness.py
@@ -11,18 +11,7 @@
 from random import Random
 from typing import Any
 
-from heronlug.load.http import HttpLoad, Job
-from heronlug.load.plan import Due
-from heronlug.load.tally import Tally
-from heronlug.rig.behind import Behind
-from heronlug.rig.history import History
-from heronlug.rig.paths import Path as Between
-from heronlug.rig.paths import Paths
-from heronlug.rig.processes import Process, write_file, write_known, write_platform_files
-from heronlug.rig.runners import Requests, Runners, lanes_of
-from heronlug.rig.script import HOSTS, LASTING, PROCESS, REGISTER, Script, Step, choose
-from heronlug.rig.verdict import Run, Verdict, judge
-from heronlug.rules import (
+from heronlug.conformance import (
     Answered,
     Called,
     Changed,
@@ -37,8 +26,19 @@
     Watching,
     WatchOver,
 )
-from heronlug.standin.ports import free_port, free_ports
-from heronlug.standin.register import Call, Register
+from heronlug.faults.history import History
+from heronlug.faults.network import Path as Between
+from heronlug.faults.network import Paths
+from heronlug.faults.ordering import Behind
+from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Script, Step, choose
+from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
+from heronlug.faults.servers import Requests, Runners, lanes_of
+from heronlug.faults.verdict import Run, Verdict, judge
+from heronlug.loadgen.http import HttpLoad, Job
+from heronlug.loadgen.plan import Due
+from heronlug.loadgen.tally import Tally
+from heronlug.standins.discovery import Call, Register
+from heronlug.standins.ports import free_port, free_ports
 
 KILL_COUNTS, KILL_AFTER = 3.0, 0.7  # s: the kill comes the longest deadline, of which so much counts, and this later
 FRONT_NOTICES = 0.4  # s after SIGTERM, in which new connections still come
--- a/heronlug/rig/history.py
+++ b/heronlug/faults/history.py
@@ -3,7 +3,7 @@
 import time
 from pathlib import Path
 
-from heronlug.rules import Checker, Event, write
+from heronlug.conformance import Checker, Event, write
 
 
 class History:
--- a/heronlug/rig/paths.py
+++ b/heronlug/faults/network.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Any, Protocol, cast
 
-from heronlug.standin.ports import free_port
-from heronlug.wire.http import split_address
+from heronlug.net.http import split_address
+from heronlug.standins.ports import free_port
 
 BACKLOG = 512
 FILLERS = 3  # connections that fill the queue of a socket with a backlog of 0
--- a/heronlug/rig/behind.py
+++ b/heronlug/faults/ordering.py
@@ -13,8 +13,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from heronlug.rig.paths import Paths
-from heronlug.wire.http import split_address
+from heronlug.faults.network import Paths
+from heronlug.net.http import split_address
 
 NAME = "mark"  # no party of a script
 
--- a/heronlug/rig/script.py
+++ b/heronlug/faults/plan.py
@@ -13,9 +13,9 @@
 
 from msgspec import Meta, Struct, field
 
-from heronlug.forms import Fault, Faults, Source
-from heronlug.forms.decode import decode
-from heronlug.forms.kinds import Share, Text
+from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
+from heronlug.config.strict_toml.decode import decode
+from heronlug.config.strict_toml.value_types import Share, Text
 
 Count = Annotated[int, Meta(ge=0, le=4000, description="a whole number, 0 to 4000")]
 Millis = Annotated[float, Meta(ge=0, le=3_600_000, description="milliseconds, 0 to an hour")]
@@ -191,15 +191,15 @@
 
 
 def load(path: Path) -> Script:
-    """Read a file; raises :class:`Faults` with all that is wrong."""
+    """Read a file; raises :class:`ConfigProblems` with all that is wrong."""
     return parse(Source.read(path))
 
 
 def parse(source: Source) -> Script:
-    """The script of a file; raises :class:`Faults`."""
+    """The script of a file; raises :class:`ConfigProblems`."""
     script, faults = decode(Script, source.table, source, ())
     if script is None:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     for key, kind in TABLES.items():
         made, wrong = decode(kind, getattr(script, key), source, (key,))
         setattr(script, key, made)
@@ -215,11 +215,11 @@
     if not faults:
         faults = _wrong(script, source)
     if faults:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     return script
 
 
-def _wrong(script: Script, source: Source) -> list[Fault]:
+def _wrong(script: Script, source: Source) -> list[ConfigProblem]:
     """What is wrong among the tables."""
     faults = []
     for number, step in enumerate(script.step):
--- a/heronlug/rig/processes.py
+++ b/heronlug/faults/processes.py
@@ -12,10 +12,10 @@
 import orjson
 from jinja2 import Template
 
-from heronlug.forms import Faults, Source
-from heronlug.life.site import read_object
-from heronlug.rig.script import Script
-from heronlug.standin.ports import starting
+from heronlug.config.site import read_object
+from heronlug.config.strict_toml import ConfigProblems, Source
+from heronlug.faults.plan import Script
+from heronlug.standins.ports import starting
 
 HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
 UTIME = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
@@ -220,13 +220,13 @@
 def write_platform_files(process: Process, known: dict[str, Any]) -> None:
     """The same dispatcher as the platform configures it: its object with a ``known`` list, and a file of its own state.
 
-    Raises :class:`Faults` where its operators' file has any.
+    Raises :class:`ConfigProblems` where its operators' file has any.
     """
     path = process.folder / f"{process.name}.toml"
     source = Source.read(path)
     raw, faults = read_object(source)
     if raw is None:
-        raise Faults(faults)
+        raise ConfigProblems(faults)
     (process.folder / f"{process.name}.json").write_bytes(orjson.dumps(raw))
     write_known(process, known)
     path.write_text(f'log_level = "{source.table["log_level"]}"\n')
--- a/heronlug/rig/runners.py
+++ b/heronlug/faults/servers.py
@@ -5,16 +5,16 @@
 
 import httptools
 
+from heronlug.conformance import Began, Dialled, Load, Sent
 from heronlug.emulator.draws import Draws
-from heronlug.emulator.hosts import Host, Kind, Run, Warmth
 from heronlug.emulator.scenario import ClassTable
-from heronlug.rig.history import History
-from heronlug.rig.script import Script
-from heronlug.rules import Began, Dialled, Load, Sent
-from heronlug.standin.fleet import Server
-from heronlug.standin.live import LiveLine
-from heronlug.standin.ports import free_port
-from heronlug.standin.register import Register
+from heronlug.emulator.servers import Host, Kind, Run, Warmth
+from heronlug.faults.history import History
+from heronlug.faults.plan import Script
+from heronlug.standins.discovery import Register
+from heronlug.standins.fleet import Server
+from heronlug.standins.live import LiveLine
+from heronlug.standins.ports import free_port
 
 KIND = "m1"
 
--- a/heronlug/rig/soak.py
+++ b/heronlug/faults/soak.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any, Literal
 
-from heronlug.rig.script import (
+from heronlug.faults.plan import (
     ClassTable,
     DispatchersTable,
     ExpectTable,
--- a/heronlug/rig/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from heronlug.load.tally import Tally
-from heronlug.rig.history import History
-from heronlug.rig.processes import Process
-from heronlug.rig.script import ExpectTable, FailedTable, Script
-from heronlug.rules import Violation
+from heronlug.conformance import Violation
+from heronlug.faults.history import History
+from heronlug.faults.plan import ExpectTable, FailedTable, Script
+from heronlug.faults.processes import Process
+from heronlug.loadgen.tally import Tally
 
 
 @dataclass
--- /dev/null
+++ b/heronlug/frontends/__init__.py
@@ -0,0 +1,1 @@
+"""The frontends: protocols in which clients hand in requests."""
--- /dev/null
+++ b/heronlug/frontends/faktory/__init__.py
@@ -0,0 +1,1 @@
+"""The Faktory frontend: the Faktory work protocol, version 2."""
--- a/heronlug/wire/faktory.py
+++ b/heronlug/frontends/faktory/frontend.py
@@ -19,14 +19,16 @@
 
 import orjson
 
-from heronlug.interface import JobClass, ListKind, NoteKind, Outcome, WorkerState
-from heronlug.memory.core import Core, Final, HostEntry, Message, Relay
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.memory.slots import Slots
-from heronlug.schedule.chains import Chains, Edge, Start, edges_of
-from heronlug.wire import http
-from heronlug.wire.ends import left as has_left
-from heronlug.wire.keeping import Kept, Store, Way, left, must_be_kept_first, recovered
+from heronlug.balancer.events import ListKind, Outcome, ProgressKind, ServerState
+from heronlug.balancer.settings import RequestClass
+from heronlug.frontends.faktory.recovery import Kept, Store, Way, left, must_be_kept_first, recovered
+from heronlug.net import http
+from heronlug.net.connection_state import left as has_left
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
+from heronlug.requests.slots import SlotTable
+from heronlug.scheduling.chains import Chains, Edge, Start, edges_of
 
 VERSION = 2
 FETCH_WAIT = 2_000.0  # a FETCH with nothing to collect is answered with nothing after this
@@ -36,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class FaktoryConfig:
     """What ``deploy/faktory.toml`` says of this front."""
 
     listen: tuple[str, int]
@@ -67,8 +69,8 @@
     table: dict[str, Any]
     size: int
     reserve_for: float
-    terms: JobClass  # as it was accepted under, also for a time that is to come
-    final: Final | None = None
+    terms: RequestClass  # as it was accepted under, also for a time that is to come
+    final: FinalAnswer | None = None
     waiting: "list[Taken] | None" = None  # who is to be told once it is kept; None: it is
 
 
@@ -80,8 +82,8 @@
     """What is known of a wid."""
 
     wid: str
-    connections: set["Connection"] = field(default_factory=set)
-    assigned: deque[Relay] = field(default_factory=deque)  # sent to it by the core, not collected yet
+    connections: set["FaktoryConnection"] = field(default_factory=set)
+    assigned: deque[Attempt] = field(default_factory=deque)  # sent to it by the core, not collected yet
     reserved: dict[str, "Reservation"] = field(default_factory=dict)  # collected and not ended, by jid
     state: str = ""  # as its beats tell
     beat: Key | None = None
@@ -91,9 +93,9 @@
 class Reservation:
     """A delivered job."""
 
-    relay: Relay
+    relay: Attempt
     worker: Worker
-    connection: "Connection"
+    connection: "FaktoryConnection"
     over: Key
     written: bool = False  # a byte of it may have gone out
 
@@ -142,10 +144,10 @@
     return float(value)
 
 
-class Connection(asyncio.Protocol):
+class FaktoryConnection(asyncio.Protocol):
     """One connection, of a producer or a worker."""
 
-    def __init__(self, front: "Faktory") -> None:
+    def __init__(self, front: "FaktoryFrontend") -> None:
         self.front = front
         self.ticket = 0
         self.transport: asyncio.Transport | None = None
@@ -175,7 +177,7 @@
         hello: dict[str, Any] = {"v": VERSION}
         if self.front.terms.password:
             hello |= {"s": self._salt, "i": ITERATIONS}
-        self._silence = self.front.deadlines.after(15_000.0, self.close)
+        self._silence = self.front.deadlines.call_after(15_000.0, self.close)
         self.transport.write(b"+HI " + orjson.dumps(hello) + b"\r\n")
         self.front.turn()
 
@@ -195,7 +197,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """What was collected here and not acknowledged may have run."""
         self._closing = True
-        self.front.deadlines.drop(self._silence)
+        self.front.deadlines.cancel(self._silence)
         self.front.closed(self)
         self.front.turn()
 
@@ -214,7 +216,7 @@
 
     def fetched(self, data: bytes | None) -> None:
         """The FETCH that waits is answered."""
-        self.front.deadlines.drop(self.waiting)
+        self.front.deadlines.cancel(self.waiting)
         self.waiting, self.queues = None, []
         self.write(bulk(data))
         self._next()
@@ -302,7 +304,7 @@
         if wid is not None and (not isinstance(wid, str) or not 0 < len(wid) <= 64):
             raise Hangup("wid is no text of 1 to 64 characters")
         self._greeted = True
-        self.front.deadlines.drop(self._silence)
+        self.front.deadlines.cancel(self._silence)
         self.write(simple("OK"))
         if wid is not None:
             self.front.join(self, wid)
@@ -311,24 +313,29 @@
         if self.worker is None:
             raise Refusal("FETCH needs a HELLO with a wid")
         self.queues = rest.decode("utf-8", "replace").split() or ["default"]
-        self.waiting = self.front.deadlines.after(FETCH_WAIT, self.fetched, None)
+        self.waiting = self.front.deadlines.call_after(FETCH_WAIT, self.fetched, None)
         self.front.match(self.worker)
 
 
 ITERATIONS = 2048
 
 
-class Faktory:
+class FaktoryFrontend:
     """The front: jobs by jid, workers by wid, and a core of its own that decides about them."""
 
     core: Core
 
     def __init__(
-        self, terms: Terms, deadlines: Deadlines, log: Callable[..., None], turn: Callable[[], None], store: Store
+        self,
+        terms: FaktoryConfig,
+        deadlines: Deadlines,
+        log: Callable[..., None],
+        turn: Callable[[], None],
+        store: Store,
     ) -> None:
         self.store = store
         self.terms, self.deadlines, self.log, self.turn = terms, deadlines, log, turn
-        self.connections: Slots[Connection] = Slots()
+        self.connections: SlotTable[FaktoryConnection] = SlotTable()
         self.workers: dict[str, Worker] = {}
         self.jobs: dict[str, Job] = {}  # all known jids
         self.ended = 0  # reservations that ended with an ACK or a FAIL
@@ -338,63 +345,63 @@
         self._chains = Chains()
         self._chained: dict[str, tuple[Job, float, float]] = {}  # jobs that wait for others, with what they may take
 
-    def protocol(self) -> Connection:
+    def protocol(self) -> FaktoryConnection:
         """A protocol for a new connection."""
-        return Connection(self)
+        return FaktoryConnection(self)
 
     def open(self, taking: bool) -> None:
         """Take jobs in, or only work off what was taken; what was to come later has not run and is refused."""
         self.stopping = not taking
         if not taking:
             for key, job in self._scheduled.values():
-                self.deadlines.drop(key)
+                self.deadlines.cancel(key)
                 if not self.store.lasts:
-                    self._final(job, Final.REFUSED)
+                    self._final(job, FinalAnswer.REFUSED)
             self._scheduled.clear()
             if not self.store.lasts:
                 for job, _, _ in list(self._chained.values()):
                     if job.final is None:
-                        self._final(job, Final.REFUSED)
+                        self._final(job, FinalAnswer.REFUSED)
 
     # -- what the core asks
 
-    def send(self, relay: Relay) -> None:
+    def send(self, relay: Attempt) -> None:
         """Assign a job to a worker, which has to collect it soon."""
-        worker = self.workers[relay.host.entry.name]
+        worker = self.workers[relay.server.entry.name]
         if not worker.connections or worker.state:
-            self.core.ended(relay, Outcome.CONNECT_FAILED)
+            self.core.attempt_ended(relay, Outcome.CONNECT_FAILED)
             return
         worker.assigned.append(relay)
-        limit = min(PICK_UP, relay.message.give_up_at - HAND_BACK - self.deadlines.clock())
-        relay.wire = self.deadlines.after(max(0.0, limit), self._not_collected, relay)
+        limit = min(PICK_UP, relay.request.give_up_at - HAND_BACK - self.deadlines.clock())
+        relay.exchange = self.deadlines.call_after(max(0.0, limit), self._not_collected, relay)
         self.match(worker)
 
-    def cancel(self, relay: Relay) -> None:
+    def cancel(self, relay: Attempt) -> None:
         """Give a relay up: a worker cannot be stopped, but what it ends with does not count any more."""
-        worker = self.workers[relay.host.entry.name]
+        worker = self.workers[relay.server.entry.name]
         self._unassign(worker, relay)
-        jid = relay.message.load.jid
+        jid = relay.request.payload.jid
         if jid in worker.reserved and worker.reserved[jid].relay is relay:
             self._release(worker, jid)
 
-    def here(self, message: Message) -> bool:
+    def client_waits(self, message: Request) -> bool:
         """Nobody waits on a connection for what is kept under its jid."""
         return True
 
-    def answer(self, message: Message, final: Final, body: bytes, come_back: float) -> None:
+    def answer(self, message: Request, final: FinalAnswer, body: bytes, come_back: float) -> None:
         """The one final answer: by the protocol no one waits for it, so it is kept under the jid and logged."""
-        if self.stopping and self.store.lasts and final is Final.REFUSED:
-            self.log("job_kept", jid=message.load.jid)  # it never ran, and the next process goes on with it
+        if self.stopping and self.store.lasts and final is FinalAnswer.REFUSED:
+            self.log("job_kept", jid=message.payload.jid)  # it never ran, and the next process goes on with it
             return
-        self._final(message.load, final)
+        self._final(message.payload, final)
 
-    def _final(self, job: Job, final: Final) -> None:
+    def _final(self, job: Job, final: FinalAnswer) -> None:
         job.final = final
         job.table = {}
         self.store.end(job.jid, final.value, self.deadlines.clock())
         self.log("job_answered", jid=job.jid, final=final.value)
-        self.deadlines.after(self.terms.remember, self._forget, job)
-        self._ended(job.jid, final is Final.SERVED)
+        self.deadlines.call_after(self.terms.remember, self._forget, job)
+        self._ended(job.jid, final is FinalAnswer.SERVED)
 
     def _ended(self, jid: str, served: bool) -> None:
         """What waited for a job goes on, or has failed with it."""
@@ -403,7 +410,7 @@
         for child in found.failed:
             job, _, _ = self._chained.pop(child)
             self.log("job_chain_failed", jid=child, cause=jid)
-            self._final(job, Final.FAILED)
+            self._final(job, FinalAnswer.FAILED)
         for child in found.released:
             job, wait, due = self._chained.pop(child)
             self._begin(job, wait, due)
@@ -423,7 +430,7 @@
             raise Refusal("jid is no text of 8 to 128 characters")
         known = self.jobs.get(jid)
         if known is not None:
-            if known.final in (Final.REFUSED, Final.FAILED):
+            if known.final in (FinalAnswer.REFUSED, FinalAnswer.FAILED):
                 raise Refusal(f"jid {jid} has had its final answer: {known.final.value}")
             if known.waiting is None:
                 taken(None)
@@ -467,7 +474,7 @@
             refusal = Refusal(f"it cannot be kept: {why}")
         elif self._chain(job, wait, due):
             message = self._begin(job, wait, due)
-            if message is not None and message.final is Final.REFUSED and not message.relays:
+            if message is not None and message.final_answer is FinalAnswer.REFUSED and not message.attempts:
                 del self.jobs[job.jid]  # it was never accepted: to push it again is harmless
                 self.store.forget(job.jid)
                 refusal = Refusal("refused, come back later")
@@ -496,19 +503,19 @@
         start = self._chains.add(
             job.jid,
             [edge for edge, parent in known if parent.final is None],
-            [(edge, parent.final is Final.SERVED) for edge, parent in known if parent.final is not None],
+            [(edge, parent.final is FinalAnswer.SERVED) for edge, parent in known if parent.final is not None],
         )
         if start is Start.WAITS:
             self._chained[job.jid] = job, wait, due
         elif start is Start.FAILED:
             self.log("job_chain_failed", jid=job.jid, cause="a parent had failed")
-            self._final(job, Final.FAILED)
+            self._final(job, FinalAnswer.FAILED)
         return start is Start.READY
 
-    def _begin(self, job: Job, wait: float, due: float) -> Message | None:
+    def _begin(self, job: Job, wait: float, due: float) -> Request | None:
         """Hand it to the core, now or when its time has come."""
         if due > self.deadlines.clock() and not self.stopping:
-            self._scheduled[job.jid] = self.deadlines.at(due, self._take, job, wait), job
+            self._scheduled[job.jid] = self.deadlines.call_at(due, self._take, job, wait), job
             return None
         return self._take(job, wait)
 
@@ -554,9 +561,9 @@
         job = Job(record.jid, lane, record.queue, table, len(record.table), reserve, terms)
         self.jobs[record.jid] = job
         if record.final:
-            job.final, job.table = Final(record.final), {}
+            job.final, job.table = FinalAnswer(record.final), {}
             over = max(0.0, self.terms.remember - max(0.0, now - record.ended_at))
-            self.deadlines.after(over, self._forget, job)
+            self.deadlines.call_after(over, self._forget, job)
             if way is not Way.KNOWN:
                 may = " (may have run)" if record.delivered_at else ""
                 self.log("job_answered", jid=job.jid, final=record.final + may, cause="restart")
@@ -571,13 +578,13 @@
         except ValueError:
             raise Refusal("at is no time") from None
 
-    def _take(self, job: Job, remaining: float) -> Message:
+    def _take(self, job: Job, remaining: float) -> Request:
         self._scheduled.pop(job.jid, None)
-        return self.core.take(job, job.lane, remaining, size=job.size, terms=job.terms)
+        return self.core.accept(job, job.lane, remaining, size=job.size, policy=job.terms)
 
     # -- workers
 
-    def join(self, connection: Connection, wid: str) -> None:
+    def join(self, connection: FaktoryConnection, wid: str) -> None:
         """A connection says whose it is; with its first one the worker comes to life."""
         worker = self.workers.get(wid)
         if worker is None:
@@ -587,7 +594,7 @@
             worker.state = ""
             worker.connections.add(connection)
             self._beaten(worker)
-            self._list([(wid, WorkerState.READY)])
+            self._list([(wid, ServerState.READY)])
         worker.connections.add(connection)
 
     def beat(self, table: dict[str, Any]) -> str:
@@ -604,19 +611,19 @@
     def match(self, worker: Worker) -> None:
         """Let the FETCHes that wait collect what is assigned; told off, a worker collects nothing."""
         for connection in [c for c in worker.connections if c.waiting is not None and c.here]:
-            relay = next((r for r in worker.assigned if r.message.load.queue in connection.queues), None)
+            relay = next((r for r in worker.assigned if r.request.payload.queue in connection.queues), None)
             if relay is None or worker.state:
                 continue
             self._unassign(worker, relay)
             # a copy for a worker that has the job already would be lost among its own reservations
-            if not self.core.may_write(relay) or relay.message.load.jid in worker.reserved:
-                self.core.ended(relay, Outcome.FULL)
+            if not self.core.may_write(relay) or relay.request.payload.jid in worker.reserved:
+                self.core.attempt_ended(relay, Outcome.FULL)
                 continue
-            job: Job = relay.message.load
-            over = self.deadlines.after(job.reserve_for, self._reset, worker, job.jid, "reservation passed")
+            job: Job = relay.request.payload
+            over = self.deadlines.call_after(job.reserve_for, self._reset, worker, job.jid, "reservation passed")
             reservation = worker.reserved[job.jid] = Reservation(relay, worker, connection, over)
             connection.reserved.add(job.jid)
-            self.deadlines.drop(connection.waiting)
+            self.deadlines.cancel(connection.waiting)
             connection.waiting = None
             if must_be_kept_first(job.terms):
                 now = self.deadlines.clock()
@@ -628,20 +635,20 @@
     def _deliver(self, reservation: Reservation, reply: Callable[[bytes], None], why: str) -> None:
         """That it goes out is kept: now its bytes may, if they still should."""
         relay, worker = reservation.relay, reservation.worker
-        job: Job = relay.message.load
+        job: Job = relay.request.payload
         if worker.reserved.get(job.jid) is not reservation:
             reply(bulk(None))  # given up meanwhile, and not a byte has gone out
         elif why or not reservation.connection.here or not self.core.may_write(relay):
             self._release(worker, job.jid)
-            self.core.ended(relay, Outcome.FULL)
+            self.core.attempt_ended(relay, Outcome.FULL)
             reply(bulk(None))
         else:
             reservation.written = True
-            self.core.written()
+            self.core.attempt_written()
             reply(bulk(orjson.dumps({"queue": "default", "retry": 0, **job.table})))
-            self.core.noted(relay, NoteKind.STARTED)
+            self.core.attempt_progressed(relay, ProgressKind.STARTED)
 
-    def end(self, connection: Connection, table: dict[str, Any], outcome: Outcome) -> None:
+    def end(self, connection: FaktoryConnection, table: dict[str, Any], outcome: Outcome) -> None:
         """An ACK or a FAIL; one for a job that is not reserved any more changes nothing."""
         worker, jid = connection.worker, table.get("jid")
         if worker is None:
@@ -653,17 +660,17 @@
             return
         relay = self._release(worker, jid)
         self.ended += 1
-        self.core.ended(relay, outcome)
+        self.core.attempt_ended(relay, outcome)
 
-    def opened(self, connection: Connection) -> bool:
+    def opened(self, connection: FaktoryConnection) -> bool:
         """Book a connection, if there is room."""
-        connection.ticket = self.connections.put(connection)
+        connection.ticket = self.connections.add(connection)
         return len(self.connections) <= self.terms.max_connections
 
-    def closed(self, connection: Connection) -> None:
+    def closed(self, connection: FaktoryConnection) -> None:
         """A connection is lost: what it collected is reset, and with its last one the worker is gone."""
-        self.connections.take(connection.ticket)
-        self.deadlines.drop(connection.waiting)
+        self.connections.remove(connection.ticket)
+        self.deadlines.cancel(connection.waiting)
         connection.waiting = None
         worker = connection.worker
         if worker is None:
@@ -706,13 +713,13 @@
             del self.jobs[job.jid]
             self.store.forget(job.jid)
 
-    def _list(self, changes: Iterable[tuple[str, WorkerState]]) -> None:
+    def _list(self, changes: Iterable[tuple[str, ServerState]]) -> None:
         # a worker collects at its own pace, so a fresh one cannot be pushed over: it is listed as started long ago
-        self.core.inventory(ListKind.CHANGES, [HostEntry(wid, wid, state) for wid, state in changes])
+        self.core.update_servers(ListKind.CHANGES, [ListedServer(wid, wid, state) for wid, state in changes])
 
     def _beaten(self, worker: Worker) -> None:
-        self.deadlines.drop(worker.beat)
-        worker.beat = self.deadlines.after(self.terms.beat_timeout, self._missed, worker)
+        self.deadlines.cancel(worker.beat)
+        worker.beat = self.deadlines.call_after(self.terms.beat_timeout, self._missed, worker)
 
     def _missed(self, worker: Worker) -> None:
         self.log("beat_missed", wid=worker.wid)
@@ -726,34 +733,34 @@
     def _quiet(self, worker: Worker, state: str) -> None:
         self.log("worker_told_off", wid=worker.wid, state=state)
         worker.state = state
-        self._list([(worker.wid, WorkerState.DRAINING)])
+        self._list([(worker.wid, ServerState.DRAINING)])
         self._hand_back(worker)
 
     def _gone(self, worker: Worker) -> None:
-        self.deadlines.drop(worker.beat)
+        self.deadlines.cancel(worker.beat)
         worker.state = worker.state or "terminate"
-        self._list([(worker.wid, WorkerState.GONE)])
+        self._list([(worker.wid, ServerState.REMOVED)])
         self._hand_back(worker)
 
     def _hand_back(self, worker: Worker) -> None:
         """What is assigned and not collected never ran."""
         for relay in list(worker.assigned):
             self._unassign(worker, relay)
-            self.core.ended(relay, Outcome.CONNECT_FAILED)
+            self.core.attempt_ended(relay, Outcome.CONNECT_FAILED)
 
-    def _unassign(self, worker: Worker, relay: Relay) -> None:
+    def _unassign(self, worker: Worker, relay: Attempt) -> None:
         if relay in worker.assigned:
             worker.assigned.remove(relay)
-        self.deadlines.drop(relay.wire)
-        relay.wire = None
+        self.deadlines.cancel(relay.exchange)
+        relay.exchange = None
 
-    def _not_collected(self, relay: Relay) -> None:
-        self._unassign(self.workers[relay.host.entry.name], relay)
-        self.core.ended(relay, Outcome.FULL)
+    def _not_collected(self, relay: Attempt) -> None:
+        self._unassign(self.workers[relay.server.entry.name], relay)
+        self.core.attempt_ended(relay, Outcome.FULL)
 
-    def _release(self, worker: Worker, jid: str) -> Relay:
+    def _release(self, worker: Worker, jid: str) -> Attempt:
         reservation = worker.reserved.pop(jid)
-        self.deadlines.drop(reservation.over)
+        self.deadlines.cancel(reservation.over)
         reservation.connection.reserved.discard(jid)
         return reservation.relay
 
@@ -764,7 +771,7 @@
             relay = self._release(worker, jid)
             self.resets += 1
             self.log("job_reset", jid=jid, wid=worker.wid, why=why)
-            self.core.ended(relay, Outcome.RESET if reservation.written else Outcome.CONNECT_FAILED)
+            self.core.attempt_ended(relay, Outcome.RESET if reservation.written else Outcome.CONNECT_FAILED)
 
 
 def _utc(now: float) -> str:
--- a/heronlug/wire/keeping.py
+++ b/heronlug/frontends/faktory/recovery.py
@@ -4,16 +4,16 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from heronlug.interface import Effect, JobClass
-from heronlug.store.memory import MemoryStore
-from heronlug.store.model import Done, Final, Kept, Store, Way, left, settle
+from heronlug.balancer.settings import Effect, RequestClass
+from heronlug.storage.memory import MemoryStore
+from heronlug.storage.model import Done, Final, Kept, Store, Way, left, settle
 
 
 def open_store(path: str, log: Callable[..., None], turn: Callable[[], None]) -> Store:
     """The store in a file, or none that lasts; raises ``ValueError``.  SQLite is loaded only for a file."""
     if not path:
         return MemoryStore()
-    from heronlug.store.sqlite import SqliteStore
+    from heronlug.storage.sqlite import SqliteStore
 
     loop = asyncio.get_running_loop()
 
@@ -28,13 +28,13 @@
     return SqliteStore(Path(path), soon, log)
 
 
-def must_be_kept_first(terms: JobClass) -> bool:
+def must_be_kept_first(terms: RequestClass) -> bool:
     """Whether a delivery has to be on the disk before its first byte: what may not run twice at will."""
-    return terms.effect is not Effect.REPEATABLE
+    return terms.effect is not Effect.IDEMPOTENT
 
 
 def recovered(
-    store: Store, classes: dict[str, JobClass], now: float, remember: float
+    store: Store, classes: dict[str, RequestClass], now: float, remember: float
 ) -> tuple[list[tuple[Kept, Way]], dict[str, int]]:
     """What is kept, each with what becomes of it; outcomes that follow from the restart are kept at once."""
     found: list[tuple[Kept, Way]] = []
--- /dev/null
+++ b/heronlug/frontends/http/__init__.py
@@ -0,0 +1,1 @@
+"""The HTTP frontend: the platform's protocol on clients' connections."""
--- a/heronlug/wire/north.py
+++ b/heronlug/frontends/http/frontend.py
@@ -11,12 +11,13 @@
 
 import httptools
 
-from heronlug import interface as pk
-from heronlug.memory.core import Core, Final, Message
-from heronlug.memory.deadlines import Key
-from heronlug.memory.slots import Slots
-from heronlug.wire import http
-from heronlug.wire.ends import left, unread
+from heronlug.balancer.settings import Settings
+from heronlug.net import http
+from heronlug.net.connection_state import left, unread
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Key
+from heronlug.requests.model import FinalAnswer, Request, Workload
+from heronlug.requests.slots import SlotTable
 
 MARGIN = 15.0  # the client counts from its send: what way and queue have used up of its time, at most
 READ_WAIT = 2_500.0  # the first request, counted from the dial, and any later one begun must be whole within this
@@ -34,13 +35,12 @@
 ONCE = frozenset({*PASSED, b"x-remaining-ms", b"content-length", b"transfer-encoding", b"host", b"expect"})
 
 
-class Request:
+class HttpRequest:
     """One request as it came."""
 
     __slots__ = (
         "body",
         "connection",
-        "figures",
         "headers",
         "held",
         "keep_alive",
@@ -49,6 +49,7 @@
         "remaining",
         "target",
         "txn",
+        "workload",
     )
 
     def __init__(self) -> None:
@@ -56,13 +57,13 @@
         self.headers: dict[bytes, bytes] = {}
         self.txn = ""
         self.lane, self.remaining = -1, 0.0  # the class, and its time; -1 for what is no message
-        self.figures: dict[str, Any] = {}
+        self.workload = Workload()
         self.keep_alive = True
         self.held = 0  # bytes of body that count in the table's budget
-        self.connection: Connection | None = None
+        self.connection: ClientConnection | None = None
 
 
-class Bad(Exception):
+class BadRequestError(Exception):
     """A request that gets a plain error, and the end of its connection."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -70,7 +71,7 @@
         self.status = status
 
 
-class Owner(Protocol):
+class FrontendOwner(Protocol):
     """What a connection asks of the daemon."""
 
     core: Core
@@ -78,38 +79,38 @@
     def parting(self) -> bool:
         """Whether connections end with their next answer."""
 
-    def log(self, event: str, **fields: object) -> None:
+    def log(self, event: str, /, **fields: object) -> None:
         """One line."""
 
     def ready(self) -> bool:
         """Whether serving is possible."""
 
 
-class Terms:
+class RequestPolicy:
     """What a request has to keep to: the classes by name, and the longest wait."""
 
     __slots__ = ("_tenants", "lanes", "settings")
 
-    def __init__(self, settings: pk.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.lanes = {lane.name: index for index, lane in enumerate(settings.classes)}
         self._tenants = {name.encode(): index for index, name in enumerate(settings.tenants)}
 
-    def read(self, request: Request) -> None:
-        """Read class, remaining time and figures of a message; raises :class:`Bad`."""
+    def read(self, request: HttpRequest) -> None:
+        """Read class, remaining time and figures of a message; raises :class:`BadRequestError`."""
         if request.method != b"POST":
-            raise Bad(405, "only POST hands in a message")
+            raise BadRequestError(405, "only POST hands in a message")
         head = request.headers
         txn = head.get(b"x-txn", b"")
         if not 0 < len(txn) <= MAX_ID or not all(0x20 < byte < 0x7F for byte in txn):
-            raise Bad(400, "X-Txn is missing or no ASCII")
+            raise BadRequestError(400, "X-Txn is missing or no ASCII")
         request.txn = txn.decode("ascii")
         if any(byte < 0x20 for name in PASSED for byte in head.get(name, b"")):
-            raise Bad(400, "a header holds a control character")
+            raise BadRequestError(400, "a header holds a control character")
         segment = http.first_segment(request.target)
         name = head.get(b"x-lane", segment.encode()).decode("utf-8", "replace")
         if name != segment or name not in self.lanes:
-            raise Bad(400, "X-Txn, X-Lane or path names nothing known")
+            raise BadRequestError(400, "X-Txn, X-Lane or path names nothing known")
         lane = self.lanes[name]
         try:
             wait = head.get(b"x-remaining-ms", b"%d" % self.settings.classes[lane].deadline)
@@ -119,20 +120,20 @@
             labels = dict(part.split(b"=", 1) for part in head.get(b"x-labels", b"").split(b",") if part.strip())
             figures = {key.strip().lower(): float(value) for key, value in labels.items()}
         except ValueError:
-            raise Bad(400, "X-Remaining-Ms or X-Labels is no figure") from None
+            raise BadRequestError(400, "X-Remaining-Ms or X-Labels is no figure") from None
         if not all(map(math.isfinite, figures.values())):
-            raise Bad(400, "X-Remaining-Ms or X-Labels is no finite figure")
-        request.figures = {
-            "slots": figures.get(b"slots", 1.0),
-            "memory": figures.get(b"memory", 0.0),
-            "retry": head.get(b"x-resent") == b"1",
-            # who is none of the settings' tenants counts against nobody's share
-            "tenant": self._tenants.get(head.get(b"x-org", b""), len(self._tenants)),
-        }
+            raise BadRequestError(400, "X-Remaining-Ms or X-Labels is no finite figure")
+        request.workload = Workload(
+            slots=figures.get(b"slots", 1.0),
+            memory=figures.get(b"memory", 0.0),
+            # an unknown tenant counts against no quota
+            tenant=self._tenants.get(head.get(b"x-org", b""), len(self._tenants)),
+            retry=head.get(b"x-resent") == b"1",
+        )
         request.lane, request.remaining = lane, min(remaining, 71 * 60_000.0) - MARGIN
 
 
-class Rank(IntEnum):
+class EvictionRank(IntEnum):
     """Whom to part with first where descriptors are short; within a rank, who has been in it longest.
 
     Guards an ordinary client's place against hundreds that say nothing, or ask once and stay.
@@ -145,23 +146,23 @@
     BUSY = 4  # not to be parted with
 
 
-class Connection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection: requests in turn, pipelined ones wait."""
 
-    def __init__(self, north: "North", made: "Callable[[Connection], None] | None" = None) -> None:
+    def __init__(self, north: "HttpFrontend", made: "Callable[[ClientConnection], None] | None" = None) -> None:
         self.north, self._made = north, made
         self.ticket = 0
         self.transport: asyncio.Transport | None = None
-        self.message: Message | None = None
+        self.message: Request | None = None
         self.busy = False  # a request is being served
         self.messages = 0  # taken from it so far
         self.opened_at = north.deadlines.clock()
         self.rank = -1  # its place among those to part with, see Rank
         self.asked = False  # a whole request has come
         self.closing = False
-        self._waiting: deque[Request] = deque()
+        self._waiting: deque[HttpRequest] = deque()
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._request = Request()
+        self._request = HttpRequest()
         self._begun = self._in_head = False  # a request has begun and is not whole; nor is its head
         self._read = 0  # bytes of it so far, with all framing; none for those read along with the one before
         self._head_size = 0  # what is whole of its head
@@ -191,15 +192,19 @@
             self._parser.feed_data(data)
             if self._begun and self._read > (http.MAX_HEAD if self._in_head else MAX_READ):
                 # the parser tells of a header only once it is whole, and of a chunk's extension never
-                raise Bad(431, "the head is too large") if self._in_head else Bad(413, "too much framing")
-        except Bad as bad:
+                raise (
+                    BadRequestError(431, "the head is too large")
+                    if self._in_head
+                    else BadRequestError(413, "too much framing")
+                )
+        except BadRequestError as bad:
             self._reject(bad)
         except httptools.HttpParserUpgrade:
-            self._reject(Bad(400, "no upgrades here"))
+            self._reject(BadRequestError(400, "no upgrades here"))
         except httptools.HttpParserError as error:
             # what a callback raised comes wrapped, as the context of the parser's own error
             cause = error.__context__ or error.__cause__
-            self._reject(cause if isinstance(cause, Bad) else Bad(400, "this is no HTTP/1.1"))
+            self._reject(cause if isinstance(cause, BadRequestError) else BadRequestError(400, "this is no HTTP/1.1"))
         except Exception as error:  # one connection ends, the process does not
             self.north.owner.log("exception", where="north", error=repr(error))
             self.abort()
@@ -211,22 +216,22 @@
         """The client has closed: it has gone away, and with it what it asked for."""
         self.closing = True
         self._parser = None  # it holds us, and we it: in a crowd that would wait long for the collector
-        self.north.deadlines.drop(self._deadline)
+        self.north.deadlines.cancel(self._deadline)
         self.north.closed(self)
         for request in (self._request, *self._waiting):
             self.north.release(request)
         self._waiting.clear()
         if self.message is not None:
             message, self.message = self.message, None
-            self.north.release(message.load)
-            self.north.owner.core.leave(message)
+            self.north.release(message.payload)
+            self.north.owner.core.client_left(message)
         self.north.turn()
 
     # -- httptools
 
     def on_message_begin(self) -> None:
         """A request begins."""
-        self._request, self._head_size = Request(), 0
+        self._request, self._head_size = HttpRequest(), 0
         self._body = bytearray()
         self._begun = self._in_head = True
         if self.asked:  # the first one's time runs from the dial
@@ -243,7 +248,7 @@
         if not self._in_head:
             return  # nothing that a trailer says is heeded
         if name in ONCE and name in headers:
-            raise Bad(400, "a header is given twice")
+            raise BadRequestError(400, "a header is given twice")
         headers[name] = value.strip(b" \t")  # the parser takes the white space before a value off, and none behind
         self._count_head(len(name) + len(value) + 4)
 
@@ -253,13 +258,15 @@
         headers = self._request.headers
         length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
         if length is not None and coding is not None:
-            raise Bad(400, "Content-Length with Transfer-Encoding")  # one of them hides what the other shows
+            raise BadRequestError(
+                400, "Content-Length with Transfer-Encoding"
+            )  # one of them hides what the other shows
         if length is not None and not length.isdigit():
-            raise Bad(400, "Content-Length is no figure")
+            raise BadRequestError(400, "Content-Length is no figure")
         if length is not None and (len(length) > 9 or int(length) > http.MAX_BODY):
-            raise Bad(413, "a body holds 64 KiB at most")
+            raise BadRequestError(413, "a body holds 64 KiB at most")
         if coding is not None and coding.strip().lower() != b"chunked":
-            raise Bad(501, "no transfer coding but chunked")
+            raise BadRequestError(501, "no transfer coding but chunked")
         if headers.get(b"expect", b"").lower() == b"100-continue" and not self.busy:
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -268,7 +275,7 @@
         """A piece of the body."""
         self._body += body
         if len(self._body) > http.MAX_BODY:
-            raise Bad(413, "a body holds 64 KiB at most")
+            raise BadRequestError(413, "a body holds 64 KiB at most")
         self.north.hold(self._request, len(body))
 
     def on_message_complete(self) -> None:
@@ -282,12 +289,12 @@
         self._begun = self._in_head = False
         self._read = 0
         self.asked = True
-        self.north.deadlines.drop(self._deadline)
+        self.north.deadlines.cancel(self._deadline)
         if request.method != b"GET" or not request.target.startswith(b"/health/"):
             self.north.terms.read(request)
         self._waiting.append(request)
         if len(self._waiting) > MAX_PIPELINED:
-            raise Bad(429, "too many requests at once on one connection")
+            raise BadRequestError(429, "too many requests at once on one connection")
 
     # -- serving
 
@@ -304,7 +311,7 @@
                 self.closing = True
                 self.transport.close()
             return
-        self.north.rank(self, Rank.SERVED if self.messages else Rank.ASKED)
+        self.north.rank(self, EvictionRank.SERVED if self.messages else EvictionRank.ASKED)
         if not self._begun:
             self._wait(IDLE_WAIT)
         self._next()
@@ -341,15 +348,15 @@
     def let_go(self) -> None:
         """Another process holds the connection: close our descriptor, and nothing goes out."""
         if self.message is not None:
-            self.north.release(self.message.load)
+            self.north.release(self.message.payload)
         self.message, self.busy = None, False
         self.abort()
 
-    def carry(self, message: Message) -> None:
+    def carry(self, message: Request) -> None:
         """Go on with a message that was taken from it in another process."""
         self.message, self.busy = message, True
-        self.north.deadlines.drop(self._deadline)
-        self.north.rank(self, Rank.BUSY)
+        self.north.deadlines.cancel(self._deadline)
+        self.north.rank(self, EvictionRank.BUSY)
 
     def abort(self) -> None:
         """End the connection at once."""
@@ -361,33 +368,33 @@
     def _next(self) -> None:
         while self._waiting and not self.busy and not self.closing:
             self.busy = True
-            self.north.rank(self, Rank.BUSY)
+            self.north.rank(self, EvictionRank.BUSY)
             if not self._begun:
-                self.north.deadlines.drop(self._deadline)
+                self.north.deadlines.cancel(self._deadline)
             try:
                 self.north.serve(self, self._waiting.popleft())
-            except Bad as bad:
+            except BadRequestError as bad:
                 self._reject(bad)
 
     def _count_head(self, size: int) -> None:
         self._head_size += size
         if self._head_size > http.MAX_HEAD:
-            raise Bad(431, "the head is too large")
+            raise BadRequestError(431, "the head is too large")
 
     def _wait(self, wait: float) -> None:
-        self.north.deadlines.drop(self._deadline)
-        self._deadline = self.north.deadlines.after(wait, self._overdue)
+        self.north.deadlines.cancel(self._deadline)
+        self._deadline = self.north.deadlines.call_after(wait, self._overdue)
 
     def _overdue(self) -> None:
         """A request begun is not whole in time, or nothing comes at all."""
         if self._begun:
-            self._reject(Bad(408, "the request is not whole in time"))
+            self._reject(BadRequestError(408, "the request is not whole in time"))
         elif self.more:  # it has just come, and is read in this turn
             self._wait(READ_WAIT)
         else:
             self.abort()
 
-    def _reject(self, bad: Bad) -> None:
+    def _reject(self, bad: BadRequestError) -> None:
         """What cannot be read gets its error at once and ends the connection, whatever waits before it.
 
         Those before it are owed whole answers all the same: what may have run has failed, the rest is refused.
@@ -398,7 +405,7 @@
         waiting = [http.response(503)] * len(self._waiting)
         for request in self._waiting:
             if request.lane >= 0:
-                self.north.owner.core.turned_away(request.lane, Final.REFUSED)
+                self.north.owner.core.count_answer(request.lane, FinalAnswer.REFUSED)
         for request in (self._request, *self._waiting):
             self.north.release(request)
         self._waiting.clear()
@@ -415,40 +422,40 @@
         self.closing = True
         if not self.transport.is_closing():
             self.transport.write_eof()
-        self.north.rank(self, Rank.REJECTED)
-        self.north.deadlines.drop(self._deadline)
-        self._deadline = self.north.deadlines.after(LINGER, self.abort)
+        self.north.rank(self, EvictionRank.REJECTED)
+        self.north.deadlines.cancel(self._deadline)
+        self._deadline = self.north.deadlines.call_after(LINGER, self.abort)
 
 
-class North:
+class HttpFrontend:
     """The clients' connections."""
 
     def __init__(
-        self, owner: Owner, settings: pk.Settings, max_connections: int, max_held: int, turn: Callable[[], None]
+        self, owner: FrontendOwner, settings: Settings, max_connections: int, max_held: int, turn: Callable[[], None]
     ) -> None:
-        self.owner, self.terms, self.turn = owner, Terms(settings), turn
+        self.owner, self.terms, self.turn = owner, RequestPolicy(settings), turn
         self.deadlines = owner.core.deadlines
         self.max_connections, self.max_held = max_connections, max_held
         self.held = 0  # bytes of bodies, of requests being read too
-        self.connections: Slots[Connection] = Slots()
-        self.ranks: list[dict[int, Connection]] = [{} for _ in Rank]  # by ticket, who came into it first
+        self.connections: SlotTable[ClientConnection] = SlotTable()
+        self.ranks: list[dict[int, ClientConnection]] = [{} for _ in EvictionRank]  # by ticket, who came into it first
         self.opened_at = self.came_at = self.deadlines.clock()  # when the last connection came, and the last client
         self._adopting: set[asyncio.Task[Any]] = set()
         self._crowded_at = 0.0  # when the log was told last that there are too many
 
-    def protocol(self) -> Connection:
+    def protocol(self) -> ClientConnection:
         """A protocol for a new connection."""
-        return Connection(self)
+        return ClientConnection(self)
 
-    def opened(self, connection: Connection) -> None:
+    def opened(self, connection: ClientConnection) -> None:
         """Book a connection; past the limit of descriptors another one makes room."""
-        connection.ticket = self.connections.put(connection)
+        connection.ticket = self.connections.add(connection)
         self.opened_at = self.deadlines.clock()
         if len(self.connections) > self.max_connections:
             self._note_crowd()
             (self._first_to_go() or connection).abort()
-        rested = Rank.SERVED if connection.messages else Rank.ASKED
-        self.rank(connection, rested if connection.asked else Rank.SILENT)
+        rested = EvictionRank.SERVED if connection.messages else EvictionRank.ASKED
+        self.rank(connection, rested if connection.asked else EvictionRank.SILENT)
 
     def make_room(self) -> None:
         """The process has no descriptor left: one connection that owes nothing goes, if there is such a one."""
@@ -463,42 +470,45 @@
             self._crowded_at = now
             self.owner.log("too_many_clients", connections=len(self.connections))
 
-    def _first_to_go(self) -> Connection | None:
+    def _first_to_go(self) -> ClientConnection | None:
         """The first in rank, but one whose first request may be under way comes after those that asked for nothing."""
         rejected, silent, asked, served = (
-            next((one for one in islice(those.values(), LOOKED_AT) if rank is Rank.REJECTED or not one.more), None)
-            for rank, those in zip(Rank, self.ranks[: Rank.BUSY], strict=False)
+            next(
+                (one for one in islice(those.values(), LOOKED_AT) if rank is EvictionRank.REJECTED or not one.more),
+                None,
+            )
+            for rank, those in zip(EvictionRank, self.ranks[: EvictionRank.BUSY], strict=False)
         )
         fresh = silent is not None and self.deadlines.clock() - silent.opened_at < FRESH
         settled = None if fresh else silent
         return rejected or settled or asked or silent or served
 
-    def rank(self, connection: Connection, rank: int) -> None:
+    def rank(self, connection: ClientConnection, rank: int) -> None:
         """Put a connection last in its new rank; -1 is none."""
         if connection.rank >= 0:
             del self.ranks[connection.rank][connection.ticket]
-        if connection.closing and rank > Rank.REJECTED:
+        if connection.closing and rank > EvictionRank.REJECTED:
             rank = -1
         connection.rank = rank
         if rank >= 0:
             self.ranks[rank][connection.ticket] = connection
 
-    def hold(self, request: Request, size: int) -> None:
-        """So many bytes more of a body; raises :class:`Bad` where memory has no room for them."""
+    def hold(self, request: HttpRequest, size: int) -> None:
+        """So many bytes more of a body; raises :class:`BadRequestError` where memory has no room for them."""
         request.held += size
         self.held += size
         if self.held > self.max_held:
-            raise Bad(503, "no room for a body now")
+            raise BadRequestError(503, "no room for a body now")
 
-    def release(self, request: Request) -> None:
+    def release(self, request: HttpRequest) -> None:
         """Nothing is relayed of it any more."""
         self.held -= request.held
         request.held, request.body = 0, b""
 
-    def closed(self, connection: Connection) -> None:
+    def closed(self, connection: ClientConnection) -> None:
         """A connection has ended."""
         self.rank(connection, -1)
-        self.connections.take(connection.ticket)
+        self.connections.remove(connection.ticket)
 
     def close_idle(self) -> None:
         """Close what stands between requests, but one whose first request may still be on its way."""
@@ -514,17 +524,17 @@
                 take(connection.pause(), connection.messages > 0)
                 connection.let_go()
 
-    def adopt(self, sock: socket.socket, served: bool, made: Callable[[Connection], None] | None = None) -> None:
+    def adopt(self, sock: socket.socket, served: bool, made: Callable[[ClientConnection], None] | None = None) -> None:
         """A client's connection that another process has passed on."""
         sock.setblocking(False)
-        connection = Connection(self, made)
+        connection = ClientConnection(self, made)
         connection.asked, connection.messages = True, int(served)
         loop = asyncio.get_running_loop()
         task = loop.create_task(loop.connect_accepted_socket(lambda: connection, sock))
         self._adopting.add(task)
         task.add_done_callback(self._adopting.discard)
 
-    def serve(self, connection: Connection, request: Request) -> None:
+    def serve(self, connection: ClientConnection, request: HttpRequest) -> None:
         """One whole request."""
         path = request.target.split(b"?", 1)[0]
         keep = self._keeps(request, connection)
@@ -542,41 +552,46 @@
             return
         if self.owner.core.is_open(request.txn):
             self.release(request)
-            self.owner.core.turned_away(request.lane, Final.FAILED)
-            raise Bad(409, "a message of this X-Txn is open")  # another client's, or it would not be open
+            self.owner.core.count_answer(request.lane, FinalAnswer.FAILED)
+            raise BadRequestError(409, "a message of this X-Txn is open")  # another client's, or it would not be open
         connection.messages += 1
         if connection.messages == 1:
             self.came_at = self.deadlines.clock()
-        message = self.owner.core.take(
-            request, request.lane, request.remaining, name=request.txn, size=len(request.body), **request.figures
+        message = self.owner.core.accept(
+            request,
+            request.lane,
+            request.remaining,
+            request_id=request.txn,
+            size=len(request.body),
+            workload=request.workload,
         )
         if not message.closed:
             connection.message = message
 
-    def here(self, message: Message) -> bool:
+    def client_waits(self, message: Request) -> bool:
         """Whether its client has not left."""
-        connection = message.load.connection
+        connection = message.payload.connection
         return connection is None or connection.here
 
-    def _keeps(self, request: Request, connection: Connection) -> bool:
+    def _keeps(self, request: HttpRequest, connection: ClientConnection) -> bool:
         """Whether a connection stays after this answer: when we part, until nothing more of it is taken."""
         return request.keep_alive and not (self.owner.parting() and not connection.more)
 
-    def answer(self, message: Message, final: Final, body: bytes, come_back: float) -> None:
+    def answer(self, message: Request, final: FinalAnswer, body: bytes, come_back: float) -> None:
         """The final answer of a message, on its connection."""
-        request: Request = message.load
+        request: HttpRequest = message.payload
         connection = request.connection
         self.release(request)  # nothing is relayed any more
         if connection is None:
             return
         keep = self._keeps(request, connection)
-        status = {Final.SERVED: 200, Final.REFUSED: 503, Final.FAILED: 500}[final]
+        status = {FinalAnswer.SERVED: 200, FinalAnswer.REFUSED: 503, FinalAnswer.FAILED: 500}[final]
         connection.answer(
             http.response(status, body, close=not keep, retry_after=come_back if status == 503 else 0.0), keep
         )
 
 
-def relay_head(request: Request, remaining: float) -> list[tuple[bytes, bytes]]:
+def relay_head(request: HttpRequest, remaining: float) -> list[tuple[bytes, bytes]]:
     """The headers that go on to a host."""
     headers = [(name, request.headers[name]) for name in PASSED if name in request.headers]
     return [*headers, (b"x-remaining-ms", b"%d" % max(0, round(remaining)))]
--- a/heronlug/wire/admin.py
+++ b/heronlug/lifecycle/admin.py
@@ -9,9 +9,9 @@
 
 import httptools
 
-from heronlug.memory.deadlines import Deadlines, Key
-from heronlug.memory.slots import Slots
-from heronlug.wire import http
+from heronlug.net import http
+from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.slots import SlotTable
 
 MAX_CALLERS = 16  # at once; one more has the oldest cut
 CALL_WAIT = 2_000.0  # a call must be whole within this
@@ -22,10 +22,10 @@
 Calls = dict[tuple[bytes, bytes], Callable[[], Answer]]  # by method and path
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection with its one call."""
 
-    def __init__(self, admin: "Admin") -> None:
+    def __init__(self, admin: "AdminEndpoint") -> None:
         self.admin = admin
         self.ticket = 0
         self.transport: asyncio.Transport | None = None
@@ -38,7 +38,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """An operator has connected."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass, and keeps to it
-        self._deadline = self.admin.deadlines.after(CALL_WAIT, self.abort)
+        self._deadline = self.admin.deadlines.call_after(CALL_WAIT, self.abort)
         self.admin.opened(self)
         self.admin.turn()
 
@@ -64,8 +64,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """The operator has gone."""
         self._parser = None
-        self.admin.deadlines.drop(self._deadline)
-        self.admin.callers.take(self.ticket)
+        self.admin.deadlines.cancel(self._deadline)
+        self.admin.callers.remove(self.ticket)
         self.admin.turn()
 
     def on_url(self, url: bytes) -> None:
@@ -79,7 +79,7 @@
 
     def abort(self) -> None:
         """End the connection at once."""
-        self.admin.callers.take(self.ticket)
+        self.admin.callers.remove(self.ticket)
         if self.transport is not None:
             self.transport.abort()
 
@@ -90,26 +90,26 @@
         self.transport.write(http.response(status, body, close=True))
         # an end of ours with input unread would void the answer: the caller closes, or the time is over
         self.transport.write_eof()
-        self.admin.deadlines.drop(self._deadline)
-        self._deadline = self.admin.deadlines.after(LINGER, self.abort)
+        self.admin.deadlines.cancel(self._deadline)
+        self._deadline = self.admin.deadlines.call_after(LINGER, self.abort)
 
 
-class Admin:
+class AdminEndpoint:
     """The callers, and what they may call."""
 
     def __init__(self, calls: Calls, deadlines: Deadlines, log: Callable[..., None], turn: Callable[[], None]) -> None:
         self.calls, self.deadlines, self.log, self.turn = calls, deadlines, log, turn
-        self.callers: Slots[Caller] = Slots()
+        self.callers: SlotTable[AdminConnection] = SlotTable()
 
-    def protocol(self) -> Caller:
+    def protocol(self) -> AdminConnection:
         """A protocol for a new connection."""
-        return Caller(self)
+        return AdminConnection(self)
 
-    def opened(self, caller: Caller) -> None:
+    def opened(self, caller: AdminConnection) -> None:
         """Book a caller; past the limit the one that came first makes room: a call takes no such time."""
         if len(self.callers) >= MAX_CALLERS:
             min(self.callers, key=lambda other: other._deadline or (0.0, 0)).abort()
-        caller.ticket = self.callers.put(caller)
+        caller.ticket = self.callers.add(caller)
 
     def answer(self, method: bytes, path: bytes) -> Answer:
         """Status and body of a call."""
--- a/heronlug/life/start.py
+++ b/heronlug/lifecycle/application.py
@@ -13,34 +13,37 @@
 
 import uvloop
 
-from heronlug.arrival.freshness import Freshness
-from heronlug.arrival.freshness import State as ListState
-from heronlug.interface import JobClass, ListKind
-from heronlug.life import control, halls
-from heronlug.life.config import Config
-from heronlug.life.control import Running
-from heronlug.life.early import early
-from heronlug.life.files import Files
-from heronlug.life.listener import Listener
-from heronlug.life.log import Log
-from heronlug.life.operate import accept_figures, calls
-from heronlug.life.parting import Parting
-from heronlug.life.reload import Reload
-from heronlug.life.state import EMPTY, State, StateError, digest
-from heronlug.life.takeover import Takeover
-from heronlug.limits import resolve
-from heronlug.memory.core import Core, Final, HostEntry, Message, Relay
-from heronlug.memory.deadlines import Clock, Deadlines
-from heronlug.wire.acceptor import Acceptor
-from heronlug.wire.admin import MAX_CALLERS, Admin
-from heronlug.wire.faktory import Faktory, Terms
-from heronlug.wire.http import split_address
-from heronlug.wire.inventory import SPREAD, Inventory
-from heronlug.wire.keeping import open_store
-from heronlug.wire.north import North
-from heronlug.wire.peers import Peers
-from heronlug.wire.server_list import read_list
-from heronlug.wire.south import South
+from heronlug.backends.pool import ConnectionPool
+from heronlug.balancer.events import ListKind
+from heronlug.balancer.settings import RequestClass
+from heronlug.config.desired_state import EMPTY, State, StateError, digest
+from heronlug.config.files import Files
+from heronlug.config.limits import resolve
+from heronlug.config.platform import Config
+from heronlug.config.reload import Reload
+from heronlug.discovery.client import SPREAD, DiscoveryClient
+from heronlug.discovery.endpoint_list import read_list
+from heronlug.discovery.freshness import Freshness
+from heronlug.discovery.freshness import State as ListState
+from heronlug.frontends.faktory.frontend import FaktoryConfig, FaktoryFrontend
+from heronlug.frontends.faktory.recovery import open_store
+from heronlug.frontends.http.frontend import HttpFrontend
+from heronlug.lifecycle import control
+from heronlug.lifecycle import zone_commands as halls
+from heronlug.lifecycle.admin import MAX_CALLERS, AdminEndpoint
+from heronlug.lifecycle.control import RunningState
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
+from heronlug.lifecycle.log import Log
+from heronlug.lifecycle.operations import accept_figures, calls
+from heronlug.lifecycle.startup_signals import early
+from heronlug.net.acceptor import Acceptor
+from heronlug.net.http import split_address
+from heronlug.net.listener import Listener
+from heronlug.peers.datagrams import PeerSocket
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Clock, Deadlines
+from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
 
 CONFIRM_WITHIN = 3_000.0  # ms that a start waits for discovery to confirm its list before it takes clients
 FAKTORY_BACKLOG = 128
@@ -49,7 +52,7 @@
 SPARE_DESCRIPTORS = 64  # for the loop, the log, the inventory, the peers and the listeners
 
 
-class Loop:
+class DeadlineLoop:
     """The deadlines on a running loop: swept each turn, with one timer armed for the head."""
 
     def __init__(self, log: Log) -> None:
@@ -62,10 +65,10 @@
     def turn(self) -> None:
         """Sweep what is due, and arm the timer for what comes first."""
         try:
-            self.deadlines.sweep()
+            self.deadlines.run_due()
         except Exception as error:  # one deadline's fault must not stop the others
             self._log("exception", where="deadlines", error=repr(error))
-        head = self.deadlines.head()
+        head = self.deadlines.next_due()
         self._note_late()
         if head == self._armed_for:
             return
@@ -78,7 +81,7 @@
 
     def _note_late(self) -> None:
         """The loop has stood still past a timer, or the process had no processor meanwhile."""
-        late = self.deadlines.late
+        late = self.deadlines.lateness
         if late >= LATE_TURN:
             self._log("late_turn", ms=round(late, 1), deadlines=len(self.deadlines))
 
@@ -87,22 +90,22 @@
         self.turn()
 
 
-class Daemon:
+class Application:
     """One dispatcher."""
 
     def __init__(self, config: Config, files: Files, log: Log) -> None:
         self.config, self.log = config, log
-        self.running = Running(self)
-        self.faktory: Faktory | None = None  # made when it is first listened for, and kept: it owns its jobs
+        self.running = RunningState(self)
+        self.faktory: FaktoryFrontend | None = None  # made when it is first listened for, and kept: it owns its jobs
         self._faktory_listener: Listener | None = None
-        self.loop = Loop(log)
+        self.loop = DeadlineLoop(log)
         self.turn = self.loop.turn
         self.left = asyncio.Event()
         self._began = self.loop.clock.now()
         deadlines, settings = self.loop.deadlines, config.settings
         half = max(16, (config.sockets - SPARE_DESCRIPTORS) // 2)
         spare = max(MIN_HELD, (config.memory_mb - PROGRAM_MB) / 2)  # half of what the program itself leaves
-        self.south = South(
+        self.south = ConnectionPool(
             deadlines,
             log,
             self.turn,
@@ -110,11 +113,11 @@
             dial_timeout=settings.dial_timeout,
             max_connections=half,
         )
-        self.peers = Peers(
+        self.peers = PeerSocket(
             config.peers, config.peers_all, settings.position, self._heard, log, self.turn, deadlines.clock
         )
         read = partial(read_list, zones=config.zones, kinds=config.kinds, to_clock=float)  # our clock is Unix time
-        self.inventory = Inventory(
+        self.inventory = DiscoveryClient(
             config.discovery,
             0,
             read,
@@ -122,7 +125,7 @@
             deadlines,
             log,
             self.turn,
-            Freshness(config.pushed, settings.ask_every, settings.drain_grace),
+            Freshness(config.pushed, settings.poll_interval, settings.drain_grace),
             part=1.0 - SPREAD * settings.position / settings.instances,
         )
         self.core = Core(
@@ -132,16 +135,16 @@
             deadlines,
             log=log,
             subscribe=self._subscribe,
-            tell=lambda content, peer: self.takeover.tell(content, peer),
+            send_peer_message=lambda content, peer: self.takeover.tell(content, peer),
             max_open=min(config.max_open, int(config.memory_mb * 32)),  # bodies apart, a message takes a few KB
-            max_come_back=config.max_come_back,
-            behind=self.inventory.behind,
+            max_retry_after=config.max_come_back,
+            has_unread_update=self.inventory.behind,
         )
         self.south.core = self.core
         if not config.paced:  # operators' files that pace their calls go by the list they have for longer
-            self.inventory.on_good = self.core.use_list
-        self.north = North(self, settings, half, int(spare * 1024 * 1024), self.turn)
-        self.leaving = Parting(
+            self.inventory.on_good = self.core.set_list_usable
+        self.north = HttpFrontend(self, settings, half, int(spare * 1024 * 1024), self.turn)
+        self.leaving = GracefulShutdown(
             deadlines,
             max(lane.deadline for lane in settings.classes),
             self._busy,
@@ -156,14 +159,14 @@
         self.listener = Listener(Acceptor("clients", self.north.protocol, log))
         self.listener.acceptor.exhausted = self.north.make_room
         self.operators = Listener(Acceptor("operators", lambda: self.admin.protocol(), log))
-        self.takeover = Takeover(self, deadlines, os.environ.get("TMPDIR"))
-        self.core.named = self.takeover.named
+        self.takeover = StateTransfer(self, deadlines, os.environ.get("TMPDIR"))
+        self.core.on_request_id = self.takeover.named
         self.member: Any = None  # our membership, where there is a cluster
         self.keep: Any = None  # the file of the list, where one is kept
         if config.paced:
             self.use_register({})
         table = calls(self.leaving, self._takes_clients, self._cores, log, self._more_figures)
-        self.admin = Admin(table, deadlines, log, self.turn)
+        self.admin = AdminEndpoint(table, deadlines, log, self.turn)
         self.reload = Reload(
             config,
             partial(files.load, again=True),
@@ -176,38 +179,38 @@
 
     # -- the front of the platform's protocol
 
-    def send(self, relay: Relay) -> None:
+    def send(self, relay: Attempt) -> None:
         """Begin a relay."""
         self.south.send(relay)
 
-    def cancel(self, relay: Relay) -> None:
+    def cancel(self, relay: Attempt) -> None:
         """Give a relay up."""
         self.south.cancel(relay)
 
-    def answer(self, message: Message, final: Final, body: bytes, come_back: float) -> None:
+    def answer(self, message: Request, final: FinalAnswer, body: bytes, come_back: float) -> None:
         """Answer a client."""
         self.north.answer(message, final, body, come_back)
 
-    def here(self, message: Message) -> bool:
+    def client_waits(self, message: Request) -> bool:
         """Whether a client still waits."""
-        return self.north.here(message)
+        return self.north.client_waits(message)
 
     # -- start and stop
 
     def ready(self) -> bool:
         """Whether serving is possible."""
         wanted = self.leaving.wanted or self.takeover.handover.handed
-        return wanted and (self.core.can_serve or self._waits_for_discovery())
+        return wanted and (self.core.directory.can_serve or self._waits_for_discovery())
 
     def _waits_for_discovery(self) -> bool:
         """Whether clients are taken though the list that was given is not confirmed: their requests wait for that."""
         unconfirmed = self.inventory.freshness.state is ListState.UNCONFIRMED
         waited = self.loop.clock.now() - self._began >= CONFIRM_WITHIN
-        return unconfirmed and waited and self.core.lists_ready
+        return unconfirmed and waited and self.core.directory.has_ready_server
 
     def parting(self) -> bool:
         """Whether clients' connections end with their next answer."""
-        return self.leaving.parting()
+        return self.leaving.is_draining()
 
     async def run(self, desired: State, control_path: str) -> None:
         """Serve until a planned stop is over; raises :class:`StateError` when the desired state can't be had."""
@@ -257,7 +260,7 @@
 
     async def open_faktory(self, terms: dict[str, Any]) -> Any:
         """Bind the second front's address, unless it is the one that it has already."""
-        wanted = Terms(
+        wanted = FaktoryConfig(
             listen=split_address(terms["listen"]),
             password=terms["password"],
             beat_timeout=terms["beat_timeout_s"] * 1000,
@@ -299,17 +302,17 @@
 
     def use_register(self, terms: dict[str, Any]) -> None:
         """Keep to a pace, and keep the list; the code of both is loaded only here."""
-        from heronlug.arrival.pacing import Pacer
-        from heronlug.arrival.pacing import Terms as PaceTerms
+        from heronlug.discovery.poll_pacing import PollPacer
+        from heronlug.discovery.poll_pacing import PollTerms as PaceTerms
 
         config, settings = self.config, self.core.settings
         cost = 1000 / terms["calls_per_s"] if terms.get("calls_per_s") else None
         many = PaceTerms(settings.instances, settings.position, cost)
-        self.inventory.pace = Pacer(many, Random(config.seed or None).random)
+        self.inventory.pace = PollPacer(many, Random(config.seed or None).random)
         if terms.get("keep"):
-            from heronlug.life.keep import Keep
+            from heronlug.discovery.cache_file import CacheFile
 
-            self.keep = Keep(
+            self.keep = CacheFile(
                 terms["keep"],
                 terms["keep_for_s"] * 1000,
                 lambda: self.inventory.address,
@@ -320,10 +323,10 @@
 
     async def join_cluster(self, terms: dict[str, Any]) -> None:
         """Be a member; its code is loaded only here."""
-        from heronlug.life.member import Member
+        from heronlug.lifecycle.cluster_member import ClusterMember
 
         config = self.config
-        member = Member(
+        member = ClusterMember(
             terms,
             self.inventory,
             self.core,
@@ -371,21 +374,21 @@
 
     def load_plugins(self, plugins: dict[str, tuple[bytes, int, int]]) -> Any:
         """Compile plug-ins.  wasmtime is imported only here: where none is configured it takes no memory."""
-        from heronlug.hooks.host import HookHost
+        from heronlug.plugins.host import PluginHost
 
-        return HookHost.load(plugins)
+        return PluginHost.load(plugins)
 
     def use_plugins(self, loaded: Any) -> None:
         """Put plug-ins in the place of those before."""
         hooks = None
         if loaded:
-            from heronlug.hooks.host import HookHost
+            from heronlug.plugins.host import PluginHost
 
-            hooks = HookHost(self.log)
+            hooks = PluginHost(self.log)
             hooks.use(loaded)
-        self.core.hooks = hooks
+        self.core.plugins = hooks
         if self.faktory is not None:
-            self.faktory.core.hooks = hooks
+            self.faktory.core.plugins = hooks
 
     def use_level(self, level: str) -> None:
         """Log from this level on."""
@@ -393,30 +396,32 @@
 
     def broken_limits(self, classes: State) -> list[tuple[str, str, str, str]]:
         """The rules that limits break here; the checker is loaded only where there are limits to check."""
-        from heronlug.limits.load import check
+        from heronlug.config.limits.load import check
 
         return [(b.name, b.key, b.wrong, b.right) for b in check(self.config.settings, classes)]
 
-    def resolved_limits(self, classes: State) -> tuple[JobClass, ...]:
+    def resolved_limits(self, classes: State) -> tuple[RequestClass, ...]:
         """All classes under limits that break no rule."""
         return resolve(self.config.settings.classes, classes)
 
-    def use_limits(self, classes: tuple[JobClass, ...]) -> None:
+    def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
         """Both fronts take jobs in under these limits from now on; open ones keep theirs."""
         for core in self._cores():
-            core.use(classes)
+            core.use_classes(classes)
 
-    def _make_faktory(self, terms: Terms) -> Faktory:
+    def _make_faktory(self, terms: FaktoryConfig) -> FaktoryFrontend:
         """The second front has a core of its own: its workers cannot run what came by HTTP, nor the other way."""
-        front = Faktory(terms, self.loop.deadlines, self.log, self.turn, open_store(terms.store, self.log, self.turn))
+        front = FaktoryFrontend(
+            terms, self.loop.deadlines, self.log, self.turn, open_store(terms.store, self.log, self.turn)
+        )
         settings = replace(
             self.core.settings,
             instances=1,
             position=0,
-            may_tell=False,
+            gossip=False,
             list_pushed=True,
             report_fields=(),
-            halls=False,
+            zone_failover=False,
             retry_share=1e3,
             retry_burst=1e6,  # workers pull: no storm; the cap of attempts holds
         )
@@ -427,14 +432,14 @@
             self.loop.deadlines,
             log=self.log,
             max_open=self.core.max_open,
-            max_come_back=self.config.max_come_back,
-            hooks=self.core.hooks,
+            max_retry_after=self.config.max_come_back,
+            plugins=self.core.plugins,
         )
         return front
 
     def _on_signal(self) -> None:
         if self.leaving.stop():
-            self.log("stopping", messages=len(self.core.messages))
+            self.log("stopping", messages=len(self.core.requests))
             if not self.takeover.handover.handed:  # else what runs longer passes on
                 self.core.answer_by = self.leaving.answer_by
         if self.faktory is not None:
@@ -448,12 +453,12 @@
         return [self.core, *([self.faktory.core] if self.faktory is not None else [])]
 
     def _busy(self) -> int:
-        jobs = len(self.faktory.core.messages) if self.faktory is not None else 0
-        return len(self.core.messages) + len(self.north.connections) + jobs + self.listener.waits
+        jobs = len(self.faktory.core.requests) if self.faktory is not None else 0
+        return len(self.core.requests) + len(self.north.connections) + jobs + self.listener.waits
 
-    def _news(self, kind: ListKind, entries: list[HostEntry]) -> None:
-        self.core.inventory(kind, entries)
-        self.south.retire(self.core.hosts)
+    def _news(self, kind: ListKind, entries: list[ListedServer]) -> None:
+        self.core.update_servers(kind, entries)
+        self.south.retire(self.core.directory.by_number)
         if self.keep is not None and kind is not ListKind.CACHED and entries:
             self.keep.changed()
 
@@ -466,7 +471,7 @@
         self.turn()
 
     def _heard(self, peer: int, content: bytes) -> None:
-        self.core.heard(peer, content)
+        self.core.peer_message(peer, content)
 
     def _exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
@@ -475,7 +480,7 @@
 
 
 async def _serve(config: Config, files: Files, log: Log, desired: State, control_path: str) -> None:
-    await Daemon(config, files, log).run(desired, control_path)
+    await Application(config, files, log).run(desired, control_path)
 
 
 def main(config: Config, desired: State, files: Files, control_path: str = "") -> int:
--- a/heronlug/life/member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -7,27 +7,28 @@
 from random import Random
 from typing import Any
 
-from heronlug.arrival.pacing import Pacer, Terms
+from heronlug.backends.health_checker import HealthChecker
+from heronlug.balancer.events import ListKind, ServerState
 from heronlug.cluster import schema
-from heronlug.cluster.hosts import HostView
-from heronlug.interface import ListKind, WorkerState
-from heronlug.memory.core import Core, HostEntry
-from heronlug.memory.deadlines import Deadlines
-from heronlug.wire.cluster import Cluster
-from heronlug.wire.inventory import Inventory
-from heronlug.wire.probes import Probes
-from heronlug.wire.register import Register
+from heronlug.cluster.server_view import ServerView
+from heronlug.cluster.transport import ClusterTransport
+from heronlug.discovery.client import DiscoveryClient
+from heronlug.discovery.poll_pacing import PollPacer, PollTerms
+from heronlug.discovery.shared_client import SharedDiscovery
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.model import ListedServer
 
 
-class Member:
+class ClusterMember:
     """This daemon's membership."""
 
     def __init__(
         self,
         table: dict[str, Any],
-        inventory: Inventory,
+        inventory: DiscoveryClient,
         core: Core,
-        tell: Callable[[ListKind, list[HostEntry]], None],
+        tell: Callable[[ListKind, list[ListedServer]], None],
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
@@ -37,12 +38,16 @@
         """``table`` is as the schema reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
         self.table, self._inventory, self._tell = table, inventory, tell
         sharing, probing = table["register"], table["probe"]
-        self.view = HostView(sharing.get("share", "none"), probing.get("panic_share", 1.0))
+        self.view = ServerView(sharing.get("share", "none"), probing.get("panic_share", 1.0))
         if sharing and (sharing["share"] == "list" or inventory.pace is None):
             # one reads, and calls with nobody else; where all read, each has its place
-            many = Terms() if sharing["share"] == "list" else Terms(core.settings.instances, core.settings.position)
-            inventory.pace = Pacer(many, Random().random)
-        self.register = Register(
+            many = (
+                PollTerms()
+                if sharing["share"] == "list"
+                else PollTerms(core.settings.instances, core.settings.position)
+            )
+            inventory.pace = PollPacer(many, Random().random)
+        self.register = SharedDiscovery(
             self.view,
             inventory,
             self._news,
@@ -53,10 +58,12 @@
             sharing.get("stale_after_ms", 1500.0),
             len(table["seeds"]),
         )
-        self.probes = Probes(probing, self.view, self._news, deadlines, log, turn) if probing else None
-        self.cluster = Cluster(table, deadlines, log, turn, self.register, self.probes)
+        self.probes = HealthChecker(probing, self.view, self._news, deadlines, log, turn) if probing else None
+        self.cluster = ClusterTransport(table, deadlines, log, turn, self.register, self.probes)
         self._shares = bool(sharing or probing)
-        entries = [host.entry for host in core.hosts.values() if host.entry.state is not WorkerState.GONE]
+        entries = [
+            host.entry for host in core.directory.by_number.values() if host.entry.state is not ServerState.REMOVED
+        ]
         self._held = (ListKind.FULL if inventory.watching else ListKind.CACHED), entries
 
     async def open(self) -> None:
@@ -79,7 +86,7 @@
         """The keys as their files have them now; raises ``OSError`` or ``ValueError``."""
         return schema.keys(self.table["key_files"])
 
-    def _news(self, kind: ListKind, entries: list[HostEntry]) -> None:
+    def _news(self, kind: ListKind, entries: list[ListedServer]) -> None:
         self._tell(kind, entries)
         if self.probes is not None:
             self.probes.use_list()
--- a/heronlug/life/control.py
+++ b/heronlug/lifecycle/control.py
@@ -10,13 +10,13 @@
 
 import orjson
 
-from heronlug.interface import JobClass
-from heronlug.life.beside import beside
-from heronlug.life.state import EMPTY, State, StateError, changed_limits, difference, digest
-from heronlug.wire.http import Lines
+from heronlug.balancer.settings import RequestClass
+from heronlug.config.desired_state import EMPTY, State, StateError, changed_limits, difference, digest
+from heronlug.lifecycle.background import beside
+from heronlug.net.http import Lines
 
 
-class Parts(Protocol):
+class ConfigurableParts(Protocol):
     """What of the daemon can be changed while it runs."""
 
     @property
@@ -56,17 +56,17 @@
     def broken_limits(self, classes: State) -> list[tuple[str, str, str, str]]:
         """The rules that limits break here: class, key, what is wrong, what would be right."""
 
-    def resolved_limits(self, classes: State) -> tuple[JobClass, ...]:
+    def resolved_limits(self, classes: State) -> tuple[RequestClass, ...]:
         """All classes under limits that break no rule."""
 
-    def use_limits(self, classes: tuple[JobClass, ...]) -> None:
+    def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
         """Take jobs in under these limits from now on."""
 
 
-class Running:
+class RunningState:
     """The running state; a change of it is made whole or not at all."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: ConfigurableParts) -> None:
         self._parts = parts
         self.state: State = EMPTY
         self._lock = asyncio.Lock()
@@ -126,7 +126,7 @@
                 self.state = {**self.state, "classes": classes}
             return changes
 
-    async def _resolve(self, classes: State) -> tuple[JobClass, ...]:
+    async def _resolve(self, classes: State) -> tuple[RequestClass, ...]:
         """All classes under limits: a file may have been checked against another site than the one that runs here."""
         if broken := await self.broken(classes):
             raise StateError("\n".join(f"class.{n}.{key}: {wrong}, {right}" for n, key, wrong, right in broken))
@@ -155,10 +155,10 @@
         return data, plugin["fuel"], plugin["memory_kb"]
 
 
-class Control(asyncio.Protocol):
+class ControlConnection(asyncio.Protocol):
     """A connection on the control socket."""
 
-    def __init__(self, running: Running) -> None:
+    def __init__(self, running: RunningState) -> None:
         self._running = running
         self._lines = Lines()
         self._transport: asyncio.Transport | None = None
@@ -204,12 +204,12 @@
             self._transport.close()
 
 
-async def listen(path: str, running: Running) -> asyncio.AbstractServer:
+async def listen(path: str, running: RunningState) -> asyncio.AbstractServer:
     """Listen on a Unix socket that only our own user may open."""
     Path(path).unlink(missing_ok=True)
     mask = os.umask(0o177)
     try:
-        return await asyncio.get_running_loop().create_unix_server(lambda: Control(running), path)
+        return await asyncio.get_running_loop().create_unix_server(lambda: ControlConnection(running), path)
     finally:
         os.umask(mask)
 
--- a/heronlug/life/parting.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from heronlug.memory.deadlines import Deadlines
+from heronlug.requests.deadlines import Deadlines
 
 COMING = 700.0  # connections keep coming for 0.2 to 0.4 s after the signal, and then none may have come for as long
 AT_MOST = 2000.0  # who goes on dialling longer than this has not come by way of the front, and holds up no stop
@@ -13,7 +13,7 @@
 LOOK_TO_PASS = 10.0  # the same while clients are passed on
 
 
-class Parting:
+class GracefulShutdown:
     """Whether clients are wanted, whether those that are here are sent elsewhere, and when the process may end.
 
     In a drain somebody has seen to it that others serve: clients' connections end with their next answer, and the
@@ -59,7 +59,7 @@
         """When the last answer must be out, once a stop has begun."""
         return self._stopped_at + self._whole
 
-    def parting(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether clients' connections end with their next answer."""
         if self._pass_on is not None:
             return False
@@ -94,7 +94,7 @@
         if self._stopped_at:
             return False
         self._stopped_at = self._deadlines.clock()
-        self._deadlines.at(self.answer_by, self._give_up)
+        self._deadlines.call_at(self.answer_by, self._give_up)
         self._begin()
         return True
 
@@ -116,9 +116,9 @@
         # clients use the connections they have for as long as those stay open: once no new ones come, the front
         # has let go of us, and what is closed between requests is opened elsewhere
         quiet = pass_on is not None or now - max(since, self._came_at()) >= COMING or now - since >= AT_MOST
-        if quiet and self.parting():
+        if quiet and self.is_draining():
             self._close_idle()
         if quiet and self._stopped_at and not self._busy():
             self._leave()
         else:
-            self._deadlines.after(LOOK if pass_on is None else LOOK_TO_PASS, self._look)
+            self._deadlines.call_after(LOOK if pass_on is None else LOOK_TO_PASS, self._look)
--- a/heronlug/wire/partner.py
+++ b/heronlug/lifecycle/hot_restart/channel.py
@@ -77,14 +77,14 @@
     return bool(CREDENTIALS.unpack(data)[1] == os.getuid())
 
 
-class Partner:
+class PeerProcess:
     """One end of a connection."""
 
     def __init__(
         self,
         sock: socket.socket,
-        told: Callable[["Partner", dict[str, Any], list[int]], None],
-        lost: Callable[["Partner", str], None],
+        told: Callable[["PeerProcess", dict[str, Any], list[int]], None],
+        lost: Callable[["PeerProcess", str], None],
     ) -> None:
         self._sock, self._told, self._lost = sock, told, lost
         self._loop = asyncio.get_running_loop()
--- a/heronlug/life/handover.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -10,16 +10,16 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from heronlug.memory.deadlines import Deadlines
-from heronlug.wire import partner
-from heronlug.wire.partner import Partner
+from heronlug.lifecycle.hot_restart import channel as partner
+from heronlug.lifecycle.hot_restart.channel import PeerProcess
+from heronlug.requests.deadlines import Deadlines
 
 VERSION = 1
 SILENT = 1000.0  # a partner that has not told its state by then is none
 FAREWELL = 1000.0  # so long the old one waits for the new one to have read all that it passed on
 
 
-class Parts(Protocol):
+class HotRestartState(Protocol):
     """What of the daemon is handed over."""
 
     def state(self) -> tuple[dict[str, Any], list[int]]:
@@ -44,12 +44,12 @@
         """A message that runs, passed on with its connections."""
 
 
-class Handover:
+class HotRestart:
     """Both ends of it; a process may have one before it and one after it."""
 
     def __init__(
         self,
-        parts: Parts,
+        parts: HotRestartState,
         name: str,
         path: str,
         deadlines: Deadlines,
@@ -61,9 +61,9 @@
         self._listening: socket.socket | None = None
         self._state: asyncio.Future[tuple[dict[str, Any], list[int]] | None] | None = None
         self._parted: asyncio.Future[None] | None = None
-        self._asking: set[Partner] = set()  # they have asked and do not serve yet
-        self.before: Partner | None = None  # the process that we take over from
-        self.after: Partner | None = None  # the one that has taken over from us
+        self._asking: set[PeerProcess] = set()  # they have asked and do not serve yet
+        self.before: PeerProcess | None = None  # the process that we take over from
+        self.after: PeerProcess | None = None  # the one that has taken over from us
 
     # -- the new process
 
@@ -73,12 +73,12 @@
         if sock is None:
             return None
         self._state = asyncio.get_running_loop().create_future()
-        self.before = Partner(sock, self._told, self._lost)
+        self.before = PeerProcess(sock, self._told, self._lost)
         self.before.send({"kind": "hello", "version": VERSION, "name": self._name})
-        over = self._deadlines.after(SILENT, self._give_up_on, self.before)
+        over = self._deadlines.call_after(SILENT, self._give_up_on, self.before)
         self._turn()
         state = await self._state
-        self._deadlines.drop(over)
+        self._deadlines.cancel(over)
         return state
 
     def renounce(self) -> None:
@@ -127,10 +127,10 @@
             return
         self._parted = asyncio.get_running_loop().create_future()
         self.after.send({"kind": "bye"})
-        over = self._deadlines.after(FAREWELL, self._part_anyway)
+        over = self._deadlines.call_after(FAREWELL, self._part_anyway)
         self._turn()
         await self._parted
-        self._deadlines.drop(over)
+        self._deadlines.cancel(over)
 
     def _part_anyway(self) -> None:
         if self._parted is not None and not self._parted.done():
@@ -169,9 +169,9 @@
         if len(self._asking) >= 2 or not partner.is_ours(sock):
             sock.close()
         else:
-            self._asking.add(Partner(sock, self._told, self._lost))
+            self._asking.add(PeerProcess(sock, self._told, self._lost))
 
-    def _told(self, other: Partner, message: dict[str, Any], fds: list[int]) -> None:
+    def _told(self, other: PeerProcess, message: dict[str, Any], fds: list[int]) -> None:
         kept = False
         try:
             kind = message["kind"]
@@ -207,7 +207,7 @@
                     os.close(fd)
         self._turn()
 
-    def _lost(self, other: Partner, why: str) -> None:
+    def _lost(self, other: PeerProcess, why: str) -> None:
         """It has ended, or makes no sense."""
         self._asking.discard(other)
         if other is self.before:
@@ -224,6 +224,6 @@
             self._parts.take_back()
         self._turn()
 
-    def _give_up_on(self, other: Partner) -> None:
+    def _give_up_on(self, other: PeerProcess) -> None:
         other.close()
         self._lost(other, "silent")
--- a/heronlug/life/takeover.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -8,37 +8,37 @@
 from math import isfinite
 from typing import Any, Protocol
 
-from heronlug.interface import Attempt, ListKind
-from heronlug.learned import learned
-from heronlug.life.config import Config
-from heronlug.life.handover import Handover
-from heronlug.life.listener import Listener
-from heronlug.life.parting import Parting
-from heronlug.limits import model
-from heronlug.memory.core import Core, HostEntry, Message
-from heronlug.memory.deadlines import Deadlines
-from heronlug.wire.inventory import Inventory
-from heronlug.wire.north import Connection, North
-from heronlug.wire.partner import MAX_FDS, place
-from heronlug.wire.passing import read_request, write_request
-from heronlug.wire.peers import Peers
-from heronlug.wire.server_list import BadList, write_list
-from heronlug.wire.south import South
+from heronlug.backends.pool import ConnectionPool
+from heronlug.balancer.events import AttemptSnapshot, ListKind
+from heronlug.config.limits import model
+from heronlug.config.platform import Config
+from heronlug.discovery.client import DiscoveryClient
+from heronlug.discovery.endpoint_list import EndpointListError, write_list
+from heronlug.frontends.http.frontend import ClientConnection, HttpFrontend
+from heronlug.frontends.http.request_table import read_request, write_request
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.lifecycle.hot_restart.channel import MAX_FDS, place
+from heronlug.lifecycle.hot_restart.session import HotRestart
+from heronlug.net.listener import Listener
+from heronlug.peers.datagrams import PeerSocket
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.model import ListedServer, Request
 
 PEERS_AGAIN = 500.0  # until the peers' address is tried again, where another process has it
 
 
-class Daemon(Protocol):
+class RestartedApplication(Protocol):
     """The parts that have to do with it."""
 
     config: Config
     core: Core
-    north: North
-    south: South
-    inventory: Inventory
-    peers: Peers
+    north: HttpFrontend
+    south: ConnectionPool
+    inventory: DiscoveryClient
+    peers: PeerSocket
     listener: Listener
-    leaving: Parting
+    leaving: GracefulShutdown
     keep: Any
 
     @property
@@ -50,14 +50,14 @@
         """To be called after whatever came from elsewhere."""
 
 
-class Takeover:
+class StateTransfer:
     """The parts of a daemon, as the process before or after it needs them."""
 
-    def __init__(self, daemon: Daemon, deadlines: Deadlines, folder: str | None) -> None:
+    def __init__(self, daemon: RestartedApplication, deadlines: Deadlines, folder: str | None) -> None:
         config = daemon.config
         path = place(folder, config.name, ":".join(map(str, config.listen))) if folder else ""
         self._daemon, self._deadlines = daemon, deadlines
-        self.handover = Handover(self, config.name, path, deadlines, daemon.log, daemon.turn)
+        self.handover = HotRestart(self, config.name, path, deadlines, daemon.log, daemon.turn)
         self._whole = daemon.north.max_connections, daemon.south.max_connections, daemon.core.max_open
         self._sockets: dict[str, int] = {}
         self._table: dict[str, Any] = {}
@@ -90,7 +90,7 @@
         """Hear the peers; while another process holds the address and does not pass it on, do without."""
         config, peers = self._daemon.config, self._daemon.peers
         fd = self._sockets.pop("peers", None)
-        if config.peer_listen is None or not config.settings.may_tell or peers.open or self.handover.handed:
+        if config.peer_listen is None or not config.settings.gossip or peers.open or self.handover.handed:
             if fd is not None:
                 os.close(fd)
             return
@@ -105,7 +105,7 @@
                 if error.errno != errno.EADDRINUSE:
                     raise
                 self._daemon.log("peers_unavailable", error=str(error))
-                self._deadlines.after(PEERS_AGAIN, self._later, self.open_peers)
+                self._deadlines.call_after(PEERS_AGAIN, self._later, self.open_peers)
                 self._daemon.turn()
                 return
         sock.setblocking(False)
@@ -129,7 +129,7 @@
     def take_up(self) -> None:
         """The list as last held, here or by the process before: perhaps old, and the module asks for a new one."""
         inventory, core = self._daemon.inventory, self._daemon.core
-        entries: list[HostEntry] = []
+        entries: list[ListedServer] = []
         keep = self._daemon.keep
         kept = keep.load() if keep is not None and "known" not in self._table else None
         for known in (self._table.get("known"), kept, self._daemon.config.known):
@@ -137,7 +137,7 @@
                 try:
                     inventory.version, _, entries = inventory.read(known)
                     break
-                except BadList as error:
+                except EndpointListError as error:
                     self._daemon.log("bad_known_list", error=str(error))
         inventory.listed = bool(entries)
         inventory.news(ListKind.CACHED, entries)
@@ -165,8 +165,8 @@
         table = {
             "known": self.listed(),
             "list_good_ms": daemon.inventory.freshness.remaining(self._deadlines.clock()),
-            "learned": learned(daemon.core.dispatcher),
-            "names": sorted(daemon.core.names),
+            "learned": daemon.core.dispatcher.snapshot(),
+            "names": sorted(daemon.core.request_ids),
             "sockets": list(there),
         }
         return table, list(there.values())
@@ -174,7 +174,7 @@
     def listed(self) -> dict[str, Any]:
         """The list as it is held now, in the register's form."""
         daemon = self._daemon
-        entries = [host.entry for host in daemon.core.hosts.values()]
+        entries = [host.entry for host in daemon.core.directory.by_number.values()]
         return write_list(daemon.inventory.version or 0, entries, daemon.config.zones, daemon.config.kinds)
 
     def give_way(self) -> None:
@@ -196,16 +196,16 @@
 
     def alone(self) -> None:
         """There is no other process of this dispatcher any more."""
-        self._daemon.core.alone()
+        self._daemon.core.peer_process_ended()
         self._share(1)
 
     def told(self, table: dict[str, Any]) -> None:
         """The partner opens messages and ends them, and counts what it has out; raises ``TypeError``."""
         core = self._daemon.core
-        core.elsewhere.update(map(str, table.get("opened") or ()))
-        core.elsewhere.difference_update(map(str, table.get("ended") or ()))
+        core.peer_process_request_ids.update(map(str, table.get("opened") or ()))
+        core.peer_process_request_ids.difference_update(map(str, table.get("ended") or ()))
         if "counts" in table:
-            core.heard(core.settings.position, bytes.fromhex(table["counts"]))
+            core.peer_message(core.settings.position, bytes.fromhex(table["counts"]))
 
     def client(self, fd: int, served: bool) -> None:
         """A client's connection, passed on by the process before us."""
@@ -217,11 +217,13 @@
         try:
             request = read_request(table["request"])
             whole, _, entries = self._daemon.inventory.read(table["hosts"])
-            passed = [(entry, Attempt(*values)) for entry, values in zip(entries, table["attempts"], strict=True)]
+            passed = [
+                (entry, AttemptSnapshot(*values)) for entry, values in zip(entries, table["attempts"], strict=True)
+            ]
             out = [dict(wire) for wire in table["wires"]]
-            if len(out) != len(rest) or len(out) != sum(attempt.out for _, attempt in passed) or whole != 0:
+            if len(out) != len(rest) or len(out) != sum(attempt.in_flight for _, attempt in passed) or whole != 0:
                 raise ValueError("not one connection for each relay that is out")
-            times = float(table["give_up_at"]), float(table["taken_at"])
+            give_up_at, accepted_at = float(table["give_up_at"]), float(table["taken_at"])
             terms = self._daemon.core.settings.classes[request.lane]
             if "terms" in table:  # a program of before limits tells none
                 terms = model.read(terms, table["terms"])
@@ -232,15 +234,14 @@
             self._daemon.log("handover_failed", error=repr(error))
             return
 
-        def made(connection: Connection) -> None:
+        def made(connection: ClientConnection) -> None:
             request.connection = connection
-            message = self._daemon.core.adopt(
-                request, request.lane, *times, request.txn, passed, terms, not_before, **request.figures
-            )
+            message = Request(request, request.lane, terms, give_up_at, accepted_at, request.txn)
+            self._daemon.core.adopt(message, passed, request.workload, not_before)
             # the module may have ended some of them by now, or have sent one more, which has its own connection
-            theirs = [relay for relay, (_, attempt) in zip(message.relays, passed, strict=False) if attempt.out]
+            theirs = [relay for relay, (_, attempt) in zip(message.attempts, passed, strict=False) if attempt.in_flight]
             for relay, sock, wire in zip(theirs, rest, out, strict=True):
-                if relay.out:
+                if relay.in_flight:
                     self._daemon.south.adopt(relay, sock, wire.get("answered") is True, wire.get("last") is True)
                 else:
                     sock.close()
@@ -263,14 +264,14 @@
     def _pass_on(self) -> None:
         self._daemon.north.pass_on(self.handover.pass_on)
         if self._daemon.leaving.stopping:
-            for message in self._daemon.core.messages:
+            for message in self._daemon.core.requests:
                 self._pass_message(message)
 
-    def _pass_message(self, message: Message) -> None:
+    def _pass_message(self, message: Request) -> None:
         """What runs longer than we may goes on in the process after us, once all of it is between two reads."""
-        core, client = self._daemon.core, message.load.connection
-        attempts = core.attempts(message)
-        wires = [relay.wire for relay in message.relays if relay.out]
+        core, client = self._daemon.core, message.payload.connection
+        attempts = core.attempt_snapshots(message)
+        wires = [relay.exchange for relay in message.attempts if relay.in_flight]
         if attempts is None or client is None or not client.can_pass() or len(wires) >= MAX_FDS:
             return
         if not all(wire is not None and wire.can_pass() for wire in wires):
@@ -278,17 +279,17 @@
         config = self._daemon.config
         paused = [wire.pause() for wire in wires]
         table = {
-            "request": write_request(message.load),
+            "request": write_request(message.payload),
             "give_up_at": message.give_up_at,
-            "taken_at": message.taken_at,
-            "terms": model.write(message.terms),
+            "taken_at": message.accepted_at,
+            "terms": model.write(message.policy),
             "not_before": core.not_before(message),
             "hosts": write_list(0, [entry for entry, _ in attempts], config.zones, config.kinds, True),
             "attempts": [list(attempt) for _, attempt in attempts],
             "wires": [known for _, known in paused],
         }
         self.handover.pass_message(table, [client.pause(), *(fd for fd, _ in paused)])
-        core.pass_on(message)
+        core.hand_over(message)
         client.let_go()
         for wire in wires:
             wire.let_go()
--- a/heronlug/life/log.py
+++ b/heronlug/lifecycle/log.py
@@ -39,7 +39,7 @@
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
 
-    def __call__(self, event: str, **fields: object) -> None:
+    def __call__(self, event: str, /, **fields: object) -> None:
         """One event; unknown events are of level info."""
         if LEVEL_OF.get(event, 1) < LEVELS[self.level]:
             return
--- a/heronlug/life/operate.py
+++ b/heronlug/lifecycle/operations.py
@@ -2,9 +2,10 @@
 
 from collections.abc import Callable, Iterable, Iterator
 
-from heronlug.life.parting import Parting
-from heronlug.memory.core import Core, Final
-from heronlug.wire.admin import Answer, Calls
+from heronlug.lifecycle.admin import Answer, Calls
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.requests.core import Core
+from heronlug.requests.model import FinalAnswer
 
 HELP = {
     "success": ("counter", "jobs served"),
@@ -22,31 +23,31 @@
     "slow_events": ("counter", "events that held the loop up for 100 ms or more"),
     "waiting": ("gauge", "jobs that wait for a runner"),
 }
-NAMES = {Final.SERVED: "success", Final.REFUSED: "overload", Final.FAILED: "error"}
+NAMES = {FinalAnswer.SERVED: "success", FinalAnswer.REFUSED: "overload", FinalAnswer.FAILED: "error"}
 
 
 def figures(cores: Iterable[Core]) -> str:
     """The figures in Prometheus' text format: those of all fronts together, and each class from the start."""
     cores = list(cores)
-    by_class = {name: dict.fromkeys(cores[0].lanes, 0) for name in NAMES.values()}
+    by_class = {name: dict.fromkeys(cores[0].class_names, 0) for name in NAMES.values()}
     alone = {name: 0 for name in HELP if name not in by_class}
     for core in cores:
-        for index, lane in enumerate(core.lanes):
+        for index, lane in enumerate(core.class_names):
             for final, name in NAMES.items():
-                by_class[name][lane] += core.finals[index][final]
+                by_class[name][lane] += core.answer_counts[index][final]
         alone["dispatches"] += core.dispatches
-        alone["concurrent"] += core.open
-        listed, avoided = core.targets()
+        alone["concurrent"] += core.open_requests
+        listed, avoided = core.server_counts()
         alone["targets"] += listed
         alone["targets_disabled"] += avoided
-        alone["halls_left"] += core.dispatcher.halls.away
-        parts = core.dispatcher.parts
-        alone["parts_asked"] += parts.asked
-        alone["parts_lent"] += parts.lent
-        alone["parts_used"] += parts.used
+        alone["halls_left"] += core.dispatcher.zone_failover.zones_away
+        shares = core.dispatcher.shares
+        alone["parts_asked"] += shares.loans_requested
+        alone["parts_lent"] += shares.loans_given
+        alone["parts_used"] += shares.loans_used
         alone["attempts_postponed"] += core.postponed
         alone["slow_events"] += core.slow_events
-        alone["waiting"] += len(core.dispatcher.held) + len(core.dispatcher.late)
+        alone["waiting"] += core.dispatcher.queue_length
     return "\n".join([*_lines(by_class, alone), ""])
 
 
@@ -68,7 +69,7 @@
 
 
 def calls(
-    parting: Parting,
+    parting: GracefulShutdown,
     takes_clients: Callable[[], bool],
     cores: Callable[[], list[Core]],
     log: Callable[..., None],
--- a/heronlug/life/early.py
+++ b/heronlug/lifecycle/startup_signals.py
@@ -10,7 +10,7 @@
 from types import FrameType
 
 
-class Early:
+class StartupSignals:
     """Whether the signal has come; one for a process."""
 
     def __init__(self) -> None:
@@ -24,4 +24,4 @@
         self.came = True
 
 
-early = Early()
+early = StartupSignals()
--- a/heronlug/life/halls.py
+++ b/heronlug/lifecycle/zone_commands.py
@@ -2,12 +2,13 @@
 
 from typing import Any
 
-from heronlug.halls.table import Phase
-from heronlug.life.state import StateError
-from heronlug.memory.core import Core
+from heronlug.balancer.errors import ZoneOrderError
+from heronlug.balancer.zone_failover.zone_state import ZonePhase
+from heronlug.config.desired_state import StateError
+from heronlug.requests.core import Core
 
 LONGEST = 7 * 86_400.0  # s that an order may hold
-ORDERS = {"leave": Phase.LEFT, "return": Phase.WELL}
+ORDERS = {"leave": ZonePhase.EXCLUDED, "return": ZonePhase.HEALTHY}
 
 
 def _named(number: int, zones: list[str]) -> str:
@@ -15,14 +16,14 @@
 
 
 def _looked_at(core: Core) -> None:
-    if not core.settings.halls:
+    if not core.settings.zone_failover:
         raise StateError("halls are not left as one here: [site] leave_halls is false")
 
 
 def view(core: Core, zones: list[str]) -> list[dict[str, Any]]:
     """All halls that have hosts, for people; raises :class:`StateError` where halls are not looked at."""
     _looked_at(core)
-    rows = core.dispatcher.halls.rows(core.dispatcher, core.deadlines.clock())
+    rows = core.dispatcher.zone_failover.overview(core.deadlines.clock())
     return [{"hall": _named(number, zones), **row} for number, row in sorted(rows.items())]
 
 
@@ -39,7 +40,7 @@
     now, number = core.deadlines.clock(), zones.index(name)
     until = now + 1000.0 * float(seconds) if seconds is not None else float("inf")
     try:
-        core.dispatcher.halls.order(core.dispatcher, number, ORDERS.get(what), until, now)
-    except ValueError as error:
-        raise StateError(f"hall {name}: {error}") from None
+        core.dispatcher.zone_failover.order(number, ORDERS.get(what), until, now)
+    except ZoneOrderError as error:
+        raise StateError(f"hall {name}: {error}") from error
     return view(core, zones)
--- a/heronlug/load/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -11,15 +11,15 @@
 
 from jinja2 import Template
 
+from heronlug.conformance import Event
 from heronlug.emulator.figures import Figures
 from heronlug.emulator.scenario import Scenario
 from heronlug.emulator.world import World
-from heronlug.load.http import HttpLoad
-from heronlug.load.plan import plan
-from heronlug.load.tally import Tally
-from heronlug.rules import Event
-from heronlug.standin.fleet import Fleet
-from heronlug.standin.ports import free_ports
+from heronlug.loadgen.http import HttpLoad
+from heronlug.loadgen.plan import plan
+from heronlug.loadgen.tally import Tally
+from heronlug.standins.fleet import Fleet
+from heronlug.standins.ports import free_ports
 
 READY = 20.0  # s for a dispatcher to come up
 MOST = 8  # dispatchers: each is a process
--- a/heronlug/load/faktory.py
+++ b/heronlug/loadgen/faktory.py
@@ -13,9 +13,9 @@
 import orjson
 
 from heronlug.emulator.scenario import Scenario
-from heronlug.load.pace import Pace
-from heronlug.load.plan import Due
-from heronlug.load.tally import Tally
+from heronlug.loadgen.pace import Pace
+from heronlug.loadgen.plan import Due
+from heronlug.loadgen.tally import Tally
 
 PRODUCERS = 4
 WORKERS_MOST = 200
--- a/heronlug/load/http.py
+++ b/heronlug/loadgen/http.py
@@ -9,9 +9,9 @@
 
 import httptools
 
-from heronlug.load.pace import Pace
-from heronlug.load.plan import Due
-from heronlug.load.tally import Tally
+from heronlug.loadgen.pace import Pace
+from heronlug.loadgen.plan import Due
+from heronlug.loadgen.tally import Tally
 
 MOST = 4000  # connections at once; a job that finds all busy waits, and its time counts
 
--- a/heronlug/load/pace.py
+++ b/heronlug/loadgen/pace.py
@@ -4,8 +4,8 @@
 import time
 from collections.abc import AsyncIterator, Iterable
 
-from heronlug.load.plan import Due
-from heronlug.load.tally import Tally
+from heronlug.loadgen.plan import Due
+from heronlug.loadgen.tally import Tally
 
 LATE = 10.0  # ms that the tool itself may be late with a job
 
--- a/heronlug/load/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -8,7 +8,7 @@
 from heronlug.emulator.clients import times
 from heronlug.emulator.draws import Draws, distribution, stream
 from heronlug.emulator.scenario import Arrivals, ClassTable, Scenario
-from heronlug.wire.http import split_address
+from heronlug.net.http import split_address
 
 
 class Due(NamedTuple):
--- a/heronlug/life/listener.py
+++ b/heronlug/net/listener.py
@@ -3,8 +3,8 @@
 import os
 import socket
 
-from heronlug.wire.acceptor import Acceptor
-from heronlug.wire.ends import waits
+from heronlug.net.acceptor import Acceptor
+from heronlug.net.connection_state import waits
 
 BACKLOG = 512
 
--- a/heronlug/wire/peers.py
+++ b/heronlug/peers/datagrams.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from typing import cast
 
-from heronlug.telling.telling import LEAVING, MAX_CONTENT, Telling
-from heronlug.wire import http
+from heronlug.net import http
+from heronlug.peers.gossip import LEAVING, MAX_CONTENT, Gossip
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerSocket(asyncio.DatagramProtocol):
     """The socket on which dispatchers tell each other."""
 
     def __init__(
@@ -22,7 +22,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._clock = clock
-        self.telling = Telling(len(peers))
+        self.telling = Gossip(len(peers))
         self._addresses = [http.split_address(peer) for peer in peers]
         self._numbers = {address: number for number, address in enumerate(self._addresses)}
         self._everyone = http.split_address(everyone) if everyone else None
@@ -38,7 +38,7 @@
         number = self._numbers.get(addr[:2])
         if number is None or number == self._position or len(data) > MAX_CONTENT:
             return
-        data = self.telling.heard(number, data, self._clock())
+        data = self.telling.receive(number, data, self._clock())
         if not data:
             return
         try:
--- a/heronlug/telling/farewell.py
+++ b/heronlug/peers/goodbye.py
@@ -26,7 +26,7 @@
     times: int
 
 
-class Farewell:
+class Goodbye:
     """One dispatcher's farewells."""
 
     __slots__ = ("_said", "_told", "parting")
--- a/heronlug/telling/telling.py
+++ b/heronlug/peers/gossip.py
@@ -5,27 +5,27 @@
 
 from collections import Counter
 
-from heronlug.telling.farewell import ALL, HEARD, Farewell
+from heronlug.peers.goodbye import ALL, HEARD, Goodbye
 
 MAX_CONTENT = 256  # bytes of a datagram
 LEAVING = b"l"  # the module's own begin otherwise
 SILENCE = 500.0  # ms: who said that it parts and speaks without that so long after is a new process
 
 
-class Telling:
+class Gossip:
     """Who is at work, and whether those that hear us know that we part."""
 
     def __init__(self, count: int) -> None:
         """One of ``count`` dispatchers."""
         self._others = count - 1
-        self.farewell = Farewell()
+        self.farewell = Goodbye()
         self.sent: Counter[str] = Counter()  # datagrams by kind, one for each that it goes to
         self._heard_at: dict[int, float] = {}
         self._leaving: dict[int, float] = {}  # when they last said so
 
     # -- in
 
-    def heard(self, peer: int, data: bytes, now: float) -> bytes:
+    def receive(self, peer: int, data: bytes, now: float) -> bytes:
         """A datagram of a peer; returns what of it is for the module, perhaps nothing."""
         if data.startswith(LEAVING):
             self._leaving[peer], data = now, data[len(LEAVING) :]
--- a/heronlug/hooks/host.py
+++ b/heronlug/plugins/host.py
@@ -15,14 +15,14 @@
 
 import wasmtime
 
-from heronlug.memory.core import Final
+from heronlug.requests.model import FinalAnswer
 
-FINALS = {Final.SERVED: 0, Final.REFUSED: 1, Final.FAILED: 2}
+FINALS = {FinalAnswer.SERVED: 0, FinalAnswer.REFUSED: 1, FinalAnswer.FAILED: 2}
 ADMIT = (["i32", "f64", "i32"], ["i32"])
 OBSERVE: tuple[list[str], list[str]] = (["i32", "i32", "f64"], [])
 
 
-class HookError(ValueError):
+class PluginError(ValueError):
     """A module that cannot be loaded; the text says why in one line."""
 
 
@@ -35,7 +35,7 @@
         try:
             module = wasmtime.Module(engine, data)
             if module.imports:
-                raise HookError(f"plugin {name}: it imports something, and nothing is given")
+                raise PluginError(f"plugin {name}: it imports something, and nothing is given")
             self._store = wasmtime.Store(engine)
             self._store.set_limits(
                 memory_size=int(memory_kb) * 1024, table_elements=10_000, instances=1, memories=1, tables=4
@@ -43,23 +43,23 @@
             self._store.set_fuel(self.fuel)
             exports = wasmtime.Instance(self._store, module, []).exports(self._store)
         except wasmtime.WasmtimeError as error:
-            raise HookError(f"plugin {name}: {str(error).splitlines()[0]}") from None
+            raise PluginError(f"plugin {name}: {str(error).splitlines()[0]}") from None
         except wasmtime.Trap as error:
-            raise HookError(f"plugin {name}: its start traps: {str(error).splitlines()[0]}") from None
+            raise PluginError(f"plugin {name}: its start traps: {str(error).splitlines()[0]}") from None
         self.admit = self._hook(exports, "admit", ADMIT)
         self.observe = self._hook(exports, "observe", OBSERVE)
         if self.admit is None and self.observe is None:
-            raise HookError(f"plugin {name}: it exports neither admit nor observe")
+            raise PluginError(f"plugin {name}: it exports neither admit nor observe")
 
     def _hook(self, exports: Any, key: str, form: tuple[list[str], list[str]]) -> Callable[..., Any] | None:
         export = exports.get(key)
         if export is None:
             return None
         if not isinstance(export, wasmtime.Func):
-            raise HookError(f"plugin {self.name}: {key} is no function")
+            raise PluginError(f"plugin {self.name}: {key} is no function")
         kind = export.type(self._store)
         if ([str(p) for p in kind.params], [str(r) for r in kind.results]) != form:
-            raise HookError(f"plugin {self.name}: {key} has other parameters than the hook")
+            raise PluginError(f"plugin {self.name}: {key} has other parameters than the hook")
 
         def call(*values: float) -> Any:
             self._store.set_fuel(self.fuel)
@@ -68,7 +68,7 @@
         return call
 
 
-class HookHost:
+class PluginHost:
     """All plug-ins, asked in the order of their names."""
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -77,7 +77,7 @@
 
     @staticmethod
     def load(modules: Mapping[str, tuple[bytes, int, int]]) -> list[Plugin]:
-        """Load modules, all or none; raises :class:`HookError`."""
+        """Load modules, all or none; raises :class:`PluginError`."""
         config = wasmtime.Config()
         config.consume_fuel = True
         engine = wasmtime.Engine(config)
@@ -95,7 +95,7 @@
             if p.admit is not None
         )
 
-    def observe(self, lane: int, final: Final, took: float) -> None:
+    def observe(self, lane: int, final: FinalAnswer, took: float) -> None:
         """Tell all of a final answer."""
         for plugin in self._plugins:
             if plugin.observe is not None:
--- /dev/null
+++ b/heronlug/requests/core.py
@@ -0,0 +1,551 @@
+"""The core: owns each request until its one final answer, and carries out the balancer's actions.
+
+Frontends hand in requests and backends report the ends of attempts by the methods of :class:`Core`; what has to be done
+goes out through a :class:`heronlug.requests.interfaces.Transport`.  No socket and no protocol is known here.
+"""
+
+from collections import deque
+from collections.abc import Callable, Sequence
+from dataclasses import replace
+from math import inf
+
+from heronlug.balancer.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    LogLine,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from heronlug.balancer.dispatcher import Dispatcher
+from heronlug.balancer.events import (
+    NEVER_RAN,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptSnapshot,
+    ClientGone,
+    Event,
+    FinalAnswerDue,
+    ListKind,
+    Outcome,
+    PeerGone,
+    PeerMessage,
+    ProgressKind,
+    RequestAdopted,
+    RequestArrived,
+    RequestHandedOver,
+    TimerFired,
+)
+from heronlug.balancer.settings import Effect, RequestClass, Settings
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.interfaces import EventLog, Plugins, Transport, log_nothing
+from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request, Workload
+from heronlug.requests.server_directory import ServerDirectory
+from heronlug.requests.slots import SlotTable
+
+SLOW_EVENT_MS = 100.0
+"""Time that the balancer may take for an event before it is logged."""
+
+POSTPONED_MS = 5.0
+"""Time until the endpoint list is looked at again, for which an attempt waits."""
+
+MAX_OPEN = 20_000
+"""Open requests at most, unless the settings give another limit."""
+
+
+class Core:
+    """Requests, attempts and servers of one protocol, and the dispatcher that decides about them.
+
+    Attributes:
+        settings: of the dispatcher, with the limits of the classes that hold now.
+        transport: the frontend and backend.
+        deadlines: all deadlines of the process, and its clock.
+        dispatcher: the decisions.
+        plugins: may reject requests, and see each final answer; None for none.
+        directory: the servers of the endpoint list.
+        requests: open requests, and answered ones with attempts in flight.
+        attempts: attempts in flight.
+        request_ids: the clients' ids of the requests in the table.
+        peer_process_request_ids: ids of requests that another process of this dispatcher has.
+        on_request_id: called with an id when its request is accepted (True), and when it is forgotten.
+        has_unread_update: whether an update of the endpoint list has come and is not read: no attempt begins then.
+        max_open: open requests at most; more are rejected.
+        answer_by: the last moment for any answer, once a planned stop has begun.
+        open_requests: requests that are owed a final answer.
+        answer_counts: final answers by class and kind, since the start.
+        dispatches: attempts that were written whole.
+        postponed: attempts that have waited for the endpoint list.
+        slow_events: events that took longer than ``SLOW_EVENT_MS``.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        transport: Transport,
+        deadlines: Deadlines,
+        *,
+        log: EventLog = log_nothing,
+        subscribe: Callable[[], None] = lambda: None,
+        send_peer_message: Callable[[bytes, int], None] = lambda content, peer: None,
+        max_open: int = MAX_OPEN,
+        max_retry_after: float = 0.0,
+        plugins: Plugins | None = None,
+        has_unread_update: Callable[[], bool] = lambda: False,
+    ) -> None:
+        """Make a core that knows no server yet.
+
+        Args:
+            settings: of the dispatcher.
+            seed: of its random draws.
+            transport: the frontend and backend.
+            deadlines: all deadlines of the process, and its clock.
+            log: where events are logged.
+            subscribe: called when the balancer wants the endpoint list.
+            send_peer_message: called with a message and the peer that it is for, -1 for all.
+            max_open: open requests at most.
+            max_retry_after: the longest Retry-After of a rejection, in ms.
+            plugins: may reject requests, and see each final answer.
+            has_unread_update: whether an update of the endpoint list has come and is not read.
+        """
+        self.settings, self.transport, self.deadlines = settings, transport, deadlines
+        self.plugins = plugins
+        self.dispatcher = Dispatcher(settings, seed)
+        self.directory = ServerDirectory()
+        self.requests: SlotTable[Request] = SlotTable()
+        self.attempts: SlotTable[Attempt] = SlotTable()
+        self.request_ids: set[str] = set()
+        self.peer_process_request_ids: set[str] = set()
+        self.on_request_id: Callable[[str, bool], None] | None = None
+        self.has_unread_update = has_unread_update
+        self.max_open = max_open
+        self.answer_by = inf
+        self.class_names = [request_class.name for request_class in settings.classes]
+        self.open_requests = 0
+        self.answer_counts = [dict.fromkeys(FinalAnswer, 0) for _ in self.class_names]
+        self.dispatches = 0
+        self.postponed = 0
+        self.slow_events = 0
+        self._log, self._subscribe, self._send_peer_message = log, subscribe, send_peer_message
+        self._retry_after = max_retry_after / 2
+        self._events: deque[Event] = deque()
+        self._handling = False
+
+    # -- requests
+
+    def is_open(self, request_id: str) -> bool:
+        """Whether a request of that id is open: a server could not tell another one from it."""
+        return request_id in self.request_ids or request_id in self.peer_process_request_ids
+
+    def accept(
+        self,
+        payload: object,
+        class_index: int,
+        remaining: float,
+        *,
+        request_id: str = "",
+        size: int = 0,
+        policy: RequestClass | None = None,
+        workload: Workload | None = None,
+    ) -> Request:
+        """Accept a request; from here on it is owed one final answer, which may be given within this call.
+
+        Args:
+            payload: the frontend's own.
+            class_index: the index of its class.
+            remaining: ms until its client gives up.
+            request_id: the client's id for it.
+            size: bytes of its body.
+            policy: the class as it was accepted, where that was earlier.
+            workload: what the client tells of its work.
+        """
+        now = self.deadlines.clock()
+        policy = policy or self.settings.classes[class_index]
+        if policy.give_up_after:
+            remaining = min(remaining, policy.give_up_after)
+        give_up_at = min(now + remaining, self.answer_by)
+        request = Request(payload, class_index, policy, give_up_at, now, request_id)
+        self._open(request)
+        if request_id and self.on_request_id is not None:
+            self.on_request_id(request_id, True)
+        self._log(
+            "taken", message=request.handle, id=request_id, lane=policy.name, left=round(request.give_up_at - now)
+        )
+        reason = self._reason_to_reject(request, now, remaining, size)
+        if reason:
+            self._close(request, FinalAnswer.REFUSED, b"", self._retry_after, reason)
+        else:
+            self._handle(_arrival(request, workload))
+        return request
+
+    def _reason_to_reject(self, request: Request, now: float, remaining: float, size: int) -> str:
+        """Why a request is not taken to the balancer at all; empty if it is."""
+        if request.give_up_at <= now:
+            return "expired"
+        if len(self.requests) > self.max_open:
+            return "too_many_open"
+        if self.plugins is not None and not self.plugins.admit(request.class_index, remaining, size):
+            return "not_admitted"
+        return ""
+
+    def adopt(
+        self,
+        request: Request,
+        passed: Sequence[tuple[ListedServer, AttemptSnapshot]],
+        workload: Workload | None = None,
+        not_before: float = 0.0,
+    ) -> None:
+        """Go on with a request that another process accepted; its attempts in flight need their connections.
+
+        Args:
+            request: the request, not in any table yet.
+            passed: its attempts, each with its server.
+            workload: what the client told of its work.
+            not_before: when its backoff ends.
+        """
+        self._open(request)
+        snapshots = []
+        for entry, snapshot in passed:
+            number = self.directory.number_of(entry.name)
+            if number not in self.directory.by_number:
+                self.update_servers(ListKind.CHANGES, [entry])
+            server = self.directory.by_number[number]
+            attempt = Attempt(request, len(request.attempts), server, snapshot.sent_at)
+            attempt.in_flight, attempt.may_have_run = snapshot.in_flight, snapshot.may_have_run
+            request.attempts.append(attempt)
+            if attempt.in_flight:
+                attempt.handle = self.attempts.add(attempt)
+            snapshots.append(snapshot._replace(server=number))
+        arrival = _arrival(request, workload)
+        self._handle(RequestAdopted(arrival, request.accepted_at, tuple(snapshots), not_before))
+
+    def attempt_snapshots(self, request: Request) -> list[tuple[ListedServer, AttemptSnapshot]] | None:
+        """The attempts of a request, for another process to go on with; None if it is over."""
+        snapshots = None if request.closed else self.dispatcher.attempt_snapshots(request.handle)
+        if snapshots is None or len(snapshots) != len(request.attempts):
+            return None
+        pairs = zip(request.attempts, snapshots, strict=True)
+        return [(attempt.server.entry, snapshot) for attempt, snapshot in pairs]
+
+    def not_before(self, request: Request) -> float:
+        """When the backoff of a request ends; 0 if there is none."""
+        return self.dispatcher.not_before(request.handle)
+
+    def hand_over(self, request: Request) -> None:
+        """Forget a request that another process goes on with: nothing is owed here, and nothing has ended."""
+        request.client_gone = True
+        self.open_requests -= 1
+        for attempt in request.attempts:
+            if attempt.in_flight:
+                attempt.in_flight = False
+                self.attempts.remove(attempt.handle)
+        self._handle(RequestHandedOver(request.handle))
+        self._forget(request)
+
+    def use_classes(self, classes: tuple[RequestClass, ...]) -> None:
+        """Use other limits from now on, in one step; what has been accepted keeps its own.
+
+        The classes stay the same in number, order, effect and latency objective: the balancer has learned by them.
+        """
+        self.settings = replace(self.settings, classes=classes)
+
+    def client_left(self, request: Request) -> None:
+        """Note that the client has left: nothing is owed any more."""
+        if not request.closed:
+            request.client_gone = True
+            self.open_requests -= 1
+            self._log("client_gone", message=request.handle, id=request.request_id)
+            self._handle(ClientGone(request.handle))
+            self._forget(request)
+
+    def count_answer(self, class_index: int, final: FinalAnswer) -> None:
+        """Count a final answer; a frontend counts here too what it answers without having it accepted."""
+        self.answer_counts[class_index][final] += 1
+
+    def fail(self, request: Request) -> None:
+        """Fail a request for a reason outside the balancer, and cancel its attempts in flight."""
+        if not request.closed:
+            self._close(request, FinalAnswer.FAILED, b"", reason="connection_rejected")
+            self._handle(ClientGone(request.handle))
+            self._forget(request)
+
+    def give_up_all(self) -> None:
+        """Answer whatever is still owed now, as the balancer words it: the process ends."""
+        for request in list(self.requests):
+            if not request.closed:
+                self._handle(FinalAnswerDue(request.handle))
+
+    @property
+    def counts(self) -> dict[FinalAnswer, int]:
+        """The final answers of all classes."""
+        return {final: sum(counts[final] for counts in self.answer_counts) for final in FinalAnswer}
+
+    # -- attempts
+
+    def may_write(self, attempt: Attempt) -> bool:
+        """Whether the first byte of an attempt may still be written.
+
+        Guards the rules of draining and of repeats at the last moment: the decision was right when it was made, but the
+        server may drain, or the request be closed, while a connection was being made.
+        """
+        if self.directory.stale or not attempt.server.ready or not self._repeat_window_open(attempt):
+            return False
+        return attempt.in_flight and not self._is_over(attempt.request)
+
+    def is_non_idempotent(self, attempt: Attempt) -> bool:
+        """Whether it must not run twice, so that only proof that it never ran lets it go out again."""
+        return self.settings.classes[attempt.request.class_index].effect is Effect.NON_IDEMPOTENT
+
+    def attempt_written(self) -> None:
+        """Count an attempt whose last byte has gone out."""
+        self.dispatches += 1
+
+    def attempt_progressed(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
+        """Take in that a server reports the start of an attempt, or how much of it is done."""
+        if attempt.in_flight:
+            self._handle(AttemptProgress(attempt.request.handle, attempt.number, attempt.server.number, kind, share))
+
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
+        """Take in the one end of an attempt; further ones are ignored.  A first ``SERVED`` answers the request."""
+        if not attempt.in_flight:
+            return
+        attempt.in_flight, attempt.may_have_run = False, outcome not in NEVER_RAN
+        self.attempts.remove(attempt.handle)
+        request, now = attempt.request, self.deadlines.clock()
+        if outcome != Outcome.SERVED:
+            took = round(now - attempt.sent_at, 1)
+            self._log_attempt("relay_ended", attempt, outcome=outcome.log_name, ms=took)
+        elif not request.closed:
+            self._close(request, FinalAnswer.SERVED, result)
+        latency = max(0.0, now - attempt.sent_at)
+        self._handle(
+            AttemptEnded(request.handle, attempt.number, attempt.server.number, outcome, latency, request.closed)
+        )
+        self._forget(request)
+
+    def postpone(self, act: Callable[[Attempt], None], attempt: Attempt) -> None:
+        """Go on with an attempt in the next turn of the loop, as the endpoint list is read in this one."""
+        self.postponed += 1
+        self._log_attempt("attempt_postponed", attempt)
+        self.deadlines.call_after(0.0, act, attempt)
+
+    # -- servers and other dispatchers
+
+    def update_servers(self, kind: ListKind, entries: Sequence[ListedServer]) -> None:
+        """Take in an update of the endpoint list."""
+        now = self.deadlines.clock()
+        self._handle(self.directory.update(kind, entries, now))
+        self.directory.forget_removed((attempt.server.number for attempt in self.attempts), now)
+
+    def set_list_usable(self, usable: bool) -> None:
+        """Set whether the endpoint list may be used; while it may not, no server gets new work."""
+        update = self.directory.set_usable(usable)
+        if update is not None:
+            self._handle(update)
+
+    def peer_message(self, peer: int, content: bytes) -> None:
+        """Take in a message from another dispatcher."""
+        self._handle(PeerMessage(peer, content))
+
+    def peer_process_ended(self) -> None:
+        """Note that there is no other process of this dispatcher any more."""
+        self.peer_process_request_ids.clear()
+        self._handle(PeerGone(self.settings.position))
+
+    def server_counts(self) -> tuple[int, int]:
+        """How many servers the endpoint list holds, and how many of them the balancer avoids now."""
+        listed = [server.number for server in self.directory.listed()]
+        avoided = self.dispatcher.avoided_servers(self.deadlines.clock())
+        return len(listed), sum(1 for number in listed if number in avoided)
+
+    # -- events and actions
+
+    def _handle(self, event: Event) -> None:
+        """Give the balancer an event; events that its actions cause wait until all of these are done."""
+        self._events.append(event)
+        if self._handling:
+            return
+        self._handling = True
+        try:
+            while self._events:
+                now, event = self.deadlines.clock(), self._events.popleft()
+                for action in self.dispatcher.handle(now, event):
+                    self._do(action, now)
+                took = self.deadlines.clock() - now
+                if took >= SLOW_EVENT_MS:
+                    self._note_slow_event(event, took)
+        finally:
+            self._handling = False
+
+    def _note_slow_event(self, event: Event, took: float) -> None:
+        """Log an event that has held the loop up, or during which the process had no processor."""
+        self.slow_events += 1
+        self._log(
+            "slow_event",
+            kind=type(event).__name__,
+            ms=round(took, 1),
+            hosts=len(self.directory.by_number),
+            open=self.open_requests,
+            waiting=self.dispatcher.queue_length,
+        )
+
+    def _do(self, action: Action, now: float) -> None:
+        match action:
+            case StartAttempt():
+                self._start_attempt(action, now)
+            case SetTimer():
+                self.deadlines.call_at(now + action.delay, self._handle, TimerFired(action.token))
+            case Reject() | Fail():
+                self._give_up(action)
+            case CancelAttempt():
+                request = self.requests.get(action.request)
+                if request is not None and action.attempt < len(request.attempts):
+                    self._end_early(request.attempts[action.attempt], Outcome.CANCELLED)
+            case SendPeerMessage():
+                self._send_peer_message(action.content, action.peer)
+            case Subscribe():
+                self._subscribe()
+            case LogLine():
+                self._log("decision", text=action.text)
+
+    def _start_attempt(self, action: StartAttempt, now: float) -> None:
+        request, server = self.requests.get(action.request), self.directory.by_number[action.server]
+        if request is None:
+            never_began = AttemptEnded(
+                action.request, 0, server.number, Outcome.CANCELLED_BEFORE_START, latency=0.0, final=True
+            )
+            self._events.append(never_began)
+            return
+        attempt = Attempt(request, len(request.attempts), server, now)
+        request.attempts.append(attempt)
+        attempt.handle = self.attempts.add(attempt)
+        if attempt.number:
+            hedged = any(other.in_flight for other in request.attempts[:-1])
+            self._log_attempt("attempt_hedged" if hedged else "attempt_retried", attempt)
+        beyond_cap = attempt.number >= self.settings.max_attempts_of(request.policy)
+        if now >= request.give_up_at or beyond_cap or self._is_over(request):
+            self.attempt_ended(attempt, Outcome.CANCELLED_BEFORE_START)
+        elif self.has_unread_update():
+            self.postpone(self._begin_postponed, attempt)
+        else:
+            self.transport.send(attempt)
+
+    def _begin_postponed(self, attempt: Attempt) -> None:
+        """Begin an attempt that has waited for the endpoint list, if that still allows it."""
+        if not attempt.in_flight:
+            return
+        if self.has_unread_update():
+            self.deadlines.call_after(POSTPONED_MS, self._begin_postponed, attempt)
+        elif self.may_write(attempt):
+            self.transport.send(attempt)
+        else:
+            self.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+
+    def _end_early(self, attempt: Attempt, outcome: Outcome) -> None:
+        if attempt.in_flight:
+            self.transport.cancel(attempt)
+            self.attempt_ended(attempt, outcome)
+
+    def _repeat_window_open(self, attempt: Attempt) -> bool:
+        """Whether servers still drop a repeat, where they do so for a while only: a dial takes some of that."""
+        request = attempt.request
+        if request.policy.effect is not Effect.IDEMPOTENT_BY_KEY:
+            return True
+        now, window = self.deadlines.clock(), request.policy.repeat_window
+        earlier = request.attempts[: attempt.number]
+        return all(now - other.sent_at <= window for other in earlier if other.may_have_run)
+
+    # -- ends
+
+    def _is_over(self, request: Request) -> bool:
+        """Whether nothing is owed; a client may have left with nobody having read of it yet."""
+        if not request.closed and not self.transport.client_waits(request):
+            self.client_left(request)
+        return request.closed
+
+    def _give_up(self, action: Reject | Fail) -> None:
+        request = self.requests.get(action.request)
+        if request is not None and not request.closed:
+            final = FinalAnswer.REFUSED if isinstance(action, Reject) else FinalAnswer.FAILED
+            self._close(request, final, b"", self._retry_after, action.reason.value)
+            self._forget(request)
+
+    def _on_deadline(self, request: Request) -> None:
+        """End what is in flight when the client's time is over, and fail what the balancer has not answered."""
+        for attempt in request.attempts:
+            self._end_early(attempt, Outcome.TIMEOUT)
+        if not request.closed:
+            self._log("overdue", message=request.handle, id=request.request_id)
+            self._close(request, FinalAnswer.FAILED, b"", reason="overdue")
+        self._forget(request)
+
+    def _open(self, request: Request) -> None:
+        request.handle = self.requests.add(request)
+        self.open_requests += 1
+        if request.request_id:
+            self.request_ids.add(request.request_id)
+        request.deadline_key = self.deadlines.call_at(request.give_up_at, self._on_deadline, request)
+
+    def _close(
+        self, request: Request, final: FinalAnswer, body: bytes, retry_after: float = 0.0, reason: str = ""
+    ) -> None:
+        """Give the final answer: the one place where one goes out."""
+        request.final_answer = final
+        self.open_requests -= 1
+        self.count_answer(request.class_index, final)
+        took = self.deadlines.clock() - request.accepted_at
+        self._log(
+            "answer",
+            message=request.handle,
+            id=request.request_id,
+            lane=self.settings.classes[request.class_index].name,
+            final=final.value,
+            relays=len(request.attempts),
+            ms=round(took, 1),
+            **({"why": reason} if reason else {}),
+        )
+        self.transport.answer(request, final, body, retry_after)
+        if self.plugins is not None:
+            self.plugins.observe(request.class_index, final, took)
+        self._forget(request)
+
+    def _forget(self, request: Request) -> None:
+        """Free the slot of a request once nothing is owed and nothing is in flight."""
+        if not request.closed or any(attempt.in_flight for attempt in request.attempts):
+            return
+        self.deadlines.cancel(request.deadline_key)
+        if self.requests.remove(request.handle) is not None and request.request_id:
+            self.request_ids.discard(request.request_id)
+            if self.on_request_id is not None:
+                self.on_request_id(request.request_id, False)
+
+    def _log_attempt(self, event: str, attempt: Attempt, **fields: object) -> None:
+        request = attempt.request
+        self._log(
+            event,
+            message=request.handle,
+            id=request.request_id,
+            relay=attempt.number,
+            host=attempt.server.entry.name,
+            **fields,
+        )
+
+
+def _arrival(request: Request, workload: Workload | None) -> RequestArrived:
+    """A request as the balancer is told of it."""
+    slots, memory, work_hint, tenant, key, retry = workload or Workload()
+    return RequestArrived(
+        request.handle,
+        request.class_index,
+        request.give_up_at,
+        slots,
+        memory,
+        work_hint,
+        tenant,
+        key,
+        retry,
+        request.policy,
+    )
--- a/heronlug/memory/numbers.py
+++ b/heronlug/requests/server_numbers.py
@@ -5,7 +5,7 @@
 MASK = 0xFFFFFFFF
 
 
-class Numbers:
+class ServerNumbers:
     """The numbers that are in use; each call costs the same however many there are."""
 
     __slots__ = ("_by_name", "_taken")
@@ -17,7 +17,7 @@
     def __len__(self) -> int:
         return len(self._by_name)
 
-    def of(self, name: str) -> int:
+    def number_of(self, name: str) -> int:
         """The number of a name, the next free one where another name has it already."""
         number = self._by_name.get(name)
         if number is None:
--- a/heronlug/memory/slots.py
+++ b/heronlug/requests/slots.py
@@ -13,7 +13,7 @@
 SLOT_MASK = (1 << SLOT_BITS) - 1
 
 
-class Slots(Generic[Item]):
+class SlotTable(Generic[Item]):
     """Items by ticket; slots are used again, tickets never."""
 
     __slots__ = ("_free", "_items", "_uses")
@@ -29,7 +29,7 @@
     def __iter__(self) -> Iterator[Item]:
         return iter([item for item in self._items if item is not None])
 
-    def put(self, item: Item) -> int:
+    def add(self, item: Item) -> int:
         """Put an item into a free slot; returns its ticket."""
         if self._free:
             slot = self._free.pop()
@@ -50,7 +50,7 @@
             return self._items[slot]
         return None
 
-    def take(self, ticket: int) -> Item | None:
+    def remove(self, ticket: int) -> Item | None:
         """Take an item out, if it is still there."""
         item = self.get(ticket)
         if item is not None:
--- a/heronlug/standin/register.py
+++ b/heronlug/standins/discovery.py
@@ -15,7 +15,7 @@
 import httptools
 import orjson
 
-from heronlug.wire import http
+from heronlug.net import http
 
 WAIT_MOST = 60_000.0  # ms
 KEPT = 4096  # changes that a watch may ask for; from further back it gets the whole list
--- a/heronlug/standin/first_job.py
+++ b/heronlug/standins/first_request.py
@@ -6,9 +6,9 @@
 import sys
 import time
 
-from heronlug.life.config import Config
-from heronlug.standin.host import Host
-from heronlug.wire.http import split_address
+from heronlug.config.platform import Config
+from heronlug.net.http import split_address
+from heronlug.standins.server import Host
 
 WAIT = 10.0  # s, for the dispatcher to come up
 
--- a/heronlug/standin/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -12,15 +12,15 @@
 import httptools
 import orjson
 
+from heronlug.balancer.events import ServerState
+from heronlug.conformance import Began, Dialled, Event, Load
+from heronlug.discovery.endpoint_list import STATES
 from heronlug.emulator.draws import Draws, distribution, stream
-from heronlug.emulator.hosts import Host, Kind, Run, Warmth
+from heronlug.emulator.faults import Troubles
 from heronlug.emulator.scenario import ClassTable, Scenario
-from heronlug.emulator.troubles import Troubles
-from heronlug.interface import WorkerState
-from heronlug.rules import Began, Dialled, Event, Load
-from heronlug.standin.live import LiveLine
-from heronlug.standin.register import Register
-from heronlug.wire.server_list import STATES
+from heronlug.emulator.servers import Host, Kind, Run, Warmth
+from heronlug.standins.discovery import Register
+from heronlug.standins.live import LiveLine
 
 WORDS = {state: word for word, state in STATES.items()}
 PROGRESS = 1000.0  # ms between words of a job that runs
@@ -95,7 +95,7 @@
         host.end()
         self.servers[host.name].close()
 
-    def list_host(self, host: Host, state: WorkerState) -> None:
+    def list_host(self, host: Host, state: ServerState) -> None:
         """The register has it so."""
         kind = host.kind.name
         started = host.started_at and self.unix(host.started_at)
@@ -107,7 +107,7 @@
             lifecycle=WORDS[state],
             startedAtMs=round(started),
         )
-        if state is WorkerState.READY and not self.servers[host.name].listening:
+        if state is ServerState.READY and not self.servers[host.name].listening:
             self._do(self.servers[host.name].open())
 
     def replace(self, host: Host) -> None:
@@ -143,7 +143,7 @@
         host.tipped, host.began = self._tipped, self._began
         server = self.servers[name] = Server(self, host)
         await server.open()
-        self.list_host(host, WorkerState.READY)
+        self.list_host(host, ServerState.READY)
         return host
 
     async def _succeed(self, name: str, host: Host) -> None:
@@ -151,7 +151,7 @@
         successor = await self._add(name, host.kind, host.zone)
         successor.slow = host.slow
         successor.start()
-        self.list_host(successor, WorkerState.READY)
+        self.list_host(successor, ServerState.READY)
 
     def _tipped(self, host: Host) -> None:
         self.fell += 1
--- a/heronlug/store/memory.py
+++ b/heronlug/storage/memory.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from heronlug.store.model import Done, Kept
+from heronlug.storage.model import Done, Kept
 
 
 class MemoryStore:
--- a/heronlug/store/model.py
+++ b/heronlug/storage/model.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from heronlug.interface import Effect, JobClass
+from heronlug.balancer.settings import Effect, RequestClass
 
 Done = Callable[[str], None]  # told why it could not be kept, or nothing once it is on the disk
 
@@ -80,7 +80,7 @@
     FORGET = "forget"  # it ended so long ago that its jid need not be known
 
 
-def settle(job: Kept, lane: JobClass | None, now: float, remember: float) -> Way:
+def settle(job: Kept, lane: RequestClass | None, now: float, remember: float) -> Way:
     """What becomes of a kept job: by its class, where it had been delivered.
 
     ``lane`` is None for a class that the settings do not have any more: what has not ended cannot be run.
@@ -90,9 +90,9 @@
     if lane is None:
         return Way.FAILED if job.delivered_at else Way.REFUSED
     if job.delivered_at:
-        if lane.effect is Effect.ONCE:
+        if lane.effect is Effect.NON_IDEMPOTENT:
             return Way.FAILED
-        if lane.effect is Effect.BY_KEY and now - job.delivered_at >= lane.repeat_window:
+        if lane.effect is Effect.IDEMPOTENT_BY_KEY and now - job.delivered_at >= lane.repeat_window:
             return Way.FAILED
         return Way.AGAIN if left(job, now) > 0 else Way.FAILED
     if job.due > now:
--- a/heronlug/store/sqlite.py
+++ b/heronlug/storage/sqlite.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from heronlug.store.model import Done, Kept
+from heronlug.storage.model import Done, Kept
 
 FORMAT = 1
 RETRY = 0.5  # s, when an outcome could not be written
--- a/tests/test_wire.py
+++ b/tests/adapter/test_frames.py
@@ -10,17 +10,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import heronlug as pk
-from heronlug.adapter import Host
-from heronlug.wire.simulator import (
+from heronlug.adapter.frames import (
     HEADER,
     Reply,
     Spawn,
     WireError,
     decode_events,
     decode_header,
-    parse_settings,
 )
+from heronlug.adapter.host import Host
+from heronlug.balancer.actions import (
+    CancelAttempt,
+    Fail,
+    LogLine,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    Subscribe,
+)
+from heronlug.balancer.events import (
+    AnswerStarted,
+    AttemptProgress,
+    ClientGone,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    ProgressKind,
+    RequestArrived,
+    ServerEntry,
+    TimerFired,
+)
+from heronlug.balancer.settings import Effect, KeyScope
+from heronlug.config.settings_json import parse_settings
 
 CONF: dict[str, Any] = {
     "instances": 2,
@@ -59,10 +81,10 @@
     request += "40c0e62000000000 00 00000000 01"
     reminder, aborted = "07 00000003 000000000000004d", "0a 00000005 0001788b0e6f2b19"
     job, timer, gone = events_of(frame([request, reminder, aborted]))
-    arrived = pk.JobArrived(0x7D1245D3A91C4, 0, 8652.25, slots=2.0, hint=12.0, tenant=0, key=0x91F03B7C55D20A64)
+    arrived = RequestArrived(0x7D1245D3A91C4, 0, 8652.25, slots=2.0, work_hint=12.0, tenant=0, key=0x91F03B7C55D20A64)
     assert job == (3, arrived)
-    assert timer == (3, pk.TimerFired(77))
-    assert gone == (5, pk.ClientGone(0x1788B0E6F2B19))
+    assert timer == (3, TimerFired(77))
+    assert gone == (5, ClientGone(0x1788B0E6F2B19))
 
 
 def test_worked_outcome_note_peer_probe_and_start_of_answer() -> None:
@@ -75,12 +97,12 @@
         "63 00000003",
     ]
     ended, note, peer, probed, begun = (event for _, event in events_of(frame(records, b"hi 7")))
-    assert ended[:6] == (0x7D1245D3A91C4, 0, 0x03124A07, pk.Outcome.SERVED, 18.5, True)
+    assert ended[:6] == (0x7D1245D3A91C4, 0, 0x03124A07, Outcome.SERVED, 18.5, True)
     assert ended.report == pytest.approx((140.0, 3.0, 0.4))
-    assert note == pk.Note(0x7D1245D3A91C4, 0, 0x03124A07, pk.NoteKind.STARTED, 0.5)
-    assert peer == pk.PeerMessage(2, b"hi 7")
-    assert probed.worker == 0x2C9011F2 and probed.latency == pytest.approx(1.4)
-    assert begun == pk.AnswerStarted(0x7D1245D3A91C4, 0, 0x03124A07, 9.25)
+    assert note == AttemptProgress(0x7D1245D3A91C4, 0, 0x03124A07, ProgressKind.STARTED, 0.5)
+    assert peer == PeerMessage(2, b"hi 7")
+    assert probed.server == 0x2C9011F2 and probed.latency == pytest.approx(1.4)
+    assert begun == AnswerStarted(0x7D1245D3A91C4, 0, 0x03124A07, 9.25)
 
 
 def test_worked_list() -> None:
@@ -89,18 +111,18 @@
     data = frame(["04 00000003 00 0000000000000029 00000000 00000002"], bytes.fromhex(tail.replace(" ", "")))
     [(instance, news)] = events_of(data)
     assert instance == 3
-    assert news.kind is pk.ListKind.CACHED
+    assert news.kind is ListKind.CACHED
     assert news.entries == (
-        pk.WorkerEntry(0x03124A07),
-        pk.WorkerEntry(0x2C9011F2, zone=1, weight=1.5, started_at=6100.0),
+        ServerEntry(0x03124A07),
+        ServerEntry(0x2C9011F2, zone=1, weight=1.5, started_at=6100.0),
     )
 
 
 def test_worked_reply() -> None:
     reply = Reply()
-    reply.add(3, pk.Send(0x7D1245D3A91C4, 0x03124A07))
-    reply.add(3, pk.SetTimer(500.0, 77))
-    reply.add(5, pk.Log("two servers known"))
+    reply.add(3, StartAttempt(0x7D1245D3A91C4, 0x03124A07))
+    reply.add(3, SetTimer(500.0, 77))
+    reply.add(5, LogLine("two servers known"))
     expected = frame(
         [
             "01 00000003 0007d1245d3a91c4 03124a07 0000000000000000",
@@ -115,11 +137,11 @@
 
 def test_other_actions() -> None:
     reply = Reply()
-    reply.add(3, pk.Refuse(7))
-    reply.add(3, pk.Fail(8))
-    reply.add(3, pk.Cancel(9, 2))
-    reply.add(3, pk.Tell(b"hi"))
-    reply.add(3, pk.Subscribe())
+    reply.add(3, Reject(7))
+    reply.add(3, Fail(8))
+    reply.add(3, CancelAttempt(9, 2))
+    reply.add(3, SendPeerMessage(b"hi"))
+    reply.add(3, Subscribe())
     data = reply.encode()
     records = [data[8 + i * 32 : 40 + i * 32] for i in range(5)]
     assert [record[0] for record in records] == [2, 3, 4, 8, 11]
@@ -130,11 +152,16 @@
 def test_settings() -> None:
     got = parse_settings(json.dumps(CONF))
     once, keyed = got.classes
-    assert (once.effect, once.aim, once.stretch, once.worker_kind) == (pk.Effect.ONCE, 400.0, 1.75, -1)
-    assert (keyed.key_scope, keyed.repeat_window, keyed.worker_kind) == (pk.KeyScope.CELL, 75.0, 1)
-    assert got.report_fields == ("tps", "x0") and got.quotas == (8.0,) and got.tells_start
-    assert not got.list_pushed and got.instances == 2 and got.attempts_cap == 4
-    assert got.worst_class == pytest.approx(0.25)
+    assert (once.effect, once.latency_objective, once.latency_factor, once.server_kind) == (
+        Effect.NON_IDEMPOTENT,
+        400.0,
+        1.75,
+        -1,
+    )
+    assert (keyed.key_scope, keyed.repeat_window, keyed.server_kind) == (KeyScope.CELL, 75.0, 1)
+    assert got.report_fields == ("tps", "x0") and got.quotas == (8.0,) and got.reports_start
+    assert not got.list_pushed and got.instances == 2 and got.max_attempts == 4
+    assert got.worst_class_weight == pytest.approx(0.25)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +169,7 @@
     [
         ({"lanes": []}, "classes"),
         ({"lanes": [{"effect": "once", "goal_time": 1.0}]}, "deadline"),
-        ({"lanes": [{"effect": "once", "goal_time": -1.0, "deadline": 5.0}]}, "aim"),
+        ({"lanes": [{"effect": "once", "goal_time": -1.0, "deadline": 5.0}]}, "goal_time"),
         ({"lanes": [{"effect": "twice", "goal_time": 1.0, "deadline": 5.0}]}, "twice"),
         ({"instances": 0}, "instances"),
         ({"tick": "soon"}, "tick"),
@@ -206,7 +233,7 @@
     batch = start()
     count, _, now = decode_header(batch[:16])
     host.answer(count, now, batch[16:])
-    host._instances[3].handlers = {pk.JobArrived: lambda event, now: 1 / 0}  # type: ignore[dict-item]
+    host._instances[3]._handlers = {RequestArrived: lambda event, now: 1 / 0}  # type: ignore[dict-item]
     request = frame([REQUEST])
     reply = host.answer(1, now, request[16:])
     assert reply[8] == 10 and reply.endswith(b"ZeroDivisionError: division by zero")
--- a/tests/test_relays.py
+++ b/tests/balancer/test_load_reports.py
@@ -5,24 +5,28 @@
 
 from drive import KEYED, ONCE, SAFE, Host, entries, with_settings
 
-from heronlug import ClientGone, Dispatcher, ListKind, Outcome, PeerMessage, Tell
-from heronlug.decisions.model import Job, Worker
-from heronlug.decisions.peer_reports import PeerReports
-from heronlug.logic import EJECT_DIALS, ILL, SCORES_PER_US, SILENT
+from heronlug import ClientGone, Dispatcher, ListKind, Outcome, PeerMessage, SendPeerMessage
+from heronlug.balancer.derived_settings import SCORES_PER_CPU_US
+from heronlug.balancer.load_reports import MISSED_SUMMARIES, UNHEALTHY
+from heronlug.balancer.model import Request, Server
+from heronlug.balancer.outlier_detection import EJECTION_DIALS
+from heronlug.balancer.peer_load import COUNTS_IN_MESSAGE, ENDED_BADLY, ENDED_WELL, PeerLoad
+from heronlug.balancer.ranking import Ranking
+from heronlug.balancer.selection import Selection
 
 
 def crowd(position: int, workers: int = 4, **changes: Any) -> Host:
     """One of forty dispatchers."""
-    return Host(with_settings(instances=40, position=position, may_tell=True, **changes), workers=workers)
+    return Host(with_settings(instances=40, position=position, gossip=True, **changes), workers=workers)
 
 
-def told(host: Host) -> list[Tell]:
-    return [action for action in host.actions if isinstance(action, Tell)]
+def told(host: Host) -> list[SendPeerMessage]:
+    return [action for action in host.actions if isinstance(action, SendPeerMessage)]
 
 
 def sums(host: Host, digits: list[int]) -> list[bytes]:
     """What a relay with the same list would tell."""
-    return host.dispatcher.peers.summary(digits)
+    return host.dispatcher.state.peer_load.summary(digits)
 
 
 def test_counts_go_to_the_relays_alone_and_their_sums_count_as_queue() -> None:
@@ -31,25 +35,29 @@
     host.job(0)
     assert not told(host)  # nobody to tell yet
     for relay in (0, 1):
-        host.give(PeerMessage(relay, PeerReports.SUMMARY))
+        host.give(PeerMessage(relay, PeerLoad.SUMMARY))
     assert [tell.peer for tell in told(host)] == [0]  # the first relay
-    host.until(host.now + 3 * host.dispatcher.view_gap)
+    host.until(host.now + 3 * host.dispatcher.derived.summary_interval)
     assert [tell.peer for tell in told(host)] == [0, 0, 1]  # who begins hears of what runs at the next beat
-    host.dispatcher.sweep = []
-    free = host.dispatcher.order[2]
-    for content in sums(host, [0 if w is free else 8 for w in host.dispatcher.peers.roster]):
+    host.dispatcher.exploration.pending = []
+    free = host.dispatcher.ranking.servers[2]
+    for content in sums(host, [0 if w is free else 8 for w in host.dispatcher.state.peer_load.servers_in_order]):
         host.give(PeerMessage(0, content))
     assert host.sent[host.job(0)] == [free.id]
 
 
 def test_first_relays_sum_up_from_the_start_and_faster_than_the_most_patient_class() -> None:
     """Risk: after a start of all at once, or a restart of the relays, jobs were sent blind for four seconds."""
-    classes = (replace(SAFE, aim=500), replace(KEYED, aim=4000), replace(ONCE, aim=1000))
+    classes = (
+        replace(SAFE, latency_objective=500),
+        replace(KEYED, latency_objective=4000),
+        replace(ONCE, latency_objective=1000),
+    )
     for position in (0, 1):
         host = crowd(position, classes=classes)
         host.until(host.now + 600)
         first, second, *_ = [tell.content for tell in told(host)]
-        assert first == PeerReports.SUMMARY and len(second) == 6 + 2
+        assert first == PeerLoad.SUMMARY and len(second) == 6 + 2
     host = crowd(2, classes=classes)
     host.until(host.now + 600)
     assert not told(host)
@@ -59,7 +67,7 @@
     host = crowd(9)
     before = sums(host, [8, 8, 8, 0])
     host.listed(ListKind.FULL, entries(3))
-    other = Host(with_settings(instances=40, may_tell=True), workers=6)
+    other = Host(with_settings(instances=40, gossip=True), workers=6)
     for content in (*sums(other, [8] * 6), b"s", b"s\x00", b"x", b""):
         host.give(PeerMessage(0, content))
     assert host.job(0) in host.sent and host.job(0) in host.sent
@@ -69,73 +77,76 @@
 
 def test_first_by_position_relay_and_others_step_in_when_they_are_silent() -> None:
     host = crowd(1)
-    gap = host.dispatcher.view_gap
-    host.until(host.now + (2 * SILENT + 4) * gap)
+    gap = host.dispatcher.derived.summary_interval
+    host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
     first, *rest = [tell.content for tell in told(host)]
-    assert first == PeerReports.SUMMARY and rest and all(len(content) == 6 + 2 for content in rest)
+    assert first == PeerLoad.SUMMARY and rest and all(len(content) == 6 + 2 for content in rest)
     host = crowd(2)
     for _ in range(30):
         host.until(host.now + gap)
         for relay in (0, 1):
-            host.give(PeerMessage(relay, PeerReports.SUMMARY))
+            host.give(PeerMessage(relay, PeerLoad.SUMMARY))
     assert not told(host)
-    host.until(host.now + (2 * SILENT + 4) * gap)  # both died
+    host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)  # both died
     assert told(host)
-    for _ in range(2 * SILENT):
+    for _ in range(2 * MISSED_SUMMARIES):
         host.until(host.now + gap)
         for relay in (0, 1):
-            host.give(PeerMessage(relay, PeerReports.SUMMARY))
-    assert not host.dispatcher.peers.relaying
+            host.give(PeerMessage(relay, PeerLoad.SUMMARY))
+    assert not host.dispatcher.state.peer_load.aggregating
 
 
 def test_cost_of_an_outcome_does_not_grow_with_the_fleet() -> None:
     """Risk: ranking 200 workers at every outcome needs more CPU than a dispatcher has."""
     scored = 0
 
-    class Counting(Dispatcher):
+    class Counting(Ranking):
+        __slots__ = ()
+
         def _score_all(self, now: float) -> None:
             nonlocal scored
-            scored += len(self.order)
+            scored += len(self.servers)
             super()._score_all(now)
 
     host = Host(with_settings(cpu_per_request=10.0), workers=0)
-    host.dispatcher = Counting(host.settings, 1)
+    host.dispatcher = Dispatcher(host.settings, 1)
+    host.dispatcher.ranking.__class__ = Counting
     host.listed(ListKind.CACHED, entries(200))
     scored = 0
     for _ in range(100):
         job = host.job(0)
         host.until(host.now + 50)
         host.end(job, 0, Outcome.SERVED, (4.0,))
-    assert 100 < scored <= 100 * 10 * SCORES_PER_US
+    assert 100 < scored <= 100 * 10 * SCORES_PER_CPU_US
 
 
 def count(worker: int, code: int, at: float = 0.0) -> bytes:
-    return PeerReports.STAMP.pack(PeerReports.COUNTS, at) + PeerReports.PAIR.pack(worker, code)
+    return PeerLoad.STAMP.pack(PeerLoad.COUNTS, at) + PeerLoad.PAIR.pack(worker, code)
 
 
 def test_relay_marks_a_worker_that_fails_for_several_and_takes_it_back() -> None:
     """Risk: each of 150 dispatchers pays for its own first failure at each bad worker (28% of attempts)."""
     host = crowd(0, workers=10)
-    gap = host.dispatcher.view_gap
-    host.until(host.now + (2 * SILENT + 4) * gap)
-    assert host.dispatcher.peers.relaying
-    bad = host.dispatcher.peers.roster[3]
-    host.give(PeerMessage(7, count(bad.id, PeerReports.ENDED_BADLY)))
-    assert bad.health > ILL  # one failure may be chance
-    host.give(PeerMessage(8, count(bad.id, PeerReports.ENDED_BADLY)))
+    gap = host.dispatcher.derived.summary_interval
+    host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
+    assert host.dispatcher.state.peer_load.aggregating
+    bad = host.dispatcher.state.peer_load.servers_in_order[3]
+    host.give(PeerMessage(7, count(bad.id, ENDED_BADLY)))
+    assert bad.outlier.health > UNHEALTHY  # one failure may be chance
+    host.give(PeerMessage(8, count(bad.id, ENDED_BADLY)))
     host.until(host.now + 2 * gap)
-    assert told(host)[-1].content[PeerReports.HEAD.size :].hex() == "000f000000"
+    assert told(host)[-1].content[PeerLoad.HEAD.size :].hex() == "000f000000"
     for peer in range(10, 20):
-        host.give(PeerMessage(peer, count(bad.id, PeerReports.ENDED_WELL)))
+        host.give(PeerMessage(peer, count(bad.id, ENDED_WELL)))
     host.until(host.now + 2 * gap)
-    assert told(host)[-1].content[PeerReports.HEAD.size :].hex() == "0" * 10
+    assert told(host)[-1].content[PeerLoad.HEAD.size :].hex() == "0" * 10
 
 
 def test_marked_worker_is_tried_by_one_dispatcher_at_a_time_and_with_nothing_that_must_not_repeat() -> None:
     """Risk: tried by lot, marked workers were never seen well again: 64 of 280 stood idle to the end."""
     hosts = [crowd(position) for position in range(2, 40)]
-    bad = hosts[0].dispatcher.peers.roster[1]
-    span = EJECT_DIALS * hosts[0].settings.dial_timeout
+    bad = hosts[0].dispatcher.state.peer_load.servers_in_order[1]
+    span = EJECTION_DIALS * hosts[0].settings.dial_timeout
     tried = []
     for window in range(20):
         senders = set()
@@ -143,7 +154,7 @@
             host.until((host.now // span + 1) * span + 1)
             for content in sums(host, [0, 15, 0, 0]):
                 host.give(PeerMessage(0, content))
-                host.give(PeerMessage(1, PeerReports.SUMMARY))
+                host.give(PeerMessage(1, PeerLoad.SUMMARY))
             jobs = [host.job(cls) for cls in (2, 0, 0, 2)]
             there = [job for job in jobs if host.sent.get(job) == [bad.id]]
             assert not set(there) & {jobs[0], jobs[3]}, window  # what fails there must not repeat
@@ -159,13 +170,13 @@
     marks = []
     for used in (0, 1):
         host = crowd(0, workers=10)
-        host.until(host.now + (2 * SILENT + 4) * host.dispatcher.view_gap)
-        for at, worker in enumerate(host.dispatcher.peers.roster):
+        host.until(host.now + (2 * MISSED_SUMMARIES + 4) * host.dispatcher.derived.summary_interval)
+        for at, worker in enumerate(host.dispatcher.state.peer_load.servers_in_order):
             for peer in (7, 8, 9):
-                code = PeerReports.ENDED_BADLY if at < 6 else 0
+                code = ENDED_BADLY if at < 6 else 0
                 host.give(PeerMessage(peer, count(worker.id, code + used, host.now)))
-        host.until(host.now + 2 * host.dispatcher.view_gap)
-        marks.append(told(host)[-1].content[PeerReports.HEAD.size :].hex().count("f"))
+        host.until(host.now + 2 * host.dispatcher.derived.summary_interval)
+        marks.append(told(host)[-1].content[PeerLoad.HEAD.size :].hex().count("f"))
     assert marks == [6, 2]
 
 
@@ -174,40 +185,40 @@
 
     At 459 dispatchers relays believed 6 slots a worker that were not there."""
     host = crowd(0)
-    worker = host.dispatcher.peers.roster[0]
+    worker = host.dispatcher.state.peer_load.servers_in_order[0]
     host.give(PeerMessage(7, count(worker.id, 0, at=12.0)))
     host.give(PeerMessage(7, count(worker.id, 1, at=10.0)))
-    assert worker.told == 0
+    assert worker.load.peer_slots == 0
     host.give(PeerMessage(7, count(worker.id, 2, at=14.0)))
-    assert worker.told == 2
+    assert worker.load.peer_slots == 2
 
 
 def test_counts_that_hold_are_told_again_and_others_are_void() -> None:
     """Risk: a lost message makes a worker look busy, or free, until its sender happens to go there again."""
     host = crowd(9)
     for relay in (0, 1):
-        host.give(PeerMessage(relay, PeerReports.SUMMARY))
+        host.give(PeerMessage(relay, PeerLoad.SUMMARY))
     job = host.job(0)
     worker = host.sent[job][0]
     for _ in range(8):
         before = len(told(host))
-        for _ in range(SILENT):
-            host.give(PeerMessage(0, PeerReports.SUMMARY))
-            host.until(host.now + host.dispatcher.view_gap)
-        pairs = [tell.content[PeerReports.STAMP.size :] for tell in told(host)[before:]]
-        assert PeerReports.PAIR.pack(worker, 1) in pairs
+        for _ in range(MISSED_SUMMARIES):
+            host.give(PeerMessage(0, PeerLoad.SUMMARY))
+            host.until(host.now + host.dispatcher.derived.summary_interval)
+        pairs = [tell.content[PeerLoad.STAMP.size :] for tell in told(host)[before:]]
+        assert PeerLoad.PAIR.pack(worker, 1) in pairs
 
 
 def test_what_fits_into_no_message_is_told_in_the_next() -> None:
-    host = Host(with_settings(instances=2, may_tell=True), workers=PeerReports.PAIRS + 20)
-    for _ in range(PeerReports.PAIRS + 20):
+    host = Host(with_settings(instances=2, gossip=True), workers=COUNTS_IN_MESSAGE + 20)
+    for _ in range(COUNTS_IN_MESSAGE + 20):
         host.job(0)
     for _ in range(3):
         host.until(host.now + 1000)
         host.give(ClientGone(0))
-    tells = [tell.content[PeerReports.STAMP.size :] for tell in told(host)]
-    ids = {worker for pairs in tells for worker, _ in PeerReports.PAIR.iter_unpack(pairs)}
-    assert len(ids) == PeerReports.PAIRS + 20 and all(len(tell.content) <= 256 for tell in told(host))
+    tells = [tell.content[PeerLoad.STAMP.size :] for tell in told(host)]
+    ids = {worker for pairs in tells for worker, _ in PeerLoad.PAIR.iter_unpack(pairs)}
+    assert len(ids) == COUNTS_IN_MESSAGE + 20 and all(len(tell.content) <= 256 for tell in told(host))
 
 
 def test_own_sends_and_ends_since_the_sums_are_known_first() -> None:
@@ -231,18 +242,20 @@
     host.give(PeerMessage(0, content))
     looks = seen = 0
 
-    class Counting(Dispatcher):
-        def _choose(self, job: Job, now: float, late: bool = False) -> Worker | None:
+    class Counting(Selection):
+        __slots__ = ()
+
+        def choose(self, request: Request, now: float, *, overdue: bool = False) -> Server | None:
             nonlocal looks
             looks += 1
-            return super()._choose(job, now, late)
+            return super().choose(request, now, overdue=overdue)
 
-        def _may_send(self, job: Job, worker: Worker, now: float) -> bool:
+        def _may_send(self, request: Request, server: Server, now: float) -> bool:
             nonlocal seen
             seen += 1
-            return super()._may_send(job, worker, now)
+            return super()._may_send(request, server, now)
 
-    host.dispatcher.__class__ = Counting
+    host.dispatcher.selection.__class__ = Counting
     job = host.job(0)
     host.give(PeerMessage(0, content))
     assert job not in host.sent
--- a/tests/test_streams.py
+++ b/tests/balancer/test_recorded_streams.py
@@ -3,7 +3,7 @@
 import pytest
 from recorded import record
 
-from heronlug.logic import Dispatcher
+from heronlug.balancer.dispatcher import Dispatcher
 
 
 @pytest.mark.parametrize("name", record.SITES)
@@ -11,6 +11,6 @@
     head, events = record.read(name)
     dispatcher = Dispatcher(record.settings(name), 7)
     answers = [list(dispatcher.handle(now, event)) for now, event in events]
-    kinds = [type(action).__name__ for actions in answers for action in actions]
+    kinds = [record.ACTIONS[type(action)] for actions in answers for action in actions]
     assert {kind: kinds.count(kind) for kind in sorted(set(kinds))} == head["actions"]
     assert record.digest(answers) == head["digest"]
