--- a/tests/arrival/test_tickets.py
+++ b/tests/balancer/test_reservations.py
@@ -9,38 +9,48 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronlug import interface as pk
-from heronlug.arrival.parts import FEW, MARGIN, Parts
-from heronlug.arrival.tickets import COOL, KEPT, LOOK, MOST, WARM, WIDE, Tickets
-from heronlug.decisions.model import Kind, Worker
-from heronlug.decisions.state import State
+from heronlug.balancer.capacity import CapacityEstimate
+from heronlug.balancer.events import ListKind, ServerEntry, ServerListUpdate, ServerState
+from heronlug.balancer.model import Server
+from heronlug.balancer.reservations import (
+    CHECK_MS,
+    COLD_PACE,
+    HIGHEST_PACE,
+    OPEN_AT_A_TIME,
+    WARM_PACE,
+    WIDEST_REQUEST,
+    Reservations,
+)
+from heronlug.balancer.servers import ServerTable
+from heronlug.balancer.settings import RequestClass, Settings
+from heronlug.balancer.slow_start import BUDGET_MARGIN, FEW_DISPATCHERS, CapacityShares
 
 SPAN, TIP, SLOTS, USUAL, LOW, WHOLE, BORN = 1000.0, 3.0, 4.0, 450.0, 0.2, 20_000.0, 5000.0
 MANY = 200
 
 
-def told(position: int, count: int = MANY, tip: float = TIP) -> pk.Settings:
-    lane = pk.JobClass(aim=USUAL, deadline=10_000.0)
-    return pk.Settings(
+def told(position: int, count: int = MANY, tip: float = TIP) -> Settings:
+    lane = RequestClass(latency_objective=USUAL, deadline=10_000.0)
+    return Settings(
         (lane,),
         instances=count,
         position=position,
-        cold_from=LOW,
-        warm_after=WHOLE,
-        tip_multiple=tip,
-        overload_for=SPAN,
+        warmup_capacity=LOW,
+        warmup_time=WHOLE,
+        overload_multiple=tip,
+        overload_window=SPAN,
     )
 
 
-def worker(number: int = 7) -> Worker:
-    return Worker(pk.WorkerEntry(number, started_at=BORN), Kind(SLOTS))
+def worker(number: int = 7) -> Server:
+    return Server(ServerEntry(number, started_at=BORN), CapacityEstimate(SLOTS))
 
 
-def fleet(count: int = MANY, usual: float = USUAL, tip: float = TIP) -> list[tuple[Tickets, Worker]]:
-    made = [(Tickets(told(position, count, tip), MARGIN), worker()) for position in range(count)]
+def fleet(count: int = MANY, usual: float = USUAL, tip: float = TIP) -> list[tuple[Reservations, Server]]:
+    made = [(Reservations(told(position, count, tip), BUDGET_MARGIN), worker()) for position in range(count)]
     for tickets, there in made:
-        there.budget = 0.0
-        tickets.cold(there, usual)
+        there.slow_start.work_budget = 0.0
+        tickets.add_warming(there, usual)
     return made
 
 
@@ -53,16 +63,16 @@
     steps = 2000
     each = (until - BORN) / steps
     shares = [warmth(BORN + (n + 0.5) * each) for n in range(steps)]
-    return sum(SLOTS / USUAL * share * (COOL + (WARM - COOL) * share) * each for share in shares)
+    return sum(SLOTS / USUAL * share * (COLD_PACE + (WARM_PACE - COLD_PACE) * share) * each for share in shares)
 
 
-def greedy(dispatchers: list[tuple[Tickets, Worker]], work: float = USUAL) -> list[int]:
+def greedy(dispatchers: list[tuple[Reservations, Server]], work: float = USUAL) -> list[int]:
     """When they send while it is cold, all of them whatever they may."""
     when = []
     for at in range(int(BORN), int(BORN + WHOLE), 10):
         for tickets, there in dispatchers:
-            if tickets.may(there, work, at):
-                tickets.sent(there, work, at)
+            if tickets.may_send(there, work, at):
+                tickets.record_send(there, work, at)
                 when.append(at)
     return when
 
@@ -78,49 +88,49 @@
     sends = 0
     at = BORN
     while at < BORN + WHOLE:
-        holders = [pair for pair in dispatchers if pair[0].may(pair[1], USUAL, at)]
-        assert len(holders) <= KEPT
+        holders = [pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, at)]
+        assert len(holders) <= OPEN_AT_A_TIME
         for tickets, there in holders:
-            tickets.sent(there, USUAL, at)
-            assert not tickets.may(there, USUAL, at)
+            tickets.record_send(there, USUAL, at)
+            assert not tickets.may_send(there, USUAL, at)
             sends += 1
         at += 10.0
-    assert abs(sends - jobs_given(at)) <= KEPT
+    assert abs(sends - jobs_given(at)) <= OPEN_AT_A_TIME
 
 
 def test_a_turn_is_told_once_and_holds_until_it_is_used_or_over() -> None:
     dispatchers = fleet(20)
-    tickets, there = next(pair for pair in dispatchers if pair[0].may(pair[1], USUAL, BORN))
-    assert tickets.turns(BORN) == [there] and tickets.turns(BORN + LOOK) == []
-    assert tickets.may(there, USUAL, BORN + LOOK)
-    passed = next(at for at in range(int(BORN), int(BORN + WHOLE), 10) if jobs_given(at) >= KEPT)
-    assert tickets.may(there, USUAL, passed - 20.0) and not tickets.may(there, USUAL, passed + 10.0)
-    again = next(at for at in range(int(passed), int(BORN + WHOLE), 10) if tickets.may(there, USUAL, at))
+    tickets, there = next(pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, BORN))
+    assert tickets.turns(BORN) == [there] and tickets.turns(BORN + CHECK_MS) == []
+    assert tickets.may_send(there, USUAL, BORN + CHECK_MS)
+    passed = next(at for at in range(int(BORN), int(BORN + WHOLE), 10) if jobs_given(at) >= OPEN_AT_A_TIME)
+    assert tickets.may_send(there, USUAL, passed - 20.0) and not tickets.may_send(there, USUAL, passed + 10.0)
+    again = next(at for at in range(int(passed), int(BORN + WHOLE), 10) if tickets.may_send(there, USUAL, at))
     assert jobs_given(again) >= 20 and tickets.turns(again) == [there]
 
 
 def test_a_new_process_has_tickets_of_its_own_and_a_warm_or_draining_one_has_none() -> None:
-    tickets, there = next(pair for pair in fleet(20) if pair[0].may(pair[1], USUAL, BORN))
-    tickets.sent(there, USUAL, BORN)
-    there.fresh(BORN + 100.0)
-    there.budget = 0.0
-    tickets.cold(there, USUAL)
-    assert tickets.may(there, USUAL, BORN + 100.0)
-    there.state = pk.WorkerState.DRAINING
-    assert tickets.turns(BORN + 100.0) == [] and not tickets.may(there, USUAL, BORN + 100.0)
-    there.state = pk.WorkerState.READY
-    tickets.cold(there, USUAL)
-    there.budget = inf
-    assert tickets.turns(BORN + 200.0) == [] and not tickets.may(there, USUAL, BORN + 200.0)
+    tickets, there = next(pair for pair in fleet(20) if pair[0].may_send(pair[1], USUAL, BORN))
+    tickets.record_send(there, USUAL, BORN)
+    there.process_restarted(BORN + 100.0)
+    there.slow_start.work_budget = 0.0
+    tickets.add_warming(there, USUAL)
+    assert tickets.may_send(there, USUAL, BORN + 100.0)
+    there.state = ServerState.DRAINING
+    assert tickets.turns(BORN + 100.0) == [] and not tickets.may_send(there, USUAL, BORN + 100.0)
+    there.state = ServerState.READY
+    tickets.add_warming(there, USUAL)
+    there.slow_start.work_budget = inf
+    assert tickets.turns(BORN + 200.0) == [] and not tickets.may_send(there, USUAL, BORN + 200.0)
 
 
 def test_a_wide_job_takes_as_many_tickets_of_its_sender_and_one_too_wide_none() -> None:
     def sends(work: float) -> list[int]:
-        return greedy([next(pair for pair in fleet(20) if pair[0].may(pair[1], USUAL, BORN))], work)
+        return greedy([next(pair for pair in fleet(20) if pair[0].may_send(pair[1], USUAL, BORN))], work)
 
     one, three = sends(USUAL), sends(3 * USUAL)
     assert three == one[::3] and len(one) > 3
-    assert sends(WIDE * USUAL + 1) == []
+    assert sends(WIDEST_REQUEST * USUAL + 1) == []
 
 
 def test_who_stands_little_gets_little() -> None:
@@ -131,9 +141,9 @@
     """When they send: each takes another size for usual, which changes, some are started again, all want all."""
     rng = Random(seed)
     usual = [USUAL * rng.uniform(0.7, 1.4) for _ in range(count)]
-    dispatchers = [(Tickets(told(p, count), MARGIN), worker()) for p in range(count)]
+    dispatchers = [(Reservations(told(p, count), BUDGET_MARGIN), worker()) for p in range(count)]
     for _, there in dispatchers:
-        there.budget = 0.0
+        there.slow_start.work_budget = 0.0
     sends: list[float] = []
     at = BORN
     while at < BORN + WHOLE:
@@ -142,14 +152,14 @@
                 usual[number] *= rng.uniform(0.97, 1.03)
                 usual[number] = min(1.4 * USUAL, max(0.7 * USUAL, usual[number]))
             if rng.random() < 0.0005:  # a new process, which knows nothing of what it has sent
-                tickets = Tickets(told(number, count), MARGIN)
+                tickets = Reservations(told(number, count), BUDGET_MARGIN)
                 dispatchers[number] = tickets, there
-            tickets.cold(there, usual[number])
-            if tickets.may(there, USUAL, at):
-                tickets.sent(there, USUAL, at)
+            tickets.add_warming(there, usual[number])
+            if tickets.may_send(there, USUAL, at):
+                tickets.record_send(there, USUAL, at)
                 sends.append(at)
             if rng.random() < 0.02:  # it hears of starts, at once most often, as if the worker did more than it says
-                tickets.started(there, rng.choice((0.0, 0.0, 0.0, 0.0, 5000.0)))
+                tickets.record_start(there, rng.choice((0.0, 0.0, 0.0, 0.0, 5000.0)))
         at += 25.0
     return sends
 
@@ -169,12 +179,12 @@
     assert len(sends) > 0.5 * jobs_given(BORN + WHOLE)
 
 
-@pytest.mark.parametrize(("name", "instead"), [("may", lambda *_: True), ("sent", lambda *_: None)])
+@pytest.mark.parametrize(("name", "instead"), [("may_send", lambda *_: True), ("record_send", lambda *_: None)])
 def test_no_turns_and_tickets_used_twice_are_found_out(
     name: str, instead: Callable[..., bool | None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The bound tells something."""
-    monkeypatch.setattr(Tickets, name, instead)
+    monkeypatch.setattr(Reservations, name, instead)
     assert too_many(disagreeing(1, MANY))
 
 
@@ -182,38 +192,41 @@
     def opened(waits: list[float]) -> float:
         (tickets, there), *_ = fleet(20)
         for wait in waits:
-            tickets.started(there, wait)
-        return tickets._done(WHOLE / 2)
+            tickets.record_start(there, wait)
+        return tickets._curve.work_opened(WHOLE / 2, tickets._pace)
 
     assert opened([0.0] * 3) > opened([]) > opened([USUAL])
     assert opened([USUAL] * 50) == opened([USUAL] * 40) > 0.6 * opened([])
-    assert opened([0.0] * 50) == opened([0.0] * 40) <= MOST * (LOW + warmth(BORN + WHOLE / 2)) / 2 * WHOLE / 2
+    assert opened([0.0] * 50) == opened([0.0] * 40) <= HIGHEST_PACE * (LOW + warmth(BORN + WHOLE / 2)) / 2 * WHOLE / 2
     assert opened([USUAL, *[0.0] * 50]) == opened([0.0] * 50)  # what it has done is counted anew
 
 
-@pytest.mark.parametrize(("count", "lends", "apart"), [(FEW, False, False), (MANY, True, False), (MANY, False, True)])
+@pytest.mark.parametrize(
+    ("count", "lends", "apart"), [(FEW_DISPATCHERS, False, False), (MANY, True, False), (MANY, False, True)]
+)
 def test_turns_are_for_many_that_may_not_talk(count: int, lends: bool, apart: bool) -> None:
-    state = State()
-    state.kinds[0] = Kind(SLOTS)
-    state.listed(pk.WorkerList(pk.ListKind.FULL, (pk.WorkerEntry(7, started_at=BORN),)))
-    (there,) = state.workers.values()
+    table = ServerTable()
+    table.capacities[0] = CapacityEstimate(SLOTS)
+    (there,) = table.apply_list(ServerListUpdate(ListKind.FULL, (ServerEntry(7, started_at=BORN),)), 0.0)
     ours = 0
     for position in range(count):
-        lane = pk.JobClass(aim=USUAL, deadline=10_000.0)
-        parts = Parts(
-            pk.Settings(
+        lane = RequestClass(latency_objective=USUAL, deadline=10_000.0)
+        parts = CapacityShares(
+            Settings(
                 (lane,),
                 instances=count,
                 position=position,
-                lends=lends,
-                may_tell=lends,
-                cold_from=LOW,
-                warm_after=WHOLE,
-                tip_multiple=TIP,
-                overload_for=SPAN,
+                lends_capacity=lends,
+                gossip=lends,
+                warmup_capacity=LOW,
+                warmup_time=WHOLE,
+                overload_multiple=TIP,
+                overload_window=SPAN,
             )
         )
-        there.budget = parts.share(there, LOW, USUAL, BORN)
-        ours += bool(parts.turns(BORN))
-        assert not apart or (there.budget == 0.0 and parts.may(there, USUAL, BORN) == ((7 - position) % count == 0))
+        there.slow_start.work_budget = parts.share(there, LOW, USUAL, BORN)
+        ours += bool(parts.reservation_turns(BORN))
+        assert not apart or (
+            there.slow_start.work_budget == 0.0 and parts.may_send(there, USUAL, BORN) == ((7 - position) % count == 0)
+        )
     assert ours == apart
--- a/tests/halls/test_offers.py
+++ b/tests/balancer/test_zone_failover.py
@@ -5,11 +5,11 @@
 
 import pytest
 
+from heronlug.balancer.zone_failover import controller as offers
+from heronlug.balancer.zone_failover.zone_state import ZonePhase
+from heronlug.conformance import Sent
 from heronlug.emulator.scenario import Scenario, load
 from heronlug.emulator.world import World
-from heronlug.halls import offers
-from heronlug.halls.table import Phase
-from heronlug.rules import Sent
 
 FILE = Path(__file__).parents[2] / "scenarios" / "halls-dead.toml"
 DIES, BACK = 10_000.0, 22_000.0
@@ -29,8 +29,8 @@
         return sum(begin <= at < end for at in self.into)
 
     def left(self, hall: int = 1) -> list[float]:
-        changes = [dispatcher.core.dispatcher.halls.changes for dispatcher in self.world.dispatchers]
-        times = ([h.since for n, h in each if n == hall and h.phase is Phase.LEFT] for each in changes)
+        changes = [dispatcher.core.dispatcher.zone_failover.changes for dispatcher in self.world.dispatchers]
+        times = ([h.since for n, h in each if n == hall and h.phase is ZonePhase.EXCLUDED] for each in changes)
         return [min(each, default=-1.0) for each in times]
 
 
@@ -44,7 +44,7 @@
 def test_a_dead_hall_is_left_by_all_tried_by_few_and_returned_to_without_pushing_a_host_over(count: int) -> None:
     on, off = Played(scenario(count)), Played(scenario(count, **{"dispatchers.halls": False}))
     assert all(DIES < at < DIES + 1000 for at in on.left()), on.left()
-    assert on.between(DIES + 1000, BACK) <= offers.TRIALS * 11 + count
+    assert on.between(DIES + 1000, BACK) <= offers.PROBED_SERVERS * 11 + count
     assert on.between(DIES + 1000, BACK) < off.between(DIES + 1000, BACK)
     assert on.between(BACK, BACK + 1000) < off.between(BACK, BACK + 1000) / 2
     assert on.between(BACK + 10_000, BACK + 12_000) > 10  # it has work again
@@ -78,8 +78,8 @@
     played = Played(scenario(4, trouble=troubles, **{"arrivals.0.rate": 40, "arrivals.1.rate": 8}))
     for dispatcher in played.world.dispatchers:
         away: set[int] = set()
-        for number, hall in dispatcher.core.dispatcher.halls.changes:
-            (away.add if hall.phase is Phase.LEFT else away.discard)(number)
+        for number, hall in dispatcher.core.dispatcher.zone_failover.changes:
+            (away.add if hall.phase is ZonePhase.EXCLUDED else away.discard)(number)
             assert len(away) <= 2
     assert sum(played.figures.violations.values()) == 0
 
@@ -88,8 +88,8 @@
     troubles = [{"what": "hall-dies", "at_s": at, "for_s": 6, "zone": "b", "share": 1.0} for at in (8, 18)]
     played = Played(scenario(4, trouble=troubles))
     for dispatcher in played.world.dispatchers:
-        phases = [hall.phase for number, hall in dispatcher.core.dispatcher.halls.changes if number == 1]
-        assert phases.count(Phase.LEFT) >= 2
+        phases = [hall.phase for number, hall in dispatcher.core.dispatcher.zone_failover.changes if number == 1]
+        assert phases.count(ZonePhase.EXCLUDED) >= 2
     assert sum(played.figures.violations.values()) == 0
 
 
@@ -98,7 +98,10 @@
     on, off = (Played(scenario(4, trouble=trouble, **{"dispatchers.halls": halls})) for halls in (True, False))
     assert all(DIES < at < DIES + 6000 for at in on.left()), on.left()
     for dispatcher in on.world.dispatchers:
-        assert dispatcher.core.dispatcher.halls.halls[1].phase in (Phase.WELL, Phase.RETURNING)
+        assert dispatcher.core.dispatcher.zone_failover.zones[1].phase in (
+            ZonePhase.HEALTHY,
+            ZonePhase.RETURNING,
+        )
     assert on.between(DIES + 6000, BACK) < off.between(DIES + 6000, BACK)
     assert on.figures.service > off.figures.service
     assert sum(on.figures.violations.values()) == 0
@@ -107,12 +110,12 @@
 def test_without_the_bound_on_trials_or_the_easing_the_figures_show_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each mechanism taken out: what the first test asks for does not hold."""
     few = Played(scenario(4)).between(DIES + 1000, BACK)
-    monkeypatch.setattr(offers, "TRIALS", 48)
-    monkeypatch.setattr(offers, "TERM", 100.0)
+    monkeypatch.setattr(offers, "PROBED_SERVERS", 48)
+    monkeypatch.setattr(offers, "PROBE_TERM_MS", 100.0)
     assert Played(scenario(4)).between(DIES + 1000, BACK) > 2 * few
     monkeypatch.undo()
-    monkeypatch.setattr("heronlug.halls.table.STAGES", (1.0,))
-    monkeypatch.setattr("heronlug.halls.table.DWELL", 0.0)
+    monkeypatch.setattr("heronlug.balancer.zone_failover.zone_state.STAGES", (1.0,))
+    monkeypatch.setattr("heronlug.balancer.zone_failover.zone_state.STAGE_MS", 0.0)
     at_once = Played(scenario(4))
     monkeypatch.undo()
     assert at_once.between(BACK, BACK + 3000) > 1.5 * Played(scenario(4)).between(BACK, BACK + 3000)
@@ -121,19 +124,19 @@
 def test_what_is_decided_goes_over_to_another_process_and_orders_have_their_bounds() -> None:
     played = Played(scenario(4, span_s=14))
     one = played.world.dispatchers[0].core.dispatcher
-    halls, now = one.halls, 14_000.0
-    assert halls.rows(one, now)[1]["state"] == "left"
-    other = offers.Halls(one)
-    other.take_up(halls.table())
-    assert other.halls[1].phase is Phase.LEFT and other.halls[1].since == halls.halls[1].since
+    halls, now = one.zone_failover, 14_000.0
+    assert halls.overview(now)[1]["state"] == "left"
+    other = offers.ZoneFailover(one.state, one.exploration, one._rerank)
+    other.restore(halls.snapshot())
+    assert other.zones[1].phase is ZonePhase.EXCLUDED and other.zones[1].since == halls.zones[1].since
     with pytest.raises(ValueError, match="lost"):
-        other.take_up([[0, "lost", 0.0, 0, 0, 0.0]])
-    halls.order(one, 0, Phase.LEFT, now + 1000.0, now)
-    rows = halls.rows(one, now)
+        other.restore([[0, "lost", 0.0, 0, 0, 0.0]])
+    halls.order(0, ZonePhase.EXCLUDED, now + 1000.0, now)
+    rows = halls.overview(now)
     assert (rows[0]["offered"], rows[0]["decided"], rows[2]["offered"]) == (0, "by hand", 6)
     with pytest.raises(ValueError, match="18 of 24 hosts would be left"):
-        halls.order(one, 2, Phase.LEFT, now + 1000.0, now)
-    halls.order(one, 1, Phase.WELL, now + 1000.0, now)
-    assert halls.rows(one, now)[1]["offered"] == 6
-    halls.order(one, 0, None, 0.0, now)
-    assert halls.rows(one, now)[0]["decided"] == "here"
+        halls.order(2, ZonePhase.EXCLUDED, now + 1000.0, now)
+    halls.order(1, ZonePhase.HEALTHY, now + 1000.0, now)
+    assert halls.overview(now)[1]["offered"] == 6
+    halls.order(0, None, 0.0, now)
+    assert halls.overview(now)[0]["decided"] == "here"
--- a/tests/halls/test_words.py
+++ b/tests/cli/test_zones.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from heronlug.standin.ports import free_ports, starting
+from heronlug.standins.ports import free_ports, starting
 
 FILE = """\
 [serve]
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -7,10 +7,10 @@
 
 from heronlug.cluster import codec
 from heronlug.cluster.codec import MOST, Seal, decode_parts, encode_part
-from heronlug.cluster.model import Fence, Health, News
+from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
 WORD = st.integers(0, 2**32 - 1)
-FENCE = st.builds(Fence, st.integers(0, 2**63), WORD)
+FENCE = st.builds(FencingToken, st.integers(0, 2**63), WORD)
 NAME = st.text("abcdefåäö-", min_size=1, max_size=20)
 PARTS = st.one_of(
     st.builds(codec.Ping, WORD),
@@ -24,7 +24,7 @@
     st.builds(codec.Offer, WORD, FENCE),
     st.builds(codec.Accept, WORD, FENCE),
     st.builds(codec.Done, WORD, FENCE),
-    st.builds(News, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
+    st.builds(MemberUpdate, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
 )
 
 
@@ -90,7 +90,7 @@
 
 def test_sizes_of_the_parts_that_matter() -> None:
     """A probe with its news, and six requests for leases, fit into one datagram."""
-    news = News("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
+    news = MemberUpdate("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
     assert len(encode_part(codec.Ping(1))) == 5
     assert len(encode_part(news)) == 12 + len(news.name) + len(news.address)
-    assert 6 * len(encode_part(codec.Ask(1, Fence(1, 1), 1, Fence(1, 1)))) <= codec.ROOM
+    assert 6 * len(encode_part(codec.Ask(1, FencingToken(1, 1), 1, FencingToken(1, 1)))) <= codec.ROOM
--- a/tests/cluster/test_hosts.py
+++ b/tests/cluster/test_hosts.py
@@ -5,24 +5,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.cluster.hosts import HostView, Source
-from heronlug.cluster.probing import Prober, shard_of
-from heronlug.interface import ListKind, WorkerState
-from heronlug.memory.core import HostEntry
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.cluster.health_checks import Prober, shard_of
+from heronlug.cluster.server_view import ServerView, Source
+from heronlug.requests.model import ListedServer
 
-READY, DRAINING, GONE = WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE
+READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def hosts(*names: str, state: WorkerState = READY) -> list[HostEntry]:
-    return [HostEntry(name, f"127.0.0.1:{9000 + ord(name[0])}", state) for name in names]
+def hosts(*names: str, state: ServerState = READY) -> list[ListedServer]:
+    return [ListedServer(name, f"127.0.0.1:{9000 + ord(name[0])}", state) for name in names]
 
 
-def states(view: HostView) -> dict[str, WorkerState]:
+def states(view: ServerView) -> dict[str, ServerState]:
     return {name: entry.state for name, entry in view.told.items()}
 
 
 def test_the_shared_list_is_gone_by_once_our_own_is_not() -> None:
-    view = HostView("list")
+    view = ServerView("list")
     view.own_news(ListKind.FULL, 7, hosts("a", "b"))
     view.shared_news(6, hosts("a"), [])
     view.shared_news(7, hosts("b"), [])
@@ -31,7 +31,7 @@
 
 
 def test_a_change_of_the_list_tells_only_what_differs() -> None:
-    view = HostView("list")
+    view = ServerView("list")
     view.own_news(ListKind.FULL, 7, hosts("a", "b", "c"))
     view.shared_news(8, hosts("a", "b"), [])
     told = view.use(own=False)
@@ -42,7 +42,7 @@
 
 
 def test_a_failed_watch_changes_no_host() -> None:
-    view = HostView("list")
+    view = ServerView("list")
     view.own_news(ListKind.FULL, 7, hosts("a"))
     assert view.own_news(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
     assert states(view) == {"a": READY} and not view.watching
@@ -50,7 +50,7 @@
 
 def test_news_of_others_only_takes_hosts_away() -> None:
     """``share = "news"``: nothing is sent to a host that our own list has not named."""
-    view = HostView("news")
+    view = ServerView("news")
     view.own_news(ListKind.FULL, 7, hosts("a", "b", "c"))
     view.shared_news(8, [*hosts("a", state=DRAINING), *hosts("b", "new")], [])
     assert states(view) == {"a": DRAINING, "b": READY}
@@ -59,7 +59,7 @@
 
 
 def test_a_host_found_down_drains_until_it_is_up() -> None:
-    view = HostView("none", panic_share=0.5)
+    view = ServerView("none", panic_share=0.5)
     view.own_news(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
     assert view.verdicts("probe-1", ["a"], []) == hosts("a", state=DRAINING)
     assert view.verdicts("probe-2", [], ["a"]) == []  # another shard has no say in it
@@ -68,7 +68,7 @@
 
 
 def test_probes_that_find_most_hosts_down_are_not_believed() -> None:
-    view = HostView("none", panic_share=0.5)
+    view = ServerView("none", panic_share=0.5)
     view.own_news(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
     view.verdicts("probe-1", ["a", "b"], [])
     assert sum(state is DRAINING for state in states(view).values()) == 2
@@ -90,9 +90,9 @@
 @given(st.sampled_from(["none", "list", "news"]), st.lists(STEP, max_size=40))
 def test_what_was_told_adds_up_to_what_holds(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
     """The core, which applies what it is told, ends with the very hosts of the view; and none that no list has."""
-    view, core = HostView(share, 1500), dict[str, HostEntry]()
+    view, core = ServerView(share, 1500), dict[str, ListedServer]()
 
-    def apply(kind: ListKind, entries: list[HostEntry]) -> None:
+    def apply(kind: ListKind, entries: list[ListedServer]) -> None:
         if kind in (ListKind.FULL, ListKind.CACHED):
             core.clear()
         for entry in entries:
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -19,10 +19,10 @@
 
 import pytest
 
-from heronlug.life.control import ask
-from heronlug.standin.host import Host
-from heronlug.standin.ports import free_port
-from heronlug.standin.register import Register
+from heronlug.lifecycle.control import ask
+from heronlug.standins.discovery import Register
+from heronlug.standins.ports import free_port
+from heronlug.standins.server import Host
 
 NAMES = "abc"
 PATIENCE = 30.0
@@ -274,7 +274,7 @@
     ],
 )
 def test_broken_tables_are_told_with_their_line(tmp_path: Path, more: str, line: int, key: str, wrong: str) -> None:
-    from heronlug.life.files import gather
+    from heronlug.config.files import gather
 
     (tmp_path / "key").write_text("a key that is long enough")
     head = FILE.format(name="a", http=1, operators=2, port=3, seeds="[]", discovery=4, position=0, more="")
@@ -287,7 +287,7 @@
 
 
 def test_a_position_past_the_dispatchers_is_told(tmp_path: Path) -> None:
-    from heronlug.life.files import gather
+    from heronlug.config.files import gather
 
     path = tmp_path / "site.toml"
     text = FILE.format(name="a", http=1, operators=2, port=3, seeds="[]", discovery=4, position=3, more="")
--- a/tests/cluster/test_sheets.py
+++ b/tests/cluster/test_sheets.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from cluster.virtual import Net
-from heronlug.cluster import trie
-from heronlug.cluster.model import Fence
+from heronlug.cluster import merkle_trie
+from heronlug.cluster.model import FencingToken
 
 TOPIC = "register"
 KEYS = st.binary(min_size=1, max_size=24)
@@ -21,53 +21,53 @@
     rows: dict[bytes, bytes], changes: list[tuple[bytes, bytes | None]]
 ) -> None:
     nodes: dict[int, bytes] = {}
-    first = root = trie.build(rows, nodes)
+    first = root = merkle_trie.build(rows, nodes)
     changed = dict(rows)
     keys = [*rows]
     for number, (key, value) in enumerate(changes):
         if keys and number % 2:
             key = keys[number % len(keys)]  # one that is there
-        root = trie.change(nodes, root, key, value)
+        root = merkle_trie.change(nodes, root, key, value)
         if value is None:
             changed.pop(key, None)
         else:
             changed[key] = value
-    assert dict(trie.walk(nodes, root)) == changed
-    assert root == trie.build(changed, {})
-    assert all(len(node) <= trie.LEAF_MOST for node in nodes.values())
-    told = trie.difference(nodes, first, root)
+    assert dict(merkle_trie.walk(nodes, root)) == changed
+    assert root == merkle_trie.build(changed, {})
+    assert all(len(node) <= merkle_trie.LEAF_MOST for node in nodes.values())
+    told = merkle_trie.difference(nodes, first, root)
     assert told == {k: changed.get(k) for k in rows.keys() | changed.keys() if rows.get(k) != changed.get(k)}
 
 
 @given(st.dictionaries(KEYS, VALUES, min_size=20, max_size=60), st.integers(0, 2**32))
 def test_what_is_absent_is_found_whatever_is_there(rows: dict[bytes, bytes], seed: int) -> None:
     whole: dict[int, bytes] = {}
-    old = trie.build({key: rows[key] for key in list(rows)[::2]}, whole)
-    new = trie.build(rows, whole)
-    kept, rng = set(trie.names(whole, old)), Random(seed)
+    old = merkle_trie.build({key: rows[key] for key in list(rows)[::2]}, whole)
+    new = merkle_trie.build(rows, whole)
+    kept, rng = set(merkle_trie.names(whole, old)), Random(seed)
     there = {name: node for name, node in whole.items() if name in kept or rng.random() < 0.5}
-    missing = trie.absent(there, old, new)
+    missing = merkle_trie.absent(there, old, new)
     while missing:
         name, counterpart = missing.popitem()
         there[name] = whole[name]
-        missing.update(trie.absent(there, counterpart, name))
-    assert dict(trie.walk(there, new)) == rows
+        missing.update(merkle_trie.absent(there, counterpart, name))
+    assert dict(merkle_trie.walk(there, new)) == rows
 
 
 def test_a_row_that_no_datagram_holds_is_refused_and_nothing_has_changed() -> None:
     nodes: dict[int, bytes] = {}
-    root = trie.build({b"a": b"1"}, nodes)
-    with pytest.raises(ValueError, match=f"{trie.ROW_MOST} at most"):
-        trie.change(nodes, root, b"k", b"x" * trie.ROW_MOST)
-    assert dict(trie.walk(nodes, root)) == {b"a": b"1"}
+    root = merkle_trie.build({b"a": b"1"}, nodes)
+    with pytest.raises(ValueError, match=f"{merkle_trie.ROW_MOST} at most"):
+        merkle_trie.change(nodes, root, b"k", b"x" * merkle_trie.ROW_MOST)
+    assert dict(merkle_trie.walk(nodes, root)) == {b"a": b"1"}
 
 
 @given(st.binary(max_size=40))
 def test_bytes_that_are_no_node_are_told(data: bytes) -> None:
     try:
-        trie.rows_of(data)
-        trie.children_of(data)
-    except trie.BadNode:
+        merkle_trie.rows_of(data)
+        merkle_trie.children_of(data)
+    except merkle_trie.BadNode:
         return
     assert data[:1] in (b"L", b"B")
 
@@ -177,7 +177,7 @@
     net.run(2000)
     live = len(
         set(
-            trie.names(
+            merkle_trie.names(
                 net.processes[owner].node.sheets.nodes,
                 net.processes[owner].node.sheets.topics[next(iter(net.processes[owner].node.sheets.topics))].root,
             )
@@ -193,7 +193,7 @@
     other = next(name for name in net.names if name != owner)
     sheets = net.processes[other].node.sheets
     before = sheets.rows(TOPIC)
-    sheets.publish(TOPIC, Fence(1, 1), {b"h1": b"late"}, net.processes[other].clock())
+    sheets.publish(TOPIC, FencingToken(1, 1), {b"h1": b"late"}, net.processes[other].clock())
     net._do(net.processes[other], net.processes[other].node.flush(net.processes[other].clock()))
     net.run(2000)
     assert net.processes[owner].sheets[TOPIC] == before
--- a/tests/cluster/test_sockets.py
+++ b/tests/cluster/test_sockets.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from heronlug.life.control import ask
-from heronlug.life.state import StateError
-from heronlug.rig.paths import Paths
-from heronlug.standin.ports import free_port
+from heronlug.config.desired_state import StateError
+from heronlug.faults.network import Paths
+from heronlug.lifecycle.control import ask
+from heronlug.standins.ports import free_port
 
 NAMES = "abcd"
 DUTIES = ("sweep", "rotate", "report")
--- a/tests/cluster/test_states.py
+++ b/tests/cluster/test_states.py
@@ -18,11 +18,11 @@
 from heronlug.cluster import leases
 from heronlug.cluster.codec import Deny, Grant
 from heronlug.cluster.leases import Leases
-from heronlug.cluster.model import NO_FENCE, Terms
+from heronlug.cluster.model import NO_FENCE, ClusterTiming
 from heronlug.cluster.ownership import tag
 
 NAMES = ("a", "b", "c")
-TERMS = Terms(drift=0.0)
+TERMS = ClusterTiming(drift=0.0)
 KEY = tag("duty")
 STATES = int(os.environ.get("CLUSTER_STATES", "15000"))
 
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cluster.virtual import Net
-from heronlug.cluster.model import Gained, Health, Lost, News
+from heronlug.cluster.model import Health, LeaseGained, LeaseLost, MemberUpdate
 
 SEEDS = int(os.environ.get("CLUSTER_SEEDS", "300"))
 BOUND = 5000.0  # ms without an owner, at 30% loss
@@ -130,7 +130,7 @@
         nonlocal dropped
         opened = codec.decode_parts(action.data[codec.HEAD.size : -codec.TAG])  # type: ignore[attr-defined]
         kinds = {type(part).__name__ for part in opened}
-        kinds |= {part.health.name for part in opened if isinstance(part, News)}
+        kinds |= {part.health.name for part in opened if isinstance(part, MemberUpdate)}
         if lost in kinds and dropped < 3:
             dropped += 1
             return
@@ -201,8 +201,8 @@
         other = net.owner(duty)
         assert other not in (None, owner)
         net.run(4000)
-        told = [action for _, name, action in net.log if name == owner and isinstance(action, Gained | Lost)]
-        assert any(isinstance(action, Lost) and action.duty == duty for action in told)
+        told = [action for _, name, action in net.log if name == owner and isinstance(action, LeaseGained | LeaseLost)]
+        assert any(isinstance(action, LeaseLost) and action.duty == duty for action in told)
 
 
 def test_fences_only_rise() -> None:
@@ -215,6 +215,6 @@
             net.run(5500)
             net.start(name)
             net.run(4000 + 100 * turn)
-        told = [action for _, _, action in net.log if isinstance(action, Gained)]
+        told = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
         gained = [action.fence for action in told if action.duty == net.duties[0]]
         assert len(gained) >= 4 and gained == sorted(gained)
--- a/tests/cluster/virtual.py
+++ b/tests/cluster/virtual.py
@@ -10,7 +10,16 @@
 from random import Random
 from typing import Any
 
-from heronlug.cluster.model import Changed, Fence, Gained, Lost, SendTo, Sheet, Terms, WakeAt
+from heronlug.cluster.model import (
+    ClusterTiming,
+    FencingToken,
+    LeaseGained,
+    LeaseLost,
+    MemberChanged,
+    SendTo,
+    TableChanged,
+    WakeAt,
+)
 from heronlug.cluster.node import Node
 
 KEYS = {1: b"k" * 32}
@@ -47,14 +56,14 @@
         seed: int,
         duties: Iterable[str] = ("register", "sweep", "probe", "audit"),
         loss: float = 0.0,
-        terms: Terms | None = None,
+        terms: ClusterTiming | None = None,
         drift: float = 0.01,
         topics: Iterable[str] = (),
     ) -> None:
         self.rng, self.seed = Random(seed), seed
         self.names, self.duties, self.topics, self.keys = list(names), list(duties), list(topics), KEYS
         self.seeds = 3 if len(self.names) > 16 else len(self.names)  # the first ones, that the others are told of
-        self.loss, self.delay, self.twice, self.terms = loss, (0.5, 40.0), 0.02, terms or Terms()
+        self.loss, self.delay, self.twice, self.terms = loss, (0.5, 40.0), 0.02, terms or ClusterTiming()
         self.now = 0.0
         self.skew: dict[str, int] = {}
         self.cut: set[tuple[str, str]] = set()
@@ -64,7 +73,7 @@
         self._queue: list[tuple[float, int, str, Any]] = []
         self._seq = 0
         self.log: list[tuple[float, str, Any]] = []
-        self.fences: dict[tuple[str, Fence], str] = {}  # who has had it
+        self.fences: dict[tuple[str, FencingToken], str] = {}  # who has had it
         self.acting: dict[str, set[str]] = {duty: set() for duty in self.duties}
         self.since: dict[str, float] = {}  # how long a duty has had more than one owner
         self.overlap = 0.0  # the longest that it has
@@ -189,7 +198,7 @@
                 if not process.next or when < process.next:
                     process.next = when
                     self._at(when, process.name, (process, when))
-            elif isinstance(action, Sheet):
+            elif isinstance(action, TableChanged):
                 rows = process.sheets[action.topic]
                 for key, value in action.changes.items():
                     if value is None:
@@ -197,7 +206,7 @@
                     else:
                         rows[key] = value
             else:
-                assert isinstance(action, Changed | Gained | Lost)
+                assert isinstance(action, MemberChanged | LeaseGained | LeaseLost)
                 self.log.append((self.now, process.name, action))
                 changed = True
         if changed:
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -11,15 +11,14 @@
 from drive import Host, with_settings
 
 from compatibility.samples import DATA, WRITERS, Lending, as_lines, restart_packets, write_store
-from heronlug import ListKind, Outcome, PeerMessage, WorkerEntry
-from heronlug.halls.table import Hall, Phase
-from heronlug.learned import learned
+from heronlug import ListKind, Outcome, PeerMessage, ServerEntry
+from heronlug.balancer.zone_failover.zone_state import ZonePhase, ZoneState
 
 
 def record_learned(zones: bool) -> bytes:
     """What a dispatcher has learned that has seen failures, an ejection, and servers that warm up."""
-    host = Host(with_settings(halls=zones, tells_start=True, report_fields=()), workers=0)
-    listed = [WorkerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
+    host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), workers=0)
+    listed = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
     host.listed(ListKind.FULL, tuple(listed))
     for number in range(60):
         host.job(0 if number % 10 else 2)
@@ -28,20 +27,25 @@
             failed = host.sent[request][attempt] == 2
             host.end(request, attempt, Outcome.ERROR if failed else Outcome.SERVED)
     host.job(0)
-    host.dispatcher.kinds[0].top, host.dispatcher.kinds[0].low = 3.0, 2.5
-    host.dispatcher.workers[2].stuck_until = 2600.0
+    (
+        host.dispatcher.state.servers.capacities[0].peak_slots,
+        host.dispatcher.state.servers.capacities[0].reported_slots,
+    ) = 3.0, 2.5
+    host.dispatcher.state.servers.by_id[2].outlier.saturated_until = 2600.0
     if zones:
-        host.dispatcher.halls.halls[0] = Hall(Phase.RETURNING, 1200.0, 2, 1, 0.0, "")
-        host.dispatcher.halls.halls[1] = Hall(Phase.LEFT, 1300.0, 0, 3, float("inf"), "")
-    return orjson.dumps(learned(host.dispatcher))
+        host.dispatcher.zone_failover.zones[0] = ZoneState(ZonePhase.RETURNING, 1200.0, 2, 1, 0.0, "")
+        host.dispatcher.zone_failover.zones[1] = ZoneState(ZonePhase.EXCLUDED, 1300.0, 0, 3, float("inf"), "")
+    return orjson.dumps(host.dispatcher.snapshot())
 
 
 def record_loan() -> bytes:
     """An ask for capacity at a server that warms up, and its grant."""
-    position, asker = next((at, member) for at in range(14) if not (member := Lending(at)).server.budget)
+    position, asker = next(
+        (at, member) for at in range(14) if not (member := Lending(at)).server.slow_start.work_budget
+    )
     (ask, holder), *_ = asker.ask()
     lender = Lending(holder)
-    ((grant, _),) = lender.shares.heard(PeerMessage(position, ask), lender.state, 21.0)
+    ((grant, _),) = lender.shares.receive(PeerMessage(position, ask), lender.table.by_id, 21.0)
     return as_lines({"ask": ask, "grant": grant})
 
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -14,9 +14,22 @@
 
 import orjson
 
-from heronlug.arrival.kept import write
-from heronlug.arrival.parts import Parts
-from heronlug.cluster import trie
+from heronlug.balancer.capacity import CapacityEstimate
+from heronlug.balancer.events import (
+    ListKind,
+    Outcome,
+    ProgressKind,
+    RequestArrived,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
+)
+from heronlug.balancer.model import Request, Server
+from heronlug.balancer.peer_load import PeerLoad
+from heronlug.balancer.servers import ServerTable
+from heronlug.balancer.settings import Effect, RequestClass, Settings
+from heronlug.balancer.slow_start import CapacityShares
+from heronlug.cluster import merkle_trie
 from heronlug.cluster.codec import (
     Accept,
     Ack,
@@ -37,51 +50,57 @@
     Sync,
     encode_part,
 )
-from heronlug.cluster.model import Fence, Health, News
-from heronlug.decisions.model import Job, Kind, Worker
-from heronlug.decisions.peer_reports import PeerReports
-from heronlug.decisions.state import State
-from heronlug.interface import (
-    Effect,
-    JobArrived,
-    JobClass,
-    ListKind,
-    NoteKind,
-    Outcome,
-    Settings,
-    WorkerEntry,
-    WorkerList,
-    WorkerState,
-)
-from heronlug.life.takeover import Takeover
-from heronlug.memory.core import Core, HostEntry
-from heronlug.memory.deadlines import Deadlines
-from heronlug.store.model import Kept
-from heronlug.store.sqlite import SqliteStore
-from heronlug.wire.north import Request
-from heronlug.wire.peers import Peers
-from heronlug.wire.register import rows_of
-from heronlug.wire.server_list import read_list, write_list
+from heronlug.cluster.model import FencingToken, Health, MemberUpdate
+from heronlug.discovery.cache import write
+from heronlug.discovery.endpoint_list import read_list, write_list
+from heronlug.discovery.shared_client import rows_of
+from heronlug.frontends.http.frontend import HttpRequest
+from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
+from heronlug.peers.datagrams import PeerSocket
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.model import ListedServer, Workload
+from heronlug.storage.model import Kept
+from heronlug.storage.sqlite import SqliteStore
 
 DATA = Path(__file__).parent / "data"
 NOW = 1_700_000_000_000.0
 ZONES, MACHINE_TYPES = ["zone-a", "zone-b"], ["small", "large"]
 SERVERS = [
-    HostEntry("server-1", "10.0.0.1:80", WorkerState.READY, 0, 0, 0, 1.0, 0.0),
-    HostEntry("server-2", "10.0.0.2:80", WorkerState.READY, 1, 1, 3, 0.5, 1_699_999_000_000.0),
-    HostEntry("server-3", "[::1]:8080", WorkerState.DRAINING, 0, 1, 7, 2.0, 12.5),
-    HostEntry("server-4", "10.0.0.4:80", WorkerState.GONE, 2, 2, 0, 1.0, 0.0),  # zone and type are unknown
+    ListedServer("server-1", "10.0.0.1:80", ServerState.READY, 0, 0, 0, 1.0, 0.0),
+    ListedServer("server-2", "10.0.0.2:80", ServerState.READY, 1, 1, 3, 0.5, 1_699_999_000_000.0),
+    ListedServer("server-3", "[::1]:8080", ServerState.DRAINING, 0, 1, 7, 2.0, 12.5),
+    ListedServer("server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0),  # zone and type are unknown
 ]
 SETTINGS = Settings(
-    classes=(JobClass(aim=200, deadline=5000, effect=Effect.REPEATABLE, waits=(0.0, 25.0), name="safe"),),
-    instances=2, may_tell=True, tells_start=True,
-)  # fmt: skip
+    classes=(
+        RequestClass(
+            latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT, retry_backoff=(0.0, 25.0), name="safe"
+        ),
+    ),
+    instances=2,
+    gossip=True,
+    reports_start=True,
+)
 PARTS: list[Part] = [
-    Ping(1), Ack(2), PingFor(3, 0xA1B2C3D4), Nack(4), Sync(), Ask(5, Fence(2**40, 6), 7, Fence(8, 9)),
-    Grant(10, Fence(11, 12), 13), Deny(14, Fence(15, 16), 17), Offer(18, Fence(19, 20)), Accept(21, Fence(22, 23)),
-    Done(24, Fence(25, 26)), News("dispatcher-1", "127.0.0.1:7001", 2**41, Health.SUSPECT), Free(27, Fence(28, 29)),
-    Announce(30, Fence(31, 32), 33, 2**63), Pull((34, 2**64 - 1)), Piece(b"L\x01\x02kvv"),
-]  # fmt: skip
+    Ping(1),
+    Ack(2),
+    PingFor(3, 0xA1B2C3D4),
+    Nack(4),
+    Sync(),
+    Ask(5, FencingToken(2**40, 6), 7, FencingToken(8, 9)),
+    Grant(10, FencingToken(11, 12), 13),
+    Deny(14, FencingToken(15, 16), 17),
+    Offer(18, FencingToken(19, 20)),
+    Accept(21, FencingToken(22, 23)),
+    Done(24, FencingToken(25, 26)),
+    MemberUpdate("dispatcher-1", "127.0.0.1:7001", 2**41, Health.SUSPECT),
+    Free(27, FencingToken(28, 29)),
+    Announce(30, FencingToken(31, 32), 33, 2**63),
+    Pull((34, 2**64 - 1)),
+    Piece(b"L\x01\x02kvv"),
+]
+PART_NAMES: dict[type, str] = {MemberUpdate: "News"}  # of 1ac93b2, where they have changed since
 KEYS = {3: b"the key of the recorded datagrams", 4: b"another key"}
 ROWS = {b"key-%02d" % number: b"value of row %d" % number for number in range(24)}
 JOBS = [
@@ -115,7 +134,7 @@
 
 def cluster_parts() -> bytes:
     """Each part of a cluster datagram, by its name on these pages."""
-    return as_lines({type(part).__name__: encode_part(part) for part in PARTS})
+    return as_lines({PART_NAMES.get(type(part), type(part).__name__): encode_part(part) for part in PARTS})
 
 
 def cluster_datagrams() -> bytes:
@@ -127,8 +146,8 @@
 def table_nodes() -> bytes:
     """The nodes of a replicated table, its root first."""
     nodes: dict[int, bytes] = {}
-    root = trie.build(ROWS, nodes)
-    return as_lines({f"{name:016x}": nodes[name] for name in trie.names(nodes, root)})
+    root = merkle_trie.build(ROWS, nodes)
+    return as_lines({f"{name:016x}": nodes[name] for name in merkle_trie.names(nodes, root)})
 
 
 def as_lines(values: dict[str, bytes]) -> bytes:
@@ -142,20 +161,20 @@
     return {name: bytes.fromhex(digits) for name, digits in lines}
 
 
-def workers(count: int) -> dict[int, Worker]:
+def workers(count: int) -> dict[int, Server]:
     """Servers as one dispatcher knows them."""
-    return {number: Worker(WorkerEntry(number), Kind()) for number in range(1, count + 1)}
+    return {number: Server(ServerEntry(number), CapacityEstimate()) for number in range(1, count + 1)}
 
 
 def load_reports() -> bytes:
     """Counts of slots in flight, and a load summary in two datagrams."""
-    reports, servers = PeerReports(), workers(500)
-    servers[1].own, servers[2].own, servers[3].own = 3.0, 70.0, 0.0
-    reports.changed = {number: servers[number] for number in (1, 2, 3)}
-    reports.ended = {1: 64, 3: 128}  # well, badly
-    reports.list_ready(list(servers.values()))
+    reports, servers = PeerLoad(), workers(500)
+    servers[1].load.own_slots, servers[2].load.own_slots, servers[3].load.own_slots = 3.0, 70.0, 0.0
+    reports.unreported = {number: servers[number] for number in (1, 2, 3)}
+    reports.unreported_outcomes = {1: 64, 3: 128}  # well, badly
+    reports.set_ready_servers(list(servers.values()))
     summary = reports.summary([number % 16 for number in range(1, 501)])
-    return as_lines({"counts": reports.counts(NOW), "summary-0": summary[0], "summary-1": summary[1]})
+    return as_lines({"counts": reports.report(NOW), "summary-0": summary[0], "summary-1": summary[1]})
 
 
 class Lending:
@@ -163,31 +182,40 @@
 
     def __init__(self, position: int) -> None:
         settings = Settings(
-            SETTINGS.classes, instances=14, position=position, lends=True, may_tell=True, cold_from=0.15,
-            warm_after=20_000.0, tip_multiple=3.0, overload_for=3000.0,
-        )  # fmt: skip
-        self.shares, self.state = Parts(settings), State()
-        self.state.kinds[0] = Kind(4.0)
-        self.state.listed(WorkerList(ListKind.FULL, (WorkerEntry(7, started_at=1.0),)))
-        self.server = self.state.workers[7]
-        self.server.budget = self.shares.share(self.server, 0.2, 100.0, 10.0)
-
-    def request(self) -> Job:
+            SETTINGS.classes,
+            instances=14,
+            position=position,
+            lends_capacity=True,
+            gossip=True,
+            warmup_capacity=0.15,
+            warmup_time=20_000.0,
+            overload_multiple=3.0,
+            overload_window=3000.0,
+        )
+        self.shares, self.table = CapacityShares(settings), ServerTable()
+        self.table.capacities[0] = CapacityEstimate(4.0)
+        self.table.apply_list(ServerListUpdate(ListKind.FULL, (ServerEntry(7, started_at=1.0),)), 0.0)
+        self.server = self.table.by_id[7]
+        self.server.slow_start.work_budget = self.shares.share(self.server, 0.2, 100.0, 10.0)
+
+    def request(self) -> Request:
         """A request of usual size."""
-        job = Job(JobArrived(1, 0, 10_000.0), SETTINGS.classes[0])
+        job = Request(RequestArrived(1, 0, 10_000.0), SETTINGS.classes[0])
         job.work = 100.0
         return job
 
     def ask(self) -> list[tuple[bytes, int]]:
         """What it asks others for, and whom."""
-        told = self.shares.ask([(0.0, 0, self.request())], [self.server], 20.0)
+        told = self.shares.request_loans([self.request()], [self.server], 20.0)
         return [(content, peer) for content, peer in told]
 
 
 def gossip() -> bytes:
     """What goes over the socket to two peers: a message, the goodbye alone, and a message with that mark."""
     transport = MagicMock()
-    peers = Peers(["127.0.0.1:7001", "127.0.0.1:7002"], None, 0, MagicMock(), MagicMock(), MagicMock(), lambda: NOW)
+    peers = PeerSocket(
+        ["127.0.0.1:7001", "127.0.0.1:7002"], None, 0, MagicMock(), MagicMock(), MagicMock(), lambda: NOW
+    )
     peers.connection_made(transport)
     peers.tell(b"cat", -1)
     peers.leave()
@@ -237,9 +265,9 @@
         self.daemon.inventory.version = 42
         self.daemon.inventory.freshness.remaining.return_value = 7500.0
         self.daemon.inventory.read = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
-        self.daemon.inventory.news = self.core.inventory
+        self.daemon.inventory.news = self.core.update_servers
         self.daemon.north.adopt.side_effect = self._adopted
-        self.takeover = Takeover(cast(Any, self.daemon), self.deadlines, folder)
+        self.takeover = StateTransfer(cast(Any, self.daemon), self.deadlines, folder)
 
     def descriptors(self) -> list[int]:
         """Of a TCP and of a UDP socket."""
@@ -258,8 +286,8 @@
         return connection
 
     def _sent(self, relay: Any) -> None:
-        relay.wire = self.connection()
-        relay.wire.pause.return_value = self.descriptors()[0], {"answered": True, "last": False}
+        relay.exchange = self.connection()
+        relay.exchange.pause.return_value = self.descriptors()[0], {"answered": True, "last": False}
 
     def _adopted(self, sock: socket.socket, served: bool, made: Callable[[Any], None] | None = None) -> None:
         sock.close()
@@ -270,16 +298,16 @@
 
     def run_request(self) -> None:
         """Take a request whose first attempt has failed and whose second one has started."""
-        self.core.inventory(ListKind.FULL, SERVERS[:3])
-        request = Request()
+        self.core.update_servers(ListKind.FULL, SERVERS[:3])
+        request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=\xfe", b"\x00\xff body"
         request.headers, request.txn, request.lane = {b"x-txn": b"t-1", b"x-labels": b"\xe4=1"}, "t-1", 0
-        request.figures, request.keep_alive, request.connection = {"slots": 2.0, "retry": True}, False, None
-        message = self.core.take(request, 0, 4000.0, name="t-1", **request.figures)
+        request.workload, request.keep_alive, request.connection = Workload(slots=2.0, retry=True), False, None
+        message = self.core.accept(request, 0, 4000.0, request_id="t-1", workload=request.workload)
         request.connection = self.connection()
         cast(Any, request.connection).pause.return_value = self.descriptors()[0]
-        self.core.ended(message.relays[0], Outcome.FULL)
-        self.core.noted(message.relays[1], NoteKind.STARTED)
+        self.core.attempt_ended(message.attempts[0], Outcome.FULL)
+        self.core.attempt_progressed(message.attempts[1], ProgressKind.STARTED)
 
 
 HELLO = Packet('.{"kind":"hello","version":1,"name":"d1"}', 0)
@@ -315,9 +343,9 @@
         packets += [await receive(sock), await receive(sock)]
         process.takeover.named("t-2", True)
         process.takeover.named("t-1", False)
-        reports = process.core.dispatcher.peers
-        reports.changed = dict(process.core.dispatcher.workers)
-        process.takeover.tell(reports.counts(NOW), -1)
+        reports = process.core.dispatcher.state.peer_load
+        reports.unreported = dict(process.core.dispatcher.state.servers.by_id)
+        process.takeover.tell(reports.report(NOW), -1)
         packets += [await receive(sock) for _ in range(3)]
         parting = asyncio.create_task(process.takeover.handover.part())
         packets.append(await receive(sock))
@@ -327,7 +355,12 @@
 
 
 WRITERS: dict[str, Callable[[], bytes]] = {
-    "kept-list.txt": kept_list, "server-list.json": server_list, "register-rows.txt": register_rows,
-    "cluster-parts.txt": cluster_parts, "cluster-datagrams.txt": cluster_datagrams, "table-nodes.txt": table_nodes,
-    "load-reports.txt": load_reports, "gossip.txt": gossip,
-}  # fmt: skip
+    "kept-list.txt": kept_list,
+    "server-list.json": server_list,
+    "register-rows.txt": register_rows,
+    "cluster-parts.txt": cluster_parts,
+    "cluster-datagrams.txt": cluster_datagrams,
+    "table-nodes.txt": table_nodes,
+    "load-reports.txt": load_reports,
+    "gossip.txt": gossip,
+}
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -36,23 +36,23 @@
     workers,
     write_store,
 )
-from heronlug.arrival.kept import read
-from heronlug.cluster import trie
+from heronlug.balancer.dispatcher import Dispatcher
+from heronlug.balancer.events import ListKind, PeerMessage, ServerEntry, ServerListUpdate
+from heronlug.balancer.peer_load import PeerLoad
+from heronlug.balancer.snapshot import restore_snapshot
+from heronlug.balancer.zone_failover.zone_state import ZonePhase, ZoneState
+from heronlug.cluster import merkle_trie
 from heronlug.cluster.codec import Seal, decode_parts
 from heronlug.cluster.ownership import tag
-from heronlug.decisions.peer_reports import PeerReports
-from heronlug.halls.table import Hall, Phase
-from heronlug.interface import ListKind, PeerMessage, WorkerEntry, WorkerList
-from heronlug.learned import learned, recall
-from heronlug.life.keep import Keep
-from heronlug.logic import Dispatcher
-from heronlug.memory.deadlines import Deadlines
-from heronlug.store.model import Final
-from heronlug.store.sqlite import connect, rows
-from heronlug.wire.partner import listen, place
-from heronlug.wire.peers import Peers
-from heronlug.wire.register import ANEW, DUTY, SCOUT, STATE, VERSION, entry_of
-from heronlug.wire.server_list import read_list, write_list
+from heronlug.discovery.cache import read
+from heronlug.discovery.cache_file import CacheFile
+from heronlug.discovery.endpoint_list import read_list, write_list
+from heronlug.discovery.shared_client import ANEW, DUTY, SCOUT, STATE, VERSION, entry_of
+from heronlug.lifecycle.hot_restart.channel import listen, place
+from heronlug.peers.datagrams import PeerSocket
+from heronlug.requests.deadlines import Deadlines
+from heronlug.storage.model import Final
+from heronlug.storage.sqlite import connect, rows
 
 SECOND_SERVER = 494609309  # the number of "server-2" at every dispatcher
 JOBS_TABLE = (
@@ -83,10 +83,10 @@
 def taken_up(name: str) -> Dispatcher:
     """A fresh dispatcher that has taken a recorded table up."""
     zones = name == "learned-zones.json"
-    dispatcher = Dispatcher(with_settings(halls=zones, tells_start=True, report_fields=()), 2)
-    listed = [WorkerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
-    dispatcher.handle(2400.0, WorkerList(ListKind.FULL, tuple(listed)))
-    recall(dispatcher, orjson.loads(recorded(name)), 0, 2500.0)
+    dispatcher = Dispatcher(with_settings(zone_failover=zones, reports_start=True, report_fields=()), 2)
+    listed = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
+    dispatcher.handle(2400.0, ServerListUpdate(ListKind.FULL, tuple(listed)))
+    restore_snapshot(dispatcher._learned_parts(), orjson.loads(recorded(name)), 2500.0)
     return dispatcher
 
 
@@ -94,38 +94,52 @@
 def test_learned_table_is_taken_up_and_written_again(name: str) -> None:
     dispatcher, table = taken_up(name), orjson.loads(recorded(name))
     for number, _, own, *_ in table["workers"]:
-        server = dispatcher.workers[number]
-        assert server.told == own  # in flight at the other process
-        server.own = own
-    assert orjson.dumps(learned(dispatcher)) == recorded(name)
+        server = dispatcher.state.servers.by_id[number]
+        assert server.load.peer_slots == own  # in flight at the other process
+        server.load.own_slots = own
+    assert orjson.dumps(dispatcher.snapshot()) == recorded(name)
 
 
 def test_learned_table_has_these_keys_and_columns() -> None:
     table, dispatcher = orjson.loads(recorded("learned-zones.json")), taken_up("learned-zones.json")
     assert list(table) == ["all", "span", "usual_pace", "retries", "halls", "kinds", "workers"]
-    assert list(learned(dispatcher)) == list(table)
-    every = [dispatcher.sends, dispatcher.ranked_at, dispatcher.mean_span, dispatcher.arrivals]
+    assert list(dispatcher.snapshot()) == list(table)
+    every = [
+        dispatcher.ranking.send_count,
+        dispatcher.ranking.ranked_at,
+        dispatcher.state.run_times.overall,
+        dispatcher.arrivals.value,
+    ]
     assert every == table["all"] == [20.139767179386283, 2500.0, 25.0, 61]
-    assert (dispatcher.span[2], dispatcher.usual_pace[2], dispatcher.retries.level) == (25.0, 25.0, 19.0)
-    kind = dispatcher.kinds[0]
-    assert [0, kind.top, kind.low, kind.slots] == table["kinds"][0] == [0, 3.0, 2.5, 4.0]
+    assert (
+        dispatcher.state.run_times.by_class[2],
+        dispatcher.state.run_times.usual_latencies[2],
+        dispatcher.retry_budget.level,
+    ) == (25.0, 25.0, 19.0)
+    kind = dispatcher.state.servers.capacities[0]
+    assert [0, kind.peak_slots, kind.reported_slots, kind.slots] == table["kinds"][0] == [0, 3.0, 2.5, 4.0]
     assert table["halls"] == [[1, "left", 1300.0, 0, 3, -1.0], [0, "returning", 1200.0, 2, 1, 0.0]]
-    zones = dispatcher.halls.halls
-    assert zones[0] == Hall(Phase.RETURNING, 1200.0, 2, 1, 0.0, "taken up")
-    assert zones[1] == Hall(Phase.LEFT, 1300.0, 0, 3, float("inf"), "taken up")
+    zones = dispatcher.zone_failover.zones
+    assert zones[0] == ZoneState(ZonePhase.RETURNING, 1200.0, 2, 1, 0.0, "taken up")
+    assert zones[1] == ZoneState(ZonePhase.EXCLUDED, 1300.0, 0, 3, float("inf"), "taken up")
 
 
 def test_columns_of_a_server_in_the_learned_table() -> None:
-    server = taken_up("learned.json").workers[2]
+    server = taken_up("learned.json").state.servers.by_id[2]
     row = orjson.loads(recorded("learned.json"))["workers"][1]
     assert row[:4] == [2, 0.0, 0.0, [[1050.0, 25.0], [2175.0, 25.0]]]
     assert row[4:] == [0.5770689968174234, 0.0, 0.5625, 0.0, 2600.0, 4430.978680908411, 2, 4]
     assert (server.id, server.started_at) == (2, 0.0)
-    assert server.recent.items() == [(1050.0, 25.0), (2175.0, 25.0)]
-    assert [server.n, server.mean, server.health, server.heard] == row[4:8]
-    assert [server.stuck_until, server.ejected_until, server.ejections, server.trials] == row[8:]
-    assert taken_up("learned.json").workers[1].heard == 2425.0
-    assert taken_up("learned.json").workers[1].mean == 4.0
+    assert server.slow_start.recent_work.items() == [(1050.0, 25.0), (2175.0, 25.0)]
+    assert [server.payoff.count, server.payoff.mean, server.outlier.health, server.outlier.last_progress_at] == row[4:8]
+    assert [
+        server.outlier.saturated_until,
+        server.outlier.ejected_until,
+        server.outlier.ejections,
+        server.outlier.trials_left,
+    ] == row[8:]
+    assert taken_up("learned.json").state.servers.by_id[1].outlier.last_progress_at == 2425.0
+    assert taken_up("learned.json").state.servers.by_id[1].payoff.mean == 4.0
 
 
 # -- hot restart
@@ -161,17 +175,19 @@
             socket.send_fds(sock, [state.data.encode()], spare)
             await asyncio.wait_for(joining, 5)
             process.takeover.take_up()
-            assert [server.entry for server in process.core.hosts.values()] == SERVERS[:3]
+            assert [server.entry for server in process.core.directory.by_number.values()] == SERVERS[:3]
             process.daemon.inventory.begin_clock.assert_called_once_with(7500.0)
-            assert process.core.elsewhere == {"t-1"}
+            assert process.core.peer_process_request_ids == {"t-1"}
             process.takeover.handover.serving()
             assert await receive(sock) == SERVING
-            assert process.core.dispatcher.workers[SECOND_SERVER].told == 2.0
+            assert process.core.dispatcher.state.servers.by_id[SECOND_SERVER].load.peer_slots == 2.0
             for packet in rest[:-1]:
                 socket.send_fds(sock, [packet.data.encode()], spare[:1] * packet.descriptors)
-            server = process.core.dispatcher.workers[SECOND_SERVER]
-            await until(lambda: (server.told, server.own) == (0.0, 2.0))  # the attempt is the new process's now
-            assert process.core.elsewhere == {"t-2"}
+            server = process.core.dispatcher.state.servers.by_id[SECOND_SERVER]
+            await until(
+                lambda: (server.load.peer_slots, server.load.own_slots) == (0.0, 2.0)
+            )  # the attempt is the new process's now
+            assert process.core.peer_process_request_ids == {"t-2"}
             sock.send(rest[-1].data.encode())
             await until(lambda: process.takeover.handover.before is None)
     assert hands_on(process) == orjson.loads(rest[1].data[1:])
@@ -188,11 +204,11 @@
 
 def hands_on(process: Process) -> Any:
     """The message that hands the adopted request on to a third process."""
-    (message,) = process.core.messages
-    for attempt in message.relays:
-        if attempt.out:
-            attempt.wire = process.connection()
-            attempt.wire.pause.return_value = 0, {"answered": True, "last": False}
+    (message,) = process.core.requests
+    for attempt in message.attempts:
+        if attempt.in_flight:
+            attempt.exchange = process.connection()
+            attempt.exchange.pause.return_value = 0, {"answered": True, "last": False}
     third = MagicMock()
     process.takeover.handover.after = third
     process.takeover.give_way()
@@ -204,11 +220,26 @@
 def test_a_request_is_handed_over_in_these_words() -> None:
     table = orjson.loads(recorded_packets()[2].data[1:])
     assert list(table) == [
-        "kind", "request", "give_up_at", "taken_at", "terms", "not_before", "hosts", "attempts", "wires",
-    ]  # fmt: skip
+        "kind",
+        "request",
+        "give_up_at",
+        "taken_at",
+        "terms",
+        "not_before",
+        "hosts",
+        "attempts",
+        "wires",
+    ]
     assert list(table["request"]) == [
-        "method", "target", "headers", "body", "txn", "lane", "figures", "keep_alive",
-    ]  # fmt: skip
+        "method",
+        "target",
+        "headers",
+        "body",
+        "txn",
+        "lane",
+        "figures",
+        "keep_alive",
+    ]
     assert [attempt[2:5] for attempt in table["attempts"]] == [[False, False, False], [True, False, True]]
     assert table["wires"] == [{"answered": True, "last": False}]
 
@@ -217,39 +248,44 @@
 
 
 def test_counts_of_another_dispatcher_are_read() -> None:
-    reports, servers = PeerReports(), workers(3)
-    outcomes = reports.hear(PeerMessage(1, from_lines(recorded("load-reports.txt"))["counts"]), servers, NOW)
-    assert [server.told for server in servers.values()] == [3.0, 63.0, 0.0]
+    reports, servers = PeerLoad(), workers(3)
+    outcomes = reports.receive(PeerMessage(1, from_lines(recorded("load-reports.txt"))["counts"]), servers, NOW)
+    assert [server.load.peer_slots for server in servers.values()] == [3.0, 63.0, 0.0]
     assert outcomes == [(servers[1], False), (servers[3], True)]
 
 
 def test_load_summary_of_another_dispatcher_is_read() -> None:
-    reports, servers, lines = PeerReports(), workers(500), from_lines(recorded("load-reports.txt"))
-    reports.list_ready(list(servers.values()))
+    reports, servers, lines = PeerLoad(), workers(500), from_lines(recorded("load-reports.txt"))
+    reports.set_ready_servers(list(servers.values()))
     for name in ("summary-0", "summary-1"):
-        reports.hear(PeerMessage(1, lines[name]), servers, NOW)
-    assert [server.level for server in servers.values()] == [number % 16 for number in range(1, 501)]
-    assert [number for number, server in servers.items() if server.suspect] == list(range(15, 501, 16))
+        reports.receive(PeerMessage(1, lines[name]), servers, NOW)
+    assert [server.load.level for server in servers.values()] == [number % 16 for number in range(1, 501)]
+    assert [number for number, server in servers.items() if server.load.reported_failing] == list(range(15, 501, 16))
 
 
 def test_loan_is_asked_for_and_granted_in_the_recorded_bytes() -> None:
     lines = from_lines(recorded("loan.txt"))
-    asker = next(member for member in map(Lending, range(14)) if not member.server.budget)
+    asker = next(member for member in map(Lending, range(14)) if not member.server.slow_start.work_budget)
     ((ask, holder),) = asker.ask()
     assert ask == lines["ask"]
     lender = Lending(holder)
-    assert lender.shares.heard(PeerMessage(0, lines["ask"]), lender.state, 21.0) == [(lines["grant"], 0)]
-    assert not asker.shares.may(asker.server, 100.0, 22.0)
-    asker.shares.heard(PeerMessage(holder, lines["grant"]), asker.state, 22.0)
-    assert asker.shares.may(asker.server, 100.0, 22.0)
+    assert lender.shares.receive(PeerMessage(0, lines["ask"]), lender.table.by_id, 21.0) == [(lines["grant"], 0)]
+    assert not asker.shares.may_send(asker.server, 100.0, 22.0)
+    asker.shares.receive(PeerMessage(holder, lines["grant"]), asker.table.by_id, 22.0)
+    assert asker.shares.may_send(asker.server, 100.0, 22.0)
 
 
 def test_gossip_of_another_dispatcher_is_read() -> None:
     heard: list[tuple[int, bytes]] = []
-    peers = Peers(
-        ["127.0.0.1:7001", "127.0.0.1:7002"], None, 1, lambda peer, data: heard.append((peer, data)),
-        MagicMock(), MagicMock(), lambda: NOW,
-    )  # fmt: skip
+    peers = PeerSocket(
+        ["127.0.0.1:7001", "127.0.0.1:7002"],
+        None,
+        1,
+        lambda peer, data: heard.append((peer, data)),
+        MagicMock(),
+        MagicMock(),
+        lambda: NOW,
+    )
     serving = []
     for data in from_lines(recorded("gossip.txt")).values():
         peers.datagram_received(data, ("127.0.0.1", 7001))
@@ -277,8 +313,8 @@
 
 def test_nodes_of_a_replicated_table_are_read() -> None:
     nodes = {int(name, 16): node for name, node in from_lines(recorded("table-nodes.txt")).items()}
-    assert dict(trie.walk(nodes, next(iter(nodes)))) == ROWS
-    assert all(trie.name_of(node) == name for name, node in nodes.items())
+    assert dict(merkle_trie.walk(nodes, next(iter(nodes)))) == ROWS
+    assert all(merkle_trie.name_of(node) == name for name, node in nodes.items())
 
 
 def test_shared_server_list_has_the_recorded_names_and_keys() -> None:
@@ -314,7 +350,7 @@
     """Read the recorded file, and write it again."""
     path.write_bytes(recorded("kept-list.txt"))
     table = write_list(42, SERVERS, ZONES, MACHINE_TYPES)
-    keep = Keep(str(path), 5000.0, lambda: "127.0.0.1:8500", lambda: table, Deadlines(lambda: NOW), MagicMock())
+    keep = CacheFile(str(path), 5000.0, lambda: "127.0.0.1:8500", lambda: table, Deadlines(lambda: NOW), MagicMock())
     assert keep.load() == table
     path.unlink()
     keep.changed()
--- a/tests/limits/test_files.py
+++ b/tests/config/test_files.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from config.files import FORMS, GOOD, KINDS, RULES, Wrong
 from heronlug.cli import group
 from heronlug.cli.inspect import look
-from heronlug.forms import Fault, Faults, Source
-from heronlug.forms.source import MAX_BYTES
-from heronlug.life.files import Files
-from heronlug.life.state import StateError
-from limits.files import FORMS, GOOD, KINDS, RULES, Wrong
+from heronlug.config.desired_state import StateError
+from heronlug.config.files import Files
+from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
+from heronlug.config.strict_toml.source import MAX_BYTES
 
 BROKEN = [*KINDS, *RULES, *FORMS]
 RAW = {
@@ -83,7 +83,7 @@
 
 def test_no_two_rules_say_the_same() -> None:
     """Each rule has a text of its own, so that none hides behind another."""
-    from heronlug.limits import rules
+    from heronlug.config.limits import rules
 
     assert {rule.__name__ for rule in rules.RULES} == COVERED and len(rules.RULES) == len(COVERED)
     assert len({wrong.says for wrong in RULES}) >= len(COVERED)
@@ -138,7 +138,7 @@
     assert len(keys) == len(set(keys))
 
 
-def look_at(factory: pytest.TempPathFactory, text: str) -> list[Fault]:
+def look_at(factory: pytest.TempPathFactory, text: str) -> list[ConfigProblem]:
     path = factory.getbasetemp() / "drawn.toml"
     path.write_text(text)
     return list(look(path, None)[2])
@@ -240,5 +240,5 @@
 
 def test_faults_are_in_the_order_of_their_lines() -> None:
     source = Source.parse("x", b"a = 1\nb = 2\n")
-    told_of = Faults([source.fault(("b",), "later"), source.fault(("a",), "first", "so")])
+    told_of = ConfigProblems([source.fault(("b",), "later"), source.fault(("a",), "first", "so")])
     assert str(told_of) == "x:1: a: first, so\nx:2: b: later"
--- a/tests/limits/test_load.py
+++ b/tests/config/test_limits.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from heronlug.standin.host import Begun, Behaviour, Host
-from heronlug.standin.ports import free_port
+from heronlug.standins.ports import free_port
+from heronlug.standins.server import Begun, Behaviour, Host
 
 SETS = {  # attempts of a silent job under each; the last is no table at all, where no silent jobs are sent
     "two": (2, "attempts = 2\nattempt_timeout_ms = 1500\nwait_ms = [60]\nsecond_copy = false\n"),
--- a/tests/limits/test_module.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -11,43 +11,43 @@
 
 from heronlug import (
     Action,
-    Attempt,
-    Cancel,
+    AttemptProgress,
+    AttemptSnapshot,
+    CancelAttempt,
     Effect,
-    JobAdopted,
-    JobArrived,
-    JobClass,
-    JobPassedOn,
     ListKind,
-    Note,
-    NoteKind,
     Outcome,
-    Send,
+    ProgressKind,
+    RequestAdopted,
+    RequestArrived,
+    RequestClass,
+    RequestHandedOver,
+    ServerEntry,
     Settings,
-    WorkerEntry,
+    StartAttempt,
 )
-from heronlug.limits import model
+from heronlug.config.limits import model
 
 
 class Limited(Host):
     """A host that checks each class's limits as they were when a job came, and cancels as it is told."""
 
     def __init__(self, site: Settings, workers: int = 4, seed: int = 1) -> None:
-        self.terms: dict[int, JobClass] = {}
+        self.policies: dict[int, RequestClass] = {}
         self.ended_at: dict[int, float] = {}  # when the last attempt of a job ended
         self.overrun: set[int] = set()  # jobs with an attempt that timed out
         super().__init__(site, seed, workers)
 
     def give(self, event: Any) -> list[Action]:
-        if isinstance(event, JobArrived):
-            self.terms[event.job] = event.terms or self.settings.classes[event.job_class]
+        if isinstance(event, RequestArrived):
+            self.policies[event.request] = event.policy or self.settings.classes[event.request_class]
         actions = super().give(event)
         for action in actions:
-            if isinstance(action, Cancel) and (action.job, action.attempt) not in self.outcome:
-                timeout = self.terms[action.job].attempt_timeout
-                if timeout and self.now >= self.sent_at[action.job, action.attempt] + timeout:
-                    self.overrun.add(action.job)
-                self.end(action.job, action.attempt, Outcome.CANCELLED)
+            if isinstance(action, CancelAttempt) and (action.request, action.attempt) not in self.outcome:
+                timeout = self.policies[action.request].attempt_timeout
+                if timeout and self.now >= self.sent_at[action.request, action.attempt] + timeout:
+                    self.overrun.add(action.request)
+                self.end(action.request, action.attempt, Outcome.CANCELLED)
         return actions
 
     def end(
@@ -56,37 +56,37 @@
         self.ended_at[job] = self.now
         return super().end(job, attempt, outcome, report)
 
-    def _check_send(self, send: Send) -> None:
-        terms = self.terms[send.job]
-        sent = self.sent.get(send.job, [])
-        out = [n for n in range(len(sent)) if (send.job, n) not in self.outcome]
-        assert len(sent) < (terms.attempts or self.settings.attempts_cap), "past its attempts"
+    def _check_send(self, send: StartAttempt) -> None:
+        terms = self.policies[send.request]
+        sent = self.sent.get(send.request, [])
+        out = [n for n in range(len(sent)) if (send.request, n) not in self.outcome]
+        assert len(sent) < (terms.max_attempts or self.settings.max_attempts), "past its attempts"
         if out:
-            assert terms.second_copy, "a copy that its limits forbid"
-            last = max(self.sent_at[send.job, n] for n in out)
-            assert self.now >= last + terms.second_copy_after, "a copy too early"
+            assert terms.hedge, "a copy that its limits forbid"
+            last = max(self.sent_at[send.request, n] for n in out)
+            assert self.now >= last + terms.hedge_after, "a copy too early"
         elif sent:
-            wait = terms.wait_before(len(sent))
-            assert self.now >= self.ended_at[send.job] + wait, f"no wait of {wait} before attempt {len(sent) + 1}"
-        assert terms.again or out or send.job not in self.overrun, "another attempt after a time-out"
+            wait = terms.backoff_before(len(sent))
+            assert self.now >= self.ended_at[send.request] + wait, f"no wait of {wait} before attempt {len(sent) + 1}"
+        assert terms.retry_after_timeout or out or send.request not in self.overrun, "another attempt after a time-out"
         super()._check_send(send)
 
     def check_timeouts(self) -> None:
         """No attempt is waited for past its time-out."""
         for job, attempt in self.open_attempts():
-            timeout = self.terms[job].attempt_timeout
+            timeout = self.policies[job].attempt_timeout
             assert job in self.answered or not timeout or self.now <= self.sent_at[job, attempt] + timeout + 5
 
 
-def site(lane: JobClass = SAFE, **limits: Any) -> Settings:
+def site(lane: RequestClass = SAFE, **limits: Any) -> Settings:
     """The usual settings, with limits for one class."""
     classes = tuple(replace(each, **limits) if each is lane else each for each in (SAFE, KEYED, ONCE))
-    return with_settings(classes=classes, tells_start=True, progress_every=100.0, report_fields=())
+    return with_settings(classes=classes, reports_start=True, progress_interval=100.0, report_fields=())
 
 
 def test_attempts_of_a_class() -> None:
     for attempts in (1, 2, 3, 0):
-        host = Limited(site(attempts=attempts), workers=6)
+        host = Limited(site(max_attempts=attempts), workers=6)
         job = host.job(0)
         while job not in host.answered:
             host.end(job, len(host.sent[job]) - 1, Outcome.ERROR)
@@ -96,7 +96,7 @@
 
 
 def test_a_job_waits_between_attempts() -> None:
-    host = Limited(site(waits=(100.0, 400.0)))
+    host = Limited(site(retry_backoff=(100.0, 400.0)))
     job = host.job(0)
     for attempt, wait in enumerate((100, 400, 400)):
         host.end(job, attempt, Outcome.CONNECT_FAILED)
@@ -110,7 +110,7 @@
 
 def test_a_wait_past_the_end_is_not_waited_for() -> None:
     """Risk: what is given up sits until near its deadline, and the client learns nothing meanwhile."""
-    host = Limited(site(waits=(4900.0,), second_copy=False))
+    host = Limited(site(retry_backoff=(4900.0,), hedge=False))
     job = host.job(0)
     host.until(host.now + 200)
     host.end(job, 0, Outcome.ERROR)
@@ -120,7 +120,7 @@
 def test_a_job_whose_client_leaves_while_it_waits_has_no_more_attempts() -> None:
     from heronlug import ClientGone
 
-    host = Limited(site(waits=(100.0,)))
+    host = Limited(site(retry_backoff=(100.0,)))
     job = host.job(0)
     host.end(job, 0, Outcome.ERROR)
     host.give(ClientGone(job))
@@ -130,9 +130,9 @@
 
 
 def test_an_attempt_times_out_and_another_follows() -> None:
-    host = Limited(site(attempt_timeout=300.0, second_copy=False))
+    host = Limited(site(attempt_timeout=300.0, hedge=False))
     job = host.job(0)
-    host.give(Note(job, 0, host.sent[job][0], NoteKind.STARTED))
+    host.give(AttemptProgress(job, 0, host.sent[job][0], ProgressKind.STARTED))
     host.until(host.now + 299)
     assert host.open_attempts() == [(job, 0)]
     host.until(host.now + 2)
@@ -142,7 +142,7 @@
 
 
 def test_what_ends_with_its_timeout_has_no_other_attempt() -> None:
-    host = Limited(site(attempt_timeout=300.0, again=False, second_copy=False))
+    host = Limited(site(attempt_timeout=300.0, retry_after_timeout=False, hedge=False))
     job = host.job(0)
     host.until(host.now + 301)
     assert host.answered[job] == "refused" and len(host.sent[job]) == 1  # harmless: the class is repeatable
@@ -150,14 +150,14 @@
 
 def test_a_timeout_of_what_must_not_repeat_is_its_failure() -> None:
     """Risk: the time-out of an attempt that may have run lets the class run twice."""
-    host = Limited(site(ONCE, attempt_timeout=300.0, attempts=4))
+    host = Limited(site(ONCE, attempt_timeout=300.0, max_attempts=4))
     job = host.job(2)
     host.until(host.now + 301)
     assert host.answered[job] == "failed" and len(host.sent[job]) == 1
 
 
 def test_what_never_ran_is_tried_again_under_its_waits() -> None:
-    host = Limited(site(ONCE, waits=(50.0,), attempts=2))
+    host = Limited(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
     job = host.job(2)
     host.end(job, 0, Outcome.CONNECT_FAILED)
     host.until(host.now + 60)
@@ -169,12 +169,12 @@
 def test_no_second_copy_for_a_class_that_wants_none() -> None:
     """The same silent job is copied with the limit absent."""
     for second_copy, sent in ((True, 2), (False, 1)):
-        host = Limited(site(second_copy=second_copy))
+        host = Limited(site(hedge=second_copy))
         job = host.job(0)
-        host.give(Note(job, 0, host.sent[job][0], NoteKind.STARTED))
+        host.give(AttemptProgress(job, 0, host.sent[job][0], ProgressKind.STARTED))
         for _ in range(40):
             host.until(host.now + 20)
-            host.give(Note(99, 0, 1, NoteKind.PROGRESS))  # any event has the module look
+            host.give(AttemptProgress(99, 0, 1, ProgressKind.PROGRESS))  # any event has the module look
         assert len(host.sent[job]) == sent
         unstarted = host.job(0)
         host.until(host.now + 400)
@@ -182,7 +182,7 @@
 
 
 def test_a_second_copy_after_its_time_and_not_before() -> None:
-    host = Limited(site(second_copy_after=700.0))
+    host = Limited(site(hedge_after=700.0))
     job = host.job(0)
     host.until(host.now + 698)
     assert len(host.sent[job]) == 1
@@ -196,35 +196,35 @@
 
 def test_a_job_keeps_the_limits_that_it_was_accepted_under() -> None:
     """The host says with each job under which terms it was taken; what the settings say later is no matter."""
-    strict = replace(SAFE, attempts=1, waits=(1000.0,))
+    strict = replace(SAFE, max_attempts=1, retry_backoff=(1000.0,))
     host = Limited(site())
     first = host.job(0)
-    second = host.job(0, terms=strict)
+    second = host.job(0, policy=strict)
     host.end(second, 0, Outcome.ERROR)
     assert host.answered[second] == "refused" and len(host.sent[second]) == 1
-    host.dispatcher.s = replace(host.settings, classes=(strict, KEYED, ONCE))
+    host.dispatcher.settings = replace(host.settings, classes=(strict, KEYED, ONCE))
     host.end(first, 0, Outcome.ERROR)
     assert len(host.sent[first]) == 2
 
 
 def test_limits_go_over_to_another_process() -> None:
     """A job that waits between attempts, and one with an attempt out, passed on in the middle."""
-    terms = replace(SAFE, attempts=2, attempt_timeout=300.0, waits=(200.0,), second_copy=False)
+    terms = replace(SAFE, max_attempts=2, attempt_timeout=300.0, retry_backoff=(200.0,), hedge=False)
     passed = model.read(SAFE, model.write(terms))
     assert passed == terms
     new = Limited(site())
     new.now = 5000.0
     for job, attempt, not_before in (
-        (1, Attempt(1, 4900.0, False, False, True, 4900.0), 5100.0),
-        (2, Attempt(2, 4900.0, True, False, True, 4900.0), 0.0),
+        (1, AttemptSnapshot(1, 4900.0, False, False, True, 4900.0), 5100.0),
+        (2, AttemptSnapshot(2, 4900.0, True, False, True, 4900.0), 0.0),
     ):
-        event = JobArrived(job, 0, 9000.0, terms=passed)
-        new.terms[job] = passed
+        event = RequestArrived(job, 0, 9000.0, policy=passed)
+        new.policies[job] = passed
         new.jobs[job] = event
-        new.sent[job], new.sent_at[job, 0] = [attempt.worker], attempt.sent
-        if not attempt.out:
+        new.sent[job], new.sent_at[job, 0] = [attempt.server], attempt.sent_at
+        if not attempt.in_flight:
             new.outcome[job, 0], new.ended_at[job] = Outcome.ERROR, 4900.0
-        new.give(JobAdopted(event, 4900.0, (attempt,), not_before))
+        new.give(RequestAdopted(event, 4900.0, (attempt,), not_before))
     assert [len(new.sent[job]) for job in (1, 2)] == [1, 1]
     new.until(5099.0)
     assert len(new.sent[1]) == 1
@@ -234,7 +234,7 @@
     assert new.outcome[2, 0] == Outcome.CANCELLED
     new.until(5410.0)
     assert len(new.sent[2]) == 2
-    new.give(JobPassedOn(1))
+    new.give(RequestHandedOver(1))
     new.answered[1] = "passed"
     new.finish()
 
@@ -261,12 +261,12 @@
 LIMITS = st.fixed_dictionaries(
     {},
     optional={
-        "attempts": st.integers(1, 4),
+        "max_attempts": st.integers(1, 4),
         "attempt_timeout": st.sampled_from([40.0, 150.0, 900.0]),
-        "again": st.booleans(),
-        "waits": st.sampled_from([(), (30.0,), (5.0, 200.0)]),
-        "second_copy": st.booleans(),
-        "second_copy_after": st.sampled_from([0.0, 60.0, 300.0]),
+        "retry_after_timeout": st.booleans(),
+        "retry_backoff": st.sampled_from([(), (30.0,), (5.0, 200.0)]),
+        "hedge": st.booleans(),
+        "hedge_after": st.sampled_from([0.0, 60.0, 300.0]),
     },
 )
 
@@ -286,15 +286,15 @@
         luck = rng.random()
         if luck < 0.4:
             lane = rng.randrange(3)
-            host.job(lane, terms=classes[lane])
+            host.job(lane, policy=classes[lane])
         elif luck < 0.8 and (out := host.open_attempts()):
             job, attempt = rng.choice(out)
             if rng.random() < 0.4:
-                host.give(Note(job, attempt, host.sent[job][attempt], NoteKind.STARTED))
+                host.give(AttemptProgress(job, attempt, host.sent[job][attempt], ProgressKind.STARTED))
             else:
                 host.end(job, attempt, rng.choice([1, 1, 2, 3, 5, 6]))
         elif luck < 0.85:
-            host.listed(ListKind.CHANGES, (WorkerEntry(rng.randrange(1, 7), cell=rng.randrange(3)),))
+            host.listed(ListKind.CHANGES, (ServerEntry(rng.randrange(1, 7), cell=rng.randrange(3)),))
         host.until(host.now + rng.expovariate(1 / 25))
         host.check_timeouts()
     host.finish()
@@ -302,18 +302,18 @@
 
 def test_fields_of_the_module_and_keys_of_the_file_are_the_same() -> None:
     """A limit that a file may set and that does not pass to another process would be lost at an upgrade."""
-    lane = JobClass(
-        aim=1,
+    lane = RequestClass(
+        latency_objective=1,
         deadline=9,
-        effect=Effect.BY_KEY,
-        attempts=2,
+        effect=Effect.IDEMPOTENT_BY_KEY,
+        max_attempts=2,
         attempt_timeout=3,
-        again=False,
-        waits=(1.0,),
-        second_copy=False,
-        second_copy_after=2,
-        give_up=8,
+        retry_after_timeout=False,
+        retry_backoff=(1.0,),
+        hedge=False,
+        hedge_after=2,
+        give_up_after=8,
         repeat_window=7,
     )
-    bare = JobClass(aim=1, deadline=9, effect=Effect.BY_KEY)
+    bare = RequestClass(latency_objective=1, deadline=9, effect=Effect.IDEMPOTENT_BY_KEY)
     assert model.read(bare, model.write(lane)) == lane
--- a/tests/rules/test_notified.py
+++ b/tests/conformance/test_notification.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from heronlug.rules import Changed, Checker, Event, Listed, Reachable, Sent, Started, Taken, Watching, WatchOver
+from heronlug.conformance import Changed, Checker, Event, Listed, Reachable, Sent, Started, Taken, Watching, WatchOver
 
 GRACE = 2_500.0
 WATCH = Watching(0.0, "d", 1, 20_000.0)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,16 +18,16 @@
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MOST_KNOWN = 3
 SLOWEST = (  # files that take a quarter of a minute and more, slowest first: several processes begin with them
-    "tests/rig/test_scripts.py",
-    "tests/arrival/test_broken.py",
-    "tests/rig/test_soak.py",
+    "tests/faults/test_plans.py",
+    "tests/faults/test_mutants.py",
+    "tests/faults/test_soak.py",
     "tests/test_exchanges.py",
-    "tests/halls/test_offers.py",
+    "tests/balancer/test_zone_failover.py",
     "tests/cluster/test_states.py",
     "tests/cluster/test_sockets.py",
     "tests/cluster/test_register.py",
     "tests/emulator/test_maths.py",
-    "tests/limits/test_load.py",
+    "tests/config/test_limits.py",
 )
 LAST = len(SLOWEST)
 
--- a/tests/arrival/test_kept.py
+++ b/tests/discovery/test_cache.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.arrival.kept import AHEAD, Writing, read, write
-from heronlug.life.keep import Keep
-from heronlug.memory.deadlines import Deadlines
+from heronlug.discovery.cache import AHEAD, CacheSchedule, read, write
+from heronlug.discovery.cache_file import CacheFile
+from heronlug.requests.deadlines import Deadlines
 
 TABLE = {"generation": 41, "reset": True, "instances": [{"instanceId": "s1"}]}
 DATA = write("10.0.0.1:8500", 1_000_000.0, TABLE)
@@ -49,7 +49,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 3000), st.sampled_from("cwd")), max_size=60))
 def test_writings_are_rare_and_the_last_change_is_written(steps: list[tuple[float, str]]) -> None:
-    writing, now, planned = Writing(gap=5000.0), 0.0, list[float]()
+    writing, now, planned = CacheSchedule(gap=5000.0), 0.0, list[float]()
     began, changed_at, written_at = list[float](), -1.0, -1.0
 
     def plan(when: float | None) -> None:
@@ -81,8 +81,10 @@
     async def run() -> None:
         deadlines = Deadlines(lambda: 1_000_000.0)
 
-        def keep(path: Path) -> Keep:
-            return Keep(str(path), 1e9, lambda: "r", lambda: TABLE, deadlines, lambda e, **f: logged.append((e, f)))
+        def keep(path: Path) -> CacheFile:
+            return CacheFile(
+                str(path), 1e9, lambda: "r", lambda: TABLE, deadlines, lambda e, **f: logged.append((e, f))
+            )
 
         good = keep(tmp_path / "list")
         assert good.load() is None and not logged  # there is none yet
--- a/tests/arrival/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.arrival.freshness import Event, Freshness, State
+from heronlug.discovery.freshness import Event, Freshness, State
 
 GRACE = 2500.0
 KEPT_BACK = 150.0  # a dispatcher may be held up for so long between its clock and its write
--- a/tests/arrival/test_pacing.py
+++ b/tests/discovery/test_poll_pacing.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.arrival import pacing
-from heronlug.arrival.pacing import Pacer, Terms
-from heronlug.arrival.why import Why
+from heronlug.discovery import poll_pacing as pacing
+from heronlug.discovery.poll_failure import PollFailure
+from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 
 BOUND = 1000.0  # ms that a call may wait in the register
 
@@ -32,11 +32,11 @@
     seed: int = 1,
     listed: bool = False,
     down_until: float = 0.0,
-    make: Callable[[Terms, Callable[[], float]], Pacer] = Pacer,
+    make: Callable[[PollTerms, Callable[[], float]], PollPacer] = PollPacer,
 ) -> Played:
     """All start within ``starts`` ms; each needs its list, unless it has one, and then a watch."""
     rng, heap, order = Random(seed), list[tuple[float, int, int]](), 0
-    pacers = [make(Terms(many, n, cost if told else None), Random(seed * 7919 + n).random) for n in range(many)]
+    pacers = [make(PollTerms(many, n, cost if told else None), Random(seed * 7919 + n).random) for n in range(many)]
     has, done, failed_at = [listed] * many, dict[int, float](), dict[int, float]()
     calls, gaps, turned, free = list[float](), list[float](), 0, 0.0
 
@@ -56,13 +56,13 @@
             gaps.append(now - failed_at.pop(number))
         if now < down_until:
             failed_at[number] = now
-            call_at(pacers[number].failed(now, Why.DOWN, has[number]), number)
+            call_at(pacers[number].failed(now, PollFailure.DOWN, has[number]), number)
             continue
         calls.append(now)
         wait = max(0.0, free - now)
         if wait > BOUND:
             turned, free, failed_at[number] = turned + 1, free + 1.0, now
-            call_at(pacers[number].failed(now, Why.TURNED_AWAY, has[number]), number)
+            call_at(pacers[number].failed(now, PollFailure.TURNED_AWAY, has[number]), number)
             continue
         free = now + wait + cost
         if has[number]:
@@ -113,10 +113,10 @@
 
 @pytest.mark.parametrize(("many", "cost"), [(100, 50.0), (300, 50.0), (1000, 20.0)])
 def test_a_guess_costs_less_than_calls_that_know_nothing_of_each_other(many: int, cost: float) -> None:
-    class Alone(Pacer):
+    class Alone(PollPacer):
         """As it was: each waits for itself, at random, longer with each failure."""
 
-        def failed(self, now: float, why: Why, listed: bool, retry_after: float = 0.0) -> float:
+        def failed(self, now: float, why: PollFailure, listed: bool, retry_after: float = 0.0) -> float:
             self.failures += 1
             return now + 312.5 * 2.0 ** min(self.failures, 4) * (0.5 + 0.5 * self._draw())
 
@@ -135,14 +135,14 @@
 
 
 def test_the_register_says_when_to_come_again() -> None:
-    pacer = Pacer(Terms(10, 3), lambda: 0.5)
-    assert pacer.failed(1000.0, Why.TURNED_AWAY, True, 5000.0) >= 6000.0
+    pacer = PollPacer(PollTerms(10, 3), lambda: 0.5)
+    assert pacer.failed(1000.0, PollFailure.TURNED_AWAY, True, 5000.0) >= 6000.0
 
 
 def test_patience_grows_with_answers_that_come_late_and_falls_with_quick_ones() -> None:
-    pacer = Pacer(Terms(), lambda: 0.5)
+    pacer = PollPacer(PollTerms(), lambda: 0.5)
     for _ in range(9):
-        pacer.failed(0.0, Why.SLOW, False)
+        pacer.failed(0.0, PollFailure.SLOW, False)
     assert pacer.patience == pacing.PATIENCE_MOST
     pacer.answered(5000.0)
     assert pacer.patience == 10_000.0
@@ -151,7 +151,7 @@
 
 
 def test_watches_of_many_begin_anew_less_often() -> None:
-    assert Pacer(Terms(), lambda: 0.5).watch == pacing.WATCH
-    assert Pacer(Terms(300, 0, 50.0), lambda: 0.5).watch == pacing.WATCH_MOST
-    many = Pacer(Terms(500, 0, 20.0), lambda: 0.5)
+    assert PollPacer(PollTerms(), lambda: 0.5).watch == pacing.WATCH
+    assert PollPacer(PollTerms(300, 0, 50.0), lambda: 0.5).watch == pacing.WATCH_MOST
+    many = PollPacer(PollTerms(500, 0, 20.0), lambda: 0.5)
     assert 500 / (many.watch / 1000) * 20.0 <= 1000 * pacing.RENEWALS
--- a/tests/arrival/test_reading.py
+++ b/tests/discovery/test_reader_election.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronlug.arrival import reading
-from heronlug.arrival.reading import Heard, Place, Reading, Role
+from heronlug.discovery import reader_election as reading
+from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
 
 STALE, BEAT, LOOK = 1500.0, 400.0, 100.0
 ANSWER, RETRY = 150.0, 600.0
@@ -21,7 +21,7 @@
 class Member:
     def __init__(self, number: int, starts: float, rng: Random) -> None:
         self.number, self.starts, self.alive, self.standing = number, starts, True, False
-        self.reading = Reading(STALE, 3, rng.random())
+        self.reading = ReaderElection(STALE, 3, rng.random())
         self.works = self.said = False
         self.call_ends: float | None = None
         self.next_call = -inf
@@ -82,8 +82,10 @@
         if member.works:
             member.list_at = self.now
         others = [m for m in self.up() if m is not member and self.together(m, member)]
-        place = Place(sum(m.number < member.number for m in others), len(others))
-        heard = [Heard(self.now - member.heard_at, member.heard_watched, False)] if member.claim is None else []
+        place = MemberPosition(sum(m.number < member.number for m in others), len(others))
+        heard = (
+            [SharedListStatus(self.now - member.heard_at, member.heard_watched, False)] if member.claim is None else []
+        )
         role = member.reading.decide(self.now, False, place, heard, member.works)
         if role is Role.READ and not member.works and member.call_ends is None and self.now >= member.next_call:
             self.calls.append((self.now, member.number))
@@ -191,17 +193,25 @@
 
 
 def test_a_list_that_is_behind_ours_is_not_followed() -> None:
-    part = Reading(STALE, 3, 0.0)
-    part.decide(0.0, False, Place(5, 9), [], False)
-    assert part.decide(100.0, False, Place(5, 9), [Heard(50.0, True, False)], False) is Role.FOLLOW
+    part = ReaderElection(STALE, 3, 0.0)
+    part.decide(0.0, False, MemberPosition(5, 9), [], False)
+    assert part.decide(100.0, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, False)], False) is Role.FOLLOW
     for step in range(60):
-        role = part.decide(200.0 + step * LOOK, False, Place(5, 9), [Heard(50.0, True, True)], False)
+        role = part.decide(
+            200.0 + step * LOOK, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, True)], False
+        )
     assert role is Role.READ
 
 
 def test_the_owner_of_the_lease_always_reads_and_who_reads_stays_until_another_is_trusted() -> None:
-    part = Reading(STALE, 3, 0.0)
-    assert part.decide(0.0, True, Place(9, 9), [Heard(0.0, True, False)], False) is Role.READ
-    assert part.decide(10.0, False, Place(9, 9), [Heard(0.0, True, False)], True) is Role.READ
-    assert part.decide(reading.TRUST - 1, False, Place(9, 9), [Heard(0.0, True, False)], True) is Role.READ
-    assert part.decide(reading.TRUST, False, Place(9, 9), [Heard(0.0, True, False)], True) is Role.FOLLOW
+    part = ReaderElection(STALE, 3, 0.0)
+    assert part.decide(0.0, True, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], False) is Role.READ
+    assert part.decide(10.0, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True) is Role.READ
+    assert (
+        part.decide(reading.TRUST - 1, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True)
+        is Role.READ
+    )
+    assert (
+        part.decide(reading.TRUST, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True)
+        is Role.FOLLOW
+    )
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -6,48 +6,55 @@
 from heronlug import (
     Action,
     AttemptEnded,
-    Cancel,
+    CancelAttempt,
     Dispatcher,
     Effect,
     Event,
     Fail,
-    JobArrived,
-    JobClass,
     KeyScope,
     ListKind,
     Outcome,
-    Refuse,
-    Send,
+    Reject,
+    RequestArrived,
+    RequestClass,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
     SetTimer,
     Settings,
+    StartAttempt,
     TimerFired,
-    WorkerEntry,
-    WorkerList,
-    WorkerState,
 )
 
-SAFE = JobClass(aim=200, deadline=5000, effect=Effect.REPEATABLE, stretch=2, name="safe")
-KEYED = JobClass(aim=200, deadline=5000, effect=Effect.BY_KEY, stretch=2, key_scope=KeyScope.CELL, repeat_window=1500)
-ONCE = JobClass(aim=400, deadline=8000, effect=Effect.ONCE, stretch=2, name="once")
+SAFE = RequestClass(latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT, latency_factor=2, name="safe")
+KEYED = RequestClass(
+    latency_objective=200,
+    deadline=5000,
+    effect=Effect.IDEMPOTENT_BY_KEY,
+    latency_factor=2,
+    key_scope=KeyScope.CELL,
+    repeat_window=1500,
+)
+ONCE = RequestClass(latency_objective=400, deadline=8000, effect=Effect.NON_IDEMPOTENT, latency_factor=2, name="once")
 SETTINGS = Settings(
     classes=(SAFE, KEYED, ONCE),
-    attempts_cap=4,
-    second_copies=True,
+    max_attempts=4,
+    hedging=True,
     may_cancel=True,
     report_fields=("x0",),
     tick=2.0,
     answer_slack=8.0,
     drain_grace=500.0,
-    cold_from=0.25,
-    warm_after=8000.0,
-    tip_multiple=3.0,
-    overload_for=2000.0,
+    warmup_capacity=0.25,
+    warmup_time=8000.0,
+    overload_multiple=3.0,
+    overload_window=2000.0,
 )
 
 
-def entries(count: int, **fields: Any) -> tuple[WorkerEntry, ...]:
+def entries(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
     """Workers 1 to ``count``, two a cell."""
-    return tuple(WorkerEntry(i, cell=(i - 1) // 2)._replace(**fields) for i in range(1, count + 1))
+    return tuple(ServerEntry(i, cell=(i - 1) // 2)._replace(**fields) for i in range(1, count + 1))
 
 
 class Host:
@@ -58,12 +65,12 @@
         self.dispatcher = Dispatcher(settings, seed)
         self.now = 1000.0
         self.timers: list[float] = []
-        self.jobs: dict[int, JobArrived] = {}
+        self.jobs: dict[int, RequestArrived] = {}
         self.sent: dict[int, list[int]] = {}
         self.sent_at: dict[tuple[int, int], float] = {}
         self.outcome: dict[tuple[int, int], int] = {}
         self.answered: dict[int, str] = {}
-        self.entry: dict[int, WorkerEntry] = {}
+        self.entry: dict[int, ServerEntry] = {}
         self.told_off: set[int] = set()
         self.cold_work: dict[int, list[float]] = {}
         self.actions: list[Action] = []
@@ -76,78 +83,80 @@
         actions = self.dispatcher.handle(self.now, event)
         self.actions += actions
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 self._check_send(action)
-            elif isinstance(action, Refuse):
-                assert action.job not in self.answered
-                self._check_refusal(action.job)
-                self.answered[action.job] = "refused"
+            elif isinstance(action, Reject):
+                assert action.request not in self.answered
+                self._check_refusal(action.request)
+                self.answered[action.request] = "refused"
             elif isinstance(action, Fail):
-                assert action.job not in self.answered
-                self.answered[action.job] = "failed"
+                assert action.request not in self.answered
+                self.answered[action.request] = "failed"
             elif isinstance(action, SetTimer):
                 assert action.delay >= 0
                 self.timers.append(self.now + action.delay)
-            elif isinstance(action, Cancel):
-                assert action.attempt < len(self.sent[action.job])
+            elif isinstance(action, CancelAttempt):
+                assert action.attempt < len(self.sent[action.request])
         return actions
 
     def _maybe_ran(self, job: int) -> list[int]:
-        proofs = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        proofs = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START)
         return [n for n in range(len(self.sent.get(job, []))) if self.outcome.get((job, n)) not in proofs]
 
-    def _class(self, job: int) -> JobClass:
-        return self.settings.classes[self.jobs[job].job_class]
-
-    def _check_send(self, send: Send) -> None:
-        assert send.job in self.jobs and send.job not in self.answered, "send after the end"
-        assert self.now < self.jobs[send.job].give_up_at
-        assert send.worker not in self.told_off, "send to a worker told draining or gone"
-        assert send.worker in self.entry
-        earlier = self.sent.setdefault(send.job, [])
-        assert len(earlier) < self.settings.attempts_cap
-        lane, risky = self._class(send.job), self._maybe_ran(send.job)
-        if not self.settings.second_copies:
-            assert all((send.job, n) in self.outcome for n in range(len(earlier)))
-        if lane.effect is Effect.ONCE:
+    def _class(self, job: int) -> RequestClass:
+        return self.settings.classes[self.jobs[job].request_class]
+
+    def _check_send(self, send: StartAttempt) -> None:
+        assert send.request in self.jobs and send.request not in self.answered, "send after the end"
+        assert self.now < self.jobs[send.request].give_up_at
+        assert send.server not in self.told_off, "send to a worker told draining or gone"
+        assert send.server in self.entry
+        earlier = self.sent.setdefault(send.request, [])
+        assert len(earlier) < self.settings.max_attempts
+        lane, risky = self._class(send.request), self._maybe_ran(send.request)
+        if not self.settings.hedging:
+            assert all((send.request, n) in self.outcome for n in range(len(earlier)))
+        if lane.effect is Effect.NON_IDEMPOTENT:
             assert not risky, "an effect might happen twice"
-        if lane.effect is Effect.BY_KEY:
+        if lane.effect is Effect.IDEMPOTENT_BY_KEY:
             for n in risky:
                 first = self.entry[earlier[n]]
-                assert self.now - self.sent_at[send.job, n] <= lane.repeat_window
+                assert self.now - self.sent_at[send.request, n] <= lane.repeat_window
                 if lane.key_scope is not KeyScope.ALL:
-                    assert first.zone == self.entry[send.worker].zone
+                    assert first.zone == self.entry[send.server].zone
                 if lane.key_scope is KeyScope.CELL:
-                    assert first.cell == self.entry[send.worker].cell
-        self.sent_at[send.job, len(earlier)] = self.now
-        earlier.append(send.worker)
-        started = self.entry[send.worker].started_at
-        if started and self.now - started < self.settings.warm_after:
-            self.cold_work.setdefault(send.worker, []).append(self.now)
+                    assert first.cell == self.entry[send.server].cell
+        self.sent_at[send.request, len(earlier)] = self.now
+        earlier.append(send.server)
+        started = self.entry[send.server].started_at
+        if started and self.now - started < self.settings.warmup_time:
+            self.cold_work.setdefault(send.server, []).append(self.now)
 
     def _check_refusal(self, job: int) -> None:
         lane = self._class(job)
-        free = lane.effect is Effect.REPEATABLE or (lane.effect is Effect.BY_KEY and lane.key_scope is KeyScope.ALL)
+        free = lane.effect is Effect.IDEMPOTENT or (
+            lane.effect is Effect.IDEMPOTENT_BY_KEY and lane.key_scope is KeyScope.ALL
+        )
         assert free or not self._maybe_ran(job), "a refusal that is not harmless"
 
-    def listed(self, kind: ListKind, listed: tuple[WorkerEntry, ...]) -> list[Action]:
+    def listed(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
         """News of the list."""
         if kind in (ListKind.CACHED, ListKind.FULL):
-            self.told_off |= set(self.entry) - {e.worker for e in listed}
+            self.told_off |= set(self.entry) - {e.server for e in listed}
         if kind is not ListKind.FAILED:
             for entry in listed:
-                self.entry[entry.worker] = entry
-                if entry.state is WorkerState.READY:
-                    self.told_off.discard(entry.worker)
+                self.entry[entry.server] = entry
+                if entry.state is ServerState.READY:
+                    self.told_off.discard(entry.server)
                 else:
-                    self.told_off.add(entry.worker)
-        return self.give(WorkerList(kind, listed))
+                    self.told_off.add(entry.server)
+        return self.give(ServerListUpdate(kind, listed))
 
     def job(self, job_class: int = 0, **fields: Any) -> int:
         """A new job; returns its id."""
         number, self.next_job = self.next_job, self.next_job + 1
         lane = self.settings.classes[job_class]
-        event = JobArrived(number, job_class, self.now + lane.deadline)._replace(**fields)
+        event = RequestArrived(number, job_class, self.now + lane.deadline)._replace(**fields)
         self.jobs[number] = event
         self.give(event)
         return number
--- a/tests/emulator/fleets.py
+++ b/tests/emulator/fleets.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
+from heronlug.config.strict_toml import Source
 from heronlug.emulator.scenario import Scenario, parse, put
-from heronlug.forms import Source
 
 TEXT = """
 name = "test"
--- a/tests/emulator/test_checker.py
+++ b/tests/emulator/test_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from heronlug.rules import Answered, Began, Checker, Ended, Event, Listed, Load, Sent, Started, Stopped, Taken
+from heronlug.conformance import Answered, Began, Checker, Ended, Event, Listed, Load, Sent, Started, Stopped, Taken
 
 TAKEN = Taken(0.0, "d", "j", "once", True, 5000.0)
 GOOD: list[Event] = [
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -10,12 +10,12 @@
 
 from emulator.fleets import TEXT
 from heronlug.cli import group
+from heronlug.config.strict_toml import ConfigProblems
 from heronlug.emulator import scenario as scenarios
 from heronlug.emulator.draws import fit, stream
-from heronlug.forms import Faults
-from heronlug.lab import compare, experiment, runner
-from heronlug.lab.report import page
-from heronlug.lab.store import Kept, Store, StoreError
+from heronlug.experiments import compare, experiment, runner
+from heronlug.experiments.report import page
+from heronlug.experiments.store import Kept, Store, StoreError
 
 ROOT = Path(__file__).parents[2]
 FILE = """
@@ -109,7 +109,7 @@
 )
 def test_a_broken_experiment_is_told_with_its_line(file: Path, text: str, line: int, wrong: str) -> None:
     file.write_text(text)
-    with pytest.raises(Faults) as told:
+    with pytest.raises(ConfigProblems) as told:
         experiment.read(file)
     assert [fault.line for fault in told.value.faults] == [line], told.value
     assert wrong in str(told.value)
@@ -139,7 +139,7 @@
 
     path = tmp_path / "fleet.toml"
     path.write_text(TEXT)
-    with pytest.raises(Faults) as told:
+    with pytest.raises(ConfigProblems) as told:
         scenarios.load(path, changed((change.replace("=inf", "=1e999"),)))
     assert any(f.key.startswith(key) and wrong in str(f) for f in told.value.faults), told.value
 
--- a/tests/emulator/test_maths.py
+++ b/tests/emulator/test_maths.py
@@ -12,7 +12,7 @@
 
 from emulator.fleets import scenario
 from heronlug.emulator.draws import Draws, stream
-from heronlug.emulator.hosts import Host, Kind, Run, Warmth
+from heronlug.emulator.servers import Host, Kind, Run, Warmth
 from heronlug.emulator.timeline import Timeline
 from heronlug.emulator.world import World
 
@@ -107,8 +107,8 @@
 class = "c"
 rate = {rate}
 """
+    from heronlug.config.strict_toml import Source
     from heronlug.emulator.scenario import parse
-    from heronlug.forms import Source
 
     world = World(parse(Source.parse("queues.toml", text.encode())))
     counts = np.zeros(4)
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -9,12 +9,15 @@
 import pytest
 
 from emulator.fleets import scenario
-from heronlug import interface as pk
+from heronlug.balancer.actions import Action
+from heronlug.balancer.events import AttemptEnded, Outcome, RequestArrived, ServerListUpdate, ServerState
+from heronlug.balancer.events import Event as DispatcherEvent
+from heronlug.balancer.settings import Settings
+from heronlug.conformance import Began, Event, Listed, Load, Sent, read, write
 from heronlug.emulator.draws import stream
 from heronlug.emulator.figures import same
 from heronlug.emulator.policies import POLICIES, Look, Policy, RandomChoice, Worker
 from heronlug.emulator.world import World
-from heronlug.rules import Began, Event, Listed, Load, Sent, read, write
 
 TROUBLES = {
     "crash": 'what = "crash"\nat_s = 5\nshare = 0.2\n',
@@ -71,17 +74,17 @@
 class Resender(RandomChoice):
     """Sends again whatever has broken, also what must not run twice."""
 
-    def _ended(self, event: pk.AttemptEnded, now: float, out: list[pk.Action]) -> None:
-        if event.outcome == pk.Outcome.RESET:
-            event = event._replace(outcome=pk.Outcome.FULL)
+    def _ended(self, event: AttemptEnded, now: float, out: list[Action]) -> None:
+        if event.outcome == Outcome.RESET:
+            event = event._replace(outcome=Outcome.FULL)
         super()._ended(event, now, out)
 
 
 class DrainIgnorer(RandomChoice):
     """Takes no notice of a host's state, once it has known it as ready."""
 
-    def _listed(self, event: pk.WorkerList, out: list[pk.Action]) -> None:
-        entries = tuple(e._replace(state=pk.WorkerState.READY) for e in event.entries)
+    def _listed(self, event: ServerListUpdate, out: list[Action]) -> None:
+        entries = tuple(e._replace(state=ServerState.READY) for e in event.entries)
         super()._listed(event._replace(entries=entries), out)
 
 
@@ -95,8 +98,8 @@
 class Answerless(RandomChoice):
     """Forgets every hundredth job: the core answers it when its time is over, and that is what it is there for."""
 
-    def handle(self, now: float, event: pk.Event) -> list[pk.Action]:
-        if isinstance(event, pk.JobArrived) and event.job % 100 == 7:
+    def handle(self, now: float, event: DispatcherEvent) -> list[Action]:
+        if isinstance(event, RequestArrived) and event.request % 100 == 7:
             return []
         return super().handle(now, event)
 
@@ -105,7 +108,7 @@
     return Look(0.0, 0.0, 1.0, 1.0, 1.0, True, 0.0)
 
 
-def broken(policy: type[Policy]) -> Callable[[pk.Settings, int], Policy]:
+def broken(policy: type[Policy]) -> Callable[[Settings, int], Policy]:
     return lambda settings, seed: policy(settings, seed, nothing_seen)
 
 
--- a/tests/endings/house.py
+++ b/tests/end_to_end/house.py
@@ -18,12 +18,12 @@
 import uvloop
 from exchange import SETTINGS
 
-from heronlug.life import config as configs
-from heronlug.life.files import Files
-from heronlug.life.log import Log
-from heronlug.life.start import Daemon
-from heronlug.life.state import EMPTY
-from heronlug.standin.ports import free_port
+from heronlug.config import platform as configs
+from heronlug.config.desired_state import EMPTY
+from heronlug.config.files import Files
+from heronlug.lifecycle.application import Application
+from heronlug.lifecycle.log import Log
+from heronlug.standins.ports import free_port
 
 BEGIN = 1_700_000_000_000.0
 PATIENCE = 10.0  # s for something that must come; no speed is asserted
@@ -207,7 +207,7 @@
             **changes,
         }
         self.level = "debug"
-        self.daemon: Daemon
+        self.daemon: Application
         self._serving: asyncio.Task[None]
 
     def __call__(self, event: str, **fields: object) -> None:
@@ -255,7 +255,7 @@
         """Let so much time pass for the daemon."""
         await self.settle()
         end, deadlines = self.clock.at + ms, self.daemon.loop.deadlines
-        while (head := deadlines.head()) is not None and head <= end:
+        while (head := deadlines.next_due()) is not None and head <= end:
             self.clock.at = max(self.clock.at, head)
             self.daemon.turn()
             await self.settle()
@@ -306,8 +306,8 @@
             await standin.listen()
         folder = os.environ.pop("TMPDIR", None)
         try:
-            with mock.patch("heronlug.life.start.Clock", lambda: self.clock):
-                self.daemon = Daemon(self.load()[0], cast(Files, self), cast(Log, self))
+            with mock.patch("heronlug.lifecycle.application.Clock", lambda: self.clock):
+                self.daemon = Application(self.load()[0], cast(Files, self), cast(Log, self))
         finally:
             if folder is not None:
                 os.environ["TMPDIR"] = folder
--- a/tests/endings/program.py
+++ b/tests/end_to_end/program.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from endings.house import PATIENCE, End, House, until
-from heronlug.standin.ports import free_port
+from end_to_end.house import PATIENCE, End, House, until
+from heronlug.standins.ports import free_port
 
 
 class Program:
--- a/tests/endings/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -14,9 +14,9 @@
 import socket
 from pathlib import Path
 
-from endings.house import House, done, message, name_of, play, until
-from endings.program import Program
-from heronlug.standin.ports import free_port
+from end_to_end.house import House, done, message, name_of, play, until
+from end_to_end.program import Program
+from heronlug.standins.ports import free_port
 
 
 class NoDescriptors:
--- a/tests/endings/test_closing.py
+++ b/tests/end_to_end/test_closing.py
@@ -6,8 +6,8 @@
 import os
 import signal
 
-from endings.house import House, Kernel, done, message, play
-from heronlug.wire.north import Connection
+from end_to_end.house import House, Kernel, done, message, play
+from heronlug.frontends.http.frontend import ClientConnection
 
 HEALTH = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -91,7 +91,7 @@
             clients = [await known(house) for _ in range(16)]
             opened = house.daemon.north.opened
 
-            def crossed(connection: Connection) -> None:
+            def crossed(connection: ClientConnection) -> None:
                 clients[0].send(message("t1", "safe", 4000))
                 opened(connection)
 
--- a/tests/endings/test_crowd.py
+++ b/tests/end_to_end/test_crowd.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from endings.house import HEAD, LAST, End, House, done, line, message, name_of, play
+from end_to_end.house import HEAD, LAST, End, House, done, line, message, name_of, play
 
 RUN = 100.0  # ms that jobs run; their aim is 400, so they have to start within 300
 
--- a/tests/endings/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from endings.house import TURNED_AWAY, House, done, message, play, served
-from heronlug.life.config import ConfigError, parse
-from heronlug.wire.http import response
+from end_to_end.house import TURNED_AWAY, House, done, message, play, served
+from heronlug.config.platform import ConfigError, parse
+from heronlug.net.http import response
 
 FIRST: dict[str, Any] = {
     "settings": {
@@ -101,7 +101,7 @@
                 client.send(message(f"t{number}", "letters", 4000).replace(b"Host: x\r\n", head.encode()))
                 end, request = await house.hosts["h1"].request()
                 assert (b"x-org: " + name.encode() in request) is bool(name)
-                tenants.append(next(iter(house.daemon.core.messages)).load.figures["tenant"])
+                tenants.append(next(iter(house.daemon.core.requests)).payload.workload.tenant)
                 end.send(done(f"t{number}"))
                 await house.settle()
                 assert served(client)
--- a/tests/endings/test_early.py
+++ b/tests/end_to_end/test_early.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from endings.house import PATIENCE, House
-from heronlug.standin.ports import free_port
+from end_to_end.house import PATIENCE, House
+from heronlug.standins.ports import free_port
 
 
 @pytest.mark.parametrize("signals", [1, 3])
--- a/tests/endings/test_hosts.py
+++ b/tests/end_to_end/test_hosts.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from endings.house import HEAD, TURNED_AWAY, End, House, StandIn, done, line, play, served
-from endings.test_leaving import warm
-from heronlug.interface import ListKind, WorkerState
-from heronlug.memory.core import Relay
-from heronlug.wire.ends import left
-from heronlug.wire.south import Connection
+from end_to_end.house import HEAD, TURNED_AWAY, End, House, StandIn, done, line, play, served
+from end_to_end.test_leaving import warm
+from heronlug.backends.pool import ServerConnection
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.net.connection_state import left
+from heronlug.requests.model import Attempt
 
 FAILED, REFUSED = b"HTTP/1.1 500 ", b"HTTP/1.1 503 "
 HELD = 20.0  # ms; the last byte of what runs once has gone out after that
@@ -155,7 +155,7 @@
                 await house.pass_time(100)
             assert client.got.startswith(FAILED) and end.over
             assert not any(host.requests for host in house.hosts.values())
-            assert not len(house.daemon.core.messages) and not len(house.daemon.core.relays)
+            assert not len(house.daemon.core.requests) and not len(house.daemon.core.attempts)
 
     play(test)
 
@@ -235,7 +235,9 @@
             end.send(answer)
             await house.settle()
             assert client.got.startswith(REFUSED)
-            house.daemon.core.dispatcher.workers[next(iter(house.daemon.core.hosts))].trials = 0  # not avoided for it
+            house.daemon.core.dispatcher.state.servers.by_id[
+                next(iter(house.daemon.core.directory.by_number))
+            ].outlier.trials_left = 0  # not avoided for it
             following, host, other = await first(house, "t2", lane)
             await house.pass_time(HELD)
             assert other is not end and other.take()
@@ -258,7 +260,7 @@
             watch, _ = await house.register.request()
             watch.send(house.news(4, "h2:leaving"))
             watch, _ = await house.register.request()
-            late = list[Connection]()
+            late = list[ServerConnection]()
             with mock.patch.object(house.daemon.south, "dialled", late.append):
                 client = await house.post("t1")
             assert len(late) == 1
@@ -317,7 +319,7 @@
             client, _, end = await first(house, "t1", "keyed")
             assert end.take()
             await house.pass_time(1_300)
-            late = list[Connection]()
+            late = list[ServerConnection]()
             with mock.patch.object(house.daemon.south, "dialled", late.append):
                 end.end_now("reset")
                 await house.settle()
@@ -336,7 +338,7 @@
 
     async def test() -> None:
         async with House(1).open() as house:
-            late = list[Connection]()
+            late = list[ServerConnection]()
             with mock.patch.object(house.daemon.south, "dialled", late.append):
                 client = await house.post("t1", remaining=900)
                 await house.pass_time(310)
@@ -355,13 +357,13 @@
     """Operators' time-out, where no two attempts may be out at once: its end is there before the next one's byte."""
 
     async def test() -> None:
-        write, watched, over = Connection.write, list[End](), list[bool]()
+        write, watched, over = ServerConnection.write, list[End](), list[bool]()
 
-        def written(connection: Connection, relay: Relay) -> None:
+        def written(connection: ServerConnection, relay: Attempt) -> None:
             over.extend(left(end.transport) for end in watched if end.transport is not None)
             write(connection, relay)
 
-        with mock.patch.object(Connection, "write", written):
+        with mock.patch.object(ServerConnection, "write", written):
             async with House(2).open() as house:
                 await warm(house)  # so that the next attempt goes out in the same turn
                 classes = house.daemon.core.settings.classes
@@ -397,11 +399,11 @@
             await house.settle()
             assert served(running) and not end.over
             host.sock.close()
-            house.daemon.core.inventory(
+            house.daemon.core.update_servers(
                 ListKind.CHANGES,
                 [
-                    each.entry._replace(state=WorkerState.DRAINING)
-                    for each in house.daemon.core.hosts.values()
+                    each.entry._replace(state=ServerState.DRAINING)
+                    for each in house.daemon.core.directory.by_number.values()
                     if each.entry.address == host.address
                 ],
             )
--- a/tests/endings/test_leaving.py
+++ b/tests/end_to_end/test_leaving.py
@@ -9,10 +9,11 @@
 
 import pytest
 
-from endings.house import HEAD, TURNED_AWAY, End, House, Kernel, done, line, message, name_of, play, served
-from heronlug.wire.north import Request
-from heronlug.wire.passing import write_request
-from heronlug.wire.server_list import write_list
+from end_to_end.house import HEAD, TURNED_AWAY, End, House, Kernel, done, line, message, name_of, play, served
+from heronlug.discovery.endpoint_list import write_list
+from heronlug.frontends.http.frontend import HttpRequest
+from heronlug.frontends.http.request_table import write_request
+from heronlug.requests.model import Workload
 
 WAYS = ["fin", "half", "reset", "behind"]
 LONG = 400.0  # ms; the rule gives 300
@@ -32,15 +33,15 @@
 
 def nothing_sent(house: House) -> bool:
     """No host has a byte that was not taken, and nothing is held for anybody."""
-    return not any(host.requests for host in house.hosts.values()) and not len(house.daemon.core.messages)
+    return not any(host.requests for host in house.hosts.values()) and not len(house.daemon.core.requests)
 
 
 async def fill(house: House) -> list[tuple[End, str]]:
     """All hosts have as much as they get: what comes now is held.  Returns what runs."""
     for number in range(100):
         await house.post(f"fill{number}")
-        out = sum(len(message.relays) for message in house.daemon.core.messages)
-        if out < len(house.daemon.core.messages):
+        out = sum(len(message.attempts) for message in house.daemon.core.requests)
+        if out < len(house.daemon.core.requests):
             break
     running = []
     for host in house.hosts.values():
@@ -60,7 +61,7 @@
             client = house.kernel()
             client.send(message("t1", "safe", 4000))
             await house.settle()
-            held = len(house.daemon.core.messages) - len(running)
+            held = len(house.daemon.core.requests) - len(running)
             assert held >= 1 and not house.hosts["h1"].requests
             for end, txn in running:
                 end.send_now(done(txn))  # first in the queue of what is to be read
@@ -82,7 +83,7 @@
         async with House(2).open() as house:
             await warm(house)
             classes = house.daemon.core.settings.classes
-            house.daemon.use_limits(tuple(replace(c, waits=(500.0,)) for c in classes))
+            house.daemon.use_limits(tuple(replace(c, retry_backoff=(500.0,)) for c in classes))
             client = house.kernel()
             client.send(message("t1", lane, 4000))
             await house.settle()
@@ -180,7 +181,7 @@
             house.stall(LONG)
             house.daemon.turn()
             await house.settle()
-            assert not end.take() and not len(house.daemon.core.messages)
+            assert not end.take() and not len(house.daemon.core.requests)
 
     play(test)
 
@@ -246,11 +247,11 @@
             with socket.create_server(("127.0.0.1", 0)) as before:
                 client = Kernel(f"127.0.0.1:{before.getsockname()[1]}")
                 passed, _ = before.accept()
-            request = Request()
+            request = HttpRequest()
             request.method, request.target, request.body, request.txn = b"POST", b"/safe", b"hi", "t1"
             request.headers = {b"x-txn": b"t1", b"x-lane": b"safe"}
             request.lane = next(n for n, c in enumerate(house.daemon.core.settings.classes) if c.name == "safe")
-            request.figures = {"slots": 1.0, "memory": 0.0, "retry": False, "tenant": 0}
+            request.workload = Workload()
             if way:
                 client.leave(way)
             house.daemon.takeover.message(
--- a/tests/endings/test_old_list.py
+++ b/tests/end_to_end/test_old_list.py
@@ -16,9 +16,9 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from endings.house import PATIENCE, End, House, StandIn, done, message, name_of, play, until
-from endings.program import Program
-from heronlug.standin.ports import free_port
+from end_to_end.house import PATIENCE, End, House, StandIn, done, message, name_of, play, until
+from end_to_end.program import Program
+from heronlug.standins.ports import free_port
 
 LANES = ("safe", "once", "keyed")
 GONE, STAY = ("h1", "h2", "h3"), ("h4", "h5", "h6")
--- a/tests/endings/test_stall.py
+++ b/tests/end_to_end/test_stall.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from endings.house import House, done, message, name_of, play, served
+from end_to_end.house import House, done, message, name_of, play, served
 
 LONG = 3_000.0  # ms that the loop stands still, past the grace of 2.5 s
 RESTING = {"conn_idle": 60_000.0}
--- a/tests/endings/test_stop.py
+++ b/tests/end_to_end/test_stop.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from endings.house import HEAD, End, House, Kernel, done, line, message, play, served
-from heronlug.life.takeover import Takeover
+from end_to_end.house import HEAD, End, House, Kernel, done, line, message, play, served
+from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 
 REFUSED, FAILED = b"HTTP/1.1 503 ", b"HTTP/1.1 500 "
 KILL = 3_000 + 700  # ms after the signal, where deadlines are longer than 3 s
@@ -135,13 +135,13 @@
     """It comes as the listener opens: who connects meanwhile is served, and the process leaves once it is quiet."""
 
     async def test() -> None:
-        opened = Takeover.open_listener
+        opened = StateTransfer.open_listener
 
-        def crossed(takeover: Takeover) -> None:
+        def crossed(takeover: StateTransfer) -> None:
             opened(takeover)
             os.kill(os.getpid(), signal.SIGTERM)
 
-        with mock.patch.object(Takeover, "open_listener", crossed):
+        with mock.patch.object(StateTransfer, "open_listener", crossed):
             async with House(1).open() as house:
                 assert house.daemon.leaving.stopping
                 client = await house.post("t1", remaining=900)
--- a/tests/endings/test_watch.py
+++ b/tests/end_to_end/test_watch.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from endings.house import BEGIN, End, House, done, play, served
+from end_to_end.house import BEGIN, End, House, done, play, served
 
 GRACE = 2500.0  # ms, of the settings
 PUSHED: dict[str, Any] = {"settings": {"discovery": "pushed"}}
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -29,8 +29,8 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.standin.ports import free_port
-from heronlug.wire.partner import listen, place
+from heronlug.lifecycle.hot_restart.channel import listen, place
+from heronlug.standins.ports import free_port
 
 FOLDER = Path(__file__).parent / "exchanges"
 ANSWERS = {
--- a/tests/rig/test_rig.py
+++ b/tests/faults/test_harness.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from heronlug.forms import Faults, Source
-from heronlug.rig.rig import play
-from heronlug.rig.script import parse
+from heronlug.config.strict_toml import ConfigProblems, Source
+from heronlug.faults.harness import play
+from heronlug.faults.plan import parse
 
 HEAD = """
 name = "x"
@@ -36,7 +36,7 @@
     import asyncio
     import socket
 
-    from heronlug.rig.rig import Rig
+    from heronlug.faults.harness import Rig
 
     table = "[runners]\ncount = 1\nslots = 4\ncold = true\noverload_for_ms = 200\n" + CLASS
 
@@ -79,7 +79,7 @@
     ],
 )
 def test_faults_of_a_script_are_told_with_their_line(text: str, line: int, key: str) -> None:
-    with pytest.raises(Faults) as caught:
+    with pytest.raises(ConfigProblems) as caught:
         script(text)
     assert [(fault.line, fault.key) for fault in caught.value.faults] == [(line, key)], caught.value.faults
 
--- a/tests/arrival/test_broken.py
+++ b/tests/faults/test_mutants.py
@@ -3,25 +3,30 @@
 import shutil
 from pathlib import Path
 
-from heronlug.rig.rig import play
-from heronlug.rig.script import load
+from heronlug.faults.harness import play
+from heronlug.faults.plan import load
 
 ROOT = Path(__file__).parents[2]
 BROKEN = {  # script: file, what stands there, what is put in its place, and a word of the fault that has to be told
     "own-told": (
-        "arrival/pacing.py",
+        "discovery/poll_pacing.py",
         "if self.terms.cost is None or self.terms.many == 1:",
         "if True:",
         "calls turned away",
     ),
-    "own-kept": ("arrival/kept.py", "at > now + AHEAD", "at < now + AHEAD", "served"),
+    "own-kept": ("discovery/cache.py", "at > now + AHEAD", "at < now + AHEAD", "served"),
     "halls-dead": (
-        "halls/offers.py",
-        "shut.update(w.id for w in ranked[ceil(hall.offered * len(ranked)) :])",
+        "balancer/zone_failover/controller.py",
+        "excluded.update(_without_traffic(zone, in_order, following))",
         "pass",
         "failed relays",
     ),
-    "shared-silent": ("wire/register.py", "if claims and scout.fence is None:", "if claims and works:", "calls"),
+    "shared-silent": (
+        "discovery/shared_client.py",
+        "if claims and scout.fence is None:",
+        "if claims and works:",
+        "calls",
+    ),
 }
 
 
--- a/tests/rig/test_paths.py
+++ b/tests/faults/test_network.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from heronlug.rig.paths import LINGER, Path, Paths
+from heronlug.faults.network import LINGER, Path, Paths
 
 SHORT = 0.3  # s within which nothing may come
 
--- a/tests/rig/test_behind.py
+++ b/tests/faults/test_ordering.py
@@ -4,11 +4,11 @@
 import socket
 from pathlib import Path
 
-from heronlug.forms import Source
-from heronlug.rig.behind import Behind
-from heronlug.rig.paths import Paths
-from heronlug.rig.rig import Rig
-from heronlug.rig.script import parse
+from heronlug.config.strict_toml import Source
+from heronlug.faults.harness import Rig
+from heronlug.faults.network import Paths
+from heronlug.faults.ordering import Behind
+from heronlug.faults.plan import parse
 
 
 class Heard(asyncio.Protocol):
--- a/tests/rig/test_scripts.py
+++ b/tests/faults/test_plans.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from heronlug.rig.rig import play
-from heronlug.rig.script import load
-from heronlug.rig.verdict import Verdict
+from heronlug.faults.harness import play
+from heronlug.faults.plan import load
+from heronlug.faults.verdict import Verdict
 
 FOLDER = Path(__file__).parents[2] / "scenarios" / "rig"
 SOAK: set[str] = set()  # what ``make soak`` alone plays
--- a/tests/rig/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from heronlug.rig.rig import play
-from heronlug.rig.script import DOING
-from heronlug.rig.soak import LAST, draw
+from heronlug.faults.harness import play
+from heronlug.faults.plan import DOING
+from heronlug.faults.soak import LAST, draw
 
 SEEDS = (11, 14, 19, 23, 31, 42)
 AT_ONCE = 6
--- a/tests/test_handover.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -9,22 +9,24 @@
 
 from drive import Host, entries, with_settings
 
-from heronlug import JobArrived, JobClass, ListKind, Outcome, PeerMessage, Send, WorkerEntry
-from heronlug.interface import Attempt, AttemptEnded, Effect, JobAdopted, JobPassedOn, PeerGone, Refuse
-from heronlug.learned import attempts, learned
-from heronlug.memory.core import Core, HostEntry
-from heronlug.memory.deadlines import Deadlines
-from heronlug.wire.north import Request
-from heronlug.wire.partner import Partner
-from heronlug.wire.passing import read_request, write_request
-from heronlug.wire.south import Connection, South
+from heronlug import ListKind, Outcome, PeerMessage, RequestArrived, RequestClass, ServerEntry, StartAttempt
+from heronlug.backends.pool import ConnectionPool, ServerConnection
+from heronlug.balancer.actions import Reject
+from heronlug.balancer.events import AttemptEnded, AttemptSnapshot, PeerGone, RequestAdopted, RequestHandedOver
+from heronlug.balancer.settings import Effect
+from heronlug.frontends.http.frontend import HttpRequest
+from heronlug.frontends.http.request_table import read_request, write_request
+from heronlug.lifecycle.hot_restart.channel import PeerProcess
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.model import ListedServer, Workload
 
-SETTINGS = with_settings(tells_start=True, report_fields=(), may_tell=True, instances=2)
+SETTINGS = with_settings(reports_start=True, report_fields=(), gossip=True, instances=2)
 
 
 def table(host: Host) -> Any:
     """What a host's dispatcher has learned, as it comes out at the other end."""
-    return json.loads(json.dumps(learned(host.dispatcher)))
+    return json.loads(json.dumps(host.dispatcher.snapshot()))
 
 
 class Learned(unittest.TestCase):
@@ -45,17 +47,17 @@
         new.now = old.now
         new.dispatcher.resume(table(old), new.now)
         here, there = new.dispatcher, old.dispatcher
-        there._rank(old.now)
-        self.assertEqual([w.id for w in here.order], [w.id for w in there.order])
-        self.assertEqual(here.avoided(new.now), there.avoided(old.now))
-        self.assertTrue(there.avoided(old.now))
-        self.assertEqual(here.retries.level, there.retries.level)
+        there._rerank(old.now)
+        self.assertEqual([w.id for w in here.ranking.servers], [w.id for w in there.ranking.servers])
+        self.assertEqual(here.avoided_servers(new.now), there.avoided_servers(old.now))
+        self.assertTrue(there.avoided_servers(old.now))
+        self.assertEqual(here.retry_budget.level, there.retry_budget.level)
         worker = old.sent[job][0]
-        self.assertEqual(here.workers[worker].told, 1)  # what is out there is out here too
-        work = [host.dispatcher.workers[worker].recent.total(0) for host in (old, new)]
+        self.assertEqual(here.state.servers.by_id[worker].load.peer_slots, 1)  # what is out there is out here too
+        work = [host.dispatcher.state.servers.by_id[worker].slow_start.recent_work.total(0) for host in (old, new)]
         self.assertEqual(work[0], work[1])
         new.give(PeerGone(SETTINGS.position))
-        self.assertEqual(here.workers[worker].told, 0)
+        self.assertEqual(here.state.servers.by_id[worker].load.peer_slots, 0)
 
     def test_table_that_makes_no_sense_changes_nothing(self) -> None:
         whole = table(self.busy())
@@ -74,37 +76,37 @@
 class Adopted(unittest.TestCase):
     def test_running_job_goes_on_and_its_rules_with_it(self) -> None:
         """Guards against a second run of what must run once, and against a verdict on a host by who leaves."""
-        for lane, effect, again in ((0, Effect.REPEATABLE, True), (2, Effect.ONCE, False)):
+        for lane, effect, again in ((0, Effect.IDEMPOTENT, True), (2, Effect.NON_IDEMPOTENT, False)):
             old, new = Host(SETTINGS, workers=3), Host(SETTINGS, seed=2, workers=3)
             job = old.job(lane)
-            passed = attempts(old.dispatcher, job)
+            passed = old.dispatcher.attempt_snapshots(job)
             assert passed is not None and len(passed) == 1
-            n = {w.id: w.n for w in old.dispatcher.workers.values()}
-            old.give(JobPassedOn(job))
-            self.assertEqual([w.own for w in old.dispatcher.workers.values()], [0, 0, 0])
-            self.assertEqual({w.id: w.n for w in old.dispatcher.workers.values()}, n)
+            n = {w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()}
+            old.give(RequestHandedOver(job))
+            self.assertEqual([w.load.own_slots for w in old.dispatcher.state.servers.by_id.values()], [0, 0, 0])
+            self.assertEqual({w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()}, n)
             old.until(old.now + 9000)
             self.assertFalse(old.answered)
-            arrived = JobArrived(7, lane, new.now + 4000)
-            out = new.dispatcher.handle(new.now, JobAdopted(arrived, new.now - 100, passed))
-            self.assertFalse([action for action in out if isinstance(action, Send)])
-            self.assertEqual(new.dispatcher.workers[passed[0].worker].own, 1)
-            ended = AttemptEnded(7, 0, passed[0].worker, Outcome.RESET, 100.0, False)
+            arrived = RequestArrived(7, lane, new.now + 4000)
+            out = new.dispatcher.handle(new.now, RequestAdopted(arrived, new.now - 100, passed))
+            self.assertFalse([action for action in out if isinstance(action, StartAttempt)])
+            self.assertEqual(new.dispatcher.state.servers.by_id[passed[0].server].load.own_slots, 1)
+            ended = AttemptEnded(7, 0, passed[0].server, Outcome.RESET, 100.0, False)
             out = new.dispatcher.handle(new.now, ended)
-            self.assertEqual(any(isinstance(action, Send) for action in out), again, effect)
+            self.assertEqual(any(isinstance(action, StartAttempt) for action in out), again, effect)
 
     def test_job_without_an_attempt_is_placed(self) -> None:
         new = Host(SETTINGS, workers=3)
-        out = new.dispatcher.handle(new.now, JobAdopted(JobArrived(7, 2, new.now + 4000), new.now - 100, ()))
-        self.assertTrue([action for action in out if isinstance(action, Send | Refuse)])
+        out = new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 2, new.now + 4000), new.now - 100, ()))
+        self.assertTrue([action for action in out if isinstance(action, StartAttempt | Reject)])
 
     def test_request_comes_out_as_it_went_in(self) -> None:
-        request = Request()
+        request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=%ff\xfe", bytes(range(256))
         request.headers, request.txn, request.lane = {b"x-txn": b"t", b"x-labels": b"\xe4=1"}, "t", 2
-        request.figures, request.keep_alive = {"slots": 2.0, "retry": True}, False
+        request.workload, request.keep_alive = Workload(slots=2.0, retry=True), False
         other = read_request(json.loads(json.dumps(write_request(request))))
-        for name in ("method", "target", "body", "headers", "txn", "lane", "figures", "keep_alive"):
+        for name in ("method", "target", "body", "headers", "txn", "lane", "workload", "keep_alive"):
             self.assertEqual(getattr(other, name), getattr(request, name))
 
 
@@ -134,7 +136,7 @@
         b'{"id":"t","state":"done","result":"ok"}\n',
     )
 
-    def connection(self) -> tuple[Core, list[bytes], Connection, Any]:
+    def connection(self) -> tuple[Core, list[bytes], ServerConnection, Any]:
         now, answers = [1e12], list[bytes]()
 
         class Front:
@@ -144,7 +146,7 @@
             def cancel(self, relay: Any) -> None:
                 pass
 
-            def here(self, message: Any) -> bool:
+            def client_waits(self, message: Any) -> bool:
                 return True
 
             def answer(self, message: Any, final: Any, body: bytes, come_back: float) -> None:
@@ -152,18 +154,18 @@
 
         relays: list[Any] = []
         deadlines = Deadlines(lambda: now[0])
-        lane = JobClass(aim=200, deadline=5000, effect=Effect.REPEATABLE)
+        lane = RequestClass(latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT)
         core = Core(with_settings(classes=(lane,)), 1, cast(Any, Front()), deadlines)
-        south = South(
+        south = ConnectionPool(
             deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
         south.core = core
-        core.inventory(ListKind.FULL, [HostEntry("h", "127.0.0.1:9")])
-        request = Request()
+        core.update_servers(ListKind.FULL, [ListedServer("h", "127.0.0.1:9")])
+        request = HttpRequest()
         request.method, request.target, request.txn, request.lane = b"POST", b"/x", "t", 0
-        core.take(request, 0, 4000.0, name="t")
-        connection = Connection(south, relays[0].host, "127.0.0.1:9")
-        connection.ticket = south.connections.put(connection)
+        core.accept(request, 0, 4000.0, request_id="t")
+        connection = ServerConnection(south, relays[0].server, "127.0.0.1:9")
+        connection.ticket = south.connections.add(connection)
         connection.transport = cast(Any, Transport())
         return core, answers, connection, relays[0]
 
@@ -200,12 +202,12 @@
             got: list[tuple[dict[str, Any], int]] = []
             ended = asyncio.get_running_loop().create_future()
 
-            def told(_: Partner, message: dict[str, Any], fds: list[int], got: Any = got) -> None:
+            def told(_: PeerProcess, message: dict[str, Any], fds: list[int], got: Any = got) -> None:
                 got.append((message, len(fds)))
                 for fd in fds:
                     os.close(fd)
 
-            partner = Partner(ours, told, lambda _, why, ended=ended: ended.set_result(why))  # type: ignore[misc]
+            partner = PeerProcess(ours, told, lambda _, why, ended=ended: ended.set_result(why))  # type: ignore[misc]
             partner.send({"news": 1})
             for number in range(3):
                 socket.send_fds(theirs, [b'.{"n":%d}' % number], [theirs.fileno()])
@@ -220,15 +222,17 @@
     def test_counts_of_the_process_before_are_its_own(self) -> None:
         """What it tells counts as told by ourselves, for no peer has our position."""
         new = Host(SETTINGS, workers=2)
-        new.dispatcher.peers.book(0, {1: 3}, new.dispatcher.workers, new.now)
-        self.assertEqual(new.dispatcher.workers[1].told, 3)
-        content = new.dispatcher.peers.STAMP.pack(b"c", new.now) + new.dispatcher.peers.PAIR.pack(1, 1)
+        new.dispatcher.state.peer_load.set_counts(0, {1: 3}, new.dispatcher.state.servers.by_id, new.now)
+        self.assertEqual(new.dispatcher.state.servers.by_id[1].load.peer_slots, 3)
+        content = new.dispatcher.state.peer_load.STAMP.pack(b"c", new.now) + new.dispatcher.state.peer_load.PAIR.pack(
+            1, 1
+        )
         new.give(PeerMessage(0, content))
-        self.assertEqual(new.dispatcher.workers[1].told, 1)
+        self.assertEqual(new.dispatcher.state.servers.by_id[1].load.peer_slots, 1)
 
     def test_attempt_at_a_worker_that_is_listed_no_more(self) -> None:
         new = Host(SETTINGS, workers=2)
-        new.listed(ListKind.CHANGES, (WorkerEntry(9), *entries(2)))
-        passed = (Attempt(9, new.now, True, True, True, new.now),)
-        new.dispatcher.handle(new.now, JobAdopted(JobArrived(7, 0, new.now + 4000), new.now, passed))
-        self.assertEqual(new.dispatcher.workers[9].flights, 1)
+        new.listed(ListKind.CHANGES, (ServerEntry(9), *entries(2)))
+        passed = (AttemptSnapshot(9, new.now, True, True, True, new.now),)
+        new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 0, new.now + 4000), new.now, passed))
+        self.assertEqual(new.dispatcher.state.servers.by_id[9].load.own_attempts, 1)
--- a/tests/test_plan.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -11,9 +11,9 @@
 import wasmtime
 from exchange import FOLDER, Player
 
-from heronlug.hooks.host import HookError, HookHost
-from heronlug.memory.core import Final
-from heronlug.standin.ports import free_port
+from heronlug.plugins.host import PluginError, PluginHost
+from heronlug.requests.model import FinalAnswer
+from heronlug.standins.ports import free_port
 
 WORDS = (FOLDER / "words.txt").read_text()
 REFUSE_ONCE = """(module (func (export "admit") (param i32 f64 i32) (result i32) local.get 0 i32.const 1 i32.ne))"""
@@ -25,11 +25,11 @@
 OTHER = """(module (func (export "admit") (param i32) (result i32) local.get 0))"""
 
 
-def load(text: str, fuel: int = 10_000) -> tuple[HookHost, list[str]]:
+def load(text: str, fuel: int = 10_000) -> tuple[PluginHost, list[str]]:
     """A host with one plug-in, and what it logs."""
     logged: list[str] = []
-    host = HookHost(lambda event, **fields: logged.append(event))
-    host.use(HookHost.load({"p": (bytes(wasmtime.wat2wasm(text)), fuel, 128)}))
+    host = PluginHost(lambda event, **fields: logged.append(event))
+    host.use(PluginHost.load({"p": (bytes(wasmtime.wat2wasm(text)), fuel, 128)}))
     return host, logged
 
 
@@ -37,25 +37,25 @@
     def test_admit_decides_by_class(self) -> None:
         host, logged = load(REFUSE_ONCE)
         self.assertEqual([host.admit(lane, 500.0, 10) for lane in (0, 1, 2)], [True, False, True])
-        host.observe(0, Final.SERVED, 1.0)
+        host.observe(0, FinalAnswer.SERVED, 1.0)
         self.assertEqual(logged, [])
 
     def test_trap_and_spent_fuel_disable_the_plugin_and_admit(self) -> None:
         for text in (TRAP, SPIN):
             host, logged = load(text)
             self.assertTrue(host.admit(1, 500.0, 10))
-            host.observe(1, Final.FAILED, 3.0)
+            host.observe(1, FinalAnswer.FAILED, 3.0)
             self.assertTrue(host.admit(1, 500.0, 10))
             self.assertEqual(logged, ["hook_disabled"])
 
     def test_memory_is_bounded(self) -> None:
         host, _ = load(GREEDY)
         self.assertTrue(host.admit(1, 500.0, 10))  # growing fails with -1, which is not 0
-        self.assertRaises(HookError, load, BIG)
+        self.assertRaises(PluginError, load, BIG)
 
     def test_what_cannot_be_used_is_not_loaded(self) -> None:
         for text in (IMPORTS, OTHER, "(module)"):
-            self.assertRaises(HookError, load, text)
+            self.assertRaises(PluginError, load, text)
 
 
 class PlanAndApply(unittest.TestCase):
--- a/tests/load/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -14,14 +14,14 @@
 from emulator.fleets import TEXT, scenario
 
 from heronlug.cli import group
+from heronlug.conformance import Began, Checker, Load
 from heronlug.emulator.clients import Job
 from heronlug.emulator.world import World
-from heronlug.load.demo import on_sockets
-from heronlug.load.http import HttpLoad
-from heronlug.load.plan import loopback, plan
-from heronlug.load.tally import Tally, service
-from heronlug.rules import Began, Checker, Load
-from heronlug.standin.ports import free_port
+from heronlug.loadgen.demo import on_sockets
+from heronlug.loadgen.http import HttpLoad
+from heronlug.loadgen.plan import loopback, plan
+from heronlug.loadgen.tally import Tally, service
+from heronlug.standins.ports import free_port
 
 ROOT = Path(__file__).parents[2]
 STALL = 0.6  # s
--- a/tests/telling/test_farewell.py
+++ b/tests/peers/test_goodbye.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronlug.life.parting import Parting
-from heronlug.memory.deadlines import Deadlines
-from heronlug.telling import ALL, Telling
-from heronlug.telling.farewell import HEARD, MOST
-from heronlug.telling.telling import LEAVING, MAX_CONTENT
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.peers import ALL, Gossip
+from heronlug.peers.goodbye import HEARD, MOST
+from heronlug.peers.gossip import LEAVING, MAX_CONTENT
+from heronlug.requests.deadlines import Deadlines
 
 GAP = 250.0  # ms between two sums of a relay
 
@@ -21,17 +21,17 @@
     def __init__(self, count: int, loss: float = 0.0, seed: int = 1) -> None:
         self.now, self.loss, self.rng = 1000.0, loss, Random(seed)
         self.relays = range(min(2, count)) if count > 9 else range(0)
-        self.tellings = [Telling(count) for _ in range(count)]
+        self.tellings = [Gossip(count) for _ in range(count)]
         self.deadlines = Deadlines(lambda: self.now)
         self.left: set[int] = set()
         for number in range(count):
-            self.deadlines.at(self.now + self.rng.uniform(0, GAP), self.work, number)
+            self.deadlines.call_at(self.now + self.rng.uniform(0, GAP), self.work, number)
 
     def run(self, span: float) -> None:
         end = self.now + span
-        while (head := self.deadlines.head()) is not None and head <= end:
+        while (head := self.deadlines.next_due()) is not None and head <= end:
             self.now = max(self.now, head)
-            self.deadlines.sweep()
+            self.deadlines.run_due()
         self.now = end
 
     def work(self, number: int) -> None:
@@ -41,17 +41,17 @@
         to = [ALL] if number in self.relays or not self.relays else list(self.relays)
         for peer in to:
             self.send(number, self.tellings[number].tell(b"c" * 20, peer, self.now), peer)
-        self.deadlines.after(GAP, self.work, number)
+        self.deadlines.call_after(GAP, self.work, number)
 
     def send(self, number: int, data: bytes, peer: int) -> None:
         for other in range(len(self.tellings)) if peer == ALL else [peer]:
             if other != number and other not in self.left and self.rng.random() >= self.loss:
-                self.tellings[other].heard(number, data, self.now)
+                self.tellings[other].receive(number, data, self.now)
 
     def stop(self, number: int) -> None:
         """SIGTERM; a job that runs on keeps it there to the last."""
         telling = self.tellings[number]
-        parting = Parting(
+        parting = GracefulShutdown(
             self.deadlines,
             20_000.0,
             lambda: int(self.deadlines.clock() < parting.answer_by),
@@ -127,20 +127,20 @@
 
 
 def test_what_is_told_while_parting_carries_the_mark_and_a_drain_taken_back_ends_it() -> None:
-    one, other = Telling(2), Telling(2)
-    other.heard(0, one.tell(b"c1", ALL, 0.0), 0.0)
+    one, other = Gossip(2), Gossip(2)
+    other.receive(0, one.tell(b"c1", ALL, 0.0), 0.0)
     assert one.leave(10.0) == [ALL] and one.leave(30.0) == [] and one.leave(60.0) == [ALL]
     marked = one.tell(b"c2", ALL, 100.0)
-    assert marked == LEAVING + b"c2" and other.heard(0, marked, 100.0) == b"c2"
+    assert marked == LEAVING + b"c2" and other.receive(0, marked, 100.0) == b"c2"
     assert not other.serving(100.0)
     assert one.tell(b"c" * MAX_CONTENT, ALL, 110.0) == b"c" * MAX_CONTENT  # no room for the mark, and never too long
     assert one.tell(b"c" * (MAX_CONTENT + 1), ALL, 110.0) == b""
     one.stay()
-    assert one.tell(b"c3", ALL, 700.0) == b"c3" and other.heard(0, b"c3", 700.0) == b"c3"
+    assert one.tell(b"c3", ALL, 700.0) == b"c3" and other.receive(0, b"c3", 700.0) == b"c3"
     assert other.serving(700.0) and not other.serving(700.0 + HEARD)
 
 
 def test_who_has_told_nothing_lately_tells_no_farewell() -> None:
-    telling = Telling(200)
+    telling = Gossip(200)
     telling.tell(b"c", 0, 0.0)
     assert telling.leave(HEARD) == [] and not telling.sent["farewells"]
--- a/tests/test_core.py
+++ b/tests/requests/test_core.py
@@ -7,34 +7,35 @@
 
 from drive import KEYED, ONCE, SAFE, with_settings
 
-from heronlug import Cancel, ListKind, Outcome, Send, WorkerState
-from heronlug.life.log import HELD, Log
-from heronlug.memory.core import Core, Final, HostEntry, Message, Relay
-from heronlug.memory.deadlines import Deadlines
-from heronlug.memory.slots import Slots
-from heronlug.wire.peers import Peers
-from heronlug.wire.south import Connection, South
+from heronlug import CancelAttempt, ListKind, Outcome, ServerState, StartAttempt
+from heronlug.backends.pool import ConnectionPool, ServerConnection
+from heronlug.lifecycle.log import HELD, Log
+from heronlug.peers.datagrams import PeerSocket
+from heronlug.requests.core import Core
+from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
+from heronlug.requests.slots import SlotTable
 
 
 class Front:
     """Records what the core asks of it."""
 
     def __init__(self) -> None:
-        self.sent: list[Relay] = []
-        self.cancelled: list[Relay] = []
-        self.answers: list[tuple[Any, Final, bytes]] = []
+        self.sent: list[Attempt] = []
+        self.cancelled: list[Attempt] = []
+        self.answers: list[tuple[Any, FinalAnswer, bytes]] = []
 
-    def send(self, relay: Relay) -> None:
-        self.sent.append(relay)
+    def send(self, attempt: Attempt) -> None:
+        self.sent.append(attempt)
 
-    def cancel(self, relay: Relay) -> None:
-        self.cancelled.append(relay)
+    def cancel(self, attempt: Attempt) -> None:
+        self.cancelled.append(attempt)
 
-    def here(self, message: Message) -> bool:
+    def client_waits(self, request: Request) -> bool:
         return True
 
-    def answer(self, message: Message, final: Final, body: bytes, come_back: float) -> None:
-        self.answers.append((message.load, final, body))
+    def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
+        self.answers.append((request.payload, final, body))
 
 
 class Silent:
@@ -82,58 +83,58 @@
         self.now = 1e12
         self.deadlines = Deadlines(lambda: self.now)
         self.front, self.module = Front(), Silent()
-        settings = with_settings(classes=(SAFE, KEYED, ONCE), attempts_cap=2)
+        settings = with_settings(classes=(SAFE, KEYED, ONCE), max_attempts=2)
         self.core = Core(settings, 1, self.front, self.deadlines)
         self.core.dispatcher = cast(Any, self.module)
-        self.core.inventory(ListKind.FULL, [HostEntry("h", "127.0.0.1:9")])
-        self.host = next(iter(self.core.hosts))
+        self.core.update_servers(ListKind.FULL, [ListedServer("h", "127.0.0.1:9")])
+        self.host = next(iter(self.core.directory.by_number))
 
-    def sent(self, load: Any = "m") -> tuple[Message, Relay]:
-        message = self.core.take(load, 2, 1000.0)
-        self.module.actions = [Send(message.ticket, self.host)]
-        self.core.heard(0, b"")
+    def sent(self, load: Any = "m") -> tuple[Request, Attempt]:
+        message = self.core.accept(load, 2, 1000.0)
+        self.module.actions = [StartAttempt(message.handle, self.host)]
+        self.core.peer_message(0, b"")
         return message, self.front.sent[-1]
 
     def later(self, ms: float) -> None:
         self.now += ms
-        self.deadlines.sweep()
+        self.deadlines.run_due()
 
     def test_message_that_the_module_forgets_is_failed_at_its_give_up_time(self) -> None:
         message, relay = self.sent()
         self.later(1000)
-        self.assertEqual(self.front.answers, [("m", Final.FAILED, b"")])
+        self.assertEqual(self.front.answers, [("m", FinalAnswer.FAILED, b"")])
         self.assertEqual(self.front.cancelled, [relay])  # a Send has no time-out of its own
         self.assertEqual(self.module.events[-1].outcome, Outcome.TIMEOUT)
-        self.assertEqual((len(self.core.messages), len(self.core.relays), len(self.deadlines)), (0, 0, 0))
+        self.assertEqual((len(self.core.requests), len(self.core.attempts), len(self.deadlines)), (0, 0, 0))
 
     def test_one_final_answer_whatever_comes_after(self) -> None:
         message, relay = self.sent()
-        self.core.ended(relay, Outcome.SERVED, b"r")
-        self.core.ended(relay, Outcome.RESET)
-        self.core.leave(message)
+        self.core.attempt_ended(relay, Outcome.SERVED, b"r")
+        self.core.attempt_ended(relay, Outcome.RESET)
+        self.core.client_left(message)
         self.later(2000)
-        self.assertEqual(self.front.answers, [("m", Final.SERVED, b"r")])
+        self.assertEqual(self.front.answers, [("m", FinalAnswer.SERVED, b"r")])
 
     def test_send_for_what_is_over_is_moot_and_never_sent(self) -> None:
         message, _ = self.sent()
-        self.core.leave(message)
-        self.module.actions = [Send(message.ticket, self.host), Cancel(message.ticket, 7)]
-        self.core.heard(0, b"")
+        self.core.client_left(message)
+        self.module.actions = [StartAttempt(message.handle, self.host), CancelAttempt(message.handle, 7)]
+        self.core.peer_message(0, b"")
         self.assertEqual(len(self.front.sent), 1)
-        self.assertEqual(self.module.events[-1].outcome, Outcome.MOOT)
+        self.assertEqual(self.module.events[-1].outcome, Outcome.CANCELLED_BEFORE_START)
 
     def test_relay_still_dialling_when_its_host_drains_is_not_written(self) -> None:
-        south = South(
+        south = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
         south.core = self.core
         for told_off in (False, True):
             load = type("Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"", "txn": "t"})()
             _, relay = self.sent(load)
-            connection = Connection(south, relay.host, "127.0.0.1:9")
+            connection = ServerConnection(south, relay.server, "127.0.0.1:9")
             connection.relay, connection.transport = relay, cast(Any, Transport())
             if told_off:
-                self.core.inventory(ListKind.CHANGES, [HostEntry("h", "127.0.0.1:9", WorkerState.DRAINING)])
+                self.core.update_servers(ListKind.CHANGES, [ListedServer("h", "127.0.0.1:9", ServerState.DRAINING)])
             south.dialled(connection)
             self.assertEqual(bool(cast(Any, connection.transport).written), not told_off)
             cast(Any, connection.transport).close()
@@ -141,7 +142,7 @@
 
     def test_break_is_never_ran_only_while_a_byte_is_unwritten(self) -> None:
         """The last byte of send-invites waits for 10 ms: a connection that breaks at its next request costs nothing."""
-        south = South(
+        south = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
         south.core = self.core
@@ -154,7 +155,7 @@
         ):
             load = type("Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"ab", "txn": "t"})()
             _, relay = self.sent(load)
-            connection = Connection(south, relay.host, "127.0.0.1:9")
+            connection = ServerConnection(south, relay.server, "127.0.0.1:9")
             connection.transport = cast(Any, Transport())
             connection.write(relay)
             if ended:
@@ -172,7 +173,7 @@
     def test_own_echo_a_stranger_and_an_overlong_datagram_are_dropped(self) -> None:
         heard: list[tuple[int, bytes]] = []
         addresses = ["127.0.0.1:1001", "127.0.0.1:1002"]
-        peers = Peers(
+        peers = PeerSocket(
             addresses, None, 0, lambda n, data: heard.append((n, data)), lambda *a, **k: None, lambda: None, lambda: 0.0
         )
         for port, size in ((1001, 9), (1002, 9), (1003, 9), (1002, 257), (1002, 256)):
@@ -186,7 +187,7 @@
         now = [0.0]
         addresses = ["127.0.0.1:1001", "127.0.0.1:1002"]
         quiet: Any = lambda *a, **k: None  # noqa: E731
-        peers = Peers(addresses, None, 0, quiet, quiet, quiet, lambda: now[0])
+        peers = PeerSocket(addresses, None, 0, quiet, quiet, quiet, lambda: now[0])
         seen = []
         for at, data in ((0, b""), (10, b"c"), (1100, b""), (1200, b"c"), (1210, b"l"), (1300, b"c"), (1900, b"c")):
             now[0] = at
@@ -198,23 +199,23 @@
 
 class Tables(unittest.TestCase):
     def test_old_ticket_finds_nothing_in_a_slot_used_again(self) -> None:
-        slots: Slots[str] = Slots()
-        first = slots.put("a")
-        self.assertEqual(slots.take(first), "a")
-        second = slots.put("b")
+        slots: SlotTable[str] = SlotTable()
+        first = slots.add("a")
+        self.assertEqual(slots.remove(first), "a")
+        second = slots.add("b")
         self.assertEqual((slots.get(first), slots.get(second), len(slots)), (None, "b", 1))
 
     def test_deadlines_in_order_and_what_is_added_meanwhile_later(self) -> None:
         now, seen = [0.0], list[int]()
         deadlines = Deadlines(lambda: now[0])
-        deadlines.at(2.0, seen.append, 2)
-        deadlines.at(1.0, lambda: deadlines.at(0.0, seen.append, 0))
-        deadlines.drop(deadlines.at(1.5, seen.append, 1))
-        self.assertEqual((deadlines.sweep(), deadlines.head()), (0, 1.0))
+        deadlines.call_at(2.0, seen.append, 2)
+        deadlines.call_at(1.0, lambda: deadlines.call_at(0.0, seen.append, 0))
+        deadlines.cancel(deadlines.call_at(1.5, seen.append, 1))
+        self.assertEqual((deadlines.run_due(), deadlines.next_due()), (0, 1.0))
         now[0] = 3.0
-        deadlines.sweep()
+        deadlines.run_due()
         self.assertEqual(seen, [2])
-        deadlines.sweep()
+        deadlines.run_due()
         self.assertEqual(seen, [2, 0])
 
 
--- a/tests/scale/days.py
+++ b/tests/scale/days.py
@@ -11,10 +11,26 @@
 from random import Random
 from typing import Any
 
-from heronlug import interface as pk
-from heronlug.logic import Dispatcher
-
-FAILURES = (pk.Outcome.ERROR, pk.Outcome.FULL, pk.Outcome.CONNECT_FAILED, pk.Outcome.RESET)
+from heronlug.balancer.actions import Action, CancelAttempt, SendPeerMessage, SetTimer, StartAttempt
+from heronlug.balancer.dispatcher import Dispatcher
+from heronlug.balancer.events import (
+    AttemptEnded,
+    AttemptProgress,
+    ClientGone,
+    Event,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    ProgressKind,
+    RequestArrived,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
+    TimerFired,
+)
+from heronlug.balancer.settings import Effect, KeyScope, RequestClass, Settings
+
+FAILURES = (Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
 @dataclass
@@ -23,59 +39,59 @@
 
     number: int
     started_at: float
-    state: pk.WorkerState = pk.WorkerState.READY
+    state: ServerState = ServerState.READY
     slots: int = 3
     busy: int = 0
     bad: float = 0.0  # part of its attempts that fail
     waiting: list[tuple[int, int, int]] = field(default_factory=list)  # dispatcher, request, attempt
 
-    def entry(self) -> pk.WorkerEntry:
+    def entry(self) -> ServerEntry:
         """Its line of the list."""
         number = self.number
-        return pk.WorkerEntry(number, self.state, number % 3, number % 2, number // 4, 1.0, self.started_at)
+        return ServerEntry(number, self.state, number % 3, number % 2, number // 4, 1.0, self.started_at)
 
 
-def settings(rng: Random, instances: int, position: int, peers: bool) -> pk.Settings:
+def settings(rng: Random, instances: int, position: int, peers: bool) -> Settings:
     """Settings of a deployment, the same for all positions if drawn alike."""
-    effects = [pk.Effect.REPEATABLE, pk.Effect.ONCE, pk.Effect.BY_KEY]
+    effects = [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY]
     classes = tuple(
-        pk.JobClass(
-            aim=rng.choice([200, 500, 1000]),
+        RequestClass(
+            latency_objective=rng.choice([200, 500, 1000]),
             deadline=rng.choice([2000, 4000]),
             effect=effect,
-            stretch=2,
-            worth=rng.choice([1, 3, 8]),
+            latency_factor=2,
+            priority_weight=rng.choice([1, 3, 8]),
             late_value=rng.choice([0.0, 0.5]),
             repeat_window=1500,
-            key_scope=rng.choice(list(pk.KeyScope)),
-            worker_kind=rng.choice([-1, -1, 1]),
+            key_scope=rng.choice(list(KeyScope)),
+            server_kind=rng.choice([-1, -1, 1]),
             name=effect.value,
         )
         for effect in effects
     )
     starts = rng.random() < 0.7
-    return pk.Settings(
+    return Settings(
         classes=classes,
         instances=instances,
         position=position,
-        attempts_cap=4,
-        second_copies=rng.random() < 0.7,
+        max_attempts=4,
+        hedging=rng.random() < 0.7,
         may_cancel=True,
-        may_tell=peers,
-        lends=peers and rng.random() < 0.7,
-        tells_start=starts,
-        progress_every=500.0 if starts else 0.0,
+        gossip=peers,
+        lends_capacity=peers and rng.random() < 0.7,
+        reports_start=starts,
+        progress_interval=500.0 if starts else 0.0,
         drain_grace=2500,
-        cold_from=0.2,
-        warm_after=rng.choice([2000, 8000]),
-        tip_multiple=3,
-        overload_for=2000,
+        warmup_capacity=0.2,
+        warmup_time=rng.choice([2000, 8000]),
+        overload_multiple=3,
+        overload_window=2000,
         cross_zone_price=0.02,
-        worst_class=0.3,
+        worst_class_weight=0.3,
         zone=position % 3,
         tick=2.0,
         report_fields=() if starts or rng.random() < 0.5 else ("x0",),
-        halls=rng.random() < 0.3,
+        zone_failover=rng.random() < 0.3,
         cpu_per_request=rng.choice([0.0, 10.0]),
         retry_burst=rng.choice([1.0, 3.0, 20.0]),
     )
@@ -85,7 +101,7 @@
     """One day, played to its end by :meth:`run`."""
 
     def __init__(
-        self, seed: int, *, make: Callable[[pk.Settings, int], Any] = Dispatcher, servers: int = 60, instances: int = 0
+        self, seed: int, *, make: Callable[[Settings, int], Any] = Dispatcher, servers: int = 60, instances: int = 0
     ) -> None:
         self.rng = Random(seed)
         peers, draw = self.rng.random() < 0.6, self.rng.random()
@@ -111,8 +127,8 @@
         """Play it; returns each action with its time and dispatcher."""
         everyone = tuple(server.entry() for server in self.servers.values())
         for n in range(len(self.dispatchers)):
-            self.give(n, pk.WorkerList(pk.ListKind.CACHED, everyone))
-            self.at(30.0, lambda n=n: self.give(n, pk.WorkerList(pk.ListKind.FULL, everyone)))  # type: ignore[misc]
+            self.give(n, ServerListUpdate(ListKind.CACHED, everyone))
+            self.at(30.0, lambda n=n: self.give(n, ServerListUpdate(ListKind.FULL, everyone)))  # type: ignore[misc]
         self.at(1.0, self._arrive)
         self.at(500.0, self._change)
         while self._heap and self._heap[0][0] <= 1000.0 + span:
@@ -120,44 +136,44 @@
             act()
         return self.record
 
-    def give(self, n: int, event: pk.Event) -> None:
+    def give(self, n: int, event: Event) -> None:
         """Hand an event to a dispatcher, and carry out what follows."""
         for action in self.dispatchers[n].handle(self.now, event):
             self.record.append((round(self.now, 6), n, action))
             self._do(n, action)
 
-    def _do(self, n: int, action: pk.Action) -> None:
+    def _do(self, n: int, action: Action) -> None:
         rng = self.rng
-        if isinstance(action, pk.Send):
-            attempts = self.attempts.setdefault((n, action.job), [])
-            attempts.append(action.worker)
+        if isinstance(action, StartAttempt):
+            attempts = self.attempts.setdefault((n, action.request), [])
+            attempts.append(action.server)
             number = len(attempts) - 1
-            self.at(rng.uniform(1, 20), lambda: self._reach(n, action.job, number, action.worker))
-        elif isinstance(action, pk.Cancel):
-            self._end(n, action.job, action.attempt, pk.Outcome.CANCELLED, 0.0)
-        elif isinstance(action, pk.SetTimer):
-            self.at(action.delay, lambda: self.give(n, pk.TimerFired(action.token)))
-        elif isinstance(action, pk.Tell):
+            self.at(rng.uniform(1, 20), lambda: self._reach(n, action.request, number, action.server))
+        elif isinstance(action, CancelAttempt):
+            self._end(n, action.request, action.attempt, Outcome.CANCELLED, 0.0)
+        elif isinstance(action, SetTimer):
+            self.at(action.delay, lambda: self.give(n, TimerFired(action.token)))
+        elif isinstance(action, SendPeerMessage):
             others = range(len(self.dispatchers)) if action.peer < 0 else [action.peer]
             for other in others:
                 if other != n and rng.random() < 0.95:
-                    self.at(rng.uniform(1, 10), lambda o=other: self.give(o, pk.PeerMessage(n, action.content)))  # type: ignore[misc]
+                    self.at(rng.uniform(1, 10), lambda o=other: self.give(o, PeerMessage(n, action.content)))  # type: ignore[misc]
 
     def _arrive(self) -> None:
         n, request, rng = self.rng.randrange(len(self.dispatchers)), next(self.requests), self.rng
         cls = rng.randrange(3)
         give_up = self.now + rng.uniform(200, 4000)
-        self.give(n, pk.JobArrived(request, cls, give_up, rng.choice([1.0, 1.0, 2.0]), 0.0, rng.choice([0.0, 150.0])))
+        self.give(n, RequestArrived(request, cls, give_up, rng.choice([1.0, 1.0, 2.0]), 0.0, rng.choice([0.0, 150.0])))
         if rng.random() < 0.05:
-            self.at(rng.uniform(1, 500), lambda: self.give(n, pk.ClientGone(request)))
+            self.at(rng.uniform(1, 500), lambda: self.give(n, ClientGone(request)))
         self.at(rng.expovariate(1 / self.gap), self._arrive)
 
     def _reach(self, n: int, request: int, number: int, worker: int) -> None:
         server = self.servers.get(worker)
         if not self.attempts[n, request][number]:
             return
-        if server is None or server.state is pk.WorkerState.GONE:
-            self._end(n, request, number, pk.Outcome.CONNECT_FAILED, 1.0)
+        if server is None or server.state is ServerState.REMOVED:
+            self._end(n, request, number, Outcome.CONNECT_FAILED, 1.0)
         elif self.rng.random() < server.bad:
             self._end(n, request, number, self.rng.choice(FAILURES), 5.0)
         else:
@@ -171,28 +187,28 @@
                 continue
             server.busy += 1
             run = self.rng.uniform(20, 250)
-            if self.dispatchers[n].s.tells_start:
-                self.give(n, pk.Note(request, number, server.number, pk.NoteKind.STARTED))
+            if self.dispatchers[n].settings.reports_start:
+                self.give(n, AttemptProgress(request, number, server.number, ProgressKind.STARTED))
             self.at(run, lambda n=n, r=request, a=number: self._done(server, n, r, a))  # type: ignore[misc]
 
     def _done(self, server: Server, n: int, request: int, number: int) -> None:
         server.busy -= 1
-        self._end(n, request, number, pk.Outcome.SERVED, 120.0)
+        self._end(n, request, number, Outcome.SERVED, 120.0)
         self._start(server)
 
-    def _end(self, n: int, request: int, number: int, outcome: pk.Outcome, latency: float) -> None:
+    def _end(self, n: int, request: int, number: int, outcome: Outcome, latency: float) -> None:
         attempts = self.attempts[n, request]
         worker, attempts[number] = attempts[number], 0
         if worker:
-            final = outcome is pk.Outcome.SERVED
-            report = (float(self.rng.randrange(3)),) if self.dispatchers[n].s.report_fields else ()
-            self.give(n, pk.AttemptEnded(request, number, worker, outcome, latency, final, report))
+            final = outcome is Outcome.SERVED
+            report = (float(self.rng.randrange(3)),) if self.dispatchers[n].settings.report_fields else ()
+            self.give(n, AttemptEnded(request, number, worker, outcome, latency, final, report))
 
     def _change(self) -> None:
         """Some servers drain, some are gone, some are new; the dispatchers hear of it soon."""
         rng, changed = self.rng, []
         for server in rng.sample(list(self.servers.values()), max(1, len(self.servers) // 8)):
-            server.state = rng.choice([pk.WorkerState.DRAINING, pk.WorkerState.GONE, pk.WorkerState.READY])
+            server.state = rng.choice([ServerState.DRAINING, ServerState.REMOVED, ServerState.READY])
             changed.append(server)
         for _ in range(rng.randrange(len(self.servers) // 6 + 1)):
             number = self.next_server * 97 + 5
@@ -200,9 +216,9 @@
             self.servers[number] = Server(number, self.now)
             changed.append(self.servers[number])
         whole = rng.random() < 0.3
-        told = [s for s in self.servers.values() if s.state is not pk.WorkerState.GONE] if whole else changed
-        kind = pk.ListKind.FULL if whole else pk.ListKind.CHANGES
-        news = pk.WorkerList(kind, tuple(server.entry() for server in told))
+        told = [s for s in self.servers.values() if s.state is not ServerState.REMOVED] if whole else changed
+        kind = ListKind.FULL if whole else ListKind.CHANGES
+        news = ServerListUpdate(kind, tuple(server.entry() for server in told))
         for n in range(len(self.dispatchers)):
             self.at(rng.uniform(1, 80), lambda n=n: self.give(n, news))  # type: ignore[misc]
         self.at(rng.uniform(200, 1500), self._change)
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -16,10 +16,10 @@
 from functools import partial
 from itertools import count
 
-from endings.house import BEGIN, HEAD, LAST, TURNED_AWAY, End, Hand, House, line, message, name_of
+from end_to_end.house import BEGIN, HEAD, LAST, TURNED_AWAY, End, Hand, House, line, message, name_of
 from exchange import SETTINGS
 
-from heronlug.standin.ports import free_port
+from heronlug.standins.ports import free_port
 
 SHARE = 0.25  # of a core
 RUN = 1000.0  # ms that a server works on a request
@@ -158,9 +158,9 @@
         self._summarize(level, self.clock.now())
 
     def _summarize(self, level: int, when: float) -> None:
-        peers = self.daemon.core.dispatcher.peers
+        peers = self.daemon.core.dispatcher.state.peer_load
         for sock in self._relays:
-            for part in peers.summary([level] * len(peers.roster)):
+            for part in peers.summary([level] * len(peers.servers_in_order)):
                 sock.sendto(part, self._peer)
         self.at(when + SUMMARY_GAP, partial(self._summarize, level, when + SUMMARY_GAP))
 
@@ -209,7 +209,7 @@
         """Let all happen that is due within so many ms after the start, in its order."""
         end, deadlines = BEGIN + end, self.daemon.loop.deadlines
         while True:
-            head = deadlines.head()
+            head = deadlines.next_due()
             act = self._agenda[0][0] if self._agenda else float("inf")
             due = min(act, head if head is not None else float("inf"))
             if due > end or self.clock.now() > 2 * end - BEGIN:
--- a/tests/scale/test_release.py
+++ b/tests/scale/test_release.py
@@ -1,7 +1,7 @@
 """Large fleets: each request is answered in its time, whatever happens to the list, at a part of a core."""
 
 import pytest
-from endings.house import BEGIN, play
+from end_to_end.house import BEGIN, play
 
 from scale.fleet import STEPS, LargeFleet
 
--- a/tests/schedule/test_chains.py
+++ b/tests/scheduling/test_chains.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.schedule.chains import Chains, Edge, OnFailure, Start, edges_of
+from heronlug.scheduling.chains import Chains, Edge, OnFailure, Start, edges_of
 
 GRAPH = st.lists(
     st.lists(st.tuples(st.integers(0, 30), st.sampled_from(OnFailure)), max_size=4), min_size=1, max_size=25
--- a/tests/store/test_kills.py
+++ b/tests/storage/test_kills.py
@@ -17,9 +17,9 @@
 import orjson
 import pytest
 
-from heronlug.load.faktory import Client, FaktoryError
-from heronlug.standin.ports import free_port
-from heronlug.store import sqlite
+from heronlug.loadgen.faktory import Client, FaktoryError
+from heronlug.standins.ports import free_port
+from heronlug.storage import sqlite
 
 FILE = """
 [serve]
--- a/tests/store/test_store.py
+++ b/tests/storage/test_store.py
@@ -5,14 +5,14 @@
 
 import pytest
 
+from heronlug.balancer.settings import Effect, RequestClass
 from heronlug.cli import group
-from heronlug.interface import Effect, JobClass
-from heronlug.store.model import Kept, Way, settle
-from heronlug.store.sqlite import SqliteStore, StoreError, connect
+from heronlug.storage.model import Kept, Way, settle
+from heronlug.storage.sqlite import SqliteStore, StoreError, connect
 
-ONCE = JobClass(aim=1.0, deadline=1000.0, effect=Effect.ONCE)
-KEYED = JobClass(aim=1.0, deadline=1000.0, effect=Effect.BY_KEY, repeat_window=500.0)
-SAFE = JobClass(aim=1.0, deadline=1000.0, effect=Effect.REPEATABLE)
+ONCE = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.NON_IDEMPOTENT)
+KEYED = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT_BY_KEY, repeat_window=500.0)
+SAFE = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT)
 NEW = Kept("jid-00001", "c", "default", b"{}", 1000.0, 800.0)
 
 
@@ -36,7 +36,7 @@
         (NEW._replace(final="served", ended_at=1100.0), ONCE, 9e9, Way.FORGET),
     ],
 )
-def test_what_becomes_of_a_kept_job(job: Kept, lane: JobClass | None, now: float, way: Way) -> None:
+def test_what_becomes_of_a_kept_job(job: Kept, lane: RequestClass | None, now: float, way: Way) -> None:
     assert settle(job, lane, now, 10_000.0) is way
 
 
