--- /dev/null
+++ b/heronlug/lifecycle/configuration_changes.py
@@ -0,0 +1,110 @@
+"""What plan and apply change in a running dispatcher, each change handed to the part that it concerns."""
+
+from typing import Any
+
+from heronlug.balancer.settings import RequestClass
+from heronlug.config.desired_state import State
+from heronlug.config.limits import resolve
+from heronlug.config.platform import Config
+from heronlug.lifecycle import zone_commands
+from heronlug.lifecycle.cluster_service import ClusterService
+from heronlug.lifecycle.discovery_service import DiscoveryService
+from heronlug.lifecycle.faktory_service import FaktoryService, OpenedListener
+from heronlug.lifecycle.log import Log
+from heronlug.requests.core import Core
+
+
+class ConfigurationChanges:
+    """The parts of a dispatcher that can be changed while it runs.
+
+    Attributes:
+        log: where events are logged.
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        log: Log,
+        core: Core,
+        discovery: DiscoveryService,
+        faktory: FaktoryService,
+        cluster: ClusterService,
+    ) -> None:
+        """Change these parts; ``core`` is that of the HTTP frontend."""
+        self.log = log
+        self._config = config
+        self._core = core
+        self._discovery = discovery
+        self._faktory = faktory
+        self._cluster = cluster
+
+    async def open_faktory(self, terms: dict[str, Any]) -> OpenedListener:
+        """Bind the address of the Faktory frontend; raises ``OSError`` or ``ValueError``."""
+        return await self._faktory.open(terms)
+
+    def use_faktory(self, listener: OpenedListener | None) -> None:
+        """Serve the Faktory frontend on a listener; with None, only finish its jobs."""
+        self._faktory.use(listener)
+
+    def drop_faktory(self, listener: OpenedListener) -> None:
+        """Close a listener that was opened and is not in use."""
+        self._faktory.drop(listener)
+
+    def use_register(self, terms: State) -> None:
+        """Pace the polls of service discovery and cache its list, from the start on."""
+        self._discovery.use_options(terms)
+
+    async def join_cluster(self, terms: State) -> None:
+        """Join a cluster; raises ``OSError`` or ``ValueError``."""
+        await self._cluster.join(terms)
+
+    def cluster_view(self, what: str) -> list[dict[str, Any]]:
+        """The members or the periodic tasks of the cluster; raises :class:`StateError` where there is none."""
+        return self._cluster.view(what)
+
+    def halls(self, asked: dict[str, Any]) -> list[dict[str, Any]]:
+        """The zones, after an operator's order for one of them if that was asked; raises :class:`StateError`."""
+        if asked["ask"] != "hall":
+            return zone_commands.view(self._core, self._config.zones)
+        rows = zone_commands.order(self._core, self._config.zones, asked)
+        self.log("hall_ordered", hall=asked["hall"], do=asked["do"], for_s=asked.get("for_s"))
+        return rows
+
+    def load_plugins(self, plugins: dict[str, tuple[bytes, int, int]]) -> Any:
+        """Compile plug-ins; wasmtime is imported only here, since it takes much memory.  Raises ``ValueError``."""
+        from heronlug.plugins.host import PluginHost
+
+        return PluginHost.load(plugins)
+
+    def use_plugins(self, loaded: Any) -> None:
+        """Use loaded plug-ins in place of those before; with None, none."""
+        host = None
+        if loaded:
+            from heronlug.plugins.host import PluginHost
+
+            host = PluginHost(self.log)
+            host.use(loaded)
+        for core in self._cores():
+            core.plugins = host
+
+    def use_level(self, level: str) -> None:
+        """Log from this level on."""
+        self.log.level = level
+
+    def broken_limits(self, classes: State) -> list[tuple[str, str, str, str]]:
+        """The rules that limits break here; the checker is imported only where there are limits to check."""
+        from heronlug.config.limits.load import check
+
+        return [(b.name, b.key, b.wrong, b.right) for b in check(self._config.settings, classes)]
+
+    def resolved_limits(self, classes: State) -> tuple[RequestClass, ...]:
+        """All classes under limits that break no rule."""
+        return resolve(self._config.settings.classes, classes)
+
+    def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
+        """Accept requests of both frontends under these limits from now on; open ones keep theirs."""
+        for core in self._cores():
+            core.use_classes(classes)
+
+    def _cores(self) -> list[Core]:
+        return [self._core, *self._faktory.cores]
--- /dev/null
+++ b/heronlug/lifecycle/deadline_loop.py
@@ -0,0 +1,57 @@
+"""Runs the deadlines of the process on the event loop, with one timer for the earliest of them."""
+
+import asyncio
+
+from heronlug.lifecycle.log import Log
+from heronlug.requests.deadlines import Clock, Deadlines
+
+LATE_TIMER_MS = 250.0
+"""A timer that fires later than this is logged, in ms."""
+
+
+class DeadlineLoop:
+    """All deadlines of the process, and the timer that runs them.
+
+    Attributes:
+        clock: the time, in ms.
+        deadlines: the deadlines, ordered by time.
+    """
+
+    def __init__(self, log: Log) -> None:
+        """Make a loop without deadlines; the timer needs a running event loop only once there is one."""
+        self.clock = Clock()
+        self.deadlines = Deadlines(self.clock.now)
+        self._log = log
+        self._timer: asyncio.TimerHandle | None = None
+        self._armed_for: float | None = None
+
+    def turn(self) -> None:
+        """Run the deadlines that are due, and arm the timer for the next one."""
+        try:
+            self.deadlines.run_due()
+        except Exception as error:  # a fault in one deadline must not stop the others
+            self._log("exception", where="deadlines", error=repr(error))
+        next_due = self.deadlines.next_due()
+        self._log_lateness()
+        if next_due != self._armed_for:
+            self._arm(next_due)
+
+    def _arm(self, due_at: float | None) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = None
+        self._armed_for = due_at
+        if due_at is not None:
+            delay_s = max(0.0, due_at - self.clock.now()) / 1000
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self._fire)
+
+    def _log_lateness(self) -> None:
+        """Log that the event loop was blocked, or that the process had no processor."""
+        lateness = self.deadlines.lateness
+        if lateness >= LATE_TIMER_MS:
+            self._log("late_turn", ms=round(lateness, 1), deadlines=len(self.deadlines))
+
+    def _fire(self) -> None:
+        self._timer = None
+        self._armed_for = None
+        self.turn()
--- a/heronlug/lifecycle/hot_restart/state_transfer.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -12,10 +12,10 @@
 from heronlug.balancer.events import AttemptSnapshot, ListKind
 from heronlug.config.limits import model
 from heronlug.config.platform import Config
-from heronlug.discovery.client import DiscoveryClient
 from heronlug.discovery.endpoint_list import EndpointListError, write_list
 from heronlug.frontends.http.frontend import ClientConnection, HttpFrontend
 from heronlug.frontends.http.request_table import read_request, write_request
+from heronlug.lifecycle.discovery_service import DiscoveryService, write_current_list
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
 from heronlug.lifecycle.hot_restart.channel import MAX_FDS, place
 from heronlug.lifecycle.hot_restart.session import HotRestart
@@ -33,13 +33,12 @@
 
     config: Config
     core: Core
-    north: HttpFrontend
-    south: ConnectionPool
-    inventory: DiscoveryClient
+    frontend: HttpFrontend
+    backend: ConnectionPool
+    discovery: DiscoveryService
     peers: PeerSocket
     listener: Listener
-    leaving: GracefulShutdown
-    keep: Any
+    shutdown: GracefulShutdown
 
     @property
     def log(self) -> Callable[..., None]:
@@ -58,7 +57,7 @@
         path = place(folder, config.name, ":".join(map(str, config.listen))) if folder else ""
         self._daemon, self._deadlines = daemon, deadlines
         self.handover = HotRestart(self, config.name, path, deadlines, daemon.log, daemon.turn)
-        self._whole = daemon.north.max_connections, daemon.south.max_connections, daemon.core.max_open
+        self._whole = daemon.frontend.max_connections, daemon.backend.max_connections, daemon.core.max_open
         self._sockets: dict[str, int] = {}
         self._table: dict[str, Any] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -128,9 +127,9 @@
 
     def take_up(self) -> None:
         """The list as last held, here or by the process before: perhaps old, and the module asks for a new one."""
-        inventory, core = self._daemon.inventory, self._daemon.core
+        inventory, core = self._daemon.discovery.client, self._daemon.core
         entries: list[ListedServer] = []
-        keep = self._daemon.keep
+        keep = self._daemon.discovery.cache
         kept = keep.load() if keep is not None and "known" not in self._table else None
         for known in (self._table.get("known"), kept, self._daemon.config.known):
             if known is not None:
@@ -163,33 +162,27 @@
         sockets = {"listen": daemon.listener.fileno(), "peers": daemon.peers.fileno()}
         there = {name: fd for name, fd in sockets.items() if fd >= 0}
         table = {
-            "known": self.listed(),
-            "list_good_ms": daemon.inventory.freshness.remaining(self._deadlines.clock()),
+            "known": write_current_list(daemon.core, daemon.discovery.client, daemon.config),
+            "list_good_ms": daemon.discovery.client.freshness.remaining(self._deadlines.clock()),
             "learned": daemon.core.dispatcher.snapshot(),
             "names": sorted(daemon.core.request_ids),
             "sockets": list(there),
         }
         return table, list(there.values())
 
-    def listed(self) -> dict[str, Any]:
-        """The list as it is held now, in the register's form."""
-        daemon = self._daemon
-        entries = [host.entry for host in daemon.core.directory.by_number.values()]
-        return write_list(daemon.inventory.version or 0, entries, daemon.config.zones, daemon.config.kinds)
-
     def give_way(self) -> None:
         """Another process serves: what is idle goes to it, what is running ends here."""
         self._share(2)
         self._daemon.listener.pause()
         self._daemon.peers.close()
-        self._daemon.south.close_idle()
-        self._daemon.leaving.hand_over(self._pass_on)
+        self._daemon.backend.close_idle()
+        self._daemon.shutdown.hand_over(self._pass_on)
 
     def take_back(self) -> None:
         """The process after us has gone before we have ended."""
         self.alone()
-        self._daemon.leaving.hand_over(None)
-        if not self._daemon.leaving.stopping:
+        self._daemon.shutdown.hand_over(None)
+        if not self._daemon.shutdown.stopping:
             self._daemon.listener.accept()
         self._later(self.open_peers)
         self.handover.listen()  # the file that others find us by was its own at last
@@ -209,14 +202,14 @@
 
     def client(self, fd: int, served: bool) -> None:
         """A client's connection, passed on by the process before us."""
-        self._daemon.north.adopt(socket.socket(fileno=fd), served)
+        self._daemon.frontend.adopt(socket.socket(fileno=fd), served)
 
     def message(self, table: dict[str, Any], fds: list[int]) -> None:
         """A message that runs, passed on by the process before us: first its client, then the hosts in turn."""
         first, *rest = [socket.socket(fileno=fd) for fd in fds]
         try:
             request = read_request(table["request"])
-            whole, _, entries = self._daemon.inventory.read(table["hosts"])
+            whole, _, entries = self._daemon.discovery.client.read(table["hosts"])
             passed = [
                 (entry, AttemptSnapshot(*values)) for entry, values in zip(entries, table["attempts"], strict=True)
             ]
@@ -242,28 +235,21 @@
             theirs = [relay for relay, (_, attempt) in zip(message.attempts, passed, strict=False) if attempt.in_flight]
             for relay, sock, wire in zip(theirs, rest, out, strict=True):
                 if relay.in_flight:
-                    self._daemon.south.adopt(relay, sock, wire.get("answered") is True, wire.get("last") is True)
+                    self._daemon.backend.adopt(relay, sock, wire.get("answered") is True, wire.get("last") is True)
                 else:
                     sock.close()
             if not message.closed:
                 connection.carry(message)
 
-        self._daemon.north.adopt(first, True, made)
+        self._daemon.frontend.adopt(first, True, made)
 
     def named(self, name: str, opened: bool) -> None:
         """A message of ours begins or ends."""
         self.handover.tell({"opened" if opened else "ended": [name]})
 
-    def tell(self, content: bytes, peer: int) -> None:
-        """What the module has to tell: once another process speaks for us, to that one."""
-        if self.handover.handed:
-            self.handover.tell({"counts": content.hex()})
-        else:
-            self._daemon.peers.tell(content, peer)
-
     def _pass_on(self) -> None:
-        self._daemon.north.pass_on(self.handover.pass_on)
-        if self._daemon.leaving.stopping:
+        self._daemon.frontend.pass_on(self.handover.pass_on)
+        if self._daemon.shutdown.stopping:
             for message in self._daemon.core.requests:
                 self._pass_message(message)
 
@@ -297,7 +283,7 @@
     def _share(self, parts: int) -> None:
         """The limits hold for all processes together."""
         north, south, messages = (limit // parts for limit in self._whole)
-        self._daemon.north.max_connections, self._daemon.south.max_connections = north, south
+        self._daemon.frontend.max_connections, self._daemon.backend.max_connections = north, south
         self._daemon.core.max_open = messages
 
     def _later(self, what: Callable[[], Any]) -> None:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -56,6 +56,7 @@
 from heronlug.discovery.shared_client import rows_of
 from heronlug.frontends.http.frontend import HttpRequest
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
+from heronlug.lifecycle.peer_messages import PeerMessages
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines
@@ -257,17 +258,20 @@
         self.daemon.core = self.core
         config = self.daemon.config
         config.name, config.listen, config.zones, config.kinds = "d1", ("127.0.0.1", 80), ZONES, MACHINE_TYPES
-        self.daemon.north.max_connections = self.daemon.south.max_connections = 100
+        self.daemon.frontend.max_connections = self.daemon.backend.max_connections = 100
         self.daemon.listener.fileno.return_value, self.daemon.peers.fileno.return_value = self.descriptors()
-        self.daemon.leaving.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
-        self.daemon.leaving.stopping = True
-        self.daemon.keep = None
-        self.daemon.inventory.version = 42
-        self.daemon.inventory.freshness.remaining.return_value = 7500.0
-        self.daemon.inventory.read = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
-        self.daemon.inventory.news = self.core.update_servers
-        self.daemon.north.adopt.side_effect = self._adopted
+        self.daemon.shutdown.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
+        self.daemon.shutdown.stopping = True
+        self.daemon.discovery.cache = None
+        self.daemon.discovery.client.version = 42
+        self.daemon.discovery.client.freshness.remaining.return_value = 7500.0
+        self.daemon.discovery.client.read = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
+        self.daemon.discovery.client.news = self.core.update_servers
+        self.daemon.frontend.adopt.side_effect = self._adopted
         self.takeover = StateTransfer(cast(Any, self.daemon), self.deadlines, folder)
+        config.peers, config.peers_all = [], None
+        self.peer_messages = PeerMessages(config, self.deadlines, MagicMock(), MagicMock())
+        self.peer_messages.hot_restart = self.takeover.handover
 
     def descriptors(self) -> list[int]:
         """Of a TCP and of a UDP socket."""
@@ -332,7 +336,7 @@
     """What an old process tells a new one that joins, serves and is handed a client and a request."""
     process = Process(str(folder))
     process.run_request()
-    process.daemon.north.pass_on.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
+    process.daemon.frontend.pass_on.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
     process.takeover.handover.listen()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(next(folder.glob("heronlug-*"))))
@@ -345,7 +349,7 @@
         process.takeover.named("t-1", False)
         reports = process.core.dispatcher.state.peer_load
         reports.unreported = dict(process.core.dispatcher.state.servers.by_id)
-        process.takeover.tell(reports.report(NOW), -1)
+        process.peer_messages.send(reports.report(NOW), -1)
         packets += [await receive(sock) for _ in range(3)]
         parting = asyncio.create_task(process.takeover.handover.part())
         packets.append(await receive(sock))
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -156,7 +156,7 @@
 def test_old_process_hands_over_to_the_present_code(tmp_path: Path) -> None:
     process = Process(str(tmp_path))
     asyncio.run(take_over(process, tmp_path))
-    assert process.daemon.north.adopt.call_args_list[0].args[1] is True
+    assert process.daemon.frontend.adopt.call_args_list[0].args[1] is True
     process.close()
 
 
@@ -176,7 +176,7 @@
             await asyncio.wait_for(joining, 5)
             process.takeover.take_up()
             assert [server.entry for server in process.core.directory.by_number.values()] == SERVERS[:3]
-            process.daemon.inventory.begin_clock.assert_called_once_with(7500.0)
+            process.daemon.discovery.client.begin_clock.assert_called_once_with(7500.0)
             assert process.core.peer_process_request_ids == {"t-1"}
             process.takeover.handover.serving()
             assert await receive(sock) == SERVING
--- a/tests/end_to_end/house.py
+++ b/tests/end_to_end/house.py
@@ -254,7 +254,7 @@
     async def pass_time(self, ms: float) -> None:
         """Let so much time pass for the daemon."""
         await self.settle()
-        end, deadlines = self.clock.at + ms, self.daemon.loop.deadlines
+        end, deadlines = self.clock.at + ms, self.daemon.deadline_loop.deadlines
         while (head := deadlines.next_due()) is not None and head <= end:
             self.clock.at = max(self.clock.at, head)
             self.daemon.turn()
@@ -306,7 +306,7 @@
             await standin.listen()
         folder = os.environ.pop("TMPDIR", None)
         try:
-            with mock.patch("heronlug.lifecycle.application.Clock", lambda: self.clock):
+            with mock.patch("heronlug.lifecycle.deadline_loop.Clock", lambda: self.clock):
                 self.daemon = Application(self.load()[0], cast(Files, self), cast(Log, self))
         finally:
             if folder is not None:
@@ -319,14 +319,14 @@
                 await self.confirm()
             yield self
         finally:
-            self.daemon.left.set()
+            self.daemon.stopped.set()
             await asyncio.wait_for(self._serving, PATIENCE)
         assert not self.logged("exception"), self.logged("exception")
 
     @property
     def ended(self) -> bool:
         """Whether the daemon has left by itself."""
-        return self._serving.done() or self.daemon.left.is_set()
+        return self._serving.done() or self.daemon.stopped.is_set()
 
 
 def name_of(request: bytes) -> str:
--- a/tests/end_to_end/test_closing.py
+++ b/tests/end_to_end/test_closing.py
@@ -38,7 +38,7 @@
     async def test() -> None:
         async with House(1).open() as house:
             client = await known(house)
-            house.daemon.leaving.drain()
+            house.daemon.shutdown.drain()
             await house.pass_time(670)
             client.send(message("t1", "safe", 4000))
             house.stall(80)
@@ -56,7 +56,7 @@
             client = await known(house)
             client.send(message("t1", "safe", 4000))
             end, _ = await house.hosts["h1"].request()
-            house.daemon.leaving.drain()
+            house.daemon.shutdown.drain()
             end.send_now(done("t1", "t1-ok"))
             client.send(message("t2", "safe", 4000))
             end, request = await house.hosts["h1"].request()
@@ -77,7 +77,7 @@
             client = await known(house)
             client.send(message("t1", "safe", 4000) + message("t2", "safe", 4000))
             await house.settle()
-            house.daemon.leaving.drain()
+            house.daemon.shutdown.drain()
             await gets(house, client, "t1", "t2")
 
     play(test)
@@ -89,13 +89,13 @@
     async def test() -> None:
         async with House(1, sockets=96).open() as house:
             clients = [await known(house) for _ in range(16)]
-            opened = house.daemon.north.opened
+            opened = house.daemon.frontend.opened
 
             def crossed(connection: ClientConnection) -> None:
                 clients[0].send(message("t1", "safe", 4000))
                 opened(connection)
 
-            house.daemon.north.opened = crossed  # type: ignore[method-assign]
+            house.daemon.frontend.opened = crossed  # type: ignore[method-assign]
             newcomer = house.kernel()
             await gets(house, clients[0], "t1")
             newcomer.send(HEALTH)
--- a/tests/end_to_end/test_faktory.py
+++ b/tests/end_to_end/test_faktory.py
@@ -40,7 +40,7 @@
 async def faktory(house: House) -> AsyncIterator[str]:
     """The second front of a house."""
     address = f"127.0.0.1:{free_port()}"
-    house.daemon.use_faktory(await house.daemon.open_faktory({**TERMS, "listen": address}))
+    house.daemon.faktory.use(await house.daemon.faktory.open({**TERMS, "listen": address}))
     await asyncio.sleep(0)
     yield address
 
--- a/tests/end_to_end/test_hosts.py
+++ b/tests/end_to_end/test_hosts.py
@@ -83,15 +83,15 @@
     async def test() -> None:
         async with House(1).open() as house:
             host, warm = await use(house, "t1")
-            send = house.daemon.south.send
+            send = house.daemon.backend.send
 
             def crossed(relay: object) -> None:
                 warm.end_now(way)
                 send(relay)  # type: ignore[arg-type]
 
-            house.daemon.south.send = crossed  # type: ignore[method-assign]
+            house.daemon.backend.send = crossed  # type: ignore[method-assign]
             client = await house.post("t2", "once")
-            house.daemon.south.send = send  # type: ignore[method-assign]
+            house.daemon.backend.send = send  # type: ignore[method-assign]
             await house.pass_time(HELD)
             end, _ = await host.request()
             end.send(done("t2"))
@@ -135,7 +135,7 @@
                 if more and not end.over:
                     end.send(more)
                 await house.pass_time(100)
-            assert end.over and len(house.daemon.south.connections) == 0
+            assert end.over and len(house.daemon.backend.connections) == 0
 
     play(test)
 
@@ -261,7 +261,7 @@
             watch.send(house.news(4, "h2:leaving"))
             watch, _ = await house.register.request()
             late = list[ServerConnection]()
-            with mock.patch.object(house.daemon.south, "dialled", late.append):
+            with mock.patch.object(house.daemon.backend, "dialled", late.append):
                 client = await house.post("t1")
             assert len(late) == 1
             if lifecycle == "elsewhere":
@@ -271,7 +271,7 @@
                 before = house.hosts["h1"]
                 watch.send(house.news(5, f"h1:{lifecycle}", "h2"))
             await house.settle()
-            house.daemon.south.dialled(late[0])
+            house.daemon.backend.dialled(late[0])
             await house.settle()
             assert not before.requests
             await house.pass_time(1_500)
@@ -320,12 +320,12 @@
             assert end.take()
             await house.pass_time(1_300)
             late = list[ServerConnection]()
-            with mock.patch.object(house.daemon.south, "dialled", late.append):
+            with mock.patch.object(house.daemon.backend, "dialled", late.append):
                 end.end_now("reset")
                 await house.settle()
             assert len(late) == 1
             house.stall(750)
-            house.daemon.south.dialled(late[0])
+            house.daemon.backend.dialled(late[0])
             await house.settle()
             assert not any(host.requests for host in house.hosts.values())
             assert client.got.startswith(REFUSED)
@@ -339,14 +339,14 @@
     async def test() -> None:
         async with House(1).open() as house:
             late = list[ServerConnection]()
-            with mock.patch.object(house.daemon.south, "dialled", late.append):
+            with mock.patch.object(house.daemon.backend, "dialled", late.append):
                 client = await house.post("t1", remaining=900)
                 await house.pass_time(310)
                 assert house.hosts["h1"].ends[0].over
                 await house.pass_time(900)
             assert client.got.startswith(REFUSED) and not house.hosts["h1"].requests
             for connection in late:
-                house.daemon.south.dialled(connection)
+                house.daemon.backend.dialled(connection)
             await house.settle()
             assert not house.hosts["h1"].requests
 
@@ -367,7 +367,7 @@
             async with House(2).open() as house:
                 await warm(house)  # so that the next attempt goes out in the same turn
                 classes = house.daemon.core.settings.classes
-                house.daemon.use_limits(tuple(replace(c, attempt_timeout=500.0) for c in classes))
+                house.daemon.core.use_classes(tuple(replace(c, attempt_timeout=500.0) for c in classes))
                 client, host, end = await first(house, "t1", "safe")
                 assert end.take()
                 watched.append(end)
@@ -387,7 +387,7 @@
 
     async def test() -> None:
         async with House(2).open() as house:
-            house.daemon.south.max_connections = 1
+            house.daemon.backend.max_connections = 1
             running, host, end = await first(house, "t1", "once")
             await house.pass_time(HELD)
             assert end.take()
@@ -413,7 +413,7 @@
             end, _ = await other.request()
             end.send(done("t3"))
             await house.settle()
-            assert served(following) and len(house.daemon.south.connections) == 1
+            assert served(following) and len(house.daemon.backend.connections) == 1
 
     play(test)
 
@@ -426,7 +426,7 @@
             client, _, end = await first(house, "t1", "once")
             await house.pass_time(HELD)
             assert end.take()
-            house.daemon._on_signal()
+            house.daemon._stop()
             await house.pass_time(3_440)
             assert not client.got
             await house.pass_time(20)
--- a/tests/end_to_end/test_leaving.py
+++ b/tests/end_to_end/test_leaving.py
@@ -83,7 +83,7 @@
         async with House(2).open() as house:
             await warm(house)
             classes = house.daemon.core.settings.classes
-            house.daemon.use_limits(tuple(replace(c, retry_backoff=(500.0,)) for c in classes))
+            house.daemon.core.use_classes(tuple(replace(c, retry_backoff=(500.0,)) for c in classes))
             client = house.kernel()
             client.send(message("t1", lane, 4000))
             await house.settle()
@@ -150,17 +150,17 @@
         async with House(1).open() as house:
             client = house.kernel()
             client.send(message("t1", lane, 4000))
-            dialled = house.daemon.south.dialled
+            dialled = house.daemon.backend.dialled
 
             def late(connection: object) -> None:
                 client.leave(way)
                 house.stall(LONG)
                 dialled(connection)  # type: ignore[arg-type]
 
-            house.daemon.south.dialled = late  # type: ignore[method-assign]
+            house.daemon.backend.dialled = late  # type: ignore[method-assign]
             await house.settle()
-            house.daemon.south.dialled = dialled  # type: ignore[method-assign]
-            assert house.daemon.south.dials == 1 and nothing_sent(house)
+            house.daemon.backend.dialled = dialled  # type: ignore[method-assign]
+            assert house.daemon.backend.dials == 1 and nothing_sent(house)
             assert await still_serves(house)
 
     play(test)
@@ -254,7 +254,7 @@
             request.workload = Workload()
             if way:
                 client.leave(way)
-            house.daemon.takeover.message(
+            house.daemon.state_transfer.message(
                 {
                     "request": write_request(request),
                     "give_up_at": house.clock.at + 4_000,
@@ -269,7 +269,7 @@
             await house.settle()
             assert nothing_sent(house) is bool(way)
             if not way:
-                house.daemon.north.close_idle()  # its answer is owed on it still
+                house.daemon.frontend.close_idle()  # its answer is owed on it still
                 end, _ = await house.hosts["h1"].request()
                 end.send(done("t1"))
                 await house.settle()
--- a/tests/end_to_end/test_stall.py
+++ b/tests/end_to_end/test_stall.py
@@ -88,7 +88,7 @@
             client = house.kernel()
             watch, _ = await house.register.request()
             client.send(message("t1", "safe", 4000))
-            while not house.daemon.south.dials:
+            while not house.daemon.backend.dials:
                 await house.turn_once()
             watch.send_now(house.news(4, "h1:leaving"))
             house.clock.at += 2600.0  # the connection is up in the kernel by now, and its dial has not been read
--- a/tests/end_to_end/test_stop.py
+++ b/tests/end_to_end/test_stop.py
@@ -17,7 +17,7 @@
 async def term(house: House) -> None:
     os.kill(os.getpid(), signal.SIGTERM)
     await house.settle()
-    assert house.daemon.leaving.stopping
+    assert house.daemon.shutdown.stopping
 
 
 async def serves_and_leaves(house: House, client: End, end: End) -> None:
@@ -143,7 +143,7 @@
 
         with mock.patch.object(StateTransfer, "open_listener", crossed):
             async with House(1).open() as house:
-                assert house.daemon.leaving.stopping
+                assert house.daemon.shutdown.stopping
                 client = await house.post("t1", remaining=900)
                 end, _ = await house.hosts["h1"].request()
                 await serves_and_leaves(house, client, end)
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -207,7 +207,7 @@
 
     async def run_until(self, end: float) -> None:
         """Let all happen that is due within so many ms after the start, in its order."""
-        end, deadlines = BEGIN + end, self.daemon.loop.deadlines
+        end, deadlines = BEGIN + end, self.daemon.deadline_loop.deadlines
         while True:
             head = deadlines.next_due()
             act = self._agenda[0][0] if self._agenda else float("inf")
