--- a/heronlug/backends/health_checker.py
+++ b/heronlug/backends/health_checker.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from heronlug.balancer.events import ListKind, ServerState
-from heronlug.cluster.health_checks import Prober, shard_name, shard_of
+from heronlug.cluster.health_checks import HealthCheckSchedule, shard_name, shard_of
 from heronlug.cluster.model import FencingToken
 from heronlug.cluster.node import Node
 from heronlug.cluster.server_view import ServerView
@@ -59,7 +59,7 @@
         self.names = [shard_name(number) for number in range(self.shards)]
         self._path, self._timeout = table["path"], table["timeout_ms"]
         self._view, self._tell, self._deadlines, self._log, self._turn = view, tell, deadlines, log, turn
-        self._prober = Prober(table["every_s"] * 1000, table["fall"], table["rise"], MOST)
+        self._prober = HealthCheckSchedule(table["every_s"] * 1000, table["fall"], table["rise"], MOST)
         self._fences: dict[str, FencingToken] = {}
         self._node: Node | None = None
         self._flush: Callable[[], None] = lambda: None  # after each publication
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -21,11 +21,11 @@
 
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
-VERSION, MOST, TAG = 1, 256, 12
-HEAD = struct.Struct(">cBBIQ")
-ROOM = MOST - HEAD.size - TAG
-WINDOW = 64  # stamps below a sender's newest that may still come, each once
-MARK = b"H"
+PROTOCOL_VERSION, MAX_DATAGRAM_SIZE, AUTHENTICATION_TAG_SIZE = 1, 256, 12
+HEADER = struct.Struct(">cBBIQ")
+MAX_BODY_SIZE = MAX_DATAGRAM_SIZE - HEADER.size - AUTHENTICATION_TAG_SIZE
+REPLAY_WINDOW = 64  # stamps below a sender's newest that may still come, each once
+MAGIC = b"H"
 
 
 class Ping(NamedTuple):
@@ -40,7 +40,7 @@
     number: int
 
 
-class PingFor(NamedTuple):
+class IndirectPing(NamedTuple):
     """Ping somebody for the sender, and pass the answer on."""
 
     number: int
@@ -57,7 +57,7 @@
     """The sender has just come: tell it of everybody."""
 
 
-class Ask(NamedTuple):
+class LeaseRequest(NamedTuple):
     """The sender wants a lease, or goes on with one.  ``freed`` is the fence of a predecessor that has let go.
 
     ``fence`` itself there says that the sender holds it already, its number with no owner that a promise will do.
@@ -69,7 +69,7 @@
     freed: FencingToken
 
 
-class Grant(NamedTuple):
+class LeaseGrant(NamedTuple):
     """It has it, for the lease's time from when this was sent by the clock of who grants."""
 
     duty: int
@@ -77,7 +77,7 @@
     number: int
 
 
-class Deny(NamedTuple):
+class LeaseDenial(NamedTuple):
     """Another has it, or has had it with a higher fence."""
 
     duty: int
@@ -85,35 +85,35 @@
     number: int
 
 
-class Offer(NamedTuple):
+class TransferOffer(NamedTuple):
     """Handover: take this duty after ``fence``."""
 
     duty: int
     fence: FencingToken
 
 
-class Accept(NamedTuple):
+class TransferAcceptance(NamedTuple):
     """Handover: yes."""
 
     duty: int
     fence: FencingToken
 
 
-class Done(NamedTuple):
+class TransferCompletion(NamedTuple):
     """Handover: the sender acts no more under ``fence``."""
 
     duty: int
     fence: FencingToken
 
 
-class Free(NamedTuple):
+class LeaseRelease(NamedTuple):
     """The sender has let go of this fence: votes for it are free."""
 
     duty: int
     fence: FencingToken
 
 
-class Announce(NamedTuple):
+class TableAnnouncement(NamedTuple):
     """A sheet is at this version: the owner's fence, the number of its publication or beat, the root of the table."""
 
     topic: int
@@ -122,13 +122,13 @@
     root: int
 
 
-class Pull(NamedTuple):
-    """The sender wants the nodes of these names, at most ``PULL_MOST``."""
+class NodeRequest(NamedTuple):
+    """The sender wants the nodes of these names, at most ``MAX_NODES_PER_REQUEST``."""
 
     names: tuple[int, ...]
 
 
-class Piece(NamedTuple):
+class NodeData(NamedTuple):
     """A node of a sheet; its name is what it holds."""
 
     data: bytes
@@ -137,54 +137,54 @@
 Part = (
     Ping
     | Ack
-    | PingFor
+    | IndirectPing
     | Nack
     | Sync
-    | Ask
-    | Grant
-    | Deny
-    | Offer
-    | Accept
-    | Done
-    | Free
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseDenial
+    | TransferOffer
+    | TransferAcceptance
+    | TransferCompletion
+    | LeaseRelease
     | MemberUpdate
-    | Announce
-    | Pull
-    | Piece
+    | TableAnnouncement
+    | NodeRequest
+    | NodeData
 )
 
-_FORMS: dict[type, tuple[int, struct.Struct]] = {
+_LAYOUTS: dict[type, tuple[int, struct.Struct]] = {
     Ping: (1, struct.Struct(">I")),
     Ack: (2, struct.Struct(">I")),
-    PingFor: (3, struct.Struct(">II")),
+    IndirectPing: (3, struct.Struct(">II")),
     Nack: (4, struct.Struct(">I")),
     Sync: (5, struct.Struct(">")),
-    Ask: (6, struct.Struct(">IQIIQI")),
-    Grant: (7, struct.Struct(">IQII")),
-    Deny: (8, struct.Struct(">IQII")),
-    Offer: (9, struct.Struct(">IQI")),
-    Accept: (10, struct.Struct(">IQI")),
-    Done: (11, struct.Struct(">IQI")),
-    Free: (13, struct.Struct(">IQI")),
-    Announce: (14, struct.Struct(">IQIQQ")),
+    LeaseRequest: (6, struct.Struct(">IQIIQI")),
+    LeaseGrant: (7, struct.Struct(">IQII")),
+    LeaseDenial: (8, struct.Struct(">IQII")),
+    TransferOffer: (9, struct.Struct(">IQI")),
+    TransferAcceptance: (10, struct.Struct(">IQI")),
+    TransferCompletion: (11, struct.Struct(">IQI")),
+    LeaseRelease: (13, struct.Struct(">IQI")),
+    TableAnnouncement: (14, struct.Struct(">IQIQQ")),
 }
-_KINDS = {kind: (part, form) for part, (kind, form) in _FORMS.items()}
-_PULL, _PIECE = 15, 16  # then how many names, or bytes
-PULL_MOST = 24  # names in one part
-_NEWS, _NEWS_FORM = 12, struct.Struct(">QBBB")  # incarnation, health, lengths of name and address
+_BY_CODE = {kind: (part, form) for part, (kind, form) in _LAYOUTS.items()}
+_NODE_REQUEST, _NODE_DATA = 15, 16  # then how many names, or bytes
+MAX_NODES_PER_REQUEST = 24  # names in one part
+_MEMBER_UPDATE, _MEMBER_UPDATE_LAYOUT = 12, struct.Struct(">QBBB")  # incarnation, health, lengths of name and address
 
 
 def encode_part(part: Part) -> bytes:
     """One part."""
     if isinstance(part, MemberUpdate):
         name, address = part.name.encode(), part.address.encode()
-        head = _NEWS_FORM.pack(part.incarnation, part.health, len(name), len(address))
-        return bytes([_NEWS]) + head + name + address
-    if isinstance(part, Pull):
-        return struct.pack(f">BB{len(part.names)}Q", _PULL, len(part.names), *part.names)
-    if isinstance(part, Piece):
-        return bytes((_PIECE, len(part.data))) + part.data
-    kind, form = _FORMS[type(part)]
+        head = _MEMBER_UPDATE_LAYOUT.pack(part.incarnation, part.health, len(name), len(address))
+        return bytes([_MEMBER_UPDATE]) + head + name + address
+    if isinstance(part, NodeRequest):
+        return struct.pack(f">BB{len(part.names)}Q", _NODE_REQUEST, len(part.names), *part.names)
+    if isinstance(part, NodeData):
+        return bytes((_NODE_DATA, len(part.data))) + part.data
+    kind, form = _LAYOUTS[type(part)]
     flat: list[int] = []
     for value in part:
         flat += value if isinstance(value, FencingToken) else [value]
@@ -198,25 +198,25 @@
     try:
         while at < len(body):
             kind, at = body[at], at + 1
-            if kind == _NEWS:
-                incarnation, health, name, address = _NEWS_FORM.unpack_from(body, at)
-                at += _NEWS_FORM.size
+            if kind == _MEMBER_UPDATE:
+                incarnation, health, name, address = _MEMBER_UPDATE_LAYOUT.unpack_from(body, at)
+                at += _MEMBER_UPDATE_LAYOUT.size
                 if at + name + address > len(body) or not name:
                     raise ValueError("news is cut off")
                 words = body[at : at + name].decode(), body[at + name : at + name + address].decode()
                 parts.append(MemberUpdate(*words, incarnation, Health(health)))
                 at += name + address
-            elif kind == _PULL:
-                parts.append(Pull(struct.unpack_from(f">{body[at]}Q", body, at + 1)))
+            elif kind == _NODE_REQUEST:
+                parts.append(NodeRequest(struct.unpack_from(f">{body[at]}Q", body, at + 1)))
                 at += 1 + 8 * body[at]
-            elif kind == _PIECE:
+            elif kind == _NODE_DATA:
                 end = at + 1 + body[at]
                 if end > len(body):
                     raise ValueError("a piece is cut off")
-                parts.append(Piece(body[at + 1 : end]))
+                parts.append(NodeData(body[at + 1 : end]))
                 at = end
             else:
-                part, form = _KINDS[kind]
+                part, form = _BY_CODE[kind]
                 parts.append(_part(part, form.unpack_from(body, at)))
                 at += form.size
     except (struct.error, KeyError, IndexError) as error:
@@ -225,18 +225,18 @@
 
 
 def _part(kind: type, flat: tuple[int, ...]) -> Part:
-    if kind in (Grant, Deny):
+    if kind in (LeaseGrant, LeaseDenial):
         return kind(flat[0], FencingToken(*flat[1:3]), flat[3])  # type: ignore[no-any-return]
-    if kind in (Offer, Accept, Done, Free):
+    if kind in (TransferOffer, TransferAcceptance, TransferCompletion, LeaseRelease):
         return kind(flat[0], FencingToken(*flat[1:3]))  # type: ignore[no-any-return]
-    if kind is Announce:
-        return Announce(flat[0], FencingToken(*flat[1:3]), flat[3], flat[4])
-    if kind is Ask:
-        return Ask(flat[0], FencingToken(*flat[1:3]), flat[3], FencingToken(*flat[4:6]))
+    if kind is TableAnnouncement:
+        return TableAnnouncement(flat[0], FencingToken(*flat[1:3]), flat[3], flat[4])
+    if kind is LeaseRequest:
+        return LeaseRequest(flat[0], FencingToken(*flat[1:3]), flat[3], FencingToken(*flat[4:6]))
     return kind(*flat)  # type: ignore[no-any-return]
 
 
-class Seal:
+class DatagramCodec:
     """Puts parts into datagrams and takes them out: keys, stamps and counts of what was dropped.
 
     ``keys`` are one or two by their number; the first one signs, all are accepted.  So a key is replaced in service by
@@ -254,7 +254,7 @@
         bodies: list[bytes] = [b""]
         for part in parts:
             data = encode_part(part)
-            if len(bodies[-1]) + len(data) > ROOM:
+            if len(bodies[-1]) + len(data) > MAX_BODY_SIZE:
                 bodies.append(b"")
             bodies[-1] += data
         return [self._sealed(body) for body in bodies if body]
@@ -265,9 +265,9 @@
         if reason:
             self.dropped[reason] += 1
             return None
-        _, _, _, sender, stamp = HEAD.unpack_from(data)
+        _, _, _, sender, stamp = HEADER.unpack_from(data)
         try:
-            parts = decode_parts(data[HEAD.size : -TAG])
+            parts = decode_parts(data[HEADER.size : -AUTHENTICATION_TAG_SIZE])
         except ValueError:
             self.dropped["malformed"] += 1
             return None
@@ -279,28 +279,28 @@
     def _sealed(self, body: bytes) -> bytes:
         self._stamp += 1
         key = next(iter(self.keys))
-        data = HEAD.pack(MARK, VERSION, key, self.tag, self._stamp) + body
-        return data + blake2b(data, digest_size=TAG, key=self.keys[key]).digest()
+        data = HEADER.pack(MAGIC, PROTOCOL_VERSION, key, self.tag, self._stamp) + body
+        return data + blake2b(data, digest_size=AUTHENTICATION_TAG_SIZE, key=self.keys[key]).digest()
 
     def _reason(self, data: bytes) -> str:
-        if len(data) < HEAD.size + TAG or len(data) > MOST or data[:1] != MARK:
-            return "truncated" if data[:1] == MARK else "malformed"
-        if data[1] != VERSION:
+        if len(data) < HEADER.size + AUTHENTICATION_TAG_SIZE or len(data) > MAX_DATAGRAM_SIZE or data[:1] != MAGIC:
+            return "truncated" if data[:1] == MAGIC else "malformed"
+        if data[1] != PROTOCOL_VERSION:
             return "version"
         key = self.keys.get(data[2])
         if key is None:
             return "unknown_key"
-        tag = blake2b(data[:-TAG], digest_size=TAG, key=key).digest()
-        return "" if hmac.compare_digest(tag, data[-TAG:]) else "forged"
+        tag = blake2b(data[:-AUTHENTICATION_TAG_SIZE], digest_size=AUTHENTICATION_TAG_SIZE, key=key).digest()
+        return "" if hmac.compare_digest(tag, data[-AUTHENTICATION_TAG_SIZE:]) else "forged"
 
     def _fresh(self, sender: int, stamp: int) -> bool:
         newest, below = self._seen.get(sender, (0, 0))
         if stamp > newest:
-            below = (below << (stamp - newest) | 1 << (stamp - newest - 1)) if stamp - newest < WINDOW else 0
-            self._seen[sender] = stamp, below & ((1 << WINDOW) - 1)
+            below = (below << (stamp - newest) | 1 << (stamp - newest - 1)) if stamp - newest < REPLAY_WINDOW else 0
+            self._seen[sender] = stamp, below & ((1 << REPLAY_WINDOW) - 1)
             return True
         bit = 1 << (newest - stamp - 1) if stamp < newest else 0
-        if not bit or newest - stamp > WINDOW or below & bit:
+        if not bit or newest - stamp > REPLAY_WINDOW or below & bit:
             return False
         self._seen[sender] = newest, below | bit
         return True
--- a/heronlug/cluster/health_checks.py
+++ b/heronlug/cluster/health_checks.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Probed:
+class CheckedServer:
     """What is known of one host."""
 
     address: str
@@ -35,13 +35,13 @@
     probes: int = 0
 
 
-class Prober:
+class HealthCheckSchedule:
     """The hosts of the shards that are ours."""
 
     def __init__(self, every: float, fall: int, rise: int, most: int) -> None:
         """``every`` in milliseconds; ``fall`` and ``rise`` in probes; at most ``most`` probes are out at once."""
         self.every, self.fall, self.rise, self.most = every, fall, rise, most
-        self.hosts: dict[str, Probed] = {}
+        self.hosts: dict[str, CheckedServer] = {}
         self.out = 0
         self._queue: list[tuple[float, str]] = []
 
@@ -58,7 +58,7 @@
                 self.out -= known.out
             share = xxh32_intdigest(name.encode(), seed=1) / 2**32
             due = now + self.every * share
-            self.hosts[name] = Probed(address, due, down=name in held and known is None)
+            self.hosts[name] = CheckedServer(address, due, down=name in held and known is None)
             heappush(self._queue, (due, name))
 
     def begin(self, now: float) -> list[tuple[str, str]]:
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -11,13 +11,13 @@
 from math import ceil, inf, log
 from random import Random
 
-from heronlug.cluster.codec import ROOM, Ack, Nack, Part, Ping, PingFor, Sync, encode_part
+from heronlug.cluster.codec import MAX_BODY_SIZE, Ack, IndirectPing, Nack, Part, Ping, Sync, encode_part
 from heronlug.cluster.model import ClusterTiming, Health, MemberChanged, MemberUpdate
 from heronlug.cluster.ownership import tag
 
-PINGS = 4  # direct ones within a period: a lost datagram is no reason to suspect anybody
-PRESSING = 5000.0  # so long the dead are called more often, in ms
-PART = 64  # bytes left for what a datagram is sent for, the rest is for news
+MAX_DIRECT_PINGS = 4  # direct ones within a period: a lost datagram is no reason to suspect anybody
+FAST_REJOIN_WINDOW = 5000.0  # so long the dead are called more often, in ms
+CARRIER_SIZE = 64  # bytes left for what a datagram is sent for, the rest is for news
 
 
 class Member:
@@ -99,7 +99,7 @@
         times += [self._over(member) for member in self.members.values() if member.health is Health.SUSPECT]
         return min(times)
 
-    def news(self, room: int = ROOM - PART) -> list[MemberUpdate]:
+    def news(self, room: int = MAX_BODY_SIZE - CARRIER_SIZE) -> list[MemberUpdate]:
         """What to tell next, within so many bytes: what has been told least first."""
         limit = self.terms.spread * ceil(log(len(self.members) + 2, 2))
         chosen: list[MemberUpdate] = []
@@ -133,7 +133,9 @@
             self._began = min(self._began, now)
             young = now - self._began < self.terms.settle  # the list has to be whole by the time that we own anything
             # and whoever is cut off one way has to hear soon that the others are there
-            young = young or any(m.health is Health.DEAD and now - m.since < PRESSING for m in self.members.values())
+            young = young or any(
+                m.health is Health.DEAD and now - m.since < FAST_REJOIN_WINDOW for m in self.members.values()
+            )
             self._next_join = now + self.terms.rejoin * self._rng.uniform(0.75, 1.25) / (8 if young else 1)
             known = {member.address for member in self.others()}
             missing = [seed for seed in self.seeds if seed not in known]
@@ -148,7 +150,7 @@
     def _next_ping(self) -> float:
         """When the probe's member is pinged again: not once it has answered, or has had all pings of the period."""
         probe = self._probe
-        if probe is None or probe.answered or probe.pings >= PINGS:
+        if probe is None or probe.answered or probe.pings >= MAX_DIRECT_PINGS:
             return inf
         return probe.began + probe.pings * self.terms.probe_timeout * (self.slowness + 1)
 
@@ -186,7 +188,7 @@
                 helpers = [m for m in self.others() if m is not probe.member and m.health is Health.ALIVE]
                 for helper in self._rng.sample(helpers, min(self.terms.indirect, len(helpers))):
                     probe.asked += 1
-                    self._send(helper.address, [PingFor(probe.number, probe.member.tag)])
+                    self._send(helper.address, [IndirectPing(probe.number, probe.member.tag)])
 
     def _ping(self, member: Member, number: int) -> None:
         buddy = [self._about(member)] if member.health is Health.SUSPECT else []
@@ -216,7 +218,7 @@
             elif isinstance(part, Nack):
                 if self._probe is not None and self._probe.number == part.number:
                     self._probe.nacks += 1
-            elif isinstance(part, PingFor):
+            elif isinstance(part, IndirectPing):
                 whom = self.by_tag.get(part.whom)
                 if whom is not None:
                     self._number = (self._number + 1) & 0xFFFFFFFF
--- a/heronlug/cluster/merkle_trie.py
+++ b/heronlug/cluster/merkle_trie.py
@@ -14,15 +14,15 @@
 
 from xxhash import xxh3_64_intdigest, xxh64_intdigest
 
-LEAF_MOST = 224  # bytes of a leaf that can still be split
-ROW_MOST = LEAF_MOST - 3  # of a key and its value together
-BITS = 2  # of the hash that a level takes
-LEVELS, WIDTH = 64 // BITS, 1 << BITS
+MAX_LEAF_SIZE = 224  # bytes of a leaf that can still be split
+MAX_ROW_SIZE = MAX_LEAF_SIZE - 3  # of a key and its value together
+BITS_PER_LEVEL = 2  # of the hash that a level takes
+LEVELS, WIDTH = 64 // BITS_PER_LEVEL, 1 << BITS_PER_LEVEL
 Rows = dict[bytes, bytes]
 Nodes = Mapping[int, bytes]
 
 
-class BadNode(ValueError):
+class MalformedNodeError(ValueError):
     """Bytes that are no node."""
 
 
@@ -32,7 +32,7 @@
 
 
 def _place(key: bytes, level: int) -> int:
-    return int(xxh64_intdigest(key)) >> (64 - BITS * (level + 1)) & (WIDTH - 1)
+    return int(xxh64_intdigest(key)) >> (64 - BITS_PER_LEVEL * (level + 1)) & (WIDTH - 1)
 
 
 def _leaf(rows: Rows) -> bytes:
@@ -45,15 +45,15 @@
 
 
 def rows_of(node: bytes) -> Rows | None:
-    """The rows of a leaf, None for a branch; raises :class:`BadNode`."""
+    """The rows of a leaf, None for a branch; raises :class:`MalformedNodeError`."""
     if node[:1] == b"B":
         return None
     if node[:1] != b"L":
-        raise BadNode(f"a node that begins with {node[:1]!r}")
+        raise MalformedNodeError(f"a node that begins with {node[:1]!r}")
     rows, at = {}, 1
     while at < len(node):
         if at + 2 > len(node) or at + 2 + node[at] + node[at + 1] > len(node):
-            raise BadNode("a row is cut off")
+            raise MalformedNodeError("a row is cut off")
         middle = at + 2 + node[at]
         end = middle + node[at + 1]
         rows[node[at + 2 : middle]] = node[middle:end]
@@ -62,14 +62,14 @@
 
 
 def children_of(node: bytes) -> dict[int, int]:
-    """The children of a branch by their place, none for a leaf; raises :class:`BadNode`."""
+    """The children of a branch by their place, none for a leaf; raises :class:`MalformedNodeError`."""
     if node[:1] == b"L":
         return {}
     if len(node) < 2 or node[:1] != b"B" or node[1] >> WIDTH:
-        raise BadNode("neither leaf nor branch")
+        raise MalformedNodeError("neither leaf nor branch")
     places = [place for place in range(WIDTH) if node[1] >> place & 1]
     if len(node) != 2 + 8 * len(places):
-        raise BadNode("a branch of another length than its children take")
+        raise MalformedNodeError("a branch of another length than its children take")
     return dict(zip(places, struct.unpack_from(f">{len(places)}Q", node, 2), strict=True))
 
 
@@ -82,10 +82,10 @@
 def build(rows: Mapping[bytes, bytes], nodes: MutableMapping[int, bytes], level: int = 0) -> int:
     """Put a whole table into a store and return its root; raises ``ValueError`` for a row that is too long."""
     size = sum(len(key) + len(value) + 2 for key, value in rows.items()) + 1
-    if size <= LEAF_MOST:
+    if size <= MAX_LEAF_SIZE:
         return _put(nodes, _leaf(dict(rows)))
     if level == LEVELS or len(rows) == 1:
-        raise ValueError(f"a row of {size - 3} bytes: {ROW_MOST} at most")
+        raise ValueError(f"a row of {size - 3} bytes: {MAX_ROW_SIZE} at most")
     parts: dict[int, Rows] = {}
     for key, value in rows.items():
         parts.setdefault(_place(key, level), {})[key] = value
@@ -116,7 +116,7 @@
         leaves = [rows_of(nodes[child]) for child in children.values()]
         if all(leaf is not None for leaf in leaves):
             together = {k: v for leaf in leaves if leaf for k, v in leaf.items()}
-            if sum(len(k) + len(v) + 2 for k, v in together.items()) + 1 <= LEAF_MOST:
+            if sum(len(k) + len(v) + 2 for k, v in together.items()) + 1 <= MAX_LEAF_SIZE:
                 return build(together, nodes, level)
     return _put(nodes, _branch(children))
 
--- a/heronlug/cluster/model.py
+++ b/heronlug/cluster/model.py
@@ -33,7 +33,7 @@
     owner: int  # the owner's tag, unique among the members
 
 
-NO_FENCE = FencingToken(0, 0)
+NO_TOKEN = FencingToken(0, 0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -4,15 +4,15 @@
 from math import inf
 from random import Random
 
-from heronlug.cluster.codec import Ack, Nack, Part, Ping, PingFor, Seal, Sync
-from heronlug.cluster.leases import Leases
+from heronlug.cluster.codec import Ack, DatagramCodec, IndirectPing, Nack, Part, Ping, Sync
+from heronlug.cluster.leases import LeaseManager
 from heronlug.cluster.membership import Membership
 from heronlug.cluster.model import Action, ClusterTiming, FencingToken, MemberUpdate, SendTo, WakeAt
-from heronlug.cluster.ownership import foremost, tag, weight
+from heronlug.cluster.ownership import rendezvous_weight, tag, top_ranked
 from heronlug.cluster.replicated_tables import ReplicatedTables
 
-FAREWELLS = 3  # times that a leave is told to everybody
-RIDERS = (Ping, Ack, PingFor, Nack, Sync)  # what news ride on
+LEAVE_REPEATS = 3  # times that a leave is told to everybody
+GOSSIP_CARRIERS = (Ping, Ack, IndirectPing, Nack, Sync)  # what news ride on
 
 
 class Node:
@@ -31,11 +31,11 @@
     ) -> None:
         """``incarnation`` is Unix milliseconds at the start: above that of every process of this name before."""
         self.name, self.address, self.terms = name, address, terms or ClusterTiming()
-        self.seal = Seal(tag(name), keys, incarnation << 20)
+        self.seal = DatagramCodec(tag(name), keys, incarnation << 20)
         self._out: list[Action] = []
         self._queued: dict[str, list[Part]] = {}
         self.members = Membership(name, address, incarnation, seeds, self.terms, rng, self._send, self._out.append)
-        self.leases = Leases(
+        self.leases = LeaseManager(
             name, incarnation, list(duties), self.terms, self._send_to, self._out.append, self._voters, self._candidates
         )
         self.sheets = ReplicatedTables(
@@ -118,8 +118,8 @@
 
     def place(self, duty: str) -> tuple[int, int]:
         """How many of the others come before us in a duty's rank, and how many there are."""
-        ours, others = weight(duty, self.name), self.members.others()
-        return sum(weight(duty, member.name) > ours for member in others), len(others)
+        ours, others = rendezvous_weight(duty, self.name), self.members.others()
+        return sum(rendezvous_weight(duty, member.name) > ours for member in others), len(others)
 
     # -- inside
 
@@ -133,7 +133,7 @@
     def _voters(self, duty: str, now: float) -> dict[int, str]:
         """All where there are few, so that a vote is missed only in a partition; of many the foremost of the duty."""
         voters = {member.tag: member.name for member in self.members.voters(now)}
-        return foremost(duty, voters, self.terms.voters)
+        return top_ranked(duty, voters, self.terms.voters)
 
     def _candidates(self, now: float) -> list[str]:
         """Those that have been there long enough; nobody owns anything before the list of members can be whole."""
@@ -148,7 +148,7 @@
         for member in self.members.others():
             self._send(member.address, [news])
         self._farewell += 1
-        if self._farewell >= FAREWELLS:
+        if self._farewell >= LEAVE_REPEATS:
             self.left = True
 
     def _send(self, address: str, parts: list[Part]) -> None:
@@ -163,7 +163,7 @@
     def _actions(self, now: float) -> list[Action]:
         queued, self._queued = self._queued, {}
         for address, parts in queued.items():
-            if any(isinstance(part, RIDERS) for part in parts):
+            if any(isinstance(part, GOSSIP_CARRIERS) for part in parts):
                 told = {part.name for part in parts if isinstance(part, MemberUpdate)}
                 parts += [item for item in self.members.news() if item.name not in told]
             self._out += [SendTo(address, data) for data in self.seal.pack(parts)]
--- a/heronlug/cluster/ownership.py
+++ b/heronlug/cluster/ownership.py
@@ -13,19 +13,19 @@
 
 
 @lru_cache(maxsize=65_536)
-def weight(duty: str, member: str) -> tuple[int, str]:
+def rendezvous_weight(duty: str, member: str) -> tuple[int, str]:
     """How much a member should own a duty; the member itself breaks ties."""
     return int(xxh64_intdigest(f"{duty}\0{member}".encode())), member
 
 
-def first(duty: str, members: Iterable[str]) -> str:
+def preferred_owner(duty: str, members: Iterable[str]) -> str:
     """The member that should own a duty; none is empty."""
-    return max(members, key=lambda member: weight(duty, member), default="")
+    return max(members, key=lambda member: rendezvous_weight(duty, member), default="")
 
 
-def foremost(duty: str, members: dict[int, str], most: int) -> dict[int, str]:
+def top_ranked(duty: str, members: dict[int, str], most: int) -> dict[int, str]:
     """So many of the members as come first in a duty's rank, by tag; all of them where there are no more."""
     if len(members) <= most:
         return members
     by_name = {name: number for number, name in members.items()}
-    return {by_name[name]: name for name in nlargest(most, by_name, key=lambda member: weight(duty, member))}
+    return {by_name[name]: name for name in nlargest(most, by_name, key=lambda member: rendezvous_weight(duty, member))}
--- a/heronlug/cluster/periodic_tasks.py
+++ b/heronlug/cluster/periodic_tasks.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Duty:
+class PeriodicTask:
     """One periodic duty; times in milliseconds."""
 
     name: str
@@ -18,10 +18,10 @@
 
 
 @dataclass(slots=True)
-class Running:
+class TaskState:
     """What is known here of a duty."""
 
-    duty: Duty
+    duty: PeriodicTask
     fence: FencingToken | None = None  # while it is ours
     due: float = inf
     began: float = -inf  # of the last run here
@@ -33,15 +33,15 @@
 
 
 @dataclass(slots=True)
-class Schedule:
+class TaskSchedule:
     """All duties of a member."""
 
-    duties: dict[str, Running] = field(default_factory=dict)
+    duties: dict[str, TaskState] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, duties: list[Duty]) -> "Schedule":
+    def of(cls, duties: list[PeriodicTask]) -> "TaskSchedule":
         """A schedule of these."""
-        return cls({duty.name: Running(duty) for duty in duties})
+        return cls({duty.name: TaskState(duty) for duty in duties})
 
     def gained(self, name: str, fence: FencingToken, now: float) -> None:
         """It is ours: its first run here is due at once, for nobody knows how long the last one is past."""
--- a/heronlug/cluster/replicated_tables.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -14,16 +14,16 @@
 from typing import NamedTuple
 
 from heronlug.cluster import merkle_trie
-from heronlug.cluster.codec import PULL_MOST, Announce, Part, Piece, Pull, Sync
-from heronlug.cluster.model import NO_FENCE, ClusterTiming, FencingToken, TableChanged
+from heronlug.cluster.codec import MAX_NODES_PER_REQUEST, NodeData, NodeRequest, Part, Sync, TableAnnouncement
+from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, TableChanged
 from heronlug.cluster.ownership import tag
 
-WINDOW = 192  # nodes asked for at once
-LOOSE = 256  # pieces kept that nobody asked for yet: they may have overtaken their announcement
-OLD = 1.1  # beats that a sheet may be old and is still told to whoever comes or asks
-ANSWERED = 200.0  # ms after which what comes is no answer any more
-ASKED = 2  # others that are asked at once
-PUSHED = 12  # nodes sent along with an announcement; what changes more is pulled
+MAX_OPEN_NODE_REQUESTS = 192  # nodes asked for at once
+MAX_UNREQUESTED_NODES = 256  # pieces kept that nobody asked for yet: they may have overtaken their announcement
+MAX_HEARTBEATS_OLD = 1.1  # beats that a sheet may be old and is still told to whoever comes or asks
+ANSWER_WINDOW = 200.0  # ms after which what comes is no answer any more
+MEMBERS_POLLED = 2  # others that are asked at once
+MAX_PUSHED_NODES = 12  # nodes sent along with an announcement; what changes more is pulled
 
 
 class Version(NamedTuple):
@@ -33,7 +33,7 @@
     number: int
 
 
-NEVER = Version(NO_FENCE, 0)
+NO_VERSION = Version(NO_TOKEN, 0)
 
 
 class TableState:
@@ -58,11 +58,11 @@
 
     def __init__(self, name: str) -> None:
         self.name, self.key = name, tag(name)
-        self.version, self.root, self.before = NEVER, merkle_trie.EMPTY, merkle_trie.EMPTY  # what is there whole
+        self.version, self.root, self.before = NO_VERSION, merkle_trie.EMPTY, merkle_trie.EMPTY  # what is there whole
         self.fresh_at = -inf  # when something new was last heard of its owner
         self.pushed: tuple[int, ...] = ()  # nodes that the present root has brought
         self.ours: FencingToken | None = None  # while we publish it
-        self.wanted: Announce | None = None  # what is being pulled
+        self.wanted: TableAnnouncement | None = None  # what is being pulled
         self.source = 0  # from whom
         self.missing: dict[int, int | None] = {}  # nodes of it that are not there, with their counterparts
         self.asked: dict[int, float] = {}  # until when an answer may come
@@ -119,9 +119,9 @@
         """We have not heard of it lately: a few others, who see how old ours is, tell what is newer."""
         topic, others = self.topics[tag(name)], self._others()
         if topic.ours is None and others:
-            for whom in self._rng.sample(others, min(ASKED, len(others))):
+            for whom in self._rng.sample(others, min(MEMBERS_POLLED, len(others))):
                 topic.asked_at = now
-                self._send(whom, Announce(topic.key, topic.version.fence, topic.version.number, topic.root))
+                self._send(whom, TableAnnouncement(topic.key, topic.version.fence, topic.version.number, topic.root))
 
     def next(self) -> float:
         """When there is something to do."""
@@ -165,7 +165,7 @@
         topic.version = Version(fence, topic.version.number + 1 if topic.version.fence == fence else 1)
         if root != topic.root:
             topic.before, topic.root = topic.root, root
-            topic.pushed = tuple(fresh) if len(fresh) <= PUSHED else ()
+            topic.pushed = tuple(fresh) if len(fresh) <= MAX_PUSHED_NODES else ()
             self._sweep()
         topic.fresh_at = now
         self._announce(topic, 0)
@@ -174,11 +174,11 @@
     def _announce(self, topic: TableState, heard_of: int) -> None:
         """Tell a few; the fewer nodes it has brought, the more of it goes along."""
         others = [whom for whom in self._others() if whom != heard_of]
-        part = Announce(topic.key, topic.version.fence, topic.version.number, topic.root)
+        part = TableAnnouncement(topic.key, topic.version.fence, topic.version.number, topic.root)
         for whom in self._rng.sample(others, min(self.terms.fanout, len(others))):
             for name in topic.pushed:
                 if name in self.nodes:
-                    self._send(whom, Piece(self.nodes[name]))
+                    self._send(whom, NodeData(self.nodes[name]))
             self._send(whom, part)
         topic.pushed = ()
 
@@ -208,16 +208,16 @@
 
     def heard(self, sender: int, part: Part, now: float) -> None:
         """A part that has to do with sheets."""
-        if isinstance(part, Announce):
+        if isinstance(part, TableAnnouncement):
             topic = self.topics.get(part.topic)
             if topic is not None:
                 self._heard_of(topic, sender, part, now)
-        elif isinstance(part, Pull):
+        elif isinstance(part, NodeRequest):
             for name in part.names:
                 if name in self.nodes:
-                    self._send(sender, Piece(self.nodes[name]))
+                    self._send(sender, NodeData(self.nodes[name]))
                     self.counts["pieces_sent"] += 1
-        elif isinstance(part, Piece):
+        elif isinstance(part, NodeData):
             self._piece(part.data, now)
         elif isinstance(part, Sync):
             self._greet(sender, now)
@@ -228,15 +228,17 @@
             self._answer(topic, sender, now)
 
     def _answer(self, topic: TableState, sender: int, now: float) -> None:
-        if topic.version != NEVER and (topic.ours is not None or now - topic.fresh_at <= OLD * self.terms.beat):
-            self._send(sender, Announce(topic.key, topic.version.fence, topic.version.number, topic.root))
+        if topic.version != NO_VERSION and (
+            topic.ours is not None or now - topic.fresh_at <= MAX_HEARTBEATS_OLD * self.terms.beat
+        ):
+            self._send(sender, TableAnnouncement(topic.key, topic.version.fence, topic.version.number, topic.root))
 
     def _fresh(self, topic: TableState, now: float) -> float:
         """When its writer was last heard: what was asked for may be as old as it may be told."""
-        asked = topic.version == NEVER or now - topic.asked_at < ANSWERED
-        return max(topic.fresh_at, now - OLD * self.terms.beat) if asked else now
+        asked = topic.version == NO_VERSION or now - topic.asked_at < ANSWER_WINDOW
+        return max(topic.fresh_at, now - MAX_HEARTBEATS_OLD * self.terms.beat) if asked else now
 
-    def _heard_of(self, topic: TableState, sender: int, part: Announce, now: float) -> None:
+    def _heard_of(self, topic: TableState, sender: int, part: TableAnnouncement, now: float) -> None:
         version = Version(part.fence, part.number)
         if version < topic.version:
             self._answer(topic, sender, now)
@@ -279,7 +281,7 @@
         try:
             merkle_trie.rows_of(data)
             merkle_trie.children_of(data)
-        except merkle_trie.BadNode:
+        except merkle_trie.MalformedNodeError:
             self.counts["bad_nodes"] += 1
             return
         name = merkle_trie.name_of(data)
@@ -288,7 +290,7 @@
         wanting = [topic for topic in self.topics.values() if name in topic.missing]
         if not wanting:
             self._loose[name] = data
-            while len(self._loose) > LOOSE:
+            while len(self._loose) > MAX_UNREQUESTED_NODES:
                 self._loose.popitem(last=False)
             return
         self.nodes[name] = data
@@ -305,14 +307,14 @@
 
     def _pull(self, topic: TableState, now: float) -> None:
         """Ask for what is missing, as much at once as the window has room for and in whole datagrams where it can."""
-        room = WINDOW - len(topic.asked)
+        room = MAX_OPEN_NODE_REQUESTS - len(topic.asked)
         free = [name for name in topic.missing if name not in topic.asked][:room]
-        if len(free) < PULL_MOST and topic.asked and len(free) + len(topic.asked) < len(topic.missing):
+        if len(free) < MAX_NODES_PER_REQUEST and topic.asked and len(free) + len(topic.asked) < len(topic.missing):
             return  # more will come to be asked for together
-        for at in range(0, len(free), PULL_MOST):
-            chosen = free[at : at + PULL_MOST]
+        for at in range(0, len(free), MAX_NODES_PER_REQUEST):
+            chosen = free[at : at + MAX_NODES_PER_REQUEST]
             topic.asked.update(dict.fromkeys(chosen, now + self.terms.pull_wait))
-            self._send(topic.source, Pull(tuple(chosen)))
+            self._send(topic.source, NodeRequest(tuple(chosen)))
 
     def _adopt(self, topic: TableState, now: float) -> None:
         """It is there whole: read it, and tell others."""
@@ -323,7 +325,7 @@
         topic.before, topic.root = topic.root, part.root
         topic.fresh_at = self._fresh(topic, now)
         topic.version = _version(part)
-        topic.pushed = tuple(topic.brought) if len(topic.brought) <= PUSHED else ()
+        topic.pushed = tuple(topic.brought) if len(topic.brought) <= MAX_PUSHED_NODES else ()
         topic.brought.clear()
         self._announce(topic, topic.source)
         self._sweep()
@@ -346,7 +348,7 @@
         self._sweep_at = 2 * len(self.nodes) + 1024
 
 
-def _version(part: Announce) -> Version:
+def _version(part: TableAnnouncement) -> Version:
     return Version(part.fence, part.number)
 
 
--- a/heronlug/cluster/schema.py
+++ b/heronlug/cluster/schema.py
@@ -11,13 +11,13 @@
 from heronlug.config.strict_toml.value_types import Text
 from heronlug.net.http import split_address
 
-AT = "cluster"
-LEAST_KEY = 16  # bytes
+SECTION = "cluster"
+MIN_KEY_SIZE = 16  # bytes
 Address = Annotated[str, Meta(min_length=1, description="an address such as 10.0.0.1:7946")]
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds, more than 0 and at most a day")]
 
 
-class DutyTable(Struct, forbid_unknown_fields=True):
+class PeriodicTaskTable(Struct, forbid_unknown_fields=True):
     """A periodic duty: one of the members runs its command at each interval."""
 
     name: Text
@@ -36,7 +36,7 @@
     pattern: Annotated[str, Meta(pattern=r"^[^/]+$", description="file names such as *.plan, without folders")] = "*"
 
 
-class RegisterTable(Struct, forbid_unknown_fields=True):
+class SharedDiscoveryTable(Struct, forbid_unknown_fields=True):
     """How the reading of the node register is shared."""
 
     share: Annotated[Literal["list", "news"], Meta(description='"list" or "news"')]
@@ -45,7 +45,7 @@
     ] = 1500.0
 
 
-class ProbeTable(Struct, forbid_unknown_fields=True):
+class HealthCheckTable(Struct, forbid_unknown_fields=True):
     """How hosts are probed."""
 
     every_s: Annotated[float, Meta(ge=0.1, le=3600, description="seconds, 0.1 to 3600")] = 2.0
@@ -74,72 +74,76 @@
 
 def read(source: Source) -> tuple[dict[str, Any], list[ConfigProblem]]:
     """The table as plain values, paths made whole; and the faults of it."""
-    table, faults = decode(ClusterTable, source.table.get(AT, {}), source, (AT,))
+    table, faults = decode(ClusterTable, source.table.get(SECTION, {}), source, (SECTION,))
     if table is None:
         return {}, faults
     duties: list[dict[str, Any]] = []
     for number, each in enumerate(table.duty):
-        duty, wrong = decode(DutyTable, each, source, (AT, "duty", number))
+        duty, wrong = decode(PeriodicTaskTable, each, source, (SECTION, "duty", number))
         faults += wrong
         if duty is None:
             continue
         if duty.name == "register" or duty.name.startswith("probe-"):
             wrong_text = f"{duty.name!r} is a duty of the program's own"
-            faults.append(source.fault((AT, "duty", number, "name"), wrong_text, "another name"))
+            faults.append(source.fault((SECTION, "duty", number, "name"), wrong_text, "another name"))
         if (duty.command is None) is (duty.sweep is None):
             faults.append(
                 source.fault(
-                    (AT, "duty", number), "there is nothing, or more than one thing, to do", "either command or sweep"
+                    (SECTION, "duty", number),
+                    "there is nothing, or more than one thing, to do",
+                    "either command or sweep",
                 )
             )
         elif duty.sweep is not None:
-            sweep, wrong = decode(SweepTable, duty.sweep, source, (AT, "duty", number, "sweep"))
+            sweep, wrong = decode(SweepTable, duty.sweep, source, (SECTION, "duty", number, "sweep"))
             faults += wrong
             if sweep is not None:
                 folder = str((Path(source.path).parent / sweep.folder).resolve())
                 duty = structs.replace(duty, sweep={**structs.asdict(sweep), "folder": folder})
         if duty.name in [known["name"] for known in duties]:
-            faults.append(source.fault((AT, "duty", number, "name"), f"{duty.name!r} is there twice", "its own name"))
+            faults.append(
+                source.fault((SECTION, "duty", number, "name"), f"{duty.name!r} is there twice", "its own name")
+            )
         if duty.longest_s + duty.jitter_s > duty.every_s:
             wrong_text = f"a run of {duty.longest_s:g} s, {duty.jitter_s:g} s late, is not over when the next begins"
-            faults.append(source.fault((AT, "duty", number, "every_s"), wrong_text, "more than both together"))
+            faults.append(source.fault((SECTION, "duty", number, "every_s"), wrong_text, "more than both together"))
         duties.append(structs.asdict(duty))
     shared: dict[str, dict[str, Any]] = {"register": {}, "probe": {}}
     forms: tuple[tuple[str, type[Struct], Any], ...] = (
-        ("register", RegisterTable, table.register),
-        ("probe", ProbeTable, table.probe),
+        ("register", SharedDiscoveryTable, table.register),
+        ("probe", HealthCheckTable, table.probe),
     )
     for key, form, given in forms:
         if given is not None:
-            made, wrong = decode(form, given, source, (AT, key))
+            made, wrong = decode(form, given, source, (SECTION, key))
             faults += wrong
             shared[key] = structs.asdict(made) if made is not None else {}
     if shared["probe"] and shared["probe"]["timeout_ms"] > shared["probe"]["every_s"] * 1000:
         wrong_text = f"{shared['probe']['timeout_ms']:g} ms is more than the interval"
         right = f"{shared['probe']['every_s'] * 1000:g} at most"
-        faults.append(source.fault((AT, "probe", "timeout_ms"), wrong_text, right))
+        faults.append(source.fault((SECTION, "probe", "timeout_ms"), wrong_text, right))
     advertised = [table.advertise] if table.advertise else []
     for key, addresses in (("listen", [table.listen]), ("advertise", advertised), ("seeds", table.seeds)):
         for number, address in enumerate(addresses):
             try:
                 split_address(address)
             except ValueError as error:
-                at = (AT, key) if key != "seeds" else (AT, key, number)
+                at = (SECTION, key) if key != "seeds" else (SECTION, key, number)
                 faults.append(source.fault(at, str(error), "such as 10.0.0.1:7946"))
     files = [str((Path(source.path).parent / name).resolve()) for name in table.key_files]
     try:
-        keys(files)
+        read_keys(files)
     except (OSError, ValueError) as error:
-        faults.append(source.fault((AT, "key_files"), str(error), f"files of {LEAST_KEY} bytes or more"))
+        faults.append(source.fault((SECTION, "key_files"), str(error), f"files of {MIN_KEY_SIZE} bytes or more"))
     return {**structs.asdict(table), **shared, "key_files": files, "duty": duties}, faults
 
 
-def keys(files: list[str]) -> dict[int, bytes]:
+def read_keys(files: list[str]) -> dict[int, bytes]:
     """The keys by their numbers, the one that signs first; raises ``OSError`` or ``ValueError``."""
     found: dict[int, bytes] = {}
     for name in files:
         data = Path(name).read_bytes().strip()
-        if len(data) < LEAST_KEY:
+        if len(data) < MIN_KEY_SIZE:
             raise ValueError(f"{name}: a key of {len(data)} bytes")
         key = blake2b(data, digest_size=32).digest()
         number = blake2b(key, digest_size=1).digest()[0]
--- a/heronlug/cluster/server_view.py
+++ b/heronlug/cluster/server_view.py
@@ -20,7 +20,7 @@
 from heronlug.requests.model import ListedServer
 
 
-class Source(Enum):
+class ListSource(Enum):
     """Which list holds."""
 
     NONE = "none"
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class KnownList:
     """One list, whole."""
 
     hosts: dict[str, ListedServer] = field(default_factory=dict)
@@ -50,8 +50,8 @@
 
     def __init__(self, share: str = "none", panic_share: float = 0.5) -> None:
         self.share, self.panic_share = share, panic_share
-        self.own, self.shared = Listed(), Listed()
-        self.source = Source.NONE
+        self.own, self.shared = KnownList(), KnownList()
+        self.source = ListSource.NONE
         self.watching = False  # our own watch is on, and what it says is as it was last told
         self.down: dict[str, str] = {}  # hosts that probes have found down, and which shard says so
         self.panic = False
@@ -65,12 +65,12 @@
         """Go by our own list, or by the shared one; what the core is to be told, if anything changes."""
         self.watching = own
         ours = own and self.own.known
-        wanted = Source.OWN if ours else self.source
+        wanted = ListSource.OWN if ours else self.source
         if self.share == "list" and self.shared.known and not ours:
-            wanted = Source.SHARED
+            wanted = ListSource.SHARED
         if wanted is self.source:
             return None
-        self.switches += self.source is not Source.NONE
+        self.switches += self.source is not ListSource.NONE
         self.source = wanted
         return self._news(None)
 
@@ -93,10 +93,10 @@
         if kind is not ListKind.CACHED:
             self.own.known, self.watching = True, True
             self.own.version = version if version is not None else -1
-            self.source = Source.OWN
-        elif self.source is Source.NONE:
-            self.source = Source.OWN
-        elif self.source is Source.SHARED:
+            self.source = ListSource.OWN
+        elif self.source is ListSource.NONE:
+            self.source = ListSource.OWN
+        elif self.source is ListSource.SHARED:
             return None
         whole = kind is not ListKind.CHANGES or self.source is not before
         changed = None if whole else {entry.name for entry in entries}
@@ -109,14 +109,14 @@
         """The shared list has changed; what the core is to be told as changes."""
         entries, gone = list(entries), list(gone)
         self.shared.take(version, entries, gone)
-        if self.source is not Source.SHARED and self.share != "news":
+        if self.source is not ListSource.SHARED and self.share != "news":
             return []
         return self._news({entry.name for entry in entries} | set(gone))[1]
 
-    def prefer(self, listed: Listed) -> list[ListedServer]:
+    def prefer(self, listed: KnownList) -> list[ListedServer]:
         """Of several shared lists this one counts from now on; what the core is to be told as changes."""
         self.shared = listed
-        return self._news(None)[1] if self.source is Source.SHARED or self.share == "news" else []
+        return self._news(None)[1] if self.source is ListSource.SHARED or self.share == "news" else []
 
     def verdicts(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
         """A shard's owner holds these hosts down, and these up again; what the core is to be told as changes."""
@@ -138,7 +138,7 @@
 
     def _news(self, names: set[str] | None) -> tuple[ListKind, list[ListedServer]]:
         """What has changed for the core among these hosts, or among all."""
-        base = self.shared.hosts if self.source is Source.SHARED else self.own.hosts
+        base = self.shared.hosts if self.source is ListSource.SHARED else self.own.hosts
         held_down = sum(name in base for name in self.down)
         panic = held_down > self.panic_share * len(base)
         ahead = self.share == "news" and self.shared.known and self.shared.version > self.own.version
--- a/heronlug/cluster/task_runner.py
+++ b/heronlug/cluster/task_runner.py
@@ -13,16 +13,16 @@
 from typing import Any
 
 from heronlug.cluster.model import FencingToken
-from heronlug.cluster.periodic_tasks import Duty, Schedule
+from heronlug.cluster.periodic_tasks import PeriodicTask, TaskSchedule
 from heronlug.requests.deadlines import Deadlines, Key
 
-Work = Callable[
+TaskFunction = Callable[
     [str, FencingToken], Awaitable[int]
 ]  # one run, returns its status, 0 for well; cancelled when it is late
-SWEEP_SLICE = 256  # files looked at before somebody else has the thread
+FILES_PER_SLICE = 256  # files looked at before somebody else has the thread
 
 
-def work_of(table: dict[str, Any], log: Callable[..., None]) -> Work:
+def task_function(table: dict[str, Any], log: Callable[..., None]) -> TaskFunction:
     """What a ``[[cluster.duty]]`` calls for."""
     if table.get("sweep"):
         return partial(_sweep, table["sweep"], log)
@@ -57,7 +57,7 @@
     """How many were deleted, and how many that are old could not be."""
     swept = kept = 0
     for number, path in enumerate(sorted(folder.glob(pattern))):
-        if number % SWEEP_SLICE == SWEEP_SLICE - 1:
+        if number % FILES_PER_SLICE == FILES_PER_SLICE - 1:
             time.sleep(0.001)
         try:
             status = path.lstat()
@@ -72,7 +72,7 @@
     return swept, kept
 
 
-class Runs:
+class TaskRunner:
     """The periodic duties of this member."""
 
     def __init__(
@@ -84,10 +84,12 @@
         turn: Callable[[], None],
     ) -> None:
         """``tables`` as :mod:`heronlug.cluster.schema` reads ``[[cluster.duty]]``."""
-        self._works = {table["name"]: work_of(table, log) for table in tables}
-        self.schedule = Schedule.of(
+        self._works = {table["name"]: task_function(table, log) for table in tables}
+        self.schedule = TaskSchedule.of(
             [
-                Duty(table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, table["longest_s"] * 1000)
+                PeriodicTask(
+                    table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, table["longest_s"] * 1000
+                )
                 for table in tables
             ]
         )
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -18,16 +18,16 @@
     WakeAt,
 )
 from heronlug.cluster.node import Node
-from heronlug.cluster.schema import keys
-from heronlug.cluster.task_runner import Runs
+from heronlug.cluster.schema import read_keys
+from heronlug.cluster.task_runner import TaskRunner
 from heronlug.discovery.shared_client import DUTY as REGISTER
 from heronlug.discovery.shared_client import SCOUT, SharedDiscovery
 from heronlug.net.http import split_address
 from heronlug.requests.deadlines import Deadlines, Key
 
-LEAVE_WAIT = 3000.0  # so long a planned leave may take
-STAND = 10_000.0  # verdicts of probes count so long after their prober was last heard of
-LOOK = 500.0
+LEAVE_TIMEOUT = 3000.0  # so long a planned leave may take
+HEALTH_CHECK_RESULT_TTL = 10_000.0  # verdicts of probes count so long after their prober was last heard of
+STALE_CHECK_INTERVAL = 500.0
 
 
 class ClusterTransport(asyncio.DatagramProtocol):
@@ -47,7 +47,7 @@
         self.listen = split_address(table["listen"])
         self._table, self._deadlines, self._log, self._turn = table, deadlines, log, turn
         self.register, self.probes = register, probes
-        self.runs = Runs(table["duty"], self._may_act, deadlines, log, turn)
+        self.runs = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
         kept = [REGISTER] if register is not None and register.view.share != "none" else []  # duties
         kept += probes.names if probes is not None else []
         self.node = Node(
@@ -55,7 +55,7 @@
             table["advertise"] or table["listen"],
             table["seeds"],
             [*self.runs.names, *kept],
-            keys(table["key_files"]),
+            read_keys(table["key_files"]),
             int(deadlines.clock()),
             Random(),
             terms,
@@ -83,7 +83,7 @@
         """Hand over what we own, say that we go, and close."""
         if self._transport is not None:
             self._left = asyncio.get_running_loop().create_future()
-            over = self._deadlines.call_after(LEAVE_WAIT, self._gone)
+            over = self._deadlines.call_after(LEAVE_TIMEOUT, self._gone)
             self.act(self.node.leave(self._deadlines.clock()))
             self._turn()
             await self._left
@@ -271,6 +271,6 @@
 
     def _look(self) -> None:
         """Verdicts that nobody stands for are withdrawn."""
-        self._look_at = self._deadlines.call_after(LOOK, self._look)
+        self._look_at = self._deadlines.call_after(STALE_CHECK_INTERVAL, self._look)
         if self.probes is not None:
-            self.probes.stale(STAND)
+            self.probes.stale(HEALTH_CHECK_RESULT_TTL)
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/discovery/shared_client.py
@@ -20,7 +20,7 @@
 from heronlug.cluster import merkle_trie
 from heronlug.cluster.model import FencingToken
 from heronlug.cluster.node import Node
-from heronlug.cluster.server_view import Listed, ServerView, Source
+from heronlug.cluster.server_view import KnownList, ListSource, ServerView
 from heronlug.discovery.client import DiscoveryClient
 from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
 from heronlug.lifecycle.background import beside
@@ -154,7 +154,7 @@
 class Shared:
     """One sheet as it is known here."""
 
-    listed: Listed = field(default_factory=Listed)
+    listed: KnownList = field(default_factory=KnownList)
     watched: bool = True  # by its writer
     anew: float = 0.0  # when the register's versions began anew, Unix ms
 
@@ -415,7 +415,7 @@
         """What we have read, or what we hold from others where we have not; made anew after each change."""
         if self._made is not None:
             return self._made
-        base = self.view.own if self.view.own.known or self.view.source is not Source.SHARED else self.view.shared
+        base = self.view.own if self.view.own.known or self.view.source is not ListSource.SHARED else self.view.shared
         rows = rows_of(base.hosts.values(), self._zones, self._kinds)
         if base.known:
             rows[VERSION] = pack(base.version)
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -84,7 +84,7 @@
 
     def read_keys(self) -> dict[int, bytes]:
         """The keys as their files have them now; raises ``OSError`` or ``ValueError``."""
-        return schema.keys(self.table["key_files"])
+        return schema.read_keys(self.table["key_files"])
 
     def _news(self, kind: ListKind, entries: list[ListedServer]) -> None:
         self._tell(kind, entries)
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from heronlug.cluster import codec
-from heronlug.cluster.codec import MOST, Seal, decode_parts, encode_part
+from heronlug.cluster.codec import MAX_DATAGRAM_SIZE, DatagramCodec, decode_parts, encode_part
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
 WORD = st.integers(0, 2**32 - 1)
@@ -15,21 +15,21 @@
 PARTS = st.one_of(
     st.builds(codec.Ping, WORD),
     st.builds(codec.Ack, WORD),
-    st.builds(codec.PingFor, WORD, WORD),
+    st.builds(codec.IndirectPing, WORD, WORD),
     st.builds(codec.Nack, WORD),
     st.builds(codec.Sync),
-    st.builds(codec.Ask, WORD, FENCE, WORD, FENCE),
-    st.builds(codec.Grant, WORD, FENCE, WORD),
-    st.builds(codec.Deny, WORD, FENCE, WORD),
-    st.builds(codec.Offer, WORD, FENCE),
-    st.builds(codec.Accept, WORD, FENCE),
-    st.builds(codec.Done, WORD, FENCE),
+    st.builds(codec.LeaseRequest, WORD, FENCE, WORD, FENCE),
+    st.builds(codec.LeaseGrant, WORD, FENCE, WORD),
+    st.builds(codec.LeaseDenial, WORD, FENCE, WORD),
+    st.builds(codec.TransferOffer, WORD, FENCE),
+    st.builds(codec.TransferAcceptance, WORD, FENCE),
+    st.builds(codec.TransferCompletion, WORD, FENCE),
     st.builds(MemberUpdate, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
 )
 
 
-def seals() -> tuple[Seal, Seal]:
-    return Seal(1, {1: b"a" * 32}, 0), Seal(2, {1: b"a" * 32}, 0)
+def seals() -> tuple[DatagramCodec, DatagramCodec]:
+    return DatagramCodec(1, {1: b"a" * 32}, 0), DatagramCodec(2, {1: b"a" * 32}, 0)
 
 
 @given(st.lists(PARTS, max_size=30))
@@ -37,7 +37,7 @@
     sender, receiver = seals()
     got: list[codec.Part] = []
     for data in sender.pack(parts):
-        assert len(data) <= MOST
+        assert len(data) <= MAX_DATAGRAM_SIZE
         opened = receiver.unpack(data)
         assert opened is not None and opened[0] == 1
         got += opened[1]
@@ -46,7 +46,7 @@
 
 @given(st.binary(max_size=300))
 def test_no_bytes_raise(data: bytes) -> None:
-    receiver = Seal(2, {1: b"a" * 32}, 0)
+    receiver = DatagramCodec(2, {1: b"a" * 32}, 0)
     assert receiver.unpack(data) is None and receiver.dropped.total() == 1
     with suppress(ValueError):
         decode_parts(data)
@@ -78,14 +78,14 @@
     """The new one is added everywhere, then signs everywhere, then the old one goes: at no step is anything dropped."""
     old, new = {1: b"a" * 32}, {2: b"b" * 32}
     steps = [old, {**old, **new}, {**new, **old}, new]
-    one, other = Seal(1, old, 0), Seal(2, old, 0)
+    one, other = DatagramCodec(1, old, 0), DatagramCodec(2, old, 0)
     for step in steps[1:]:
         for seal in (one, other):  # between the two they differ by a step
             seal.keys = dict(step)
             for sender, receiver in ((one, other), (other, one)):
                 (data,) = sender.pack([codec.Ping(1)])
                 assert receiver.unpack(data) is not None
-    assert Seal(3, old, 0).unpack(one.pack([codec.Ping(1)])[0]) is None
+    assert DatagramCodec(3, old, 0).unpack(one.pack([codec.Ping(1)])[0]) is None
 
 
 def test_sizes_of_the_parts_that_matter() -> None:
@@ -93,4 +93,4 @@
     news = MemberUpdate("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
     assert len(encode_part(codec.Ping(1))) == 5
     assert len(encode_part(news)) == 12 + len(news.name) + len(news.address)
-    assert 6 * len(encode_part(codec.Ask(1, FencingToken(1, 1), 1, FencingToken(1, 1)))) <= codec.ROOM
+    assert 6 * len(encode_part(codec.LeaseRequest(1, FencingToken(1, 1), 1, FencingToken(1, 1)))) <= codec.MAX_BODY_SIZE
--- a/tests/cluster/test_hosts.py
+++ b/tests/cluster/test_hosts.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from heronlug.balancer.events import ListKind, ServerState
-from heronlug.cluster.health_checks import Prober, shard_of
-from heronlug.cluster.server_view import ServerView, Source
+from heronlug.cluster.health_checks import HealthCheckSchedule, shard_of
+from heronlug.cluster.server_view import ListSource, ServerView
 from heronlug.requests.model import ListedServer
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
@@ -26,8 +26,8 @@
     view.own_news(ListKind.FULL, 7, hosts("a", "b"))
     view.shared_news(6, hosts("a"), [])
     view.shared_news(7, hosts("b"), [])
-    assert view.use(own=False) is not None or view.source is Source.SHARED
-    assert view.source is Source.SHARED and not view.watching
+    assert view.use(own=False) is not None or view.source is ListSource.SHARED
+    assert view.source is ListSource.SHARED and not view.watching
 
 
 def test_a_change_of_the_list_tells_only_what_differs() -> None:
@@ -38,7 +38,7 @@
     assert told == (ListKind.CHANGES, [e._replace(state=GONE) for e in hosts("c")])
     assert [e.name for e in view.shared_news(9, hosts("a", state=DRAINING), [])] == ["a"]
     assert view.own_news(ListKind.CHANGES, 9, []) == (ListKind.CHANGES, [*hosts("a"), *hosts("c")])
-    assert view.source is Source.OWN
+    assert view.source is ListSource.OWN
 
 
 def test_a_failed_watch_changes_no_host() -> None:
@@ -115,7 +115,7 @@
 
 
 def test_probes_are_spread_and_verdicts_take_several_in_a_row() -> None:
-    prober = Prober(1000, fall=3, rise=2, most=64)
+    prober = HealthCheckSchedule(1000, fall=3, rise=2, most=64)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
     begun = []
     for tick in range(100, 1100, 100):
@@ -136,7 +136,7 @@
 
 
 def test_so_many_probes_are_out_at_once_and_what_has_gone_counts_no_more() -> None:
-    prober = Prober(100, fall=1, rise=1, most=4)
+    prober = HealthCheckSchedule(100, fall=1, rise=1, most=4)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
     first = prober.begin(1000.0)
     assert len(first) == 4 and not prober.begin(1000.0) and prober.next() == float("inf")
@@ -148,7 +148,7 @@
 
 
 def test_a_successor_begins_with_what_was_down() -> None:
-    prober = Prober(100, fall=3, rise=2, most=4)
+    prober = HealthCheckSchedule(100, fall=3, rise=2, most=4)
     prober.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
     now = 0.0
     said = []
--- a/tests/cluster/test_sheets.py
+++ b/tests/cluster/test_sheets.py
@@ -34,7 +34,7 @@
             changed[key] = value
     assert dict(merkle_trie.walk(nodes, root)) == changed
     assert root == merkle_trie.build(changed, {})
-    assert all(len(node) <= merkle_trie.LEAF_MOST for node in nodes.values())
+    assert all(len(node) <= merkle_trie.MAX_LEAF_SIZE for node in nodes.values())
     told = merkle_trie.difference(nodes, first, root)
     assert told == {k: changed.get(k) for k in rows.keys() | changed.keys() if rows.get(k) != changed.get(k)}
 
@@ -57,8 +57,8 @@
 def test_a_row_that_no_datagram_holds_is_refused_and_nothing_has_changed() -> None:
     nodes: dict[int, bytes] = {}
     root = merkle_trie.build({b"a": b"1"}, nodes)
-    with pytest.raises(ValueError, match=f"{merkle_trie.ROW_MOST} at most"):
-        merkle_trie.change(nodes, root, b"k", b"x" * merkle_trie.ROW_MOST)
+    with pytest.raises(ValueError, match=f"{merkle_trie.MAX_ROW_SIZE} at most"):
+        merkle_trie.change(nodes, root, b"k", b"x" * merkle_trie.MAX_ROW_SIZE)
     assert dict(merkle_trie.walk(nodes, root)) == {b"a": b"1"}
 
 
@@ -67,7 +67,7 @@
     try:
         merkle_trie.rows_of(data)
         merkle_trie.children_of(data)
-    except merkle_trie.BadNode:
+    except merkle_trie.MalformedNodeError:
         return
     assert data[:1] in (b"L", b"B")
 
--- a/tests/cluster/test_states.py
+++ b/tests/cluster/test_states.py
@@ -1,10 +1,10 @@
 """An explicit-state check of the lease protocol: three members, one duty, every order of messages up to a bound.
 
-Members are the real :class:`Leases`. From a state, any member may be woken, the first message of any link may be lost,
-arrive, or arrive and have its answer arrive at once, time may go on by half a lease, the first in rank may change for a
-member, a member may start anew. All states that come of it are visited, each once. In none of them act two, or is a
-vote bound to a fence whose owner is not yet promised all votes. The protocol is also broken on purpose, each time in
-one place, and the check has to find that.
+Members are the real :class:`LeaseManager`. From a state, any member may be woken, the first message of any link may
+be lost, arrive, or arrive and have its answer arrive at once, time may go on by half a lease, the first in rank may
+change for a member, a member may start anew. All states that come of it are visited, each once. In none of them act
+two, or is a vote bound to a fence whose owner is not yet promised all votes. The protocol is also broken on purpose,
+each time in one place, and the check has to find that.
 """
 
 import copy
@@ -16,9 +16,9 @@
 import pytest
 
 from heronlug.cluster import leases
-from heronlug.cluster.codec import Deny, Grant
-from heronlug.cluster.leases import Leases
-from heronlug.cluster.model import NO_FENCE, ClusterTiming
+from heronlug.cluster.codec import LeaseDenial, LeaseGrant
+from heronlug.cluster.leases import LeaseManager
+from heronlug.cluster.model import NO_TOKEN, ClusterTiming
 from heronlug.cluster.ownership import tag
 
 NAMES = ("a", "b", "c")
@@ -39,9 +39,9 @@
         for member in self.members.values():
             member.votes_from = 0.0
 
-    def member(self, name: str) -> Leases:
+    def member(self, name: str) -> LeaseManager:
         others = {tag(other): other for other in NAMES if other != name}
-        made = Leases(
+        made = LeaseManager(
             name,
             1000 + self.lives[name],
             ["duty"],
@@ -123,7 +123,7 @@
         asking = {
             d.fence: name
             for name, d in duties.items()
-            if d.stage is leases.Stage.ASKING and not d.taking and d.freed == NO_FENCE
+            if d.stage is leases.LeaseStage.ASKING and not d.taking and d.freed == NO_TOKEN
         }
         votes = [d.vote for d in duties.values()]
         return [f"{asking[v.fence]} too soon" for v in votes if v.fence in asking and v.until > self.now]
@@ -192,11 +192,11 @@
 def test_a_protocol_broken_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The voter does not wait a lease out."""
 
-    def grant(self: Leases, duty: leases.Duty, ask: Any, now: float) -> Grant | Deny:
+    def grant(self: LeaseManager, duty: leases.LeaseState, ask: Any, now: float) -> LeaseGrant | LeaseDenial:
         duty.vote.fence, duty.vote.until = ask.fence, now + self.terms.lease
-        return Grant(duty.key, ask.fence, ask.number)
+        return LeaseGrant(duty.key, ask.fence, ask.number)
 
-    monkeypatch.setattr(Leases, "_vote", grant)
+    monkeypatch.setattr(LeaseManager, "_vote", grant)
     monkeypatch.setattr(World, "bound_too_soon", lambda self: [])  # that is broken too
     _, broken = visit(STATES * 2)
     assert broken == ["['a', 'b']"]
@@ -204,11 +204,11 @@
 
 def test_votes_bound_without_promises_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """As it was before: 8 and 10 s without an owner, by two that asked with different views."""
-    vote = Leases._vote
+    vote = LeaseManager._vote
 
-    def bind(self: Leases, duty: leases.Duty, ask: Any, now: float) -> Grant | Deny:
-        return vote(self, duty, ask._replace(freed=NO_FENCE) if ask.freed.owner == 0 else ask, now)
+    def bind(self: LeaseManager, duty: leases.LeaseState, ask: Any, now: float) -> LeaseGrant | LeaseDenial:
+        return vote(self, duty, ask._replace(freed=NO_TOKEN) if ask.freed.owner == 0 else ask, now)
 
-    monkeypatch.setattr(Leases, "_vote", bind)
+    monkeypatch.setattr(LeaseManager, "_vote", bind)
     _, broken = visit(STATES)
     assert broken and broken[0].endswith("too soon")
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -31,23 +31,23 @@
 from heronlug.balancer.slow_start import CapacityShares
 from heronlug.cluster import merkle_trie
 from heronlug.cluster.codec import (
-    Accept,
     Ack,
-    Announce,
-    Ask,
-    Deny,
-    Done,
-    Free,
-    Grant,
+    DatagramCodec,
+    IndirectPing,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
     Nack,
-    Offer,
+    NodeData,
+    NodeRequest,
     Part,
-    Piece,
     Ping,
-    PingFor,
-    Pull,
-    Seal,
     Sync,
+    TableAnnouncement,
+    TransferAcceptance,
+    TransferCompletion,
+    TransferOffer,
     encode_part,
 )
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
@@ -86,22 +86,35 @@
 PARTS: list[Part] = [
     Ping(1),
     Ack(2),
-    PingFor(3, 0xA1B2C3D4),
+    IndirectPing(3, 0xA1B2C3D4),
     Nack(4),
     Sync(),
-    Ask(5, FencingToken(2**40, 6), 7, FencingToken(8, 9)),
-    Grant(10, FencingToken(11, 12), 13),
-    Deny(14, FencingToken(15, 16), 17),
-    Offer(18, FencingToken(19, 20)),
-    Accept(21, FencingToken(22, 23)),
-    Done(24, FencingToken(25, 26)),
+    LeaseRequest(5, FencingToken(2**40, 6), 7, FencingToken(8, 9)),
+    LeaseGrant(10, FencingToken(11, 12), 13),
+    LeaseDenial(14, FencingToken(15, 16), 17),
+    TransferOffer(18, FencingToken(19, 20)),
+    TransferAcceptance(21, FencingToken(22, 23)),
+    TransferCompletion(24, FencingToken(25, 26)),
     MemberUpdate("dispatcher-1", "127.0.0.1:7001", 2**41, Health.SUSPECT),
-    Free(27, FencingToken(28, 29)),
-    Announce(30, FencingToken(31, 32), 33, 2**63),
-    Pull((34, 2**64 - 1)),
-    Piece(b"L\x01\x02kvv"),
+    LeaseRelease(27, FencingToken(28, 29)),
+    TableAnnouncement(30, FencingToken(31, 32), 33, 2**63),
+    NodeRequest((34, 2**64 - 1)),
+    NodeData(b"L\x01\x02kvv"),
 ]
-PART_NAMES: dict[type, str] = {MemberUpdate: "News"}  # of 1ac93b2, where they have changed since
+PART_NAMES: dict[type, str] = {  # of 1ac93b2, where they have changed since
+    IndirectPing: "PingFor",
+    LeaseDenial: "Deny",
+    LeaseGrant: "Grant",
+    LeaseRelease: "Free",
+    LeaseRequest: "Ask",
+    MemberUpdate: "News",
+    NodeData: "Piece",
+    NodeRequest: "Pull",
+    TableAnnouncement: "Announce",
+    TransferAcceptance: "Accept",
+    TransferCompletion: "Done",
+    TransferOffer: "Offer",
+}
 KEYS = {3: b"the key of the recorded datagrams", 4: b"another key"}
 ROWS = {b"key-%02d" % number: b"value of row %d" % number for number in range(24)}
 JOBS = [
@@ -140,7 +153,7 @@
 
 def cluster_datagrams() -> bytes:
     """All parts, sealed with the first of two keys."""
-    datagrams = Seal(0x01020304, KEYS, 1000).pack(PARTS)
+    datagrams = DatagramCodec(0x01020304, KEYS, 1000).pack(PARTS)
     return as_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
 
 
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -42,7 +42,7 @@
 from heronlug.balancer.snapshot import restore_snapshot
 from heronlug.balancer.zone_failover.zone_state import ZonePhase, ZoneState
 from heronlug.cluster import merkle_trie
-from heronlug.cluster.codec import Seal, decode_parts
+from heronlug.cluster.codec import DatagramCodec, decode_parts
 from heronlug.cluster.ownership import tag
 from heronlug.discovery.cache import read
 from heronlug.discovery.cache_file import CacheFile
@@ -304,7 +304,7 @@
 
 
 def test_sealed_cluster_datagrams_are_read() -> None:
-    seal = Seal(1, KEYS, 1)
+    seal = DatagramCodec(1, KEYS, 1)
     unpacked = [seal.unpack(data) for data in from_lines(recorded("cluster-datagrams.txt")).values()]
     assert [part for found in unpacked if found for part in found[1]] == PARTS
     assert {found[0] for found in unpacked if found} == {0x01020304}
