--- a/heronlug/backends/pool.py
+++ b/heronlug/backends/pool.py
@@ -10,9 +10,9 @@
 import orjson
 
 from heronlug.balancer.events import Outcome, ProgressKind
-from heronlug.frontends.http.frontend import relay_head
+from heronlug.frontends.http.request import forwarded_headers
 from heronlug.net import http
-from heronlug.net.connection_state import cut, unread
+from heronlug.net.connection_state import has_unread_input, shutdown_sending
 from heronlug.requests.core import POSTPONED_MS, Core
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.model import Attempt, Server
@@ -177,9 +177,11 @@
         remaining = relay.request.give_up_at - self.south.deadlines.clock()
         if relay.request.policy.attempt_timeout:
             remaining = min(remaining, relay.request.policy.attempt_timeout)
-        data = http.request(request.method, request.target, self.address, relay_head(request, remaining), request.body)
+        data = http.request(
+            request.method, request.target, self.address, forwarded_headers(request, remaining), request.body
+        )
         self.relay = relay
-        self.txn, self._before = request.txn, self.txn
+        self.txn, self._before = request.request_id, self.txn
         self._parser = httptools.HttpResponseParser(self)
         self._verdict, self._complete = None, False
         self._expect()
@@ -215,7 +217,7 @@
             return False
         if transport.get_write_buffer_size() or self._verdict is not None:
             return False
-        told = self._status == 200 and self._chunked and self._between and not self._lines.begun
+        told = self._status == 200 and self._chunked and self._between and not self._lines.has_partial_line
         return told or not self._answered
 
     def pause(self) -> tuple[int, dict[str, bool]]:
@@ -232,7 +234,7 @@
 
     def read_on(self, relay: Attempt, answered: bool, last: bool) -> None:
         """Go on with an answer in chunks that another process has begun to read, or with one not begun."""
-        self.relay, self.sent, self.txn = relay, True, relay.request.payload.txn
+        self.relay, self.sent, self.txn = relay, True, relay.request.payload.request_id
         self._parser = httptools.HttpResponseParser(self)
         if answered:
             end = b"Connection: close\r\n" if last else b""
@@ -265,7 +267,7 @@
 
     def sound(self) -> bool:
         """Whether no end of it is waiting to be read, nor anything else."""
-        return self.transport is not None and not unread(self.transport)
+        return self.transport is not None and not has_unread_input(self.transport)
 
     def _finish_lines(self) -> None:
         for line in self._lines.end():
@@ -357,7 +359,10 @@
         while pool:
             connection = pool.pop()
             rested = connection.deadline is not None and connection.deadline[0] <= self.deadlines.clock()
-            named = connection.txn != relay.request.payload.txn and self.deadlines.clock() >= connection.nameless_until
+            named = (
+                connection.txn != relay.request.payload.request_id
+                and self.deadlines.clock() >= connection.nameless_until
+            )
             if rested:
                 connection.close()  # its time is over, though the loop has not come to close it
             elif not named or (once and connection.nameless_until):
@@ -399,7 +404,7 @@
         if connection is not None:
             connection.relay = None
             if connection.sent and connection.transport is not None:
-                cut(connection.transport)  # else the next attempt might be out beside this one
+                shutdown_sending(connection.transport)  # else the next attempt might be out beside this one
             connection.close()
 
     def dialled(self, connection: ServerConnection) -> None:
--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -15,7 +15,7 @@
 from heronlug.discovery.freshness import Event, Freshness, State
 from heronlug.discovery.poll_failure import PollFailure
 from heronlug.net import http
-from heronlug.net.connection_state import unread
+from heronlug.net.connection_state import has_unread_input
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.model import ListedServer
 
@@ -265,7 +265,7 @@
         if now - self._read_at < READ_WITHIN:
             return False
         call = self.call
-        if call is not None and call.transport is not None and not call.lost and unread(call.transport):
+        if call is not None and call.transport is not None and not call.lost and has_unread_input(call.transport):
             return True
         self._read_at = now
         return False
--- a/heronlug/frontends/faktory/frontend.py
+++ b/heronlug/frontends/faktory/frontend.py
@@ -23,7 +23,7 @@
 from heronlug.balancer.settings import RequestClass
 from heronlug.frontends.faktory.recovery import Kept, Store, Way, left, must_be_kept_first, recovered
 from heronlug.net import http
-from heronlug.net.connection_state import left as has_left
+from heronlug.net.connection_state import peer_has_closed
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
@@ -224,7 +224,7 @@
     @property
     def here(self) -> bool:
         """Whether the other side has not left, as far as our machine knows, read or not."""
-        return self.transport is not None and not self._closing and not has_left(self.transport)
+        return self.transport is not None and not self._closing and not peer_has_closed(self.transport)
 
     def hold(self) -> Callable[[bytes], None]:
         """Read no further until what this returns is called with the reply; it may be called at once."""
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -115,7 +115,7 @@
         )
         self.transport.frontend = self.frontend
         self.listener = Listener(Acceptor("clients", self.frontend.protocol, self.log))
-        self.listener.acceptor.exhausted = self.frontend.make_room
+        self.listener.acceptor.on_exhausted = self.frontend.evict_one
 
     def _make_shutdown(self) -> None:
         """The drain or stop, and the handover to and from another process."""
@@ -125,7 +125,7 @@
             deadlines,
             max_deadline,
             self._open_work,
-            lambda: self.frontend.came_at,
+            lambda: self.frontend.last_client_at,
             self.peers.serving,
             self.peers.leave,
             self.peers.stay,
@@ -245,7 +245,7 @@
     def _open_work(self) -> int:
         """Requests, jobs and clients' connections that a stop waits for."""
         jobs = sum(len(core.requests) for core in self._cores())
-        return jobs + len(self.frontend.connections) + self.listener.waits
+        return jobs + len(self.frontend.connections) + self.listener.has_pending_connection
 
     def _more_figures(self) -> str:
         listeners = [self.listener, self.admin_listener]
--- a/heronlug/lifecycle/hot_restart/state_transfer.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -13,7 +13,8 @@
 from heronlug.config.limits import model
 from heronlug.config.platform import Config
 from heronlug.discovery.endpoint_list import EndpointListError, write_list
-from heronlug.frontends.http.frontend import ClientConnection, HttpFrontend
+from heronlug.frontends.http.connection import ClientConnection
+from heronlug.frontends.http.frontend import HttpFrontend
 from heronlug.frontends.http.request_table import read_request, write_request
 from heronlug.lifecycle.discovery_service import DiscoveryService, write_current_list
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
@@ -217,7 +218,7 @@
             if len(out) != len(rest) or len(out) != sum(attempt.in_flight for _, attempt in passed) or whole != 0:
                 raise ValueError("not one connection for each relay that is out")
             give_up_at, accepted_at = float(table["give_up_at"]), float(table["taken_at"])
-            terms = self._daemon.core.settings.classes[request.lane]
+            terms = self._daemon.core.settings.classes[request.class_index]
             if "terms" in table:  # a program of before limits tells none
                 terms = model.read(terms, table["terms"])
             not_before = float(table.get("not_before", 0.0))
@@ -229,7 +230,7 @@
 
         def made(connection: ClientConnection) -> None:
             request.connection = connection
-            message = Request(request, request.lane, terms, give_up_at, accepted_at, request.txn)
+            message = Request(request, request.class_index, terms, give_up_at, accepted_at, request.request_id)
             self._daemon.core.adopt(message, passed, request.workload, not_before)
             # the module may have ended some of them by now, or have sent one more, which has its own connection
             theirs = [relay for relay, (_, attempt) in zip(message.attempts, passed, strict=False) if attempt.in_flight]
@@ -239,7 +240,7 @@
                 else:
                     sock.close()
             if not message.closed:
-                connection.carry(message)
+                connection.resume_request(message)
 
         self._daemon.frontend.adopt(first, True, made)
 
@@ -248,7 +249,7 @@
         self.handover.tell({"opened" if opened else "ended": [name]})
 
     def _pass_on(self) -> None:
-        self._daemon.frontend.pass_on(self.handover.pass_on)
+        self._daemon.frontend.hand_over_idle(self.handover.pass_on)
         if self._daemon.shutdown.stopping:
             for message in self._daemon.core.requests:
                 self._pass_message(message)
@@ -258,7 +259,7 @@
         core, client = self._daemon.core, message.payload.connection
         attempts = core.attempt_snapshots(message)
         wires = [relay.exchange for relay in message.attempts if relay.in_flight]
-        if attempts is None or client is None or not client.can_pass() or len(wires) >= MAX_FDS:
+        if attempts is None or client is None or not client.can_hand_over() or len(wires) >= MAX_FDS:
             return
         if not all(wire is not None and wire.can_pass() for wire in wires):
             return
@@ -274,9 +275,9 @@
             "attempts": [list(attempt) for _, attempt in attempts],
             "wires": [known for _, known in paused],
         }
-        self.handover.pass_message(table, [client.pause(), *(fd for fd, _ in paused)])
+        self.handover.pass_message(table, [client.pause_for_handover(), *(fd for fd, _ in paused)])
         core.hand_over(message)
-        client.let_go()
+        client.detach()
         for wire in wires:
             wire.let_go()
 
--- a/heronlug/lifecycle/readiness.py
+++ b/heronlug/lifecycle/readiness.py
@@ -40,7 +40,7 @@
         """Whether this process itself takes new clients."""
         return self.ready() and not self.hot_restart.handed
 
-    def parting(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether clients' connections end with their next answer."""
         return self.shutdown.is_draining()
 
--- a/heronlug/net/__init__.py
+++ b/heronlug/net/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on sockets and pipes: the two fronts, the south side, and the simulator."""
+"""Sockets and HTTP/1.1, as the frontends, the backends and service discovery share them."""
--- a/heronlug/net/acceptor.py
+++ b/heronlug/net/acceptor.py
@@ -1,8 +1,8 @@
-"""Accepting connections so that what cannot be accepted now goes on waiting in the listening socket's queue.
+"""Accepts connections so that those that cannot be accepted now stay in the listening socket's queue.
 
-The event loop's own server gives up a spare descriptor when there is none left, accepts what waits and closes it: each
-is a request that was read by our machine and gets no answer.  Here a call that fails for want of something leaves the
-queue as it is, and is tried again after a pause that doubles up to a bound.
+The event loop's own server, when no descriptor is left, frees a spare one, accepts the waiting connections and closes
+them: requests that have reached the machine get no answer. Here, an accept that fails for want of a resource leaves the
+queue as it is, and is retried after a backoff that doubles up to a bound.
 """
 
 import asyncio
@@ -10,102 +10,136 @@
 import socket
 from collections.abc import Callable
 
-BATCH = 64  # connections accepted in one turn of the loop; the rest wait for the next
-PAUSE_FIRST, PAUSE_MOST = 0.005, 0.1  # s until accept is tried again
-LOG_EVERY = 1.0  # s between two log lines of failures
-EXHAUSTED_AFTER = 0.5  # s of failures in a row without a descriptor, after which a connection that rests makes room
-NO_DESCRIPTOR = {errno.EMFILE, errno.ENFILE}
-SHORT = NO_DESCRIPTOR | {errno.ENOBUFS, errno.ENOMEM}  # of something that the system may have again soon
-OVER = {errno.EBADF, errno.EINVAL, errno.ENOTSOCK}  # nobody listens any more: a pause mends nothing
+from heronlug.requests.interfaces import EventLog
 
-Protocols = Callable[[], asyncio.Protocol]
+BATCH_SIZE = 64
+"""Connections accepted in one turn of the loop; the rest wait for the next one."""
+
+INITIAL_BACKOFF_S = 0.005
+"""Time until accept is tried again after its first failure."""
+
+MAX_BACKOFF_S = 0.1
+"""The longest time until accept is tried again."""
+
+LOG_INTERVAL_S = 1.0
+"""Time between two log lines of failures."""
+
+EXHAUSTED_AFTER_S = 0.5
+"""Time without a free descriptor after which a connection is to be evicted."""
+
+DESCRIPTOR_ERRORS = frozenset({errno.EMFILE, errno.ENFILE})
+"""No descriptor is left, in the process or in the system."""
+
+RESOURCE_ERRORS = DESCRIPTOR_ERRORS | {errno.ENOBUFS, errno.ENOMEM}
+"""Something is lacking that the system may have again soon."""
+
+LISTENER_ERRORS = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTSOCK})
+"""The socket does not listen any more."""
+
+ProtocolFactory = Callable[[], asyncio.Protocol]
+"""Makes the protocol of a new connection."""
+
+
+def do_nothing() -> None:
+    """Evict nothing."""
 
 
 class Acceptor:
-    """Takes connections off one listening socket, which it does not own."""
+    """Accepts connections from one listening socket, which it does not own.
+
+    Attributes:
+        name: whose connections these are, for the log.
+        failures: calls of accept that failed, since the start.
+        on_exhausted: asked to close a connection when descriptors stay exhausted.
+    """
 
-    def __init__(self, name: str, protocol: Protocols, log: Callable[..., None]) -> None:
-        """``name`` says in the log whose connections these are."""
+    def __init__(self, name: str, protocol_factory: ProtocolFactory, log: EventLog) -> None:
+        """Make an acceptor that does not accept yet."""
         self.name = name
-        self.failures = 0  # calls of accept that failed, since the start
-        self.exhausted: Callable[[], None] = lambda: None  # asked to close something where descriptors stay short
-        self._protocol, self._log = protocol, log
+        self.failures = 0
+        self.on_exhausted: Callable[[], None] = do_nothing
+        self._protocol_factory = protocol_factory
+        self._log = log
         self._socket: socket.socket | None = None
         self._opening: set[asyncio.Task[object]] = set()
         self._retry: asyncio.TimerHandle | None = None
-        self._pause = PAUSE_FIRST
-        self._short_since: float | None = None
-        self._logged_at = -LOG_EVERY
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._exhausted_since: float | None = None
+        self._logged_at = -LOG_INTERVAL_S
 
     @property
     def active(self) -> bool:
-        """Whether connections are taken."""
+        """Whether connections are accepted."""
         return self._socket is not None
 
     @property
     def opening(self) -> int:
-        """Connections that have been accepted and have no protocol yet."""
+        """The number of connections that have been accepted and have no protocol yet."""
         return len(self._opening)
 
     def start(self, listening: socket.socket) -> None:
-        """Take what comes at this socket."""
+        """Accept the connections of this socket."""
         listening.setblocking(False)
         self._socket = listening
         self._watch()
 
     def stop(self) -> None:
-        """Take no more; what has been accepted is still opened."""
+        """Accept no more; connections that have been accepted are still opened."""
         if self._retry is not None:
             self._retry.cancel()
         elif self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket)
-        self._retry = self._socket = None
+        self._retry = None
+        self._socket = None
 
     def _watch(self) -> None:
         self._retry = None
         if self._socket is not None:
-            asyncio.get_running_loop().add_reader(self._socket, self._accept)
+            asyncio.get_running_loop().add_reader(self._socket, self._accept_batch, self._socket)
 
-    def _accept(self) -> None:
-        """Connections wait."""
-        assert self._socket is not None
-        for _ in range(BATCH):
+    def _accept_batch(self, listening: socket.socket) -> None:
+        """Accept what waits in the queue, up to one batch."""
+        for _ in range(BATCH_SIZE):
             try:
-                connection, _ = self._socket.accept()
+                connection, _ = listening.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                self._failed(error)
-                if error.errno in SHORT or error.errno in OVER:
-                    self._rest(error)
+                self._count_failure(error)
+                if error.errno in RESOURCE_ERRORS or error.errno in LISTENER_ERRORS:
+                    self._back_off(listening, error)
                     return
-                continue  # the connection ended while it waited; the next one need not
-            self._pause, self._short_since = PAUSE_FIRST, None
+                continue  # this connection ended while it waited; the next one may be well
+            self._backoff_s = INITIAL_BACKOFF_S
+            self._exhausted_since = None
             self._open(connection)
 
     def _open(self, connection: socket.socket) -> None:
         connection.setblocking(False)
         loop = asyncio.get_running_loop()
-        task: asyncio.Task[object] = loop.create_task(loop.connect_accepted_socket(self._protocol, connection))
+        task: asyncio.Task[object] = loop.create_task(loop.connect_accepted_socket(self._protocol_factory, connection))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
 
-    def _failed(self, error: OSError) -> None:
+    def _count_failure(self, error: OSError) -> None:
         self.failures += 1
         now = asyncio.get_running_loop().time()
-        if now - self._logged_at >= LOG_EVERY:
+        if now - self._logged_at >= LOG_INTERVAL_S:
             self._logged_at = now
             code = errno.errorcode.get(error.errno or 0, str(error.errno))
             self._log("accept_failed", listener=self.name, error=code, failures=self.failures)
 
-    def _rest(self, error: OSError) -> None:
-        """Leave the queue alone for a while, without asking the loop again and again."""
-        assert self._socket is not None
+    def _back_off(self, listening: socket.socket, error: OSError) -> None:
+        """Leave the queue alone for a while, so that the loop does not spin on it."""
         loop = asyncio.get_running_loop()
-        loop.remove_reader(self._socket)
-        if error.errno in NO_DESCRIPTOR:
-            self._short_since = self._short_since if self._short_since is not None else loop.time()
-            if loop.time() - self._short_since >= EXHAUSTED_AFTER:
-                self.exhausted()
-        self._retry = loop.call_later(self._pause, self._watch)
-        self._pause = min(PAUSE_MOST, 2 * self._pause)
+        loop.remove_reader(listening)
+        if error.errno in DESCRIPTOR_ERRORS:
+            self._note_exhaustion(loop.time())
+        self._retry = loop.call_later(self._backoff_s, self._watch)
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
+
+    def _note_exhaustion(self, now: float) -> None:
+        if self._exhausted_since is None:
+            self._exhausted_since = now
+        if now - self._exhausted_since >= EXHAUSTED_AFTER_S:
+            self.on_exhausted()
--- a/heronlug/net/http.py
+++ b/heronlug/net/http.py
@@ -1,10 +1,15 @@
-"""HTTP/1.1 pieces that the north side, the south side and the inventory share: bytes in, bytes out."""
+"""Pieces of HTTP/1.1 without I/O that the frontend, the backends and service discovery share."""
 
 from urllib.parse import unquote_to_bytes
 
 MAX_BODY = 64 * 1024
+"""Bytes of the largest body of a request."""
+
 MAX_HEAD = 16 * 1024
+"""Bytes of the largest head of a request: its first line and its headers."""
+
 MAX_LINE = 256 * 1024
+"""Bytes of the longest line that :class:`Lines` takes."""
 
 REASONS = {
     200: "OK",
@@ -20,10 +25,18 @@
     501: "Not Implemented",
     503: "Service Unavailable",
 }
+"""The reason phrase of each status that is sent."""
 
 
 def response(status: int, body: bytes = b"", *, close: bool = False, retry_after: float = 0.0) -> bytes:
-    """A whole response; ``retry_after`` is in milliseconds, 0 for none."""
+    """A complete response.
+
+    Args:
+        status: its status, one of ``REASONS``.
+        body: its body.
+        close: the connection ends with it.
+        retry_after: milliseconds until the client may retry, 0 for no such header.
+    """
     head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n"
     if retry_after > 0:
         head += f"Retry-After: {retry_after / 1000:.3f}\r\n"
@@ -33,7 +46,7 @@
 
 
 def request(method: bytes, target: bytes, host: str, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A whole request."""
+    """A complete request."""
     lines = [method + b" " + target + b" HTTP/1.1", b"Host: " + host.encode()]
     lines += [name + b": " + value for name, value in headers]
     if body or method == b"POST":
@@ -42,13 +55,17 @@
 
 
 def first_segment(target: bytes) -> str:
-    """The first part of a path, without the query."""
+    """The first segment of a path, decoded and without the query."""
     path = target.split(b"?", 1)[0]
     return unquote_to_bytes(path.lstrip(b"/").split(b"/", 1)[0]).decode("utf-8", "replace")
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of ``10.0.0.4:8081``; raises ``ValueError``."""
+    """Host and port of an address like ``10.0.0.4:8081``.
+
+    Raises:
+        ValueError: it is not of that form.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is no address of the form host:port")
@@ -56,7 +73,7 @@
 
 
 class Lines:
-    """Lines out of chunks that may end anywhere."""
+    """Splits chunks that may end anywhere into lines."""
 
     __slots__ = ("_rest",)
 
@@ -64,18 +81,22 @@
         self._rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now; raises ``ValueError`` for one that is too long."""
+        """The lines that a chunk completes, without empty ones.
+
+        Raises:
+            ValueError: a line is longer than ``MAX_LINE``.
+        """
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_LINE:
             raise ValueError("line too long")
         return [line for line in lines if line.strip()]
 
     @property
-    def begun(self) -> bool:
-        """Whether a line has begun and is not whole."""
+    def has_partial_line(self) -> bool:
+        """Whether a line has begun and is not complete."""
         return bool(self._rest)
 
     def end(self) -> list[bytes]:
-        """What is left when no more comes: a last line may lack its end."""
+        """The last line, which may lack its end, once no more chunks come."""
         rest, self._rest = self._rest, b""
         return [rest] if rest.strip() else []
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -54,7 +54,7 @@
 from heronlug.discovery.cache import write
 from heronlug.discovery.endpoint_list import read_list, write_list
 from heronlug.discovery.shared_client import rows_of
-from heronlug.frontends.http.frontend import HttpRequest
+from heronlug.frontends.http.request import HttpRequest
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 from heronlug.lifecycle.peer_messages import PeerMessages
 from heronlug.peers.datagrams import PeerSocket
@@ -299,7 +299,7 @@
     def connection(self) -> MagicMock:
         """A client's or a server's, that may be handed over."""
         connection = MagicMock()
-        connection.can_pass.return_value = True
+        connection.can_pass.return_value = connection.can_hand_over.return_value = True
         return connection
 
     def _sent(self, relay: Any) -> None:
@@ -310,7 +310,7 @@
         sock.close()
         if made is not None:
             client = self.connection()
-            client.pause.return_value = self.descriptors()[0]
+            client.pause_for_handover.return_value = self.descriptors()[0]
             made(client)
 
     def run_request(self) -> None:
@@ -318,11 +318,11 @@
         self.core.update_servers(ListKind.FULL, SERVERS[:3])
         request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=\xfe", b"\x00\xff body"
-        request.headers, request.txn, request.lane = {b"x-txn": b"t-1", b"x-labels": b"\xe4=1"}, "t-1", 0
+        request.headers, request.request_id, request.class_index = {b"x-txn": b"t-1", b"x-labels": b"\xe4=1"}, "t-1", 0
         request.workload, request.keep_alive, request.connection = Workload(slots=2.0, retry=True), False, None
         message = self.core.accept(request, 0, 4000.0, request_id="t-1", workload=request.workload)
         request.connection = self.connection()
-        cast(Any, request.connection).pause.return_value = self.descriptors()[0]
+        cast(Any, request.connection).pause_for_handover.return_value = self.descriptors()[0]
         self.core.attempt_ended(message.attempts[0], Outcome.FULL)
         self.core.attempt_progressed(message.attempts[1], ProgressKind.STARTED)
 
@@ -349,7 +349,7 @@
     """What an old process tells a new one that joins, serves and is handed a client and a request."""
     process = Process(str(folder))
     process.run_request()
-    process.daemon.frontend.pass_on.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
+    process.daemon.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
     process.takeover.handover.listen()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(next(folder.glob("heronlug-*"))))
--- a/tests/end_to_end/test_closing.py
+++ b/tests/end_to_end/test_closing.py
@@ -7,7 +7,7 @@
 import signal
 
 from end_to_end.house import House, Kernel, done, message, play
-from heronlug.frontends.http.frontend import ClientConnection
+from heronlug.frontends.http.connection import ClientConnection
 
 HEALTH = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -89,13 +89,13 @@
     async def test() -> None:
         async with House(1, sockets=96).open() as house:
             clients = [await known(house) for _ in range(16)]
-            opened = house.daemon.frontend.opened
+            opened = house.daemon.frontend.connection_opened
 
             def crossed(connection: ClientConnection) -> None:
                 clients[0].send(message("t1", "safe", 4000))
                 opened(connection)
 
-            house.daemon.frontend.opened = crossed  # type: ignore[method-assign]
+            house.daemon.frontend.connection_opened = crossed  # type: ignore[method-assign]
             newcomer = house.kernel()
             await gets(house, clients[0], "t1")
             newcomer.send(HEALTH)
--- a/tests/end_to_end/test_hosts.py
+++ b/tests/end_to_end/test_hosts.py
@@ -9,7 +9,7 @@
 from end_to_end.test_leaving import warm
 from heronlug.backends.pool import ServerConnection
 from heronlug.balancer.events import ListKind, ServerState
-from heronlug.net.connection_state import left
+from heronlug.net.connection_state import peer_has_closed
 from heronlug.requests.model import Attempt
 
 FAILED, REFUSED = b"HTTP/1.1 500 ", b"HTTP/1.1 503 "
@@ -360,7 +360,7 @@
         write, watched, over = ServerConnection.write, list[End](), list[bool]()
 
         def written(connection: ServerConnection, relay: Attempt) -> None:
-            over.extend(left(end.transport) for end in watched if end.transport is not None)
+            over.extend(peer_has_closed(end.transport) for end in watched if end.transport is not None)
             write(connection, relay)
 
         with mock.patch.object(ServerConnection, "write", written):
--- a/tests/end_to_end/test_leaving.py
+++ b/tests/end_to_end/test_leaving.py
@@ -11,7 +11,7 @@
 
 from end_to_end.house import HEAD, TURNED_AWAY, End, House, Kernel, done, line, message, name_of, play, served
 from heronlug.discovery.endpoint_list import write_list
-from heronlug.frontends.http.frontend import HttpRequest
+from heronlug.frontends.http.request import HttpRequest
 from heronlug.frontends.http.request_table import write_request
 from heronlug.requests.model import Workload
 
@@ -248,9 +248,9 @@
                 client = Kernel(f"127.0.0.1:{before.getsockname()[1]}")
                 passed, _ = before.accept()
             request = HttpRequest()
-            request.method, request.target, request.body, request.txn = b"POST", b"/safe", b"hi", "t1"
+            request.method, request.target, request.body, request.request_id = b"POST", b"/safe", b"hi", "t1"
             request.headers = {b"x-txn": b"t1", b"x-lane": b"safe"}
-            request.lane = next(n for n, c in enumerate(house.daemon.core.settings.classes) if c.name == "safe")
+            request.class_index = next(n for n, c in enumerate(house.daemon.core.settings.classes) if c.name == "safe")
             request.workload = Workload()
             if way:
                 client.leave(way)
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -14,7 +14,7 @@
 from heronlug.balancer.actions import Reject
 from heronlug.balancer.events import AttemptEnded, AttemptSnapshot, PeerGone, RequestAdopted, RequestHandedOver
 from heronlug.balancer.settings import Effect
-from heronlug.frontends.http.frontend import HttpRequest
+from heronlug.frontends.http.request import HttpRequest
 from heronlug.frontends.http.request_table import read_request, write_request
 from heronlug.lifecycle.hot_restart.channel import PeerProcess
 from heronlug.requests.core import Core
@@ -103,10 +103,10 @@
     def test_request_comes_out_as_it_went_in(self) -> None:
         request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=%ff\xfe", bytes(range(256))
-        request.headers, request.txn, request.lane = {b"x-txn": b"t", b"x-labels": b"\xe4=1"}, "t", 2
+        request.headers, request.request_id, request.class_index = {b"x-txn": b"t", b"x-labels": b"\xe4=1"}, "t", 2
         request.workload, request.keep_alive = Workload(slots=2.0, retry=True), False
         other = read_request(json.loads(json.dumps(write_request(request))))
-        for name in ("method", "target", "body", "headers", "txn", "lane", "workload", "keep_alive"):
+        for name in ("method", "target", "body", "headers", "request_id", "class_index", "workload", "keep_alive"):
             self.assertEqual(getattr(other, name), getattr(request, name))
 
 
@@ -162,7 +162,7 @@
         south.core = core
         core.update_servers(ListKind.FULL, [ListedServer("h", "127.0.0.1:9")])
         request = HttpRequest()
-        request.method, request.target, request.txn, request.lane = b"POST", b"/x", "t", 0
+        request.method, request.target, request.request_id, request.class_index = b"POST", b"/x", "t", 0
         core.accept(request, 0, 4000.0, request_id="t")
         connection = ServerConnection(south, relays[0].server, "127.0.0.1:9")
         connection.ticket = south.connections.add(connection)
