--- a/heronlug/balancer/attempt_timeouts.py
+++ b/heronlug/balancer/attempt_timeouts.py
@@ -15,7 +15,7 @@
     def __init__(self, timers: TimerQueue, open_requests: OpenRequests, outbox: Outbox) -> None:
         self._timers, self._open_requests, self._outbox = timers, open_requests, outbox
 
-    def watch(self, attempt: Attempt) -> None:
+    def watch(self, attempt: Attempt, now: float) -> None:
         """Set the timer of an attempt, if its class limits its time."""
         timeout = attempt.request.policy.attempt_timeout
         if timeout:
--- a/heronlug/balancer/hedging.py
+++ b/heronlug/balancer/hedging.py
@@ -8,11 +8,12 @@
 request.
 """
 
-from collections.abc import Callable
 from math import log
 
 from heronlug.balancer.attempt_starts import AttemptStarts
-from heronlug.balancer.model import Attempt, Request, Server
+from heronlug.balancer.attempts import AttemptStarter
+from heronlug.balancer.model import Attempt, Request
+from heronlug.balancer.queue import RequestQueue
 from heronlug.balancer.selection import Selection
 from heronlug.balancer.state import BalancerState
 
@@ -25,13 +26,13 @@
 
     __slots__ = (
         "_can_hedge",
-        "_has_queue",
         "_open_requests",
+        "_queue",
         "_recheck_after",
         "_run_times",
         "_selection",
         "_settings",
-        "_start",
+        "_starter",
         "_starts",
         "_timers",
     )
@@ -41,24 +42,13 @@
         state: BalancerState,
         starts: AttemptStarts,
         selection: Selection,
-        *,
-        start: Callable[[Request, Server, float], None],
-        has_queue: Callable[[], bool],
+        starter: AttemptStarter,
+        queue: RequestQueue,
     ) -> None:
-        """Make it.
-
-        Args:
-            state: of the dispatcher.
-            starts: delays of reported starts.
-            selection: chooses the server of a copy.
-            start: starts an attempt of a request at a server.
-            has_queue: whether requests wait for a server that may still be in time.
-        """
         self._settings, self._can_hedge = state.settings, state.derived.can_hedge
         self._recheck_after = CHECK_INTERVALS * state.derived.check_interval
         self._timers, self._open_requests, self._run_times = state.timers, state.open_requests, state.run_times
-        self._starts, self._selection = starts, selection
-        self._start, self._has_queue = start, has_queue
+        self._starts, self._selection, self._starter, self._queue = starts, selection, starter, queue
 
     def watch(self, attempt: Attempt, now: float) -> None:
         """Plan when to look at an attempt that has just started to be in flight here."""
@@ -78,7 +68,7 @@
             return
         all_silent = all(other.silent or not other.in_flight for other in request.attempts)
         too_early = not policy.hedge or now < attempt.sent_at + policy.hedge_after
-        if not all_silent or not self._can_hedge or self._has_queue() or request.non_idempotent or too_early:
+        if not all_silent or not self._can_hedge or self._queue.in_time or request.non_idempotent or too_early:
             return
         self._start_copy(request, now)
 
@@ -109,5 +99,5 @@
         server = self._selection.choose(request, now)
         if server is None:
             return False
-        self._start(request, server, now)
+        self._starter.start(request, server, now)
         return True
--- /dev/null
+++ b/heronlug/balancer/learning.py
@@ -0,0 +1,56 @@
+"""What the end of an attempt teaches: slots and payoff of its server, its health, and whether it is an outlier."""
+
+from heronlug.balancer.events import AttemptEnded, Outcome
+from heronlug.balancer.model import Attempt
+from heronlug.balancer.outlier_detection import FAILURES, OutlierDetection
+from heronlug.balancer.overload import OverloadDetector
+from heronlug.balancer.payoffs import PayoffGrading
+from heronlug.balancer.state import BalancerState
+
+
+class OutcomeLearning:
+    """Learns from the ends of this dispatcher's attempts."""
+
+    __slots__ = ("_grading", "_outliers", "_overload", "_state")
+
+    def __init__(
+        self, state: BalancerState, grading: PayoffGrading, overload: OverloadDetector, outliers: OutlierDetection
+    ) -> None:
+        self._state, self._grading, self._overload, self._outliers = state, grading, overload, outliers
+
+    def record_end(self, attempt: Attempt, event: AttemptEnded, now: float) -> bool:
+        """Record how an attempt has ended; returns whether that may change the ranking."""
+        server, outcome = attempt.server, event.outcome
+        free_slots_index = self._state.derived.free_slots_index
+        if 0 <= free_slots_index < len(event.report):
+            server.capacity.record_free_slots(event.report[free_slots_index])
+        if outcome == Outcome.SERVED:
+            server.outlier.last_progress_at, server.outlier.unresponsive = now, False
+        had_started = not attempt.unstarted
+        attempt.record_end(outcome)
+        was_cancelled = outcome == Outcome.CANCELLED
+        if was_cancelled and not (had_started and self._state.settings.reports_start):
+            return False  # it may have waited for others all the time, which says nothing of the server
+        return self._learn(attempt, event, now)
+
+    def _learn(self, attempt: Attempt, event: AttemptEnded, now: float) -> bool:
+        server, outcome = attempt.server, event.outcome
+        run_time = self._overload.run_time(attempt, event.latency, now)
+        payoff = self._grading.grade(attempt, outcome, event.latency, run_time)
+        if payoff is None:
+            return False
+        server.payoff.add(payoff)
+        failed = outcome in FAILURES
+        self._state.peer_load.record_outcome(server, failed)
+        server.outlier.record_end(failed, now)
+        self._outliers.record_outcome(server, outcome, now)
+        return True
+
+    def judge_rejections(self, attempt: Attempt, outcome: Outcome | int, now: float) -> None:
+        """Hold a rejection against its server once another one has served the request."""
+        request = attempt.request
+        if outcome == Outcome.REJECTED_BY_SERVER:
+            request.rejected_by.append(attempt.server)
+        elif outcome == Outcome.SERVED:
+            for server in request.rejected_by:
+                self._outliers.record_outcome(server, Outcome.ERROR, now)
--- a/heronlug/balancer/placement.py
+++ b/heronlug/balancer/placement.py
@@ -1,9 +1,8 @@
 """Placement: what becomes of a request that is to have its next attempt: sent, queued, or given up."""
 
-from collections.abc import Callable
-
 from heronlug.balancer.actions import GiveUpReason
-from heronlug.balancer.model import Request, Server
+from heronlug.balancer.attempts import AttemptStarter
+from heronlug.balancer.model import Request
 from heronlug.balancer.queue import RequestQueue
 from heronlug.balancer.selection import Selection
 from heronlug.balancer.state import BalancerState
@@ -12,20 +11,18 @@
 class Placement:
     """Places requests, at once or when their backoff is over."""
 
-    __slots__ = ("_dial_allowance", "_open_requests", "_queue", "_selection", "_start", "_tick", "_timers")
+    __slots__ = ("_dial_allowance", "_open_requests", "_queue", "_selection", "_starter", "_tick", "_timers")
 
     def __init__(
         self,
         state: BalancerState,
         selection: Selection,
         queue: RequestQueue,
-        *,
-        start: Callable[[Request, Server, float], None],
+        starter: AttemptStarter,
     ) -> None:
-        """Make it; ``start`` starts an attempt of a request at a server."""
         self._tick, self._dial_allowance = state.settings.tick, state.derived.dial_allowance
         self._timers, self._open_requests = state.timers, state.open_requests
-        self._selection, self._queue, self._start = selection, queue, start
+        self._selection, self._queue, self._starter = selection, queue, starter
 
     def give_up_in_time(self, request: Request) -> None:
         """Set the timer that gives a request up one tick before its client's time is over."""
@@ -50,7 +47,7 @@
         elif request.attempts_spent_by(now + self._dial_allowance):
             self._open_requests.finish(request, GiveUpReason.NO_ATTEMPT)
         elif (server := self._selection.choose(request, now)) is not None:
-            self._start(request, server, now)
+            self._starter.start(request, server, now)
         elif request.rejected_by:
             self._open_requests.finish(request, GiveUpReason.FAULTY)  # no wait for a second server's opinion
         else:
--- a/heronlug/balancer/queue.py
+++ b/heronlug/balancer/queue.py
@@ -6,13 +6,16 @@
 that has been served worst gets the weight that the settings give it.
 """
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
 
 from heronlug.balancer.actions import GiveUpReason
+from heronlug.balancer.attempts import AttemptStarter
 from heronlug.balancer.estimates import ClassValues
-from heronlug.balancer.model import Request, Server
+from heronlug.balancer.events import AttemptProgress, Event, PeerMessage, RequestArrived
+from heronlug.balancer.loan_requests import LoanRequests
+from heronlug.balancer.model import Request
 from heronlug.balancer.overload import OverloadDetector
 from heronlug.balancer.retries import RetryBudget
 from heronlug.balancer.run_times import RunTimes
@@ -74,9 +77,10 @@
     """
 
     __slots__ = (
-        "_ask_for_loans",
+        "_aggregated",
         "_budget",
         "_dial_allowance",
+        "_loans",
         "_open_requests",
         "_order",
         "_overload",
@@ -85,7 +89,7 @@
         "_recheck_planned",
         "_selection",
         "_sequence",
-        "_start",
+        "_starter",
         "_summaries_seen",
         "_timers",
         "in_time",
@@ -100,8 +104,8 @@
         overload: OverloadDetector,
         budget: RetryBudget,
         *,
-        start: Callable[[Request, Server, float], None],
-        ask_for_loans: Callable[[Sequence[Request], float], None],
+        starter: AttemptStarter,
+        loans: LoanRequests,
     ) -> None:
         """Make it.
 
@@ -111,16 +115,16 @@
             selection: chooses servers.
             overload: says which overdue request is hopeless.
             budget: of retries.
-            start: starts an attempt of a request at a server.
-            ask_for_loans: asks other dispatchers for capacity at servers that warm up.
+            starter: starts attempts.
+            loans: asks other dispatchers for capacity at servers that warm up.
         """
         derived = state.derived
-        self._dial_allowance = derived.dial_allowance
+        self._dial_allowance, self._aggregated = derived.dial_allowance, derived.aggregated
         check_interval = RECHECK_INTERVALS * derived.check_interval
         self._recheck_interval = derived.summary_interval if derived.aggregated else check_interval
         self._timers, self._open_requests, self._peer_load = state.timers, state.open_requests, state.peer_load
         self._order, self._selection, self._overload, self._budget = order, selection, overload, budget
-        self._start, self._ask_for_loans = start, ask_for_loans
+        self._starter, self._loans = starter, loans
         self.in_time: list[QueuedRequest] = []
         self.overdue: list[QueuedRequest] = []
         self._sequence = 0
@@ -130,9 +134,16 @@
     def __len__(self) -> int:
         return len(self.in_time) + len(self.overdue)
 
-    @property
-    def has_new_summary(self) -> bool:
-        """Whether something that may free a server was read since the queue was last looked at."""
+    def may_start_after(self, event: Event) -> bool:
+        """Whether an event may have freed a server for a request of the queue.
+
+        An arrival frees none.  Where load reports are summed up, single reports of others don't count, only summaries.
+        """
+        if not len(self) or isinstance(event, RequestArrived):
+            return False
+        is_report = isinstance(event, AttemptProgress | PeerMessage)
+        if not self._aggregated or not is_report:
+            return True
         return self._summaries_seen != self._peer_load.summaries_read
 
     def check_again(self) -> None:
@@ -146,7 +157,7 @@
         priority = -request.late_weight if late else self._order.priority(request)
         entry = QueuedRequest(priority, -self._sequence, request)
         heappush(self.overdue if late else self.in_time, entry)
-        self._ask_for_loans([request], now)
+        self._loans.ask([request], now)
         if not self._recheck_planned:  # one chain of timers, not one for each request
             self._plan_recheck(None, now)
 
@@ -176,7 +187,7 @@
                 self._open_requests.finish(request, GiveUpReason.HOPELESS)
             elif (server := self._selection.choose(request, now, overdue=overdue)) is not None:
                 heappop(heap)
-                self._start(request, server, now)
+                self._starter.start(request, server, now)
             elif request.attempts and self._budget.is_spent():
                 out_of_budget.append(heappop(heap))  # its retry has to wait, which must not hold up the others
             else:
@@ -196,5 +207,5 @@
         self._recheck_planned = len(self) > 0
         if self._recheck_planned:
             first = (self.in_time or self.overdue)[:LOANS_AT_ONCE]
-            self._ask_for_loans([entry.request for entry in first], now)
+            self._loans.ask([entry.request for entry in first], now)
             self._timers.call_at(now + self._recheck_interval, self._plan_recheck, None)
--- a/heronlug/balancer/ranking.py
+++ b/heronlug/balancer/ranking.py
@@ -15,6 +15,7 @@
 from math import exp, inf, log, sqrt
 from operator import attrgetter
 
+from heronlug.balancer.events import ServerState
 from heronlug.balancer.exploration import Exploration
 from heronlug.balancer.model import Server
 from heronlug.balancer.outlier_detection import OutlierDetection
@@ -96,9 +97,13 @@
         waited = now - self.ranked_at >= self._derived.check_interval
         return waited and self._earned_scores >= len(self.servers)
 
-    def set_servers(self, servers: Sequence[Server]) -> None:
-        """Rank these servers from now on; :meth:`update` has to follow."""
-        self.servers = list(servers)
+    def use_ready(self, ready: Sequence[Server]) -> None:
+        """Drop servers that are no longer ready, and append these, which are; :meth:`update` has to follow."""
+        for server in self.servers:
+            server.in_ranking = server.state is ServerState.READY
+        for server in ready:
+            server.in_ranking = True
+        self.servers = [*(server for server in self.servers if server.in_ranking), *ready]
 
     def update(self, now: float) -> None:
         """Age the counts, score every server, and look for a change of the order."""
--- a/heronlug/balancer/slow_start.py
+++ b/heronlug/balancer/slow_start.py
@@ -77,6 +77,7 @@
         loans_requested: messages that asked for a loan.
         loans_given: loans given to others.
         loans_used: loans of others that were used.
+        on_loan: called with a server when another dispatcher has granted a loan there.
     """
 
     __slots__ = (
@@ -87,19 +88,19 @@
         "_lends",
         "_loans",
         "_next_server",
-        "_on_loan",
         "_requests_in_share",
         "_reservations",
         "_settings",
         "loans_given",
         "loans_requested",
         "loans_used",
+        "on_loan",
         "without_gossip",
     )
 
-    def __init__(self, settings: Settings, on_loan: Callable[[Server], None] = lambda server: None) -> None:
-        """Make it; ``on_loan`` is called with a server when another dispatcher has granted a loan there."""
-        self._settings, self._on_loan = settings, on_loan
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self.on_loan: Callable[[Server], None] = lambda server: None
         many = settings.instances > FEW_DISPATCHERS
         self._lends = settings.lends_capacity and many
         self.without_gossip = many and not settings.gossip
@@ -273,4 +274,4 @@
             return
         self._awaited.discard(server.id)
         self._loans.setdefault(server.id, []).append(CapacityLoan(clock + LOAN_MS, work, server.started_at))
-        self._on_loan(server)
+        self.on_loan(server)
--- a/heronlug/balancer/zone_failover/controller.py
+++ b/heronlug/balancer/zone_failover/controller.py
@@ -28,6 +28,7 @@
     failure_log_ratio,
     tallies,
 )
+from heronlug.balancer.zone_failover.overview import overview
 from heronlug.balancer.zone_failover.stranded_attempts import StrandedAttempts
 from heronlug.balancer.zone_failover.zone_state import STAGES, UNTIL_RELEASED, ZoneObservation, ZonePhase, ZoneState
 
@@ -125,27 +126,16 @@
         """Each zone that has ready servers, for people; the keys stand in operators' pages."""
         decided_by = "here" if self._decides(now) else "whoever sums up"
         return {
-            number: self._overview_of(self.zones.get(number, ZoneState()), servers, decided_by, now)
+            number: overview(
+                self.zones.get(number, ZoneState()),
+                servers,
+                tried_since=now - EVIDENCE_MS,
+                decided_by=decided_by,
+                now=now,
+            )
             for number, servers in self._ready_by_zone().items()
         }
 
-    @staticmethod
-    def _overview_of(zone: ZoneState, servers: list[Server], decided_by: str, now: float) -> dict[str, Any]:
-        tried = [server.outlier for server in servers if server.outlier.last_ended_at >= now - EVIDENCE_MS]
-        standings = [server.zone_standing for server in servers]
-        return {
-            "state": zone.phase.value,
-            "hosts": len(servers),
-            "offered": sum(not standing.excluded or standing.probing for standing in standings),
-            "stage": zone.stage + 1 if zone.phase is ZonePhase.RETURNING else None,
-            "tried": len(tried),
-            "failed": sum(outlier.last_ended_badly for outlier in tried),
-            "falls": zone.relapses,
-            "for_s": round((now - zone.since) / 1000) if zone.since else None,
-            "cause": zone.cause or None,
-            "decided": "by hand" if now < zone.held_until else decided_by,
-        }
-
     def order(self, number: int, phase: ZonePhase | None, until: float, now: float) -> None:
         """Carry out an operator's order.
 
--- a/heronlug/lifecycle/operations.py
+++ b/heronlug/lifecycle/operations.py
@@ -40,8 +40,8 @@
         listed, avoided = core.server_counts()
         alone["targets"] += listed
         alone["targets_disabled"] += avoided
-        alone["halls_left"] += core.dispatcher.zone_failover.zones_away
-        shares = core.dispatcher.shares
+        alone["halls_left"] += core.dispatcher.rules.zone_failover.zones_away
+        shares = core.dispatcher.rules.shares
         alone["parts_asked"] += shares.loans_requested
         alone["parts_lent"] += shares.loans_given
         alone["parts_used"] += shares.loans_used
--- a/heronlug/lifecycle/zone_commands.py
+++ b/heronlug/lifecycle/zone_commands.py
@@ -23,7 +23,7 @@
 def view(core: Core, zones: list[str]) -> list[dict[str, Any]]:
     """All halls that have hosts, for people; raises :class:`StateError` where halls are not looked at."""
     _looked_at(core)
-    rows = core.dispatcher.zone_failover.overview(core.deadlines.clock())
+    rows = core.dispatcher.rules.zone_failover.overview(core.deadlines.clock())
     return [{"hall": _named(number, zones), **row} for number, row in sorted(rows.items())]
 
 
@@ -40,7 +40,7 @@
     now, number = core.deadlines.clock(), zones.index(name)
     until = now + 1000.0 * float(seconds) if seconds is not None else float("inf")
     try:
-        core.dispatcher.zone_failover.order(number, ORDERS.get(what), until, now)
+        core.dispatcher.rules.zone_failover.order(number, ORDERS.get(what), until, now)
     except ZoneOrderError as error:
         raise StateError(f"hall {name}: {error}") from error
     return view(core, zones)
--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -29,13 +29,13 @@
     """Serve a few jobs on every worker, so that slots and payoffs are known."""
     for _ in range(rounds):
         jobs = []
-        for worker in host.dispatcher.ranking.servers:
+        for worker in host.dispatcher.rules.ranking.servers:
             worker.load.own_slots += 99  # looks busy, so that the next job goes to another
-        for worker in list(host.dispatcher.ranking.servers):
+        for worker in list(host.dispatcher.rules.ranking.servers):
             worker.load.own_slots -= 99
             jobs.append(host.job(0))
             worker.load.own_slots += 99
-        for worker in host.dispatcher.ranking.servers:
+        for worker in host.dispatcher.rules.ranking.servers:
             worker.load.own_slots -= 99
         host.until(host.now + latency)
         for job in jobs:
@@ -45,8 +45,8 @@
 def test_first_in_rank_is_filled_to_k_then_the_next() -> None:
     host = Host(workers=3)
     warm_up(host)
-    host.dispatcher.exploration.pending = []
-    order = [w.id for w in host.dispatcher.ranking.servers]
+    host.dispatcher.rules.exploration.pending = []
+    order = [w.id for w in host.dispatcher.rules.ranking.servers]
     sent = [host.sent[host.job(0)][0] for _ in range(12)]
     assert sent == [order[0]] * 4 + [order[1]] * 4 + [order[2]] * 4
     assert host.job(0) not in host.sent  # all are K full: held, not queued
@@ -55,21 +55,21 @@
 def test_slow_worker_falls_in_rank_and_a_reorder_starts_one_sweep() -> None:
     host = Host(workers=3)
     warm_up(host)
-    host.dispatcher.exploration.pending = []
-    first = host.dispatcher.ranking.servers[0]
+    host.dispatcher.rules.exploration.pending = []
+    first = host.dispatcher.rules.ranking.servers[0]
     jobs = [host.job(0) for _ in range(4)]
     assert {host.sent[job][0] for job in jobs} == {first.id}
     host.until(host.now + 1500)
     for job in jobs:
         host.until(host.now + 20)
         host.end(job, 0, Outcome.SERVED, (4.0,))
-    host.dispatcher.exploration.pending = []
-    host.dispatcher._rerank(host.now + 50)
-    assert host.dispatcher.ranking.servers[-1] is first
-    host.dispatcher.exploration.pending = host.dispatcher.ranking.servers[::-1]
+    host.dispatcher.rules.exploration.pending = []
+    host.dispatcher.rules.rerank(host.now + 50)
+    assert host.dispatcher.rules.ranking.servers[-1] is first
+    host.dispatcher.rules.exploration.pending = host.dispatcher.rules.ranking.servers[::-1]
     visited = [host.sent[host.job(0)][0] for _ in range(3)]
     assert sorted(visited) == [1, 2, 3]  # one job each, best first
-    assert host.dispatcher.exploration.pending == []
+    assert host.dispatcher.rules.exploration.pending == []
 
 
 def test_reorder_during_a_sweep_shows_after_it() -> None:
@@ -77,18 +77,20 @@
     host = Host(workers=3)
     warm_up(host)
     dispatcher = host.dispatcher
-    before = dispatcher.ranking.servers[:]
-    dispatcher.exploration.pending = dispatcher.ranking.servers[::-1]
-    dispatcher.ranking.servers[0].payoff.mean, dispatcher.ranking.servers[0].payoff.count = (
+    before = dispatcher.rules.ranking.servers[:]
+    dispatcher.rules.exploration.pending = dispatcher.rules.ranking.servers[::-1]
+    dispatcher.rules.ranking.servers[0].payoff.mean, dispatcher.rules.ranking.servers[0].payoff.count = (
         0.0,
         50.0,
     )  # as after a run of failures
-    dispatcher._rerank(host.now + 1)
-    assert dispatcher.ranking.servers == before
-    dispatcher.exploration.pending = []
-    dispatcher._rerank(host.now + 2)
-    assert dispatcher.ranking.servers[-1] is before[0]
-    assert dispatcher.exploration.pending == dispatcher.ranking.servers[::-1]  # and a reorder starts a sweep
+    dispatcher.rules.rerank(host.now + 1)
+    assert dispatcher.rules.ranking.servers == before
+    dispatcher.rules.exploration.pending = []
+    dispatcher.rules.rerank(host.now + 2)
+    assert dispatcher.rules.ranking.servers[-1] is before[0]
+    assert (
+        dispatcher.rules.exploration.pending == dispatcher.rules.ranking.servers[::-1]
+    )  # and a reorder starts a sweep
 
 
 def test_sweeps_leave_alone_what_may_not_repeat_where_copies_repair_the_rest() -> None:
@@ -97,12 +99,12 @@
         host = Host(with_settings(reports_start=True, hedging=second_copies), workers=3)
         warm_up(host)
         host.now += 2000  # what was seen while warming up has faded
-        host.dispatcher.ranking.ranked_at = host.now + 1e6  # the order stands
-        first, last = host.dispatcher.ranking.servers[0], host.dispatcher.ranking.servers[-1]
-        host.dispatcher.exploration.pending = [last]
+        host.dispatcher.rules.ranking.ranked_at = host.now + 1e6  # the order stands
+        first, last = host.dispatcher.rules.ranking.servers[0], host.dispatcher.rules.ranking.servers[-1]
+        host.dispatcher.rules.exploration.pending = [last]
         assert host.sent[host.job(2)] == [first.id if second_copies else last.id]
-        host.dispatcher.exploration.pending = [host.dispatcher.ranking.servers[1]]
-        assert host.sent[host.job(0)] == [host.dispatcher.ranking.servers[1].id]
+        host.dispatcher.rules.exploration.pending = [host.dispatcher.rules.ranking.servers[1]]
+        assert host.sent[host.job(0)] == [host.dispatcher.rules.ranking.servers[1].id]
 
 
 def test_job_that_may_not_repeat_waits_for_a_slot_seen_to_free() -> None:
@@ -287,7 +289,9 @@
     for _ in range(4):
         job = host.job(2)
         host.end(job, 0, Outcome.ERROR)
-    assert sum(w.outlier.trials_left > 0 for w in host.dispatcher.ranking.servers) >= 3  # above the panic threshold
+    assert (
+        sum(w.outlier.trials_left > 0 for w in host.dispatcher.rules.ranking.servers) >= 3
+    )  # above the panic threshold
     running = [host.job(2) for _ in range(9)]
     assert all(job in host.sent for job in running)
 
@@ -300,7 +304,9 @@
         host.job(2)
     host.actions.clear()
     host.until(host.now + 1000)
-    assert sum(isinstance(a, SetTimer) for a in host.actions) <= 1000 / host.dispatcher.derived.check_interval + 70
+    assert (
+        sum(isinstance(a, SetTimer) for a in host.actions) <= 1000 / host.dispatcher.state.derived.check_interval + 70
+    )
 
 
 def test_timer_rounded_to_just_before_its_time_is_no_loss() -> None:
@@ -332,8 +338,8 @@
     host = Host(settings, workers=2)
     warm_up(host)
     assert any(isinstance(a, SendPeerMessage) for a in host.actions)
-    first = host.dispatcher.ranking.servers[0]
-    host.dispatcher.exploration.pending = []
+    first = host.dispatcher.rules.ranking.servers[0]
+    host.dispatcher.rules.exploration.pending = []
     told = PeerLoad.STAMP.pack(PeerLoad.COUNTS, 1.0) + PeerLoad.PAIR.pack(first.id, 4)
     host.give(PeerMessage(1, told + b"odd"))
     assert host.sent[host.job(0)][0] != first.id
@@ -345,7 +351,7 @@
     """Risk: what a killed dispatcher told last keeps workers 'full' for everyone else for ever."""
     host = Host(with_settings(instances=2, gossip=True), workers=1)
     warm_up(host)
-    worker = host.dispatcher.ranking.servers[0]
+    worker = host.dispatcher.rules.ranking.servers[0]
     host.give(PeerMessage(1, PeerLoad.STAMP.pack(PeerLoad.COUNTS, 1.0) + PeerLoad.PAIR.pack(worker.id, 4)))
     job = host.job(2)
     host.until(host.now + 200)
@@ -361,9 +367,9 @@
     """Risk: a fresh worker takes the others' mean score and draws the traffic while it is slow."""
     host = Host(workers=3)
     warm_up(host)
-    host.dispatcher.exploration.pending = []
+    host.dispatcher.rules.exploration.pending = []
     host.listed(ListKind.CHANGES, (ServerEntry(9, started_at=host.now),))
-    assert host.dispatcher.ranking.servers[-1].id == 9
+    assert host.dispatcher.rules.ranking.servers[-1].id == 9
 
 
 def test_cold_worker_is_slower_and_not_smaller() -> None:
@@ -403,8 +409,8 @@
     for seed in range(8):
         dispatcher = Dispatcher(with_settings(), seed)
         host = Host(seed=seed, workers=6)
-        assert len(dispatcher.ranking.servers) == 0
-        orders.add(tuple(w.id for w in host.dispatcher.ranking.servers))
+        assert len(dispatcher.rules.ranking.servers) == 0
+        orders.add(tuple(w.id for w in host.dispatcher.rules.ranking.servers))
     assert len(orders) > 1
 
 
@@ -484,7 +490,7 @@
     assert job not in host.answered and host.sent[job][1] != host.sent[job][0]
     host.end(job, 1, Outcome.REJECTED_BY_SERVER)
     assert host.answered[job] == "failed" and len(host.sent[job]) == 2  # a refusal would have it asked again
-    assert not any(w.outlier.ejections for w in host.dispatcher.ranking.servers)
+    assert not any(w.outlier.ejections for w in host.dispatcher.rules.ranking.servers)
     once = host.job(2)
     host.end(once, 0, Outcome.REJECTED_BY_SERVER)
     assert host.answered[once] == "failed"
@@ -496,7 +502,7 @@
     job = host.job(0)
     host.end(job, 0, Outcome.REJECTED_BY_SERVER)
     host.end(job, 1, Outcome.SERVED, (4.0,))
-    assert [w.id for w in host.dispatcher.ranking.servers if w.outlier.ejections] == [host.sent[job][0]]
+    assert [w.id for w in host.dispatcher.rules.ranking.servers if w.outlier.ejections] == [host.sent[job][0]]
 
 
 def test_job_found_unusable_does_not_wait_for_a_second_opinion() -> None:
@@ -504,7 +510,7 @@
     host = Host(workers=2)
     warm_up(host)
     job = host.job(0)
-    for worker in host.dispatcher.ranking.servers:
+    for worker in host.dispatcher.rules.ranking.servers:
         worker.load.own_slots += 99
     host.end(job, 0, Outcome.REJECTED_BY_SERVER)
     assert host.answered[job] == "failed"
--- a/tests/balancer/test_load_reports.py
+++ b/tests/balancer/test_load_reports.py
@@ -37,10 +37,10 @@
     for relay in (0, 1):
         host.give(PeerMessage(relay, PeerLoad.SUMMARY))
     assert [tell.peer for tell in told(host)] == [0]  # the first relay
-    host.until(host.now + 3 * host.dispatcher.derived.summary_interval)
+    host.until(host.now + 3 * host.dispatcher.state.derived.summary_interval)
     assert [tell.peer for tell in told(host)] == [0, 0, 1]  # who begins hears of what runs at the next beat
-    host.dispatcher.exploration.pending = []
-    free = host.dispatcher.ranking.servers[2]
+    host.dispatcher.rules.exploration.pending = []
+    free = host.dispatcher.rules.ranking.servers[2]
     for content in sums(host, [0 if w is free else 8 for w in host.dispatcher.state.peer_load.servers_in_order]):
         host.give(PeerMessage(0, content))
     assert host.sent[host.job(0)] == [free.id]
@@ -77,7 +77,7 @@
 
 def test_first_by_position_relay_and_others_step_in_when_they_are_silent() -> None:
     host = crowd(1)
-    gap = host.dispatcher.derived.summary_interval
+    gap = host.dispatcher.state.derived.summary_interval
     host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
     first, *rest = [tell.content for tell in told(host)]
     assert first == PeerLoad.SUMMARY and rest and all(len(content) == 6 + 2 for content in rest)
@@ -110,7 +110,7 @@
 
     host = Host(with_settings(cpu_per_request=10.0), workers=0)
     host.dispatcher = Dispatcher(host.settings, 1)
-    host.dispatcher.ranking.__class__ = Counting
+    host.dispatcher.rules.ranking.__class__ = Counting
     host.listed(ListKind.CACHED, entries(200))
     scored = 0
     for _ in range(100):
@@ -127,7 +127,7 @@
 def test_relay_marks_a_worker_that_fails_for_several_and_takes_it_back() -> None:
     """Risk: each of 150 dispatchers pays for its own first failure at each bad worker (28% of attempts)."""
     host = crowd(0, workers=10)
-    gap = host.dispatcher.derived.summary_interval
+    gap = host.dispatcher.state.derived.summary_interval
     host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
     assert host.dispatcher.state.peer_load.aggregating
     bad = host.dispatcher.state.peer_load.servers_in_order[3]
@@ -170,12 +170,12 @@
     marks = []
     for used in (0, 1):
         host = crowd(0, workers=10)
-        host.until(host.now + (2 * MISSED_SUMMARIES + 4) * host.dispatcher.derived.summary_interval)
+        host.until(host.now + (2 * MISSED_SUMMARIES + 4) * host.dispatcher.state.derived.summary_interval)
         for at, worker in enumerate(host.dispatcher.state.peer_load.servers_in_order):
             for peer in (7, 8, 9):
                 code = ENDED_BADLY if at < 6 else 0
                 host.give(PeerMessage(peer, count(worker.id, code + used, host.now)))
-        host.until(host.now + 2 * host.dispatcher.derived.summary_interval)
+        host.until(host.now + 2 * host.dispatcher.state.derived.summary_interval)
         marks.append(told(host)[-1].content[PeerLoad.HEAD.size :].hex().count("f"))
     assert marks == [6, 2]
 
@@ -204,7 +204,7 @@
         before = len(told(host))
         for _ in range(MISSED_SUMMARIES):
             host.give(PeerMessage(0, PeerLoad.SUMMARY))
-            host.until(host.now + host.dispatcher.derived.summary_interval)
+            host.until(host.now + host.dispatcher.state.derived.summary_interval)
         pairs = [tell.content[PeerLoad.STAMP.size :] for tell in told(host)[before:]]
         assert PeerLoad.PAIR.pack(worker, 1) in pairs
 
@@ -255,7 +255,7 @@
             seen += 1
             return super()._may_send(request, server, now)
 
-    host.dispatcher.selection.__class__ = Counting
+    host.dispatcher.rules.selection.__class__ = Counting
     job = host.job(0)
     host.give(PeerMessage(0, content))
     assert job not in host.sent
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -45,7 +45,8 @@
             overload_multiple=TIP,
             overload_window=SPAN,
         )
-        self.parts, self.lane = CapacityShares(told, self.loans.append), lane
+        self.parts, self.lane = CapacityShares(told), lane
+        self.parts.on_loan = self.loans.append
         kind = ListKind.CACHED if self.known else ListKind.FULL
         self.table.capacities[0] = CapacityEstimate(SLOTS)
         self.table.apply_list(ServerListUpdate(kind, tuple(ServerEntry(n, started_at=1.0) for n in (7, 8, 9))), 0.0)
--- a/tests/balancer/test_zone_failover.py
+++ b/tests/balancer/test_zone_failover.py
@@ -29,7 +29,7 @@
         return sum(begin <= at < end for at in self.into)
 
     def left(self, hall: int = 1) -> list[float]:
-        changes = [dispatcher.core.dispatcher.zone_failover.changes for dispatcher in self.world.dispatchers]
+        changes = [dispatcher.core.dispatcher.rules.zone_failover.changes for dispatcher in self.world.dispatchers]
         times = ([h.since for n, h in each if n == hall and h.phase is ZonePhase.EXCLUDED] for each in changes)
         return [min(each, default=-1.0) for each in times]
 
@@ -78,7 +78,7 @@
     played = Played(scenario(4, trouble=troubles, **{"arrivals.0.rate": 40, "arrivals.1.rate": 8}))
     for dispatcher in played.world.dispatchers:
         away: set[int] = set()
-        for number, hall in dispatcher.core.dispatcher.zone_failover.changes:
+        for number, hall in dispatcher.core.dispatcher.rules.zone_failover.changes:
             (away.add if hall.phase is ZonePhase.EXCLUDED else away.discard)(number)
             assert len(away) <= 2
     assert sum(played.figures.violations.values()) == 0
@@ -88,7 +88,7 @@
     troubles = [{"what": "hall-dies", "at_s": at, "for_s": 6, "zone": "b", "share": 1.0} for at in (8, 18)]
     played = Played(scenario(4, trouble=troubles))
     for dispatcher in played.world.dispatchers:
-        phases = [hall.phase for number, hall in dispatcher.core.dispatcher.zone_failover.changes if number == 1]
+        phases = [hall.phase for number, hall in dispatcher.core.dispatcher.rules.zone_failover.changes if number == 1]
         assert phases.count(ZonePhase.EXCLUDED) >= 2
     assert sum(played.figures.violations.values()) == 0
 
@@ -98,7 +98,7 @@
     on, off = (Played(scenario(4, trouble=trouble, **{"dispatchers.halls": halls})) for halls in (True, False))
     assert all(DIES < at < DIES + 6000 for at in on.left()), on.left()
     for dispatcher in on.world.dispatchers:
-        assert dispatcher.core.dispatcher.zone_failover.zones[1].phase in (
+        assert dispatcher.core.dispatcher.rules.zone_failover.zones[1].phase in (
             ZonePhase.HEALTHY,
             ZonePhase.RETURNING,
         )
@@ -124,9 +124,9 @@
 def test_what_is_decided_goes_over_to_another_process_and_orders_have_their_bounds() -> None:
     played = Played(scenario(4, span_s=14))
     one = played.world.dispatchers[0].core.dispatcher
-    halls, now = one.zone_failover, 14_000.0
+    halls, now = one.rules.zone_failover, 14_000.0
     assert halls.overview(now)[1]["state"] == "left"
-    other = offers.ZoneFailover(one.state, one.exploration, one._rerank)
+    other = offers.ZoneFailover(one.state, one.rules.exploration, one.rules.rerank)
     other.restore(halls.snapshot())
     assert other.zones[1].phase is ZonePhase.EXCLUDED and other.zones[1].since == halls.zones[1].since
     with pytest.raises(ValueError, match="lost"):
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -33,8 +33,8 @@
     ) = 3.0, 2.5
     host.dispatcher.state.servers.by_id[2].outlier.saturated_until = 2600.0
     if zones:
-        host.dispatcher.zone_failover.zones[0] = ZoneState(ZonePhase.RETURNING, 1200.0, 2, 1, 0.0, "")
-        host.dispatcher.zone_failover.zones[1] = ZoneState(ZonePhase.EXCLUDED, 1300.0, 0, 3, float("inf"), "")
+        host.dispatcher.rules.zone_failover.zones[0] = ZoneState(ZonePhase.RETURNING, 1200.0, 2, 1, 0.0, "")
+        host.dispatcher.rules.zone_failover.zones[1] = ZoneState(ZonePhase.EXCLUDED, 1300.0, 0, 3, float("inf"), "")
     return orjson.dumps(host.dispatcher.snapshot())
 
 
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -105,21 +105,21 @@
     assert list(table) == ["all", "span", "usual_pace", "retries", "halls", "kinds", "workers"]
     assert list(dispatcher.snapshot()) == list(table)
     every = [
-        dispatcher.ranking.send_count,
-        dispatcher.ranking.ranked_at,
+        dispatcher.rules.ranking.send_count,
+        dispatcher.rules.ranking.ranked_at,
         dispatcher.state.run_times.overall,
-        dispatcher.arrivals.value,
+        dispatcher.rules.arrivals.value,
     ]
     assert every == table["all"] == [20.139767179386283, 2500.0, 25.0, 61]
     assert (
         dispatcher.state.run_times.by_class[2],
         dispatcher.state.run_times.usual_latencies[2],
-        dispatcher.retry_budget.level,
+        dispatcher.rules.retry_budget.level,
     ) == (25.0, 25.0, 19.0)
     kind = dispatcher.state.servers.capacities[0]
     assert [0, kind.peak_slots, kind.reported_slots, kind.slots] == table["kinds"][0] == [0, 3.0, 2.5, 4.0]
     assert table["halls"] == [[1, "left", 1300.0, 0, 3, -1.0], [0, "returning", 1200.0, 2, 1, 0.0]]
-    zones = dispatcher.zone_failover.zones
+    zones = dispatcher.rules.zone_failover.zones
     assert zones[0] == ZoneState(ZonePhase.RETURNING, 1200.0, 2, 1, 0.0, "taken up")
     assert zones[1] == ZoneState(ZonePhase.EXCLUDED, 1300.0, 0, 3, float("inf"), "taken up")
 
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -47,11 +47,11 @@
         new.now = old.now
         new.dispatcher.resume(table(old), new.now)
         here, there = new.dispatcher, old.dispatcher
-        there._rerank(old.now)
-        self.assertEqual([w.id for w in here.ranking.servers], [w.id for w in there.ranking.servers])
+        there.rules.rerank(old.now)
+        self.assertEqual([w.id for w in here.rules.ranking.servers], [w.id for w in there.rules.ranking.servers])
         self.assertEqual(here.avoided_servers(new.now), there.avoided_servers(old.now))
         self.assertTrue(there.avoided_servers(old.now))
-        self.assertEqual(here.retry_budget.level, there.retry_budget.level)
+        self.assertEqual(here.rules.retry_budget.level, there.rules.retry_budget.level)
         worker = old.sent[job][0]
         self.assertEqual(here.state.servers.by_id[worker].load.peer_slots, 1)  # what is out there is out here too
         work = [host.dispatcher.state.servers.by_id[worker].slow_start.recent_work.total(0) for host in (old, new)]
--- a/tests/scale/test_candidates.py
+++ b/tests/scale/test_candidates.py
@@ -23,7 +23,7 @@
 
 def scanning(settings: Settings, seed: int) -> Dispatcher:
     dispatcher = Dispatcher(settings, seed)
-    dispatcher.selection.__class__ = ScanningSelection
+    dispatcher.rules.selection.__class__ = ScanningSelection
     return dispatcher
 
 
@@ -50,7 +50,7 @@
 
     def watching(settings: Settings, seed: int) -> Dispatcher:
         dispatcher = Dispatcher(settings, seed)
-        dispatcher.selection.__class__ = Watching
+        dispatcher.rules.selection.__class__ = Watching
         return dispatcher
 
     for seed in range(4):
