--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,39 @@
+"""The page of the architecture names files and packages that exist, and every package."""
+
+import re
+from pathlib import Path
+
+ROOT = Path(__file__).parents[1]
+PAGES = ("docs/architecture.md", "docs/glossary.md", "README.md")
+PATH = re.compile(r"`((?:heronlug|tests|docs|deploy|scenarios)/[\w./*-]+)`")
+
+
+def packages() -> set[str]:
+    return {f"heronlug/{path.parent.name}/" for path in (ROOT / "heronlug").glob("*/__init__.py")}
+
+
+def test_paths_on_the_pages_exist() -> None:
+    named = {(page, path) for page in PAGES for path in PATH.findall((ROOT / page).read_text())}
+    missing = {(page, path) for page, path in named if not list(ROOT.glob(path.rstrip("/")))}
+    assert not missing
+    assert len(named) > 40
+
+
+def test_every_package_is_described() -> None:
+    for page in ("docs/architecture.md", "README.md"):
+        text = (ROOT / page).read_text()
+        assert not {package for package in packages() if package not in text}, page
+
+
+def test_imports_run_downwards() -> None:
+    """A package imports only from those that stand below it in the table of layers."""
+    table = (ROOT / "docs/architecture.md").read_text().split("## The layers")[1].split("## ")[0]
+    rows = [re.findall(r"`heronlug/(\w+)/`", line) for line in table.splitlines() if line.startswith("| `")]
+    level = {package: number for number, row in enumerate(rows) for package in row}
+    upwards = []
+    for package, number in level.items():
+        for path in (ROOT / "heronlug" / package).rglob("*.py"):
+            for imported in re.findall(r"^ *from heronlug\.(\w+)", path.read_text(), re.MULTILINE):
+                if level.get(imported, number) < number:
+                    upwards.append(f"{path.relative_to(ROOT)} imports {imported}")
+    assert not upwards
