--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -82,8 +82,8 @@
     from heronlug.balancer.settings import RequestClass, Settings
     from heronlug.config.files import Files
     from heronlug.config.limits import load, resolve
-    from heronlug.lifecycle.background import beside
     from heronlug.lifecycle.control import RunningState
+    from heronlug.net.background import run_in_background
     from heronlug.requests.core import Core
     from heronlug.requests.deadlines import Deadlines
 
@@ -138,7 +138,7 @@
             await stand("idle", lambda: asyncio.sleep(0.15))
 
             async def reload(path: Path = paths[number % 2]) -> None:
-                _, state = await beside(Files(path, {}).load)
+                _, state = await run_in_background(Files(path, {}).load)
                 assert await running.limit(state["classes"])
 
             await stand("reload", reload)
--- a/heronlug/config/reload.py
+++ b/heronlug/config/reload.py
@@ -6,7 +6,7 @@
 
 from heronlug.config.desired_state import State, StateError
 from heronlug.config.platform import Config, ConfigError
-from heronlug.lifecycle.background import beside
+from heronlug.net.background import run_in_background
 
 APPLIED = "discovery"
 FRESH = {"seed", "known"}  # new with each file, and of use at a start only
@@ -42,7 +42,7 @@
             while self._again:
                 self._again = False
                 try:  # the files' disk may be slow, and the loop serves on
-                    config, state = await beside(self._read)
+                    config, state = await run_in_background(self._read)
                 except (ConfigError, StateError) as error:
                     self._log("reload_failed", error=str(error))
                 except Exception as error:  # a file that parses and yet cannot be used must not end us either
@@ -59,7 +59,7 @@
             if field.name not in {APPLIED, *FRESH} and getattr(config, field.name) != getattr(self.config, field.name)
         ]
         try:
-            keys = await beside(self._read_keys)
+            keys = await run_in_background(self._read_keys)
             limits = await self._limit(state["classes"])
         except (OSError, ValueError) as error:  # perhaps good for the site in the files, and not for ours
             self._log("reload_failed", error=str(error))
--- a/heronlug/discovery/cache_file.py
+++ b/heronlug/discovery/cache_file.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from heronlug.discovery.cache import MOST, CacheSchedule, read, write
-from heronlug.lifecycle.background import beside
+from heronlug.net.background import run_in_background
 from heronlug.requests.deadlines import Deadlines, Key
 
 
@@ -70,7 +70,7 @@
 
     async def _write(self, now: float, table: dict[str, Any]) -> None:
         try:
-            await beside(self._put, now, table)
+            await run_in_background(self._put, now, table)
         except OSError as error:
             self._log("kept_list_not_written", file=str(self.path), why=str(error))
         self._task = None
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/discovery/shared_client.py
@@ -23,7 +23,7 @@
 from heronlug.cluster.server_view import KnownList, ListSource, ServerView
 from heronlug.discovery.client import DiscoveryClient
 from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
-from heronlug.lifecycle.background import beside
+from heronlug.net.background import run_in_background
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.model import ListedServer
 
@@ -136,7 +136,7 @@
     async def _build(self, fence: FencingToken, rows: merkle_trie.Rows) -> None:
         nodes: dict[int, bytes] = {}
         try:
-            root = await beside(merkle_trie.build, rows, nodes)
+            root = await run_in_background(merkle_trie.build, rows, nodes)
             if self.fence == fence:
                 self._node.sheets.publish_whole(self.topic, fence, root, nodes, self._deadlines.clock())
                 self._published, self._said = rows, True
--- a/heronlug/lifecycle/control.py
+++ b/heronlug/lifecycle/control.py
@@ -12,7 +12,7 @@
 
 from heronlug.balancer.settings import RequestClass
 from heronlug.config.desired_state import EMPTY, State, StateError, changed_limits, difference, digest
-from heronlug.lifecycle.background import beside
+from heronlug.net.background import run_in_background
 from heronlug.net.http import Lines
 
 
@@ -76,10 +76,10 @@
         async with self._lock:
             if self.state == desired:
                 return []
-            if await beside(digest, self.state) != base:
+            if await run_in_background(digest, self.state) != base:
                 raise StateError("the plan is stale: the running state has changed since it was made")
             classes = await self._resolve(desired["classes"])
-            changes = await beside(difference, self.state, desired)
+            changes = await run_in_background(difference, self.state, desired)
             cluster_changes = self.state["cluster"] != desired["cluster"]
             if cluster_changes and self.state["cluster"]:
                 raise StateError("cluster: it changes with a restart alone; keys are read again by SIGHUP")
@@ -120,7 +120,7 @@
         """Other limits in place of those that run; all else stays.  Raises :class:`StateError`."""
         async with self._lock:
             resolved = await self._resolve(classes)
-            changes = await beside(changed_limits, self.state["classes"], classes)
+            changes = await run_in_background(changed_limits, self.state["classes"], classes)
             if changes:
                 self._parts.use_limits(resolved)
                 self.state = {**self.state, "classes": classes}
@@ -130,7 +130,7 @@
         """All classes under limits: a file may have been checked against another site than the one that runs here."""
         if broken := await self.broken(classes):
             raise StateError("\n".join(f"class.{n}.{key}: {wrong}, {right}" for n, key, wrong, right in broken))
-        return await beside(self._parts.resolved_limits, classes)
+        return await run_in_background(self._parts.resolved_limits, classes)
 
     def view(self, what: str) -> list[dict[str, Any]]:
         """The members or the duties of the cluster."""
@@ -142,7 +142,7 @@
 
     async def broken(self, classes: State) -> list[tuple[str, str, str, str]]:
         """The rules that limits would break."""
-        return await beside(self._parts.broken_limits, classes) if classes else []
+        return await run_in_background(self._parts.broken_limits, classes) if classes else []
 
     @staticmethod
     def _module(name: str, plugin: dict[str, Any]) -> tuple[bytes, int, int]:
