--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -134,8 +134,8 @@
             self.stopped.set,
         )
         self.state_transfer = StateTransfer(self, deadlines, os.environ.get("TMPDIR"))
-        self.core.on_request_id = self.state_transfer.named
-        self.hot_restart = self.state_transfer.handover
+        self.core.on_request_id = self.state_transfer.request_id_changed
+        self.hot_restart = self.state_transfer.session
         self.peer_messages.hot_restart = self.hot_restart
         self.readiness.shutdown = self.shutdown
         self.readiness.hot_restart = self.hot_restart
@@ -193,10 +193,10 @@
 
     def _serve(self) -> None:
         """Accept clients, with the state that another process has given."""
-        self.state_transfer.take_up()
+        self.state_transfer.use_state()
         self.state_transfer.open_listener()
         self.listener.accept()
-        self.state_transfer.serving()
+        self.state_transfer.announce_serving()
         if self.config.admin is not None:
             self.admin_listener.bind(self.config.admin, MAX_CALLERS)
             self.admin_listener.accept()
@@ -213,7 +213,7 @@
         """Begin a planned stop."""
         if self.shutdown.stop():
             self.log("stopping", messages=len(self.core.requests))
-            if not self.hot_restart.handed:  # else longer requests are handed over
+            if not self.hot_restart.handed_over:  # else longer requests are handed over
                 self.core.answer_by = self.shutdown.answer_by
         self.faktory.stop()
         self.turn()
@@ -222,7 +222,7 @@
         """Finish what other processes and the disk have to know."""
         await self.cluster.leave()
         await self.discovery.close_cache()
-        await self.hot_restart.part()
+        await self.hot_restart.say_goodbye()
         self.log("stopped", **{final.value: count for final, count in self.core.counts.items()})
 
     def _close(self) -> None:
--- a/heronlug/lifecycle/hot_restart/__init__.py
+++ b/heronlug/lifecycle/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: one process takes over from another without losing connections or requests."""
+"""Hot restart: a new process takes over from the one that runs, and no client notices."""
--- /dev/null
+++ b/heronlug/lifecycle/hot_restart/adopted_requests.py
@@ -0,0 +1,78 @@
+"""Requests and clients' connections that a new process adopts from the one before it."""
+
+import socket
+from collections.abc import Callable
+
+from heronlug.backends.pool import ConnectionPool
+from heronlug.frontends.http.connection import ClientConnection
+from heronlug.frontends.http.frontend import HttpFrontend
+from heronlug.lifecycle.hot_restart.messages import Message, ReadList, RequestHandover
+from heronlug.requests.core import Core
+from heronlug.requests.model import Request
+
+
+class RequestAdopter:
+    """Goes on with what the process before has handed over."""
+
+    def __init__(
+        self,
+        core: Core,
+        frontend: HttpFrontend,
+        backend: ConnectionPool,
+        read_list: ReadList,
+        log: Callable[..., None],
+    ) -> None:
+        """Adopt into these parts; ``read_list`` reads the servers of a request's attempts."""
+        self._core = core
+        self._frontend = frontend
+        self._backend = backend
+        self._read_list = read_list
+        self._log = log
+
+    def adopt_client(self, fd: int, served: bool) -> None:
+        """Go on with a client's connection; ``served`` says whether it has had an answer."""
+        self._frontend.adopt(socket.socket(fileno=fd), served)
+
+    def adopt_request(self, message: Message, fds: list[int]) -> None:
+        """Go on with a request: the first descriptor is its client, the others the servers of its attempts in flight.
+
+        A malformed message is logged, and its connections are closed.
+        """
+        client, *servers = [socket.socket(fileno=fd) for fd in fds]
+        try:
+            classes = self._core.settings.classes
+            handover = RequestHandover.decode(message, len(servers), self._read_list, classes)
+        except (KeyError, TypeError, ValueError, IndexError) as error:
+            for sock in (client, *servers):
+                sock.close()
+            self._log("handover_failed", error=repr(error))
+            return
+        self._frontend.adopt(client, True, lambda connection: self._go_on(connection, handover, servers))
+
+    def _go_on(self, connection: ClientConnection, handover: RequestHandover, servers: list[socket.socket]) -> None:
+        """The client's connection is ready: take the request over."""
+        http_request = handover.request
+        http_request.connection = connection
+        request = Request(
+            http_request,
+            http_request.class_index,
+            handover.policy,
+            handover.give_up_at,
+            handover.accepted_at,
+            http_request.request_id,
+        )
+        self._core.adopt(request, handover.attempts, http_request.workload, handover.not_before)
+        self._adopt_exchanges(request, handover, servers)
+        if not request.closed:
+            connection.resume_request(request)
+
+    def _adopt_exchanges(self, request: Request, handover: RequestHandover, servers: list[socket.socket]) -> None:
+        """Go on reading the servers' answers."""
+        # The balancer may have ended some attempts by now, or have begun one more, which has its own connection.
+        adopted = zip(request.attempts, handover.attempts, strict=False)
+        in_flight = [attempt for attempt, (_, snapshot) in adopted if snapshot.in_flight]
+        for attempt, sock, exchange in zip(in_flight, servers, handover.exchanges, strict=True):
+            if attempt.in_flight:
+                self._backend.adopt(attempt, sock, exchange.answered, exchange.last)
+            else:
+                sock.close()
--- /dev/null
+++ b/heronlug/lifecycle/hot_restart/handed_over_requests.py
@@ -0,0 +1,75 @@
+"""Requests and clients' connections that an old process hands over to the one that has taken over."""
+
+from typing import Any, NamedTuple
+
+from heronlug.config.platform import Config
+from heronlug.frontends.http.connection import ClientConnection
+from heronlug.frontends.http.frontend import HttpFrontend
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.lifecycle.hot_restart.channel import MAX_FDS
+from heronlug.lifecycle.hot_restart.messages import ExchangeState, RequestHandover
+from heronlug.lifecycle.hot_restart.session import HotRestart
+from heronlug.requests.core import Core
+from heronlug.requests.model import Request
+
+
+class _Pausable(NamedTuple):
+    """The connections of a request that can all be handed over now."""
+
+    client: ClientConnection
+    servers: list[Any]  # of the attempts in flight, in order
+
+
+class RequestSender:
+    """Hands over idle clients, and at a stop requests in progress too."""
+
+    def __init__(
+        self, config: Config, core: Core, frontend: HttpFrontend, shutdown: GracefulShutdown, session: HotRestart
+    ) -> None:
+        """Hand over from these parts, through this session."""
+        self._config = config
+        self._core = core
+        self._frontend = frontend
+        self._shutdown = shutdown
+        self._session = session
+
+    def hand_over(self) -> None:
+        """Hand over whatever can be handed over now; called again until nothing is left."""
+        self._frontend.hand_over_idle(self._session.hand_over_client)
+        if self._shutdown.stopping:
+            for request in self._core.requests:
+                self._hand_over_request(request)
+
+    def _hand_over_request(self, request: Request) -> None:
+        """Hand a request over that may outlast this process."""
+        attempts = self._core.attempt_snapshots(request)
+        connections = self._pausable(request)
+        if attempts is None or connections is None:
+            return
+        paused = [exchange.pause() for exchange in connections.servers]
+        handover = RequestHandover(
+            request=request.payload,
+            give_up_at=request.give_up_at,
+            accepted_at=request.accepted_at,
+            policy=request.policy,
+            not_before=self._core.not_before(request),
+            attempts=attempts,
+            exchanges=[ExchangeState(**progress) for _, progress in paused],
+        )
+        message = handover.encode(self._config.zones, self._config.kinds)
+        server_fds = [fd for fd, _ in paused]
+        self._session.hand_over_request(message, [connections.client.pause_for_handover(), *server_fds])
+        self._core.hand_over(request)
+        connections.client.detach()
+        for exchange in connections.servers:
+            exchange.let_go()
+
+    def _pausable(self, request: Request) -> _Pausable | None:
+        """The connections of a request; None while one of them is in the middle of a read or write."""
+        client = request.payload.connection
+        servers = [attempt.exchange for attempt in request.attempts if attempt.in_flight]
+        if client is None or not client.can_hand_over() or len(servers) >= MAX_FDS:
+            return None
+        if not all(exchange is not None and exchange.can_pass() for exchange in servers):
+            return None
+        return _Pausable(client, servers)
--- a/heronlug/lifecycle/hot_restart/session.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -1,229 +1,273 @@
-"""The upgrade: one process takes over from another, and for a while the two are one dispatcher.
+"""The conversation of a hot restart, between a process and the one before it, and the one after it.
 
-The new one asks for the state and says when it serves; from then on the old one passes its clients on.  Whatever goes
-wrong between them, each goes on by itself.
+The new process asks for the state and says when it serves; from then on the old process hands its clients over.
+When the connection between them fails, each goes on by itself.
 """
 
 import asyncio
 import os
 import socket
 from collections.abc import Callable
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import Protocol
 
-from heronlug.lifecycle.hot_restart import channel as partner
+from heronlug.lifecycle.hot_restart import channel, messages
 from heronlug.lifecycle.hot_restart.channel import PeerProcess
+from heronlug.lifecycle.hot_restart.errors import UnexpectedMessageError
+from heronlug.lifecycle.hot_restart.messages import Message, MessageKind
 from heronlug.requests.deadlines import Deadlines
 
-VERSION = 1
-SILENT = 1000.0  # a partner that has not told its state by then is none
-FAREWELL = 1000.0  # so long the old one waits for the new one to have read all that it passed on
+STATE_TIMEOUT_MS = 1000.0
+"""How long a new process waits for the state of the old one, in ms."""
+GOODBYE_TIMEOUT_MS = 1000.0
+"""How long an old process waits until the new one has read all that was handed over, in ms."""
+MAX_JOINING = 2
+"""Processes that may have asked for the state and do not serve yet."""
 
 
-class HotRestartState(Protocol):
-    """What of the daemon is handed over."""
+@dataclass
+class ReceivedMessage:
+    """A message, and the descriptors that came with it until somebody else owns them."""
 
-    def state(self) -> tuple[dict[str, Any], list[int]]:
-        """All that a new process needs to know, and its sockets."""
+    message: Message
+    fds: list[int]
 
-    def give_way(self) -> None:
-        """Another process serves: take no clients, leave the peers to it, and hold less."""
+    def take_fds(self) -> list[int]:
+        """Give the descriptors to a new owner."""
+        fds = self.fds
+        self.fds = []
+        return fds
 
-    def take_back(self) -> None:
-        """It has gone: all as before."""
+    def close(self) -> None:
+        """Close the descriptors that nobody has taken."""
+        for fd in self.take_fds():
+            os.close(fd)
+
+
+class HandoverHandler(Protocol):
+    """What a session calls when the other process has sent something, or has ended."""
+
+    def state(self) -> tuple[Message, list[int]]:
+        """All that a new process needs to know, and the sockets that it can use."""
+
+    def successor_serves(self) -> None:
+        """Another process serves: accept no clients, and leave the peers to it."""
 
-    def alone(self) -> None:
-        """The process before us has ended."""
+    def successor_lost(self) -> None:
+        """The process that had taken over has ended: serve again."""
 
-    def told(self, table: dict[str, Any]) -> None:
-        """News of the partner's messages."""
+    def predecessor_ended(self) -> None:
+        """The process before this one has ended."""
 
-    def client(self, fd: int, served: bool) -> None:
-        """A client's connection, passed on."""
+    def receive_news(self, message: Message) -> None:
+        """The other process has accepted or finished requests; raises ``TypeError`` or ``ValueError``."""
 
-    def message(self, table: dict[str, Any], fds: list[int]) -> None:
-        """A message that runs, passed on with its connections."""
+    def adopt_client(self, fd: int, served: bool) -> None:
+        """Go on with a client's connection."""
+
+    def adopt_request(self, message: Message, fds: list[int]) -> None:
+        """Go on with a request in progress; owns the descriptors."""
 
 
 class HotRestart:
-    """Both ends of it; a process may have one before it and one after it."""
+    """The connections of a process with its predecessor and its successor.
+
+    Attributes:
+        predecessor: the process that this one takes over from; None where there is none.
+        successor: the process that has taken over from this one; None where there is none.
+    """
 
     def __init__(
         self,
-        parts: HotRestartState,
+        handler: HandoverHandler,
         name: str,
         path: str,
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
     ) -> None:
-        self._parts, self._name, self._path = parts, name, path
-        self._deadlines, self._log, self._turn = deadlines, log, turn
+        """Make a session of the dispatcher ``name`` on the Unix socket ``path``; an empty path switches it off."""
+        self._handler = handler
+        self._name = name
+        self._path = path
+        self._deadlines = deadlines
+        self._log = log
+        self._turn = turn
         self._listening: socket.socket | None = None
-        self._state: asyncio.Future[tuple[dict[str, Any], list[int]] | None] | None = None
-        self._parted: asyncio.Future[None] | None = None
-        self._asking: set[PeerProcess] = set()  # they have asked and do not serve yet
-        self.before: PeerProcess | None = None  # the process that we take over from
-        self.after: PeerProcess | None = None  # the one that has taken over from us
+        self._state: asyncio.Future[ReceivedMessage | None] | None = None
+        self._goodbye: asyncio.Future[None] | None = None
+        self._joining: set[PeerProcess] = set()  # they have connected and do not serve yet
+        self.predecessor: PeerProcess | None = None
+        self.successor: PeerProcess | None = None
 
     # -- the new process
 
-    async def join(self) -> tuple[dict[str, Any], list[int]] | None:
-        """The state of the process that runs, and its sockets; None where there is none to be had."""
-        sock = partner.call(self._path) if self._path else None
+    async def join(self) -> ReceivedMessage | None:
+        """Ask the process that runs for its state and sockets; None where there is no such process."""
+        sock = channel.connect(self._path) if self._path else None
         if sock is None:
             return None
         self._state = asyncio.get_running_loop().create_future()
-        self.before = PeerProcess(sock, self._told, self._lost)
-        self.before.send({"kind": "hello", "version": VERSION, "name": self._name})
-        over = self._deadlines.call_after(SILENT, self._give_up_on, self.before)
+        self.predecessor = PeerProcess(sock, self._receive, self._lose)
+        self.predecessor.send(messages.hello(self._name))
+        timeout = self._deadlines.call_after(STATE_TIMEOUT_MS, self._time_out, self.predecessor)
         self._turn()
         state = await self._state
-        self._deadlines.cancel(over)
+        self._deadlines.cancel(timeout)
         return state
 
-    def renounce(self) -> None:
-        """What it told makes no sense: start without it."""
-        if self.before is not None:
-            self.before.close()
-            self.before = None
+    def abandon_predecessor(self) -> None:
+        """Start without the process before, whose state cannot be used."""
+        if self.predecessor is not None:
+            self.predecessor.close()
+            self.predecessor = None
 
-    def serving(self) -> None:
-        """We take clients from now on."""
-        if self.before is not None:
-            self.before.send({"kind": "serving"})
+    def announce_serving(self) -> None:
+        """Tell the process before that this one accepts clients."""
+        if self.predecessor is not None:
+            self.predecessor.send(messages.serving())
 
     def listen(self) -> None:
-        """Be found by the next process."""
+        """Let the next process connect."""
         if not self._path:
             return
-        self._deafen()
+        self._stop_listening()
         try:
-            self._listening = partner.listen(self._path)
+            self._listening = channel.listen(self._path)
         except OSError as error:
             self._log("handover_unavailable", error=str(error))
             return
-        asyncio.get_running_loop().add_reader(self._listening.fileno(), self._accept)
+        asyncio.get_running_loop().add_reader(self._listening.fileno(), self._accept, self._listening)
 
     # -- the old process
 
     @property
-    def handed(self) -> bool:
-        """Whether another process serves in our place."""
-        return self.after is not None
-
-    def pass_on(self, fd: int, served: bool) -> None:
-        """A client's connection goes to the process after us."""
-        if self.after is not None:
-            self.after.send({"kind": "client", "served": served}, [fd])
-
-    def pass_message(self, table: dict[str, Any], fds: list[int]) -> None:
-        """A message that runs goes to the process after us."""
-        if self.after is not None:
-            self.after.send({"kind": "message", **table}, fds)
-
-    async def part(self) -> None:
-        """The old process ends: it waits until the new one has everything, for what is unread might end with it."""
-        if self.after is None:
+    def handed_over(self) -> bool:
+        """Whether another process serves in place of this one."""
+        return self.successor is not None
+
+    def hand_over_client(self, fd: int, served: bool) -> None:
+        """Send a client's connection to the successor; ``served`` says whether it has had an answer."""
+        if self.successor is not None:
+            self.successor.send(messages.client(served), [fd])
+
+    def hand_over_request(self, message: Message, fds: list[int]) -> None:
+        """Send a request in progress to the successor."""
+        if self.successor is not None:
+            self.successor.send(message, fds)
+
+    async def say_goodbye(self) -> None:
+        """Wait until the successor has read everything, for what is unread could be lost with this process."""
+        if self.successor is None:
             return
-        self._parted = asyncio.get_running_loop().create_future()
-        self.after.send({"kind": "bye"})
-        over = self._deadlines.call_after(FAREWELL, self._part_anyway)
+        self._goodbye = asyncio.get_running_loop().create_future()
+        self.successor.send(messages.goodbye())
+        timeout = self._deadlines.call_after(GOODBYE_TIMEOUT_MS, self._end_goodbye)
         self._turn()
-        await self._parted
-        self._deadlines.cancel(over)
+        await self._goodbye
+        self._deadlines.cancel(timeout)
 
-    def _part_anyway(self) -> None:
-        if self._parted is not None and not self._parted.done():
-            self._parted.set_result(None)
+    def _end_goodbye(self) -> None:
+        if self._goodbye is not None and not self._goodbye.done():
+            self._goodbye.set_result(None)
 
     # -- both
 
-    def tell(self, table: dict[str, Any]) -> None:
-        """News of our messages, for whoever is beside us."""
-        for other in (self.before, self.after, *self._asking):
-            if other is not None:
-                other.send({"kind": "news", **table})
+    def send_news(self, message: Message) -> None:
+        """Tell every connected process about requests of this one."""
+        for peer in self._peers():
+            peer.send(message)
 
     def close(self) -> None:
-        """Leave.  The socket's file stays: another process may have put its own there."""
-        self._deafen()
-        for other in (self.before, self.after, *self._asking):
-            if other is not None:
-                other.close()
+        """Close all connections. The socket's file stays: another process may have put its own there."""
+        self._stop_listening()
+        for peer in self._peers():
+            peer.close()
 
-    # -- inside
+    def _peers(self) -> list[PeerProcess]:
+        return [peer for peer in (self.predecessor, self.successor, *self._joining) if peer is not None]
 
-    def _deafen(self) -> None:
+    def _stop_listening(self) -> None:
         if self._listening is not None:
             asyncio.get_running_loop().remove_reader(self._listening.fileno())
             self._listening.close()
             self._listening = None
 
-    def _accept(self) -> None:
-        assert self._listening is not None
+    def _accept(self, listening: socket.socket) -> None:
         try:
-            sock, _ = self._listening.accept()
+            sock, _ = listening.accept()
         except OSError:
             return
         sock.setblocking(False)
-        if len(self._asking) >= 2 or not partner.is_ours(sock):
+        if len(self._joining) >= MAX_JOINING or not channel.is_same_user(sock):
             sock.close()
         else:
-            self._asking.add(PeerProcess(sock, self._told, self._lost))
+            self._joining.add(PeerProcess(sock, self._receive, self._lose))
 
-    def _told(self, other: PeerProcess, message: dict[str, Any], fds: list[int]) -> None:
-        kept = False
+    def _receive(self, peer: PeerProcess, message: Message, fds: list[int]) -> None:
+        """Handle a message; raises what is wrong with it, and then the connection ends."""
+        received = ReceivedMessage(message, fds)
         try:
             kind = message["kind"]
-            if other is self.before and kind == "state" and self._state is not None and not self._state.done():
-                self._state.set_result((message, fds))
-                kept = True
-            elif other is self.before and kind == "client" and len(fds) == 1:
-                self._parts.client(fds[0], message["served"] is True)
-                kept = True
-            elif other is self.before and kind == "message" and fds:
-                kept = True
-                self._parts.message(message, fds)
-            elif other is self.before and kind == "bye":
-                other.close()
-                self._lost(other, "parted")
-            elif kind == "news":
-                self._parts.told(message)
-            elif other in self._asking and kind == "hello":
-                if message["version"] != VERSION or message["name"] != self._name:
-                    raise ValueError("another kind of partner")
-                state, ours = self._parts.state()
-                other.send({"kind": "state", **state}, ours)
-            elif other in self._asking and kind == "serving" and self.after is None:
-                self._asking.discard(other)
-                self.after = other
-                self._log("handed_over")
-                self._parts.give_way()
+            if kind == MessageKind.NEWS:
+                self._handler.receive_news(message)
+            elif peer is self.predecessor:
+                self._receive_from_predecessor(peer, kind, received)
+            elif peer in self._joining:
+                self._receive_from_joining(peer, kind, message)
             else:
-                raise ValueError(f"{kind!r} is not expected")
+                raise UnexpectedMessageError(f"{kind!r} is not expected")
         finally:
-            if not kept:
-                for fd in fds:
-                    os.close(fd)
+            received.close()
         self._turn()
 
-    def _lost(self, other: PeerProcess, why: str) -> None:
-        """It has ended, or makes no sense."""
-        self._asking.discard(other)
-        if other is self.before:
-            self.before = None
-            self._log("partner_gone", which="before", why=why)
+    def _receive_from_predecessor(self, peer: PeerProcess, kind: object, received: ReceivedMessage) -> None:
+        """Handle what the old process sends."""
+        message = received.message
+        if kind == MessageKind.STATE and self._state is not None and not self._state.done():
+            self._state.set_result(ReceivedMessage(message, received.take_fds()))
+        elif kind == MessageKind.CLIENT and len(received.fds) == 1:
+            self._handler.adopt_client(received.fds[0], message["served"] is True)
+            received.take_fds()
+        elif kind == MessageKind.REQUEST and received.fds:
+            self._handler.adopt_request(message, received.take_fds())
+        elif kind == MessageKind.GOODBYE:
+            peer.close()
+            self._lose(peer, "parted")
+        else:
+            raise UnexpectedMessageError(f"{kind!r} is not expected from the process before")
+
+    def _receive_from_joining(self, peer: PeerProcess, kind: object, message: Message) -> None:
+        """Handle what a new process sends."""
+        if kind == MessageKind.HELLO:
+            messages.check_hello(message, self._name)
+            state, sockets = self._handler.state()
+            peer.send(state, sockets)
+        elif kind == MessageKind.SERVING and self.successor is None:
+            self._joining.discard(peer)
+            self.successor = peer
+            self._log("handed_over")
+            self._handler.successor_serves()
+        else:
+            raise UnexpectedMessageError(f"{kind!r} is not expected from a process that starts")
+
+    def _lose(self, peer: PeerProcess, reason: str) -> None:
+        """The connection with a process has ended."""
+        self._joining.discard(peer)
+        if peer is self.predecessor:
+            self.predecessor = None
+            self._log("partner_gone", which="before", why=reason)
             if self._state is not None and not self._state.done():
                 self._state.set_result(None)
-            self._parts.alone()
-        elif other is self.after and self._parted is not None:
-            self._part_anyway()
-        elif other is self.after:
-            self.after = None
-            self._log("partner_gone", which="after", why=why)
-            self._parts.take_back()
+            self._handler.predecessor_ended()
+        elif peer is self.successor and self._goodbye is not None:
+            self._end_goodbye()
+        elif peer is self.successor:
+            self.successor = None
+            self._log("partner_gone", which="after", why=reason)
+            self._handler.successor_lost()
         self._turn()
 
-    def _give_up_on(self, other: PeerProcess) -> None:
-        other.close()
-        self._lost(other, "silent")
+    def _time_out(self, peer: PeerProcess) -> None:
+        peer.close()
+        self._lose(peer, "silent")
--- a/heronlug/lifecycle/peer_messages.py
+++ b/heronlug/lifecycle/peer_messages.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 
 from heronlug.config.platform import Config
+from heronlug.lifecycle.hot_restart.messages import slot_counts
 from heronlug.lifecycle.hot_restart.session import HotRestart
 from heronlug.lifecycle.log import Log
 from heronlug.peers.datagrams import PeerSocket
@@ -29,8 +30,8 @@
 
     def send(self, content: bytes, peer: int) -> None:
         """Send a message to a peer, -1 for all; through the process that has taken over, once there is one."""
-        if self.hot_restart.handed:
-            self.hot_restart.tell({"counts": content.hex()})
+        if self.hot_restart.handed_over:
+            self.hot_restart.send_news(slot_counts(content))
         else:
             self.socket.tell(content, peer)
 
--- a/heronlug/lifecycle/readiness.py
+++ b/heronlug/lifecycle/readiness.py
@@ -33,12 +33,12 @@
 
     def ready(self) -> bool:
         """Whether requests can be served, here or by the process that has taken over."""
-        wanted = self.shutdown.wanted or self.hot_restart.handed
+        wanted = self.shutdown.wanted or self.hot_restart.handed_over
         return wanted and (self.core.directory.can_serve or self._serves_unconfirmed())
 
     def accepts_clients(self) -> bool:
         """Whether this process itself takes new clients."""
-        return self.ready() and not self.hot_restart.handed
+        return self.ready() and not self.hot_restart.handed_over
 
     def is_draining(self) -> bool:
         """Whether clients' connections end with their next answer."""
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -284,7 +284,7 @@
         self.takeover = StateTransfer(cast(Any, self.daemon), self.deadlines, folder)
         config.peers, config.peers_all = [], None
         self.peer_messages = PeerMessages(config, self.deadlines, MagicMock(), MagicMock())
-        self.peer_messages.hot_restart = self.takeover.handover
+        self.peer_messages.hot_restart = self.takeover.session
 
     def descriptors(self) -> list[int]:
         """Of a TCP and of a UDP socket."""
@@ -292,7 +292,7 @@
 
     def close(self) -> None:
         """Close the sockets."""
-        self.takeover.handover.close()
+        self.takeover.session.close()
         for sock in self.sockets:
             sock.close()
 
@@ -350,7 +350,7 @@
     process = Process(str(folder))
     process.run_request()
     process.daemon.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
-    process.takeover.handover.listen()
+    process.takeover.session.listen()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(next(folder.glob("heronlug-*"))))
         sock.setblocking(False)
@@ -358,13 +358,13 @@
         packets = [await receive(sock)]
         sock.send(SERVING.data.encode())
         packets += [await receive(sock), await receive(sock)]
-        process.takeover.named("t-2", True)
-        process.takeover.named("t-1", False)
+        process.takeover.request_id_changed("t-2", True)
+        process.takeover.request_id_changed("t-1", False)
         reports = process.core.dispatcher.state.peer_load
         reports.unreported = dict(process.core.dispatcher.state.servers.by_id)
         process.peer_messages.send(reports.report(NOW), -1)
         packets += [await receive(sock) for _ in range(3)]
-        parting = asyncio.create_task(process.takeover.handover.part())
+        parting = asyncio.create_task(process.takeover.session.say_goodbye())
         packets.append(await receive(sock))
     await asyncio.wait_for(parting, 5)
     process.close()
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -48,7 +48,7 @@
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.discovery.endpoint_list import read_list, write_list
 from heronlug.discovery.shared_client import ANEW, DUTY, SCOUT, STATE, VERSION, entry_of
-from heronlug.lifecycle.hot_restart.channel import listen, place
+from heronlug.lifecycle.hot_restart.channel import listen, socket_path
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.deadlines import Deadlines
 from heronlug.storage.model import Final
@@ -146,7 +146,7 @@
 
 
 def test_processes_find_each_other_at_the_recorded_place() -> None:
-    assert place("/run", "d1", "127.0.0.1:8080") == "/run/heronlug-c79aea7f"
+    assert socket_path("/run", "d1", "127.0.0.1:8080") == "/run/heronlug-c79aea7f"
 
 
 def test_new_process_is_told_what_the_old_one_told(tmp_path: Path) -> None:
@@ -163,7 +163,7 @@
 async def take_over(process: Process, tmp_path: Path) -> None:
     """Play the recorded old process to a new one that joins, serves and hands the request on."""
     state, *rest = recorded_packets()
-    path = place(str(tmp_path), "d1", "127.0.0.1:80")
+    path = socket_path(str(tmp_path), "d1", "127.0.0.1:80")
     spare = process.descriptors()
     with listen(path) as listening:
         joining = asyncio.create_task(process.takeover.join())
@@ -174,11 +174,11 @@
             assert await receive(sock) == HELLO
             socket.send_fds(sock, [state.data.encode()], spare)
             await asyncio.wait_for(joining, 5)
-            process.takeover.take_up()
+            process.takeover.use_state()
             assert [server.entry for server in process.core.directory.by_number.values()] == SERVERS[:3]
             process.daemon.discovery.client.begin_clock.assert_called_once_with(7500.0)
             assert process.core.peer_process_request_ids == {"t-1"}
-            process.takeover.handover.serving()
+            process.takeover.session.announce_serving()
             assert await receive(sock) == SERVING
             assert process.core.dispatcher.state.servers.by_id[SECOND_SERVER].load.peer_slots == 2.0
             for packet in rest[:-1]:
@@ -189,7 +189,7 @@
             )  # the attempt is the new process's now
             assert process.core.peer_process_request_ids == {"t-2"}
             sock.send(rest[-1].data.encode())
-            await until(lambda: process.takeover.handover.before is None)
+            await until(lambda: process.takeover.session.predecessor is None)
     assert hands_on(process) == orjson.loads(rest[1].data[1:])
 
 
@@ -210,9 +210,9 @@
             attempt.exchange = process.connection()
             attempt.exchange.pause.return_value = 0, {"answered": True, "last": False}
     third = MagicMock()
-    process.takeover.handover.after = third
-    process.takeover.give_way()
-    process.takeover.handover.after = None
+    process.takeover.session.successor = third
+    process.takeover.successor_serves()
+    process.takeover.session.successor = None
     sent: dict[str, Any] = third.send.call_args.args[0]
     return orjson.loads(orjson.dumps(sent))
 
--- a/tests/end_to_end/test_leaving.py
+++ b/tests/end_to_end/test_leaving.py
@@ -254,7 +254,7 @@
             request.workload = Workload()
             if way:
                 client.leave(way)
-            house.daemon.state_transfer.message(
+            house.daemon.state_transfer.adopt_request(
                 {
                     "request": write_request(request),
                     "give_up_at": house.clock.at + 4_000,
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -29,7 +29,7 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.lifecycle.hot_restart.channel import listen, place
+from heronlug.lifecycle.hot_restart.channel import listen, socket_path
 from heronlug.standins.ports import free_port
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -177,7 +177,7 @@
 
     def _partner(self, kind: str) -> socket.socket:
         """What the program finds in place of another process: nobody, one that is silent, or one that babbles."""
-        sock = listen(place(self.folder.name, "n0", self.listen))
+        sock = listen(socket_path(self.folder.name, "n0", self.listen))
         sock.setblocking(True)
         if kind == "stale":
             sock.close()
