--- a/heronlug/backends/health_checker.py
+++ b/heronlug/backends/health_checker.py
@@ -72,7 +72,7 @@
         """Read the verdicts of others."""
         self._node, self._flush = node, flush
         for name in self.names:
-            node.sheets.follow(name)
+            node.tables.follow(name)
 
     def close(self) -> None:
         """End all probes."""
@@ -86,10 +86,10 @@
         """Probe the hosts of a shard."""
         assert self._node is not None
         self._fences[shard] = fence
-        self._node.sheets.publish(shard, fence, {}, self._deadlines.clock())
+        self._node.tables.publish(shard, fence, {}, self._deadlines.clock())
         self._flush()
         # what the prober before said is gone on with, also where it was withdrawn for its silence
-        self._take(shard, [key.decode() for key in self._node.sheets.rows(shard)], ())
+        self._take(shard, [key.decode() for key in self._node.tables.rows(shard)], ())
         self.use_list()
 
     def lost(self, shard: str) -> None:
@@ -99,15 +99,17 @@
 
     def use_list(self) -> None:
         """The hosts have changed, or the shards that are ours."""
-        if not self._fences and not self._prober.hosts:
+        if not self._fences and not self._prober.servers:
             return
         hosts: dict[str, str] = {}
-        for name, entry in self._view.told.items():
+        for name, entry in self._view.reported.items():
             if shard_name(shard_of(name, self.shards)) in self._fences and entry.state is not ServerState.REMOVED:
                 hosts[name] = entry.address
         now = self._deadlines.clock()
         self._prober.use(hosts, self._view.down, now)
-        gone = [name for name in self._view.down if name not in self._view.own.hosts.keys() | self._view.shared.hosts]
+        gone = [
+            name for name in self._view.down if name not in self._view.own.servers.keys() | self._view.shared.servers
+        ]
         for shard in self._fences:  # who is on no list needs no verdict
             out = [name for name in gone if self._view.down[name] == shard]
             if out:
@@ -127,7 +129,7 @@
         assert self._node is not None
         now = self._deadlines.clock()
         for shard in self.names:
-            stale = self._node.sheets.age(shard, now) > after
+            stale = self._node.tables.age(shard, now) > after
             if stale and shard not in self._silent and shard in self._view.down.values():
                 self._silent.add(shard)
                 told = self._view.withdraw(shard)
@@ -136,13 +138,13 @@
                     self._tell(ListKind.CHANGES, told)
             elif not stale and shard in self._silent:
                 self._silent.discard(shard)
-                self._take(shard, [key.decode() for key in self._node.sheets.rows(shard)], ())
+                self._take(shard, [key.decode() for key in self._node.tables.rows(shard)], ())
 
     # -- inside
 
     def _take(self, shard: str, down: Iterable[str], up: Iterable[str]) -> None:
         panic = self._view.panic
-        told = self._view.verdicts(shard, down, up)
+        told = self._view.apply_health_results(shard, down, up)
         if self._view.panic is not panic:
             self._log("probes_not_believed" if self._view.panic else "probes_believed", down=len(self._view.down))
         if told:
@@ -154,7 +156,7 @@
             return
         rows = {name.encode(): None if why is None else json.dumps(why[:64]).encode() for name, why in changes.items()}
         try:
-            self._node.sheets.publish(shard, self._fences[shard], rows, self._deadlines.clock())
+            self._node.tables.publish(shard, self._fences[shard], rows, self._deadlines.clock())
         except ValueError as error:  # a name that no sheet has room for: the verdict stays here
             self._log("verdict_not_shared", shard=shard, error=str(error))
         self._flush()
@@ -163,12 +165,12 @@
 
     def _plan(self) -> None:
         now = self._deadlines.clock()
-        for name, address in self._prober.begin(now):
+        for name, address in self._prober.start_due(now):
             task = asyncio.get_running_loop().create_task(self._probe(name, address))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         self._deadlines.cancel(self._wake)
-        when = self._prober.next()
+        when = self._prober.next_wake()
         self._wake = self._deadlines.call_at(max(when, now + 1.0), self._plan) if when < float("inf") else None
 
     async def _probe(self, name: str, address: str) -> None:
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -44,7 +44,7 @@
     """Ping somebody for the sender, and pass the answer on."""
 
     number: int
-    whom: int  # tag
+    target: int  # tag
 
 
 class Nack(NamedTuple):
@@ -63,61 +63,61 @@
     ``fence`` itself there says that the sender holds it already, its number with no owner that a promise will do.
     """
 
-    duty: int
-    fence: FencingToken
-    number: int
-    freed: FencingToken
+    lease: int
+    token: FencingToken
+    request_id: int
+    released: FencingToken
 
 
 class LeaseGrant(NamedTuple):
     """It has it, for the lease's time from when this was sent by the clock of who grants."""
 
-    duty: int
-    fence: FencingToken
-    number: int
+    lease: int
+    token: FencingToken
+    request_id: int
 
 
 class LeaseDenial(NamedTuple):
     """Another has it, or has had it with a higher fence."""
 
-    duty: int
-    held: FencingToken
-    number: int
+    lease: int
+    highest: FencingToken
+    request_id: int
 
 
 class TransferOffer(NamedTuple):
     """Handover: take this duty after ``fence``."""
 
-    duty: int
-    fence: FencingToken
+    lease: int
+    token: FencingToken
 
 
 class TransferAcceptance(NamedTuple):
     """Handover: yes."""
 
-    duty: int
-    fence: FencingToken
+    lease: int
+    token: FencingToken
 
 
 class TransferCompletion(NamedTuple):
     """Handover: the sender acts no more under ``fence``."""
 
-    duty: int
-    fence: FencingToken
+    lease: int
+    token: FencingToken
 
 
 class LeaseRelease(NamedTuple):
     """The sender has let go of this fence: votes for it are free."""
 
-    duty: int
-    fence: FencingToken
+    lease: int
+    token: FencingToken
 
 
 class TableAnnouncement(NamedTuple):
     """A sheet is at this version: the owner's fence, the number of its publication or beat, the root of the table."""
 
-    topic: int
-    fence: FencingToken
+    table: int
+    token: FencingToken
     number: int
     root: int
 
--- a/heronlug/cluster/health_checks.py
+++ b/heronlug/cluster/health_checks.py
@@ -29,10 +29,10 @@
 
     address: str
     due: float
-    row: int = 0  # probes in a row that say other than what holds
+    streak: int = 0  # probes in a row that say other than what holds
     down: bool = False
-    out: bool = False  # a probe is under way
-    probes: int = 0
+    in_flight: bool = False  # a probe is under way
+    checks: int = 0
 
 
 class HealthCheckSchedule:
@@ -40,63 +40,63 @@
 
     def __init__(self, every: float, fall: int, rise: int, most: int) -> None:
         """``every`` in milliseconds; ``fall`` and ``rise`` in probes; at most ``most`` probes are out at once."""
-        self.every, self.fall, self.rise, self.most = every, fall, rise, most
-        self.hosts: dict[str, CheckedServer] = {}
-        self.out = 0
+        self.interval, self.fall, self.rise, self.max_in_flight = every, fall, rise, most
+        self.servers: dict[str, CheckedServer] = {}
+        self.in_flight = 0
         self._queue: list[tuple[float, str]] = []
 
     def use(self, hosts: dict[str, str], down: Iterable[str], now: float) -> None:
         """Probe these hosts (addresses by name) and no others; a new one that is in ``down`` begins as down."""
         held = set(down)
-        for name in self.hosts.keys() - hosts.keys():
-            self.out -= self.hosts.pop(name).out
+        for name in self.servers.keys() - hosts.keys():
+            self.in_flight -= self.servers.pop(name).in_flight
         for name, address in hosts.items():
-            known = self.hosts.get(name)
+            known = self.servers.get(name)
             if known is not None and known.address == address:
                 continue
             if known is not None:  # another process, of which nothing is known
-                self.out -= known.out
+                self.in_flight -= known.in_flight
             share = xxh32_intdigest(name.encode(), seed=1) / 2**32
-            due = now + self.every * share
-            self.hosts[name] = CheckedServer(address, due, down=name in held and known is None)
+            due = now + self.interval * share
+            self.servers[name] = CheckedServer(address, due, down=name in held and known is None)
             heappush(self._queue, (due, name))
 
-    def begin(self, now: float) -> list[tuple[str, str]]:
+    def start_due(self, now: float) -> list[tuple[str, str]]:
         """Names and addresses to probe now.  What cannot be, for too many are out, waits for one to end."""
         begun = []
-        while self._queue and self._queue[0][0] <= now and self.out < self.most:
+        while self._queue and self._queue[0][0] <= now and self.in_flight < self.max_in_flight:
             due, name = heappop(self._queue)
-            host = self.hosts.get(name)
+            host = self.servers.get(name)
             if host is None or host.due != due:
                 continue  # gone, or planned anew
-            host.due = max(due + self.every, now + self.every / 2)
+            host.due = max(due + self.interval, now + self.interval / 2)
             heappush(self._queue, (host.due, name))
-            if not host.out:
-                host.out = True
-                host.probes += 1
-                self.out += 1
+            if not host.in_flight:
+                host.in_flight = True
+                host.checks += 1
+                self.in_flight += 1
                 begun.append((name, host.address))
         return begun
 
     def ended(self, name: str, address: str, well: bool) -> bool | None:
         """A probe has ended: True the host is up again, False it is down now, None for nothing new."""
-        host = self.hosts.get(name)
-        if host is None or host.address != address or not host.out:
+        host = self.servers.get(name)
+        if host is None or host.address != address or not host.in_flight:
             return None
-        host.out = False
-        self.out -= 1
-        host.row = host.row + 1 if well is host.down else 0
-        if host.row < (self.rise if host.down else self.fall):
+        host.in_flight = False
+        self.in_flight -= 1
+        host.streak = host.streak + 1 if well is host.down else 0
+        if host.streak < (self.rise if host.down else self.fall):
             return None
-        host.row, host.down = 0, not host.down
+        host.streak, host.down = 0, not host.down
         return not host.down
 
-    def next(self) -> float:
+    def next_wake(self) -> float:
         """When a probe is due; not while as many are out as may be, for then one that ends comes first."""
         while self._queue:
             due, name = self._queue[0]
-            host = self.hosts.get(name)
+            host = self.servers.get(name)
             if host is not None and host.due == due:
-                return due if self.out < self.most else inf
+                return due if self.in_flight < self.max_in_flight else inf
             heappop(self._queue)
         return inf
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -1,21 +1,22 @@
-"""Leases of duties: who may act, under which fencing number, and how a duty is handed over.
-
-A lease is granted by the owner itself and by its voters: the first in the duty's rank, some number of them, of all
-members that it does not hold dead. A voter has
-granted a duty to one owner at a time, until its own clock has run ``lease`` past the grant; the owner counts from
-when it asked and stops ``2 * drift`` earlier, so it never acts when a voter's grant has run out. Hence two may act at
-once only where neither has a voter in common with the other: each holds the other dead, and everybody who voted for
-it. That is a partition, or a member that all others hold dead and that holds all others dead; both act under
-different fences, and after the first datagram between them the one with the lower fence stops.
-
-Nobody's vote is bound before all voters are known to give theirs (as in Paxos, Lamport 1998, a round of promises comes
-first): who has no predecessor that has let go asks for promises. A promise binds nobody for long, and gives way to a
-higher fence; a vote is bound for a lease. Without that, two that ask with different views each bind a part of the
-votes, and the one that gives way leaves them bound, for a lease each time its word of that is lost.
+"""Leases: which member may act, under which fencing token, and how a lease is handed over.
+
+A lease is granted by its owner and by its quorum members: the first in the lease's rendezvous ranking of all members
+that the owner does not hold dead. A quorum member grants a lease to one owner at a time, until its own clock has run
+``lease_duration`` past the grant. The owner counts from when it sent the request and stops ``2 * max_clock_drift``
+earlier, so it never acts after a grant has expired. Two members can act at once only if their quorums are disjoint:
+each holds the other, and everybody who voted for it, dead. That is a partition. Both act under different tokens, and
+after the first datagram between them the one with the lower token stops.
+
+No vote is bound before all quorum members are known to give theirs. As in Paxos (Lamport 1998), a round of promises
+comes first, unless a predecessor has released the lease. A promise is short and gives way to a higher token; a vote
+is bound for a whole lease. Without that round, two members that request the lease with different views would each
+bind some of the votes, and those would stay bound for a whole lease whenever the release message is lost.
+
+The stages of a lease are described in :mod:`heronlug.cluster.lease_state`.
 """
 
 from collections.abc import Callable
-from enum import Enum
+from dataclasses import dataclass
 from math import inf
 
 from xxhash import xxh32_intdigest
@@ -30,357 +31,350 @@
     TransferCompletion,
     TransferOffer,
 )
+from heronlug.cluster.lease_state import (
+    PROMISE_FRACTION,
+    LeaseEvent,
+    LeaseStage,
+    LeaseState,
+    secured_until,
+)
 from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, LeaseGained, LeaseLost
 from heronlug.cluster.ownership import preferred_owner, tag
 
-MAX_TRANSFER_TRIES = 12  # offers, and farewells, before one lets go without an answer
-MAX_OPEN_REQUESTS = 32  # requests remembered
-PROMISE_FRACTION = 0.25  # of a lease: so long a promise is kept
-RELEASE_REPEATS = 3  # times that a vote is freed again after the first: the word of it may be lost
-
-
-def unowned(fence: FencingToken) -> FencingToken:
-    """What a request that only wants a promise has in place of a fence that was freed."""
-    return FencingToken(fence.number, 0)
-
-
-class LeaseStage(Enum):
-    """Where one member stands with a duty."""
-
-    IDLE = "idle"
-    ASKING = "asking"
-    HOLDING = "holding"
-    OFFERING = "offering"  # holding, and somebody else should
-    PASSED = "passed"  # stopped for somebody who has accepted
-
-
-class LeaseVote:
-    """What this member has granted of a duty."""
-
-    __slots__ = ("fence", "highest", "promised", "promised_until", "until")
-
-    def __init__(self) -> None:
-        self.fence, self.highest, self.until = NO_TOKEN, NO_TOKEN, -inf
-        self.promised, self.promised_until = NO_TOKEN, -inf
-
-
-class LeaseState:
-    """One duty as one member sees it."""
-
-    __slots__ = (
-        "asked",
-        "fence",
-        "freed",
-        "frees",
-        "gained",
-        "granted",
-        "heir",
-        "key",
-        "name",
-        "next",
-        "promised",
-        "promises",
-        "rest",
-        "seen",
-        "stage",
-        "taking",
-        "tries",
-        "until",
-        "vote",
-    )
-
-    def __init__(self, name: str) -> None:
-        self.name, self.key = name, tag(name)
-        self.stage = LeaseStage.IDLE
-        self.vote = LeaseVote()
-        self.fence = NO_TOKEN  # ours
-        self.seen = NO_TOKEN  # the highest that others have told; what our own vote has granted is another matter
-        self.until = -inf  # so long we may act
-        self.granted: dict[int, float] = {}  # by voter: until when, by our clock
-        self.asked: dict[int, tuple[float, bool]] = {}  # when we sent which request; whether for a promise
-        self.promises: dict[int, float] = {}  # by voter: until when, by our clock
-        self.taking = False  # all have promised: now they are asked for their votes
-        self.frees: list[FencingToken] = []  # what to tell the voters again that we have let go of
-        self.rest = -inf  # so long we ask for nothing
-        self.freed = NO_TOKEN  # whose owner has let go of it for us
-        self.promised = -inf  # so long we ask for it, for somebody hands it to us
-        self.heir = 0  # whom we hand it to
-        self.next = -inf  # when to send something again
-        self.tries = 0
-        self.gained = 0  # times that it has come to us
+MAX_TRANSFER_TRIES = 12
+"""Offers, or completions, that are sent before the lease is given up without an answer."""
+
+RELEASE_REPEATS = 3
+"""How often a release is sent again after the first time, as it may be lost."""
+
+REQUEST_ID_MASK = 0xFFFFFFFF
+"""Request numbers have 32 bits."""
+
+RETRY_DELAY_MIN = 0.4
+"""The shortest time before a released lease is requested again, as a fraction of the lease duration."""
+
+RETRY_DELAY_SPREAD = 0.4
+"""How much longer that time may be, as a fraction of the lease duration."""
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseCallbacks:
+    """What the leases need of the member they belong to.
+
+    Attributes:
+        send: Sends a part to the member with this tag.
+        notify: Is told when a lease is gained or lost.
+        quorum: The other quorum members of a lease, names by tag, at a time.
+        candidates: The names of the members that may own a lease at a time, perhaps this one too.
+    """
+
+    send: Callable[[int, Part], None]
+    notify: Callable[[LeaseGained | LeaseLost], None]
+    quorum: Callable[[str, float], dict[int, str]]
+    candidates: Callable[[float], list[str]]
 
 
 class LeaseManager:
-    """All duties of one member."""
+    """All leases of one member.
+
+    Attributes:
+        leases: The leases by their keys.
+        leaving: Whether this member hands its leases over and requests no more.
+        votes_from: When this member may grant leases that nobody holds yet; set once the start time is known.
+        conflicts: How often this member has stopped because of a higher token.
+    """
 
     def __init__(
         self,
         name: str,
         incarnation: int,
-        duties: list[str],
-        terms: ClusterTiming,
-        send: Callable[[int, Part], None],
-        told: Callable[[LeaseGained | LeaseLost], None],
-        voters: Callable[[str, float], dict[int, str]],
-        candidates: Callable[[float], list[str]],
+        lease_names: list[str],
+        timing: ClusterTiming,
+        callbacks: LeaseCallbacks,
     ) -> None:
-        """``voters`` of a duty are others by tag, ``candidates`` the names of those that may own, perhaps us too."""
-        self.name, self.tag, self.terms = name, tag(name), terms
-        self.life = tag(f"{name}\0{incarnation}")  # of this process: a restart never repeats a fence
-        self.duties = {duty.key: duty for duty in map(LeaseState, duties)}
+        """Create the leases; ``incarnation`` is the start time of this process in Unix milliseconds."""
+        self.name = name
+        self.tag = tag(name)
+        self.timing = timing
+        self.callbacks = callbacks
+        # names this process, so that a restarted one never repeats a token
+        self.process_tag = tag(f"{name}\0{incarnation}")
+        self.leases = {state.key: state for state in map(LeaseState, lease_names)}
         self.leaving = False
-        self.votes_from = inf  # set once it is known when we began
-        self.conflicts = 0  # times that we stopped for a higher fence
-        self._floor = incarnation
-        self._number = 0
-        self._send, self._told, self._voters, self._candidates = send, told, voters, candidates
-        self._span = terms.lease * (1 - 2 * terms.drift)
+        self.votes_from = inf
+        self.conflicts = 0
+        self._min_token_number = incarnation
+        self._last_request_id = 0
+        self._vote_duration = timing.lease_duration * (1 - 2 * timing.max_clock_drift)
+        self._renewal_margin = timing.lease_duration * (1 - timing.renewal_fraction)
 
-    # -- what is known
+    # -- queries
 
     def may_act(self, key: int, now: float) -> FencingToken | None:
-        """Our fence while the lease holds; to be asked again before each step that matters."""
-        duty = self.duties[key]
-        return duty.fence if duty.stage in (LeaseStage.HOLDING, LeaseStage.OFFERING) and now < duty.until else None
+        """The token of this member while the lease holds; to be asked again before each step that matters."""
+        state = self.leases[key]
+        return state.token if state.may_act(now) else None
 
-    def next(self) -> float:
-        """When there is something to do."""
-        return min((d.next for d in self.duties.values()), default=inf)
+    def next_wake(self) -> float:
+        """When :meth:`wake` has something to do."""
+        return min((state.next_action_at for state in self.leases.values()), default=inf)
 
     def idle(self) -> bool:
-        """Whether we own nothing and owe nobody an answer."""
-        return all(duty.stage in (LeaseStage.IDLE, LeaseStage.ASKING) for duty in self.duties.values())
+        """Whether this member holds no lease and is handing none over."""
+        return all(state.stage in (LeaseStage.IDLE, LeaseStage.REQUESTING) for state in self.leases.values())
 
     # -- time
 
     def wake(self, now: float) -> None:
-        """Do what is due."""
+        """Let leases expire, and send what is due."""
         candidates: list[str] | None = None
-        for duty in self.duties.values():
-            self._lapse(duty, now)
-            if duty.next <= now:
-                candidates = self._candidates(now) if candidates is None else candidates
-                self._step(duty, candidates, now)
-
-    def _lapse(self, duty: LeaseState, now: float) -> None:
-        if duty.stage in (LeaseStage.HOLDING, LeaseStage.OFFERING) and now >= duty.until:
-            self._stop(duty, LeaseStage.IDLE, "lease over")
-
-    def _step(self, duty: LeaseState, candidates: list[str], now: float) -> None:
-        """What one member does about a duty, by its stage."""
-        heir = preferred_owner(duty.name, candidates)
-        ours = not self.leaving and (heir == self.name or now < duty.promised)
-        duty.next = now + self.terms.ask_every
-        if duty.frees:
-            self._free(duty, duty.frees.pop(), now)
-        if duty.stage is LeaseStage.IDLE and ours and (now >= duty.rest or now < duty.promised):
-            duty.stage, duty.tries = LeaseStage.ASKING, 0
-            self._new_fence(duty)
-        elif duty.stage is LeaseStage.ASKING and not ours:
-            self._let_go(duty, now)
-            duty.stage = LeaseStage.IDLE
-        elif duty.stage is LeaseStage.HOLDING and not ours and heir:
-            duty.stage, duty.heir, duty.tries = LeaseStage.OFFERING, tag(heir), 0
-        elif duty.stage is LeaseStage.OFFERING and (ours or tag(heir) != duty.heir):
-            duty.stage = LeaseStage.HOLDING
-        if duty.stage is LeaseStage.ASKING:
-            self._ask(duty, self._voters(duty.name, now), now)
-        elif duty.stage is LeaseStage.HOLDING or duty.stage is LeaseStage.OFFERING:
-            voters = self._voters(duty.name, now)
-            if self._secured(duty.granted, voters) - now < self._renewal():
-                self._ask(duty, voters, now)
-            if duty.stage is LeaseStage.OFFERING:
-                duty.tries += 1
-                self._send(duty.heir, TransferOffer(duty.key, duty.fence))
-                if self.leaving and duty.tries > MAX_TRANSFER_TRIES:
-                    self._stop(duty, LeaseStage.IDLE, "left without an heir")
-        elif duty.stage is LeaseStage.PASSED:
-            duty.tries += 1
-            if duty.tries > MAX_TRANSFER_TRIES or now >= duty.until:
-                duty.stage = LeaseStage.IDLE
-            else:
-                self._send(duty.heir, TransferCompletion(duty.key, duty.fence))
-
-    def _secured(self, given: dict[int, float], voters: dict[int, str]) -> float:
-        """How long what every voter has given holds, our own with them."""
-        return min(given.get(voter, -inf) for voter in [*voters, self.tag])
-
-    def _given(self, duty: LeaseState, sounding: bool) -> tuple[dict[int, float], float]:
-        """What is given for a request, promises or votes, and how long that holds from when it was sent."""
-        return (duty.promises, self._span * PROMISE_FRACTION) if sounding else (duty.granted, self._span)
-
-    def _renewal(self) -> float:
-        """With less left than this, a lease is renewed."""
-        return self.terms.lease * (1 - self.terms.renew_at)
-
-    def _new_fence(self, duty: LeaseState) -> None:
-        number = max(duty.vote.highest.number, duty.seen.number, duty.fence.number, self._floor) + 1
-        duty.fence = FencingToken(number, self.life)
-        duty.granted.clear()
-        duty.promises.clear()
-        duty.asked.clear()
-        duty.taking = False
-
-    def _ask(self, duty: LeaseState, voters: dict[int, str], now: float) -> None:
-        """Ask those whose grant runs out first; our own vote is given like any other."""
-        holding = duty.stage is not LeaseStage.ASKING and now < duty.until
-        sounding = duty.stage is LeaseStage.ASKING and duty.freed == NO_TOKEN and not duty.taking
-        freed = duty.fence if holding else unowned(duty.fence) if sounding else duty.freed
-        self._number = (self._number + 1) & 0xFFFFFFFF
-        duty.asked[self._number] = now, sounding
-        for number in list(duty.asked)[:-MAX_OPEN_REQUESTS]:
-            del duty.asked[number]
-        ask = LeaseRequest(duty.key, duty.fence, self._number, freed)
-        answer = self._vote(duty, ask, now)
+        for state in self.leases.values():
+            self._expire(state, now)
+            if state.next_action_at <= now:
+                candidates = self.callbacks.candidates(now) if candidates is None else candidates
+                self._step(state, candidates, now)
+
+    def _expire(self, state: LeaseState, now: float) -> None:
+        if state.stage.holds and now >= state.valid_until:
+            self._lose(state, "lease over")
+
+    def _step(self, state: LeaseState, candidates: list[str], now: float) -> None:
+        """Update the stage for the present candidates, then send what the stage calls for."""
+        state.next_action_at = now + self.timing.request_interval
+        if state.pending_releases:
+            self._send_release(state, state.pending_releases.pop(), now)
+        self._update_stage(state, preferred_owner(state.name, candidates), now)
+        if state.stage is LeaseStage.REQUESTING:
+            self._request(state, self._quorum(state, now), now)
+        elif state.stage.holds:
+            self._renew(state, now)
+            if state.stage is LeaseStage.TRANSFERRING:
+                self._offer(state)
+        elif state.stage is LeaseStage.TRANSFERRED:
+            self._repeat_completion(state, now)
+
+    def _update_stage(self, state: LeaseState, preferred: str, now: float) -> None:
+        """Move the lease on if this member has become, or is no longer, the one that should hold it."""
+        handed_over = now < state.offered_until
+        wanted = not self.leaving and (preferred == self.name or handed_over)
+        if state.stage is LeaseStage.IDLE and wanted and (now >= state.retry_at or handed_over):
+            state.advance(LeaseEvent.REQUESTED)
+            state.tries = 0
+            state.begin_request(self._new_token(state))
+        elif state.stage is LeaseStage.REQUESTING and not wanted:
+            self._withdraw(state, now)
+        elif state.stage is LeaseStage.HELD and not wanted and preferred:
+            state.advance(LeaseEvent.SUCCESSOR_FOUND)
+            state.successor = tag(preferred)
+            state.tries = 0
+        elif state.stage is LeaseStage.TRANSFERRING and (wanted or tag(preferred) != state.successor):
+            state.advance(LeaseEvent.TRANSFER_CANCELLED)
+
+    # -- requests
+
+    def _quorum(self, state: LeaseState, now: float) -> dict[int, str]:
+        return self.callbacks.quorum(state.name, now)
+
+    def _new_token(self, state: LeaseState) -> FencingToken:
+        """A token above all that this member has seen of the lease."""
+        seen = (state.vote.highest.number, state.highest_seen.number, state.token.number, self._min_token_number)
+        return FencingToken(max(seen) + 1, self.process_tag)
+
+    def _request(self, state: LeaseState, quorum: dict[int, str], now: float) -> None:
+        """Ask the quorum members whose grant expires first; this member's own vote is given like any other."""
+        for_promise = state.collecting_promises
+        self._last_request_id = (self._last_request_id + 1) & REQUEST_ID_MASK
+        request = state.new_request(self._last_request_id, now)
+        answer = self._vote(state, request, now)
         if isinstance(answer, LeaseDenial):
-            self._denied(duty, answer, now)
+            self._denied(state, answer, now)
             return
-        given, span = self._given(duty, sounding)
-        enough = span / 2 if sounding else self._renewal()
-        given[self.tag] = now + span
-        for voter in voters:
-            if given.get(voter, -inf) - now < enough:
-                self._send(voter, ask)
-        if sounding:
-            self._take(duty, voters, now)
+        duration = self._grant_duration(for_promise)
+        grants = state.grants(for_promise)
+        grants[self.tag] = now + duration
+        enough = duration / 2 if for_promise else self._renewal_margin
+        for member in quorum:
+            if grants.get(member, -inf) - now < enough:
+                self.callbacks.send(member, request)
+        if for_promise:
+            self._count_promises(state, quorum, now)
         else:
-            self._reckon(duty, voters, now)
-
-    def _take(self, duty: LeaseState, voters: dict[int, str], now: float) -> None:
-        """All have promised: they are asked for their votes."""
-        if self._secured(duty.promises, voters) > now:
-            duty.taking = True
-            self._ask(duty, voters, now)
-
-    def _reckon(self, duty: LeaseState, voters: dict[int, str], now: float) -> None:
-        """A lease holds as long as every voter's grant; what was secured once stays so."""
-        until = self._secured(duty.granted, voters)
+            self._count_votes(state, quorum, now)
+
+    def _renew(self, state: LeaseState, now: float) -> None:
+        """Request the lease again before the first grant expires."""
+        quorum = self._quorum(state, now)
+        if secured_until(state.granted_until, [*quorum, self.tag]) - now < self._renewal_margin:
+            self._request(state, quorum, now)
+
+    def _grant_duration(self, for_promise: bool) -> float:
+        """How long an answer holds from when its request was sent, in milliseconds."""
+        return self._vote_duration * PROMISE_FRACTION if for_promise else self._vote_duration
+
+    def _count_promises(self, state: LeaseState, quorum: dict[int, str], now: float) -> None:
+        """Request votes once all quorum members have promised theirs."""
+        if secured_until(state.promised_until, [*quorum, self.tag]) > now:
+            state.collecting_votes = True
+            self._request(state, quorum, now)
+
+    def _count_votes(self, state: LeaseState, quorum: dict[int, str], now: float) -> None:
+        """Hold the lease as long as every vote; time that was secured once is not taken back."""
+        until = secured_until(state.granted_until, [*quorum, self.tag])
         if until <= now:
             return
-        duty.until = max(duty.until, until)
-        if duty.stage is LeaseStage.ASKING:
-            cause = "handed over" if duty.freed != NO_TOKEN else "taken over"
-            duty.stage, duty.freed, duty.promised = LeaseStage.HOLDING, NO_TOKEN, -inf
-            duty.gained += 1
-            self._told(LeaseGained(duty.name, duty.fence, cause))
-
-    def _stop(self, duty: LeaseState, stage: LeaseStage, cause: str) -> None:
-        duty.stage = stage
-        if stage is LeaseStage.IDLE:
-            duty.until = -inf
-            duty.granted.clear()
-        self._told(LeaseLost(duty.name, duty.fence, cause))
-
-    # -- datagrams
-
-    def heard(self, sender: int, part: Part, now: float) -> None:
-        """A part that has to do with a duty."""
-        if not isinstance(
-            part,
-            LeaseRequest
-            | LeaseGrant
-            | LeaseDenial
-            | TransferOffer
-            | TransferAcceptance
-            | TransferCompletion
-            | LeaseRelease,
-        ):
+        state.valid_until = max(state.valid_until, until)
+        if state.stage is LeaseStage.REQUESTING:
+            cause = "handed over" if state.released != NO_TOKEN else "taken over"
+            state.advance(LeaseEvent.SECURED)
+            state.released = NO_TOKEN
+            state.offered_until = -inf
+            state.times_gained += 1
+            self.callbacks.notify(LeaseGained(state.name, state.token, cause))
+
+    # -- messages
+
+    def receive(self, sender: int, part: Part, now: float) -> None:
+        """Handle a part of a datagram if it is about a lease that this member knows."""
+        if not isinstance(part, LEASE_PARTS):
             return
-        duty = self.duties.get(part.duty)
-        if duty is None:
+        state = self.leases.get(part.lease)
+        if state is None:
             return
-        self._lapse(duty, now)
-        if isinstance(part, LeaseRequest):
-            if duty.stage is LeaseStage.PASSED and part.fence > duty.fence and sender == duty.heir:
-                duty.stage, duty.next = LeaseStage.IDLE, now + self.terms.lease  # our farewell has come through
-            self._send(sender, self._vote(duty, part, now))
-        elif isinstance(part, LeaseGrant) and part.fence == duty.fence and part.number in duty.asked:
-            asked, sounding = duty.asked[part.number]
-            given, span = self._given(duty, sounding)
-            given[sender] = max(asked + span, given.get(sender, -inf))
-            if sounding and duty.stage is LeaseStage.ASKING and not duty.taking:
-                self._take(duty, self._voters(duty.name, now), now)
-            elif duty.stage in (LeaseStage.ASKING, LeaseStage.HOLDING, LeaseStage.OFFERING):
-                self._reckon(duty, self._voters(duty.name, now), now)
-        elif isinstance(part, LeaseDenial) and part.number in duty.asked:
-            self._denied(duty, part, now)
-        elif isinstance(part, TransferOffer) and not self.leaving:
-            self._send(sender, TransferAcceptance(duty.key, part.fence))
-        elif isinstance(part, TransferAcceptance) and duty.stage is LeaseStage.OFFERING:
-            if part.fence == duty.fence and sender == duty.heir:
-                self._let_go(duty, now)
-                duty.tries, duty.next = 0, now
-                self._stop(duty, LeaseStage.PASSED, "handed over")
-                self._send(duty.heir, TransferCompletion(duty.key, duty.fence))
-        elif isinstance(part, LeaseRelease):
-            if part.fence == duty.vote.fence:
-                duty.vote.until = -inf
-            if part.fence == duty.vote.promised:
-                duty.vote.promised_until = -inf
-        elif (
-            isinstance(part, TransferCompletion)
-            and not self.leaving
-            and duty.stage in (LeaseStage.IDLE, LeaseStage.ASKING)
-        ):
-            if part.fence >= duty.vote.highest or part.fence == duty.vote.fence:
-                duty.freed, duty.promised, duty.next = part.fence, now + self.terms.lease, now
-
-    def _vote(self, duty: LeaseState, ask: LeaseRequest, now: float) -> LeaseGrant | LeaseDenial:
-        """Grant one owner at a time, and never a fence below what has been granted."""
-        vote = duty.vote
-        if now < self.votes_from and ask.freed != ask.fence:
-            # what the process before us has granted is not known here: until that has run out, only those that
-            # hold a lease already, and say so by their own fence, may go on
-            return LeaseDenial(duty.key, vote.highest, ask.number)
-        if ask.fence != vote.fence:
-            free = now >= vote.until or (ask.freed == vote.fence != NO_TOKEN)
-            free = free or ask.fence.owner == vote.fence.owner  # it asks anew, and acts no more under the one before
-            if not free or ask.fence <= vote.highest:
-                return LeaseDenial(duty.key, vote.highest, ask.number)
-            if now < vote.promised_until and ask.fence < vote.promised:
-                return LeaseDenial(duty.key, vote.promised, ask.number)
-        if ask.freed == unowned(ask.fence):  # a promise is all that it wants
-            vote.promised, vote.promised_until = ask.fence, now + self.terms.lease * PROMISE_FRACTION
-            return LeaseGrant(duty.key, ask.fence, ask.number)
-        vote.fence, vote.until = ask.fence, now + self.terms.lease
-        vote.highest = max(vote.highest, ask.fence)
-        return LeaseGrant(duty.key, ask.fence, ask.number)
-
-    def _denied(self, duty: LeaseState, deny: LeaseDenial, now: float) -> None:
-        """Somebody else has it, or asks for it too; with a higher fence than ours we give way.
-
-        The first time that may only mean that our number was too low: ask with one above.  After that two would go on
-        raising each other's, each with a part of the votes: free ours, and ask again a little later.
+        self._expire(state, now)
+        match part:
+            case LeaseRequest():
+                self._on_request(state, sender, part, now)
+            case LeaseGrant():
+                self._on_grant(state, sender, part, now)
+            case LeaseDenial():
+                if part.request_id in state.requests:
+                    self._denied(state, part, now)
+            case LeaseRelease():
+                state.vote.release(part.token)
+            case TransferOffer():
+                if not self.leaving:
+                    self.callbacks.send(sender, TransferAcceptance(state.key, part.token))
+            case TransferAcceptance():
+                self._on_acceptance(state, sender, part, now)
+            case TransferCompletion():
+                self._on_completion(state, part, now)
+
+    def _on_request(self, state: LeaseState, sender: int, request: LeaseRequest, now: float) -> None:
+        if (
+            state.stage is LeaseStage.TRANSFERRED and request.token > state.token and sender == state.successor
+        ):  # the successor has received the completion
+            state.advance(LeaseEvent.TRANSFER_FINISHED)
+            state.next_action_at = now + self.timing.lease_duration
+        self.callbacks.send(sender, self._vote(state, request, now))
+
+    def _vote(self, state: LeaseState, request: LeaseRequest, now: float) -> LeaseGrant | LeaseDenial:
+        return state.vote.decide(request, now, self.timing.lease_duration, renewals_only=now < self.votes_from)
+
+    def _on_grant(self, state: LeaseState, sender: int, grant: LeaseGrant, now: float) -> None:
+        request = state.requests.get(grant.request_id)
+        if request is None or grant.token != state.token:
+            return
+        grants = state.grants(request.for_promise)
+        until = request.sent_at + self._grant_duration(request.for_promise)
+        grants[sender] = max(until, grants.get(sender, -inf))
+        if request.for_promise and state.stage is LeaseStage.REQUESTING and not state.collecting_votes:
+            self._count_promises(state, self._quorum(state, now), now)
+        elif state.stage is LeaseStage.REQUESTING or state.stage.holds:
+            self._count_votes(state, self._quorum(state, now), now)
+
+    def _denied(self, state: LeaseState, denial: LeaseDenial, now: float) -> None:
+        """Give way to a higher token: another member holds the lease, or requests it too.
+
+        The first denial may only mean that the number of our token was too low, so the request is repeated with a
+        higher one. After a second one two members would go on outbidding each other, each with some of the votes; so
+        this one releases its token and requests the lease again a little later.
         """
-        duty.seen = max(duty.seen, deny.held)
-        if deny.held <= duty.fence:
+        state.highest_seen = max(state.highest_seen, denial.highest)
+        if denial.highest <= state.token:
             return
-        if duty.stage in (LeaseStage.HOLDING, LeaseStage.OFFERING):
+        if state.stage.holds:
             self.conflicts += 1
-            self._let_go(duty, now)
-            self._stop(duty, LeaseStage.IDLE, "higher fence seen")
-        elif duty.stage is LeaseStage.ASKING and not duty.tries:
-            duty.tries = 1
-            if duty.taking:
-                self._free(duty, duty.fence, now)
-            self._new_fence(duty)
-        elif duty.stage is LeaseStage.ASKING:
-            self._let_go(duty, now)
-            duty.stage = LeaseStage.IDLE
-
-    def _let_go(self, duty: LeaseState, now: float) -> None:
-        self._free(duty, duty.fence, now)
-        duty.frees = [duty.fence] * RELEASE_REPEATS
-        if duty.vote.fence.owner == self.life:  # also one under an earlier fence of ours: we act under none now
-            duty.vote.until = -inf
-        if duty.vote.promised.owner == self.life:
-            duty.vote.promised_until = -inf
-        # not all at the same time, and without randomness of our own
-        share = xxh32_intdigest(f"{self.name}{duty.fence.number}".encode()) / 2**32
-        duty.rest = now + self.terms.lease * (0.4 + 0.4 * share)
-        duty.next = now + self.terms.ask_every
-
-    def _free(self, duty: LeaseState, fence: FencingToken, now: float) -> None:
-        """Votes for it are free; the word of that may be lost."""
-        for voter in self._voters(duty.name, now):
-            self._send(voter, LeaseRelease(duty.key, fence))
+            self._release(state, now)
+            self._lose(state, "higher fence seen")
+        elif state.stage is LeaseStage.REQUESTING and not state.tries:
+            state.tries = 1
+            if state.collecting_votes:
+                self._send_release(state, state.token, now)
+            state.begin_request(self._new_token(state))
+        elif state.stage is LeaseStage.REQUESTING:
+            self._withdraw(state, now)
+
+    # -- transfer to a successor
+
+    def _offer(self, state: LeaseState) -> None:
+        state.tries += 1
+        self.callbacks.send(state.successor, TransferOffer(state.key, state.token))
+        if self.leaving and state.tries > MAX_TRANSFER_TRIES:
+            self._lose(state, "left without an heir")
+
+    def _on_acceptance(self, state: LeaseState, sender: int, acceptance: TransferAcceptance, now: float) -> None:
+        """The successor has accepted: stop acting, then tell it so."""
+        if state.stage is not LeaseStage.TRANSFERRING:
+            return
+        if acceptance.token != state.token or sender != state.successor:
+            return
+        self._release(state, now)
+        state.tries = 0
+        state.next_action_at = now
+        state.advance(LeaseEvent.TRANSFER_ACCEPTED)
+        self.callbacks.notify(LeaseLost(state.name, state.token, "handed over"))
+        self.callbacks.send(state.successor, TransferCompletion(state.key, state.token))
+
+    def _repeat_completion(self, state: LeaseState, now: float) -> None:
+        state.tries += 1
+        if state.tries > MAX_TRANSFER_TRIES or now >= state.valid_until:
+            state.advance(LeaseEvent.TRANSFER_FINISHED)
+        else:
+            self.callbacks.send(state.successor, TransferCompletion(state.key, state.token))
+
+    def _on_completion(self, state: LeaseState, completion: TransferCompletion, now: float) -> None:
+        """The predecessor has stopped: request the lease at once, without a round of promises."""
+        if self.leaving or state.stage not in (LeaseStage.IDLE, LeaseStage.REQUESTING):
+            return
+        if completion.token >= state.vote.highest or completion.token == state.vote.token:
+            state.released = completion.token
+            state.offered_until = now + self.timing.lease_duration
+            state.next_action_at = now
+
+    # -- the end of a lease
+
+    def _withdraw(self, state: LeaseState, now: float) -> None:
+        self._release(state, now)
+        state.advance(LeaseEvent.WITHDRAWN)
+
+    def _lose(self, state: LeaseState, cause: str) -> None:
+        state.advance(LeaseEvent.LOST)
+        state.valid_until = -inf
+        state.granted_until.clear()
+        self.callbacks.notify(LeaseLost(state.name, state.token, cause))
+
+    def _release(self, state: LeaseState, now: float) -> None:
+        """Free all votes for our token, and wait before the lease is requested again."""
+        self._send_release(state, state.token, now)
+        state.pending_releases = [state.token] * RELEASE_REPEATS
+        state.vote.release_owner(self.process_tag)
+        # spreads the members' retries without randomness
+        share = xxh32_intdigest(f"{self.name}{state.token.number}".encode()) / 2**32
+        state.retry_at = now + self.timing.lease_duration * (RETRY_DELAY_MIN + RETRY_DELAY_SPREAD * share)
+        state.next_action_at = now + self.timing.request_interval
+
+    def _send_release(self, state: LeaseState, token: FencingToken, now: float) -> None:
+        for member in self._quorum(state, now):
+            self.callbacks.send(member, LeaseRelease(state.key, token))
+
+
+LEASE_PARTS = (
+    LeaseRequest,
+    LeaseGrant,
+    LeaseDenial,
+    LeaseRelease,
+    TransferOffer,
+    TransferAcceptance,
+    TransferCompletion,
+)
+"""The parts of a datagram that are about leases."""
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -23,19 +23,29 @@
 class Member:
     """Another member as it is known here."""
 
-    __slots__ = ("address", "came", "confirmed", "health", "heard", "incarnation", "name", "since", "tag")
+    __slots__ = (
+        "address",
+        "changed_at",
+        "health",
+        "incarnation",
+        "joined_at",
+        "last_heard",
+        "name",
+        "suspected_by",
+        "tag",
+    )
 
     RESTART = 1000  # refutations add one to an incarnation, a new process starts with the time
 
     def __init__(self, name: str, address: str, incarnation: int, now: float) -> None:
         self.name, self.address, self.incarnation, self.tag = name, address, incarnation, tag(name)
-        self.health, self.since = Health.ALIVE, now
-        self.heard = -inf  # when a datagram of it came last
-        self.came = now  # when it was last found to be there after it was not, or as a new process
-        self.confirmed: set[int] = set()  # tags of those that suspect it
+        self.health, self.changed_at = Health.ALIVE, now
+        self.last_heard = -inf  # when a datagram of it came last
+        self.joined_at = now  # when it was last found to be there after it was not, or as a new process
+        self.suspected_by: set[int] = set()  # tags of those that suspect it
 
     @property
-    def counts(self) -> bool:
+    def active(self) -> bool:
         """Whether it is held to be there."""
         return self.health <= Health.SUSPECT
 
@@ -66,12 +76,12 @@
         send: Callable[[str, list[Part]], None],
         told: Callable[[MemberChanged], None],
     ) -> None:
-        self.name, self.address, self.incarnation, self.terms = name, address, incarnation, terms
+        self.name, self.address, self.incarnation, self.timing = name, address, incarnation, terms
         self.members: dict[str, Member] = {}
         self.by_tag: dict[int, Member] = {}
         self.seeds = [seed for seed in seeds if seed != address]
         self.leaving = False
-        self.slowness = 0  # Lifeguard's local health multiplier, 0 is well
+        self.local_health = 0  # Lifeguard's local health multiplier, 0 is well
         self.suspicions = self.false_suspicions = self.refutations = self.clashes = 0
         self._rng, self._send, self._told = rng, send, told
         self._round: list[Member] = []
@@ -84,24 +94,24 @@
 
     # -- what is known
 
-    def others(self) -> list[Member]:
+    def active_members(self) -> list[Member]:
         """Those that are held to be there."""
-        return [member for member in self.members.values() if member.counts]
+        return [member for member in self.members.values() if member.active]
 
-    def voters(self, now: float) -> list[Member]:
+    def quorum_candidates(self, now: float) -> list[Member]:
         """Those that have a say: also who is held dead but was heard just now, for then it is we who are not heard."""
-        since = now - self.terms.lease
-        return [m for m in self.members.values() if m.counts or (m.health is Health.DEAD and m.heard > since)]
+        since = now - self.timing.lease_duration
+        return [m for m in self.members.values() if m.active or (m.health is Health.DEAD and m.last_heard > since)]
 
-    def next(self) -> float:
+    def next_wake(self) -> float:
         """When there is something to do."""
         times = [self._next_probe, self._next_join, self._next_ping(), *(until for until, *_ in self._for.values())]
         times += [self._over(member) for member in self.members.values() if member.health is Health.SUSPECT]
         return min(times)
 
-    def news(self, room: int = MAX_BODY_SIZE - CARRIER_SIZE) -> list[MemberUpdate]:
+    def next_updates(self, room: int = MAX_BODY_SIZE - CARRIER_SIZE) -> list[MemberUpdate]:
         """What to tell next, within so many bytes: what has been told least first."""
-        limit = self.terms.spread * ceil(log(len(self.members) + 2, 2))
+        limit = self.timing.retransmit_multiplier * ceil(log(len(self.members) + 2, 2))
         chosen: list[MemberUpdate] = []
         for name in sorted(self._news, key=lambda name: self._news[name][0]):
             told, item = self._news[name]
@@ -127,17 +137,19 @@
         for member in list(self.members.values()):
             if member.health is Health.SUSPECT and self._over(member) <= now:
                 self._turn(member, Health.DEAD, now, "suspicion over")
-            elif not member.counts and now - member.since > self.terms.forget:
+            elif not member.active and now - member.changed_at > self.timing.forget_after:
                 del self.members[member.name], self.by_tag[member.tag]
         if now >= self._next_join:
             self._began = min(self._began, now)
-            young = now - self._began < self.terms.settle  # the list has to be whole by the time that we own anything
+            young = (
+                now - self._began < self.timing.settle_time
+            )  # the list has to be whole by the time that we own anything
             # and whoever is cut off one way has to hear soon that the others are there
             young = young or any(
-                m.health is Health.DEAD and now - m.since < FAST_REJOIN_WINDOW for m in self.members.values()
+                m.health is Health.DEAD and now - m.changed_at < FAST_REJOIN_WINDOW for m in self.members.values()
             )
-            self._next_join = now + self.terms.rejoin * self._rng.uniform(0.75, 1.25) / (8 if young else 1)
-            known = {member.address for member in self.others()}
+            self._next_join = now + self.timing.rejoin_interval * self._rng.uniform(0.75, 1.25) / (8 if young else 1)
+            known = {member.address for member in self.active_members()}
             missing = [seed for seed in self.seeds if seed not in known]
             dead = [member.address for member in self.members.values() if member.health is Health.DEAD]
             missing += [address for address in dead if address not in missing]
@@ -152,26 +164,26 @@
         probe = self._probe
         if probe is None or probe.answered or probe.pings >= MAX_DIRECT_PINGS:
             return inf
-        return probe.began + probe.pings * self.terms.probe_timeout * (self.slowness + 1)
+        return probe.began + probe.pings * self.timing.probe_timeout * (self.local_health + 1)
 
     def _over(self, member: Member) -> float:
         """When a suspicion is over (LHA-Suspicion): the later, the fewer others confirm it."""
-        terms = self.terms
-        share = log(len(member.confirmed) or 1) / log(terms.confirmations + 1)
-        span = terms.suspicion_most - (terms.suspicion_most - terms.suspicion) * min(1.0, share)
-        return member.since + max(terms.suspicion, span)
+        terms = self.timing
+        share = log(len(member.suspected_by) or 1) / log(terms.confirmations + 1)
+        span = terms.suspicion_max - (terms.suspicion_max - terms.suspicion_min) * min(1.0, share)
+        return member.changed_at + max(terms.suspicion_min, span)
 
     def _begin(self, now: float) -> None:
         if self._probe is not None and not self._probe.answered:
             self._fail(self._probe, now)
         self._probe = None
-        self._next_probe = now + self.terms.period * (self.slowness + 1)
+        self._next_probe = now + self.timing.probe_interval * (self.local_health + 1)
         if self.leaving:
             return
-        while self._round and not self._round[-1].counts:
+        while self._round and not self._round[-1].active:
             self._round.pop()
         if not self._round:
-            self._round = self.others()
+            self._round = self.active_members()
             self._rng.shuffle(self._round)
         if self._round:
             self._number = (self._number + 1) & 0xFFFFFFFF
@@ -185,8 +197,8 @@
             probe.pings += 1
             self._ping(probe.member, probe.number)
             if not probe.asked:
-                helpers = [m for m in self.others() if m is not probe.member and m.health is Health.ALIVE]
-                for helper in self._rng.sample(helpers, min(self.terms.indirect, len(helpers))):
+                helpers = [m for m in self.active_members() if m is not probe.member and m.health is Health.ALIVE]
+                for helper in self._rng.sample(helpers, min(self.timing.indirect_probes, len(helpers))):
                     probe.asked += 1
                     self._send(helper.address, [IndirectPing(probe.number, probe.member.tag)])
 
@@ -197,19 +209,19 @@
     def _fail(self, probe: Probe, now: float) -> None:
         # Lifeguard: helpers that did not even say that they have no answer speak for a fault of our own
         self._slow(1 if probe.asked and not probe.nacks else 0)
-        if probe.member.counts:
+        if probe.member.active:
             self._suspect(probe.member, tag(self.name), now, "no answer")
 
     def _slow(self, change: int) -> None:
-        self.slowness = max(0, min(self.terms.health_most, self.slowness + change))
+        self.local_health = max(0, min(self.timing.local_health_max, self.local_health + change))
 
     # -- datagrams
 
-    def heard(self, sender: int, address: str, parts: Iterable[Part], now: float) -> None:
+    def receive(self, sender: int, address: str, parts: Iterable[Part], now: float) -> None:
         """What of a datagram has to do with members."""
         known = self.by_tag.get(sender)
         if known is not None:
-            known.heard = now
+            known.last_heard = now
         for part in parts:
             if isinstance(part, Ping):
                 self._send(address, [Ack(part.number)])
@@ -219,15 +231,15 @@
                 if self._probe is not None and self._probe.number == part.number:
                     self._probe.nacks += 1
             elif isinstance(part, IndirectPing):
-                whom = self.by_tag.get(part.whom)
+                whom = self.by_tag.get(part.target)
                 if whom is not None:
                     self._number = (self._number + 1) & 0xFFFFFFFF
-                    self._for[self._number] = now + 2 * self.terms.probe_timeout, address, part.number
+                    self._for[self._number] = now + 2 * self.timing.probe_timeout, address, part.number
                     self._ping(whom, self._number)
             elif isinstance(part, Sync):
                 self._send(address, [*map(self._about, self.members.values()), self._self()])
             elif isinstance(part, MemberUpdate):
-                self.learn(part, sender, now)
+                self.apply_update(part, sender, now)
 
     def _answered(self, number: int, now: float) -> None:
         probe = self._probe
@@ -238,7 +250,7 @@
             probe.answered = True
             self._slow(-1)
 
-    def learn(self, item: MemberUpdate, sender: int, now: float) -> None:
+    def apply_update(self, item: MemberUpdate, sender: int, now: float) -> None:
         """Take news in, by SWIM's order: the higher incarnation, and at the same one the worse health."""
         if item.name == self.name:
             self._about_us(item)
@@ -259,18 +271,18 @@
                 self._suspect(member, sender, now, "told")
             return
         if item.incarnation > member.incarnation:
-            if not member.counts or item.incarnation - member.incarnation >= Member.RESTART:
-                member.came = now
+            if not member.active or item.incarnation - member.incarnation >= Member.RESTART:
+                member.joined_at = now
             member.incarnation, member.address = item.incarnation, item.address
             if item.health is Health.ALIVE:
-                was, member.confirmed = member.health, set()
+                was, member.suspected_by = member.health, set()
                 if was is Health.SUSPECT:
                     self.false_suspicions += 1
                 self._turn(member, Health.ALIVE, now, "refuted" if was is not Health.ALIVE else "told")
                 return
         elif item.incarnation < member.incarnation:
             return
-        if item.health is Health.SUSPECT and member.counts:
+        if item.health is Health.SUSPECT and member.active:
             self._suspect(member, sender, now, "told")
         elif item.health > member.health:
             self._turn(member, item.health, now, "told")
@@ -286,18 +298,18 @@
     def _suspect(self, member: Member, by: int, now: float, cause: str) -> None:
         if member.health is Health.ALIVE:
             self.suspicions += 1
-            member.confirmed = {by}
+            member.suspected_by = {by}
             self._turn(member, Health.SUSPECT, now, cause)
-        elif member.health is Health.SUSPECT and by not in member.confirmed:
-            member.confirmed.add(by)
-            if len(member.confirmed) <= self.terms.confirmations + 1:
+        elif member.health is Health.SUSPECT and by not in member.suspected_by:
+            member.suspected_by.add(by)
+            if len(member.suspected_by) <= self.timing.confirmations + 1:
                 self._spread(member)  # those that suspect it independently are worth telling again
 
     def _turn(self, member: Member, health: Health, now: float, cause: str) -> None:
         changed = member.health is not health
         member.health = health
         if changed:
-            member.since = now
+            member.changed_at = now
             self._told(MemberChanged(member.name, health, cause))
         self._spread(member)
 
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from heronlug.cluster.codec import Ack, DatagramCodec, IndirectPing, Nack, Part, Ping, Sync
-from heronlug.cluster.leases import LeaseManager
+from heronlug.cluster.leases import LeaseCallbacks, LeaseManager
 from heronlug.cluster.membership import Membership
 from heronlug.cluster.model import Action, ClusterTiming, FencingToken, MemberUpdate, SendTo, WakeAt
 from heronlug.cluster.ownership import rendezvous_weight, tag, top_ranked
@@ -30,20 +30,19 @@
         terms: ClusterTiming | None = None,
     ) -> None:
         """``incarnation`` is Unix milliseconds at the start: above that of every process of this name before."""
-        self.name, self.address, self.terms = name, address, terms or ClusterTiming()
+        self.name, self.address, self.timing = name, address, terms or ClusterTiming()
         self.seal = DatagramCodec(tag(name), keys, incarnation << 20)
         self._out: list[Action] = []
         self._queued: dict[str, list[Part]] = {}
-        self.members = Membership(name, address, incarnation, seeds, self.terms, rng, self._send, self._out.append)
-        self.leases = LeaseManager(
-            name, incarnation, list(duties), self.terms, self._send_to, self._out.append, self._voters, self._candidates
-        )
-        self.sheets = ReplicatedTables(
-            self.terms,
+        self.membership = Membership(name, address, incarnation, seeds, self.timing, rng, self._send, self._out.append)
+        callbacks = LeaseCallbacks(self._send_to, self._out.append, self._quorum, self._candidates)
+        self.leases = LeaseManager(name, incarnation, list(duties), self.timing, callbacks)
+        self.tables = ReplicatedTables(
+            self.timing,
             rng,
             self._send_to,
             self._out.append,
-            lambda: [member.tag for member in self.members.others()],
+            lambda: [member.tag for member in self.membership.active_members()],
             self.may_act,
         )
         self._claims: dict[str, FencingToken] = {}
@@ -62,10 +61,10 @@
         if opened is not None and not self.left and opened[0] != tag(self.name):
             sender, parts = opened
             self._addresses[sender] = address
-            self.members.heard(sender, address, parts, now)
+            self.membership.receive(sender, address, parts, now)
             for part in parts:
-                self.leases.heard(sender, part, now)
-                self.sheets.heard(sender, part, now)
+                self.leases.receive(sender, part, now)
+                self.tables.receive(sender, part, now)
         return self._actions(now)
 
     def wake(self, now: float) -> list[Action]:
@@ -73,11 +72,11 @@
         self._look_back(now)
         if self._born is None:
             self._born = now
-            self.leases.votes_from = now + self.terms.lease * (1 + 2 * self.terms.drift)
+            self.leases.votes_from = now + self.timing.lease_duration * (1 + 2 * self.timing.max_clock_drift)
         if not self.left:
-            self.members.wake(now)
+            self.membership.wake(now)
             self.leases.wake(now)
-            self.sheets.wake(now)
+            self.tables.wake(now)
             if self.leases.leaving and self.leases.idle():
                 self._say_farewell()
         return self._actions(now)
@@ -85,12 +84,12 @@
     def leave(self, now: float) -> list[Action]:
         """Go on purpose: duties are handed over first; it is over once ``left`` says so."""
         self.leases.leaving = True
-        for duty in self.leases.duties.values():
-            duty.next = now
+        for state in self.leases.leases.values():
+            state.next_action_at = now
         return self.wake(now)
 
     def flush(self, now: float) -> list[Action]:
-        """What has come of a call to :attr:`sheets` from outside; to be asked for after it while ``pending``."""
+        """What has come of a call to :attr:`tables` from outside; to be asked for after it while ``pending``."""
         return self._actions(now)
 
     # -- what is known
@@ -108,7 +107,7 @@
 
     def claim(self, sheet: str, now: float) -> FencingToken:
         """A fence to write a sheet under that no lease guards: the last claim counts, and who hears of it gives way."""
-        seen = self.sheets.topics[tag(sheet)].version.fence.number
+        seen = self.tables.states[tag(sheet)].version.token.number
         fence = self._claims[sheet] = FencingToken(max(int(now), seen + 1), tag(self.name))
         return fence
 
@@ -118,7 +117,7 @@
 
     def place(self, duty: str) -> tuple[int, int]:
         """How many of the others come before us in a duty's rank, and how many there are."""
-        ours, others = rendezvous_weight(duty, self.name), self.members.others()
+        ours, others = rendezvous_weight(duty, self.name), self.membership.active_members()
         return sum(rendezvous_weight(duty, member.name) > ours for member in others), len(others)
 
     # -- inside
@@ -126,26 +125,26 @@
     def _look_back(self, now: float) -> None:
         """A process that stood still for so long that others may hold it dead settles anew, as one that has just come:
         what it knows of duties and sheets is old, and who owns one now should not have to give way to it at once."""
-        if self._born is not None and now - self._last > self.terms.suspicion_most + self.terms.period:
+        if self._born is not None and now - self._last > self.timing.suspicion_max + self.timing.probe_interval:
             self._born = now
         self._last = now
 
-    def _voters(self, duty: str, now: float) -> dict[int, str]:
+    def _quorum(self, lease: str, now: float) -> dict[int, str]:
         """All where there are few, so that a vote is missed only in a partition; of many the foremost of the duty."""
-        voters = {member.tag: member.name for member in self.members.voters(now)}
-        return top_ranked(duty, voters, self.terms.voters)
+        voters = {member.tag: member.name for member in self.membership.quorum_candidates(now)}
+        return top_ranked(lease, voters, self.timing.max_quorum_members)
 
     def _candidates(self, now: float) -> list[str]:
         """Those that have been there long enough; nobody owns anything before the list of members can be whole."""
-        settled = now - self.terms.settle
-        names = [member.name for member in self.members.others() if member.came <= settled]
+        settled = now - self.timing.settle_time
+        names = [member.name for member in self.membership.active_members() if member.joined_at <= settled]
         if not self.leases.leaving and self._born is not None and self._born <= settled:
             names.append(self.name)
         return names
 
     def _say_farewell(self) -> None:
-        news = self.members.leave()
-        for member in self.members.others():
+        news = self.membership.leave()
+        for member in self.membership.active_members():
             self._send(member.address, [news])
         self._farewell += 1
         if self._farewell >= LEAVE_REPEATS:
@@ -155,7 +154,7 @@
         self._queued.setdefault(address, []).extend(parts)
 
     def _send_to(self, whom: int, part: Part) -> None:
-        member = self.members.by_tag.get(whom)
+        member = self.membership.by_tag.get(whom)
         address = member.address if member is not None else self._addresses.get(whom)
         if address is not None:
             self._send(address, [part])
@@ -165,11 +164,11 @@
         for address, parts in queued.items():
             if any(isinstance(part, GOSSIP_CARRIERS) for part in parts):
                 told = {part.name for part in parts if isinstance(part, MemberUpdate)}
-                parts += [item for item in self.members.news() if item.name not in told]
+                parts += [item for item in self.membership.next_updates() if item.name not in told]
             self._out += [SendTo(address, data) for data in self.seal.pack(parts)]
         out = [*self._out]
         self._out.clear()
         if not self.left:
-            due = min(self.members.next(), self.leases.next(), self.sheets.next())
+            due = min(self.membership.next_wake(), self.leases.next_wake(), self.tables.next_wake())
             out.append(WakeAt(max(now + 1.0, due)))
         return out
--- a/heronlug/cluster/replicated_tables.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -29,7 +29,7 @@
 class Version(NamedTuple):
     """The order of publications: a later owner's are all above those before."""
 
-    fence: FencingToken
+    token: FencingToken
     number: int
 
 
@@ -40,34 +40,38 @@
     """One sheet as it is known here."""
 
     __slots__ = (
-        "asked",
-        "asked_at",
-        "before",
-        "brought",
         "fresh_at",
         "key",
         "missing",
         "name",
-        "ours",
-        "pushed",
+        "own_token",
+        "pending",
+        "polled_at",
+        "previous_root",
+        "push_queue",
+        "received",
+        "requested_until",
         "root",
         "source",
         "version",
-        "wanted",
     )
 
     def __init__(self, name: str) -> None:
         self.name, self.key = name, tag(name)
-        self.version, self.root, self.before = NO_VERSION, merkle_trie.EMPTY, merkle_trie.EMPTY  # what is there whole
+        self.version, self.root, self.previous_root = (
+            NO_VERSION,
+            merkle_trie.EMPTY,
+            merkle_trie.EMPTY,
+        )  # what is there whole
         self.fresh_at = -inf  # when something new was last heard of its owner
-        self.pushed: tuple[int, ...] = ()  # nodes that the present root has brought
-        self.ours: FencingToken | None = None  # while we publish it
-        self.wanted: TableAnnouncement | None = None  # what is being pulled
+        self.push_queue: tuple[int, ...] = ()  # nodes that the present root has brought
+        self.own_token: FencingToken | None = None  # while we publish it
+        self.pending: TableAnnouncement | None = None  # what is being pulled
         self.source = 0  # from whom
         self.missing: dict[int, int | None] = {}  # nodes of it that are not there, with their counterparts
-        self.asked: dict[int, float] = {}  # until when an answer may come
-        self.asked_at = -inf  # when we last asked others for what is newer
-        self.brought: list[int] = []  # nodes that have come for it
+        self.requested_until: dict[int, float] = {}  # until when an answer may come
+        self.polled_at = -inf  # when we last asked others for what is newer
+        self.received: list[int] = []  # nodes that have come for it
 
 
 class ReplicatedTables:
@@ -82,8 +86,8 @@
         others: Callable[[], list[int]],
         may_act: Callable[[str, float], FencingToken | None],
     ) -> None:
-        self.terms = terms
-        self.topics: dict[int, TableState] = {}
+        self.timing = terms
+        self.states: dict[int, TableState] = {}
         self.nodes: dict[int, bytes] = {merkle_trie.EMPTY: b"L"}
         self.counts: Counter[str] = Counter()
         self._rng, self._send, self._told, self._others, self._may_act = rng, send, told, others, may_act
@@ -96,37 +100,37 @@
     def follow(self, name: str) -> None:
         """Read this sheet; others than those followed are not taken in."""
         topic = TableState(name)
-        self.topics.setdefault(topic.key, topic)
+        self.states.setdefault(topic.key, topic)
 
     def rows(self, name: str) -> merkle_trie.Rows:
         """All rows of a sheet."""
-        return dict(merkle_trie.walk(self.nodes, self.topics[tag(name)].root))
+        return dict(merkle_trie.walk(self.nodes, self.states[tag(name)].root))
 
     def age(self, name: str, now: float) -> float:
         """How long ago its owner was last heard of it; 0 for one of ours."""
-        topic = self.topics[tag(name)]
-        return 0.0 if topic.ours is not None else now - topic.fresh_at
+        topic = self.states[tag(name)]
+        return 0.0 if topic.own_token is not None else now - topic.fresh_at
 
-    def ours(self, name: str) -> FencingToken | None:
+    def own_token(self, name: str) -> FencingToken | None:
         """The fence that we write it under, until a later one is heard of."""
-        return self.topics[tag(name)].ours
+        return self.states[tag(name)].own_token
 
-    def fence(self, name: str) -> FencingToken:
+    def latest_token(self, name: str) -> FencingToken:
         """The fence of the latest version that is known."""
-        return self.topics[tag(name)].version.fence
+        return self.states[tag(name)].version.token
 
-    def ask(self, name: str, now: float) -> None:
+    def poll(self, name: str, now: float) -> None:
         """We have not heard of it lately: a few others, who see how old ours is, tell what is newer."""
-        topic, others = self.topics[tag(name)], self._others()
-        if topic.ours is None and others:
+        topic, others = self.states[tag(name)], self._others()
+        if topic.own_token is None and others:
             for whom in self._rng.sample(others, min(MEMBERS_POLLED, len(others))):
-                topic.asked_at = now
-                self._send(whom, TableAnnouncement(topic.key, topic.version.fence, topic.version.number, topic.root))
+                topic.polled_at = now
+                self._send(whom, TableAnnouncement(topic.key, topic.version.token, topic.version.number, topic.root))
 
-    def next(self) -> float:
+    def next_wake(self) -> float:
         """When there is something to do."""
-        times = [until for topic in self.topics.values() for until in topic.asked.values()]
-        if any(topic.ours is not None for topic in self.topics.values()):
+        times = [until for topic in self.states.values() for until in topic.requested_until.values()]
+        if any(topic.own_token is not None for topic in self.states.values()):
             times.append(self._beat_at)
         return min(times, default=inf)
 
@@ -137,7 +141,7 @@
 
         The first publication under a fence goes on from what is known of the owner before.
         """
-        topic = self.topics[tag(name)]
+        topic = self.states[tag(name)]
         fresh: dict[int, bytes] = {}
         nodes = _Over(self.nodes, fresh)
         root = topic.root
@@ -145,71 +149,75 @@
             root = merkle_trie.change(nodes, root, key, value)
         self._publish(topic, fence, root, fresh, now)
 
-    def publish_whole(self, name: str, fence: FencingToken, root: int, nodes: Mapping[int, bytes], now: float) -> None:
+    def replace(self, name: str, fence: FencingToken, root: int, nodes: Mapping[int, bytes], now: float) -> None:
         """Put a table, built beside, in the place of what was there."""
-        self._publish(self.topics[tag(name)], fence, root, nodes, now)
+        self._publish(self.states[tag(name)], fence, root, nodes, now)
 
     def withdraw(self, name: str) -> None:
         """Announce it no more: what we know may be out of date.  It goes stale everywhere, and stays readable."""
-        topic = self.topics[tag(name)]
-        topic.ours = None
+        topic = self.states[tag(name)]
+        topic.own_token = None
         topic.fresh_at = -inf
 
     def _publish(
         self, topic: TableState, fence: FencingToken, root: int, fresh: Mapping[int, bytes], now: float
     ) -> None:
         self.nodes.update(fresh)
-        topic.wanted, topic.ours = None, fence
+        topic.pending, topic.own_token = None, fence
         topic.missing.clear()
-        topic.asked.clear()
-        topic.version = Version(fence, topic.version.number + 1 if topic.version.fence == fence else 1)
+        topic.requested_until.clear()
+        topic.version = Version(fence, topic.version.number + 1 if topic.version.token == fence else 1)
         if root != topic.root:
-            topic.before, topic.root = topic.root, root
-            topic.pushed = tuple(fresh) if len(fresh) <= MAX_PUSHED_NODES else ()
+            topic.previous_root, topic.root = topic.root, root
+            topic.push_queue = tuple(fresh) if len(fresh) <= MAX_PUSHED_NODES else ()
             self._sweep()
         topic.fresh_at = now
         self._announce(topic, 0)
-        self._beat_at = min(self._beat_at, now + self.terms.beat) if self._beat_at > now else now + self.terms.beat
+        self._beat_at = (
+            min(self._beat_at, now + self.timing.heartbeat_interval)
+            if self._beat_at > now
+            else now + self.timing.heartbeat_interval
+        )
 
     def _announce(self, topic: TableState, heard_of: int) -> None:
         """Tell a few; the fewer nodes it has brought, the more of it goes along."""
         others = [whom for whom in self._others() if whom != heard_of]
-        part = TableAnnouncement(topic.key, topic.version.fence, topic.version.number, topic.root)
-        for whom in self._rng.sample(others, min(self.terms.fanout, len(others))):
-            for name in topic.pushed:
+        part = TableAnnouncement(topic.key, topic.version.token, topic.version.number, topic.root)
+        for whom in self._rng.sample(others, min(self.timing.fanout, len(others))):
+            for name in topic.push_queue:
                 if name in self.nodes:
                     self._send(whom, NodeData(self.nodes[name]))
             self._send(whom, part)
-        topic.pushed = ()
+        topic.push_queue = ()
 
     # -- time
 
     def wake(self, now: float) -> None:
         """Beat for what is ours, and ask again for what has not come."""
         beat = now >= self._beat_at
-        for topic in self.topics.values():
-            if topic.ours is not None and self._may_act(topic.name, now) != topic.ours:
-                topic.ours, topic.fresh_at = None, -inf
-            if topic.ours is not None and beat:
-                topic.version = Version(topic.version.fence, topic.version.number + 1)
+        for topic in self.states.values():
+            if topic.own_token is not None and self._may_act(topic.name, now) != topic.own_token:
+                topic.own_token, topic.fresh_at = None, -inf
+            if topic.own_token is not None and beat:
+                topic.version = Version(topic.version.token, topic.version.number + 1)
                 topic.fresh_at = now
                 self._announce(topic, 0)
-            if any(until <= now for until in topic.asked.values()):
-                topic.asked = {name: until for name, until in topic.asked.items() if until > now}
+            if any(until <= now for until in topic.requested_until.values()):
+                topic.requested_until = {name: until for name, until in topic.requested_until.items() if until > now}
                 others = self._others()
                 if others:  # it may be the one who told of it that cannot be reached
                     topic.source = self._rng.choice([*others, *([topic.source] * 3)])
                 self.counts["pulled_again"] += 1
                 self._pull(topic, now)
         if beat:
-            self._beat_at = now + self.terms.beat
+            self._beat_at = now + self.timing.heartbeat_interval
 
     # -- datagrams
 
-    def heard(self, sender: int, part: Part, now: float) -> None:
+    def receive(self, sender: int, part: Part, now: float) -> None:
         """A part that has to do with sheets."""
         if isinstance(part, TableAnnouncement):
-            topic = self.topics.get(part.topic)
+            topic = self.states.get(part.table)
             if topic is not None:
                 self._heard_of(topic, sender, part, now)
         elif isinstance(part, NodeRequest):
@@ -224,43 +232,43 @@
 
     def _greet(self, sender: int, now: float) -> None:
         """Whoever comes hears what there is at once; what we have not heard of lately may be old, and is not told."""
-        for topic in self.topics.values():
+        for topic in self.states.values():
             self._answer(topic, sender, now)
 
     def _answer(self, topic: TableState, sender: int, now: float) -> None:
         if topic.version != NO_VERSION and (
-            topic.ours is not None or now - topic.fresh_at <= MAX_HEARTBEATS_OLD * self.terms.beat
+            topic.own_token is not None or now - topic.fresh_at <= MAX_HEARTBEATS_OLD * self.timing.heartbeat_interval
         ):
-            self._send(sender, TableAnnouncement(topic.key, topic.version.fence, topic.version.number, topic.root))
+            self._send(sender, TableAnnouncement(topic.key, topic.version.token, topic.version.number, topic.root))
 
     def _fresh(self, topic: TableState, now: float) -> float:
         """When its writer was last heard: what was asked for may be as old as it may be told."""
-        asked = topic.version == NO_VERSION or now - topic.asked_at < ANSWER_WINDOW
-        return max(topic.fresh_at, now - MAX_HEARTBEATS_OLD * self.terms.beat) if asked else now
+        asked = topic.version == NO_VERSION or now - topic.polled_at < ANSWER_WINDOW
+        return max(topic.fresh_at, now - MAX_HEARTBEATS_OLD * self.timing.heartbeat_interval) if asked else now
 
     def _heard_of(self, topic: TableState, sender: int, part: TableAnnouncement, now: float) -> None:
-        version = Version(part.fence, part.number)
+        version = Version(part.token, part.number)
         if version < topic.version:
             self._answer(topic, sender, now)
-        if version <= topic.version or (topic.wanted is not None and version <= _version(topic.wanted)):
+        if version <= topic.version or (topic.pending is not None and version <= _version(topic.pending)):
             return
-        if topic.ours is not None and part.fence > topic.ours:
-            topic.ours = None  # somebody has taken over, and we have not noticed yet
-        elif topic.ours is not None:
+        if topic.own_token is not None and part.token > topic.own_token:
+            topic.own_token = None  # somebody has taken over, and we have not noticed yet
+        elif topic.own_token is not None:
             return
         if part.root == topic.root:
-            topic.wanted = None
+            topic.pending = None
             topic.missing.clear()
-            topic.asked.clear()
+            topic.requested_until.clear()
             topic.fresh_at = self._fresh(topic, now)
             topic.version = version
             self._announce(topic, sender)
             return
-        known = topic.wanted is not None and topic.wanted.root == part.root
-        topic.wanted, topic.source = part, sender
+        known = topic.pending is not None and topic.pending.root == part.root
+        topic.pending, topic.source = part, sender
         if not known:
-            topic.asked.clear()
-            topic.brought.clear()
+            topic.requested_until.clear()
+            topic.received.clear()
             topic.missing = self._still_absent(topic, topic.root, part.root)
         if topic.missing:
             self._pull(topic, now)
@@ -273,7 +281,7 @@
         while found := [name for name in missing if name in self._loose]:
             for name in found:
                 self.nodes[name] = self._loose.pop(name)
-                topic.brought.append(name)
+                topic.received.append(name)
                 missing.update(merkle_trie.absent(self.nodes, missing.pop(name), name))
         return missing
 
@@ -287,7 +295,7 @@
         name = merkle_trie.name_of(data)
         if name in self.nodes:
             return
-        wanting = [topic for topic in self.topics.values() if name in topic.missing]
+        wanting = [topic for topic in self.states.values() if name in topic.missing]
         if not wanting:
             self._loose[name] = data
             while len(self._loose) > MAX_UNREQUESTED_NODES:
@@ -297,8 +305,8 @@
         self.counts["pieces_taken"] += 1
         for topic in wanting:
             counterpart = topic.missing.pop(name)
-            topic.asked.pop(name, None)
-            topic.brought.append(name)
+            topic.requested_until.pop(name, None)
+            topic.received.append(name)
             topic.missing.update(self._still_absent(topic, counterpart, name))
             if topic.missing:
                 self._pull(topic, now)
@@ -307,26 +315,30 @@
 
     def _pull(self, topic: TableState, now: float) -> None:
         """Ask for what is missing, as much at once as the window has room for and in whole datagrams where it can."""
-        room = MAX_OPEN_NODE_REQUESTS - len(topic.asked)
-        free = [name for name in topic.missing if name not in topic.asked][:room]
-        if len(free) < MAX_NODES_PER_REQUEST and topic.asked and len(free) + len(topic.asked) < len(topic.missing):
+        room = MAX_OPEN_NODE_REQUESTS - len(topic.requested_until)
+        free = [name for name in topic.missing if name not in topic.requested_until][:room]
+        if (
+            len(free) < MAX_NODES_PER_REQUEST
+            and topic.requested_until
+            and len(free) + len(topic.requested_until) < len(topic.missing)
+        ):
             return  # more will come to be asked for together
         for at in range(0, len(free), MAX_NODES_PER_REQUEST):
             chosen = free[at : at + MAX_NODES_PER_REQUEST]
-            topic.asked.update(dict.fromkeys(chosen, now + self.terms.pull_wait))
+            topic.requested_until.update(dict.fromkeys(chosen, now + self.timing.pull_timeout))
             self._send(topic.source, NodeRequest(tuple(chosen)))
 
     def _adopt(self, topic: TableState, now: float) -> None:
         """It is there whole: read it, and tell others."""
-        part, topic.wanted = topic.wanted, None
+        part, topic.pending = topic.pending, None
         assert part is not None
-        topic.asked.clear()
+        topic.requested_until.clear()
         changes = merkle_trie.difference(self.nodes, topic.root, part.root)
-        topic.before, topic.root = topic.root, part.root
+        topic.previous_root, topic.root = topic.root, part.root
         topic.fresh_at = self._fresh(topic, now)
         topic.version = _version(part)
-        topic.pushed = tuple(topic.brought) if len(topic.brought) <= MAX_PUSHED_NODES else ()
-        topic.brought.clear()
+        topic.push_queue = tuple(topic.received) if len(topic.received) <= MAX_PUSHED_NODES else ()
+        topic.received.clear()
         self._announce(topic, topic.source)
         self._sweep()
         self._told(TableChanged(topic.name, changes))
@@ -336,8 +348,8 @@
         if len(self.nodes) <= self._sweep_at:
             return
         live: set[int] = {merkle_trie.EMPTY}
-        for topic in self.topics.values():
-            roots = [topic.root, topic.before, *([topic.wanted.root] if topic.wanted is not None else [])]
+        for topic in self.states.values():
+            roots = [topic.root, topic.previous_root, *([topic.pending.root] if topic.pending is not None else [])]
             for root in roots:
                 live.update(merkle_trie.names(self.nodes, root))
             # below a node that is missing nothing can be told apart yet
@@ -349,7 +361,7 @@
 
 
 def _version(part: TableAnnouncement) -> Version:
-    return Version(part.fence, part.number)
+    return Version(part.token, part.number)
 
 
 class _Over(dict[int, bytes]):
--- a/heronlug/cluster/server_view.py
+++ b/heronlug/cluster/server_view.py
@@ -32,17 +32,17 @@
 class KnownList:
     """One list, whole."""
 
-    hosts: dict[str, ListedServer] = field(default_factory=dict)
+    servers: dict[str, ListedServer] = field(default_factory=dict)
     version: int = -1  # the register's; -1 for none
     known: bool = False
 
-    def take(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> None:
+    def apply(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> None:
         """It has changed."""
         self.known, self.version = version >= 0, version
         for entry in entries:
-            self.hosts[entry.name] = entry
+            self.servers[entry.name] = entry
         for name in gone:
-            self.hosts.pop(name, None)
+            self.servers.pop(name, None)
 
 
 class ServerView:
@@ -55,13 +55,13 @@
         self.watching = False  # our own watch is on, and what it says is as it was last told
         self.down: dict[str, str] = {}  # hosts that probes have found down, and which shard says so
         self.panic = False
-        self.ahead = False  # the others' list is newer than ours, and counts for what it takes away
-        self.told: dict[str, ListedServer] = {}
+        self.shared_ahead = False  # the others' list is newer than ours, and counts for what it takes away
+        self.reported: dict[str, ListedServer] = {}
         self.switches = 0
 
     # -- our own watch
 
-    def use(self, own: bool) -> tuple[ListKind, list[ListedServer]] | None:
+    def select_source(self, own: bool) -> tuple[ListKind, list[ListedServer]] | None:
         """Go by our own list, or by the shared one; what the core is to be told, if anything changes."""
         self.watching = own
         ours = own and self.own.known
@@ -74,7 +74,7 @@
         self.source = wanted
         return self._news(None)
 
-    def own_news(
+    def apply_own_update(
         self, kind: ListKind, version: int | None, entries: Iterable[ListedServer]
     ) -> tuple[ListKind, list[ListedServer]] | None:
         """Our own watch has brought this; what the core is to be told, if anything."""
@@ -83,12 +83,12 @@
             self.watching = False
             return kind, []  # the core decides when to ask again
         if kind is not ListKind.CHANGES:
-            self.own.hosts = {entry.name: entry for entry in entries}
+            self.own.servers = {entry.name: entry for entry in entries}
         for entry in entries:
             if entry.state is ServerState.REMOVED:
-                self.own.hosts.pop(entry.name, None)
+                self.own.servers.pop(entry.name, None)
             else:
-                self.own.hosts[entry.name] = entry
+                self.own.servers[entry.name] = entry
         before = self.source
         if kind is not ListKind.CACHED:
             self.own.known, self.watching = True, True
@@ -101,24 +101,26 @@
         whole = kind is not ListKind.CHANGES or self.source is not before
         changed = None if whole else {entry.name for entry in entries}
         _, told = self._news(changed)
-        return (kind, list(self.told.values())) if kind is not ListKind.CHANGES else (kind, told)
+        return (kind, list(self.reported.values())) if kind is not ListKind.CHANGES else (kind, told)
 
     # -- what others say
 
-    def shared_news(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> list[ListedServer]:
+    def apply_shared_update(
+        self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]
+    ) -> list[ListedServer]:
         """The shared list has changed; what the core is to be told as changes."""
         entries, gone = list(entries), list(gone)
-        self.shared.take(version, entries, gone)
+        self.shared.apply(version, entries, gone)
         if self.source is not ListSource.SHARED and self.share != "news":
             return []
         return self._news({entry.name for entry in entries} | set(gone))[1]
 
-    def prefer(self, listed: KnownList) -> list[ListedServer]:
+    def prefer_shared(self, listed: KnownList) -> list[ListedServer]:
         """Of several shared lists this one counts from now on; what the core is to be told as changes."""
         self.shared = listed
         return self._news(None)[1] if self.source is ListSource.SHARED or self.share == "news" else []
 
-    def verdicts(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
+    def apply_health_results(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
         """A shard's owner holds these hosts down, and these up again; what the core is to be told as changes."""
         touched = set()
         for name in up:
@@ -132,27 +134,27 @@
 
     def withdraw(self, shard: str) -> list[ListedServer]:
         """Nobody probes this shard any more: what was said of its hosts counts no more."""
-        return self.verdicts(shard, (), [name for name, by in self.down.items() if by == shard])
+        return self.apply_health_results(shard, (), [name for name, by in self.down.items() if by == shard])
 
     # -- inside
 
     def _news(self, names: set[str] | None) -> tuple[ListKind, list[ListedServer]]:
         """What has changed for the core among these hosts, or among all."""
-        base = self.shared.hosts if self.source is ListSource.SHARED else self.own.hosts
+        base = self.shared.servers if self.source is ListSource.SHARED else self.own.servers
         held_down = sum(name in base for name in self.down)
         panic = held_down > self.panic_share * len(base)
         ahead = self.share == "news" and self.shared.known and self.shared.version > self.own.version
-        if panic is not self.panic or ahead is not self.ahead or names is None:
-            self.panic, self.ahead, names = panic, ahead, base.keys() | self.told.keys()
+        if panic is not self.panic or ahead is not self.shared_ahead or names is None:
+            self.panic, self.shared_ahead, names = panic, ahead, base.keys() | self.reported.keys()
         told = []
         for name in sorted(names):
             entry = self._entry(base.get(name))
-            before = self.told.get(name)
+            before = self.reported.get(name)
             if entry is None and before is not None:
-                del self.told[name]
+                del self.reported[name]
                 told.append(before._replace(state=ServerState.REMOVED))
             elif entry is not None and entry != before:
-                self.told[name] = entry
+                self.reported[name] = entry
                 told.append(entry)
         return ListKind.CHANGES, told
 
@@ -160,8 +162,8 @@
         """A host as it counts here."""
         if entry is None:
             return None
-        if self.ahead:
-            other = self.shared.hosts.get(entry.name)
+        if self.shared_ahead:
+            other = self.shared.servers.get(entry.name)
             if other is None:
                 return None
             if other.state is not ServerState.READY:
--- a/heronlug/cluster/task_runner.py
+++ b/heronlug/cluster/task_runner.py
@@ -125,14 +125,14 @@
     def _plan(self) -> None:
         """Begin what is due, end what takes too long, and come again for the next."""
         now = self._deadlines.clock()
-        for name in self.schedule.late(now):
+        for name in self.schedule.overdue(now):
             if name in self._tasks:
                 self._tasks[name].cancel()
-        for name, fence in self.schedule.begin(now):
+        for name, fence in self.schedule.start_due(now):
             task = self._tasks[name] = asyncio.get_running_loop().create_task(self._run(name, fence))
             task.add_done_callback(partial(self._ended, name))
         self._deadlines.cancel(self._due)
-        when = self.schedule.next()
+        when = self.schedule.next_wake()
         self._due = self._deadlines.call_at(max(when, now + 10.0), self._plan) if when < float("inf") else None
 
     async def _run(self, name: str, fence: FencingToken) -> int:
@@ -152,6 +152,6 @@
         status = None if task.cancelled() or task.exception() is not None else task.result()
         if status != 0:
             self._log("duty_failed", duty=name, status=status)
-        self.schedule.over(name, self._deadlines.clock(), status == 0)
+        self.schedule.finished(name, self._deadlines.clock(), status == 0)
         self._plan()
         self._turn()
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -46,15 +46,15 @@
         """``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
         self.listen = split_address(table["listen"])
         self._table, self._deadlines, self._log, self._turn = table, deadlines, log, turn
-        self.register, self.probes = register, probes
-        self.runs = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
+        self.shared_discovery, self.health_checker = register, probes
+        self.task_runner = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
         kept = [REGISTER] if register is not None and register.view.share != "none" else []  # duties
         kept += probes.names if probes is not None else []
         self.node = Node(
             table["name"],
             table["advertise"] or table["listen"],
             table["seeds"],
-            [*self.runs.names, *kept],
+            [*self.task_runner.names, *kept],
             read_keys(table["key_files"]),
             int(deadlines.clock()),
             Random(),
@@ -75,7 +75,7 @@
         self._look()
         self.act(self.node.wake(self._deadlines.clock()))
 
-    def use_keys(self, found: dict[int, bytes]) -> None:
+    def replace_keys(self, found: dict[int, bytes]) -> None:
         """Seal with the first of these from now on, and take all of them."""
         self.node.seal.keys = found
 
@@ -91,10 +91,10 @@
             self._transport.close()
         for key in (self._wake, self._look_at):
             self._deadlines.cancel(key)
-        for part in (self.register, self.probes):
+        for part in (self.shared_discovery, self.health_checker):
             if part is not None:
                 part.close()
-        await self.runs.close()
+        await self.task_runner.close()
 
     # -- asyncio
 
@@ -119,7 +119,7 @@
             "name": node.name,
             "address": node.address,
             "health": "self",
-            "incarnation": node.members.incarnation,
+            "incarnation": node.membership.incarnation,
             "for_s": 0.0,
         }
         return [
@@ -130,62 +130,62 @@
                     "address": m.address,
                     "health": m.health.name.lower(),
                     "incarnation": m.incarnation,
-                    "for_s": round((now - m.since) / 1000, 1),
+                    "for_s": round((now - m.changed_at) / 1000, 1),
                 }
-                for m in sorted(node.members.members.values(), key=lambda m: m.name)
+                for m in sorted(node.membership.members.values(), key=lambda m: m.name)
             ),
         ]
 
-    def duties(self) -> list[dict[str, Any]]:
+    def leases(self) -> list[dict[str, Any]]:
         """All duties as this member knows them; those without runs are done as long as they are owned."""
         now, listed = self._deadlines.clock(), []
-        for lease in self.node.leases.duties.values():
+        for lease in self.node.leases.leases.values():
             ours = self.node.may_act(lease.name, now) is not None
             row: dict[str, Any] = {
                 "name": lease.name,
                 "owner": self.node.name if ours else None,
                 "stage": lease.stage.value,
-                "fence": lease.fence.number if ours else None,
-                "lease_left_ms": round(lease.until - now) if ours else 0,
+                "fence": lease.token.number if ours else None,
+                "lease_left_ms": round(lease.valid_until - now) if ours else 0,
                 "last_run_s": None,
                 "runs": None,
                 "failed": None,
-                "takeovers": lease.gained,
+                "takeovers": lease.times_gained,
             }
-            running = self.runs.schedule.duties.get(lease.name)
+            running = self.task_runner.schedule.tasks.get(lease.name)
             if running is not None:
-                last = round((now - running.began) / 1000, 1) if running.runs else None
+                last = round((now - running.started_at) / 1000, 1) if running.runs else None
                 row.update(last_run_s=last, runs=running.runs, failed=running.failed)
             listed.append(row)
         return listed
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """Prometheus' text format, to stand behind the other figures."""
-        members, leases = self.node.members, self.node.leases
+        members, leases = self.node.membership, self.node.leases
         counts = {
-            "members": ("gauge", len(members.others()) + 1),
-            "duties_owned": ("gauge", sum(d["owner"] is not None for d in self.duties())),
+            "members": ("gauge", len(members.active_members()) + 1),
+            "duties_owned": ("gauge", sum(d["owner"] is not None for d in self.leases())),
             "suspicions": ("counter", members.suspicions),
             "false_suspicions": ("counter", members.false_suspicions),
             "refutations": ("counter", members.refutations),
-            "local_health": ("gauge", members.slowness),
+            "local_health": ("gauge", members.local_health),
             "lease_conflicts": ("counter", leases.conflicts),
-            "duty_runs": ("counter", sum(r.runs for r in self.runs.schedule.duties.values())),
-            "duty_runs_failed": ("counter", sum(r.failed for r in self.runs.schedule.duties.values())),
-            "pieces_sent": ("counter", self.node.sheets.counts["pieces_sent"]),
-            "pieces_taken": ("counter", self.node.sheets.counts["pieces_taken"]),
+            "duty_runs": ("counter", sum(r.runs for r in self.task_runner.schedule.tasks.values())),
+            "duty_runs_failed": ("counter", sum(r.failed for r in self.task_runner.schedule.tasks.values())),
+            "pieces_sent": ("counter", self.node.tables.counts["pieces_sent"]),
+            "pieces_taken": ("counter", self.node.tables.counts["pieces_taken"]),
         }
-        if self.register is not None:
-            view = self.register.view
-            counts["register_readings"] = ("counter", self.register.readings)
+        if self.shared_discovery is not None:
+            view = self.shared_discovery.view
+            counts["register_readings"] = ("counter", self.shared_discovery.readings)
             counts["register_shared"] = ("gauge", int(view.source.value == "shared"))
-            counts["register_scouted"] = ("counter", self.register.scouted)
+            counts["register_scouted"] = ("counter", self.shared_discovery.scouted)
             counts["register_reads"] = ("gauge", int(view.watching))
             counts["register_switches"] = ("counter", view.switches)
             counts["hosts_down"] = ("gauge", len(view.down))
             counts["probes_not_believed"] = ("gauge", int(view.panic))
-        if self.probes is not None:
-            counts.update({f"host_{name}": ("counter", count) for name, count in self.probes.counts.items()})
+        if self.health_checker is not None:
+            counts.update({f"host_{name}": ("counter", count) for name, count in self.health_checker.counts.items()})
         lines: list[str] = []
         for name, (kind, value) in counts.items():
             lines += [f"# TYPE svc_cluster_{name} {kind}", f"svc_cluster_{name} {value}"]
@@ -245,32 +245,32 @@
     def _owned(self, action: LeaseGained | LeaseLost) -> None:
         gained = isinstance(action, LeaseGained)
         self._log(
-            "duty_gained" if gained else "duty_lost", duty=action.duty, fence=action.fence.number, cause=action.cause
+            "duty_gained" if gained else "duty_lost", duty=action.lease, fence=action.token.number, cause=action.cause
         )
-        if action.duty in self.runs.names:
+        if action.lease in self.task_runner.names:
             if gained:
-                self.runs.gained(action.duty, action.fence)
+                self.task_runner.gained(action.lease, action.token)
             else:
-                self.runs.lost(action.duty)
-        elif action.duty == REGISTER and self.register is not None:
+                self.task_runner.lost(action.lease)
+        elif action.lease == REGISTER and self.shared_discovery is not None:
             if gained:
-                self.register.gained(action.fence)
+                self.shared_discovery.gained(action.token)
             else:
-                self.register.lost()
-        elif self.probes is not None:
+                self.shared_discovery.lost()
+        elif self.health_checker is not None:
             if gained:
-                self.probes.gained(action.duty, action.fence)
+                self.health_checker.gained(action.lease, action.token)
             else:
-                self.probes.lost(action.duty)
+                self.health_checker.lost(action.lease)
 
     def _sheet(self, sheet: TableChanged) -> None:
-        if sheet.topic in (REGISTER, SCOUT) and self.register is not None:
-            self.register.sheet(sheet.topic, sheet.changes)
-        elif self.probes is not None:
-            self.probes.sheet(sheet.topic, sheet.changes)
+        if sheet.table in (REGISTER, SCOUT) and self.shared_discovery is not None:
+            self.shared_discovery.sheet(sheet.table, sheet.changes)
+        elif self.health_checker is not None:
+            self.health_checker.sheet(sheet.table, sheet.changes)
 
     def _look(self) -> None:
         """Verdicts that nobody stands for are withdrawn."""
         self._look_at = self._deadlines.call_after(STALE_CHECK_INTERVAL, self._look)
-        if self.probes is not None:
-            self.probes.stale(HEALTH_CHECK_RESULT_TTL)
+        if self.health_checker is not None:
+            self.health_checker.stale(HEALTH_CHECK_RESULT_TTL)
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/discovery/shared_client.py
@@ -88,19 +88,19 @@
 
     def begin(self, fence: FencingToken) -> None:
         """Write from now on; what is known of the writer before is gone on with."""
-        self.fence, self._published, self._said = fence, self._node.sheets.rows(self.topic), False
+        self.fence, self._published, self._said = fence, self._node.tables.rows(self.topic), False
 
     def end(self) -> None:
         """Write no more; what we wrote goes stale, unless somebody else writes already."""
-        if self.fence is not None and self._node.sheets.ours(self.topic) is not None:
-            self._node.sheets.withdraw(self.topic)
+        if self.fence is not None and self._node.tables.own_token(self.topic) is not None:
+            self._node.tables.withdraw(self.topic)
         self.fence, self._published, self._wanted = None, {}, None
         self._flush()
 
     @property
     def lost(self) -> bool:
         """Whether somebody else has begun to write after us."""
-        return self.fence is not None and self._said and self._node.sheets.ours(self.topic) is None
+        return self.fence is not None and self._said and self._node.tables.own_token(self.topic) is None
 
     def put(self, rows: merkle_trie.Rows) -> None:
         """The rows are these now."""
@@ -109,8 +109,8 @@
         if self._building is not None:
             self._wanted = rows
             return
-        writing = self._node.sheets.ours(self.topic) is not None
-        if (writing and rows is self._published) or self._node.sheets.fence(self.topic) > self.fence:
+        writing = self._node.tables.own_token(self.topic) is not None
+        if (writing and rows is self._published) or self._node.tables.latest_token(self.topic) > self.fence:
             return
         changes: dict[bytes, bytes | None] = {k: v for k, v in rows.items() if self._published.get(k) != v}
         changes.update((key, None) for key in self._published.keys() - rows.keys())
@@ -121,7 +121,7 @@
             self._building = asyncio.get_running_loop().create_task(self._build(self.fence, rows))
             return
         try:
-            self._node.sheets.publish(self.topic, self.fence, changes, self._deadlines.clock())
+            self._node.tables.publish(self.topic, self.fence, changes, self._deadlines.clock())
         except ValueError as error:
             self._refused(str(error))
         else:
@@ -138,7 +138,7 @@
         try:
             root = await run_in_background(merkle_trie.build, rows, nodes)
             if self.fence == fence:
-                self._node.sheets.publish_whole(self.topic, fence, root, nodes, self._deadlines.clock())
+                self._node.tables.replace(self.topic, fence, root, nodes, self._deadlines.clock())
                 self._published, self._said = rows, True
                 self._flush()
         except ValueError as error:
@@ -183,7 +183,7 @@
         self._writers: dict[str, Writer] = {}
         self._shared = {DUTY: Shared(), SCOUT: Shared()}
         self._chosen = DUTY
-        view.prefer(self._shared[DUTY].listed)
+        view.prefer_shared(self._shared[DUTY].listed)
         self._owner: FencingToken | None = None
         self._look_at: Key | None = None
         self._read_at = -inf  # when our own watch last brought something
@@ -199,7 +199,7 @@
         self._node, self._flush = node, flush
         if self.view.share != "none":
             for topic in (DUTY, SCOUT):
-                node.sheets.follow(topic)
+                node.tables.follow(topic)
                 self._writers[topic] = Writer(topic, node, self._deadlines, flush, self._refused)
             self._look_at = self._deadlines.call_after(0.0, self._look)
 
@@ -225,7 +225,7 @@
             self._anew = now
         if kind in (ListKind.FULL, ListKind.CHANGES):
             self._read_at = now
-        told = self.view.own_news(kind, self._inventory.version, entries)
+        told = self.view.apply_own_update(kind, self._inventory.version, entries)
         self._made = None
         self._write()
         if told is not None:
@@ -268,8 +268,8 @@
             except ValueError as error:  # msgspec's errors are ValueErrors too
                 self._log("bad_row", sheet=topic, key=key.hex(), error=str(error))
         if topic != self._chosen:
-            shared.listed.take(version, entries, gone)
-        elif told := self.view.shared_news(version, entries, gone):
+            shared.listed.apply(version, entries, gone)
+        elif told := self.view.apply_shared_update(version, entries, gone):
             self._tell(ListKind.CHANGES, told)
 
     # -- inside
@@ -277,8 +277,8 @@
     def _reread(self, topic: str) -> None:
         """A sheet that we wrote is one that others write."""
         assert self._node is not None
-        rows: dict[bytes, bytes | None] = dict(self._node.sheets.rows(topic))
-        for name in self._shared[topic].listed.hosts:
+        rows: dict[bytes, bytes | None] = dict(self._node.tables.rows(topic))
+        for name in self._shared[topic].listed.servers:
             rows.setdefault(b"h" + name.encode(), None)
         for key in (STATE, ANEW):
             rows.setdefault(key, None)
@@ -287,8 +287,8 @@
     def _heard(self, topic: str) -> SharedListStatus | None:
         """A sheet that somebody else writes."""
         assert self._node is not None
-        sheets, shared, now = self._node.sheets, self._shared[topic], self._deadlines.clock()
-        if sheets.ours(topic) is not None:
+        sheets, shared, now = self._node.tables, self._shared[topic], self._deadlines.clock()
+        if sheets.own_token(topic) is not None:
             return None
         watched = shared.watched and shared.listed.known
         own = self.view.own
@@ -336,9 +336,9 @@
         shared, own = self.view.shared, self.view.own
         newer = shared.known and (not own.known or shared.version >= own.version)
         if role is Role.FOLLOW or (newer and not self.view.watching and role is not Role.LISTEN):
-            told, self._made = self.view.use(own=False), None
+            told, self._made = self.view.select_source(own=False), None
             if told is not None:
-                self._log("register_shared", version=self.view.shared.version, hosts=len(self.view.shared.hosts))
+                self._log("register_shared", version=self.view.shared.version, hosts=len(self.view.shared.servers))
                 self._tell(*told)
         if role is Role.READ and before is not Role.READ:
             cause = "owner" if self._owner is not None else "turn" if before is Role.WAIT else "nobody is heard"
@@ -361,7 +361,7 @@
             self._ask_at = now + (LOOK if age < UNHEARD_LONG or age == inf else 10 * LOOK)
             for topic, one in heard.items():
                 if one is not None:
-                    self._node.sheets.ask(topic, now)
+                    self._node.tables.poll(topic, now)
             self._flush()
 
     def _choose(self) -> None:
@@ -378,7 +378,7 @@
         best = max(worths, key=lambda topic: worths[topic])
         if worths[best] > worths[self._chosen]:
             self._chosen = best
-            told = self.view.prefer(self._shared[best].listed)
+            told = self.view.prefer_shared(self._shared[best].listed)
             if told:
                 self._tell(ListKind.CHANGES, told)
 
@@ -391,8 +391,8 @@
         if self._owner is not None:
             if works:
                 duty.put(self._rows())
-            elif self._node.sheets.ours(DUTY) is not None:
-                self._node.sheets.withdraw(DUTY)
+            elif self._node.tables.own_token(DUTY) is not None:
+                self._node.tables.withdraw(DUTY)
         if self.view.share != "list":
             return
         # a turn to look is no claim, before it has found something
@@ -416,7 +416,7 @@
         if self._made is not None:
             return self._made
         base = self.view.own if self.view.own.known or self.view.source is not ListSource.SHARED else self.view.shared
-        rows = rows_of(base.hosts.values(), self._zones, self._kinds)
+        rows = rows_of(base.servers.values(), self._zones, self._kinds)
         if base.known:
             rows[VERSION] = pack(base.version)
         if self._anew:
@@ -431,5 +431,5 @@
         self._log("register_not_shared", error=error)
         if self._node is not None:
             for topic in (DUTY, SCOUT):
-                if self._node.sheets.ours(topic) is not None:
-                    self._node.sheets.withdraw(topic)
+                if self._node.tables.own_token(topic) is not None:
+                    self._node.tables.withdraw(topic)
--- a/heronlug/lifecycle/cluster_service.py
+++ b/heronlug/lifecycle/cluster_service.py
@@ -60,7 +60,7 @@
         if self.member is None:
             raise StateError("there is no [cluster] in the file that runs")
         cluster = self.member.cluster
-        return cluster.members() if what == "members" else cluster.duties()
+        return cluster.members() if what == "members" else cluster.leases()
 
     def read_keys(self) -> dict[int, bytes] | None:
         """The keys as their files have them now; None without a cluster.  Raises ``OSError`` or ``ValueError``."""
@@ -69,11 +69,11 @@
     def use_keys(self, keys: dict[int, bytes] | None) -> None:
         """Use keys that were read again."""
         if self.member is not None and keys is not None:
-            self.member.cluster.use_keys(keys)
+            self.member.cluster.replace_keys(keys)
 
     def figures(self) -> str:
         """The figures of the cluster in Prometheus' text format; empty without one."""
-        return str(self.member.cluster.figures()) if self.member is not None else ""
+        return str(self.member.cluster.metrics()) if self.member is not None else ""
 
     async def leave(self) -> None:
         """Tell the other members that this one leaves."""
--- a/tests/cluster/test_hosts.py
+++ b/tests/cluster/test_hosts.py
@@ -18,63 +18,66 @@
 
 
 def states(view: ServerView) -> dict[str, ServerState]:
-    return {name: entry.state for name, entry in view.told.items()}
+    return {name: entry.state for name, entry in view.reported.items()}
 
 
 def test_the_shared_list_is_gone_by_once_our_own_is_not() -> None:
     view = ServerView("list")
-    view.own_news(ListKind.FULL, 7, hosts("a", "b"))
-    view.shared_news(6, hosts("a"), [])
-    view.shared_news(7, hosts("b"), [])
-    assert view.use(own=False) is not None or view.source is ListSource.SHARED
+    view.apply_own_update(ListKind.FULL, 7, hosts("a", "b"))
+    view.apply_shared_update(6, hosts("a"), [])
+    view.apply_shared_update(7, hosts("b"), [])
+    assert view.select_source(own=False) is not None or view.source is ListSource.SHARED
     assert view.source is ListSource.SHARED and not view.watching
 
 
 def test_a_change_of_the_list_tells_only_what_differs() -> None:
     view = ServerView("list")
-    view.own_news(ListKind.FULL, 7, hosts("a", "b", "c"))
-    view.shared_news(8, hosts("a", "b"), [])
-    told = view.use(own=False)
+    view.apply_own_update(ListKind.FULL, 7, hosts("a", "b", "c"))
+    view.apply_shared_update(8, hosts("a", "b"), [])
+    told = view.select_source(own=False)
     assert told == (ListKind.CHANGES, [e._replace(state=GONE) for e in hosts("c")])
-    assert [e.name for e in view.shared_news(9, hosts("a", state=DRAINING), [])] == ["a"]
-    assert view.own_news(ListKind.CHANGES, 9, []) == (ListKind.CHANGES, [*hosts("a"), *hosts("c")])
+    assert [e.name for e in view.apply_shared_update(9, hosts("a", state=DRAINING), [])] == ["a"]
+    assert view.apply_own_update(ListKind.CHANGES, 9, []) == (ListKind.CHANGES, [*hosts("a"), *hosts("c")])
     assert view.source is ListSource.OWN
 
 
 def test_a_failed_watch_changes_no_host() -> None:
     view = ServerView("list")
-    view.own_news(ListKind.FULL, 7, hosts("a"))
-    assert view.own_news(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
+    view.apply_own_update(ListKind.FULL, 7, hosts("a"))
+    assert view.apply_own_update(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
     assert states(view) == {"a": READY} and not view.watching
 
 
 def test_news_of_others_only_takes_hosts_away() -> None:
     """``share = "news"``: nothing is sent to a host that our own list has not named."""
     view = ServerView("news")
-    view.own_news(ListKind.FULL, 7, hosts("a", "b", "c"))
-    view.shared_news(8, [*hosts("a", state=DRAINING), *hosts("b", "new")], [])
+    view.apply_own_update(ListKind.FULL, 7, hosts("a", "b", "c"))
+    view.apply_shared_update(8, [*hosts("a", state=DRAINING), *hosts("b", "new")], [])
     assert states(view) == {"a": DRAINING, "b": READY}
-    view.own_news(ListKind.CHANGES, 8, hosts("a", state=DRAINING))
+    view.apply_own_update(ListKind.CHANGES, 8, hosts("a", state=DRAINING))
     assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # ours is as new now, and counts
 
 
 def test_a_host_found_down_drains_until_it_is_up() -> None:
     view = ServerView("none", panic_share=0.5)
-    view.own_news(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
-    assert view.verdicts("probe-1", ["a"], []) == hosts("a", state=DRAINING)
-    assert view.verdicts("probe-2", [], ["a"]) == []  # another shard has no say in it
-    assert view.own_news(ListKind.CHANGES, 2, hosts("a")) == (ListKind.CHANGES, [])  # the register knows nothing of it
-    assert view.verdicts("probe-1", [], ["a"]) == hosts("a")
+    view.apply_own_update(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
+    assert view.apply_health_results("probe-1", ["a"], []) == hosts("a", state=DRAINING)
+    assert view.apply_health_results("probe-2", [], ["a"]) == []  # another shard has no say in it
+    assert view.apply_own_update(ListKind.CHANGES, 2, hosts("a")) == (
+        ListKind.CHANGES,
+        [],
+    )  # the register knows nothing of it
+    assert view.apply_health_results("probe-1", [], ["a"]) == hosts("a")
 
 
 def test_probes_that_find_most_hosts_down_are_not_believed() -> None:
     view = ServerView("none", panic_share=0.5)
-    view.own_news(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
-    view.verdicts("probe-1", ["a", "b"], [])
+    view.apply_own_update(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
+    view.apply_health_results("probe-1", ["a", "b"], [])
     assert sum(state is DRAINING for state in states(view).values()) == 2
-    view.verdicts("probe-1", ["c"], [])
+    view.apply_health_results("probe-1", ["c"], [])
     assert view.panic and set(states(view).values()) == {READY}
-    view.verdicts("probe-1", [], ["c"])
+    view.apply_health_results("probe-1", [], ["c"])
     assert not view.panic and states(view)["a"] is DRAINING
     assert view.withdraw("probe-1") == hosts("a", "b")
 
@@ -100,18 +103,18 @@
 
     for number, (what, how, names) in enumerate(steps):
         if what == "own":
-            told = view.own_news(ListKind(how), number, hosts(*names))
+            told = view.apply_own_update(ListKind(how), number, hosts(*names))
             apply(*(told or (ListKind.CHANGES, [])))
         elif what == "shared":
-            gone = [name for name in view.shared.hosts if name not in names]
-            apply(ListKind.CHANGES, view.shared_news(how, hosts(*names), gone))
+            gone = [name for name in view.shared.servers if name not in names]
+            apply(ListKind.CHANGES, view.apply_shared_update(how, hosts(*names), gone))
         elif what == "verdict":
-            apply(ListKind.CHANGES, view.verdicts("s", *((names, []) if how else ([], names))))
+            apply(ListKind.CHANGES, view.apply_health_results("s", *((names, []) if how else ([], names))))
         else:
-            apply(*(view.use(own=bool(how)) or (ListKind.CHANGES, [])))
-        assert {name: e for name, e in core.items() if e.state is not GONE} == view.told
-        named = view.own.hosts.keys() | (view.shared.hosts.keys() if share == "list" else set())
-        assert view.told.keys() <= named
+            apply(*(view.select_source(own=bool(how)) or (ListKind.CHANGES, [])))
+        assert {name: e for name, e in core.items() if e.state is not GONE} == view.reported
+        named = view.own.servers.keys() | (view.shared.servers.keys() if share == "list" else set())
+        assert view.reported.keys() <= named
 
 
 def test_probes_are_spread_and_verdicts_take_several_in_a_row() -> None:
@@ -119,7 +122,7 @@
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
     begun = []
     for tick in range(100, 1100, 100):
-        batch = prober.begin(float(tick))
+        batch = prober.start_due(float(tick))
         begun += [name for name, _ in batch]
         assert len(batch) < 15
         for name, address in batch:
@@ -127,8 +130,8 @@
     assert sorted(begun) == sorted({f"h{n}" for n in range(50)})
     verdicts, now = [], 1000.0
     for well in (False, False, True, False, False, False, True, True):
-        now = prober.hosts["h0"].due
-        for name, address in prober.begin(now):
+        now = prober.servers["h0"].due
+        for name, address in prober.start_due(now):
             said = prober.ended(name, address, well or name != "h0")
             if name == "h0":
                 verdicts.append(said)
@@ -138,13 +141,13 @@
 def test_so_many_probes_are_out_at_once_and_what_has_gone_counts_no_more() -> None:
     prober = HealthCheckSchedule(100, fall=1, rise=1, most=4)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
-    first = prober.begin(1000.0)
-    assert len(first) == 4 and not prober.begin(1000.0) and prober.next() == float("inf")
+    first = prober.start_due(1000.0)
+    assert len(first) == 4 and not prober.start_due(1000.0) and prober.next_wake() == float("inf")
     prober.use({"h0": "127.0.0.1:9000"}, [], 1000.0)
-    assert prober.out == sum(name == "h0" for name, _ in first)
+    assert prober.in_flight == sum(name == "h0" for name, _ in first)
     assert all(prober.ended(name, address, False) is None for name, address in first if name != "h0")
     prober.use({"h0": "127.0.0.1:9999"}, ["h0"], 1000.0)
-    assert not prober.hosts["h0"].down and prober.out == 0  # another process at another address
+    assert not prober.servers["h0"].down and prober.in_flight == 0  # another process at another address
 
 
 def test_a_successor_begins_with_what_was_down() -> None:
@@ -153,8 +156,8 @@
     now = 0.0
     said = []
     for _ in range(2):
-        now = prober.next()
-        said += [prober.ended(*which, True) for which in prober.begin(now)]
+        now = prober.next_wake()
+        said += [prober.ended(*which, True) for which in prober.start_due(now)]
     assert said == [None, True]
 
 
--- a/tests/cluster/test_sheets.py
+++ b/tests/cluster/test_sheets.py
@@ -116,7 +116,7 @@
         rows = dict(net.processes[owner].sheets[TOPIC])
         net.kill(owner)
         net.run(1600)
-        ages = [p.node.sheets.age(TOPIC, p.clock()) for p in net.processes.values()]
+        ages = [p.node.tables.age(TOPIC, p.clock()) for p in net.processes.values()]
         assert min(ages) > 1000, f"seed {seed}: nobody publishes, and the sheet is taken for fresh"
         net.run(4000)
         successor = net.owner(TOPIC)
@@ -166,7 +166,7 @@
     assert publisher is not None
     assert net.publish(publisher, TOPIC, {})
     net.run(4000)
-    assert not behind(net, net.processes[publisher].node.sheets.rows(TOPIC))
+    assert not behind(net, net.processes[publisher].node.tables.rows(TOPIC))
 
 
 def test_nodes_of_old_tables_are_forgotten() -> None:
@@ -178,23 +178,23 @@
     live = len(
         set(
             merkle_trie.names(
-                net.processes[owner].node.sheets.nodes,
-                net.processes[owner].node.sheets.topics[next(iter(net.processes[owner].node.sheets.topics))].root,
+                net.processes[owner].node.tables.nodes,
+                net.processes[owner].node.tables.states[next(iter(net.processes[owner].node.tables.states))].root,
             )
         )
     )
     for process in net.processes.values():
-        assert len(process.node.sheets.nodes) < 3 * live + 1100
+        assert len(process.node.tables.nodes) < 3 * live + 1100
     assert not behind(net, net.processes[owner].sheets[TOPIC])
 
 
 def test_a_sheet_of_a_lower_fence_is_not_taken() -> None:
     net, owner = settled(7, "ab", 0.0)
     other = next(name for name in net.names if name != owner)
-    sheets = net.processes[other].node.sheets
+    sheets = net.processes[other].node.tables
     before = sheets.rows(TOPIC)
     sheets.publish(TOPIC, FencingToken(1, 1), {b"h1": b"late"}, net.processes[other].clock())
     net._do(net.processes[other], net.processes[other].node.flush(net.processes[other].clock()))
     net.run(2000)
     assert net.processes[owner].sheets[TOPIC] == before
-    assert net.processes[other].node.sheets.rows(TOPIC) == before
+    assert net.processes[other].node.tables.rows(TOPIC) == before
--- a/tests/cluster/test_states.py
+++ b/tests/cluster/test_states.py
@@ -11,18 +11,19 @@
 import os
 from collections import deque
 from collections.abc import Iterator
+from dataclasses import replace
 from typing import Any
 
 import pytest
 
-from heronlug.cluster import leases
 from heronlug.cluster.codec import LeaseDenial, LeaseGrant
-from heronlug.cluster.leases import LeaseManager
+from heronlug.cluster.lease_state import LeaseStage, LeaseVote
+from heronlug.cluster.leases import LeaseCallbacks, LeaseManager
 from heronlug.cluster.model import NO_TOKEN, ClusterTiming
 from heronlug.cluster.ownership import tag
 
 NAMES = ("a", "b", "c")
-TERMS = ClusterTiming(drift=0.0)
+TERMS = ClusterTiming(max_clock_drift=0.0)
 KEY = tag("duty")
 STATES = int(os.environ.get("CLUSTER_STATES", "15000"))
 
@@ -41,27 +42,27 @@
 
     def member(self, name: str) -> LeaseManager:
         others = {tag(other): other for other in NAMES if other != name}
-        made = LeaseManager(
-            name,
-            1000 + self.lives[name],
-            ["duty"],
-            TERMS,
-            lambda whom, part: None,
-            lambda told: None,
-            lambda duty, now: others,
-            lambda now: [],
+        callbacks = LeaseCallbacks(
+            send=lambda whom, part: None,
+            notify=lambda event: None,
+            quorum=lambda lease, now: others,
+            candidates=lambda now: [],
         )
-        return made
+        return LeaseManager(name, 1000 + self.lives[name], ["duty"], TERMS, callbacks)
 
     def act(self, name: str, what: Any) -> None:
         """Let a member do something, with its messages put on their links."""
         member = self.members[name]
         sent: list[tuple[str, Any]] = []
         names = {tag(other): other for other in NAMES}
-        member._send = lambda whom, part: sent.append((names[whom], part))
-        member._candidates = lambda now: [self.first[name]]
+        idle = member.callbacks
+        member.callbacks = replace(
+            idle,
+            send=lambda target, part: sent.append((names[target], part)),
+            candidates=lambda now: [self.first[name]],
+        )
         what(member)
-        member._send = member._candidates = None  # type: ignore[assignment]
+        member.callbacks = idle
         for target, part in sent:
             link = (name, target)
             waiting = self.links.get(link, ())
@@ -75,7 +76,7 @@
             while any(self.links.values()):
                 (source, target), parts = next(item for item in self.links.items() if item[1])
                 self.links[source, target] = parts[1:]
-                self.act(target, lambda m, p=parts[0], s=source: m.heard(tag(s), p, self.now))
+                self.act(target, lambda m, p=parts[0], s=source: m.receive(tag(s), p, self.now))
         assert self.owners() == ["a"]
 
     def key(self) -> Any:
@@ -86,26 +87,26 @@
 
         members = []
         for member in self.members.values():
-            d = member.duties[KEY]
+            d = member.leases[KEY]
             members.append(
                 (
                     d.stage,
-                    d.fence,
-                    d.seen,
-                    d.freed,
-                    rel(d.until),
-                    rel(d.promised),
-                    d.heir,
+                    d.token,
+                    d.highest_seen,
+                    d.released,
+                    rel(d.valid_until),
+                    rel(d.offered_until),
+                    d.successor,
                     d.tries,
-                    tuple(sorted((voter, rel(until)) for voter, until in d.granted.items())),
-                    tuple((rel(sent), sounding) for sent, sounding in list(d.asked.values())[-2:]),
-                    d.taking,
-                    tuple(sorted((voter, rel(until)) for voter, until in d.promises.items())),
-                    len(d.frees),
-                    rel(d.rest),
+                    tuple(sorted((voter, rel(until)) for voter, until in d.granted_until.items())),
+                    tuple((rel(sent), for_promise) for sent, for_promise in list(d.requests.values())[-2:]),
+                    d.collecting_votes,
+                    tuple(sorted((voter, rel(until)) for voter, until in d.promised_until.items())),
+                    len(d.pending_releases),
+                    rel(d.retry_at),
                     d.vote.promised,
                     rel(d.vote.promised_until),
-                    d.vote.fence,
+                    d.vote.token,
                     d.vote.highest,
                     rel(d.vote.until),
                     rel(member.votes_from),
@@ -119,21 +120,21 @@
 
     def bound_too_soon(self) -> list[str]:
         """Who binds a vote, perhaps its own, while it is not promised all."""
-        duties = {name: member.duties[KEY] for name, member in self.members.items()}
+        duties = {name: member.leases[KEY] for name, member in self.members.items()}
         asking = {
-            d.fence: name
+            d.token: name
             for name, d in duties.items()
-            if d.stage is leases.LeaseStage.ASKING and not d.taking and d.freed == NO_TOKEN
+            if d.stage is LeaseStage.REQUESTING and not d.collecting_votes and d.released == NO_TOKEN
         }
         votes = [d.vote for d in duties.values()]
-        return [f"{asking[v.fence]} too soon" for v in votes if v.fence in asking and v.until > self.now]
+        return [f"{asking[v.token]} too soon" for v in votes if v.token in asking and v.until > self.now]
 
     def next(self) -> Iterator["World"]:
         """All worlds that one step leads to."""
         for name in NAMES[:2]:
             world = copy.deepcopy(self)
-            for duty in world.members[name].duties.values():
-                duty.next = world.now
+            for duty in world.members[name].leases.values():
+                duty.next_action_at = world.now
             world.act(name, lambda member, now=world.now: member.wake(now))
             yield world
         for link, parts in self.links.items():
@@ -142,14 +143,14 @@
                 world.links[link] = parts[1:]
                 source, target = link
                 if arrives:
-                    world.act(target, lambda m, p=parts[0], s=source, w=world: m.heard(tag(s), p, w.now))
+                    world.act(target, lambda m, p=parts[0], s=source, w=world: m.receive(tag(s), p, w.now))
                 answer = world.links.get((target, source), ())
                 if arrives == 2 and len(answer) == 1 and not self.links.get((target, source)):
                     world.links[target, source] = ()
-                    world.act(source, lambda m, p=answer[0], s=target, w=world: m.heard(tag(s), p, w.now))
+                    world.act(source, lambda m, p=answer[0], s=target, w=world: m.receive(tag(s), p, w.now))
                 yield world
         world = copy.deepcopy(self)
-        world.now += TERMS.lease / 2
+        world.now += TERMS.lease_duration / 2
         yield world
         if self.first["b"] == "a":
             world = copy.deepcopy(self)
@@ -159,7 +160,7 @@
             world = copy.deepcopy(self)
             world.lives["c"] += 1
             world.members["c"] = world.member("c")
-            world.members["c"].votes_from = world.now + TERMS.lease
+            world.members["c"].votes_from = world.now + TERMS.lease_duration
             yield world
 
 
@@ -192,11 +193,13 @@
 def test_a_protocol_broken_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The voter does not wait a lease out."""
 
-    def grant(self: LeaseManager, duty: leases.LeaseState, ask: Any, now: float) -> LeaseGrant | LeaseDenial:
-        duty.vote.fence, duty.vote.until = ask.fence, now + self.terms.lease
-        return LeaseGrant(duty.key, ask.fence, ask.number)
+    def grant(
+        self: LeaseVote, request: Any, now: float, lease_duration: float, renewals_only: bool
+    ) -> LeaseGrant | LeaseDenial:
+        self.token, self.until = request.token, now + lease_duration
+        return LeaseGrant(request.lease, request.token, request.request_id)
 
-    monkeypatch.setattr(LeaseManager, "_vote", grant)
+    monkeypatch.setattr(LeaseVote, "decide", grant)
     monkeypatch.setattr(World, "bound_too_soon", lambda self: [])  # that is broken too
     _, broken = visit(STATES * 2)
     assert broken == ["['a', 'b']"]
@@ -204,11 +207,15 @@
 
 def test_votes_bound_without_promises_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """As it was before: 8 and 10 s without an owner, by two that asked with different views."""
-    vote = LeaseManager._vote
+    decide = LeaseVote.decide
 
-    def bind(self: LeaseManager, duty: leases.LeaseState, ask: Any, now: float) -> LeaseGrant | LeaseDenial:
-        return vote(self, duty, ask._replace(freed=NO_TOKEN) if ask.freed.owner == 0 else ask, now)
+    def bind(
+        self: LeaseVote, request: Any, now: float, lease_duration: float, renewals_only: bool
+    ) -> LeaseGrant | LeaseDenial:
+        if request.released.owner == 0:
+            request = request._replace(released=NO_TOKEN)
+        return decide(self, request, now, lease_duration, renewals_only)
 
-    monkeypatch.setattr(LeaseManager, "_vote", bind)
+    monkeypatch.setattr(LeaseVote, "decide", bind)
     _, broken = visit(STATES)
     assert broken and broken[0].endswith("too soon")
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual.py
@@ -110,7 +110,7 @@
     assert net.owner(duty) not in (None, owner) and net.longest_idle < 300
     net.run(1500)
     assert net.processes[owner].node.left
-    others = [process.node.members.members[owner].health for name, process in net.processes.items() if name != owner]
+    others = [process.node.membership.members[owner].health for name, process in net.processes.items() if name != owner]
     assert others == [Health.LEFT] * 3
 
 
@@ -204,7 +204,7 @@
         assert other not in (None, owner)
         net.run(4000)
         told = [action for _, name, action in net.log if name == owner and isinstance(action, LeaseGained | LeaseLost)]
-        assert any(isinstance(action, LeaseLost) and action.duty == duty for action in told)
+        assert any(isinstance(action, LeaseLost) and action.lease == duty for action in told)
 
 
 def test_fences_only_rise() -> None:
@@ -218,5 +218,5 @@
             net.start(name)
             net.run(4000 + 100 * turn)
         told = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
-        gained = [action.fence for action in told if action.duty == net.duties[0]]
+        gained = [action.token for action in told if action.lease == net.duties[0]]
         assert len(gained) >= 4 and gained == sorted(gained)
--- a/tests/cluster/virtual.py
+++ b/tests/cluster/virtual.py
@@ -40,7 +40,7 @@
         self.next = 0.0
         self.sheets: dict[str, dict[bytes, bytes]] = {topic: {} for topic in net.topics}  # as it is told of them
         for topic in net.topics:
-            self.node.sheets.follow(topic)
+            self.node.tables.follow(topic)
 
     def clock(self) -> float:
         """Its own time."""
@@ -108,8 +108,8 @@
         fence = process.node.may_act(topic, now)
         if fence is None:
             return False
-        process.node.sheets.publish(topic, fence, changes, now)
-        process.sheets[topic] = process.node.sheets.rows(topic)
+        process.node.tables.publish(topic, fence, changes, now)
+        process.sheets[topic] = process.node.tables.rows(topic)
         self._do(process, process.node.flush(now))
         return True
 
@@ -170,7 +170,7 @@
                 process = self.processes[name]
                 fence = process.node.may_act(duty, process.clock())
                 assert fence is not None
-                first = self.fences.setdefault((duty, fence), f"{name}/{process.node.members.name}/{id(process)}")
+                first = self.fences.setdefault((duty, fence), f"{name}/{process.node.membership.name}/{id(process)}")
                 assert first.endswith(f"/{id(process)}"), f"seed {self.seed}: {duty} {fence} twice: {first} and {name}"
             if len(owners) > 1:
                 self.overlap = max(self.overlap, self.now - self.since.setdefault(duty, self.now))
@@ -199,7 +199,7 @@
                     process.next = when
                     self._at(when, process.name, (process, when))
             elif isinstance(action, TableChanged):
-                rows = process.sheets[action.topic]
+                rows = process.sheets[action.table]
                 for key, value in action.changes.items():
                     if value is None:
                         del rows[key]
