--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -21,7 +21,7 @@
 
 from cluster.virtual import Net  # noqa: E402
 
-from heronlug.cluster import codec  # noqa: E402
+from heronlug.cluster import codec, datagrams, messages  # noqa: E402
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate  # noqa: E402
 
 LOSSES = (0.0, 0.1, 0.3, 0.5)
@@ -116,9 +116,9 @@
     pack, unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
     fence = FencingToken(1_796_138_343_696, 0xB5C3A1D2)
     for part in (
-        codec.Ping(0x6B3F21C4),
-        codec.LeaseRequest(0xB5C3A1D2, fence, 0x6B3F21C4, fence),
-        codec.TableAnnouncement(0xB5C3A1D2, fence, 4711, 0xB5C3A1D2B5C3A1D2),
+        messages.Ping(0x6B3F21C4),
+        messages.LeaseRequest(0xB5C3A1D2, fence, 0x6B3F21C4, fence),
+        messages.TableAnnouncement(0xB5C3A1D2, fence, 4711, 0xB5C3A1D2B5C3A1D2),
         MemberUpdate("dispatcher-12", "10.0.0.12:7946", 1_796_138_343_696, Health.ALIVE),
     ):
         fixed = codec.encode_part(part)
@@ -129,10 +129,10 @@
             f"{per_call(lambda p=part: codec.encode_part(p)):8.2f} {per_call(lambda f=flat: pack(f)):8.2f} "
             f"{per_call(lambda d=fixed: codec.decode_parts(d)):8.2f} {per_call(lambda d=packed: unpack(d)):8.2f}"
         )
-    seal, other = codec.DatagramCodec(1, {1: b"k" * 32}, 0), codec.DatagramCodec(2, {1: b"k" * 32}, 0)
+    seal, other = datagrams.DatagramCodec(1, {1: b"k" * 32}, 0), datagrams.DatagramCodec(2, {1: b"k" * 32}, 0)
     print(
-        f"seal a datagram {per_call(lambda: seal.pack([codec.Ping(1)])):.2f} us, "
-        f"open one {per_call(lambda: other.unpack(seal.pack([codec.Ping(1)])[0])):.2f} us with its sealing"
+        f"seal a datagram {per_call(lambda: seal.pack([messages.Ping(1)])):.2f} us, "
+        f"open one {per_call(lambda: other.unpack(seal.pack([messages.Ping(1)])[0])):.2f} us with its sealing"
     )
 
 
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -1,157 +1,26 @@
-"""Datagrams of the cluster: at most 256 bytes, of a fixed form, under a keyed BLAKE2 tag.
+"""The binary form of messages: a byte for the kind, then fields of fixed size or with their length in front."""
 
-    byte 0      "H"
-         1      version, 1
-         2      which key
-         3..6   tag of the sender's name
-         7..14  stamp of the sender, above all of its stamps before
-         15..   parts: a byte for the kind, then the part's own form
-    last 12     BLAKE2b over all before, with the key
-
-A datagram of an unknown version is counted and left.  One with a stamp that has been seen, or too far below the newest
-of its sender, is a replay.
-"""
-
-import hmac
 import struct
-from collections import Counter
-from collections.abc import Iterable, Mapping
-from hashlib import blake2b
-from typing import NamedTuple
-
-from heronlug.cluster.model import FencingToken, Health, MemberUpdate
-
-PROTOCOL_VERSION, MAX_DATAGRAM_SIZE, AUTHENTICATION_TAG_SIZE = 1, 256, 12
-HEADER = struct.Struct(">cBBIQ")
-MAX_BODY_SIZE = MAX_DATAGRAM_SIZE - HEADER.size - AUTHENTICATION_TAG_SIZE
-REPLAY_WINDOW = 64  # stamps below a sender's newest that may still come, each once
-MAGIC = b"H"
-
-
-class Ping(NamedTuple):
-    """Answer with an :class:`Ack` of this number."""
-
-    number: int
-
-
-class Ack(NamedTuple):
-    """The answer; also passed on by whoever was asked to probe."""
-
-    number: int
-
-
-class IndirectPing(NamedTuple):
-    """Ping somebody for the sender, and pass the answer on."""
-
-    number: int
-    target: int  # tag
-
-
-class Nack(NamedTuple):
-    """Whoever was asked to probe has no answer: it is there, so the sender itself is not to blame (Lifeguard)."""
-
-    number: int
-
-
-class Sync(NamedTuple):
-    """The sender has just come: tell it of everybody."""
-
-
-class LeaseRequest(NamedTuple):
-    """The sender wants a lease, or goes on with one.  ``freed`` is the fence of a predecessor that has let go.
-
-    ``fence`` itself there says that the sender holds it already, its number with no owner that a promise will do.
-    """
-
-    lease: int
-    token: FencingToken
-    request_id: int
-    released: FencingToken
-
-
-class LeaseGrant(NamedTuple):
-    """It has it, for the lease's time from when this was sent by the clock of who grants."""
-
-    lease: int
-    token: FencingToken
-    request_id: int
-
-
-class LeaseDenial(NamedTuple):
-    """Another has it, or has had it with a higher fence."""
-
-    lease: int
-    highest: FencingToken
-    request_id: int
-
-
-class TransferOffer(NamedTuple):
-    """Handover: take this duty after ``fence``."""
-
-    lease: int
-    token: FencingToken
-
-
-class TransferAcceptance(NamedTuple):
-    """Handover: yes."""
 
-    lease: int
-    token: FencingToken
-
-
-class TransferCompletion(NamedTuple):
-    """Handover: the sender acts no more under ``fence``."""
-
-    lease: int
-    token: FencingToken
-
-
-class LeaseRelease(NamedTuple):
-    """The sender has let go of this fence: votes for it are free."""
-
-    lease: int
-    token: FencingToken
-
-
-class TableAnnouncement(NamedTuple):
-    """A sheet is at this version: the owner's fence, the number of its publication or beat, the root of the table."""
-
-    table: int
-    token: FencingToken
-    number: int
-    root: int
-
-
-class NodeRequest(NamedTuple):
-    """The sender wants the nodes of these names, at most ``MAX_NODES_PER_REQUEST``."""
-
-    names: tuple[int, ...]
-
-
-class NodeData(NamedTuple):
-    """A node of a sheet; its name is what it holds."""
-
-    data: bytes
-
-
-Part = (
-    Ping
-    | Ack
-    | IndirectPing
-    | Nack
-    | Sync
-    | LeaseRequest
-    | LeaseGrant
-    | LeaseDenial
-    | TransferOffer
-    | TransferAcceptance
-    | TransferCompletion
-    | LeaseRelease
-    | MemberUpdate
-    | TableAnnouncement
-    | NodeRequest
-    | NodeData
+from heronlug.cluster.messages import (
+    Ack,
+    IndirectPing,
+    LeaseDenial,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    Nack,
+    NodeData,
+    NodeRequest,
+    Part,
+    Ping,
+    Sync,
+    TableAnnouncement,
+    TransferAcceptance,
+    TransferCompletion,
+    TransferOffer,
 )
+from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
 _LAYOUTS: dict[type, tuple[int, struct.Struct]] = {
     Ping: (1, struct.Struct(">I")),
@@ -168,14 +37,28 @@
     LeaseRelease: (13, struct.Struct(">IQI")),
     TableAnnouncement: (14, struct.Struct(">IQIQQ")),
 }
-_BY_CODE = {kind: (part, form) for part, (kind, form) in _LAYOUTS.items()}
-_NODE_REQUEST, _NODE_DATA = 15, 16  # then how many names, or bytes
-MAX_NODES_PER_REQUEST = 24  # names in one part
-_MEMBER_UPDATE, _MEMBER_UPDATE_LAYOUT = 12, struct.Struct(">QBBB")  # incarnation, health, lengths of name and address
+"""Code and layout of the kinds with fields of fixed size."""
+
+_BY_CODE = {code: (kind, layout) for kind, (code, layout) in _LAYOUTS.items()}
+
+_MEMBER_UPDATE = 12
+"""Code of a :class:`MemberUpdate`; name and address follow the layout."""
+
+_MEMBER_UPDATE_LAYOUT = struct.Struct(">QBBB")
+"""Incarnation, health, length of the name, length of the address."""
+
+_NODE_REQUEST = 15
+"""Code of a :class:`NodeRequest`; a byte with the number of names, then the names, 8 bytes each."""
+
+_NODE_DATA = 16
+"""Code of a :class:`NodeData`; a byte with the length, then the node."""
+
+_NAME_SIZE = 8
+"""Bytes of a node's name."""
 
 
 def encode_part(part: Part) -> bytes:
-    """One part."""
+    """The binary form of one message."""
     if isinstance(part, MemberUpdate):
         name, address = part.name.encode(), part.address.encode()
         head = _MEMBER_UPDATE_LAYOUT.pack(part.incarnation, part.health, len(name), len(address))
@@ -184,123 +67,64 @@
         return struct.pack(f">BB{len(part.names)}Q", _NODE_REQUEST, len(part.names), *part.names)
     if isinstance(part, NodeData):
         return bytes((_NODE_DATA, len(part.data))) + part.data
-    kind, form = _LAYOUTS[type(part)]
-    flat: list[int] = []
+    code, layout = _LAYOUTS[type(part)]
+    fields: list[int] = []
     for value in part:
-        flat += value if isinstance(value, FencingToken) else [value]
-    return bytes([kind]) + form.pack(*flat)
+        fields += value if isinstance(value, FencingToken) else [value]
+    return bytes([code]) + layout.pack(*fields)
 
 
 def decode_parts(body: bytes) -> list[Part]:
-    """All parts; raises ``ValueError`` where the bytes make no sense."""
+    """All messages of a datagram's body; raises ``ValueError`` if it is malformed."""
     parts: list[Part] = []
-    at = 0
+    offset = 0
     try:
-        while at < len(body):
-            kind, at = body[at], at + 1
-            if kind == _MEMBER_UPDATE:
-                incarnation, health, name, address = _MEMBER_UPDATE_LAYOUT.unpack_from(body, at)
-                at += _MEMBER_UPDATE_LAYOUT.size
-                if at + name + address > len(body) or not name:
-                    raise ValueError("news is cut off")
-                words = body[at : at + name].decode(), body[at + name : at + name + address].decode()
-                parts.append(MemberUpdate(*words, incarnation, Health(health)))
-                at += name + address
-            elif kind == _NODE_REQUEST:
-                parts.append(NodeRequest(struct.unpack_from(f">{body[at]}Q", body, at + 1)))
-                at += 1 + 8 * body[at]
-            elif kind == _NODE_DATA:
-                end = at + 1 + body[at]
-                if end > len(body):
-                    raise ValueError("a piece is cut off")
-                parts.append(NodeData(body[at + 1 : end]))
-                at = end
-            else:
-                part, form = _BY_CODE[kind]
-                parts.append(_part(part, form.unpack_from(body, at)))
-                at += form.size
+        while offset < len(body):
+            part, offset = _decode_part(body, offset)
+            parts.append(part)
     except (struct.error, KeyError, IndexError) as error:
-        raise ValueError(f"no part: {error!r}") from None
+        raise ValueError(f"malformed message at byte {offset}: {error!r}") from error
     return parts
 
 
-def _part(kind: type, flat: tuple[int, ...]) -> Part:
+def _decode_part(body: bytes, offset: int) -> tuple[Part, int]:
+    """The message at an offset, and the offset behind it."""
+    code = body[offset]
+    offset += 1
+    if code == _MEMBER_UPDATE:
+        return _decode_member_update(body, offset)
+    if code == _NODE_REQUEST:
+        count = body[offset]
+        names = struct.unpack_from(f">{count}Q", body, offset + 1)
+        return NodeRequest(names), offset + 1 + _NAME_SIZE * count
+    if code == _NODE_DATA:
+        end = offset + 1 + body[offset]
+        if end > len(body):
+            raise ValueError("a table node is cut off")
+        return NodeData(body[offset + 1 : end]), end
+    kind, layout = _BY_CODE[code]
+    return _from_fields(kind, layout.unpack_from(body, offset)), offset + layout.size
+
+
+def _decode_member_update(body: bytes, offset: int) -> tuple[MemberUpdate, int]:
+    incarnation, health, name_size, address_size = _MEMBER_UPDATE_LAYOUT.unpack_from(body, offset)
+    name_at = offset + _MEMBER_UPDATE_LAYOUT.size
+    address_at = name_at + name_size
+    end = address_at + address_size
+    if end > len(body) or not name_size:
+        raise ValueError("a member update is cut off")
+    name, address = body[name_at:address_at].decode(), body[address_at:end].decode()
+    return MemberUpdate(name, address, incarnation, Health(health)), end
+
+
+def _from_fields(kind: type, fields: tuple[int, ...]) -> Part:
+    """A message of fixed size from its numbers; a fencing token takes two of them."""
     if kind in (LeaseGrant, LeaseDenial):
-        return kind(flat[0], FencingToken(*flat[1:3]), flat[3])  # type: ignore[no-any-return]
+        return kind(fields[0], FencingToken(*fields[1:3]), fields[3])  # type: ignore[no-any-return]
     if kind in (TransferOffer, TransferAcceptance, TransferCompletion, LeaseRelease):
-        return kind(flat[0], FencingToken(*flat[1:3]))  # type: ignore[no-any-return]
+        return kind(fields[0], FencingToken(*fields[1:3]))  # type: ignore[no-any-return]
     if kind is TableAnnouncement:
-        return TableAnnouncement(flat[0], FencingToken(*flat[1:3]), flat[3], flat[4])
+        return TableAnnouncement(fields[0], FencingToken(*fields[1:3]), fields[3], fields[4])
     if kind is LeaseRequest:
-        return LeaseRequest(flat[0], FencingToken(*flat[1:3]), flat[3], FencingToken(*flat[4:6]))
-    return kind(*flat)  # type: ignore[no-any-return]
-
-
-class DatagramCodec:
-    """Puts parts into datagrams and takes them out: keys, stamps and counts of what was dropped.
-
-    ``keys`` are one or two by their number; the first one signs, all are accepted.  So a key is replaced in service by
-    adding the new one everywhere, then putting it first everywhere, then taking the old one out.
-    """
-
-    def __init__(self, tag: int, keys: Mapping[int, bytes], stamp: int) -> None:
-        self.tag, self.keys = tag, dict(keys)
-        self.dropped: Counter[str] = Counter()
-        self._stamp = stamp
-        self._seen: dict[int, tuple[int, int]] = {}  # newest stamp of a sender, and which below it have come
-
-    def pack(self, parts: Iterable[Part]) -> list[bytes]:
-        """Datagrams with all these parts, as few as will do."""
-        bodies: list[bytes] = [b""]
-        for part in parts:
-            data = encode_part(part)
-            if len(bodies[-1]) + len(data) > MAX_BODY_SIZE:
-                bodies.append(b"")
-            bodies[-1] += data
-        return [self._sealed(body) for body in bodies if body]
-
-    def unpack(self, data: bytes) -> tuple[int, list[Part]] | None:
-        """The sender's tag and the parts; None for what is dropped, which is counted by its reason."""
-        reason = self._reason(data)
-        if reason:
-            self.dropped[reason] += 1
-            return None
-        _, _, _, sender, stamp = HEADER.unpack_from(data)
-        try:
-            parts = decode_parts(data[HEADER.size : -AUTHENTICATION_TAG_SIZE])
-        except ValueError:
-            self.dropped["malformed"] += 1
-            return None
-        if not self._fresh(sender, stamp):
-            self.dropped["replayed"] += 1
-            return None
-        return sender, parts
-
-    def _sealed(self, body: bytes) -> bytes:
-        self._stamp += 1
-        key = next(iter(self.keys))
-        data = HEADER.pack(MAGIC, PROTOCOL_VERSION, key, self.tag, self._stamp) + body
-        return data + blake2b(data, digest_size=AUTHENTICATION_TAG_SIZE, key=self.keys[key]).digest()
-
-    def _reason(self, data: bytes) -> str:
-        if len(data) < HEADER.size + AUTHENTICATION_TAG_SIZE or len(data) > MAX_DATAGRAM_SIZE or data[:1] != MAGIC:
-            return "truncated" if data[:1] == MAGIC else "malformed"
-        if data[1] != PROTOCOL_VERSION:
-            return "version"
-        key = self.keys.get(data[2])
-        if key is None:
-            return "unknown_key"
-        tag = blake2b(data[:-AUTHENTICATION_TAG_SIZE], digest_size=AUTHENTICATION_TAG_SIZE, key=key).digest()
-        return "" if hmac.compare_digest(tag, data[-AUTHENTICATION_TAG_SIZE:]) else "forged"
-
-    def _fresh(self, sender: int, stamp: int) -> bool:
-        newest, below = self._seen.get(sender, (0, 0))
-        if stamp > newest:
-            below = (below << (stamp - newest) | 1 << (stamp - newest - 1)) if stamp - newest < REPLAY_WINDOW else 0
-            self._seen[sender] = stamp, below & ((1 << REPLAY_WINDOW) - 1)
-            return True
-        bit = 1 << (newest - stamp - 1) if stamp < newest else 0
-        if not bit or newest - stamp > REPLAY_WINDOW or below & bit:
-            return False
-        self._seen[sender] = newest, below | bit
-        return True
+        return LeaseRequest(fields[0], FencingToken(*fields[1:3]), fields[3], FencingToken(*fields[4:6]))
+    return kind(*fields)  # type: ignore[no-any-return]
--- /dev/null
+++ b/heronlug/cluster/failure_detector.py
@@ -0,0 +1,195 @@
+"""Probes of other members: SWIM's failure detector with Lifeguard's local health.
+
+Each probe interval one member is pinged, in a shuffled round. If it does not answer within the timeout it is pinged
+again, and some other members are asked to ping it too (indirect probes). A member that seems slow itself, because its
+own probes fail without a nack from those it asked, probes more slowly (Lifeguard's local health multiplier). A ping to
+a suspect says that it is suspected, so that it can refute at once (Lifeguard's buddy system).
+"""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from math import inf
+from random import Random
+from typing import NamedTuple
+
+from heronlug.cluster.member import Member
+from heronlug.cluster.messages import Ack, IndirectPing, Nack, Part, Ping
+from heronlug.cluster.model import ClusterTiming, Health
+
+MAX_DIRECT_PINGS = 4
+"""Direct pings within a probe interval; a lost datagram is no reason to suspect a member."""
+
+PROBE_ID_MASK = 0xFFFFFFFF
+"""Probe numbers have 32 bits."""
+
+
+@dataclass(slots=True, eq=False)
+class Probe:
+    """The probe of this interval.
+
+    Attributes:
+        member: The member that is probed.
+        number: Its answers carry this number.
+        started_at: When the first ping was sent, in milliseconds.
+        pings: Direct pings sent.
+        helpers: Members asked for an indirect probe.
+        nacks: How many of these have said that they got no answer either.
+        answered: Whether an answer has come, direct or indirect.
+    """
+
+    member: Member
+    number: int
+    started_at: float
+    pings: int = 1
+    helpers: int = 0
+    nacks: int = 0
+    answered: bool = False
+
+
+class _RelayedProbe(NamedTuple):
+    """A probe that another member has asked for."""
+
+    expires_at: float
+    requester: str
+    """The address of the member that has asked."""
+    number: int
+    """The number that this member expects."""
+
+
+class FailureDetector:
+    """Probes members in turn, and reports those that do not answer.
+
+    Attributes:
+        local_health: Lifeguard's local health multiplier; 0 is well, a higher value makes probes slower.
+        stopped: Whether no new probes are started.
+    """
+
+    def __init__(
+        self,
+        timing: ClusterTiming,
+        rng: Random,
+        members: Mapping[int, Member],
+        send: Callable[[str, list[Part]], None],
+        suspect: Callable[[Member, float], None],
+    ) -> None:
+        """Create a detector for ``members``, by tag; ``suspect`` is told of each that has not answered, and when."""
+        self.local_health = 0
+        self.stopped = False
+        self._timing = timing
+        self._rng = rng
+        self._members = members
+        self._send = send
+        self._suspect = suspect
+        self._round: list[Member] = []
+        self._probe: Probe | None = None
+        self._last_number = rng.getrandbits(31)
+        self._next_probe_at = -inf
+        self._relayed: dict[int, _RelayedProbe] = {}
+
+    def next_wake(self) -> float:
+        """When :meth:`wake` or :meth:`expire_relayed` has something to do."""
+        expiries = [probe.expires_at for probe in self._relayed.values()]
+        return min(self._next_probe_at, self._next_ping_at(), *expiries)
+
+    def add(self, member: Member) -> None:
+        """Probe a new member within this round, at a random place."""
+        self._round.insert(self._rng.randrange(len(self._round) + 1), member)
+
+    def adjust_local_health(self, change: int) -> None:
+        """Raise the local health multiplier, or lower it, within its bounds."""
+        self.local_health = max(0, min(self._timing.local_health_max, self.local_health + change))
+
+    # -- time
+
+    def expire_relayed(self, now: float) -> None:
+        """Tell members that have asked for an indirect probe that no answer has come."""
+        for number, probe in list(self._relayed.items()):
+            if probe.expires_at <= now:
+                del self._relayed[number]
+                self._send(probe.requester, [Nack(probe.number)])
+
+    def wake(self, now: float) -> None:
+        """Repeat the present probe if that is due, and start the next one."""
+        self._repeat_probe(now)
+        if now >= self._next_probe_at:
+            self._start_probe(now)
+
+    def _next_ping_at(self) -> float:
+        """When the probed member is pinged again, if it has not answered and pings are left."""
+        probe = self._probe
+        if probe is None or probe.answered or probe.pings >= MAX_DIRECT_PINGS:
+            return inf
+        return probe.started_at + probe.pings * self._timing.probe_timeout * (self.local_health + 1)
+
+    def _repeat_probe(self, now: float) -> None:
+        probe = self._probe
+        while probe is not None and now >= self._next_ping_at():
+            probe.pings += 1
+            self._ping(probe.member, probe.number)
+            if not probe.helpers:
+                self._request_indirect_probes(probe)
+
+    def _request_indirect_probes(self, probe: Probe) -> None:
+        candidates = [m for m in self._active() if m is not probe.member and m.health is Health.ALIVE]
+        for helper in self._rng.sample(candidates, min(self._timing.indirect_probes, len(candidates))):
+            probe.helpers += 1
+            self._send(helper.address, [IndirectPing(probe.number, probe.member.tag)])
+
+    def _start_probe(self, now: float) -> None:
+        if self._probe is not None and not self._probe.answered:
+            self._fail(self._probe, now)
+        self._probe = None
+        self._next_probe_at = now + self._timing.probe_interval * (self.local_health + 1)
+        if self.stopped:
+            return
+        while self._round and not self._round[-1].active:
+            self._round.pop()
+        if not self._round:
+            self._round = self._active()
+            self._rng.shuffle(self._round)
+        if self._round:
+            self._probe = Probe(self._round.pop(), self._new_number(), now)
+            self._ping(self._probe.member, self._probe.number)
+
+    def _fail(self, probe: Probe, now: float) -> None:
+        # helpers that did not even send a nack suggest that the fault is on this side (Lifeguard)
+        self.adjust_local_health(1 if probe.helpers and not probe.nacks else 0)
+        if probe.member.active:
+            self._suspect(probe.member, now)
+
+    def _active(self) -> list[Member]:
+        return [member for member in self._members.values() if member.active]
+
+    def _new_number(self) -> int:
+        self._last_number = (self._last_number + 1) & PROBE_ID_MASK
+        return self._last_number
+
+    def _ping(self, member: Member, number: int) -> None:
+        suspicion = [member.update] if member.health is Health.SUSPECT else []
+        self._send(member.address, [Ping(number), *suspicion])
+
+    # -- messages
+
+    def receive_ack(self, number: int) -> None:
+        """A member has answered a ping of this process, for itself or for another member."""
+        probe = self._probe
+        if number in self._relayed:
+            relayed = self._relayed.pop(number)
+            self._send(relayed.requester, [Ack(relayed.number)])
+        elif probe is not None and probe.number == number and not probe.answered:
+            probe.answered = True
+            self.adjust_local_health(-1)
+
+    def receive_nack(self, number: int) -> None:
+        """A member that was asked for an indirect probe has got no answer."""
+        if self._probe is not None and self._probe.number == number:
+            self._probe.nacks += 1
+
+    def receive_indirect_ping(self, requester: str, request: IndirectPing, now: float) -> None:
+        """Ping a member for the one at the address ``requester``."""
+        member = self._members.get(request.target)
+        if member is not None:
+            number = self._new_number()
+            expires_at = now + 2 * self._timing.probe_timeout
+            self._relayed[number] = _RelayedProbe(expires_at, requester, request.number)
+            self._ping(member, number)
--- a/heronlug/cluster/lease_state.py
+++ b/heronlug/cluster/lease_state.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import NamedTuple
 
-from heronlug.cluster.codec import LeaseDenial, LeaseGrant, LeaseRequest
+from heronlug.cluster.messages import LeaseDenial, LeaseGrant, LeaseRequest
 from heronlug.cluster.model import NO_TOKEN, FencingToken
 from heronlug.cluster.ownership import tag
 
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -21,7 +21,14 @@
 
 from xxhash import xxh32_intdigest
 
-from heronlug.cluster.codec import (
+from heronlug.cluster.lease_state import (
+    PROMISE_FRACTION,
+    LeaseEvent,
+    LeaseStage,
+    LeaseState,
+    secured_until,
+)
+from heronlug.cluster.messages import (
     LeaseDenial,
     LeaseGrant,
     LeaseRelease,
@@ -31,13 +38,6 @@
     TransferCompletion,
     TransferOffer,
 )
-from heronlug.cluster.lease_state import (
-    PROMISE_FRACTION,
-    LeaseEvent,
-    LeaseStage,
-    LeaseState,
-    secured_until,
-)
 from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, LeaseGained, LeaseLost
 from heronlug.cluster.ownership import preferred_owner, tag
 
--- a/heronlug/cluster/model.py
+++ b/heronlug/cluster/model.py
@@ -1,6 +1,6 @@
-"""Types of the cluster: who the members are, what comes in, what goes out.
+"""Types of the cluster: the state of members, fencing tokens, timing, and the actions of a member.
 
-All times are milliseconds of one clock per process that only goes forward; nothing here reads it.
+All times are milliseconds of one monotonic clock per process; nothing here reads it.
 """
 
 from dataclasses import dataclass
@@ -9,28 +9,32 @@
 
 
 class Health(IntEnum):
-    """What a member is held to be, in the order in which one overrides the other at the same incarnation."""
+    """The health of a member; at the same incarnation a higher value overrides a lower one (SWIM, section 4.2)."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # on purpose
+    LEFT = 3
+    """It has left on purpose."""
 
 
 class MemberUpdate(NamedTuple):
-    """One member's health as somebody tells it (SWIM, section 4)."""
+    """One member's health as another member reports it (SWIM, section 4)."""
 
     name: str
     address: str
-    incarnation: int  # Unix milliseconds of the member's start, and one more with each refutation
+    incarnation: int
+    """Unix milliseconds of the member's start, and one more with each refutation."""
     health: Health
 
 
 class FencingToken(NamedTuple):
-    """A fencing number: whoever writes under a lower one than was seen is late.  No two owners ever have the same."""
+    """A fencing token: a write under a lower one than was seen comes too late.  No two owners ever have the same."""
 
-    number: int  # never below Unix milliseconds of the owner's start, and above all that it has seen
-    owner: int  # the owner's tag, unique among the members
+    number: int
+    """Never below Unix milliseconds of the owner's start, and above every number that the owner has seen."""
+    owner: int
+    """The owner's tag, unique among the members."""
 
 
 NO_TOKEN = FencingToken(0, 0)
@@ -38,54 +42,67 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterTiming:
-    """How a cluster keeps time.  All figures in milliseconds; the same at every member."""
-
-    probe_interval: float = 400.0  # between two probes of ours
-    probe_timeout: float = 100.0  # for a direct answer; then others are asked to probe
-    indirect_probes: int = 3  # so many others (k of SWIM)
-    suspicion_min: float = 800.0  # the least time that a suspect has to refute
-    suspicion_max: float = 2400.0  # and the most, until others confirm (Lifeguard: LHA-Suspicion)
-    confirmations: int = 2  # independent suspicions that bring the most down to the least
-    local_health_max: int = 6  # of Lifeguard's local health: a slow member probes by so many times more slowly
-    retransmit_multiplier: int = 4  # an item of gossip is told so many times the logarithm of the members
-    forget_after: float = 600_000.0  # who is dead or has left is forgotten after this
-    lease_duration: float = 2000.0  # a lease by the clock of who grants it
-    max_clock_drift: float = (
-        0.02  # two clocks run apart by this share at most: the owner's lease is shorter by twice that
-    )
-    request_interval: float = 100.0  # an unanswered request for a lease, and an offer, is sent again after this
-    renewal_fraction: float = 0.25  # of the lease, when it is renewed
-    settle_time: float = (
-        3000.0  # a new member owns nothing before, so that its list of members is whole by then; it grants
-    )
-    # nothing new before what a process of its name before it has granted has run out, which is a lease
-    max_quorum_members: int = (
-        9  # at most so many members are asked for a lease, those that come first in the duty's rank
-    )
-    heartbeat_interval: float = 400.0  # who publishes a sheet tells of it so often, also when nothing has changed
-    fanout: int = 5  # and each that hears of something new tells so many others
-    pull_timeout: float = 120.0  # a node that was asked for and has not come is asked for again after this
-    rejoin_interval: float = 2000.0  # seeds are asked again so often while somebody is missing
-
-
-# -- what comes in: see Node.receive and Node.wake; what goes out:
+    """How a cluster keeps time; the same at every member.  All times are milliseconds.
+
+    Attributes:
+        probe_interval: Between two probes of one member.
+        probe_timeout: How long a direct answer may take before other members are asked to probe.
+        indirect_probes: How many other members are asked (k of SWIM).
+        suspicion_min: The shortest time that a suspect has to refute.
+        suspicion_max: The longest, while no other member confirms the suspicion (Lifeguard's LHA-Suspicion).
+        confirmations: How many independent suspicions shorten that time to ``suspicion_min``.
+        local_health_max: The highest local health multiplier (Lifeguard); a slow member probes more slowly by it.
+        retransmit_multiplier: An update is sent this many times the logarithm of the number of members.
+        forget_after: When a member that is dead or has left is forgotten.
+        lease_duration: How long a lease is granted, by the clock of the quorum member that grants it.
+        max_clock_drift: By which fraction two clocks differ in speed at most; an owner's lease is shorter by twice it.
+        request_interval: When an unanswered lease request, or an offer, is sent again.
+        renewal_fraction: The fraction of a lease after which it is renewed.
+        settle_time: How long a new member owns nothing, so that its list of members is complete by then.  For one
+            lease duration it also grants no new lease, as its predecessor's grants may still hold.
+        max_quorum_members: How many other members are asked for a lease at most, the first in the lease's ranking.
+        heartbeat_interval: How often the writer of a replicated table announces it, also when nothing has changed.
+        fanout: How many members each member passes a new announcement on to.
+        pull_timeout: When a table node that was requested and has not come is requested again.
+        rejoin_interval: How often seeds are contacted while one is missing.
+    """
+
+    probe_interval: float = 400.0
+    probe_timeout: float = 100.0
+    indirect_probes: int = 3
+    suspicion_min: float = 800.0
+    suspicion_max: float = 2400.0
+    confirmations: int = 2
+    local_health_max: int = 6
+    retransmit_multiplier: int = 4
+    forget_after: float = 600_000.0
+    lease_duration: float = 2000.0
+    max_clock_drift: float = 0.02
+    request_interval: float = 100.0
+    renewal_fraction: float = 0.25
+    settle_time: float = 3000.0
+    max_quorum_members: int = 9
+    heartbeat_interval: float = 400.0
+    fanout: int = 5
+    pull_timeout: float = 120.0
+    rejoin_interval: float = 2000.0
 
 
 class SendTo(NamedTuple):
-    """A datagram to an address."""
+    """Send a datagram to an address."""
 
     address: str
     data: bytes
 
 
 class WakeAt(NamedTuple):
-    """Call ``wake`` at that time; an earlier call does no harm."""
+    """Call ``Node.wake`` at this time; an earlier call does no harm."""
 
     when: float
 
 
 class MemberChanged(NamedTuple):
-    """A member's health has changed here."""
+    """A member's health, as this member knows it, has changed."""
 
     name: str
     health: Health
@@ -93,7 +110,7 @@
 
 
 class LeaseGained(NamedTuple):
-    """We own a duty: its work may be done, each step only while ``Node.may_act`` says so."""
+    """This member holds a lease; each step of the work is allowed only while ``Node.may_act`` says so."""
 
     lease: str
     token: FencingToken
@@ -101,7 +118,7 @@
 
 
 class LeaseLost(NamedTuple):
-    """We own a duty no more."""
+    """This member holds a lease no more."""
 
     lease: str
     token: FencingToken
@@ -109,10 +126,11 @@
 
 
 class TableChanged(NamedTuple):
-    """A sheet has changed: rows by their keys, None for those that are gone."""
+    """A replicated table has changed: rows by their keys, None for those that were removed."""
 
     table: str
     changes: dict[bytes, bytes | None]
 
 
 Action = SendTo | WakeAt | MemberChanged | LeaseGained | LeaseLost | TableChanged
+"""What a member asks its transport to do or to report."""
--- a/heronlug/cluster/replicated_tables.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from heronlug.cluster import merkle_trie
-from heronlug.cluster.codec import MAX_NODES_PER_REQUEST, NodeData, NodeRequest, Part, Sync, TableAnnouncement
+from heronlug.cluster.messages import MAX_NODES_PER_REQUEST, NodeData, NodeRequest, Part, Sync, TableAnnouncement
 from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, TableChanged
 from heronlug.cluster.ownership import tag
 
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -6,6 +6,7 @@
 from typing import Any, cast
 
 from heronlug.backends.health_checker import HealthChecker
+from heronlug.cluster.member import LocalMember
 from heronlug.cluster.model import (
     Action,
     ClusterTiming,
@@ -50,13 +51,12 @@
         self.task_runner = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
         kept = [REGISTER] if register is not None and register.view.share != "none" else []  # duties
         kept += probes.names if probes is not None else []
+        local = LocalMember(table["name"], table["advertise"] or table["listen"], int(deadlines.clock()))
         self.node = Node(
-            table["name"],
-            table["advertise"] or table["listen"],
+            local,
             table["seeds"],
             [*self.task_runner.names, *kept],
             read_keys(table["key_files"]),
-            int(deadlines.clock()),
             Random(),
             terms,
         )
@@ -77,7 +77,7 @@
 
     def replace_keys(self, found: dict[int, bytes]) -> None:
         """Seal with the first of these from now on, and take all of them."""
-        self.node.seal.keys = found
+        self.node.codec.keys = found
 
     async def leave(self) -> None:
         """Hand over what we own, say that we go, and close."""
@@ -116,10 +116,10 @@
         """Everybody, ourselves first."""
         node, now = self.node, self._deadlines.clock()
         own = {
-            "name": node.name,
-            "address": node.address,
+            "name": node.local.name,
+            "address": node.local.address,
             "health": "self",
-            "incarnation": node.membership.incarnation,
+            "incarnation": node.local.incarnation,
             "for_s": 0.0,
         }
         return [
@@ -143,7 +143,7 @@
             ours = self.node.may_act(lease.name, now) is not None
             row: dict[str, Any] = {
                 "name": lease.name,
-                "owner": self.node.name if ours else None,
+                "owner": self.node.local.name if ours else None,
                 "stage": lease.stage.value,
                 "fence": lease.token.number if ours else None,
                 "lease_left_ms": round(lease.valid_until - now) if ours else 0,
@@ -190,7 +190,7 @@
         for name, (kind, value) in counts.items():
             lines += [f"# TYPE svc_cluster_{name} {kind}", f"svc_cluster_{name} {value}"]
         lines.append("# TYPE svc_cluster_dropped counter")
-        lines += [f'svc_cluster_dropped{{why="{why}"}} {n}' for why, n in sorted(self.node.seal.dropped.items())]
+        lines += [f'svc_cluster_dropped{{why="{why}"}} {n}' for why, n in sorted(self.node.codec.dropped.items())]
         return "\n".join([*lines, ""])
 
     # -- inside
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -5,25 +5,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.cluster import codec
-from heronlug.cluster.codec import MAX_DATAGRAM_SIZE, DatagramCodec, decode_parts, encode_part
+from heronlug.cluster import datagrams, messages
+from heronlug.cluster.codec import decode_parts, encode_part
+from heronlug.cluster.datagrams import MAX_DATAGRAM_SIZE, DatagramCodec
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
 WORD = st.integers(0, 2**32 - 1)
 FENCE = st.builds(FencingToken, st.integers(0, 2**63), WORD)
 NAME = st.text("abcdefåäö-", min_size=1, max_size=20)
 PARTS = st.one_of(
-    st.builds(codec.Ping, WORD),
-    st.builds(codec.Ack, WORD),
-    st.builds(codec.IndirectPing, WORD, WORD),
-    st.builds(codec.Nack, WORD),
-    st.builds(codec.Sync),
-    st.builds(codec.LeaseRequest, WORD, FENCE, WORD, FENCE),
-    st.builds(codec.LeaseGrant, WORD, FENCE, WORD),
-    st.builds(codec.LeaseDenial, WORD, FENCE, WORD),
-    st.builds(codec.TransferOffer, WORD, FENCE),
-    st.builds(codec.TransferAcceptance, WORD, FENCE),
-    st.builds(codec.TransferCompletion, WORD, FENCE),
+    st.builds(messages.Ping, WORD),
+    st.builds(messages.Ack, WORD),
+    st.builds(messages.IndirectPing, WORD, WORD),
+    st.builds(messages.Nack, WORD),
+    st.builds(messages.Sync),
+    st.builds(messages.LeaseRequest, WORD, FENCE, WORD, FENCE),
+    st.builds(messages.LeaseGrant, WORD, FENCE, WORD),
+    st.builds(messages.LeaseDenial, WORD, FENCE, WORD),
+    st.builds(messages.TransferOffer, WORD, FENCE),
+    st.builds(messages.TransferAcceptance, WORD, FENCE),
+    st.builds(messages.TransferCompletion, WORD, FENCE),
     st.builds(MemberUpdate, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
 )
 
@@ -33,9 +34,9 @@
 
 
 @given(st.lists(PARTS, max_size=30))
-def test_what_goes_in_comes_out_within_256_bytes(parts: list[codec.Part]) -> None:
+def test_what_goes_in_comes_out_within_256_bytes(parts: list[messages.Part]) -> None:
     sender, receiver = seals()
-    got: list[codec.Part] = []
+    got: list[messages.Part] = []
     for data in sender.pack(parts):
         assert len(data) <= MAX_DATAGRAM_SIZE
         opened = receiver.unpack(data)
@@ -54,7 +55,7 @@
 
 def test_forged_truncated_replayed_and_of_another_version() -> None:
     sender, receiver = seals()
-    (data,) = sender.pack([codec.Ping(7)])
+    (data,) = sender.pack([messages.Ping(7)])
     for place in range(len(data)):
         broken = bytearray(data)
         broken[place] ^= 1
@@ -68,7 +69,7 @@
 
 def test_reordered_datagrams_come_in_once_and_old_ones_do_not() -> None:
     sender, receiver = seals()
-    sent = [sender.pack([codec.Ping(n)])[0] for n in range(100)]
+    sent = [sender.pack([messages.Ping(n)])[0] for n in range(100)]
     late = [sent[n] for n in (50, 3, 99, 98, 40, 35, 34)]
     assert [receiver.unpack(data) is not None for data in late] == [True, True, True, True, True, True, False]
     assert [receiver.unpack(data) for data in late] == [None] * 7
@@ -83,14 +84,15 @@
         for seal in (one, other):  # between the two they differ by a step
             seal.keys = dict(step)
             for sender, receiver in ((one, other), (other, one)):
-                (data,) = sender.pack([codec.Ping(1)])
+                (data,) = sender.pack([messages.Ping(1)])
                 assert receiver.unpack(data) is not None
-    assert DatagramCodec(3, old, 0).unpack(one.pack([codec.Ping(1)])[0]) is None
+    assert DatagramCodec(3, old, 0).unpack(one.pack([messages.Ping(1)])[0]) is None
 
 
 def test_sizes_of_the_parts_that_matter() -> None:
     """A probe with its news, and six requests for leases, fit into one datagram."""
     news = MemberUpdate("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
-    assert len(encode_part(codec.Ping(1))) == 5
+    assert len(encode_part(messages.Ping(1))) == 5
     assert len(encode_part(news)) == 12 + len(news.name) + len(news.address)
-    assert 6 * len(encode_part(codec.LeaseRequest(1, FencingToken(1, 1), 1, FencingToken(1, 1)))) <= codec.MAX_BODY_SIZE
+    request = messages.LeaseRequest(1, FencingToken(1, 1), 1, FencingToken(1, 1))
+    assert 6 * len(encode_part(request)) <= datagrams.MAX_BODY_SIZE
--- a/tests/cluster/test_states.py
+++ b/tests/cluster/test_states.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from heronlug.cluster.codec import LeaseDenial, LeaseGrant
 from heronlug.cluster.lease_state import LeaseStage, LeaseVote
 from heronlug.cluster.leases import LeaseCallbacks, LeaseManager
+from heronlug.cluster.messages import LeaseDenial, LeaseGrant
 from heronlug.cluster.model import NO_TOKEN, ClusterTiming
 from heronlug.cluster.ownership import tag
 
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual.py
@@ -119,7 +119,7 @@
 )
 def test_a_handover_with_one_kind_of_message_lost(lost: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each message of the handover is lost the first three times: that costs time and never a duty."""
-    from heronlug.cluster import codec
+    from heronlug.cluster import codec, datagrams
 
     net = started(13, loss=0.0)
     duty = net.duties[1]
@@ -130,7 +130,7 @@
 
     def losing(sender: str, action: object) -> None:
         nonlocal dropped
-        opened = codec.decode_parts(action.data[codec.HEADER.size : -codec.AUTHENTICATION_TAG_SIZE])  # type: ignore[attr-defined]
+        opened = codec.decode_parts(action.data[datagrams.HEADER.size : -datagrams.AUTHENTICATION_TAG_SIZE])  # type: ignore[attr-defined]
         kinds = {type(part).__name__ for part in opened}
         kinds |= {part.health.name for part in opened if isinstance(part, MemberUpdate)}
         if lost in kinds and dropped < 3:
--- a/tests/cluster/virtual.py
+++ b/tests/cluster/virtual.py
@@ -10,6 +10,7 @@
 from random import Random
 from typing import Any
 
+from heronlug.cluster.member import LocalMember
 from heronlug.cluster.model import (
     ClusterTiming,
     FencingToken,
@@ -34,7 +35,8 @@
         self.offset = net.rng.uniform(0, 1e6)
         incarnation = BORN + int(net.now) + net.skew.setdefault(name, net.rng.randrange(-2000, 2000))
         seeds = [other for other in net.names[: net.seeds] if other != name]
-        self.node = Node(name, name, seeds, net.duties, net.keys, incarnation, Random(net.rng.random()), net.terms)
+        local = LocalMember(name, name, incarnation)
+        self.node = Node(local, seeds, net.duties, net.keys, Random(net.rng.random()), net.terms)
         self.paused = self.dead = False
         self.missed: list[tuple[bytes, str]] = []
         self.next = 0.0
@@ -170,7 +172,7 @@
                 process = self.processes[name]
                 fence = process.node.may_act(duty, process.clock())
                 assert fence is not None
-                first = self.fences.setdefault((duty, fence), f"{name}/{process.node.membership.name}/{id(process)}")
+                first = self.fences.setdefault((duty, fence), f"{name}/{process.node.local.name}/{id(process)}")
                 assert first.endswith(f"/{id(process)}"), f"seed {self.seed}: {duty} {fence} twice: {first} and {name}"
             if len(owners) > 1:
                 self.overlap = max(self.overlap, self.now - self.since.setdefault(duty, self.now))
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -30,9 +30,10 @@
 from heronlug.balancer.settings import Effect, RequestClass, Settings
 from heronlug.balancer.slow_start import CapacityShares
 from heronlug.cluster import merkle_trie
-from heronlug.cluster.codec import (
+from heronlug.cluster.codec import encode_part
+from heronlug.cluster.datagrams import DatagramCodec
+from heronlug.cluster.messages import (
     Ack,
-    DatagramCodec,
     IndirectPing,
     LeaseDenial,
     LeaseGrant,
@@ -48,7 +49,6 @@
     TransferAcceptance,
     TransferCompletion,
     TransferOffer,
-    encode_part,
 )
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 from heronlug.discovery.cache import write
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -42,7 +42,8 @@
 from heronlug.balancer.snapshot import restore_snapshot
 from heronlug.balancer.zone_failover.zone_state import ZonePhase, ZoneState
 from heronlug.cluster import merkle_trie
-from heronlug.cluster.codec import DatagramCodec, decode_parts
+from heronlug.cluster.codec import decode_parts
+from heronlug.cluster.datagrams import DatagramCodec
 from heronlug.cluster.ownership import tag
 from heronlug.discovery.cache import read
 from heronlug.discovery.cache_file import CacheFile
