--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -82,7 +82,7 @@
     from heronlug.balancer.settings import RequestClass, Settings
     from heronlug.config.files import Files
     from heronlug.config.limits import load, resolve
-    from heronlug.lifecycle.control import RunningState
+    from heronlug.lifecycle.running_state import RunningState
     from heronlug.net.background import run_in_background
     from heronlug.requests.core import Core
     from heronlug.requests.deadlines import Deadlines
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -21,16 +21,16 @@
 from heronlug.lifecycle.admin import MAX_CALLERS, AdminEndpoint
 from heronlug.lifecycle.cluster_service import ClusterService
 from heronlug.lifecycle.configuration_changes import ConfigurationChanges
-from heronlug.lifecycle.control import RunningState
 from heronlug.lifecycle.deadline_loop import DeadlineLoop
 from heronlug.lifecycle.discovery_service import DiscoveryService
 from heronlug.lifecycle.faktory_service import FaktoryService
-from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown, ShutdownHooks
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 from heronlug.lifecycle.log import Log
 from heronlug.lifecycle.operations import accept_figures, calls
 from heronlug.lifecycle.peer_messages import PeerMessages
 from heronlug.lifecycle.readiness import Readiness
+from heronlug.lifecycle.running_state import RunningState
 from heronlug.lifecycle.startup_signals import early
 from heronlug.lifecycle.transport import HttpTransport
 from heronlug.net.acceptor import Acceptor
@@ -121,18 +121,17 @@
         """The drain or stop, and the handover to and from another process."""
         deadlines = self.deadline_loop.deadlines
         max_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
-        self.shutdown = GracefulShutdown(
-            deadlines,
-            max_deadline,
-            self._open_work,
-            lambda: self.frontend.last_client_at,
-            self.peers.serving,
-            self.peers.leave,
-            self.peers.stay,
-            self.core.give_up_all,
-            self.frontend.close_idle,
-            self.stopped.set,
+        hooks = ShutdownHooks(
+            open_work=self._open_work,
+            last_client_at=lambda: self.frontend.last_client_at,
+            others_serve=self.peers.serving,
+            leave_peers=self.peers.leave,
+            rejoin_peers=self.peers.stay,
+            give_up_requests=self.core.give_up_all,
+            close_idle=self.frontend.close_idle,
+            stopped=self.stopped.set,
         )
+        self.shutdown = GracefulShutdown(deadlines, max_deadline, hooks)
         self.state_transfer = StateTransfer(self, deadlines, os.environ.get("TMPDIR"))
         self.core.on_request_id = self.state_transfer.request_id_changed
         self.hot_restart = self.state_transfer.session
--- a/heronlug/lifecycle/configuration_changes.py
+++ b/heronlug/lifecycle/configuration_changes.py
@@ -1,6 +1,6 @@
 """What plan and apply change in a running dispatcher, each change handed to the part that it concerns."""
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from heronlug.balancer.settings import RequestClass
 from heronlug.config.desired_state import State
@@ -13,6 +13,9 @@
 from heronlug.lifecycle.log import Log
 from heronlug.requests.core import Core
 
+if TYPE_CHECKING:
+    from heronlug.plugins.host import Plugin
+
 
 class ConfigurationChanges:
     """The parts of a dispatcher that can be changed while it runs.
@@ -70,13 +73,13 @@
         self.log("hall_ordered", hall=asked["hall"], do=asked["do"], for_s=asked.get("for_s"))
         return rows
 
-    def load_plugins(self, plugins: dict[str, tuple[bytes, int, int]]) -> Any:
+    def load_plugins(self, plugins: dict[str, tuple[bytes, int, int]]) -> "list[Plugin]":
         """Compile plug-ins; wasmtime is imported only here, since it takes much memory.  Raises ``ValueError``."""
         from heronlug.plugins.host import PluginHost
 
         return PluginHost.load(plugins)
 
-    def use_plugins(self, loaded: Any) -> None:
+    def use_plugins(self, loaded: "list[Plugin] | None") -> None:
         """Use loaded plug-ins in place of those before; with None, none."""
         host = None
         if loaded:
--- a/heronlug/lifecycle/graceful_shutdown.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -1,124 +1,158 @@
-"""Parting with the clients: for a drain, which can be taken back, an upgrade, and a planned stop, which cannot."""
+"""Graceful shutdown: a drain, which can be taken back, a hot restart, and a planned stop, which cannot."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from heronlug.requests.deadlines import Deadlines
 
-COMING = 700.0  # connections keep coming for 0.2 to 0.4 s after the signal, and then none may have come for as long
-AT_MOST = 2000.0  # who goes on dialling longer than this has not come by way of the front, and holds up no stop
-GRACE, LONGEST = 700.0, 3000.0  # we are killed so long after the longest deadline, of which so much counts, or later
-BEFORE = 250.0  # and have answered everything so long before that
-LAST_TURN = 1000.0  # what comes later than so long before that could hardly be served: clients go elsewhere
-LOOK = 50.0  # between two looks
-LOOK_TO_PASS = 10.0  # the same while clients are passed on
+QUIET_MS = 700.0
+"""No client may have come for this long before idle connections are closed, in ms.
+
+Clients still come for 0.2 to 0.4 s after the signal, until the platform's front has noticed.
+"""
+MAX_WAIT_FOR_QUIET_MS = 2000.0
+"""After this time, in ms, clients that still come hold up no stop: they do not come by way of the front."""
+KILL_GRACE_MS = 700.0
+"""The platform kills the process this long after the longest deadline, in ms."""
+MAX_COUNTED_DEADLINE_MS = 3000.0
+"""So much of the longest deadline counts for the kill at most, in ms."""
+ANSWER_MARGIN_MS = 250.0
+"""All answers are sent this long before the kill, in ms."""
+LAST_ACCEPTED_MS = 1000.0
+"""Requests that come later than this before the last answer could hardly be served, in ms: clients go elsewhere."""
+CHECK_INTERVAL_MS = 50.0
+"""Between two checks of a drain or stop, in ms."""
+HANDOVER_INTERVAL_MS = 10.0
+"""Between two checks while clients are handed over, in ms."""
+
+
+@dataclass(frozen=True)
+class ShutdownHooks:
+    """What a shutdown asks of the other parts of a dispatcher, and what it makes them do.
+
+    Attributes:
+        open_work: requests and connections that a stop waits for.
+        last_client_at: when the last client came, in ms.
+        others_serve: whether another dispatcher serves.
+        leave_peers: tell the peers that this dispatcher leaves; called again and again.
+        rejoin_peers: tell them that it stays.
+        give_up_requests: answer all open requests, for the time is over.
+        close_idle: close the clients' connections that wait for nothing.
+        stopped: the process may end.
+    """
+
+    open_work: Callable[[], int]
+    last_client_at: Callable[[], float]
+    others_serve: Callable[[], bool]
+    leave_peers: Callable[[], None]
+    rejoin_peers: Callable[[], None]
+    give_up_requests: Callable[[], None]
+    close_idle: Callable[[], None]
+    stopped: Callable[[], None]
 
 
 class GracefulShutdown:
-    """Whether clients are wanted, whether those that are here are sent elsewhere, and when the process may end.
+    """Whether clients are accepted, whether those connected are sent elsewhere, and when the process may end.
 
-    In a drain somebody has seen to it that others serve: clients' connections end with their next answer, and the
-    idle ones once no new ones come.  At a stop the front brings no new clients either, but those that we have stay
-    for as long as their connections do.  Where another dispatcher serves they are sent there; where none does (a
-    restart in turn may overlap with the one before), we are all that they have, and keep them to the last.
-    In an upgrade another process serves in our place, and clients' connections are passed on to it as they are.
+    In a drain the operators have seen to it that others serve: clients' connections end with their next answer, and
+    idle ones once no new clients come. At a stop no new clients come either, but connected ones may stay for as long
+    as their connections do: where another dispatcher serves they are sent there; where none does (restarts in turn may
+    overlap), they are served to the last. In a hot restart another process serves in place of this one, and clients'
+    connections are handed over to it as they are.
     """
 
-    def __init__(
-        self,
-        deadlines: Deadlines,
-        longest: float,
-        busy: Callable[[], int],
-        came_at: Callable[[], float],
-        others: Callable[[], bool],
-        leave_peers: Callable[[], None],
-        stay: Callable[[], None],
-        give_up: Callable[[], None],
-        close_idle: Callable[[], None],
-        leave: Callable[[], None],
-    ) -> None:
-        self._deadlines, self._busy, self._came_at, self._others = deadlines, busy, came_at, others
-        self._leave_peers, self._stay, self._give_up = leave_peers, stay, give_up
-        self._close_idle, self._leave = close_idle, leave
-        self._whole = min(longest, LONGEST) + GRACE - BEFORE
-        self._drained_at = self._stopped_at = 0.0
-        self._pass_on: Callable[[], None] | None = None  # once another process serves in our place
-        self._looking = False
+    def __init__(self, deadlines: Deadlines, max_deadline_ms: float, hooks: ShutdownHooks) -> None:
+        """Make a shutdown that has not begun; ``max_deadline_ms`` is the longest of all classes."""
+        self._deadlines = deadlines
+        self._hooks = hooks
+        self._time_to_answer_ms = min(max_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS - ANSWER_MARGIN_MS
+        self._drained_at: float | None = None
+        self._stopped_at: float | None = None
+        self._hand_over: Callable[[], None] | None = None  # set while another process serves in place of this one
+        self._checking = False
 
     @property
     def wanted(self) -> bool:
-        """Whether new clients are."""
-        return not (self._drained_at or self._stopped_at)
+        """Whether new clients are accepted."""
+        return self._drained_at is None and self._stopped_at is None
 
     @property
     def stopping(self) -> bool:
         """Whether the process will end."""
-        return self._stopped_at > 0
+        return self._stopped_at is not None
 
     @property
     def answer_by(self) -> float:
-        """When the last answer must be out, once a stop has begun."""
-        return self._stopped_at + self._whole
+        """When the last answer must be sent, in ms; infinite until a stop has begun."""
+        return float("inf") if self._stopped_at is None else self._stopped_at + self._time_to_answer_ms
 
     def is_draining(self) -> bool:
         """Whether clients' connections end with their next answer."""
-        if self._pass_on is not None:
+        if self._hand_over is not None:
             return False
-        if self._drained_at:
+        if self._drained_at is not None:
             return True
-        if not self._stopped_at:
+        if self._stopped_at is None:
             return False
-        return self._others() or self._deadlines.clock() >= self.answer_by - LAST_TURN
+        return self._hooks.others_serve() or self._deadlines.clock() >= self.answer_by - LAST_ACCEPTED_MS
 
     def drain(self) -> bool:
-        """An operator wants no clients here; False when that is so already."""
+        """Begin a drain, on an operator's order; False when a drain or stop is under way."""
         if not self.wanted:
             return False
         self._drained_at = self._deadlines.clock()
-        self._begin()
+        self._begin_checks()
         return True
 
     def undrain(self) -> bool:
-        """The drain is over; False when there was none.  A stop goes on."""
-        drained, self._drained_at = self._drained_at > 0, 0.0
+        """End a drain; False when there was none.  A stop goes on."""
+        drained = self._drained_at is not None
+        self._drained_at = None
         if drained and self.wanted:
-            self._stay()
+            self._hooks.rejoin_peers()
         return drained
 
-    def hand_over(self, pass_on: Callable[[], None] | None) -> None:
-        """Another process serves in our place and takes what is passed on; None when that is over."""
-        self._pass_on = pass_on
-        self._begin()
+    def hand_over(self, hand_over: Callable[[], None] | None) -> None:
+        """Another process serves in place of this one, and ``hand_over`` sends it clients; None when it has ended."""
+        self._hand_over = hand_over
+        self._begin_checks()
 
     def stop(self) -> bool:
-        """The signal has come; a second one changes nothing."""
-        if self._stopped_at:
+        """Begin a planned stop; False when one is under way."""
+        if self.stopping:
             return False
         self._stopped_at = self._deadlines.clock()
-        self._deadlines.call_at(self.answer_by, self._give_up)
-        self._begin()
+        self._deadlines.call_at(self.answer_by, self._hooks.give_up_requests)
+        self._begin_checks()
         return True
 
-    def _begin(self) -> None:
-        if not self._looking:
-            self._looking = True
-            self._look()
+    def _begin_checks(self) -> None:
+        if not self._checking:
+            self._checking = True
+            self._check()
 
-    def _look(self) -> None:
-        pass_on = self._pass_on
-        self._looking = not self.wanted or pass_on is not None
-        if not self._looking:
+    def _check(self) -> None:
+        """Do what is due by now, and check again later while a drain, handover or stop is under way."""
+        hand_over = self._hand_over
+        self._checking = not self.wanted or hand_over is not None
+        if not self._checking:
             return
-        now, since = self._deadlines.clock(), max(self._drained_at, self._stopped_at)
-        if pass_on is not None:
-            pass_on()
+        if hand_over is not None:
+            hand_over()
         else:
-            self._leave_peers()
-        # clients use the connections they have for as long as those stay open: once no new ones come, the front
-        # has let go of us, and what is closed between requests is opened elsewhere
-        quiet = pass_on is not None or now - max(since, self._came_at()) >= COMING or now - since >= AT_MOST
+            self._hooks.leave_peers()
+        quiet = hand_over is not None or self._is_quiet()
         if quiet and self.is_draining():
-            self._close_idle()
-        if quiet and self._stopped_at and not self._busy():
-            self._leave()
+            self._hooks.close_idle()
+        if quiet and self.stopping and not self._hooks.open_work():
+            self._hooks.stopped()
         else:
-            self._deadlines.call_after(LOOK if pass_on is None else LOOK_TO_PASS, self._look)
+            interval = CHECK_INTERVAL_MS if hand_over is None else HANDOVER_INTERVAL_MS
+            self._deadlines.call_after(interval, self._check)
+
+    def _is_quiet(self) -> bool:
+        """Whether no new clients come any more, so that those who lose an idle connection connect elsewhere."""
+        now = self._deadlines.clock()
+        began_at = max(self._drained_at or 0.0, self._stopped_at or 0.0)
+        last_event_at = max(began_at, self._hooks.last_client_at())
+        return now - last_event_at >= QUIET_MS or now - began_at >= MAX_WAIT_FOR_QUIET_MS
--- a/tests/peers/test_goodbye.py
+++ b/tests/peers/test_goodbye.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
+from heronlug.lifecycle.graceful_shutdown import GracefulShutdown, ShutdownHooks
 from heronlug.peers import ALL, Gossip
 from heronlug.peers.goodbye import HEARD, MOST
 from heronlug.peers.gossip import LEAVING, MAX_CONTENT
@@ -51,19 +51,18 @@
     def stop(self, number: int) -> None:
         """SIGTERM; a job that runs on keeps it there to the last."""
         telling = self.tellings[number]
-        parting = GracefulShutdown(
-            self.deadlines,
-            20_000.0,
-            lambda: int(self.deadlines.clock() < parting.answer_by),
-            lambda: 0.0,
-            lambda: telling.serving(self.now),
-            lambda: self.leave(number),
-            telling.stay,
-            lambda: None,
-            lambda: None,
-            lambda: self.left.add(number),
+        hooks = ShutdownHooks(
+            open_work=lambda: int(self.deadlines.clock() < shutdown.answer_by),
+            last_client_at=lambda: 0.0,
+            others_serve=lambda: telling.serving(self.now),
+            leave_peers=lambda: self.leave(number),
+            rejoin_peers=telling.stay,
+            give_up_requests=lambda: None,
+            close_idle=lambda: None,
+            stopped=lambda: self.left.add(number),
         )
-        parting.stop()
+        shutdown = GracefulShutdown(self.deadlines, 20_000.0, hooks)
+        shutdown.stop()
 
     def leave(self, number: int) -> None:
         for peer in self.tellings[number].leave(self.now):
