--- /dev/null
+++ b/heronlug/frontends/faktory/commands.py
@@ -0,0 +1,187 @@
+"""The commands of the protocol, one function each."""
+
+from collections.abc import Callable, Mapping
+from types import MappingProxyType
+from typing import Protocol
+
+from heronlug.balancer.events import Outcome
+from heronlug.frontends.faktory.authentication import is_valid_proof
+from heronlug.frontends.faktory.context import FaktoryContext
+from heronlug.frontends.faktory.delivery import JobDelivery
+from heronlug.frontends.faktory.errors import (
+    CommandError,
+    EndNotStoredError,
+    HelloRequiredError,
+    InvalidPasswordError,
+    InvalidWorkerIdError,
+    UnknownCommandError,
+    UnknownJobError,
+    UnsupportedVersionError,
+    WorkerRequiredError,
+)
+from heronlug.frontends.faktory.job import DEFAULT_QUEUE
+from heronlug.frontends.faktory.jobs import JobTable
+from heronlug.frontends.faktory.resp import OK, JsonObject, bulk_json, error_reply, parse_object, parse_objects
+from heronlug.frontends.faktory.worker import Reply, Worker
+from heronlug.frontends.faktory.workers import WorkerTable
+
+PROTOCOL_VERSION = 2
+"""The version of the protocol that is spoken."""
+
+MAX_WID_CHARACTERS = 64
+"""Length of the longest wid."""
+
+
+class CommandTarget(Protocol):
+    """The frontend, as commands use it."""
+
+    context: FaktoryContext
+    jobs: JobTable
+    workers: WorkerTable
+    delivery: JobDelivery
+
+    def info(self) -> JsonObject:
+        """The state for INFO."""
+
+
+class CommandSession(Protocol):
+    """The session, as commands use it."""
+
+    worker: Worker | None
+
+    @property
+    def frontend(self) -> CommandTarget:
+        """What the commands act on."""
+
+    @property
+    def greeted(self) -> bool:
+        """Whether HELLO has been carried out."""
+
+    @property
+    def salt(self) -> str:
+        """The salt of the password that HI has announced."""
+
+    def greet(self, wid: str | None) -> None:
+        """Accept the client, as a worker if it gives a wid."""
+
+    def wait_for_job(self, worker: Worker, queues: list[str]) -> None:
+        """Wait for a job of these queues."""
+
+    def defer_reply(self) -> Reply:
+        """Carry out no further command until the result is called with the reply."""
+
+    def write(self, data: bytes) -> None:
+        """Reply."""
+
+    def close(self) -> None:
+        """End the session."""
+
+
+def execute(session: CommandSession, name: str, argument: bytes) -> None:
+    """Carry out a command.
+
+    Args:
+        session: where it came.
+        name: its name in upper case.
+        argument: what stands behind its name.
+
+    Raises:
+        CommandError: it is not carried out.
+    """
+    if not session.greeted:
+        if name != "HELLO":
+            raise HelloRequiredError
+        _hello(session, argument)
+        return
+    command = COMMANDS.get(name)
+    if command is None:
+        raise UnknownCommandError(name)
+    command(session, argument)
+
+
+def _hello(session: CommandSession, argument: bytes) -> None:
+    table = parse_object(argument)
+    if table.get("v") != PROTOCOL_VERSION:
+        raise UnsupportedVersionError(PROTOCOL_VERSION)
+    password = session.frontend.context.config.password
+    if password and not is_valid_proof(password, session.salt, table.get("pwdhash", "")):
+        raise InvalidPasswordError
+    wid = table.get("wid")
+    if wid is not None and (not isinstance(wid, str) or not 0 < len(wid) <= MAX_WID_CHARACTERS):
+        raise InvalidWorkerIdError(MAX_WID_CHARACTERS)
+    session.greet(wid)
+
+
+def _push(session: CommandSession, argument: bytes) -> None:
+    payload = parse_object(argument)
+    reply = session.defer_reply()
+
+    def on_pushed(error: CommandError | None) -> None:
+        reply(OK if error is None else error_reply(error))
+
+    session.frontend.jobs.push(payload, on_pushed)
+
+
+def _push_bulk(session: CommandSession, argument: bytes) -> None:
+    payloads = parse_objects(argument)
+    reply = session.defer_reply()
+    session.frontend.jobs.push_all(payloads, lambda errors: reply(bulk_json(errors)))
+
+
+def _fetch(session: CommandSession, argument: bytes) -> None:
+    if session.worker is None:
+        raise WorkerRequiredError("FETCH needs")
+    session.wait_for_job(session.worker, argument.decode("utf-8", "replace").split() or [DEFAULT_QUEUE])
+
+
+def _acknowledge(session: CommandSession, argument: bytes) -> None:
+    _end_job(session, argument, Outcome.SERVED)
+
+
+def _fail(session: CommandSession, argument: bytes) -> None:
+    _end_job(session, argument, Outcome.ERROR)
+
+
+def _end_job(session: CommandSession, argument: bytes, outcome: Outcome) -> None:
+    """End a job, and reply once that is stored."""
+    jid = parse_object(argument).get("jid")
+    if session.worker is None:
+        raise WorkerRequiredError("ACK and FAIL need")
+    if not isinstance(jid, str) or jid not in session.frontend.jobs.by_jid:
+        raise UnknownJobError
+    session.frontend.delivery.acknowledge(session.worker, jid, outcome)
+    reply = session.defer_reply()
+
+    def on_stored(failure: str) -> None:
+        reply(error_reply(EndNotStoredError(failure)) if failure else OK)
+
+    session.frontend.context.store.after(on_stored)
+
+
+def _heartbeat(session: CommandSession, argument: bytes) -> None:
+    state = session.frontend.workers.heartbeat(parse_object(argument))
+    session.write(bulk_json({"state": state}) if state else OK)
+
+
+def _info(session: CommandSession, argument: bytes) -> None:
+    session.write(bulk_json(session.frontend.info()))
+
+
+def _end_session(session: CommandSession, argument: bytes) -> None:
+    session.write(OK)
+    session.close()
+
+
+COMMANDS: Mapping[str, Callable[[CommandSession, bytes], None]] = MappingProxyType(
+    {
+        "PUSH": _push,
+        "PUSHB": _push_bulk,
+        "FETCH": _fetch,
+        "ACK": _acknowledge,
+        "FAIL": _fail,
+        "BEAT": _heartbeat,
+        "INFO": _info,
+        "END": _end_session,
+    }
+)
+"""The commands after HELLO by name."""
--- /dev/null
+++ b/heronlug/frontends/faktory/jobs.py
@@ -0,0 +1,227 @@
+"""The known jobs: accepted by PUSH, stored, ended, and recovered after a restart."""
+
+from collections.abc import Callable
+from functools import partial
+
+import orjson
+
+from heronlug.frontends.faktory.context import FaktoryContext
+from heronlug.frontends.faktory.errors import (
+    CommandError,
+    JobEndedError,
+    JobNotStoredError,
+    JobRejectedError,
+    StoppingError,
+    TooManyJobsError,
+)
+from heronlug.frontends.faktory.job import (
+    Job,
+    PushArguments,
+    PushCallback,
+    StartTime,
+    parse_due_at,
+    parse_jid,
+    parse_push,
+)
+from heronlug.frontends.faktory.recovery import recover_records
+from heronlug.frontends.faktory.resp import JsonObject
+from heronlug.frontends.faktory.scheduler import JobScheduler
+from heronlug.requests.model import FinalAnswer
+from heronlug.storage.model import Kept, Way, left
+
+PushAllCallback = Callable[[dict[str, str]], None]
+"""Called once each of many jobs is accepted or not, with the reasons of those that are not, by jid."""
+
+
+class JobTable:
+    """All known jobs; a jid stays known for a while after its job has ended.
+
+    Attributes:
+        by_jid: the jobs by jid.
+        scheduler: the jobs that have not started.
+    """
+
+    def __init__(self, context: FaktoryContext) -> None:
+        self.by_jid: dict[str, Job] = {}
+        self.scheduler = JobScheduler(context, self.by_jid, self.finish)
+        self._context = context
+
+    # -- acceptance
+
+    def push(self, payload: JsonObject, callback: PushCallback) -> None:
+        """Accept a job; one whose jid is known starts nothing new."""
+        try:
+            self._push(payload, callback)
+        except CommandError as error:
+            callback(error)
+
+    def push_all(self, payloads: list[JsonObject], callback: PushAllCallback) -> None:
+        """Accept many jobs."""
+        errors: dict[str, str] = {}
+        open_pushes = len(payloads)
+
+        def on_pushed(jid: str, error: CommandError | None) -> None:
+            nonlocal open_pushes
+            open_pushes -= 1
+            if error is not None:
+                errors[jid] = str(error)
+            if not open_pushes:
+                callback(errors)
+
+        for payload in payloads:
+            self.push(payload, partial(on_pushed, str(payload.get("jid", ""))))
+        if not payloads:
+            callback(errors)
+
+    def _push(self, payload: JsonObject, callback: PushCallback) -> None:
+        jid = parse_jid(payload)
+        known = self.by_jid.get(jid)
+        if known is not None:
+            _push_again(known, callback)
+            return
+        arguments = parse_push(payload, self._class_names())
+        if self.scheduler.stopping:
+            raise StoppingError
+        if len(self.by_jid) >= self._context.config.max_known_jobs:
+            raise TooManyJobsError
+        due_at = parse_due_at(payload)
+        self.scheduler.check_parents(arguments.custom)
+        self._store(self._new_job(jid, arguments, callback), arguments, due_at)
+
+    def _new_job(self, jid: str, arguments: PushArguments, callback: PushCallback) -> Job:
+        return Job(
+            jid,
+            arguments.class_index,
+            arguments.queue,
+            arguments.payload,
+            len(arguments.encoded),
+            self._reserve_ms(arguments.reserve_s),
+            self._context.core.settings.classes[arguments.class_index],
+            being_stored=True,
+            push_callbacks=[callback],
+        )
+
+    def _store(self, job: Job, arguments: PushArguments, due_at: float) -> None:
+        """Store a new job; it is accepted once that is done."""
+        self.by_jid[job.jid] = job
+        deadline_ms = job.policy.deadline
+        start = StartTime(deadline_ms if arguments.remaining_ms is None else arguments.remaining_ms, due_at)
+        accepted_at = self._context.deadlines.clock()
+        class_name = self._class_names()[job.class_index]
+        record = Kept(job.jid, class_name, job.queue, arguments.encoded, accepted_at, start.remaining_ms, due_at)
+        self._context.store.accept(record, partial(self._on_stored, job, start))
+
+    def _on_stored(self, job: Job, start: StartTime, failure: str) -> None:
+        """A job is stored, and starts; or it could not be stored (``failure``), and has never been accepted."""
+        callbacks, job.push_callbacks = job.push_callbacks, []
+        job.being_stored = False
+        error = self._start_stored(job, start, failure)
+        if error is not None:
+            self.scheduler.job_ended(job.jid, False)
+        for callback in callbacks:
+            callback(error)
+
+    def _start_stored(self, job: Job, start: StartTime, failure: str) -> CommandError | None:
+        """Start a job that is stored, unless that failed; returns why it is not accepted."""
+        if failure:
+            del self.by_jid[job.jid]
+            return JobNotStoredError(failure)
+        if not self.scheduler.may_start(job, start):
+            return None
+        request = self.scheduler.start(job, start)
+        if request is None or request.final_answer is not FinalAnswer.REFUSED or request.attempts:
+            return None
+        del self.by_jid[job.jid]  # it was never accepted, and may be pushed again
+        self._context.store.forget(job.jid)
+        return JobRejectedError()
+
+    # -- the end
+
+    def finish(self, job: Job, final: FinalAnswer) -> None:
+        """End a job; its jid stays known for the configured time."""
+        job.final_answer = final
+        job.payload = {}
+        self._context.store.end(job.jid, final.value, self._context.deadlines.clock())
+        self._context.log("job_answered", jid=job.jid, final=final.value)
+        self._context.deadlines.call_after(self._context.config.remember_ms, self._forget, job)
+        self.scheduler.job_ended(job.jid, final is FinalAnswer.SERVED)
+
+    def answer(self, job: Job, final: FinalAnswer) -> None:
+        """End a job as the core says; one that a stop rejects stays stored for the next process."""
+        if self.scheduler.stopping and self._context.store.lasts and final is FinalAnswer.REFUSED:
+            self._context.log("job_kept", jid=job.jid)
+            return
+        self.finish(job, final)
+
+    def _forget(self, job: Job) -> None:
+        if self.by_jid.get(job.jid) is job:
+            del self.by_jid[job.jid]
+            self._context.store.forget(job.jid)
+
+    # -- restart
+
+    def recover(self) -> None:
+        """Go on with the jobs that the store holds, each as its class allows."""
+        context = self._context
+        now = context.deadlines.clock()
+        classes = {policy.name: policy for policy in context.core.settings.classes}
+        records, counts = recover_records(context.store, classes, now, context.config.remember_ms)
+        # all jobs are known before the first one starts, so that those in a chain find their parents
+        jobs = [self._recover_job(record, way, now) for record, way in records]
+        for job, (record, way) in zip(jobs, records, strict=True):
+            if job.final_answer is None:
+                self._restart(job, record, way, now)
+        if records:
+            context.log("recovered", jobs=len(records), **counts)
+
+    def _restart(self, job: Job, record: Kept, way: Way, now: float) -> None:
+        if record.delivered_at:  # the jobs that it waited for had ended
+            self.scheduler.start_now(job, left(record, now))
+        elif self.scheduler.may_start(job, StartTime(record.remaining, record.due)):
+            remaining_ms = record.remaining if way is Way.LATER else left(record, now)
+            self.scheduler.start(job, StartTime(remaining_ms, record.due))
+
+    def _recover_job(self, record: Kept, way: Way, now: float) -> Job:
+        names = self._class_names()
+        class_index = names.index(record.lane) if record.lane in names else 0
+        payload: JsonObject = orjson.loads(record.table) if record.table else {}
+        job = Job(
+            record.jid,
+            class_index,
+            record.queue,
+            payload,
+            len(record.table),
+            self._reserve_ms(float(payload.get("reserve_for") or 0)),
+            self._context.core.settings.classes[class_index],
+        )
+        self.by_jid[record.jid] = job
+        if record.final:
+            self._recover_end(job, record, way, now)
+        return job
+
+    def _recover_end(self, job: Job, record: Kept, way: Way, now: float) -> None:
+        """Remember a job that has ended, for the rest of the configured time."""
+        job.final_answer = FinalAnswer(record.final)
+        job.payload = {}
+        ended_ms_ago = max(0.0, now - record.ended_at)
+        remember_ms = max(0.0, self._context.config.remember_ms - ended_ms_ago)
+        self._context.deadlines.call_after(remember_ms, self._forget, job)
+        if way is not Way.KNOWN:
+            note = " (may have run)" if record.delivered_at else ""
+            self._context.log("job_answered", jid=job.jid, final=record.final + note, cause="restart")
+
+    def _class_names(self) -> list[str]:
+        return [policy.name for policy in self._context.core.settings.classes]
+
+    def _reserve_ms(self, reserve_s: float | None) -> float:
+        return reserve_s * 1000 if reserve_s else self._context.config.reserve_ms
+
+
+def _push_again(job: Job, callback: PushCallback) -> None:
+    """Handle the push of a job that is known; raises :class:`JobEndedError`."""
+    if job.final_answer in (FinalAnswer.REFUSED, FinalAnswer.FAILED):
+        raise JobEndedError(job.jid, job.final_answer.value)
+    if job.being_stored:
+        job.push_callbacks.append(callback)
+    else:
+        callback(None)
--- a/heronlug/frontends/faktory/recovery.py
+++ b/heronlug/frontends/faktory/recovery.py
@@ -1,56 +1,73 @@
-"""The Faktory front's jobs and the store of accepted work: what is kept when, and what goes on after a restart."""
+"""The store of accepted jobs: when a delivery has to be stored first, and what goes on after a restart."""
 
 import asyncio
 from collections.abc import Callable
 from pathlib import Path
 
 from heronlug.balancer.settings import Effect, RequestClass
+from heronlug.requests.interfaces import EventLog
 from heronlug.storage.memory import MemoryStore
-from heronlug.storage.model import Done, Final, Kept, Store, Way, left, settle
+from heronlug.storage.model import Final, Kept, Store, Way, settle
 
 
-def open_store(path: str, log: Callable[..., None], turn: Callable[[], None]) -> Store:
-    """The store in a file, or none that lasts; raises ``ValueError``.  SQLite is loaded only for a file."""
+def open_store(path: str, log: EventLog, run_due: Callable[[], None]) -> Store:
+    """The store in a file, or one in memory for an empty path; SQLite is imported only for a file.
+
+    Args:
+        path: of the file.
+        log: where events are logged.
+        run_due: called after each callback of the store.
+
+    Raises:
+        ValueError: the file cannot be used.
+    """
     if not path:
         return MemoryStore()
     from heronlug.storage.sqlite import SqliteStore
 
     loop = asyncio.get_running_loop()
 
-    def happen(what: Callable[[], None]) -> None:
-        what()
-        turn()
+    def run_callback(callback: Callable[[], None]) -> None:
+        callback()
+        run_due()
 
-    def soon(what: Callable[[], None]) -> None:
+    def call_on_loop(callback: Callable[[], None]) -> None:
         if not loop.is_closed():
-            loop.call_soon_threadsafe(happen, what)
+            loop.call_soon_threadsafe(run_callback, callback)
 
-    return SqliteStore(Path(path), soon, log)
+    return SqliteStore(Path(path), call_on_loop, log)
 
 
-def must_be_kept_first(terms: RequestClass) -> bool:
-    """Whether a delivery has to be on the disk before its first byte: what may not run twice at will."""
-    return terms.effect is not Effect.IDEMPOTENT
+def must_be_stored_before_delivery(policy: RequestClass) -> bool:
+    """Whether a delivery must be durable before its first byte: that of any job that must not run twice at will."""
+    return policy.effect is not Effect.IDEMPOTENT
 
 
-def recovered(
-    store: Store, classes: dict[str, RequestClass], now: float, remember: float
+def recover_records(
+    store: Store, classes: dict[str, RequestClass], now: float, remember_ms: float
 ) -> tuple[list[tuple[Kept, Way]], dict[str, int]]:
-    """What is kept, each with what becomes of it; outcomes that follow from the restart are kept at once."""
-    found: list[tuple[Kept, Way]] = []
+    """Read the store at the start, and store the outcomes that follow from the restart.
+
+    Args:
+        store: the store.
+        classes: the classes by name.
+        now: Unix time in ms.
+        remember_ms: time for which the jid of an ended job stays known.
+
+    Returns:
+        The jobs, each with what becomes of it, and how many jobs there were of each kind.
+    """
+    records: list[tuple[Kept, Way]] = []
     counts: dict[str, int] = {}
-    for job in store.load():
-        way = settle(job, classes.get(job.lane), now, remember)
+    for record in store.load():
+        way = settle(record, classes.get(record.lane), now, remember_ms)
         counts[way.value] = counts.get(way.value, 0) + 1
         if way is Way.FORGET:
-            store.forget(job.jid)
+            store.forget(record.jid)
             continue
         if way in (Way.FAILED, Way.REFUSED):
             final = Final.FAILED if way is Way.FAILED else Final.REFUSED
-            store.end(job.jid, final.value, now)
-            job = job._replace(final=final.value, ended_at=now)
-        found.append((job, way))
-    return found, counts
-
-
-__all__ = ["Done", "Kept", "Store", "Way", "left", "must_be_kept_first", "open_store", "recovered"]
+            store.end(record.jid, final.value, now)
+            record = record._replace(final=final.value, ended_at=now)
+        records.append((record, way))
+    return records, counts
--- /dev/null
+++ b/heronlug/frontends/faktory/workers.py
@@ -0,0 +1,96 @@
+"""The workers by wid: their connections, heartbeats and states, reported to the core as its servers."""
+
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.frontends.faktory.context import FaktoryContext
+from heronlug.frontends.faktory.errors import UnknownWorkerError
+from heronlug.frontends.faktory.reservations import Reservations
+from heronlug.frontends.faktory.resp import JsonObject
+from heronlug.frontends.faktory.worker import Worker, WorkerConnection
+from heronlug.requests.model import ListedServer
+
+QUIET = "quiet"
+"""The state of a worker that takes no more jobs."""
+
+TERMINATE = "terminate"
+"""The state of a worker that ends."""
+
+REPORTED_STATES = {QUIET: QUIET, "quieting": QUIET, TERMINATE: TERMINATE, "terminating": TERMINATE}
+"""The states that a heartbeat may report, and what each means."""
+
+
+class WorkerTable:
+    """All workers that have ever connected.
+
+    Attributes:
+        by_wid: the workers by wid.
+    """
+
+    def __init__(self, context: FaktoryContext, reservations: Reservations) -> None:
+        self.by_wid: dict[str, Worker] = {}
+        self._context = context
+        self._reservations = reservations
+
+    def connect(self, wid: str, connection: WorkerConnection) -> Worker:
+        """Add a connection to a worker, which is ready from its first one on."""
+        worker = self.by_wid.setdefault(wid, Worker(wid))
+        if not worker.connections:
+            worker.state = ""
+            worker.connections.add(connection)
+            self._restart_heartbeat_timeout(worker)
+            self._report(worker, ServerState.READY)
+        worker.connections.add(connection)
+        return worker
+
+    def disconnect(self, worker: Worker, connection: WorkerConnection) -> None:
+        """Remove a lost connection with its reservations; without any other one the worker is removed."""
+        worker.connections.discard(connection)
+        if not worker.connections:
+            self._remove(worker)
+        for jid in list(connection.reserved_jids):
+            self._reservations.reset(worker, jid, "connection lost")
+
+    def heartbeat(self, table: JsonObject) -> str:
+        """Handle the argument of BEAT; returns the state that the worker has to take on, empty for none.
+
+        Raises:
+            UnknownWorkerError: the worker is not connected.
+        """
+        worker = self.by_wid.get(str(table.get("wid")))
+        if worker is None or not worker.connections:
+            raise UnknownWorkerError
+        self._restart_heartbeat_timeout(worker)
+        reported = str(table.get("current_state") or table.get("state") or "")
+        if reported in REPORTED_STATES and not worker.state:
+            self._drain(worker, REPORTED_STATES[reported])
+        return worker.state
+
+    def _restart_heartbeat_timeout(self, worker: Worker) -> None:
+        deadlines = self._context.deadlines
+        deadlines.cancel(worker.heartbeat_timeout)
+        timeout_ms = self._context.config.heartbeat_timeout_ms
+        worker.heartbeat_timeout = deadlines.call_after(timeout_ms, self._on_missed_heartbeat, worker)
+
+    def _on_missed_heartbeat(self, worker: Worker) -> None:
+        self._context.log("beat_missed", wid=worker.wid)
+        for connection in list(worker.connections):
+            connection.abort()
+        self._remove(worker)
+        for jid in list(worker.reservations):
+            self._reservations.reset(worker, jid, "beat missed")
+
+    def _drain(self, worker: Worker, state: str) -> None:
+        """Give a worker no more jobs, by its own wish."""
+        self._context.log("worker_told_off", wid=worker.wid, state=state)
+        worker.state = state
+        self._report(worker, ServerState.DRAINING)
+        self._reservations.return_assigned(worker)
+
+    def _remove(self, worker: Worker) -> None:
+        self._context.deadlines.cancel(worker.heartbeat_timeout)
+        worker.state = worker.state or TERMINATE
+        self._report(worker, ServerState.REMOVED)
+        self._reservations.return_assigned(worker)
+
+    def _report(self, worker: Worker, state: ServerState) -> None:
+        """Report a worker to the core, as one that has long been started: it fetches at its own pace."""
+        self._context.core.update_servers(ListKind.CHANGES, [ListedServer(worker.wid, worker.wid, state)])
--- a/heronlug/lifecycle/faktory_service.py
+++ b/heronlug/lifecycle/faktory_service.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from heronlug.config.platform import Config
-from heronlug.frontends.faktory.frontend import FaktoryConfig, FaktoryFrontend
+from heronlug.frontends.faktory.config import FaktoryConfig
+from heronlug.frontends.faktory.frontend import FaktoryFrontend
 from heronlug.frontends.faktory.recovery import open_store
 from heronlug.lifecycle.log import Log
 from heronlug.net.acceptor import Acceptor
@@ -63,12 +64,12 @@
             ValueError: if the store is another one than that in use.
         """
         wanted = _read_config(table)
-        if self.frontend is not None and self.frontend.terms.store != wanted.store:
+        if self.frontend is not None and self.frontend.config.store != wanted.store:
             raise ValueError("faktory: store: it changes with a restart alone")
         if self.frontend is None:
             self.frontend = self._make_frontend(wanted)
             self.frontend.recover()
-        if self.listener is not None and self.frontend.terms.listen == wanted.listen:
+        if self.listener is not None and self.frontend.config.listen == wanted.listen:
             return OpenedListener(wanted, self.listener)
         listener = Listener(Acceptor("faktory", self.frontend.protocol, self._log))
         listener.bind(wanted.listen, LISTEN_BACKLOG)
@@ -83,9 +84,11 @@
             self.listener.close()
         self.listener = listener
         if opened is not None:
-            self.frontend.terms = opened.config
-        self.frontend.open(listener is not None)
-        if listener is not None:
+            self.frontend.config = opened.config
+        if listener is None:
+            self.frontend.stop_accepting_jobs()
+        else:
+            self.frontend.accept_jobs()
             listener.accept()
 
     def drop(self, opened: OpenedListener) -> None:
@@ -96,14 +99,13 @@
     def stop(self) -> None:
         """Take no more jobs; those that were taken are finished."""
         if self.frontend is not None:
-            self.frontend.open(False)
+            self.frontend.stop_accepting_jobs()
 
     def close(self) -> None:
         """Close the listener, all connections and the store."""
         if self.frontend is not None:
             self.use(None)
             self.frontend.close()
-            self.frontend.store.close()
 
     def _make_frontend(self, faktory_config: FaktoryConfig) -> FaktoryFrontend:
         """Make the frontend with a core of its own: its workers cannot run HTTP requests, nor servers its jobs."""
@@ -137,10 +139,10 @@
     return FaktoryConfig(
         listen=split_address(table["listen"]),
         password=table["password"],
-        beat_timeout=table["beat_timeout_s"] * 1000,
-        reserve_for=table["reserve_for_s"] * 1000,
-        remember=table["remember_s"] * 1000,
-        max_known=int(table["max_known"]),
+        heartbeat_timeout_ms=table["beat_timeout_s"] * 1000,
+        reserve_ms=table["reserve_for_s"] * 1000,
+        remember_ms=table["remember_s"] * 1000,
+        max_known_jobs=int(table["max_known"]),
         max_connections=int(table["max_connections"]),
         store=table["store"],
     )
--- a/tests/end_to_end/test_faktory.py
+++ b/tests/end_to_end/test_faktory.py
@@ -9,7 +9,8 @@
 import pytest
 
 from end_to_end.house import House, Kernel, play
-from heronlug.frontends.faktory.frontend import FaktoryFrontend, Reservation
+from heronlug.frontends.faktory.delivery import JobDelivery
+from heronlug.frontends.faktory.worker import Reservation
 from heronlug.standins.ports import free_port
 
 TERMS = {
@@ -93,14 +94,14 @@
         async with House(1).open() as house, faktory(house) as address:
             gone = fetching(address, house, "w1")
             await house.settle()
-            deliver = FaktoryFrontend._deliver
+            deliver = JobDelivery._deliver
 
-            def late(front: FaktoryFrontend, reservation: Reservation, *rest: object) -> None:
+            def late(delivery: JobDelivery, reservation: Reservation, *rest: object) -> None:
                 if reservation.worker.wid == "w1":
                     gone.leave(way)
-                deliver(front, reservation, *rest)  # type: ignore[arg-type]
+                deliver(delivery, reservation, *rest)  # type: ignore[arg-type]
 
-            with mock.patch.object(FaktoryFrontend, "_deliver", late):
+            with mock.patch.object(JobDelivery, "_deliver", late):
                 producer = Client(address, house)
                 producer.send(push("job-00002"))
                 await house.settle()
