--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -183,7 +183,8 @@
         str(least),
         str(figures.calls),
         str(figures.turned),
-        f"{figures.watched / 1000:.1f}" + (f" ({figures.unread} never)" if figures.unread else ""),
+        f"{figures.last_watch_ms / 1000:.1f}"
+        + (f" ({figures.dispatchers_without_watch} never)" if figures.dispatchers_without_watch else ""),
         f"{least * 0.02:.1f}",
     ]
 
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -34,13 +34,13 @@
         nonlocal left
         left -= 1
         if left > 0:
-            line.after(wait, step, wait)
+            line.schedule_after(wait, step, wait)
 
     for number in range(ACTORS):
-        line.after(number / 7, step, 1 + number / 13)
+        line.schedule_after(number / 7, step, 1 + number / 13)
     begun = time.perf_counter()
     line.run(1e12)
-    return line.done / (time.perf_counter() - begun)
+    return line.event_count / (time.perf_counter() - begun)
 
 
 def simpy_rate() -> float:
@@ -86,8 +86,8 @@
     return (
         hosts,
         dispatchers,
-        figures.events / figures.wall,
-        span / figures.wall,
+        figures.event_count / figures.wall_time_s,
+        span / figures.wall_time_s,
         peak,
         figures.service,
         figures.violations,
@@ -96,7 +96,7 @@
 
 def one(seed: int) -> float:
     """A run of the speed-up."""
-    return World(scenario(20, 4, 10), seed).run().wall
+    return World(scenario(20, 4, 10), seed).run().wall_time_s
 
 
 @click.command()
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -48,13 +48,13 @@
         scenario.policy = Oracle.name
     sent: list[Sent] = []
     world = World(scenario, run.seed, record=lambda event: sent.append(event) if isinstance(event, Sent) else None)
-    zones = {host.name: host.zone for host in world.hosts.values()}
+    zones = {host.name: host.zone for host in world.servers.values()}
     figures = world.run()
     trouble = scenario.trouble[0]
     dies, back = trouble.at_s * 1000, (trouble.at_s + trouble.for_s) * 1000
     hall = scenario.zones.index(trouble.zone)
     into = np.array([event.at for event in sent if zones[event.host] == hall])
-    earned, asked = figures.by_second
+    earned, asked = figures.value_by_second
 
     def came(begin: float, end: float) -> float:
         return float(((into >= begin) & (into < end)).sum()) * 1000 / (end - begin)
@@ -68,7 +68,7 @@
         (at for at in range(int(back), int(run.span * 1000) - 2000, 500) if came(at, at + 2000) >= 0.9 * usual),
         float("nan"),
     )
-    flat = figures.flat()
+    flat = figures.by_name()
     return {
         "worth": flat["service"],
         "worth while dead": share(dies, back),
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -55,13 +55,14 @@
             world = World(scenario, seed, record=lambda event: out.writelines((write(event),)))
             figures = world.run()
     if as_json:
-        print_json(figures.flat())
+        print_json(figures.by_name())
     else:
-        print_columns(figures.table())
-        loads = figures.flat()
+        print_columns(figures.class_table())
+        loads = figures.by_name()
         print(
             f"service {figures.service:.4f}, hosts {loads['load_mean']:.0%} loaded, "
-            f"{loads['attempts_per_job']:.3f} attempts a job; {figures.events} events in {figures.wall:.1f} s"
+            f"{loads['attempts_per_job']:.3f} attempts a job; "
+            f"{figures.event_count} events in {figures.wall_time_s:.1f} s"
         )
         for violation in world.checker.violations[:10]:
             print(f"rule {violation.rule} broken at {violation.at:.0f} ms: {violation.what}")
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -62,7 +62,12 @@
         raise click.ClickException(str(error)) from None
     listed = list(tallies.values())
     if as_json:
-        print_json({t.lane.name: {"finals": t.finals, **t.percentiles(), "begun_late": t.late_begun} for t in listed})
+        print_json(
+            {
+                t.request_class.name: {"finals": t.outcomes, **t.percentiles(), "begun_late": t.late_begun}
+                for t in listed
+            }
+        )
     else:
         print_columns(tallying.table(listed))
         late = sum(tally.late_begun for tally in listed)
@@ -124,6 +129,6 @@
     print_columns(tallying.table(tallies))
     print(f"service {tallying.service(tallies):.4f} on sockets, in {time.monotonic() - began:.0f} s\n")
     figures = playing.on_the_model(scenario, seed)
-    print_columns(tallying.gaps(tallies, figures.lanes))
-    print(f"service {figures.service:.4f} on the model, in {figures.wall:.1f} s")
+    print_columns(tallying.gaps(tallies, figures.classes))
+    print(f"service {figures.service:.4f} on the model, in {figures.wall_time_s:.1f} s")
     return 0
--- a/heronlug/emulator/discovery.py
+++ b/heronlug/emulator/discovery.py
@@ -13,31 +13,31 @@
 from heronlug.emulator.timeline import Timeline
 from heronlug.requests.model import ListedServer
 
-TURNED = 1.0  # ms that it costs to turn a call away
+REJECTION_COST_MS = 1.0  # ms that it costs to turn a call away
 
 
-class Reader(Protocol):
+class ListWatcher(Protocol):
     """Who watches."""
 
     name: str
     up: bool
-    life: int
+    incarnation: int
 
     @property
-    def watch_ms(self) -> float:
+    def watch_timeout_ms(self) -> float:
         """How long its watch waits for news."""
 
-    def listed(self, kind: ListKind, entries: list[ListedServer]) -> None:
+    def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
         """News."""
 
-    def answered(self, took: float) -> None:
+    def list_call_answered(self, took: float) -> None:
         """A call that did not wait for news has been answered."""
 
-    def turned_away(self) -> None:
+    def list_call_rejected(self) -> None:
         """A call has been turned away, and there is no watch."""
 
 
-class Register:
+class ServiceDiscovery:
     """All entries, and who watches them."""
 
     def __init__(
@@ -49,85 +49,85 @@
         tell: Callable[[Event], None] = lambda event: None,
     ) -> None:
         self.entries: dict[str, ListedServer] = {}
-        self.readers: dict[Reader, float] = {}  # and up to when each has been told: news keep their order
+        self.watchers: dict[ListWatcher, float] = {}  # and up to when each has been told: news keep their order
         self.silent = False
-        self.calls = self.turned = 0
-        self.watched_at: dict[str, float] = {}  # when a reader's first watch waited for news
-        self._line, self._lag, self._tell_event = line, lag, tell
-        self._call_ms, self._wait_most, self._free_at = call_ms, wait_most, 0.0
-        self._held: list[ListedServer] = []
+        self.calls = self.rejected_calls = 0
+        self.first_watch_at: dict[str, float] = {}  # when a reader's first watch waited for news
+        self._timeline, self._lag, self._record_event = line, lag, tell
+        self._call_ms, self._max_wait_ms, self._idle_at = call_ms, wait_most, 0.0
+        self._held_back: list[ListedServer] = []
 
-    def put(self, entry: ListedServer) -> None:
+    def update(self, entry: ListedServer) -> None:
         """A host's entry is new or other."""
         self.entries[entry.name] = entry
         if self.silent:
-            self._held.append(entry)
+            self._held_back.append(entry)
         else:
-            for reader in self.readers:
-                self._tell(reader, ListKind.CHANGES, [entry])
+            for reader in self.watchers:
+                self._send(reader, ListKind.CHANGES, [entry])
 
-    def watch(self, reader: Reader) -> None:
+    def watch(self, reader: ListWatcher) -> None:
         """Tell it of all there is, and then of changes."""
         if self._call_ms:
-            self._call(reader, reader.life, self._list)
+            self._call(reader, reader.incarnation, self._answer_list_call)
             return
-        self._open(reader)
+        self._send_whole_list(reader)
 
-    def leave(self, reader: Reader) -> None:
+    def unwatch(self, reader: ListWatcher) -> None:
         """It is not there any more."""
-        self.readers.pop(reader, None)
+        self.watchers.pop(reader, None)
 
-    def speak(self) -> None:
+    def end_silence(self) -> None:
         """The silence is over: all is told that was held back."""
-        self.silent, held, self._held = False, self._held, []
+        self.silent, held, self._held_back = False, self._held_back, []
         if held:
-            for reader in self.readers:
-                self._tell(reader, ListKind.CHANGES, held)
+            for reader in self.watchers:
+                self._send(reader, ListKind.CHANGES, held)
 
     # -- calls that cost something
 
-    def _call(self, reader: Reader, life: int, then: Callable[[Reader, int, float], None]) -> None:
-        if not reader.up or life != reader.life:
+    def _call(self, reader: ListWatcher, life: int, then: Callable[[ListWatcher, int, float], None]) -> None:
+        if not reader.up or life != reader.incarnation:
             return
-        now = self._line.now
-        wait = max(0.0, self._free_at - now)
-        turned = wait > self._wait_most
+        now = self._timeline.now
+        wait = max(0.0, self._idle_at - now)
+        turned = wait > self._max_wait_ms
         self.calls += 1
-        self.turned += turned
-        self._tell_event(Called(now, reader.name, then == self._list, turned, wait))
+        self.rejected_calls += turned
+        self._record_event(Called(now, reader.name, then == self._answer_list_call, turned, wait))
         if turned:
-            self._free_at += TURNED
-            self.readers.pop(reader, None)
-            self._line.after(self._lag.next(), self._turn_away, reader, life)
+            self._idle_at += REJECTION_COST_MS
+            self.watchers.pop(reader, None)
+            self._timeline.schedule_after(self._lag.next(), self._reject, reader, life)
         else:
-            self._free_at = now + wait + self._call_ms
-            self._line.at(self._free_at, then, reader, life, wait + self._call_ms)
-
-    def _turn_away(self, reader: Reader, life: int) -> None:
-        if reader.up and life == reader.life:
-            reader.turned_away()
-
-    def _list(self, reader: Reader, life: int, took: float) -> None:
-        if reader.up and life == reader.life:
-            self._open(reader)
-            reader.answered(took)
-            self._call(reader, life, self._park)
-
-    def _park(self, reader: Reader, life: int, took: float) -> None:
-        if reader.up and life == reader.life:
-            self.watched_at.setdefault(reader.name, self._line.now)
-            self._line.after(reader.watch_ms, self._call, reader, life, self._park)
-
-    def _open(self, reader: Reader) -> None:
-        self.readers[reader] = self._line.now
+            self._idle_at = now + wait + self._call_ms
+            self._timeline.schedule_at(self._idle_at, then, reader, life, wait + self._call_ms)
+
+    def _reject(self, reader: ListWatcher, life: int) -> None:
+        if reader.up and life == reader.incarnation:
+            reader.list_call_rejected()
+
+    def _answer_list_call(self, reader: ListWatcher, life: int, took: float) -> None:
+        if reader.up and life == reader.incarnation:
+            self._send_whole_list(reader)
+            reader.list_call_answered(took)
+            self._call(reader, life, self._start_watch_call)
+
+    def _start_watch_call(self, reader: ListWatcher, life: int, took: float) -> None:
+        if reader.up and life == reader.incarnation:
+            self.first_watch_at.setdefault(reader.name, self._timeline.now)
+            self._timeline.schedule_after(reader.watch_timeout_ms, self._call, reader, life, self._start_watch_call)
+
+    def _send_whole_list(self, reader: ListWatcher) -> None:
+        self.watchers[reader] = self._timeline.now
         if not self.silent:
-            self._tell(reader, ListKind.FULL, [e for e in self.entries.values() if e.state is not ServerState.REMOVED])
+            self._send(reader, ListKind.FULL, [e for e in self.entries.values() if e.state is not ServerState.REMOVED])
 
-    def _tell(self, reader: Reader, kind: ListKind, entries: list[ListedServer]) -> None:
-        when = max(self._line.now + self._lag.next(), self.readers[reader])
-        self.readers[reader] = when
-        self._line.at(when, self._arrive, reader, kind, entries)
+    def _send(self, reader: ListWatcher, kind: ListKind, entries: list[ListedServer]) -> None:
+        when = max(self._timeline.now + self._lag.next(), self.watchers[reader])
+        self.watchers[reader] = when
+        self._timeline.schedule_at(when, self._deliver, reader, kind, entries)
 
-    def _arrive(self, reader: Reader, kind: ListKind, entries: list[ListedServer]) -> None:
-        if reader in self.readers and reader.up:
-            reader.listed(kind, entries)
+    def _deliver(self, reader: ListWatcher, kind: ListKind, entries: list[ListedServer]) -> None:
+        if reader in self.watchers and reader.up:
+            reader.receive_list(kind, entries)
--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -1,16 +1,16 @@
-"""An emulated dispatcher: the real core with the real decision module, and a network in place of sockets."""
+"""An emulated dispatcher: the real core and the real balancer, with an emulated frontend, backend and discovery."""
 
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from heronlug.balancer.events import ListKind, Outcome, ProgressKind, ServerState
-from heronlug.balancer.settings import Effect
-from heronlug.conformance import Answered, Listed, Sent, Started, Stopped, Taken
+from heronlug.balancer.events import ListKind, ServerState
+from heronlug.balancer.settings import Effect, Settings
+from heronlug.conformance import Answered, Listed, Started, Stopped, Taken
 from heronlug.discovery.poll_failure import PollFailure
 from heronlug.discovery.poll_pacing import WATCH, PollPacer, PollTerms
-from heronlug.emulator.clients import Job
-from heronlug.emulator.policies import OURS, POLICIES, Look
-from heronlug.emulator.servers import Host, Run
+from heronlug.emulator.backend import EmulatedBackend
+from heronlug.emulator.clients import ClientRequest
+from heronlug.emulator.policies import BUILT_IN_POLICY, POLICIES, ServerTruth
 from heronlug.emulator.timeline import VirtualDeadlines
 from heronlug.requests.core import Core
 from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request, Workload
@@ -18,236 +18,204 @@
 if TYPE_CHECKING:
     from heronlug.emulator.world import World
 
-PROGRESS = 1000.0  # ms between words of a job that runs
-MAX_COME_BACK = 2000.0
+MAX_RETRY_AFTER_MS = 2000.0
+"""The longest Retry-After of a rejection."""
 
 
-class Dispatcher:
-    """One position, and its processes one after the other."""
+class EmulatedDispatcher:
+    """One dispatcher: its processes, one after the other.
+
+    Attributes:
+        world: the run that it belongs to.
+        number: its position among the dispatchers.
+        name: in the records of the conformance checker.
+        zone: the index of its zone.
+        up: whether it has a process.
+        incarnation: how many processes it has had.
+        deadlines: of its process.
+        core: of its process.
+    """
 
     def __init__(self, world: "World", number: int) -> None:
-        self.world, self.number, self.name = world, number, f"d{number}"
+        self.world = world
+        self.number = number
+        self.name = f"d{number}"
         self.zone = number % len(world.scenario.zones)
         self.up = False
-        self.life = 0
+        self.incarnation = 0
         self.deadlines: VirtualDeadlines
         self.core: Core
-        self._known: list[ListedServer] = []
+        self._backend: EmulatedBackend
+        self._cached_list: list[ListedServer] = []
 
     # -- its process
 
     def start(self) -> None:
-        """A process starts, with the list that was held last."""
+        """Start a process, which knows the endpoint list that the one before it had."""
         world = self.world
-        self.life += 1
+        self.incarnation += 1
         self.up = True
-        seed = world.seed * 1000003 + self.number * 101 + self.life
+        seed = world.seed * 1000003 + self.number * 101 + self.incarnation
         settings = world.settings(self.number, self.zone)
-        self.deadlines = VirtualDeadlines(world.line)
-        self.core = Core(
+        self.deadlines = VirtualDeadlines(world.timeline)
+        self.core = self._make_core(settings, seed)
+        self._backend = EmulatedBackend(world, self.name, self.zone, self.core)
+        self._pacer = self._make_pacer(settings, seed)
+        self._has_list = bool(self._cached_list) or world.scenario.dispatchers.listed
+        self._polls = False
+        world.record_event(Started(world.timeline.now, self.name))
+        cached = self._cached_list or (list(world.discovery.entries.values()) if self._has_list else [])
+        self.receive_list(ListKind.CACHED, cached)
+
+    def kill(self) -> None:
+        """End the process at once; its clients see that."""
+        world = self.world
+        self.up = False
+        self.deadlines.cancelled = True
+        known = [server.entry for server in self.core.directory.by_number.values()]
+        self._cached_list = [entry for entry in known if entry.state is not ServerState.REMOVED]
+        world.discovery.unwatch(self)
+        world.record_event(Stopped(world.timeline.now, self.name, True))
+        self._backend.close()
+        for request in list(self.core.requests):
+            if not request.closed:
+                world.clients.dispatcher_lost(request.payload)
+
+    def _make_core(self, settings: Settings, seed: int) -> Core:
+        world = self.world
+        core = Core(
             settings,
             seed,
             self,
             self.deadlines,
-            subscribe=self._watch,
-            send_peer_message=self._tell,
+            subscribe=self._subscribe,
+            send_peer_message=self._send_peer_message,
             max_open=world.scenario.dispatchers.max_open,
-            max_retry_after=MAX_COME_BACK,
+            max_retry_after=MAX_RETRY_AFTER_MS,
         )
-        if world.scenario.policy != OURS:
-            self.core.dispatcher = POLICIES[world.scenario.policy](settings, seed, self._look)  # type: ignore[assignment]
-        elif world.module is not None:
-            self.core.dispatcher = world.module(settings, seed)
-        table = world.scenario.register
+        policy = world.scenario.policy
+        if policy != BUILT_IN_POLICY:
+            core.dispatcher = POLICIES[policy](settings, seed, self._server_truth)  # type: ignore[assignment]
+        elif world.decision_module is not None:
+            core.dispatcher = world.decision_module(settings, seed)
+        return core
+
+    def _make_pacer(self, settings: Settings, seed: int) -> PollPacer | None:
+        if not self.world.scenario.dispatchers.paced:
+            return None
+        table = self.world.scenario.register
         cost = table.call_ms if table.told and table.call_ms else None
         terms = PollTerms(settings.instances, settings.position, cost)
-        self._pace = PollPacer(terms, Random(seed).random) if world.scenario.dispatchers.paced else None
-        self._has = bool(self._known) or world.scenario.dispatchers.listed
-        self._begun = False
-        world.tell(Started(world.line.now, self.name))
-        known = self._known or (list(world.register.entries.values()) if self._has else [])
-        self._list(ListKind.CACHED, known)
+        return PollPacer(terms, Random(seed).random)
 
-    def kill(self) -> None:
-        """The process is gone at once, and its clients see that."""
+    # -- the frontend and the backend of its core
+
+    def accept(self, request: ClientRequest) -> None:
+        """Accept a request of a client."""
         world = self.world
-        self.up, self.deadlines.dead = False, True
-        self._known = [
-            host.entry for host in self.core.directory.by_number.values() if host.entry.state is not ServerState.REMOVED
-        ]
-        world.register.leave(self)
-        world.tell(Stopped(world.line.now, self.name, True))
-        for relay in list(self.core.attempts):
-            run: Run = relay.exchange
-            if run is not None and run.began_at < 0:  # what runs goes on, for nobody
-                world.line.after(world.delay(self.zone, run.job[1]), run.job[1].drop, run)
-        for message in list(self.core.requests):
-            if not message.closed:
-                world.clients.lost(message.payload)
-
-    # -- its clients
-
-    def take(self, job: Job) -> None:
-        """A client hands it a job."""
-        world, lane = self.world, self.world.lanes[job.lane]
-        now = world.line.now
-        world.tell(Taken(now, self.name, job.name, lane.name, lane.effect is Effect.NON_IDEMPOTENT, job.give_up_at))
+        request_class = world.classes[request.class_number]
+        once = request_class.effect is Effect.NON_IDEMPOTENT
+        now = world.timeline.now
+        world.record_event(Taken(now, self.name, request.name, request_class.name, once, request.give_up_at))
         self.core.accept(
-            job, job.lane, job.give_up_at - now, request_id=job.name, workload=Workload(slots=float(job.need))
+            request,
+            request.class_number,
+            request.give_up_at - now,
+            request_id=request.name,
+            workload=Workload(slots=float(request.slots)),
         )
 
-    def client_waits(self, message: Request) -> bool:
-        """Who leaves in the model is known at once."""
+    def client_waits(self, request: Request) -> bool:
+        """See :class:`heronlug.requests.interfaces.Transport`; emulated clients wait until their deadline."""
         return True
 
-    def answer(self, message: Request, final: FinalAnswer, body: bytes, come_back: float) -> None:
-        """The core's final answer."""
-        job: Job = message.payload
-        self.world.tell(Answered(self.world.line.now, self.name, job.name, final.value))
-        self.world.clients.answered(job, final, come_back)
-
-    # -- its hosts
-
-    def send(self, relay: Attempt) -> None:
-        """Begin a relay."""
-        world, job = self.world, relay.request.payload
-        host = world.hosts.get(relay.server.entry.name)
-        if world.guarded and not self.core.may_write(relay):
-            self.core.attempt_ended(relay, Outcome.CANCELLED_BEFORE_START)
-            return
-        if host is None or world.cut(self.zone, host.zone):
-            world.line.after(
-                world.scenario.network.dial_timeout_ms, self._ended, self.life, relay, Outcome.CONNECT_FAILED
-            )
-            return
-        world.tell(Sent(world.line.now, self.name, job.name, host.name))
-        self.core.attempt_written()
-        world.sent(job, self.zone, host.zone)
-        lane = world.lanes[job.lane]
-        relay.exchange = Run((relay, host, self.life), job.work, float(job.need), lane.priority_weight, self._told)
-        host.coming += job.need
-        world.line.after(world.delay(self.zone, host), self._arrive, relay.exchange)
-
-    def cancel(self, relay: Attempt) -> None:
-        """Nobody waits for it any more; the host hears that."""
-        run: Run | None = relay.exchange
-        if run is not None:
-            host: Host = run.job[1]
-            if not self.world.cut(self.zone, host.zone):
-                self.world.line.after(self.world.delay(self.zone, host), host.drop, run)
-
-    def _arrive(self, run: Run) -> None:
-        relay, host, life = run.job
-        host.coming -= run.need
-        if not relay.in_flight and life == self.life and self.up:
-            return  # cancelled on its way
-        if not host.up:
-            self._back(run, Outcome.CONNECT_FAILED)
-        elif not host.take(run):
-            self._back(run, Outcome.FULL)
-
-    def _told(self, run: Run, what: str) -> None:
-        """The host has something to tell of a run."""
-        if what == "started":
-            self._later(run, self._noted, ProgressKind.STARTED, 0.0)
-            self.world.line.after(PROGRESS, self._progress, run)
-        else:
-            self._back(run, Outcome.SERVED if what == "done" else Outcome.RESET)
-
-    def _progress(self, run: Run) -> None:
-        relay, host, _ = run.job
-        if run.ends is not None and not host.still and relay.in_flight:
-            whole = run.work * host.slow / host.kind.speed
-            share = min(0.99, (self.world.line.now - run.began_at) / whole) if whole else 0.0
-            self._later(run, self._noted, ProgressKind.PROGRESS, share)
-        if relay.in_flight and run in host.running:
-            self.world.line.after(PROGRESS, self._progress, run)
-
-    def _back(self, run: Run, outcome: Outcome) -> None:
-        self._later(run, self._ended_of, outcome)
-
-    def _later(self, run: Run, what: Any, *args: Any) -> None:
-        """What a host says comes after the way back, and not before a cut has healed."""
-        relay, host, life = run.job
-        if life != self.life or not self.up:
-            return
-        if self.world.cut(self.zone, host.zone):
-            self.world.held.append((self._later, run, what, *args))
-            return
-        self.world.line.after(self.world.delay(self.zone, host), what, life, relay, *args)
-
-    def _noted(self, life: int, relay: Attempt, kind: ProgressKind, share: float) -> None:
-        if life == self.life and self.up:
-            self.core.attempt_progressed(relay, kind, share)
-
-    def _ended_of(self, life: int, relay: Attempt, outcome: Outcome) -> None:
-        self._ended(life, relay, outcome)
-
-    def _ended(self, life: int, relay: Attempt, outcome: Outcome) -> None:
-        if life == self.life and self.up:
-            self.core.attempt_ended(relay, outcome)
-
-    # -- the register and the others
-
-    def listed(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """News of the register."""
-        self._list(kind, entries)
-
-    def _list(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        now = self.world.line.now
-        for entry in entries:
-            self.world.tell(Listed(now, self.name, entry.name, _word_of(entry.state)))
-        self.core.update_servers(kind, entries)
+    def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
+        """Give a client its final answer."""
+        client_request: ClientRequest = request.payload
+        now = self.world.timeline.now
+        self.world.record_event(Answered(now, self.name, client_request.name, final.value))
+        self.world.clients.answered(client_request, final, retry_after)
+
+    def send(self, attempt: Attempt) -> None:
+        """Send an attempt to its server."""
+        self._backend.send(attempt)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt."""
+        self._backend.cancel(attempt)
+
+    # -- service discovery
 
     @property
-    def watch_ms(self) -> float:
-        """How long a watch waits for news."""
-        return self._pace.watch if self._pace is not None else WATCH
-
-    def answered(self, took: float) -> None:
-        """The register has answered with the list."""
-        self._has = True
-        if self._pace is not None:
-            self._pace.answered(took)
-
-    def turned_away(self) -> None:
-        """It has not."""
-        if self._pace is not None:
-            self._call_at(self._pace.failed(self.deadlines.clock(), PollFailure.TURNED_AWAY, self._has))
-        self._list(ListKind.FAILED, [])
-
-    def _watch(self) -> None:
-        if self._pace is None:
-            self.world.register.watch(self)
-        elif not self._begun:
-            self._begun = True
-            self._call_at(self._pace.begin(self.deadlines.clock(), self._has))
-
-    def _call_at(self, when: float) -> None:
-        """The pace says when; what the module asks for meanwhile is this call."""
-        self.deadlines.call_at(when, self.world.register.watch, self)
-
-    def _tell(self, content: bytes, peer: int) -> None:
-        for other in self.world.dispatchers if peer < 0 else [self.world.dispatchers[peer]]:
-            if other is not self:
-                self.world.datagram(self, other, content)
+    def watch_timeout_ms(self) -> float:
+        """How long its watch waits for an event."""
+        return self._pacer.watch if self._pacer is not None else WATCH
+
+    def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
+        """An endpoint list or watch event has come."""
+        now = self.world.timeline.now
+        for entry in entries:
+            self.world.record_event(Listed(now, self.name, entry.name, _recorded_state(entry.state)))
+        self.core.update_servers(kind, entries)
 
-    def heard(self, sender: int, content: bytes) -> None:
-        """Another dispatcher's datagram."""
+    def list_call_answered(self, took: float) -> None:
+        """Service discovery has answered a call for the list after so many ms."""
+        self._has_list = True
+        if self._pacer is not None:
+            self._pacer.answered(took)
+
+    def list_call_rejected(self) -> None:
+        """Service discovery has rejected a call."""
+        if self._pacer is not None:
+            now = self.deadlines.clock()
+            self._schedule_poll(self._pacer.failed(now, PollFailure.TURNED_AWAY, self._has_list))
+        self.receive_list(ListKind.FAILED, [])
+
+    def _subscribe(self) -> None:
+        if self._pacer is None:
+            self.world.discovery.watch(self)
+        elif not self._polls:
+            self._polls = True
+            self._schedule_poll(self._pacer.begin(self.deadlines.clock(), self._has_list))
+
+    def _schedule_poll(self, when: float) -> None:
+        """Poll at the time that the pacer gives; what the balancer asks for before that is this poll."""
+        self.deadlines.call_at(when, self.world.discovery.watch, self)
+
+    # -- the other dispatchers
+
+    def receive_peer_message(self, sender: int, content: bytes) -> None:
+        """A datagram of another dispatcher has come."""
         if self.up:
             self.core.peer_message(sender, content)
 
-    def _look(self, number: int) -> Look:
-        host = self.world.hosts.get(self.core.directory.by_number[number].entry.name)
-        if host is None:
-            return Look(0.0, 0.0, 1.0, 1.0, 1.0, False, 0.0)
-        far = 2 * self.world.median(self.zone, host.zone)
-        well = host.up and not host.still and not self.world.cut(self.zone, host.zone)
-        capacity = host.capacity()
-        stands = host.warmth.tip_multiple * capacity
-        return Look(host.inside, host.coming, stands, capacity, host.kind.speed / host.slow, well, far)
+    def _send_peer_message(self, content: bytes, peer: int) -> None:
+        world = self.world
+        for other in world.dispatchers if peer < 0 else [world.dispatchers[peer]]:
+            if other is not self:
+                world.figures.peer_messages += 1
+                deliver = other.receive_peer_message
+                world.network.send_datagram(self.zone, other.zone, deliver, self.number, content)
+
+    # -- policies to compare with
+
+    def _server_truth(self, number: int) -> ServerTruth:
+        """What is true of a server, for policies that know what no dispatcher can."""
+        network = self.world.network
+        server = self.world.servers.get(self.core.directory.by_number[number].entry.name)
+        if server is None:
+            return ServerTruth.of_missing_server()
+        return ServerTruth(
+            occupied_slots=server.occupied_slots,
+            inbound_slots=server.inbound_slots,
+            overload_slots=server.overload_slots,
+            capacity=server.capacity(),
+            speed=server.kind.speed / server.slowdown,
+            responsive=server.up and not server.unresponsive and not network.is_partitioned(self.zone, server.zone),
+            round_trip_ms=2 * network.median_one_way_ms(self.zone, server.zone),
+        )
 
 
-def _word_of(state: ServerState) -> str:
+def _recorded_state(state: ServerState) -> str:
     """The state of a server in the conformance checker's records."""
     return "gone" if state is ServerState.REMOVED else state.name.lower()
--- /dev/null
+++ b/heronlug/emulator/network.py
@@ -0,0 +1,85 @@
+"""The network between zones: delays, lost datagrams and partitions."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from scipy.stats import lognorm
+
+from heronlug.emulator.draws import Draws, stream
+from heronlug.emulator.scenario import Network
+from heronlug.emulator.servers import EmulatedServer
+from heronlug.emulator.timeline import Timeline
+
+
+def lognormal_draws(sigma: float, seed: int, *names: str, median: float = 1.0) -> Draws:
+    """Draws around a median, lognormal, or the median itself where sigma or the median is 0.
+
+    Args:
+        sigma: the standard deviation of the logarithm.
+        seed: of the run.
+        names: of the random stream.
+        median: of the draws.
+    """
+    distribution = lognorm(sigma, scale=median) if sigma and median else median
+    return Draws(distribution, stream(seed, "ways", *names))
+
+
+class HeldCall(NamedTuple):
+    """A call that waits for a partition to heal."""
+
+    callback: Callable[..., object]
+    args: tuple[Any, ...]
+
+
+class EmulatedNetwork:
+    """What lies between dispatchers and servers."""
+
+    def __init__(self, timeline: Timeline, table: Network, seed: int) -> None:
+        self._timeline, self._table, self._seed = timeline, table, seed
+        self._server_factors: dict[str, Draws] = {}
+        self._datagram_factors = lognormal_draws(table.sigma, seed, "datagrams")
+        self._losses = stream(seed, "losses")
+        self._partitioned_zones: set[int] = set()
+        self._held: list[HeldCall] = []
+
+    def add_server(self, name: str) -> None:
+        """Give a server a random stream for its delays."""
+        self._server_factors[name] = lognormal_draws(self._table.sigma, self._seed, name)
+
+    def median_one_way_ms(self, zone: int, other: int) -> float:
+        """The median delay of one way between two zones, in ms."""
+        return float(self._table.inside_ms if zone == other else self._table.across_ms)
+
+    def one_way_ms(self, zone: int, server: EmulatedServer) -> float:
+        """Draw the delay from a zone to a server or back, in ms."""
+        return self.median_one_way_ms(zone, server.zone) * self._server_factors[server.name].next()
+
+    def send_datagram(self, zone: int, other: int, deliver: Callable[..., object], *args: Any) -> None:
+        """Send a datagram between zones; it may be lost or overtake another one."""
+        loss = self._table.loss
+        if self.is_partitioned(zone, other) or (loss and self._losses.random() < loss):
+            return
+        delay = self.median_one_way_ms(zone, other) * self._datagram_factors.next()
+        self._timeline.schedule_after(delay, deliver, *args)
+
+    # -- partitions
+
+    def is_partitioned(self, zone: int, other: int) -> bool:
+        """Whether nothing passes between two zones."""
+        partitioned = self._partitioned_zones
+        return zone != other and bool(partitioned) and (zone in partitioned or other in partitioned)
+
+    def partition(self, zone: int) -> None:
+        """Let nothing pass into a zone or out of it."""
+        self._partitioned_zones.add(zone)
+
+    def hold(self, callback: Callable[..., object], *args: Any) -> None:
+        """Make a call once a partition has healed."""
+        self._held.append(HeldCall(callback, args))
+
+    def heal(self, zone: int) -> None:
+        """Connect a zone again, and make the calls that were held."""
+        self._partitioned_zones.discard(zone)
+        held, self._held = self._held, []
+        for call in held:
+            call.callback(*call.args)
--- a/heronlug/emulator/policies.py
+++ b/heronlug/emulator/policies.py
@@ -26,39 +26,54 @@
 from heronlug.balancer.settings import Effect, Settings
 
 
-class Look(NamedTuple):
-    """What is true of a host at this moment; dispatchers do not see it, and two of the policies do."""
+class ServerTruth(NamedTuple):
+    """What is true of a server at this moment; dispatchers do not see it, and two of the policies do.
+
+    Attributes:
+        occupied_slots: slots of what runs or is queued there.
+        inbound_slots: slots of attempts on their way to it, from all dispatchers.
+        overload_slots: slots that may be in it without overload.
+        capacity: slots that it has now.
+        speed: divides the work of an execution.
+        responsive: whether it is up, not suspended and can be reached.
+        round_trip_ms: the median time to reach it and back.
+    """
 
-    inside: float  # slots that run or wait
-    coming: float  # slots that are on their way to it, from all dispatchers
-    stands: float  # slots in it that it stands for long
-    capacity: float  # slots that it has now
+    occupied_slots: float
+    inbound_slots: float
+    overload_slots: float
+    capacity: float
     speed: float
-    well: bool  # it is up and does not stand still
-    far: float  # ms to reach it and back
+    responsive: bool
+    round_trip_ms: float
+
+    @classmethod
+    def of_missing_server(cls) -> "ServerTruth":
+        """What is true of a server that is not there any more."""
+        return cls(0.0, 0.0, 1.0, 1.0, 1.0, responsive=False, round_trip_ms=0.0)
 
 
-class Worker:
+class KnownServer:
     """A host as a policy knows it."""
 
-    __slots__ = ("entry", "number", "out")
+    __slots__ = ("entry", "number", "own_slots")
 
     def __init__(self, entry: ServerEntry) -> None:
         self.number, self.entry = entry.server, entry
-        self.out = 0.0  # slots that we have sent and that have not ended
+        self.own_slots = 0.0  # slots that we have sent and that have not ended
 
 
-class Job:
+class OpenRequest:
     """An open job."""
 
-    __slots__ = ("arrived", "hosts", "out", "spoiled", "tries")
+    __slots__ = ("arrived", "attempt_count", "attempts_in_flight", "may_have_run", "servers")
 
     def __init__(self, arrived: RequestArrived) -> None:
         self.arrived = arrived
-        self.tries = 0
-        self.out: set[int] = set()
-        self.hosts: list[int] = []
-        self.spoiled = False  # an attempt may have run
+        self.attempt_count = 0
+        self.attempts_in_flight: set[int] = set()
+        self.servers: list[int] = []
+        self.may_have_run = False  # an attempt may have run
 
 
 class Policy:
@@ -66,14 +81,14 @@
 
     name = ""
 
-    def __init__(self, settings: Settings, seed: int, look: Callable[[int], Look]) -> None:
-        self.s, self.rng, self.look = settings, Random(seed), look
-        self.workers: dict[int, Worker] = {}
-        self.ready: list[Worker] = []
-        self.jobs: dict[int, Job] = {}
+    def __init__(self, settings: Settings, seed: int, look: Callable[[int], ServerTruth]) -> None:
+        self.settings, self.rng, self.server_truth = settings, Random(seed), look
+        self.servers: dict[int, KnownServer] = {}
+        self.ready_servers: list[KnownServer] = []
+        self.requests: dict[int, OpenRequest] = {}
         self._subscribed = False
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker | None:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         """A worker of those, of which there is at least one; None turns the job away."""
         raise NotImplementedError
 
@@ -85,18 +100,18 @@
         """The actions that an event leads to."""
         out: list[Action] = []
         if isinstance(event, RequestArrived):
-            self.jobs[event.request] = Job(event)
+            self.requests[event.request] = OpenRequest(event)
             self._send(event.request, now, out)
         elif isinstance(event, AttemptEnded):
             self._ended(event, now, out)
         elif isinstance(event, ServerListUpdate):
             self._listed(event, out)
         elif isinstance(event, ClientGone | RequestHandedOver):
-            job = self.jobs.pop(event.request, None)
+            job = self.requests.pop(event.request, None)
             if job is not None:
-                out += [CancelAttempt(event.request, attempt) for attempt in job.out]
+                out += [CancelAttempt(event.request, attempt) for attempt in job.attempts_in_flight]
         elif isinstance(event, FinalAnswerDue):
-            if self.jobs.pop(event.request, None) is not None:
+            if self.requests.pop(event.request, None) is not None:
                 out.append(Fail(event.request))
         return out
 
@@ -106,56 +121,60 @@
             return
         if event.kind is not ListKind.CHANGES:
             here = {entry.server for entry in event.entries}
-            for gone in self.workers.keys() - here:
-                del self.workers[gone]
+            for gone in self.servers.keys() - here:
+                del self.servers[gone]
         for entry in event.entries:
             if entry.state is ServerState.REMOVED:
-                self.workers.pop(entry.server, None)
-            elif entry.server in self.workers:
-                self.workers[entry.server].entry = entry
+                self.servers.pop(entry.server, None)
+            elif entry.server in self.servers:
+                self.servers[entry.server].entry = entry
             else:
-                self.workers[entry.server] = Worker(entry)
-        self.ready = [worker for worker in self.workers.values() if worker.entry.state is ServerState.READY]
+                self.servers[entry.server] = KnownServer(entry)
+        self.ready_servers = [worker for worker in self.servers.values() if worker.entry.state is ServerState.READY]
         if not self._subscribed:
             self._subscribed = True
             out.append(Subscribe())
 
     def _send(self, number: int, now: float, out: list[Action]) -> None:
-        job = self.jobs[number]
+        job = self.requests[number]
         arrived = job.arrived
-        lane = arrived.policy or self.s.classes[arrived.request_class]
-        if job.tries >= self.s.max_attempts_of(lane) or now >= arrived.give_up_at or not self.ready:
-            del self.jobs[number]
-            out.append(Fail(number) if job.spoiled else Reject(number))
+        lane = arrived.policy or self.settings.classes[arrived.request_class]
+        if (
+            job.attempt_count >= self.settings.max_attempts_of(lane)
+            or now >= arrived.give_up_at
+            or not self.ready_servers
+        ):
+            del self.requests[number]
+            out.append(Fail(number) if job.may_have_run else Reject(number))
             return
-        among = [worker for worker in self.ready if worker.number not in job.hosts] or self.ready
+        among = [worker for worker in self.ready_servers if worker.number not in job.servers] or self.ready_servers
         worker = self.choose(job, among)
         if worker is None:
-            del self.jobs[number]
-            out.append(Fail(number) if job.spoiled else Reject(number))
+            del self.requests[number]
+            out.append(Fail(number) if job.may_have_run else Reject(number))
             return
-        worker.out += arrived.slots
-        job.out.add(job.tries)
-        job.hosts.append(worker.number)
-        job.tries += 1
+        worker.own_slots += arrived.slots
+        job.attempts_in_flight.add(job.attempt_count)
+        job.servers.append(worker.number)
+        job.attempt_count += 1
         out.append(StartAttempt(number, worker.number))
 
     def _ended(self, event: AttemptEnded, now: float, out: list[Action]) -> None:
-        job = self.jobs.get(event.request)
-        worker = self.workers.get(event.server)
+        job = self.requests.get(event.request)
+        worker = self.servers.get(event.server)
         if worker is not None:
-            worker.out = max(0.0, worker.out - (job.arrived.slots if job is not None else 1.0))
+            worker.own_slots = max(0.0, worker.own_slots - (job.arrived.slots if job is not None else 1.0))
         if job is None:
             return
-        job.out.discard(event.attempt)
+        job.attempts_in_flight.discard(event.attempt)
         if event.final:
-            del self.jobs[event.request]
+            del self.requests[event.request]
             return
-        lane = job.arrived.policy or self.s.classes[job.arrived.request_class]
+        lane = job.arrived.policy or self.settings.classes[job.arrived.request_class]
         ran = event.outcome not in NEVER_RAN
-        job.spoiled = job.spoiled or ran
+        job.may_have_run = job.may_have_run or ran
         if ran and lane.effect is not Effect.IDEMPOTENT:
-            del self.jobs[event.request]
+            del self.requests[event.request]
             out.append(Fail(event.request))
         else:
             self._send(event.request, now, out)
@@ -166,7 +185,7 @@
 
     name = "random"
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
         """Any of them, each as likely."""
         return self.rng.choice(among)
 
@@ -177,7 +196,7 @@
     name = "round-robin"
     _next = 0
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
         """The next."""
         self._next += 1
         return among[self._next % len(among)]
@@ -188,10 +207,10 @@
 
     name = "least-in-flight"
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
         """Of those with as little, any."""
-        least = min(worker.out for worker in among)
-        return self.rng.choice([worker for worker in among if worker.out == least])
+        least = min(worker.own_slots for worker in among)
+        return self.rng.choice([worker for worker in among if worker.own_slots == least])
 
 
 class TwoChoices(Policy):
@@ -199,10 +218,10 @@
 
     name = "two-choices"
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
         """Of two at random, the better."""
         one, other = self.rng.choice(among), self.rng.choice(among)
-        return one if one.out <= other.out else other
+        return one if one.own_slots <= other.own_slots else other
 
 
 class ShortestQueue(Policy):
@@ -210,9 +229,9 @@
 
     name = "shortest-queue"
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
         """Of those with as little, any."""
-        inside = [(self.look(worker.number).inside, worker) for worker in among]
+        inside = [(self.server_truth(worker.number).occupied_slots, worker) for worker in among]
         least = min(each for each, _ in inside)
         return self.rng.choice([worker for each, worker in inside if each == least])
 
@@ -225,23 +244,23 @@
 
     name = "oracle"
 
-    def choose(self, job: Job, among: list[Worker]) -> Worker | None:
+    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         """The one where it would be done first, by how much stands before it."""
 
-        def waits(worker: Worker) -> float:
-            seen = self.look(worker.number)
-            after = seen.inside + seen.coming + job.arrived.slots
-            if not seen.well or (after > seen.stands and seen.inside + seen.coming > 0):
+        def waits(worker: KnownServer) -> float:
+            seen = self.server_truth(worker.number)
+            after = seen.occupied_slots + seen.inbound_slots + job.arrived.slots
+            if not seen.responsive or (after > seen.overload_slots and seen.occupied_slots + seen.inbound_slots > 0):
                 return float("inf")
             over = max(0.0, after - seen.capacity) / seen.capacity
-            return (1 + over) * MEAN_WORK / seen.speed + seen.far
+            return (1 + over) * MEAN_WORK_MS / seen.speed + seen.round_trip_ms
 
         best = min(among, key=waits)
         return best if waits(best) < float("inf") else None
 
 
-MEAN_WORK = 200.0  # ms: only the proportion of waiting to distance depends on it
+MEAN_WORK_MS = 200.0  # ms: only the proportion of waiting to distance depends on it
 POLICIES: dict[str, type[Policy]] = {
     policy.name: policy for policy in (RandomChoice, RoundRobin, LeastInFlight, TwoChoices, ShortestQueue, Oracle)
 }
-OURS = "heronlug"
+BUILT_IN_POLICY = "heronlug"
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -15,7 +15,7 @@
 from heronlug.config.strict_toml.source import Keys
 from heronlug.config.strict_toml.value_types import Share, Text
 from heronlug.emulator.draws import distribution
-from heronlug.emulator.policies import OURS, POLICIES
+from heronlug.emulator.policies import BUILT_IN_POLICY, POLICIES
 
 Seconds = Annotated[float, Meta(gt=0, le=1e6, description="seconds, more than 0")]
 When = Annotated[float, Meta(ge=0, le=1e6, description="seconds, 0 or more")]
@@ -51,7 +51,7 @@
     dial_timeout_ms: Annotated[float, Meta(gt=0, le=1e6, description="milliseconds, more than 0")] = 250.0
 
 
-class RegisterTable(Struct, forbid_unknown_fields=True):
+class DiscoveryTable(Struct, forbid_unknown_fields=True):
     """How long the register's news takes to a dispatcher, as a median."""
 
     lag_ms: Millis = 50.0
@@ -71,7 +71,7 @@
     overload_for_ms: Annotated[float, Meta(gt=0, le=1e9, description="milliseconds, more than 0")] = 3000.0
 
 
-class KindTable(Struct, forbid_unknown_fields=True):
+class ServerKindTable(Struct, forbid_unknown_fields=True):
     """A kind of host."""
 
     name: Text
@@ -124,7 +124,7 @@
     to_s: Seconds | None = None
 
 
-class TroubleTable(Struct, forbid_unknown_fields=True):
+class FaultTable(Struct, forbid_unknown_fields=True):
     """Something that befalls the fleet."""
 
     what: Annotated[
@@ -156,7 +156,7 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
-    """One scenario.  The lists hold :class:`KindTable` and so on once it has been read."""
+    """One scenario.  The lists hold :class:`ServerKindTable` and so on once it has been read."""
 
     name: Text
     span_s: Seconds
@@ -166,7 +166,7 @@
     arrivals: list[Any]
     warm_up_s: When = 0.0  # what arrives before is not counted
     seed: Annotated[int, Meta(ge=0, le=2**31, description="a whole number, 0 or more")] = 1
-    policy: Text = OURS
+    policy: Text = BUILT_IN_POLICY
     zones: Names = field(default_factory=lambda: ["here"])
     dispatchers: Any = field(default_factory=dict)
     network: Any = field(default_factory=dict)
@@ -179,15 +179,15 @@
 TABLES: dict[str, type[Struct]] = {
     "dispatchers": Dispatchers,
     "network": Network,
-    "register": RegisterTable,
+    "register": DiscoveryTable,
     "safety": Safety,
 }
 LISTS: dict[str, type[Struct]] = {
     "class": ClassTable,
-    "kind": KindTable,
+    "kind": ServerKindTable,
     "pool": Pool,
     "arrivals": Arrivals,
-    "trouble": TroubleTable,
+    "trouble": FaultTable,
 }
 
 
@@ -247,8 +247,8 @@
     def fault(at: Keys, wrong: str, right: str) -> ConfigProblem:
         return source.fault(at, wrong, right)
 
-    if scenario.policy not in (OURS, *POLICIES):
-        yield fault(("policy",), f"{scenario.policy!r} is none", "one of " + ", ".join((OURS, *POLICIES)))
+    if scenario.policy not in (BUILT_IN_POLICY, *POLICIES):
+        yield fault(("policy",), f"{scenario.policy!r} is none", "one of " + ", ".join((BUILT_IN_POLICY, *POLICIES)))
     if scenario.warm_up_s >= scenario.span_s:
         yield fault(("warm_up_s",), "nothing is left of the span", f"less than {scenario.span_s:g}")
     kinds, lanes = ([each.name for each in listed] for listed in (scenario.kind, scenario.classes))
--- a/heronlug/emulator/servers.py
+++ b/heronlug/emulator/servers.py
@@ -1,215 +1,323 @@
-"""Hosts: slots, a bounded queue, cold starts, tipping over, pauses, hangs, crashes.
+"""An emulated server: slots, a bounded queue, slow start, overload, suspension and crashes.
 
-A host runs jobs in slots; a job takes ``work / speed`` milliseconds. A fresh process has a share ``cold_from`` of its
-slots and all of them after ``warm_after``, growing evenly. What is in it, running and waiting, may pass
-``tip_multiple`` times its present slots for ``overload_for``; longer, and it falls over: everything in it is lost and a
-new process starts cold. That is the platform's rule 4, as a model.
+A server executes attempts in slots; an execution takes ``work_ms / speed`` milliseconds. A fresh process has a fraction
+of its slots, which grows evenly to all of them while it warms up. What is in the server, running and queued, may exceed
+a multiple of its present slots for a limited time; if it lasts longer the process crashes, everything in it is lost and
+a new process starts cold. That is rule 4 of the platform, as a model.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum
 from typing import Any, NamedTuple
 
-from heronlug.emulator.timeline import Entry, Timeline
+from heronlug.emulator.timeline import ScheduledEvent, Timeline
 
-PRESENT = 0.25  # slots are counted so finely while a host warms up
+WARMUP_STEP_SLOTS = 0.25
+"""How far the capacity of a server grows, in slots, between two looks at its queue while it warms up."""
+ROUNDING_SLOTS = 1e-9
+"""Slots that a sum of slots may be off by."""
+EARLIEST_START_MS = 1e-3
+"""A process that starts at time 0 counts as started here, since a start at 0 means long past."""
 
 
-class Kind(NamedTuple):
-    """A kind of host."""
+class ExecutionState(Enum):
+    """What a server reports of an execution."""
+
+    STARTED = "started"
+    DONE = "done"
+    LOST = "lost"
+
+
+class ServerKind(NamedTuple):
+    """A kind of server.
+
+    Attributes:
+        name: of the kind.
+        slots: of a server that has warmed up.
+        speed: divides the work of an execution.
+        queue_length: executions that may be queued; one more is rejected.
+        queue_order: ``fifo``: the first is started once it fits; ``backfill``: the first that fits; ``priority``: the
+            one with the highest priority weight.
+    """
 
     name: str
     slots: int
     speed: float = 1.0
-    queue: int = 64  # jobs that may wait; one more is turned away
-    order: str = "fifo"  # "fifo": the first waits until it fits; "backfill": the first that fits; "priority": by worth
+    queue_length: int = 64
+    queue_order: str = "fifo"
 
 
-class Warmth(NamedTuple):
-    """How a fresh process comes to its full capacity; the scenario's ``[safety]``."""
+class WarmupModel(NamedTuple):
+    """How a fresh process comes to its full capacity, and what overload it bears; ``[safety]`` of a scenario.
 
-    cold_from: float = 0.15
-    warm_after: float = 20_000.0
-    tip_multiple: float = 3.0
-    overload_for: float = 3000.0
+    Attributes:
+        initial_fraction: of its slots at the start of a process.
+        warmup_ms: until it has all of them.
+        overload_multiple: of its present slots that may be in it, running and queued.
+        overload_window_ms: for which more may be in it before it crashes.
+    """
 
+    initial_fraction: float = 0.15
+    warmup_ms: float = 20_000.0
+    overload_multiple: float = 3.0
+    overload_window_ms: float = 3000.0
 
-@dataclass(slots=True, eq=False)
-class Run:
-    """One attempt at a host."""
 
-    job: Any  # the dispatcher's own
-    work: float
-    need: float
-    worth: float
-    told: Callable[["Run", str], None]  # "started", "done", "lost"
-    came_at: float = 0.0
-    began_at: float = -1.0
-    ends: Entry | None = None
-    left: float = 0.0  # of its time, while the host stands still
+@dataclass(slots=True, eq=False)
+class Execution:
+    """One attempt at a server.
+
+    Attributes:
+        owner: whatever the sender keeps with it.
+        work_ms: of it at speed 1.
+        slots: that it takes.
+        priority_weight: for servers that start the weightiest first.
+        notify: called with each state that the server reports.
+        arrived_at: when it came to the server.
+        started_at: when it began to run, -1 before that.
+        completion: the event that ends it, while it runs and the server is not suspended.
+        remaining_ms: of its time, while the server is suspended.
+    """
+
+    owner: Any
+    work_ms: float
+    slots: float
+    priority_weight: float
+    notify: Callable[["Execution", ExecutionState], None]
+    arrived_at: float = 0.0
+    started_at: float = -1.0
+    completion: ScheduledEvent | None = None
+    remaining_ms: float = 0.0
+
+    def cancel_completion(self) -> None:
+        """It does not end by itself any more."""
+        if self.completion is not None:
+            self.completion.cancel()
+            self.completion = None
 
 
 @dataclass(slots=True, eq=False)
-class Host:
-    """One process, and those after it under the same name."""
+class EmulatedServer:
+    """One server: a process, and those after it under the same name.
+
+    Attributes:
+        name: of the server.
+        kind: its slots, speed and queue.
+        zone: the index of its zone.
+        timeline: the time that it runs in.
+        warmup: how it warms up and what it bears.
+        started_at: when its process started, in ms; 0: long past.
+        up: whether it has a process.
+        unresponsive: whether the process is paused or hangs, so that nothing in it goes on.
+        slowdown: the factor by which executions that start now take longer.
+        running: executions in slots.
+        queued: executions that wait for slots.
+        used_slots: slots of what runs.
+        occupied_slots: slots of what runs or is queued.
+        inbound_slots: slots of attempts on their way to it.
+        busy_slot_ms: slots that were used, summed over time.
+        warmup_peak_load: the highest load while it warmed up; 1 is where overload begins.
+        execution_count: executions that were started.
+        overload_crashes: how often overload made it crash.
+        on_overload: called when it has borne overload for too long.
+        on_execution_start: called with each execution that starts.
+    """
 
     name: str
-    kind: Kind
+    kind: ServerKind
     zone: int
-    line: Timeline
-    warmth: Warmth
-    started_at: float = 0.0  # 0: long past
+    timeline: Timeline
+    warmup: WarmupModel
+    started_at: float = 0.0
     up: bool = True
-    still: bool = False  # paused or hung: nothing in it goes on
-    slow: float = 1.0  # jobs that begin now take so many times as long
-    running: list[Run] = field(default_factory=list)
-    waiting: list[Run] = field(default_factory=list)
-    used: float = 0.0  # slots that run
-    inside: float = 0.0  # slots that run or wait
-    coming: float = 0.0  # slots that are on their way here
-    busy: float = 0.0  # slot milliseconds that have run
-    peak: float = 0.0  # the most of what it stands that was in it while it was cold, 1 is where it begins to tip
-    runs: int = 0
-    fell: int = 0
-    tipped: Callable[["Host"], None] | None = None
-    began: Callable[["Host", Run], None] | None = None  # told of each run that begins
-    _over: Entry | None = None
-    _warming: Entry | None = None
+    unresponsive: bool = False
+    slowdown: float = 1.0
+    running: list[Execution] = field(default_factory=list)
+    queued: list[Execution] = field(default_factory=list)
+    used_slots: float = 0.0
+    occupied_slots: float = 0.0
+    inbound_slots: float = 0.0
+    busy_slot_ms: float = 0.0
+    warmup_peak_load: float = 0.0
+    execution_count: int = 0
+    overload_crashes: int = 0
+    on_overload: Callable[["EmulatedServer"], None] | None = None
+    on_execution_start: Callable[["EmulatedServer", Execution], None] | None = None
+    _overload_timer: ScheduledEvent | None = None
+    _warmup_timer: ScheduledEvent | None = None
+
+    # -- capacity
 
     def capacity(self) -> float:
-        """Slots that it has now."""
-        age = self.line.now - self.started_at if self.started_at else float("inf")
-        if age >= self.warmth.warm_after:
+        """The slots that it has now."""
+        age = self.timeline.now - self.started_at if self.started_at else float("inf")
+        if age >= self.warmup.warmup_ms:
             return float(self.kind.slots)
-        share = self.warmth.cold_from + (1 - self.warmth.cold_from) * age / self.warmth.warm_after
-        return self.kind.slots * share
+        initial = self.warmup.initial_fraction
+        return self.kind.slots * (initial + (1 - initial) * age / self.warmup.warmup_ms)
 
     @property
-    def cold(self) -> bool:
+    def warming_up(self) -> bool:
         """Whether it has less than all its slots."""
-        return bool(self.started_at) and self.line.now - self.started_at < self.warmth.warm_after
+        return bool(self.started_at) and self.timeline.now - self.started_at < self.warmup.warmup_ms
+
+    @property
+    def overload_slots(self) -> float:
+        """The slots that may be in it now, running and queued, without overload."""
+        return self.warmup.overload_multiple * self.capacity()
+
+    def load(self) -> float:
+        """What is in it, as a fraction of :attr:`overload_slots`."""
+        return self.occupied_slots / self.overload_slots
+
+    def duration_ms(self, execution: Execution) -> float:
+        """How long an execution takes that starts now."""
+        return execution.work_ms * self.slowdown / self.kind.speed
+
+    # -- executions
 
-    def take(self, run: Run) -> bool:
-        """A run has come; False turns it away, for the queue is full."""
-        if len(self.waiting) >= self.kind.queue and self.used + run.need > self._room():
+    def accept(self, execution: Execution) -> bool:
+        """Queue an execution that has arrived; False if the queue is full, which rejects it."""
+        if len(self.queued) >= self.kind.queue_length and self.used_slots + execution.slots > self._usable_slots():
             return False
-        run.came_at = self.line.now
-        self.waiting.append(run)
-        self.inside += run.need
-        self._begin()
-        self._weigh()
+        execution.arrived_at = self.timeline.now
+        self.queued.append(execution)
+        self.occupied_slots += execution.slots
+        self._start_queued()
+        self._check_overload()
         return True
 
-    def drop(self, run: Run) -> bool:
-        """Nobody waits for it any more; returns whether it was here."""
-        if run in self.waiting:
-            self.waiting.remove(run)
-        elif run in self.running:
-            self._stop(run)
+    def cancel(self, execution: Execution) -> bool:
+        """Drop an execution that its sender cancelled; False if it was not here."""
+        if execution in self.queued:
+            self.queued.remove(execution)
+        elif execution in self.running:
+            self._release(execution)
         else:
             return False
-        self.inside -= run.need
-        self._begin()
-        self._weigh()
+        self.occupied_slots -= execution.slots
+        self._start_queued()
+        self._check_overload()
         return True
 
-    def stand(self) -> None:
-        """Nothing goes on."""
-        if not self.still:
-            self.still = True
-            for run in self.running:
-                run.left = run.ends[0] - self.line.now if run.ends is not None else 0.0
-                self.line.cancel(run.ends)
-                run.ends = None
-
-    def go_on(self) -> None:
-        """All goes on where it stood."""
-        if self.still:
-            self.still = False
-            for run in self.running:
-                run.ends = self.line.after(run.left, self._done, run)
-            self._begin()
-
-    def end(self) -> list[Run]:
-        """The process ends; returns what was in it."""
-        lost = [*self.running, *self.waiting]
-        for run in [*self.running]:
-            self._stop(run)
-        self.waiting.clear()
-        self.inside = 0.0
-        self.up = self.still = False
-        self.line.cancel(self._over)
-        self.line.cancel(self._warming)
-        self._over = self._warming = None
-        return lost
+    # -- the process
 
     def start(self) -> None:
-        """A new process, cold."""
-        self.up, self.started_at = True, max(self.line.now, 1e-3)
-        self._warm()
+        """Start a new process, which is cold."""
+        self.up = True
+        self.started_at = max(self.timeline.now, EARLIEST_START_MS)
+        self._advance_warmup()
+
+    def stop(self) -> list[Execution]:
+        """End the process; returns the executions that were in it."""
+        lost = [*self.running, *self.queued]
+        for execution in [*self.running]:
+            self._release(execution)
+        self.queued.clear()
+        self.occupied_slots = 0.0
+        self.up = False
+        self.unresponsive = False
+        self._cancel_overload_timer()
+        if self._warmup_timer is not None:
+            self._warmup_timer.cancel()
+            self._warmup_timer = None
+        return lost
+
+    def suspend(self) -> None:
+        """Let nothing in the process go on, as in a pause or a hang."""
+        if self.unresponsive:
+            return
+        self.unresponsive = True
+        for execution in self.running:
+            completion = execution.completion
+            execution.remaining_ms = completion.time - self.timeline.now if completion is not None else 0.0
+            execution.cancel_completion()
+
+    def resume(self) -> None:
+        """Let all go on from where it was suspended."""
+        if not self.unresponsive:
+            return
+        self.unresponsive = False
+        for execution in self.running:
+            execution.completion = self.timeline.schedule_after(execution.remaining_ms, self._finish, execution)
+        self._start_queued()
 
     # -- inside
 
-    def _room(self) -> float:
-        """Slots that may run now: at least one job does, however cold it is."""
+    def _usable_slots(self) -> float:
+        """Slots that may be used now: at least one execution runs, however cold the process is."""
         return max(1.0, self.capacity())
 
-    def _begin(self) -> None:
-        """Begin what fits, in the order that the kind has."""
-        while self.waiting and self.up and not self.still:
-            free = self._room() - self.used + 1e-9
-            first = 0
-            if self.kind.order == "priority":
-                first = max(range(len(self.waiting)), key=lambda n: (self.waiting[n].worth, -n))
-            elif self.kind.order == "backfill":
-                first = next((n for n, run in enumerate(self.waiting) if run.need <= free), 0)
-            run = self.waiting[first]
-            if run.need > free and self.running:  # one that never fits runs alone
+    def _start_queued(self) -> None:
+        """Start the queued executions that fit, in the order of this kind of server."""
+        while self.queued and self.up and not self.unresponsive:
+            free = self._usable_slots() - self.used_slots + ROUNDING_SLOTS
+            position = self._next_in_queue(free)
+            execution = self.queued[position]
+            if execution.slots > free and self.running:  # one that never fits runs alone
                 return
-            del self.waiting[first]
-            self.used += run.need
-            self.running.append(run)
-            self.runs += 1
-            run.began_at = self.line.now
-            run.ends = self.line.after(run.work * self.slow / self.kind.speed, self._done, run)
-            if self.began is not None:
-                self.began(self, run)
-            run.told(run, "started")
-
-    def _stop(self, run: Run) -> None:
-        self.running.remove(run)
-        self.line.cancel(run.ends)
-        run.ends = None
-        self.used = self.used - run.need if self.running else 0.0
-        self.busy += (self.line.now - run.began_at) * run.need
-
-    def _done(self, run: Run) -> None:
-        self._stop(run)
-        self.inside = self.inside - run.need if self.running or self.waiting else 0.0
-        self._begin()
-        self._weigh()
-        run.told(run, "done")
-
-    def _weigh(self) -> None:
-        """Whether it holds more than it stands, and since when."""
-        stands = self.warmth.tip_multiple * self.capacity()
-        if self.cold:
-            self.peak = max(self.peak, self.inside / stands)
-        if self.inside <= stands:
-            self.line.cancel(self._over)
-            self._over = None
-        elif self._over is None and self.up:
-            self._over = self.line.after(self.warmth.overload_for, self._fall)
-
-    def _warm(self) -> None:
-        """While it warms up more fits in, also when nothing comes or ends."""
-        if self.up and self.cold:
-            self._begin()
-            self._weigh()
-            self._warming = self.line.after(self.warmth.warm_after * PRESENT / self.kind.slots, self._warm)
-
-    def _fall(self) -> None:
-        self._over = None
-        self.fell += 1
-        if self.tipped is not None:
-            self.tipped(self)
+            del self.queued[position]
+            self._start(execution)
+
+    def _next_in_queue(self, free: float) -> int:
+        """The position in the queue of the execution whose turn it is."""
+        queue = self.queued
+        if self.kind.queue_order == "priority":
+            return max(range(len(queue)), key=lambda position: (queue[position].priority_weight, -position))
+        if self.kind.queue_order == "backfill":
+            return next((position for position, execution in enumerate(queue) if execution.slots <= free), 0)
+        return 0
+
+    def _start(self, execution: Execution) -> None:
+        self.used_slots += execution.slots
+        self.running.append(execution)
+        self.execution_count += 1
+        execution.started_at = self.timeline.now
+        execution.completion = self.timeline.schedule_after(self.duration_ms(execution), self._finish, execution)
+        if self.on_execution_start is not None:
+            self.on_execution_start(self, execution)
+        execution.notify(execution, ExecutionState.STARTED)
+
+    def _release(self, execution: Execution) -> None:
+        self.running.remove(execution)
+        execution.cancel_completion()
+        self.used_slots = self.used_slots - execution.slots if self.running else 0.0
+        self.busy_slot_ms += (self.timeline.now - execution.started_at) * execution.slots
+
+    def _finish(self, execution: Execution) -> None:
+        self._release(execution)
+        self.occupied_slots = self.occupied_slots - execution.slots if self.running or self.queued else 0.0
+        self._start_queued()
+        self._check_overload()
+        execution.notify(execution, ExecutionState.DONE)
+
+    def _check_overload(self) -> None:
+        """Start or stop the timer that ends in a crash, as more is in the server than it bears or not."""
+        bearable = self.overload_slots
+        if self.warming_up:
+            self.warmup_peak_load = max(self.warmup_peak_load, self.occupied_slots / bearable)
+        if self.occupied_slots <= bearable:
+            self._cancel_overload_timer()
+        elif self._overload_timer is None and self.up:
+            window = self.warmup.overload_window_ms
+            self._overload_timer = self.timeline.schedule_after(window, self._crash_from_overload)
+
+    def _cancel_overload_timer(self) -> None:
+        if self._overload_timer is not None:
+            self._overload_timer.cancel()
+            self._overload_timer = None
+
+    def _advance_warmup(self) -> None:
+        """Look at the queue again, since more fits in while the process warms up, also when nothing comes or ends."""
+        if self.up and self.warming_up:
+            self._start_queued()
+            self._check_overload()
+            step = self.warmup.warmup_ms * WARMUP_STEP_SLOTS / self.kind.slots
+            self._warmup_timer = self.timeline.schedule_after(step, self._advance_warmup)
+
+    def _crash_from_overload(self) -> None:
+        self._overload_timer = None
+        self.overload_crashes += 1
+        if self.on_overload is not None:
+            self.on_overload(self)
--- a/heronlug/emulator/world.py
+++ b/heronlug/emulator/world.py
@@ -1,138 +1,121 @@
-"""One run of a scenario."""
+"""One run of a scenario: the emulated servers, dispatchers, clients, network and discovery, and their figures."""
 
 import time
 from collections.abc import Callable
 from typing import Any
 
-import numpy as np
-from scipy.stats import lognorm
-
 from heronlug.balancer.events import ServerState
 from heronlug.balancer.settings import Effect, RequestClass, Settings
 from heronlug.conformance import Began, Checker, Event, Load
-from heronlug.emulator.clients import Clients, Job
-from heronlug.emulator.discovery import Register
-from heronlug.emulator.dispatchers import Dispatcher
-from heronlug.emulator.draws import Draws, stream
-from heronlug.emulator.faults import Troubles
-from heronlug.emulator.figures import Figures, HostFigures, Lane
+from heronlug.emulator.clients import Clients
+from heronlug.emulator.discovery import ServiceDiscovery
+from heronlug.emulator.dispatchers import EmulatedDispatcher
+from heronlug.emulator.draws import stream
+from heronlug.emulator.faults import FaultInjector
+from heronlug.emulator.figures import Figures, LittlesLaw, ServerFigures
+from heronlug.emulator.network import EmulatedNetwork, lognormal_draws
 from heronlug.emulator.scenario import Scenario
-from heronlug.emulator.servers import Host, Kind, Run, Warmth
+from heronlug.emulator.servers import EmulatedServer, Execution, ExecutionState, ServerKind, WarmupModel
 from heronlug.emulator.timeline import Timeline
 from heronlug.requests.model import ListedServer
 
-ANSWER_SLACK = 5.0  # ms that an answer needs to its client
-MODULE_MS = 1e-6  # answers are due at a moment, and events of the same moment come in some order
+ANSWER_SLACK_MS = 5.0
+"""How long an answer needs to its client."""
+CHECKER_SLACK_MS = 1e-6
+"""What the checker allows beyond a deadline, since events of the same time come in some order."""
+TICK_MS = 1.0
+"""The tick of the emulated dispatchers."""
+PROGRESS_INTERVAL_MS = 1000.0
+"""How often dispatchers are told that servers report progress."""
+
+EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
+"""The effects by their names in scenario files."""
+
+DecisionModule = Callable[[Settings, int], Any]
+"""Makes a decision module from the settings and a seed."""
 
 
 class World:
-    """All parts, and what they tell.  ``module`` makes another decision module in place of ours, for tests."""
+    """A run with all its parts.
+
+    Attributes:
+        scenario: that is run.
+        seed: of all random streams.
+        decision_module: takes the place of the balancer, for tests; None: the balancer itself.
+        checks_before_write: whether the core checks an attempt again before it writes it, as it does outside of tests.
+        timeline: the virtual time.
+        checker: checks the rules.
+        classes: the request classes of the scenario.
+        network: between dispatchers and servers.
+        servers: by name, without those that were replaced.
+        discovery: of the servers.
+        figures: of the run.
+        clients: that make the requests.
+        dispatchers: all of them.
+        running_dispatchers: those that have a process, by number.
+        faults: that are injected.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
         seed: int | None = None,
         record: Callable[[Event], None] | None = None,
-        module: Callable[[Settings, int], Any] | None = None,
-        guarded: bool = True,
+        decision_module: DecisionModule | None = None,
+        *,
+        checks_before_write: bool = True,
     ) -> None:
-        self.scenario, self.seed, self.module = scenario, scenario.seed if seed is None else seed, module
-        self.guarded = guarded  # whether the core looks again at the write, as it does; off only to see that it does
-        self.line = Timeline()
-        self.checker = Checker(scenario.safety.drain_grace_ms, MODULE_MS)
+        self.scenario = scenario
+        self.seed = scenario.seed if seed is None else seed
+        self.decision_module = decision_module
+        self.checks_before_write = checks_before_write
+        self.timeline = Timeline()
+        self.checker = Checker(scenario.safety.drain_grace_ms, CHECKER_SLACK_MS)
         self._record = record
-        effects = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
-        self.lanes = tuple(
-            RequestClass(
-                latency_objective=lane.aim_ms,
-                deadline=lane.deadline_ms,
-                effect=effects[lane.effect],
-                priority_weight=lane.worth,
-                late_value=lane.late_worth,
-                name=lane.name,
-            )
-            for lane in scenario.classes
-        )
-        self.cut_off: set[int] = set()  # zones that nothing passes into or out of
-        self.held: list[tuple[Any, ...]] = []  # what waits for a cut to heal
-        self._kinds = {
-            kind.name: Kind(kind.name, kind.slots, kind.speed, kind.queue, kind.order) for kind in scenario.kind
-        }
-        self._warmth = Warmth(
+        self.classes = _request_classes(scenario)
+        self.network = EmulatedNetwork(self.timeline, scenario.network, self.seed)
+        self.servers: dict[str, EmulatedServer] = {}
+        self._replaced_servers: list[EmulatedServer] = []
+        self._kind_numbers = {kind.name: number for number, kind in enumerate(scenario.kind)}
+        self._warmup = WarmupModel(
             scenario.safety.cold_from,
             scenario.safety.warm_after_ms,
             scenario.safety.tip_multiple,
             scenario.safety.overload_for_ms,
         )
-        self.hosts: dict[str, Host] = {}
-        self._gone: list[Host] = []
-        self._ways: dict[str, Draws] = {}
-        self._by_way: Draws = self._spread(scenario.network.sigma, "datagrams")
-        self._losses = stream(self.seed, "losses")
-        lag = self._spread(scenario.register.sigma, "register", scale=scenario.register.lag_ms)
-        table = scenario.register
-        self.register = Register(self.line, lag, table.call_ms, table.wait_most_ms, self.tell)
-        self.figures = Figures(
-            scenario.name,
-            scenario.policy,
-            self.seed,
-            (scenario.span_s - scenario.warm_up_s) * 1000,
-            [Lane(lane.name, lane.worth) for lane in scenario.classes],
-            np.zeros((2, int(scenario.span_s) + 1)),
-        )
+        self.discovery = self._make_discovery()
+        self.figures = Figures.of_scenario(scenario, self.seed)
         self.clients = Clients(self)
-        for pool_number, pool in enumerate(scenario.pool):
-            zone = scenario.zones.index(pool.zone) if pool.zone else 0
-            for number in range(pool.count):
-                self._add(f"{pool.kind}-{pool_number}-{number}", self._kinds[pool.kind], zone)
-        self.dispatchers = [Dispatcher(self, number) for number in range(scenario.dispatchers.count)]
-        self.up: list[Dispatcher] = []
-        self.troubles = Troubles(self)
+        self._add_pools()
+        self.dispatchers = [EmulatedDispatcher(self, number) for number in range(scenario.dispatchers.count)]
+        self.running_dispatchers: list[EmulatedDispatcher] = []
+        self.faults = FaultInjector(self, scenario.trouble, scenario.zones, self.seed)
 
     def run(self) -> Figures:
-        """Play it to its end, and until all that came has been answered."""
+        """Run the scenario to its end, and on until all requests have been answered."""
         began = time.perf_counter()
-        starts = stream(self.seed, "starts")
-        for dispatcher in self.dispatchers:
-            if self.scenario.dispatchers.over_s:
-                when = float(starts.uniform(0.0, self.scenario.dispatchers.over_s * 1000))
-                self.line.at(when, self._start, dispatcher)
-            else:
-                self._start(dispatcher)
-        self.clients.begin()
+        self._schedule_dispatchers()
+        self.clients.start()
         span = self.scenario.span_s * 1000
-        self.line.run(span)
-        rest = max(lane.deadline_ms for lane in self.scenario.classes)
-        self.line.run(span + rest + 1)
-        self.clients.level(0)
-        figures = self.figures
-        # over the whole run, to its empty end, both are the same sum counted in two ways
-        figures.little = self.clients.area / span, self.clients.stay / span
-        for host in [*self.hosts.values(), *self._gone]:
-            load = host.busy / (host.kind.slots * span)
-            figures.hosts.append(HostFigures(host.name, host.kind.name, load, host.runs, host.fell, host.peak))
-        self.checker.finish(self.line.now)
-        figures.violations = dict(self.checker.counts)
-        figures.calls, figures.turned = self.register.calls, self.register.turned
-        figures.watched = max(self.register.watched_at.values(), default=float("nan"))
-        figures.unread = len(self.dispatchers) - len(self.register.watched_at) if figures.calls else 0
-        figures.events = self.line.done
-        figures.wall = time.perf_counter() - began
-        return figures
-
-    # -- what the parts ask
-
-    def tell(self, event: Event) -> None:
-        """An event for the checker, and for whoever records."""
+        self.timeline.run(span)
+        longest_deadline = max(request_class.deadline_ms for request_class in self.scenario.classes)
+        self.timeline.run(span + longest_deadline + 1)
+        self.checker.finish(self.timeline.now)
+        self._complete_figures(span)
+        self.figures.wall_time_s = time.perf_counter() - began
+        return self.figures
+
+    def record_event(self, event: Event) -> None:
+        """Give an event to the checker, and to whoever records."""
         self.checker.see(event)
         if self._record is not None:
             self._record(event)
 
     def settings(self, position: int, zone: int) -> Settings:
-        """What a dispatcher is told at its start."""
+        """The settings of a dispatcher."""
         table, safety = self.scenario.dispatchers, self.scenario.safety
         return Settings(
-            classes=self.lanes,
+            classes=self.classes,
             instances=table.count,
             position=position,
             zone=zone,
@@ -143,9 +126,9 @@
             lends_capacity=table.lends,
             zone_failover=table.halls,
             dial_timeout=self.scenario.network.dial_timeout_ms,
-            tick=1.0,
-            answer_slack=ANSWER_SLACK,
-            progress_interval=1000.0,
+            tick=TICK_MS,
+            answer_slack=ANSWER_SLACK_MS,
+            progress_interval=PROGRESS_INTERVAL_MS,
             reports_start=True,
             drain_grace=safety.drain_grace_ms,
             warmup_capacity=safety.cold_from,
@@ -154,117 +137,136 @@
             overload_window=safety.overload_for_ms,
         )
 
-    def median(self, one: int, other: int) -> float:
-        """The median of one way between two zones, in milliseconds."""
-        network = self.scenario.network
-        return float(network.inside_ms if one == other else network.across_ms)
-
-    def delay(self, zone: int, host: Host) -> float:
-        """One way to a host, or back."""
-        return self.median(zone, host.zone) * self._ways[host.name].next()
-
-    def cut(self, one: int, other: int) -> bool:
-        """Whether nothing passes between two zones."""
-        return one != other and bool(self.cut_off) and (one in self.cut_off or other in self.cut_off)
-
-    def datagram(self, sender: Dispatcher, target: Dispatcher, content: bytes) -> None:
-        """One between dispatchers: perhaps lost, in no order."""
-        self.figures.told += 1
-        loss = self.scenario.network.loss
-        if self.cut(sender.zone, target.zone) or (loss and self._losses.random() < loss):
-            return
-        way = self.median(sender.zone, target.zone) * self._by_way.next()
-        self.line.after(way, target.heard, sender.number, content)
-
-    def sent(self, job: Job, zone: int, other: int) -> None:
-        """An attempt has gone out."""
-        job.attempts += 1
-        self.figures.crossing += zone != other
-
-    def ended(self, job: Job, how: str) -> None:
-        """A job is over."""
-        if job.arrived_at < self.scenario.warm_up_s * 1000:
-            return
-        lane, table = self.figures.lanes[job.lane], self.scenario.classes[job.lane]
-        lane.finals[how] += 1
-        lane.attempts += job.attempts
-        lane.tries += job.tries
-        earned = table.worth if how == "on_time" else table.worth * table.late_worth if how == "late" else 0.0
-        lane.earned += earned
-        if how in ("on_time", "late"):
-            lane.latencies.append(self.line.now - job.arrived_at)
-        second = int(job.arrived_at / 1000)
-        self.figures.by_second[0, second] += earned
-        self.figures.by_second[1, second] += table.worth
-
-    # -- what troubles ask
-
-    def lose(self, host: Host) -> None:
-        """Its process ends, with all that is in it."""
-        for run in host.end():
-            run.told(run, "lost")
-
-    def list_host(self, host: Host, state: ServerState) -> None:
-        """The register has it so."""
-        self.register.put(self._entry(host, state))
-
-    def replace(self, host: Host) -> None:
-        """A cold successor under a name of its own."""
-        base, _, number = host.name.partition("+")
-        successor = self._add(f"{base}+{int(number or 0) + 1}", host.kind, host.zone)
-        self._gone.append(self.hosts.pop(host.name))
-        successor.slow = host.slow
+    # -- what faults need, see heronlug.emulator.faults
+
+    def stop_server(self, server: EmulatedServer) -> None:
+        """End a server's process, with all that is in it."""
+        for execution in server.stop():
+            execution.notify(execution, ExecutionState.LOST)
+
+    def list_server(self, server: EmulatedServer, state: ServerState) -> None:
+        """Let service discovery list a server in a state."""
+        self.discovery.update(self._entry(server, state))
+
+    def replace_server(self, server: EmulatedServer) -> None:
+        """Start a cold successor of a server under a name of its own."""
+        base, _, generation = server.name.partition("+")
+        successor = self._add_server(f"{base}+{int(generation or 0) + 1}", server.kind, server.zone)
+        self._replaced_servers.append(self.servers.pop(server.name))
+        successor.slowdown = server.slowdown
         successor.start()
-        self.list_host(successor, ServerState.READY)
+        self.list_server(successor, ServerState.READY)
+
+    def silence_discovery(self) -> None:
+        """Let service discovery send nothing."""
+        self.discovery.silent = True
 
-    def kill(self, dispatcher: Dispatcher) -> None:
-        """It is gone, and started again."""
-        self.up.remove(dispatcher)
+    def end_discovery_silence(self) -> None:
+        """Let service discovery send again, with all that it held back."""
+        self.discovery.end_silence()
+
+    def kill_dispatcher(self, dispatcher: EmulatedDispatcher) -> None:
+        """End a dispatcher's process at once, and start another one later."""
+        self.running_dispatchers.remove(dispatcher)
         dispatcher.kill()
-        self.line.after(self.scenario.dispatchers.start_s * 1000, self._start, dispatcher)
+        self.timeline.schedule_after(self.scenario.dispatchers.start_s * 1000, self._start_dispatcher, dispatcher)
+
+    def partition_zone(self, zone: int) -> None:
+        """Let nothing pass into a zone or out of it."""
+        self.network.partition(zone)
 
-    def heal(self, zone: int) -> None:
-        """The zone is reached again."""
-        self.cut_off.discard(zone)
-        held, self.held = self.held, []
-        for what, *args in held:
-            what(*args)
+    def heal_zone(self, zone: int) -> None:
+        """Let pass what goes into the zone or out of it, and what has waited for that."""
+        self.network.heal(zone)
 
-    # -- inside
+    # -- parts
+
+    def _make_discovery(self) -> ServiceDiscovery:
+        table = self.scenario.register
+        lag = lognormal_draws(table.sigma, self.seed, "register", median=table.lag_ms)
+        return ServiceDiscovery(self.timeline, lag, table.call_ms, table.wait_most_ms, self.record_event)
+
+    def _add_pools(self) -> None:
+        kinds = {
+            kind.name: ServerKind(kind.name, kind.slots, kind.speed, kind.queue, kind.order)
+            for kind in self.scenario.kind
+        }
+        for pool_number, pool in enumerate(self.scenario.pool):
+            zone = self.scenario.zones.index(pool.zone) if pool.zone else 0
+            for number in range(pool.count):
+                self._add_server(f"{pool.kind}-{pool_number}-{number}", kinds[pool.kind], zone)
+
+    def _add_server(self, name: str, kind: ServerKind, zone: int) -> EmulatedServer:
+        server = self.servers[name] = EmulatedServer(name, kind, zone, self.timeline, self._warmup)
+        self.network.add_server(name)
+        server.on_overload = self._crash_from_overload
+        server.on_execution_start = self._record_execution_start
+        if self.timeline.now == 0:
+            self.discovery.entries[name] = self._entry(server, ServerState.READY)
+        return server
+
+    def _entry(self, server: EmulatedServer, state: ServerState) -> ListedServer:
+        """The entry of a server in the endpoint list."""
+        kind_number = self._kind_numbers[server.kind.name]
+        return ListedServer(server.name, f"{server.name}:1", state, server.zone, kind_number, 0, 1.0, server.started_at)
+
+    def _schedule_dispatchers(self) -> None:
+        """Start all dispatchers, now or spread over the time that the scenario gives."""
+        spread_ms = self.scenario.dispatchers.over_s * 1000
+        starts = stream(self.seed, "starts")
+        for dispatcher in self.dispatchers:
+            if spread_ms:
+                self.timeline.schedule_at(float(starts.uniform(0.0, spread_ms)), self._start_dispatcher, dispatcher)
+            else:
+                self._start_dispatcher(dispatcher)
 
-    def _start(self, dispatcher: Dispatcher) -> None:
-        self.up.append(dispatcher)
-        self.up.sort(key=lambda each: each.number)
+    def _start_dispatcher(self, dispatcher: EmulatedDispatcher) -> None:
+        self.running_dispatchers.append(dispatcher)
+        self.running_dispatchers.sort(key=lambda each: each.number)
         dispatcher.start()
 
-    def _spread(self, sigma: float, *names: str, scale: float = 1.0) -> Draws:
-        """Times or factors round a median: lognormal."""
-        return Draws(lognorm(sigma, scale=scale) if sigma and scale else scale, stream(self.seed, "ways", *names))
-
-    def _add(self, name: str, kind: Kind, zone: int) -> Host:
-        host = self.hosts[name] = Host(name, kind, zone, self.line, self._warmth)
-        self._ways[name] = self._spread(self.scenario.network.sigma, name)
-        host.tipped, host.began = self._tipped, self._began
-        if self.line.now == 0:
-            self.register.entries[name] = self._entry(host, ServerState.READY)
-        return host
-
-    def _entry(self, host: Host, state: ServerState) -> ListedServer:
-        kinds = list(self._kinds)
-        return ListedServer(
-            host.name, f"{host.name}:1", state, host.zone, kinds.index(host.kind.name), 0, 1.0, host.started_at
-        )
+    # -- what servers report
 
-    def _tipped(self, host: Host) -> None:
-        stands = self._warmth.tip_multiple * host.capacity()
-        self.tell(Load(self.line.now, host.name, host.inside / stands, host.cold))
-        self.troubles.fall(host)
+    def _crash_from_overload(self, server: EmulatedServer) -> None:
+        self.record_event(Load(self.timeline.now, server.name, server.load(), server.warming_up))
+        self.faults.crash_server(server)
 
-    def _began(self, host: Host, run: Run) -> None:
-        relay, _, _ = run.job
-        self.tell(Began(self.line.now, host.name, relay.request.payload.name))
+    def _record_execution_start(self, server: EmulatedServer, execution: Execution) -> None:
+        request = execution.owner.attempt.request.payload
+        self.record_event(Began(self.timeline.now, server.name, request.name))
 
+    # -- figures
 
-def play(scenario: Scenario, seed: int | None = None) -> Figures:
-    """One run."""
-    return World(scenario, seed).run()
+    def _complete_figures(self, span: float) -> None:
+        """Add what is known at the end of a run over a span in ms."""
+        figures, discovery = self.figures, self.discovery
+        figures.littles_law = self._littles_law(span)
+        for server in [*self.servers.values(), *self._replaced_servers]:
+            figures.servers.append(ServerFigures.of_server(server, span))
+        figures.violations = dict(self.checker.counts)
+        figures.discovery_calls = discovery.calls
+        figures.rejected_discovery_calls = discovery.rejected_calls
+        figures.last_watch_ms = max(discovery.first_watch_at.values(), default=float("nan"))
+        if discovery.calls:
+            figures.dispatchers_without_watch = len(self.dispatchers) - len(discovery.first_watch_at)
+        figures.event_count = self.timeline.event_count
+
+    def _littles_law(self, span: float) -> LittlesLaw:
+        """Both sides of Little's law: over a whole run, to its empty end, the same sum counted in two ways."""
+        self.clients.change_open_requests(0)
+        return LittlesLaw(self.clients.open_request_ms / span, self.clients.total_stay_ms / span)
+
+
+def _request_classes(scenario: Scenario) -> tuple[RequestClass, ...]:
+    """The request classes of a scenario as the balancer knows them."""
+    return tuple(
+        RequestClass(
+            latency_objective=table.aim_ms,
+            deadline=table.deadline_ms,
+            effect=EFFECTS[table.effect],
+            priority_weight=table.worth,
+            late_value=table.late_worth,
+            name=table.name,
+        )
+        for table in scenario.classes
+    )
--- a/heronlug/experiments/report.py
+++ b/heronlug/experiments/report.py
@@ -11,7 +11,7 @@
 import numpy as np
 from jinja2 import Environment, FileSystemLoader, StrictUndefined, select_autoescape
 
-from heronlug.emulator.figures import FINALS
+from heronlug.emulator.figures import OUTCOMES
 from heronlug.experiments.compare import interval
 from heronlug.experiments.store import Kept
 
@@ -20,7 +20,7 @@
 
 LINES = 10  # cases that a drawing shows at most: more cannot be told apart
 SHOWN = 10  # broken rules that are shown with what led to them
-HEADS = [*FINALS, "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"]
+HEADS = [*OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"]
 
 
 def label_of(params: dict[str, Any]) -> str:
@@ -70,8 +70,8 @@
     service = f"{mean['service']:.4f}" + (f" ({low:.4f} to {high:.4f})" if math.isfinite(low) else "")
     rows = {}
     for lane in lanes:
-        shares = [f"{mean.get(f'{lane}.{final}', math.nan):.2%}" for final in FINALS]
-        times = [f"{mean.get(f'{lane}.{head.split()[0]}', math.nan):.0f}" for head in HEADS[len(FINALS) :]]
+        shares = [f"{mean.get(f'{lane}.{final}', math.nan):.2%}" for final in OUTCOMES]
+        times = [f"{mean.get(f'{lane}.{head.split()[0]}', math.nan):.0f}" for head in HEADS[len(OUTCOMES) :]]
         rows[lane] = [*shares, *times]
     broken = int(sum(run.figures["violations"] for run in group))
     return {"label": label, "mean": mean, "service": service, "lanes": rows, "broken": broken}
--- a/heronlug/experiments/runner.py
+++ b/heronlug/experiments/runner.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from heronlug.emulator import scenario as scenarios
-from heronlug.emulator.figures import Figures
+from heronlug.emulator.figures import Figures, ServerFigures
 from heronlug.emulator.world import World
 from heronlug.experiments.experiment import Job
 from heronlug.experiments.store import Kept, Store
@@ -22,32 +22,44 @@
     scenario = scenarios.load(Path(job.path), {**job.fixed, **job.params})
     world = World(scenario, job.seed)
     figures = world.run()
-    return Kept(job.params, job.seed, job.code, figures.flat(), _details(world, figures), figures.wall)
+    return Kept(job.params, job.seed, job.code, figures.by_name(), _details(world, figures), figures.wall_time_s)
 
 
 def _details(world: World, figures: Figures) -> dict[str, Any]:
     shares = np.linspace(0, 1, QUANTILES + 1)
     return {
         "quantiles": {
-            lane.name: np.quantile(np.frombuffer(lane.latencies), shares).round(2).tolist()
-            for lane in figures.lanes
-            if len(lane.latencies)
+            lane.name: np.quantile(np.frombuffer(lane.latencies_ms), shares).round(2).tolist()
+            for lane in figures.classes
+            if len(lane.latencies_ms)
         },
-        "by_second": figures.by_second.tolist(),
-        "hosts": [host._asdict() for host in figures.hosts],
+        "by_second": figures.value_by_second.tolist(),
+        "hosts": [_stored_server(server) for server in figures.servers],
         "violations": [
             {"rule": v.rule, "at": v.at, "what": v.what, "trail": [[type(e).__name__, *e] for e in v.trail]}
             for v in world.checker.violations[:SHOWN]
         ],
         "recovery": [
-            {"what": trouble.what, "at_s": trouble.at_s, "seconds": figures.recovery(trouble.at_s)}
+            {"what": trouble.what, "at_s": trouble.at_s, "seconds": figures.recovery_s(trouble.at_s)}
             for trouble in world.scenario.trouble
         ],
-        "aims": {lane.name: lane.latency_objective for lane in world.lanes},
+        "aims": {lane.name: lane.latency_objective for lane in world.classes},
         "tip": world.scenario.safety.tip_multiple,
     }
 
 
+def _stored_server(server: ServerFigures) -> dict[str, str | float]:
+    """The figures of a server under the keys of the store, which earlier versions read too."""
+    return {
+        "name": server.name,
+        "kind": server.kind,
+        "load": server.mean_load,
+        "runs": server.execution_count,
+        "fell": server.overload_crashes,
+        "peak": server.warmup_peak_load,
+    }
+
+
 def run(
     name: str, jobs: list[Job], store: Store, workers: int, done: Callable[[Job, Kept | None, str], None]
 ) -> tuple[int, int]:
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -71,7 +71,7 @@
         left = max(1.0, lane.deadline_ms - (self.now() - job.due.at))
         self.rig.history.see(Taken(now, name, job.txn, lane.name, lane.effect == "once", now + left))
 
-    def ended(self, job: Job, how: str) -> None:
+    def ended_requests(self, job: Job, how: str) -> None:
         """A job is over."""
         super().ended(job, how)
         name, history = self.at.get(job.txn), self.rig.history
@@ -431,7 +431,7 @@
         if step.do == "back":
             await self.runners.back(name, step.cold)
         elif step.do == "slow":
-            self.runners.hosts[name].slow = step.factor
+            self.runners.hosts[name].slowdown = step.factor
         elif step.do == "list":
             self.runners.list_as(name, step.state)
             self._changed(name, step.state)
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -8,7 +8,7 @@
 from heronlug.conformance import Began, Dialled, Load, Sent
 from heronlug.emulator.draws import Draws
 from heronlug.emulator.scenario import ClassTable
-from heronlug.emulator.servers import Host, Kind, Run, Warmth
+from heronlug.emulator.servers import EmulatedServer, Execution, ServerKind, WarmupModel
 from heronlug.faults.history import History
 from heronlug.faults.plan import Script
 from heronlug.standins.discovery import Register
@@ -75,20 +75,22 @@
         self.lanes = lanes_of(script)
         self.works: dict[str, Draws] = {}  # each job brings its own
         self.line = LiveLine()
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, EmulatedServer] = {}
         self.servers: dict[str, Server] = {}
         self._sender, self._gone = sender, gone
         table = script.runners
-        self._warmth = Warmth(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
+        self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
 
     async def open(self) -> None:
         """Start and list all of them, each at a port of its own; raises ``OSError``."""
         table = self.script.runners
         for number in range(table.count):
             name = f"r{number}"
-            kind = Kind(KIND, table.slots, 1.0, table.queue)
-            host = self.hosts[name] = Host(name, kind, number % len(self.script.halls), self.line, self._warmth)
-            host.tipped, host.began = self._tipped, self._began
+            kind = ServerKind(KIND, table.slots, 1.0, table.queue)
+            host = self.hosts[name] = EmulatedServer(
+                name, kind, number % len(self.script.halls), self.line, self._warmth
+            )
+            host.on_overload, host.on_execution_start = self._tipped, self._began
             if table.cold:
                 host.start()
             self.servers[name] = Server(self, host)
@@ -115,7 +117,7 @@
 
     def die(self, name: str) -> None:
         """Its process ends."""
-        self.hosts[name].end()
+        self.hosts[name].stop()
         self.servers[name].close()
         self._gone(name, True)
 
@@ -137,11 +139,11 @@
 
     # -- what the sockets tell
 
-    def dialled(self, host: Host) -> None:
+    def dialled(self, host: EmulatedServer) -> None:
         """A connection has come up."""
         self.history.see(Dialled(self.history.now(), host.name))
 
-    def came(self, host: Host, txn: str) -> None:
+    def came(self, host: EmulatedServer, txn: str) -> None:
         """A whole request has come; where a relay stands before the runner, it was sent when that heard it."""
         if "runners" not in self.script.relays:
             self.sent(host.name, txn)
@@ -155,11 +157,11 @@
     def _unix(self, at: float) -> float:
         return self.history.now() - (self.line.now - at)
 
-    def _began(self, host: Host, run: Run) -> None:
-        request: Any = run.job
+    def _began(self, host: EmulatedServer, run: Execution) -> None:
+        request: Any = run.owner
         self.history.see(Began(self.history.now(), host.name, request.txn))
 
-    def _tipped(self, host: Host) -> None:
-        stands = self._warmth.tip_multiple * host.capacity()
-        self.history.see(Load(self.history.now(), host.name, host.inside / stands, host.cold))
+    def _tipped(self, host: EmulatedServer) -> None:
+        stands = self._warmth.overload_multiple * host.capacity()
+        self.history.see(Load(self.history.now(), host.name, host.occupied_slots / stands, host.warming_up))
         self.die(host.name)
--- a/heronlug/loadgen/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from heronlug.emulator.clients import times
+from heronlug.emulator.clients import arrival_times
 from heronlug.emulator.draws import Draws, distribution, stream
 from heronlug.emulator.scenario import Arrivals, ClassTable, Scenario
 from heronlug.net.http import split_address
@@ -26,7 +26,7 @@
     span = scenario.span_s * 1000
 
     def come(number: int, arrivals: Arrivals) -> Iterator[tuple[float, int, str]]:
-        for when in times(arrivals, seed, number, span, scenario.folder):
+        for when in arrival_times(arrivals, seed, number, span, scenario.folder):
             yield when, number, arrivals.lane
 
     for when, _, name in heapq.merge(*(come(*each) for each in enumerate(scenario.arrivals))):
--- a/heronlug/loadgen/tally.py
+++ b/heronlug/loadgen/tally.py
@@ -4,7 +4,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from heronlug.emulator.figures import FINALS, PERCENTILES, Lane
+from heronlug.emulator.figures import OUTCOMES, PERCENTILES, ClassFigures
 from heronlug.emulator.scenario import ClassTable
 
 LONGEST = 3_600_000_000  # us that a histogram holds
@@ -14,30 +14,30 @@
 class Tally:
     """One class."""
 
-    lane: ClassTable
-    finals: dict[str, int] = field(default_factory=lambda: dict.fromkeys(FINALS, 0))
+    request_class: ClassTable
+    outcomes: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
     times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST, 3))
     late_begun: int = 0  # jobs that the load tool itself began more than 10 ms late
 
     @property
-    def jobs(self) -> int:
+    def request_count(self) -> int:
         """All that have ended."""
-        return sum(self.finals.values())
+        return sum(self.outcomes.values())
 
     def ended(self, how: str, took: float) -> None:
         """One has ended: ``served``, ``refused``, ``failed`` or ``lost``, so many ms after it was due."""
         if how == "served":
-            how = "on_time" if took <= self.lane.aim_ms else "late"
+            how = "on_time" if took <= self.request_class.aim_ms else "late"
             self.times.record_value(max(1, min(LONGEST, round(took * 1000))))
-        self.finals[how] += 1
+        self.outcomes[how] += 1
 
-    def earned(self) -> float:
+    def earned_value(self) -> float:
         """Worth."""
-        lane = self.lane
-        return float(lane.worth * (self.finals["on_time"] + lane.late_worth * self.finals["late"]))
+        lane = self.request_class
+        return float(lane.worth * (self.outcomes["on_time"] + lane.late_worth * self.outcomes["late"]))
 
     def percentiles(self) -> dict[str, float]:
-        """In ms, as :meth:`heronlug.emulator.figures.Lane.percentiles`."""
+        """In ms, as :meth:`heronlug.emulator.figures.ClassFigures.percentiles`."""
         if not self.times.get_total_count():
             return {f"p{p:g}": float("nan") for p in PERCENTILES}
         return {f"p{p:g}": self.times.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
@@ -45,28 +45,35 @@
 
 def service(tallies: list[Tally]) -> float:
     """Worth earned, of all that could be."""
-    possible = sum(tally.lane.worth * tally.jobs for tally in tallies)
-    return sum(tally.earned() for tally in tallies) / possible if possible else float("nan")
+    possible = sum(tally.request_class.worth * tally.request_count for tally in tallies)
+    return sum(tally.earned_value() for tally in tallies) / possible if possible else float("nan")
 
 
 def table(tallies: list[Tally]) -> list[list[str]]:
     """Rows for people."""
-    rows = [["class", "jobs", *FINALS, *(f"p{p:g} ms" for p in PERCENTILES)]]
+    rows = [["class", "jobs", *OUTCOMES, *(f"p{p:g} ms" for p in PERCENTILES)]]
     for tally in tallies:
-        shares = [f"{tally.finals[final] / (tally.jobs or 1):.2%}" for final in FINALS]
-        rows.append([tally.lane.name, str(tally.jobs), *shares, *(f"{v:.0f}" for v in tally.percentiles().values())])
+        shares = [f"{tally.outcomes[final] / (tally.request_count or 1):.2%}" for final in OUTCOMES]
+        rows.append(
+            [
+                tally.request_class.name,
+                str(tally.request_count),
+                *shares,
+                *(f"{v:.0f}" for v in tally.percentiles().values()),
+            ]
+        )
     return rows
 
 
-def gaps(tallies: list[Tally], lanes: list[Lane]) -> list[list[str]]:
+def gaps(tallies: list[Tally], lanes: list[ClassFigures]) -> list[list[str]]:
     """What sockets and model differ by, class for class: shares in points, times in ms."""
     rows = [["class", "", "on time", "late", "not served", "p50 ms", "p90 ms", "p99 ms"]]
     for tally, lane in zip(tallies, lanes, strict=True):
         values = []
         for each in (tally, lane):
-            ended, times = each.jobs or 1, each.percentiles()
-            rest = sum(each.finals[final] for final in ("refused", "failed", "lost"))
-            shares = [100 * n / ended for n in (each.finals["on_time"], each.finals["late"], rest)]
+            ended, times = each.request_count or 1, each.percentiles()
+            rest = sum(each.outcomes[final] for final in ("refused", "failed", "lost"))
+            shares = [100 * n / ended for n in (each.outcomes["on_time"], each.outcomes["late"], rest)]
             values.append([*shares, times["p50"], times["p90"], times["p99"]])
         for what, row in (
             ("sockets", values[0]),
@@ -74,5 +81,5 @@
             ("gap", [a - b for a, b in zip(*values, strict=True)]),
         ):
             texts = [f"{value:.2f}" for value in row[:3]] + [f"{value:.1f}" for value in row[3:]]
-            rows.append([tally.lane.name if what == "sockets" else "", what, *texts])
+            rows.append([tally.request_class.name if what == "sockets" else "", what, *texts])
     return rows
--- a/heronlug/standins/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -16,9 +16,9 @@
 from heronlug.conformance import Began, Dialled, Event, Load
 from heronlug.discovery.endpoint_list import STATES
 from heronlug.emulator.draws import Draws, distribution, stream
-from heronlug.emulator.faults import Troubles
+from heronlug.emulator.faults import ServerFaultInjector
 from heronlug.emulator.scenario import ClassTable, Scenario
-from heronlug.emulator.servers import Host, Kind, Run, Warmth
+from heronlug.emulator.servers import EmulatedServer, Execution, ExecutionState, ServerKind, WarmupModel
 from heronlug.standins.discovery import Register
 from heronlug.standins.live import LiveLine
 
@@ -35,10 +35,10 @@
     works: dict[str, Draws]
     line: LiveLine
 
-    def dialled(self, host: Host) -> None:
+    def dialled(self, host: EmulatedServer) -> None:
         """A connection to it has come up."""
 
-    def came(self, host: Host, txn: str) -> None:
+    def came(self, host: EmulatedServer, txn: str) -> None:
         """A whole request has come to it."""
 
 
@@ -50,12 +50,12 @@
     ) -> None:
         self.scenario, self.seed = scenario, scenario.seed if seed is None else seed
         self.line: LiveLine
-        self.troubles: Troubles
-        self.register, self.hosts = Register(), dict[str, Host]()
+        self.troubles: ServerFaultInjector
+        self.register, self.hosts = Register(), dict[str, EmulatedServer]()
         self.servers: dict[str, Server] = {}
         self._record = record
         safety = scenario.safety
-        self._warmth = Warmth(safety.cold_from, safety.warm_after_ms, safety.tip_multiple, safety.overload_for_ms)
+        self._warmth = WarmupModel(safety.cold_from, safety.warm_after_ms, safety.tip_multiple, safety.overload_for_ms)
         self.lanes = {lane.name: lane for lane in scenario.classes}
         self.works = {
             lane.name: Draws(distribution(lane.work), stream(self.seed, "work", lane.name)) for lane in scenario.classes
@@ -70,7 +70,7 @@
         for pool_number, pool in enumerate(self.scenario.pool):
             kind = next(each for each in self.scenario.kind if each.name == pool.kind)
             zone = self.scenario.zones.index(pool.zone) if pool.zone else 0
-            made = Kind(kind.name, kind.slots, kind.speed, kind.queue, kind.order)
+            made = ServerKind(kind.name, kind.slots, kind.speed, kind.queue, kind.order)
             for number in range(pool.count):
                 await self._add(f"{pool.kind}-{pool_number}-{number}", made, zone)
         return await self.register.open(port=port)
@@ -78,7 +78,7 @@
     def begin(self) -> None:
         """The scenario's time starts: its troubles come from now on."""
         self.line._began = LiveLine()._began
-        self.troubles = Troubles(cast(Any, _World(self)))
+        self.troubles = _fault_injector(self)
 
     def close(self) -> None:
         """End everything."""
@@ -90,12 +90,12 @@
 
     # -- what troubles ask
 
-    def lose(self, host: Host) -> None:
+    def lose(self, host: EmulatedServer) -> None:
         """Its process ends: connections are reset, new ones refused."""
-        host.end()
+        host.stop()
         self.servers[host.name].close()
 
-    def list_host(self, host: Host, state: ServerState) -> None:
+    def list_host(self, host: EmulatedServer, state: ServerState) -> None:
         """The register has it so."""
         kind = host.kind.name
         started = host.started_at and self.unix(host.started_at)
@@ -110,7 +110,7 @@
         if state is ServerState.READY and not self.servers[host.name].listening:
             self._do(self.servers[host.name].open())
 
-    def replace(self, host: Host) -> None:
+    def replace(self, host: EmulatedServer) -> None:
         """A cold successor under a name of its own."""
         base, _, number = host.name.partition("+")
         self._do(self._succeed(f"{base}+{int(number or 0) + 1}", host))
@@ -124,11 +124,11 @@
         if self._record is not None:
             self._record(event)
 
-    def dialled(self, host: Host) -> None:
+    def dialled(self, host: EmulatedServer) -> None:
         """A connection to a host has come up."""
         self.tell(Dialled(self.unix(self.line.now), host.name))
 
-    def came(self, host: Host, txn: str) -> None:
+    def came(self, host: EmulatedServer, txn: str) -> None:
         """Who sent it is not known here."""
 
     # -- inside
@@ -138,54 +138,59 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _add(self, name: str, kind: Kind, zone: int) -> Host:
-        host = self.hosts[name] = Host(name, kind, zone, self.line, self._warmth)
-        host.tipped, host.began = self._tipped, self._began
+    async def _add(self, name: str, kind: ServerKind, zone: int) -> EmulatedServer:
+        host = self.hosts[name] = EmulatedServer(name, kind, zone, self.line, self._warmth)
+        host.on_overload, host.on_execution_start = self._tipped, self._began
         server = self.servers[name] = Server(self, host)
         await server.open()
         self.list_host(host, ServerState.READY)
         return host
 
-    async def _succeed(self, name: str, host: Host) -> None:
+    async def _succeed(self, name: str, host: EmulatedServer) -> None:
         self.hosts.pop(host.name, None)
         successor = await self._add(name, host.kind, host.zone)
-        successor.slow = host.slow
+        successor.slowdown = host.slowdown
         successor.start()
         self.list_host(successor, ServerState.READY)
 
-    def _tipped(self, host: Host) -> None:
+    def _tipped(self, host: EmulatedServer) -> None:
         self.fell += 1
-        stands = self._warmth.tip_multiple * host.capacity()
-        self.tell(Load(self.unix(self.line.now), host.name, host.inside / stands, host.cold))
-        self.troubles.fall(host)
+        stands = self._warmth.overload_multiple * host.capacity()
+        self.tell(Load(self.unix(self.line.now), host.name, host.occupied_slots / stands, host.warming_up))
+        self.troubles.crash_server(host)
 
-    def _began(self, host: Host, run: Run) -> None:
-        self.tell(Began(self.unix(self.line.now), host.name, run.job.txn))
+    def _began(self, host: EmulatedServer, run: Execution) -> None:
+        self.tell(Began(self.unix(self.line.now), host.name, run.owner.txn))
 
 
-class _World:
-    """What the emulator's troubles see of a fleet on sockets."""
+class _FaultTarget:
+    """A fleet on sockets, as faults are injected into it."""
 
     def __init__(self, fleet: Fleet) -> None:
-        scenario = fleet.scenario
-        ours = [trouble for trouble in scenario.trouble if trouble.what not in ELSEWHERE]
-        self.scenario = _Only(ours, scenario.zones)
-        self.seed, self.line, self.hosts = fleet.seed, fleet.line, fleet.hosts
-        self.lose, self.list_host, self.replace = fleet.lose, fleet.list_host, fleet.replace
-        self.register = fleet.register
+        self.timeline, self.servers = fleet.line, fleet.hosts
+        self.stop_server, self.list_server, self.replace_server = fleet.lose, fleet.list_host, fleet.replace
+        self._discovery = fleet.register
 
+    def silence_discovery(self) -> None:
+        """Let service discovery answer nothing."""
+        self._discovery.silent = True
 
-class _Only:
-    """A scenario's troubles and zones."""
+    def end_discovery_silence(self) -> None:
+        """Let service discovery answer again."""
+        self._discovery.silent = False
 
-    def __init__(self, trouble: list[Any], zones: list[str]) -> None:
-        self.trouble, self.zones = trouble, zones
+
+def _fault_injector(fleet: Fleet) -> ServerFaultInjector:
+    """Injects the faults of the fleet's scenario that a fleet of servers can have."""
+    scenario = fleet.scenario
+    faults = [fault for fault in scenario.trouble if fault.what not in ELSEWHERE]
+    return ServerFaultInjector(_FaultTarget(fleet), faults, scenario.zones, fleet.seed)
 
 
 class Server:
     """One host's listening socket; the port stays the same for its next process."""
 
-    def __init__(self, fleet: Owner, host: Host) -> None:
+    def __init__(self, fleet: Owner, host: EmulatedServer) -> None:
         self.fleet, self.host = fleet, host
         self.port = 0
         self.connections: set[Connection] = set()
@@ -223,7 +228,7 @@
         self._transport: asyncio.Transport | None = None
         self._headers: dict[bytes, bytes] = {}
         self._body = b""
-        self._run: Run | None = None
+        self._run: Execution | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A dispatcher has dialled."""
@@ -236,7 +241,7 @@
         self.server.connections.discard(self)
         run, self._run = self._run, None
         if run is not None:
-            self.server.host.drop(run)
+            self.server.host.cancel(run)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of a request; what is no HTTP ends the connection."""
@@ -279,37 +284,37 @@
             work = min(1e7, max(0.0, float(self._body)))
         except ValueError:
             work = fleet.works[lane.name].next()
-        run = self._run = Run(self, work, float(lane.slots), lane.worth, self._told)
+        run = self._run = Execution(self, work, float(lane.slots), lane.worth, self._told)
         # the head goes out first: what is begun at once tells of it within take
-        if len(host.waiting) >= host.kind.queue and host.used + run.need > host.capacity():
+        if len(host.queued) >= host.kind.queue_length and host.used_slots + run.slots > host.capacity():
             self._run = None
             self._write(TURNED_AWAY)
             return
         self._write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        if not host.take(run):
+        if not host.accept(run):
             self._run = None
             self._line("returned")
             self._write(b"0\r\n\r\n")
 
-    def _told(self, run: Run, what: str) -> None:
+    def _told(self, run: Execution, what: ExecutionState) -> None:
         if run is not self._run:
             return
-        if what == "started":
+        if what is ExecutionState.STARTED:
             self._line("started")
-            self.server.fleet.line.after(PROGRESS, self._progress, run)
-        elif what == "done":
+            self.server.fleet.line.schedule_after(PROGRESS, self._progress, run)
+        elif what is ExecutionState.DONE:
             self._run = None
             self._line("done", result=f"{self.server.host.name} {self.txn}")
             self._write(b"0\r\n\r\n")
 
-    def _progress(self, run: Run) -> None:
+    def _progress(self, run: Execution) -> None:
         if run is self._run:
             host = self.server.host
-            if run.ends is not None and not host.still:
-                whole = run.work * host.slow / host.kind.speed
-                share = (self.server.fleet.line.now - run.began_at) / whole if whole else 0.0
+            if run.completion is not None and not host.unresponsive:
+                whole = host.duration_ms(run)
+                share = (self.server.fleet.line.now - run.started_at) / whole if whole else 0.0
                 self._line("running", share=round(min(0.99, share), 3))
-            self.server.fleet.line.after(PROGRESS, self._progress, run)
+            self.server.fleet.line.schedule_after(PROGRESS, self._progress, run)
 
     def _line(self, state: str, **more: Any) -> None:
         table = {"id": self.txn, "from": self.server.host.name, "state": state, **more}
--- a/heronlug/standins/live.py
+++ b/heronlug/standins/live.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from heronlug.emulator.timeline import Entry, Timeline
+from heronlug.emulator.timeline import ScheduledEvent, Timeline
 
 
 class LiveLine(Timeline):
@@ -16,32 +16,38 @@
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._began = time.monotonic_ns()
-        self.done = 0
+        self.event_count = 0
 
     @property
     def now(self) -> float:  # type: ignore[override]
         """The time now."""
         return (time.monotonic_ns() - self._began) / 1e6
 
-    def at(self, when: float, what: Callable[..., object], *args: Any) -> Entry:
-        """As :meth:`Timeline.at`."""
-        entry: Entry = [when, 0, what, args]
-        entry.append(self._loop.call_later(max(0.0, when - self.now) / 1000, self._happen, entry))
-        return entry
-
-    @staticmethod
-    def cancel(entry: Entry | None) -> None:
-        """As :meth:`Timeline.cancel`."""
-        if entry is not None:
-            entry[2] = None
-            entry[4].cancel()
+    def schedule_at(self, time: float, callback: Callable[..., object], *args: Any) -> ScheduledEvent:
+        """Schedule a call, see :meth:`Timeline.schedule_at`."""
+        event = _LiveEvent(time, callback, args)
+        event.timer = self._loop.call_later(max(0.0, time - self.now) / 1000, self._call, event)
+        return event
 
     def run(self, until: float) -> None:
-        """The loop runs it."""
+        """Not supported: the event loop runs it."""
         raise NotImplementedError
 
-    def _happen(self, entry: Entry) -> None:
-        what, entry[2] = entry[2], None
-        if what is not None:
-            self.done += 1
-            what(*entry[3])
+    def _call(self, event: ScheduledEvent) -> None:
+        callback, event.callback = event.callback, None
+        if callback is not None:
+            self.event_count += 1
+            callback(*event.args)
+
+
+class _LiveEvent(ScheduledEvent):
+    """A scheduled event with a timer of the event loop."""
+
+    __slots__ = ("timer",)
+
+    timer: asyncio.TimerHandle
+
+    def cancel(self) -> None:
+        """Keep it from being called."""
+        super().cancel()
+        self.timer.cancel()
--- a/tests/balancer/test_zone_failover.py
+++ b/tests/balancer/test_zone_failover.py
@@ -21,7 +21,7 @@
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
         self.sent: list[Sent] = []
         self.world = World(scenario, seed, record=lambda e: self.sent.append(e) if isinstance(e, Sent) else None)
-        zones = {host.name: host.zone for host in self.world.hosts.values()}
+        zones = {host.name: host.zone for host in self.world.servers.values()}
         self.figures = self.world.run()
         self.into = [event.at for event in self.sent if zones[event.host.partition("+")[0]] == 1]
 
@@ -50,7 +50,7 @@
     assert on.between(BACK + 10_000, BACK + 12_000) > 10  # it has work again
     for played in (on, off):
         assert sum(played.figures.violations.values()) == 0
-        assert all(host.fell == 0 for host in played.figures.hosts if host.name.startswith("gen1-1-"))
+        assert all(host.overload_crashes == 0 for host in played.figures.servers if host.name.startswith("gen1-1-"))
     assert on.figures.service >= off.figures.service - 0.01
 
 
--- a/tests/emulator/test_maths.py
+++ b/tests/emulator/test_maths.py
@@ -12,7 +12,7 @@
 
 from emulator.fleets import scenario
 from heronlug.emulator.draws import Draws, stream
-from heronlug.emulator.servers import Host, Kind, Run, Warmth
+from heronlug.emulator.servers import EmulatedServer, Execution, ExecutionState, ServerKind, WarmupModel
 from heronlug.emulator.timeline import Timeline
 from heronlug.emulator.world import World
 
@@ -22,22 +22,22 @@
 def waits(slots: int, rate: float, work: object, seed: int) -> NDArray[np.float64]:
     """Waiting times at one host, the first tenth left out."""
     line, found = Timeline(), []
-    host = Host("h", Kind("k", slots, queue=10**9), 0, line, Warmth())
+    host = EmulatedServer("h", ServerKind("k", slots, queue_length=10**9), 0, line, WarmupModel())
     gaps = Draws(stats.expon(scale=1 / rate), stream(seed, "gaps"))
     works = Draws(work, stream(seed, "works"))
 
-    def told(run: Run, what: str) -> None:
-        if what == "started":
-            found.append(run.began_at - run.came_at)
+    def record_wait(execution: Execution, state: ExecutionState) -> None:
+        if state is ExecutionState.STARTED:
+            found.append(execution.started_at - execution.arrived_at)
 
     def arrive(left: int) -> None:
-        host.take(Run(None, works.next(), 1.0, 1.0, told))
+        host.accept(Execution(None, works.next(), 1.0, 1.0, record_wait))
         if left:
-            line.after(gaps.next(), arrive, left - 1)
+            line.schedule_after(gaps.next(), arrive, left - 1)
 
     arrive(JOBS)
     line.run(1e12)
-    assert len(found) == JOBS + 1 and host.inside == 0
+    assert len(found) == JOBS + 1 and host.occupied_slots == 0
     return np.array(found[JOBS // 10 :])
 
 
@@ -114,12 +114,12 @@
     counts = np.zeros(4)
 
     def sample(left: int) -> None:
-        inside = np.array([host.inside for host in world.hosts.values()])
+        inside = np.array([host.occupied_slots for host in world.servers.values()])
         counts[:] += [(inside >= level).mean() for level in (1, 2, 3, 4)]
         if left:
-            world.line.after(100.0, sample, left - 1)
+            world.timeline.schedule_after(100.0, sample, left - 1)
 
-    world.line.at(10_000.0, sample, 299)
+    world.timeline.schedule_at(10_000.0, sample, 299)
     world.run()
     return [float(share) for share in counts / 300]
 
@@ -138,6 +138,6 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_littles_law_holds_for_each_run(seed: int) -> None:
     figures = World(scenario(), seed).run()
-    inside, rate_times_stay = figures.little
+    inside, rate_times_stay = figures.littles_law
     assert inside == pytest.approx(rate_times_stay, rel=1e-9)
     assert 5 < inside < 200
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -16,7 +16,7 @@
 from heronlug.conformance import Began, Event, Listed, Load, Sent, read, write
 from heronlug.emulator.draws import stream
 from heronlug.emulator.figures import same
-from heronlug.emulator.policies import POLICIES, Look, Policy, RandomChoice, Worker
+from heronlug.emulator.policies import POLICIES, KnownServer, Policy, RandomChoice, ServerTruth
 from heronlug.emulator.world import World
 
 TROUBLES = {
@@ -38,15 +38,19 @@
 @pytest.mark.parametrize("policy", ["heronlug", *POLICIES])
 def test_the_same_seed_is_the_same_run(policy: str) -> None:
     one, other = (World(scenario(trouble("crash"), span_s=7, policy=policy), 4).run() for _ in range(2))
-    assert same(one, other) and one.lanes[0].jobs > 600
+    assert same(one, other) and one.classes[0].request_count > 600
     assert not same(one, World(scenario(trouble("crash"), span_s=7, policy=policy), 5).run())
 
 
 def test_one_host_more_changes_no_other_draw() -> None:
     small, large = World(scenario()), World(scenario(pool__0__count=9))
-    for name in small.hosts:
-        assert [small._ways[name].next() for _ in range(5)] == [large._ways[name].next() for _ in range(5)]
-    assert [small.clients._works[0].next() for _ in range(5)] == [large.clients._works[0].next() for _ in range(5)]
+    for name in small.servers:
+        assert [small.network._server_factors[name].next() for _ in range(5)] == [
+            large.network._server_factors[name].next() for _ in range(5)
+        ]
+    assert [small.clients._work_draws[0].next() for _ in range(5)] == [
+        large.clients._work_draws[0].next() for _ in range(5)
+    ]
     assert stream(1, "a").random() != stream(1, "b").random()
 
 
@@ -56,13 +60,16 @@
     figures = world.run()
     assert world.checker.violations == []
     assert figures.service > 0.6
-    ended = sum(lane.jobs for lane in figures.lanes)
-    assert ended == world.clients.ended and world.clients.open == 0  # every job has had its end
+    ended = sum(lane.request_count for lane in figures.classes)
+    assert ended == world.clients.ended_requests and world.clients.open_requests == 0  # every job has had its end
     if name == "crash":
-        assert sum(host.fell for host in figures.hosts) == 0 and min(h.load for h in figures.hosts) < 0.5
+        assert (
+            sum(host.overload_crashes for host in figures.servers) == 0
+            and min(h.mean_load for h in figures.servers) < 0.5
+        )
     if name == "deploy":
-        assert sum("+" in host.name for host in figures.hosts) == 13
-        assert max(host.peak for host in figures.hosts) > 0
+        assert sum("+" in host.name for host in figures.servers) == 13
+        assert max(host.warmup_peak_load for host in figures.servers) > 0
 
 
 def test_all_troubles_at_once() -> None:
@@ -91,7 +98,7 @@
 class Flooder(RandomChoice):
     """Sends everything to the youngest host."""
 
-    def choose(self, job: Any, among: list[Worker]) -> Worker:
+    def choose(self, job: Any, among: list[KnownServer]) -> KnownServer:
         return max(among, key=lambda worker: worker.entry.started_at)
 
 
@@ -104,8 +111,8 @@
         return super().handle(now, event)
 
 
-def nothing_seen(number: int) -> Look:
-    return Look(0.0, 0.0, 1.0, 1.0, 1.0, True, 0.0)
+def nothing_seen(number: int) -> ServerTruth:
+    return ServerTruth(0.0, 0.0, 1.0, 1.0, 1.0, True, 0.0)
 
 
 def broken(policy: type[Policy]) -> Callable[[Settings, int], Policy]:
@@ -119,7 +126,7 @@
 def test_a_rule_broken_on_purpose_is_found(
     policy: type[Policy], befalls: str, rule: int, kinds: tuple[type, ...]
 ) -> None:
-    world = World(scenario(trouble(befalls)), 2, module=broken(policy), guarded=False)
+    world = World(scenario(trouble(befalls)), 2, decision_module=broken(policy), checks_before_write=False)
     figures = world.run()
     assert figures.violations.get(rule, 0) > 0 and set(figures.violations) <= {rule, 4}  # none of them minds the cold
     first = next(each for each in world.checker.violations if each.rule == rule)
@@ -128,8 +135,8 @@
 
 def test_the_core_keeps_the_drain_rule_and_the_time_for_a_module_that_does_not() -> None:
     """What is guarded again at the write, and answered when the time is over, holds whatever the module does."""
-    assert World(scenario(trouble("deploy")), 2, module=broken(DrainIgnorer)).run().violations.keys() <= {4}
-    assert World(scenario(span_s=10), 2, module=broken(Answerless)).run().violations == {}
+    assert World(scenario(trouble("deploy")), 2, decision_module=broken(DrainIgnorer)).run().violations.keys() <= {4}
+    assert World(scenario(span_s=10), 2, decision_module=broken(Answerless)).run().violations == {}
 
 
 def test_events_can_be_kept_and_read_again() -> None:
--- a/tests/loadgen/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -15,7 +15,7 @@
 
 from heronlug.cli import group
 from heronlug.conformance import Began, Checker, Load
-from heronlug.emulator.clients import Job
+from heronlug.emulator.clients import ClientRequest
 from heronlug.emulator.world import World
 from heronlug.loadgen.demo import on_sockets
 from heronlug.loadgen.http import HttpLoad
@@ -30,13 +30,13 @@
 def test_the_jobs_are_those_of_the_model() -> None:
     made = scenario(span_s=5)
     world, come = World(made, 7), list[tuple[float, int, float]]()
-    hand = world.clients._hand
+    submit = world.clients._submit
 
-    def handed(job: Job) -> None:
-        come.append((job.arrived_at, job.lane, job.work))
-        hand(job)
+    def record_and_submit(request: ClientRequest) -> None:
+        come.append((request.arrived_at, request.class_number, request.work_ms))
+        submit(request)
 
-    world.clients._hand = handed  # type: ignore[method-assign]
+    world.clients._submit = record_and_submit  # type: ignore[method-assign]
     world.run()
     due = [(each.at, made.classes.index(each.lane), each.work) for each in plan(made, 7)]
     assert sorted(due) == sorted(come) and len(due) > 600
@@ -73,7 +73,7 @@
         return tallies["safe"]
 
     tally = asyncio.run(play())
-    assert tally.finals["lost"] == tally.finals["refused"] == 0
+    assert tally.outcomes["lost"] == tally.outcomes["refused"] == 0
     assert tally.percentiles()["p99.9"] > 500 * STALL
 
 
@@ -87,7 +87,7 @@
     events: list[object] = []
     tallies = asyncio.run(on_sockets(made, 3, events))  # type: ignore[arg-type]
     due = sum(1 for _ in plan(made, 3))
-    assert sum(tally.jobs for tally in tallies) == due
+    assert sum(tally.request_count for tally in tallies) == due
     assert service(tallies) > 0.5
     began = [event for event in events if isinstance(event, Began)]
     assert {"+" in event.host for event in began} == {True, False}
@@ -109,9 +109,9 @@
         **{"class__1__work": {"dist": "gamma", "a": 2.0, "scale": 300.0}},
     )
     tallies = asyncio.run(on_sockets(made, 4))
-    assert sum(tally.jobs for tally in tallies) == sum(1 for _ in plan(made, 4))
-    lost = sum(tally.finals["failed"] for tally in tallies if tally.lane.effect == "once")
-    assert all(tally.finals["lost"] == 0 for tally in tallies) and lost > 0  # what ran once and was lost has failed
+    assert sum(tally.request_count for tally in tallies) == sum(1 for _ in plan(made, 4))
+    lost = sum(tally.outcomes["failed"] for tally in tallies if tally.request_class.effect == "once")
+    assert all(tally.outcomes["lost"] == 0 for tally in tallies) and lost > 0  # what ran once and was lost has failed
 
 
 def test_load_over_faktory_from_the_command_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
