--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -1,417 +1,368 @@
-"""The inventory: a watch on discovery, one call after the other on a warm connection."""
+"""The client of service discovery: a watch made of polls, one after the other on a kept connection."""
 
-import asyncio
-import errno
 import math
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import uniform
-from typing import Any, Protocol, cast
+from typing import Any, Protocol
 
-import httptools
 import orjson
 
 from heronlug.balancer.events import ListKind
-from heronlug.discovery.endpoint_list import EndpointListError
-from heronlug.discovery.freshness import Event, Freshness, State
+from heronlug.discovery.connection import DiscoveryConnection, Poll
+from heronlug.discovery.endpoint_list import EndpointList, EndpointListError
+from heronlug.discovery.freshness import Freshness, FreshnessEvent, FreshnessState
 from heronlug.discovery.poll_failure import PollFailure
-from heronlug.net import http
-from heronlug.net.connection_state import has_unread_input
+from heronlug.discovery.staleness import StalenessMonitor
+from heronlug.discovery.watch_state import WatchEvent, WatchState, next_state
 from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.interfaces import EventLog
 from heronlug.requests.model import ListedServer
 
-WAIT = 20_000.0  # a call waits so long for something new
-SPREAD = 0.4  # or for up to so much of it less, each dispatcher in its place: calls of many do not end together
-LATE = 500.0  # and is given up after so much more: what it has missed counts as told soon after
-LIST_WAIT = 3_500.0  # an answer that does not wait for news, or has begun, is given up after this
-DIAL_WAIT = 1_000.0  # an address that neither answers nor refuses is given up after this
-READ_WITHIN = 500.0  # what has been written to us longer ago than this has been read; far below the grace for drains
-RETRY_FIRST, RETRY_MOST = 300.0, 1_000.0  # the pause after a call that failed is up to twice the first, then more
-MAX_LIST = 8 * 1024 * 1024
-EVENTS = {
-    PollFailure.SLOW: Event.GIVEN_UP,
-    PollFailure.REFUSED: Event.REFUSED,
-    PollFailure.UNREACHABLE: Event.UNREACHABLE,
-}  # else it failed
-UNREACHABLE = {errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT}
+POLL_WAIT_MS = 20_000.0
+"""How long a poll waits for a change, at the longest."""
 
+WAIT_SPREAD = 0.4
+"""Share of the wait by which dispatchers differ, so that the polls of many do not end together."""
 
-class Pace(Protocol):
-    """When to poll, see :class:`heronlug.discovery.poll_pacing.Pacer`; without one, when the balancer subscribes."""
+ANSWER_GRACE_MS = 500.0
+"""A poll is given up so long after its wait: what it missed counts as notified soon after."""
 
-    patience: float  # ms that an answer is waited for that does not wait for news
+ANSWER_TIMEOUT_MS = 3_500.0
+"""For an answer that does not wait for a change, and for the rest of one that has begun."""
+
+DIAL_TIMEOUT_MS = 1_000.0
+"""For an address that neither accepts nor refuses."""
+
+READ_WITHIN_MS = 500.0
+"""How long a check for unread bytes holds; far below the grace for drains."""
+
+FIRST_BACKOFF_MS = 300.0
+"""Half of the longest pause after the first failed poll; it doubles with each further one."""
+
+MAX_BACKOFF_MS = 1_000.0
+"""The longest pause between failed polls."""
+
+MAX_BACKOFF_DOUBLINGS = 8
+
+FRESHNESS_EVENTS = {
+    PollFailure.TIMED_OUT: FreshnessEvent.TIMED_OUT,
+    PollFailure.REFUSED: FreshnessEvent.REFUSED,
+    PollFailure.UNREACHABLE: FreshnessEvent.UNREACHABLE,
+}
+"""What a failure means for the freshness of the list; every other one is ``FreshnessEvent.FAILED``."""
+
+
+class Pacer(Protocol):
+    """Decides when to poll, see :class:`heronlug.discovery.poll_pacing.PollPacer`.
+
+    Attributes:
+        answer_timeout: How long, in ms, an answer may take that does not wait for a change.
+    """
+
+    answer_timeout: float
 
     @property
-    def watch(self) -> float:
-        """ms that a watch waits for news."""
-
-    def begin(self, now: float, listed: bool) -> float:
-        """When the first call may go."""
-
-    def answered(self, took: float) -> None:
-        """A call that did not wait for news was answered."""
-
-    def failed(self, now: float, how: PollFailure, listed: bool, retry_after: float = 0.0) -> float:
-        """When the next may go after one that failed."""
-
-
-class _Call(asyncio.Protocol):
-    """A connection to discovery, and the call on it."""
-
-    def __init__(self, watch: "DiscoveryClient") -> None:
-        self.watch = watch
-        self.transport: asyncio.Transport | None = None
-        self.lost = False
-        self.at_once = False  # the answer is not kept for news
-        self.asked_at = 0.0
-        self.retry_after = 0.0
-        self._heard = False  # an answer has begun
-        self._parser: Any = None
-        self._body: list[bytes] = []
-        self._size = 0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The dial has come through."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass, and keeps to it
-        if self.watch.call is self:
-            self.ask()
-        else:
-            self.transport.abort()
-
-    def ask(self) -> None:
-        """Send a call."""
-        assert self.transport is not None
-        self._parser, self._body, self._size = httptools.HttpResponseParser(self), [], 0
-        target, version = "/registry/instances", self.watch.version
-        pace = self.watch.pace
-        wait = 0.0 if self.watch.at_once else (pace.watch if pace is not None else WAIT) * self.watch.part
-        if version is not None:
-            target += f"?after={version}&wait_ms={int(wait)}"
-        self.watch.at_once, self.at_once, self.retry_after = False, version is None or not wait, 0.0
-        self._heard = False
-        self.watch.asked(self, 0.0 if self.at_once else wait)
-        self.transport.write(http.request(b"GET", target.encode(), self.watch.address, [], b""))
-
-    def data_received(self, data: bytes) -> None:
-        """Bytes of the answer."""
-        try:
-            if self._parser is None:
-                raise EndpointListError("an answer that nobody asked for")
-            if not self._heard:
-                self._heard = True
-                self.watch.hears(self)
-            self._parser.feed_data(data)
-        except Exception as error:
-            self.watch.failed(self, repr(error.__context__ or error), PollFailure.BAD)
-        self.watch.turn()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Discovery has closed."""
-        self.lost = True
-        if self._parser is not None:
-            self.watch.failed(self, f"connection lost: {exc}")
-        self.watch.turn()
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Who is turned away may be told when to come again."""
-        if name.lower() == b"retry-after":
-            try:
-                self.retry_after = max(0.0, min(60_000.0, 1000 * float(value)))
-            except ValueError:
-                self.retry_after = 0.0  # a date, or nonsense
-
-    def on_headers_complete(self) -> None:
-        """The answer is a list, or a refusal."""
-        if self._parser.get_status_code() == 200:
-            self.watch.lists(self)
-
-    def on_body(self, body: bytes) -> None:
-        """A piece of the answer."""
-        self._size += len(body)
-        if self._size > MAX_LIST:
-            raise EndpointListError("the list is too large")
-        self._body.append(body)
-
-    def on_message_complete(self) -> None:
-        """The answer is whole."""
-        status, keep = self._parser.get_status_code(), self._parser.should_keep_alive()
-        self._parser = None
-        if not keep and self.transport is not None:
-            self.lost = True
-            self.transport.close()
-        if status == 200:
-            self.watch.answered(self, b"".join(self._body))
-        else:
-            self.watch.failed(
-                self, f"status {status}", PollFailure.TURNED_AWAY if status in (429, 503) else PollFailure.BAD
-            )
+    def poll_wait(self) -> float:
+        """How long, in ms, a poll waits for a change."""
+
+    def first_poll_at(self, now: float, has_list: bool) -> float:
+        """When the first poll may be sent."""
+
+    def on_answer(self, took: float) -> None:
+        """A poll that did not wait for a change was answered after ``took`` ms."""
+
+    def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
+        """When the next poll may be sent after one that failed."""
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveryTarget:
+    """What to poll.
+
+    Attributes:
+        address: Host and port of service discovery; empty if there is none.
+        version: The version of the list that is held; None requests the complete list.
+        wait_fraction: This dispatcher's share of the longest wait.
+    """
+
+    address: str
+    version: int | None
+    wait_fraction: float = 1.0
 
 
 class DiscoveryClient:
-    """Watches while asked to; a failure ends the watch, and the module asks again."""
+    """Watches the endpoint list while somebody is subscribed.
+
+    A failure ends the watch. The pacer, or the pause of the freshness rules, decides when it begins again; without
+    either it begins with the next subscription.
+
+    Attributes:
+        address: Host and port of service discovery; empty if there is none.
+        version: The version of the list that is held; None requests the complete list.
+        has_list: Whether there is a list to use, if an old one.
+        freshness: Until when the list may be used.
+        staleness: Reports when it may not be used any more.
+        pacer: Decides when to poll; None where the balancer's subscriptions do.
+        parse_list: Reads a decoded endpoint list; raises ``ValueError``.
+        on_update: Receives the changes of the list, and ``ListKind.FAILED`` when the watch fails.
+        flush: Ends the handling of an I/O event.
+    """
 
     def __init__(
         self,
-        address: str,
-        version: int | None,  # the last that was read; None asks for the whole list
-        read: Callable[[Any], tuple[int, bool, list[ListedServer]]],
-        news: Callable[[ListKind, list[ListedServer]], None],
-        deadlines: Deadlines,
-        log: Callable[..., None],
-        turn: Callable[[], None],
+        target: DiscoveryTarget,
+        parse_list: Callable[[Any], EndpointList],
+        on_update: Callable[[ListKind, list[ListedServer]], None],
         freshness: Freshness,
-        part: float = 1.0,
+        deadlines: Deadlines,
+        log: EventLog,
+        flush: Callable[[], None],
     ) -> None:
-        self.address, self.version = address, version
-        self.freshness, self.part = freshness, part  # of the list; our part of the longest wait
-        self.on_good: Callable[[bool], None] | None = None  # whether the list may be gone by; None: nobody minds
-        self._stale_at: Key | None = None
-        self._noted_stale = False
-        self._failures = 0  # calls since the last answer
-        self._answered_at = -math.inf
-        self.call: _Call | None = None
-        self.turn = turn
-        self.read, self.news, self._deadlines, self._log = read, news, deadlines, log
-        self.at_once = False  # the next call does not wait for news
-        self._watching = False
-        self._fresh = False  # the first answer of a watch is told even when it brings nothing
-        self._deadline: Key | None = None
-        self._dial: asyncio.Task[None] | None = None
-        self.pace: Pace | None = None
-        self._read_at = -math.inf  # nothing that was written to us before that waits to be read
-        self.listed = False  # there is a list to go by, if an old one
-        self._again: Key | None = None  # when the next call may go
-        self._begun = False
-
-    def subscribe(self) -> None:
-        """Begin a watch, unless one is on, or there is nowhere to ask; with a pace, when that lets it."""
-        if self._watching or not self.address or self._again is not None:
-            return
-        now = self._deadlines.clock()
-        if self.pace is not None and not self._begun and (when := self.pace.begin(now, self.listed)) > now:
-            self._begun = True
-            self._again = self._deadlines.call_at(when, self._begin)
-        else:
-            self._begin()
-
-    def _begin(self) -> None:
-        self._again = None
-        self._watching = self._fresh = self._begun = True
-        # a silent register is found out sooner, and what is missing is needed even if it is nothing
-        minded = self.on_good is not None or self.freshness.state is State.MISSED
-        unlisted = self.pace is not None and not self.listed
-        self.at_once = self.at_once or unlisted or (minded and self.freshness.missing)
-        self._ask()
-
-    def begin_clock(self, remaining: float) -> None:
-        """The process begins with a list that is good for so many ms as another one knows; 0 is of unknown age."""
-        self.freshness.begin(self._deadlines.clock(), remaining)
-        self._set_clock()
-
-    def _happened(self, event: Event) -> None:
-        """Something has become of a call: the list may be good for longer, or for less long."""
-        freshness, now = self.freshness, self._deadlines.clock()
-        before, was_good = freshness.state, now < freshness.good_until
-        freshness.happened(event, now)
-        if freshness.state is not before:
-            left = freshness.good_until - now
-            self._log(
-                "list_state",
-                state=freshness.state.value,
-                before=before.value,
-                why=event.value,
-                version=self.version,
-                good_ms=round(left) if math.isfinite(left) else None,
-            )
-        self._set_clock()
-        if self.on_good is not None and not was_good and now < freshness.good_until and event is not Event.ANSWERED:
-            self.on_good(True)  # an answer tells it itself, with its news
-
-    def _set_clock(self) -> None:
-        """Have it told when the list that is held may not be gone by any more."""
-        self._deadlines.cancel(self._stale_at)
-        self._stale_at = None
-        if self.on_good is None or not self.address:
-            return
-        if self.freshness.good_until <= self._deadlines.clock():
-            self._note_stale()
-            return
-        self._noted_stale = False
-        if math.isfinite(self.freshness.good_until):
-            self._stale_at = self._deadlines.call_at(self.freshness.good_until, self._note_stale)
-
-    def _note_stale(self) -> None:
-        self._stale_at = None
-        if self.on_good is not None and not self._noted_stale:
-            self._noted_stale = True
-            self._fresh = True  # the next answer lifts it, whatever it brings
-            age = self._deadlines.clock() - self._answered_at
-            self._log(
-                "list_stale",
-                state=self.freshness.state.value,
-                version=self.version,
-                answered_ms_ago=round(age) if math.isfinite(age) else None,
-            )
-            self.on_good(False)
-
-    def behind(self) -> bool:
-        """Whether the list that is held must not be gone by, though the loop has not come to know of it.
-
-        The loop may have stood still: a change that counts as told waits unread behind other bytes, or the timer that
-        ends the list's time is overdue.  Both are over within a turn of the loop, so whatever is to go out waits.
-        """
-        now = self._deadlines.clock()
-        if self._stale_at is not None and now >= self.freshness.good_until:
-            return True
-        if now - self._read_at < READ_WITHIN:
-            return False
-        call = self.call
-        if call is not None and call.transport is not None and not call.lost and has_unread_input(call.transport):
-            return True
-        self._read_at = now
-        return False
+        self.address = target.address
+        self.version = target.version
+        self.has_list = False
+        self.freshness = freshness
+        self.staleness = StalenessMonitor(freshness, deadlines, log, lambda: self.version, bool(target.address))
+        self.pacer: Pacer | None = None
+        self.parse_list = parse_list
+        self.on_update = on_update
+        self.flush = flush
+        self._wait_fraction = target.wait_fraction
+        self._deadlines = deadlines
+        self._log = log
+        self._state = WatchState.NEW
+        self._connection: DiscoveryConnection | None = None
+        self._poll_immediately = False  # the next poll does not wait for a change
+        self._poll_deadline: Key | None = None
+        self._next_poll: Key | None = None
+        self._failures_in_row = 0
+        self._read_until = -math.inf  # all that arrived before that has been read
+
+    # -- Subscription
 
     @property
     def watching(self) -> bool:
-        """Whether a watch is on."""
-        return self._watching
+        """Whether the watch is open."""
+        return self._state is WatchState.OPEN
+
+    def subscribe(self) -> None:
+        """Open the watch, unless it is open or planned or there is no address; a pacer may delay the first poll."""
+        if not self.address or self._state in (WatchState.OPEN, WatchState.SCHEDULED):
+            return
+        if self.pacer is not None and self._state is WatchState.NEW:
+            now = self._deadlines.clock()
+            first_poll_at = self.pacer.first_poll_at(now, self.has_list)
+            if first_poll_at > now:
+                self._schedule(first_poll_at)
+                return
+        self._open()
 
     def resume(self) -> None:
-        """Begin a watch after a pause; its first call is answered at once, also when there is nothing new."""
-        self.at_once = not self._watching
+        """Open the watch after a pause; its first poll is answered at once, even if there is nothing new."""
+        self._poll_immediately = not self.watching
         self.subscribe()
 
     def move(self, address: str) -> None:
-        """Discovery is elsewhere from now on: ask there at once, and for all that it knows.
+        """Poll another address from now on, for the complete list.
 
-        Its versions need not be those of the address before, so a watch from ours could wait for ever while what
-        it has to tell counts as told.  What is held stays until it answers.
+        The versions of the new address need not be those of the old one, so a poll for changes after the held version
+        might wait for ever while unread changes count as notified. The held list stays until the answer comes.
         """
         if address == self.address:
             return
-        self._drop()
-        self.address, self.version = address, None
-        self._happened(Event.MOVED)
-        self._begin()
-
-    def asked(self, call: _Call, wait: float) -> None:
-        """A call has gone out that waits so long for news; else it may take as long as the pace has patience."""
-        call.asked_at = self._deadlines.clock()
-        self.freshness.called(call.asked_at, wait)
-        self._set_clock()
-        patience = self.pace.patience if self.pace is not None else LIST_WAIT
-        self._expect(call, patience if call.at_once else wait + LATE, "no answer in time", PollFailure.SLOW)
-
-    def lists(self, call: _Call) -> None:
-        """A list has begun: what it tells counts from its writing on, whenever the rest of it comes."""
-        if call is self.call:
-            self._happened(Event.BEGUN)
-
-    def hears(self, call: _Call) -> None:
-        """An answer has begun; its bytes may come slowly."""
-        if call is self.call and not call.at_once:
-            self._expect(call, LIST_WAIT, "no whole answer in time", PollFailure.SLOW)
-
-    def _expect(self, call: _Call, wait: float, why: str, how: PollFailure) -> None:
-        """A call has failed unless it comes further within this time."""
-        self._deadlines.cancel(self._deadline)
-        self._deadline = self._deadlines.call_after(wait, self.failed, call, why, how)
+        self._disconnect()
+        self.address = address
+        self.version = None
+        self.staleness.polls = bool(address)
+        self.staleness.apply(FreshnessEvent.MOVED)
+        self._open()
 
     def stop(self) -> None:
-        """Close the connection, and call no more until the next :meth:`subscribe`."""
-        self._watching = False
-        self._deadlines.cancel(self._stale_at)
-        self._stale_at = None
-        self._drop()
-
-    def answered(self, call: _Call, body: bytes) -> None:
-        """An answer has come: the next call goes out at once, for a watch ends 200 ms after its last answer."""
-        if call is not self.call:
+        """Close the connection, and poll no more until the next :meth:`subscribe`."""
+        self.staleness.cancel()
+        self._change_state(WatchEvent.CLOSE)
+        self._disconnect()
+
+    # -- Freshness
+
+    def begin_freshness(self, remaining: float) -> None:
+        """Begin with a list that another process knows to be usable for ``remaining`` ms; 0 for an unknown age."""
+        self.freshness.begin(self._deadlines.clock(), remaining)
+        self.staleness.reset_timer()
+
+    def has_unread_update(self) -> bool:
+        """Whether the list must not be used for reasons that the event loop has not handled yet.
+
+        If the loop was blocked, a change that counts as notified may wait unread in the kernel, or the timer that ends
+        the use of the list may be overdue. Both are handled within one turn of the loop, so requests wait for that.
+        """
+        if self.staleness.is_overdue:
+            return True
+        now = self._deadlines.clock()
+        if now - self._read_until < READ_WITHIN_MS:
+            return False
+        if self._connection is not None and self._connection.has_unread_data:
+            return True
+        self._read_until = now
+        return False
+
+    # -- PollObserver
+
+    def on_connected(self, connection: DiscoveryConnection) -> None:
+        """Send the first poll of a connection."""
+        if connection is self._connection:
+            self._send_poll(connection)
+        else:
+            connection.close()
+
+    def on_answer_begun(self, connection: DiscoveryConnection) -> None:
+        """Allow the rest of the answer its time, for its bytes may come slowly."""
+        if connection is self._connection and not _is_immediate(connection):
+            self._set_poll_deadline(connection, ANSWER_TIMEOUT_MS, "no whole answer in time", PollFailure.TIMED_OUT)
+
+    def on_list_begun(self, connection: DiscoveryConnection) -> None:
+        """Note that a list has begun: its changes count as notified from then on, whenever the rest of it comes."""
+        if connection is self._connection:
+            self.staleness.apply(FreshnessEvent.ANSWER_BEGUN)
+
+    def on_answer(self, connection: DiscoveryConnection, body: bytes) -> None:
+        """Take in an answer.
+
+        The next poll is sent before that, because service discovery ends a watch 200 ms after its last answer.
+        """
+        if connection is not self._connection:
             return
         try:
-            version, whole, entries = self.read(orjson.loads(body))
-            if not whole and self.version is not None and version < self.version:
-                raise EndpointListError(f"changes of version {version} after {self.version}")
+            answer = self._read_answer(body)
         except ValueError as error:
-            self.failed(call, f"bad list: {error}", PollFailure.BAD)
+            self.on_failure(connection, f"bad list: {error}", PollFailure.INVALID_ANSWER)
             return
-        self.version = version
-        fresh, self._fresh, self.listed = self._fresh, False, True
-        self._answered_at, self._failures = self._deadlines.clock(), 0
-        if self.pace is not None and call.at_once:
-            self.pace.answered(self._answered_at - call.asked_at)
-        self._happened(Event.ANSWERED)
-        self._ask()
-        if entries or whole or fresh:
-            self._log("inventory", version=version, whole=whole, entries=len(entries))
-            self.news(ListKind.FULL if whole else ListKind.CHANGES, entries)
-
-    def failed(self, call: _Call | None, why: str, how: PollFailure = PollFailure.DOWN) -> None:
-        """A call has failed: the list held so far stays, and the module decides when to ask again, or the pace.
-
-        But a watch that has fallen silent is opened anew at once, and what has been missed is asked for: it counts as
-        notified whether or not it has come.
+        now = self._deadlines.clock()
+        report = bool(answer.servers) or answer.complete or self.staleness.report_next_answer
+        self.version = answer.version
+        self.has_list = True
+        self._failures_in_row = 0
+        self.staleness.report_next_answer = False
+        self.staleness.answered_at = now
+        if self.pacer is not None and _is_immediate(connection):
+            self.pacer.on_answer(now - connection.sent_at)
+        self.staleness.apply(FreshnessEvent.ANSWERED)
+        self._poll()
+        if report:
+            self._log("inventory", version=answer.version, whole=answer.complete, entries=len(answer.servers))
+            self.on_update(ListKind.FULL if answer.complete else ListKind.CHANGES, answer.servers)
+
+    def on_failure(self, connection: DiscoveryConnection, reason: str, failure: PollFailure) -> None:
+        """Close the watch after a failed poll; the list that is held stays.
+
+        A watch that has fallen silent is opened again at once, and polls for what it missed: that counts as notified
+        whether or not it has arrived.
         """
-        if call is not self.call or not self._watching:
+        if connection is not self._connection or not self.watching:
             return
-        now, silent = self._deadlines.clock(), how is PollFailure.SLOW
-        self._happened(EVENTS.get(how, Event.FAILED))
-        retry_after = call.retry_after if call is not None else 0.0
-        self._drop()
+        now = self._deadlines.clock()
+        self.staleness.apply(FRESHNESS_EVENTS.get(failure, FreshnessEvent.FAILED))
+        self._disconnect()
         self._log(
             "inventory_failed",
-            why=why,
-            how=how.value,
-            at_once=call is not None and call.at_once,
-            after_ms=round(now - call.asked_at) if call is not None and call.asked_at else None,
+            why=reason,
+            how=failure.value,
+            at_once=_is_immediate(connection),
+            after_ms=round(now - connection.sent_at) if connection.sent_at else None,
         )
-        if silent and call is not None and not call.at_once:
-            self.at_once = True
-            self._ask()
+        if failure is PollFailure.TIMED_OUT and not _is_immediate(connection):
+            self._poll_immediately = True
+            self._poll()
             return
-        self._watching = False
-        if self.pace is not None:
-            self._again = self._deadlines.call_at(self.pace.failed(now, how, self.listed, retry_after), self._begin)
-        elif self.on_good is not None:
-            self._again = self._deadlines.call_after(self._pause(), self._begin)
-        self.news(ListKind.FAILED, [])
-
-    def _pause(self) -> float:
-        """Until the next call after one that failed: while the list is not confirmed its time runs out."""
-        if self.freshness.pause is not None:
-            return self.freshness.pause
-        self._failures += 1
-        return min(RETRY_MOST, RETRY_FIRST * 2.0 ** min(self._failures, 8)) * uniform(0.5, 1.0)
-
-    def _ask(self) -> None:
-        if self.call is not None and not self.call.lost and self.call.transport is not None:
-            self.call.ask()
-        else:
-            if self.freshness.state is State.WATCHED:
-                self._happened(Event.FAILED)
-            call = self.call = _Call(self)
-            self._expect(call, DIAL_WAIT, "dial: no answer in time", PollFailure.UNREACHABLE)
-            self._dial = asyncio.get_running_loop().create_task(self._connect(call))
-
-    def _drop(self) -> None:
-        self._deadlines.cancel(self._deadline)
-        self._deadlines.cancel(self._again)
-        call, self.call, self._again = self.call, None, None
-        if call is not None and call.transport is not None:
-            call.transport.abort()
-        elif self._dial is not None:
-            self._dial.cancel()
-
-    async def _connect(self, call: _Call) -> None:
-        host, port = http.split_address(self.address)
-        try:
-            await asyncio.get_running_loop().create_connection(lambda: call, host, port)
-        except OSError as error:
-            self.failed(call, f"dial: {error}", _why(error))
-            self.turn()
-
-
-def _why(error: OSError) -> PollFailure:
-    """What a dial that failed says of the other side; a failure of our own machine says nothing."""
-    if isinstance(error, ConnectionRefusedError):
-        return PollFailure.REFUSED
-    return PollFailure.UNREACHABLE if error.errno in UNREACHABLE else PollFailure.DOWN
+        self._change_state(WatchEvent.CLOSE)
+        self._schedule_retry(now, failure, connection.retry_after_ms)
+        self.on_update(ListKind.FAILED, [])
+
+    # -- Internals
+
+    def _change_state(self, event: WatchEvent) -> None:
+        self._state = next_state(self._state, event)
+
+    def _schedule(self, when: float) -> None:
+        self._change_state(WatchEvent.SCHEDULE)
+        self._next_poll = self._deadlines.call_at(when, self._open)
+
+    def _schedule_retry(self, now: float, failure: PollFailure, retry_after: float) -> None:
+        if self.pacer is not None:
+            self._schedule(self.pacer.on_failure(now, failure, self.has_list, retry_after))
+        elif self.staleness.on_usable_change is not None:
+            self._schedule(self._deadlines.clock() + self._backoff())
+
+    def _backoff(self) -> float:
+        """The pause until the next poll, in ms: the list becomes stale meanwhile."""
+        if self.freshness.retry_pause is not None:
+            return self.freshness.retry_pause
+        self._failures_in_row += 1
+        longest = FIRST_BACKOFF_MS * 2.0 ** min(self._failures_in_row, MAX_BACKOFF_DOUBLINGS)
+        return min(MAX_BACKOFF_MS, longest) * uniform(0.5, 1.0)
+
+    def _open(self) -> None:
+        self._next_poll = None
+        self._change_state(WatchEvent.OPEN)
+        self.staleness.report_next_answer = True
+        # A poll without a wait brings what is missing at once, and shows sooner that nobody answers.
+        reports_usable = self.staleness.on_usable_change is not None
+        wants_changes = reports_usable or self.freshness.state is FreshnessState.MISSED
+        if wants_changes and self.freshness.may_miss_changes:
+            self._poll_immediately = True
+        if self.pacer is not None and not self.has_list:
+            self._poll_immediately = True
+        self._poll()
+
+    def _poll(self) -> None:
+        """Send a poll on the connection, or dial one for it."""
+        connection = self._connection
+        if connection is not None and connection.reusable:
+            self._send_poll(connection)
+            return
+        if self.freshness.state is FreshnessState.WATCHED:
+            self.staleness.apply(FreshnessEvent.FAILED)
+        connection = self._connection = DiscoveryConnection(self.address, self)
+        self._set_poll_deadline(connection, DIAL_TIMEOUT_MS, "dial: no answer in time", PollFailure.UNREACHABLE)
+        connection.dial()
+
+    def _send_poll(self, connection: DiscoveryConnection) -> None:
+        longest = self.pacer.poll_wait if self.pacer is not None else POLL_WAIT_MS
+        poll = Poll(self.version, 0.0 if self._poll_immediately else longest * self._wait_fraction)
+        self._poll_immediately = False
+        now = self._deadlines.clock()
+        self.freshness.poll_sent(now, 0.0 if poll.immediate else poll.wait_ms)
+        self.staleness.reset_timer()
+        timeout = poll.wait_ms + ANSWER_GRACE_MS
+        if poll.immediate:
+            timeout = self.pacer.answer_timeout if self.pacer is not None else ANSWER_TIMEOUT_MS
+        self._set_poll_deadline(connection, timeout, "no answer in time", PollFailure.TIMED_OUT)
+        connection.send(poll, now)
+
+    def _read_answer(self, body: bytes) -> EndpointList:
+        answer = self.parse_list(orjson.loads(body))
+        if not answer.complete and self.version is not None and answer.version < self.version:
+            raise EndpointListError(f"changes of version {answer.version} after {self.version}")
+        return answer
+
+    def _set_poll_deadline(
+        self, connection: DiscoveryConnection, timeout: float, reason: str, failure: PollFailure
+    ) -> None:
+        """Fail the poll unless it makes progress within ``timeout`` ms."""
+        self._deadlines.cancel(self._poll_deadline)
+        self._poll_deadline = self._deadlines.call_after(timeout, self.on_failure, connection, reason, failure)
+
+    def _disconnect(self) -> None:
+        self._deadlines.cancel(self._poll_deadline)
+        self._deadlines.cancel(self._next_poll)
+        connection = self._connection
+        self._connection = None
+        self._next_poll = None
+        if connection is not None:
+            connection.close()
+
+
+def _is_immediate(connection: DiscoveryConnection) -> bool:
+    """Whether the connection's poll does not wait for a change; not so before the first poll."""
+    return connection.poll is not None and connection.poll.immediate
--- a/heronlug/discovery/endpoint_list.py
+++ b/heronlug/discovery/endpoint_list.py
@@ -1,79 +1,102 @@
-"""The list of servers in service discovery's own form: read whole or not at all, and written for a next process."""
+"""Reads and writes the endpoint list in the form of service discovery."""
 
 import math
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from heronlug.balancer.events import ServerState
+from heronlug.discovery.errors import DiscoveryError
 from heronlug.net import http
 from heronlug.requests.model import ListedServer
 
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
+"""The protocol's words for the states of a server."""
 
 
-class EndpointListError(ValueError):
-    """An answer that is no list; what was held stays."""
+class EndpointListError(DiscoveryError, ValueError):
+    """An answer is no endpoint list; the list that is held stays."""
 
 
-def read_list(
-    table: Any, zones: list[str], kinds: list[str], to_clock: Callable[[float], float]
-) -> tuple[int, bool, list[ListedServer]]:
-    """Version, whether it is the whole list, and the entries; raises :class:`EndpointListError`.
+class EndpointList(NamedTuple):
+    """An endpoint list, or changes of one.
 
-    All or nothing: half of a list taken in would tell hosts off that are well.
+    Attributes:
+        version: The version that it leads to.
+        complete: Whether it names every server; else only those that have changed.
+        servers: The servers on it.
+    """
+
+    version: int
+    complete: bool
+    servers: list[ListedServer]
+
+
+def read_list(table: Any, zones: list[str], kinds: list[str], to_clock: Callable[[float], float]) -> EndpointList:
+    """Read a decoded list, all of it or nothing: half a list would remove servers that are well.
+
+    Args:
+        table: The decoded JSON.
+        zones: The names of the zones, in the order of their numbers.
+        kinds: The machine types, in the order of their numbers.
+        to_clock: Turns Unix time in ms into time on the caller's clock.
+
+    Raises:
+        EndpointListError: It is no endpoint list.
     """
     try:
-        version, whole = table["generation"], table["reset"]
-        if type(version) is not int or type(whole) is not bool:
+        version = table["generation"]
+        complete = table["reset"]
+        if type(version) is not int or type(complete) is not bool:
             raise EndpointListError("generation or reset is of the wrong type")
-        entries = [_entry(line, zones, kinds, to_clock) for line in table["instances"]]
+        servers = [_read_server(row, zones, kinds, to_clock) for row in table["instances"]]
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise EndpointListError(f"{type(error).__name__}: {error}") from None
-    return version, whole, entries
+        raise EndpointListError(f"{type(error).__name__}: {error}") from error
+    return EndpointList(version, complete, servers)
 
 
-def _index(names: list[str], name: object) -> int:
-    """The place of a zone or kind among the settings' names; an unknown one is none of ours."""
-    return names.index(str(name)) if str(name) in names else len(names)
+def write_list(
+    version: int, servers: list[ListedServer], zones: list[str], kinds: list[str], with_removed: bool = False
+) -> dict[str, Any]:
+    """A complete list in the form that :func:`read_list` takes; ``with_removed`` keeps removed servers on it."""
+    words = {state: word for word, state in STATES.items()}
+    rows = [
+        {
+            "instanceId": server.name,
+            "hostPort": server.address,
+            "lifecycle": words[server.state],
+            "zone": zones[server.zone] if server.zone < len(zones) else None,
+            "machineType": kinds[server.kind] if server.kind < len(kinds) else None,
+            "cell": server.cell,
+            "weight": server.weight,
+            "startedAtMs": server.started_at,
+        }
+        for server in servers
+        if with_removed or server.state is not ServerState.REMOVED
+    ]
+    return {"generation": version, "reset": True, "instances": rows}
 
 
-def _entry(
-    line: Mapping[str, Any], zones: list[str], kinds: list[str], to_clock: Callable[[float], float]
+def _read_server(
+    row: Mapping[str, Any], zones: list[str], kinds: list[str], to_clock: Callable[[float], float]
 ) -> ListedServer:
-    started, weight = float(line.get("startedAtMs", 0)), float(line.get("weight", 1.0))
-    if not (math.isfinite(started) and math.isfinite(weight)):
-        raise EndpointListError("a figure is not finite")
-    address = line["hostPort"]
+    started_at = float(row.get("startedAtMs", 0))
+    weight = float(row.get("weight", 1.0))
+    if not (math.isfinite(started_at) and math.isfinite(weight)):
+        raise EndpointListError("startedAtMs or weight is not finite")
+    address = row["hostPort"]
     http.split_address(address)
     return ListedServer(
-        name=str(line["instanceId"]),
+        name=str(row["instanceId"]),
         address=address,
-        state=STATES[line["lifecycle"]],
-        zone=_index(zones, line.get("zone")),
-        kind=_index(kinds, line.get("machineType")),
-        cell=int(line.get("cell", 0)),
+        state=STATES[row["lifecycle"]],
+        zone=_index(zones, row.get("zone")),
+        kind=_index(kinds, row.get("machineType")),
+        cell=int(row.get("cell", 0)),
         weight=weight,
-        started_at=to_clock(started) if started else 0.0,  # 0 is 'long ago' on every clock
+        started_at=to_clock(started_at) if started_at else 0.0,  # 0 means long ago on every clock
     )
 
 
-def write_list(
-    version: int, entries: list[ListedServer], zones: list[str], kinds: list[str], gone: bool = False
-) -> dict[str, Any]:
-    """A whole list in the form that is read here; who is gone is on it only if so wanted."""
-    words, listed = {state: word for word, state in STATES.items()}, []
-    for entry in entries:
-        if gone or entry.state is not ServerState.REMOVED:
-            listed.append(
-                {
-                    "instanceId": entry.name,
-                    "hostPort": entry.address,
-                    "lifecycle": words[entry.state],
-                    "zone": zones[entry.zone] if entry.zone < len(zones) else None,
-                    "machineType": kinds[entry.kind] if entry.kind < len(kinds) else None,
-                    "cell": entry.cell,
-                    "weight": entry.weight,
-                    "startedAtMs": entry.started_at,
-                }
-            )
-    return {"generation": version, "reset": True, "instances": listed}
+def _index(names: list[str], name: object) -> int:
+    """The number of a zone or machine type; an unknown one gets the number after the last."""
+    return names.index(str(name)) if str(name) in names else len(names)
--- a/heronlug/discovery/poll_failure.py
+++ b/heronlug/discovery/poll_failure.py
@@ -1,19 +1,30 @@
-"""How a call of service discovery fails: told by the watch, weighed by the pace and by the freshness of the list."""
+"""How a poll of service discovery fails.  The pacer and the freshness of the list treat failures differently."""
 
 from enum import Enum
 
 
 class PollFailure(Enum):
-    """How a call failed."""
+    """How a poll failed; the values stand in the log."""
 
-    TURNED_AWAY = "turned away"
-    SLOW = "slow"  # no answer in time
-    DOWN = "down"  # reset, or a failure of our own machine
-    REFUSED = "refused"  # the dial, by a machine on which nobody listens
-    UNREACHABLE = "unreachable"  # a dial that nobody answered
-    BAD = "bad"  # an answer that is no list
+    REJECTED = "turned away"
+    """Service discovery answered that it is overloaded."""
+
+    TIMED_OUT = "slow"
+    """No answer came in time."""
+
+    CONNECTION_LOST = "down"
+    """The connection broke, or this machine could not dial."""
+
+    REFUSED = "refused"
+    """The other machine refused the dial: nothing listens there."""
+
+    UNREACHABLE = "unreachable"
+    """Nothing replied to the dial."""
+
+    INVALID_ANSWER = "bad"
+    """The answer is no endpoint list."""
 
     @property
-    def nobody(self) -> bool:
-        """Whether nobody answers, so that few who call cost discovery nothing."""
-        return self in (PollFailure.DOWN, PollFailure.REFUSED, PollFailure.UNREACHABLE)
+    def is_unavailable(self) -> bool:
+        """Whether service discovery does not answer at all, so that polling it adds no load."""
+        return self in (PollFailure.CONNECTION_LOST, PollFailure.REFUSED, PollFailure.UNREACHABLE)
--- a/heronlug/discovery/poll_pacing.py
+++ b/heronlug/discovery/poll_pacing.py
@@ -1,13 +1,13 @@
-"""When a dispatcher calls the node register again: as one of many that call the same service.
+"""When a dispatcher polls service discovery again, as one of many that poll the same service.
 
-The register works through calls one after another, and one that it turns away has cost it something too. What one
-dispatcher can see of its load is how its own call ends. So a call that was turned away or came too late goes again at
-a place in turn: time is cut into rounds, the same for all since all read Unix time, and in each a dispatcher has the
-place that its position gives it. A round is as long as the register needs for everybody's calls, by what a call is held
-to cost. That is a guess where the operators' file does not say it: it doubles with every third call in a row that is
-turned away, and never stands above what an answered call took. Weighed by figures in ``docs/design/coldstart.md``.
+Service discovery handles polls one after another, and one that it rejects costs it something too. A dispatcher sees of
+its load only how its own polls end. So after a poll that was rejected or timed out, the dispatcher waits for its slot:
+time is cut into rounds, the same for all since all read Unix time, and in each round a dispatcher has the slot that its
+position gives it. A round is as long as service discovery needs for the polls of all, by the estimated cost of a poll.
+Where the operators' file does not give that cost, it is a guess, which doubles with every third rejection in a row and
+never exceeds the time that an answer took. Figures: ``docs/design/coldstart.md``.
 
-Times in milliseconds of one clock that all dispatchers share as far as theirs agree.
+Times are in milliseconds of Unix time, as far as the dispatchers' clocks agree.
 """
 
 from collections.abc import Callable
@@ -15,77 +15,133 @@
 
 from heronlug.discovery.poll_failure import PollFailure
 
-GUESS = 20.0  # ms that a call is held to cost the register before anything is known
-RISE_AFTER = 3  # calls turned away in a row, and the guess doubles: rounds of few lengths, so that places fit together
-GUESS_MOST = 8 * GUESS
-SOONEST = 200.0  # ms between a call that failed and the next
-SHORTEST = 600.0  # of a round
-LONGEST = 20_000.0  # where the cost is a guess
-LONGEST_TOLD = 120_000.0
-DOWN_LONGEST = 4_000.0  # of a round while nobody answers, where few call
-WATCH, WATCH_MOST = 20_000.0, 60_000.0  # ms that a watch waits for news; the protocol allows no more
-RENEWALS = 0.25  # of what the register bears may go into watches that begin anew with nothing told
-PATIENCE = 3_000.0  # ms that an answer is waited for, at first
-PATIENCE_MOST = 12_000.0
+GUESSED_COST_MS = 20.0
+"""What a poll is held to cost service discovery before anything is known."""
+
+MAX_GUESSED_COST_MS = 8 * GUESSED_COST_MS
+"""The guess does not grow beyond this."""
+
+REJECTIONS_TO_DOUBLE = 3
+"""Failures in a row after which a rejection doubles the guess: rounds have few lengths, so that slots fit together."""
+
+MIN_RETRY_MS = 200.0
+"""The shortest time between a failed poll and the next."""
+
+MIN_ROUND_MS = 600.0
+"""The shortest round."""
+
+MAX_GUESSED_ROUND_MS = 20_000.0
+"""The longest round where the cost is a guess."""
+
+MAX_KNOWN_ROUND_MS = 120_000.0
+"""The longest round where the operators give the cost."""
+
+MAX_UNAVAILABLE_ROUND_MS = 4_000.0
+"""The longest round that a growing backoff leads to."""
+
+MAX_BACKOFF_DOUBLINGS = 8
+
+POLL_WAIT_MS = 20_000.0
+"""How long a poll waits for a change, at the least."""
+
+MAX_POLL_WAIT_MS = 60_000.0
+"""How long a poll waits for a change, at the longest; the protocol allows no more."""
+
+RENEWAL_SHARE = 0.25
+"""Share of service discovery's capacity that may go into polls that end without a change."""
+
+ANSWER_TIMEOUT_MS = 3_000.0
+"""For an answer that does not wait for a change, at first."""
+
+MAX_ANSWER_TIMEOUT_MS = 12_000.0
+"""The timeout does not grow beyond this."""
 
 
 class PollTerms(NamedTuple):
-    """What is known of those that call."""
+    """What is known of the dispatchers that poll.
+
+    Attributes:
+        dispatchers: How many poll for themselves.
+        position: This one's number among them, from 0.
+        cost_ms: What a poll costs service discovery; None where the operators do not say.
+    """
 
-    many: int = 1  # dispatchers that read the register for themselves
-    position: int = 0  # ours among them
-    cost: float | None = None  # ms that a call costs the register, where the operators say so
+    dispatchers: int = 1
+    position: int = 0
+    cost_ms: float | None = None
 
 
 class PollPacer:
-    """One dispatcher's calls.  ``draw`` gives a number from 0 to 1, for those whose places are the same."""
+    """Paces the polls of one dispatcher.
+
+    Attributes:
+        terms: What is known of the dispatchers that poll.
+        cost_ms: The estimated cost of a poll.
+        answer_timeout: How long, in ms, an answer may take that does not wait for a change.
+        failures_in_row: Polls that have failed since the last answer.
+    """
 
     def __init__(self, terms: PollTerms, draw: Callable[[], float]) -> None:
-        self.terms, self._draw = terms, draw
-        self.guess = terms.cost or GUESS
-        self.patience = PATIENCE
-        self.failures = 0  # in a row
+        """``draw`` returns a random number from 0 to 1: the place within a slot."""
+        self.terms = terms
+        self.cost_ms = terms.cost_ms or GUESSED_COST_MS
+        self.answer_timeout = ANSWER_TIMEOUT_MS
+        self.failures_in_row = 0
+        self._draw = draw
 
     @property
-    def watch(self) -> float:
-        """How long a watch waits for news: of many dispatchers each has to begin anew less often."""
-        return max(WATCH, min(WATCH_MOST, self.terms.many * self.guess / RENEWALS))
+    def poll_wait(self) -> float:
+        """How long, in ms, a poll waits for a change: the longer, the more dispatchers there are."""
+        return max(POLL_WAIT_MS, min(MAX_POLL_WAIT_MS, self.terms.dispatchers * self.cost_ms / RENEWAL_SHARE))
 
-    def begin(self, now: float, listed: bool) -> float:
-        """When the first call may go: at once, or in turn where it is known what the register bears."""
-        if self.terms.cost is None or self.terms.many == 1:
+    def first_poll_at(self, now: float, has_list: bool) -> float:
+        """When the first poll may be sent: in this dispatcher's slot if the cost is known, else at once."""
+        if self.terms.cost_ms is None or self.terms.dispatchers == 1:
             return now
-        return self._place(now, self._round(listed))
-
-    def answered(self, took: float) -> None:
-        """A call that did not wait for news has been answered after this."""
-        self.failures = 0
-        self.patience = max(PATIENCE, min(self.patience, 2 * took))
-        if self.terms.cost is None:
-            self.guess = min(self.guess, max(1.0, took))
-
-    def failed(self, now: float, why: PollFailure, listed: bool, retry_after: float = 0.0) -> float:
-        """A call has failed; when the next may go.  ``listed``: there is a list, so that one call is enough."""
-        self.failures += 1
-        if why is PollFailure.SLOW:  # an answer that comes late is worth more than another call that comes late
-            self.patience = min(PATIENCE_MOST, 2 * self.patience)
-        span = self._round(listed)
-        if why is PollFailure.TURNED_AWAY and self.terms.cost is None and self.failures % RISE_AFTER == 0:
-            self.guess = min(GUESS_MOST, 2 * self.guess)
-        if why.nobody or self.terms.many == 1:  # few that call: each waits longer the longer it lasts
-            span = max(span, min(DOWN_LONGEST, SHORTEST * 2 ** min(self.failures - 1, 8)))
-        return self._place(now + max(SOONEST, retry_after), span)
-
-    def _round(self, listed: bool) -> float:
-        """How long the register needs for everybody."""
-        calls = self.terms.many * (1 if listed else 2)
-        return max(SHORTEST, min(LONGEST if self.terms.cost is None else LONGEST_TOLD, calls * self.guess))
-
-    def _place(self, now: float, span: float) -> float:
-        """Our next place in a round of this length; within it by chance, so that nobody meets the same one always."""
-        if self.terms.many == 1:
-            return now + span * (0.5 + 0.5 * self._draw())
-        width = span / self.terms.many
-        place = (self.terms.position % self.terms.many) * width + width * self._draw()
-        turn = now // span * span + place
-        return turn if turn >= now else turn + span
+        return self._next_slot(now, self._round(has_list))
+
+    def on_answer(self, took: float) -> None:
+        """A poll that did not wait for a change was answered after ``took`` ms."""
+        self.failures_in_row = 0
+        self.answer_timeout = max(ANSWER_TIMEOUT_MS, min(self.answer_timeout, 2 * took))
+        if self.terms.cost_ms is None:
+            self.cost_ms = min(self.cost_ms, max(1.0, took))
+
+    def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
+        """When the next poll may be sent after one that failed.
+
+        Args:
+            now: The time, in ms.
+            failure: How it failed.
+            has_list: Whether there is a list, so that one poll is enough.
+            retry_after: What service discovery asked to wait, in ms.
+        """
+        self.failures_in_row += 1
+        if failure is PollFailure.TIMED_OUT:  # waiting longer costs less than another poll that times out
+            self.answer_timeout = min(MAX_ANSWER_TIMEOUT_MS, 2 * self.answer_timeout)
+        round_length = self._round(has_list)
+        guesses = self.terms.cost_ms is None
+        if failure is PollFailure.REJECTED and guesses and self.failures_in_row % REJECTIONS_TO_DOUBLE == 0:
+            self.cost_ms = min(MAX_GUESSED_COST_MS, 2 * self.cost_ms)
+        if failure.is_unavailable or self.terms.dispatchers == 1:
+            round_length = max(round_length, self._backoff())
+        return self._next_slot(now + max(MIN_RETRY_MS, retry_after), round_length)
+
+    def _backoff(self) -> float:
+        doublings = min(self.failures_in_row - 1, MAX_BACKOFF_DOUBLINGS)
+        return min(MAX_UNAVAILABLE_ROUND_MS, MIN_ROUND_MS * 2.0**doublings)
+
+    def _round(self, has_list: bool) -> float:
+        """How long, in ms, service discovery needs for the polls of all."""
+        polls = self.terms.dispatchers * (1 if has_list else 2)
+        longest = MAX_GUESSED_ROUND_MS if self.terms.cost_ms is None else MAX_KNOWN_ROUND_MS
+        return max(MIN_ROUND_MS, min(longest, polls * self.cost_ms))
+
+    def _next_slot(self, now: float, round_length: float) -> float:
+        """A random moment of this dispatcher's next slot, so that the same two do not always collide."""
+        if self.terms.dispatchers == 1:
+            return now + round_length * (0.5 + 0.5 * self._draw())
+        width = round_length / self.terms.dispatchers
+        offset = (self.terms.position % self.terms.dispatchers) * width + width * self._draw()
+        slot = now // round_length * round_length + offset
+        return slot if slot >= now else slot + round_length
--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -7,7 +7,7 @@
 from heronlug.balancer.settings import Effect, Settings
 from heronlug.conformance import Answered, Listed, Started, Stopped, Taken
 from heronlug.discovery.poll_failure import PollFailure
-from heronlug.discovery.poll_pacing import WATCH, PollPacer, PollTerms
+from heronlug.discovery.poll_pacing import POLL_WAIT_MS, PollPacer, PollTerms
 from heronlug.emulator.backend import EmulatedBackend
 from heronlug.emulator.clients import ClientRequest
 from heronlug.emulator.policies import BUILT_IN_POLICY, POLICIES, ServerTruth
@@ -149,7 +149,7 @@
     @property
     def watch_timeout_ms(self) -> float:
         """How long its watch waits for an event."""
-        return self._pacer.watch if self._pacer is not None else WATCH
+        return self._pacer.poll_wait if self._pacer is not None else POLL_WAIT_MS
 
     def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
         """An endpoint list or watch event has come."""
@@ -162,13 +162,13 @@
         """Service discovery has answered a call for the list after so many ms."""
         self._has_list = True
         if self._pacer is not None:
-            self._pacer.answered(took)
+            self._pacer.on_answer(took)
 
     def list_call_rejected(self) -> None:
         """Service discovery has rejected a call."""
         if self._pacer is not None:
             now = self.deadlines.clock()
-            self._schedule_poll(self._pacer.failed(now, PollFailure.TURNED_AWAY, self._has_list))
+            self._schedule_poll(self._pacer.on_failure(now, PollFailure.REJECTED, self._has_list))
         self.receive_list(ListKind.FAILED, [])
 
     def _subscribe(self) -> None:
@@ -176,7 +176,7 @@
             self.world.discovery.watch(self)
         elif not self._polls:
             self._polls = True
-            self._schedule_poll(self._pacer.begin(self.deadlines.clock(), self._has_list))
+            self._schedule_poll(self._pacer.first_poll_at(self.deadlines.clock(), self._has_list))
 
     def _schedule_poll(self, when: float) -> None:
         """Poll at the time that the pacer gives; what the balancer asks for before that is this poll."""
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -97,13 +97,13 @@
             send_peer_message=self.peer_messages.send,
             max_open=min(config.max_open, int(config.memory_mb * REQUESTS_PER_MB)),
             max_retry_after=config.max_come_back,
-            has_unread_update=self.discovery.client.behind,
+            has_unread_update=self.discovery.client.has_unread_update,
         )
         self.backend.core = self.core
         self.discovery.core = self.core
         self.peer_messages.core = self.core
         if not config.paced:  # a paced client uses the list that it has for longer
-            self.discovery.client.on_good = self.core.set_list_usable
+            self.discovery.client.staleness.on_usable_change = self.core.set_list_usable
 
     def _make_frontend(self) -> None:
         """The clients' connections and the socket that they come to."""
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -39,14 +39,14 @@
         self.table, self._inventory, self._tell = table, inventory, tell
         sharing, probing = table["register"], table["probe"]
         self.view = ServerView(sharing.get("share", "none"), probing.get("panic_share", 1.0))
-        if sharing and (sharing["share"] == "list" or inventory.pace is None):
+        if sharing and (sharing["share"] == "list" or inventory.pacer is None):
             # one reads, and calls with nobody else; where all read, each has its place
             many = (
                 PollTerms()
                 if sharing["share"] == "list"
                 else PollTerms(core.settings.instances, core.settings.position)
             )
-            inventory.pace = PollPacer(many, Random().random)
+            inventory.pacer = PollPacer(many, Random().random)
         self.register = SharedDiscovery(
             self.view,
             inventory,
@@ -73,7 +73,8 @@
             kind, entries = self._held
             if entries or kind is ListKind.FULL:  # it joins while it runs
                 self.register.own_news(kind, entries)
-            self._inventory.news, self._inventory.on_good = self.register.own_news, None
+            self._inventory.on_update = self.register.own_news
+            self._inventory.staleness.on_usable_change = None
 
     def subscribe(self) -> None:
         """The core wants a watch."""
--- a/heronlug/lifecycle/discovery_service.py
+++ b/heronlug/lifecycle/discovery_service.py
@@ -8,7 +8,7 @@
 from heronlug.backends.pool import ConnectionPool
 from heronlug.balancer.events import ListKind
 from heronlug.config.platform import Config
-from heronlug.discovery.client import SPREAD, DiscoveryClient
+from heronlug.discovery.client import WAIT_SPREAD, DiscoveryClient, DiscoveryTarget
 from heronlug.discovery.endpoint_list import read_list, write_list
 from heronlug.discovery.freshness import Freshness
 from heronlug.lifecycle.log import Log
@@ -39,17 +39,15 @@
         self._log = log
         settings = config.settings
         # the clock of the process is Unix time, in which the lists state theirs
-        read = partial(read_list, zones=config.zones, kinds=config.kinds, to_clock=float)
+        parse_list = partial(read_list, zones=config.zones, kinds=config.kinds, to_clock=float)
         self.client = DiscoveryClient(
-            config.discovery,
-            0,
-            read,
+            DiscoveryTarget(config.discovery, 0, 1.0 - WAIT_SPREAD * settings.position / settings.instances),
+            parse_list,
             self.update,
+            Freshness(config.pushed, settings.poll_interval, settings.drain_grace),
             deadlines,
             log,
             turn,
-            Freshness(config.pushed, settings.poll_interval, settings.drain_grace),
-            part=1.0 - SPREAD * settings.position / settings.instances,
         )
         self.cache: Any = None  # its type is imported only where a file is configured
         self.subscribe_through: Callable[[], None] = self.client.subscribe
@@ -70,7 +68,7 @@
         if config.discovery:
             self.client.move(config.discovery)
         elif config.known is not None:
-            self.client.news(ListKind.FULL, self.client.read(config.known)[2])
+            self.client.on_update(ListKind.FULL, self.client.parse_list(config.known).servers)
 
     def use_options(self, table: dict[str, Any]) -> None:
         """Pace the polls, and cache the list, as a ``[register]`` table says; the code of both is imported here."""
@@ -79,7 +77,7 @@
         settings = self.core.settings
         cost_ms = 1000 / table["calls_per_s"] if table.get("calls_per_s") else None
         terms = PollTerms(settings.instances, settings.position, cost_ms)
-        self.client.pace = PollPacer(terms, Random(self._config.seed or None).random)
+        self.client.pacer = PollPacer(terms, Random(self._config.seed or None).random)
         if table.get("keep"):
             from heronlug.discovery.cache_file import CacheFile
 
--- a/heronlug/lifecycle/hot_restart/state_transfer.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -71,7 +71,7 @@
         self.session = HotRestart(self, config.name, path, deadlines, parts.log, parts.turn)
         self._sockets = InheritedSockets(config, parts.listener, parts.peers, deadlines, parts.log, parts.turn)
         self._adopter = RequestAdopter(
-            parts.core, parts.frontend, parts.backend, parts.discovery.client.read, parts.log
+            parts.core, parts.frontend, parts.backend, parts.discovery.client.parse_list, parts.log
         )
         self._sender = RequestSender(config, parts.core, parts.frontend, parts.shutdown, self.session)
         self._limits = SharedLimits(parts.frontend.max_connections, parts.backend.max_connections, parts.core.max_open)
@@ -110,9 +110,9 @@
         state = self._state
         self._state = None
         entries = self._read_first_list(state)
-        client.listed = bool(entries)
-        client.news(ListKind.CACHED, entries)
-        client.begin_clock(state.list_valid_ms if state is not None else 0.0)
+        client.has_list = bool(entries)
+        client.on_update(ListKind.CACHED, entries)
+        client.begin_freshness(state.list_valid_ms if state is not None else 0.0)
         if state is None:
             return
         try:
@@ -130,7 +130,7 @@
         for known in (told, cached, self._parts.config.known):
             if known is not None:
                 try:
-                    discovery.client.version, _, entries = discovery.client.read(known)
+                    discovery.client.version, _, entries = discovery.client.parse_list(known)
                 except EndpointListError as error:
                     self._parts.log("bad_known_list", error=str(error))
                 else:
--- a/heronlug/lifecycle/readiness.py
+++ b/heronlug/lifecycle/readiness.py
@@ -1,7 +1,7 @@
 """Whether the dispatcher takes requests, as the frontend, the health check and the operators see it."""
 
 from heronlug.discovery.client import DiscoveryClient
-from heronlug.discovery.freshness import State as ListState
+from heronlug.discovery.freshness import FreshnessState
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
 from heronlug.lifecycle.hot_restart.session import HotRestart
 from heronlug.lifecycle.log import Log
@@ -46,6 +46,6 @@
 
     def _serves_unconfirmed(self) -> bool:
         """Whether clients are taken although the list is not confirmed: their requests wait for the confirmation."""
-        unconfirmed = self._discovery.freshness.state is ListState.UNCONFIRMED
+        unconfirmed = self._discovery.freshness.state is FreshnessState.UNCONFIRMED
         waited_ms = self.core.deadlines.clock() - self._started_at
         return unconfirmed and waited_ms >= CONFIRMATION_TIMEOUT_MS and self.core.directory.has_ready_server
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -278,8 +278,8 @@
         self.daemon.discovery.cache = None
         self.daemon.discovery.client.version = 42
         self.daemon.discovery.client.freshness.remaining.return_value = 7500.0
-        self.daemon.discovery.client.read = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
-        self.daemon.discovery.client.news = self.core.update_servers
+        self.daemon.discovery.client.parse_list = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
+        self.daemon.discovery.client.on_update = self.core.update_servers
         self.daemon.frontend.adopt.side_effect = self._adopted
         self.takeover = StateTransfer(cast(Any, self.daemon), self.deadlines, folder)
         config.peers, config.peers_all = [], None
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -177,7 +177,7 @@
             await asyncio.wait_for(joining, 5)
             process.takeover.use_state()
             assert [server.entry for server in process.core.directory.by_number.values()] == SERVERS[:3]
-            process.daemon.discovery.client.begin_clock.assert_called_once_with(7500.0)
+            process.daemon.discovery.client.begin_freshness.assert_called_once_with(7500.0)
             assert process.core.peer_process_request_ids == {"t-1"}
             process.takeover.session.announce_serving()
             assert await receive(sock) == SERVING
--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -13,113 +13,120 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.discovery.freshness import Event, Freshness, State
+from heronlug.discovery.freshness import Freshness, FreshnessEvent, FreshnessState
 
 GRACE = 2500.0
-KEPT_BACK = 150.0  # a dispatcher may be held up for so long between its clock and its write
+GRACE_MARGIN = 150.0  # a dispatcher may be held up for so long between its freshness and its write
 WAIT = 20_000.0
 LENGTH = int(os.environ.get("FRESHNESS_ORDERS", "6"))  # 8 by hand: some minutes
-ENDS = (Event.FAILED, Event.REFUSED, Event.UNREACHABLE, Event.MOVED)
+ENDS = (FreshnessEvent.FAILED, FreshnessEvent.REFUSED, FreshnessEvent.UNREACHABLE, FreshnessEvent.MOVED)
 
 
-class Happened(NamedTuple):
+class TimedEvent(NamedTuple):
     """An event, and when."""
 
     at: float
-    event: Event
+    event: FreshnessEvent
 
 
-def counts_after(pushed: bool, ask_every: float) -> float:
+def counts_after(pushed: bool, poll_interval: float) -> float:
     """Where no watch is on, a change counts so long after it was made."""
-    return 0.0 if pushed else min(ask_every, 6_000.0)
+    return 0.0 if pushed else min(poll_interval, 6_000.0)
 
 
-def limit_of(history: list[Happened], pushed: bool, ask_every: float) -> float:
+def usable_limit(history: list[TimedEvent], pushed: bool, poll_interval: float) -> float:
     """Until when new work may go to a server that may have left; a call that waits follows each answer at once."""
-    after, moved_after = counts_after(pushed, ask_every), 4_000.0 if pushed else min(ask_every, 4_000.0)
-    answers = [number for number, (_, event) in enumerate(history) if event is Event.ANSWERED]
+    after, moved_after = counts_after(pushed, poll_interval), 4_000.0 if pushed else min(poll_interval, 4_000.0)
+    answers = [number for number, (_, event) in enumerate(history) if event is FreshnessEvent.ANSWERED]
     since = history[answers[-1] + 1 :] if answers else history
     limit, over, silent = -inf, not answers, False
     if answers:
         limit = history[answers[-1]].at + WAIT + 2_000.0 + GRACE
     for at, event in since:
-        if not over and event is Event.GIVEN_UP:
-            silent = True  # what it missed goes on counting by its own clock
-        elif not over and not silent and event in ENDS and event is not Event.MOVED:
+        if not over and event is FreshnessEvent.TIMED_OUT:
+            silent = True  # what it missed goes on counting by its own freshness
+        elif not over and not silent and event in ENDS and event is not FreshnessEvent.MOVED:
             over, limit = True, min(limit, at + after + GRACE)
-        elif not answers and limit == -inf and event in (Event.REFUSED, Event.UNREACHABLE):
+        elif not answers and limit == -inf and event in (FreshnessEvent.REFUSED, FreshnessEvent.UNREACHABLE):
             limit = at + after + GRACE  # nobody could reach it, and no list is newer
-        elif over and event is Event.REFUSED and at < limit - KEPT_BACK:
+        elif over and event is FreshnessEvent.REFUSED and at < limit - GRACE_MARGIN:
             limit = max(limit, at + after + GRACE)  # it is down, so what is missing comes later
-        if event is Event.MOVED and limit > -inf:
+        if event is FreshnessEvent.MOVED and limit > -inf:
             over, limit = over or not silent, min(limit, at + moved_after + GRACE)
-        elif event is Event.BEGUN and limit > -inf:
+        elif event is FreshnessEvent.ANSWER_BEGUN and limit > -inf:
             limit = min(limit, at + GRACE)  # what is written counts
     return limit
 
 
-def play(history: list[Happened], pushed: bool, ask_every: float) -> Freshness:
-    """The program's clock after these events."""
-    clock = Freshness(pushed, ask_every, GRACE)
-    clock.begin(0.0)
+def freshness_after(history: list[TimedEvent], pushed: bool, poll_interval: float) -> Freshness:
+    """The program's freshness after these events."""
+    freshness = Freshness(pushed, poll_interval, GRACE)
+    freshness.begin(0.0)
     for at, event in history:
-        clock.happened(event, at)
-        clock.called(at, WAIT)  # a call follows each answer; one in any other state is no watch
-    return clock
+        freshness.apply(event, at)
+        freshness.poll_sent(at, WAIT)  # a call follows each answer; one in any other state is no watch
+    return freshness
 
 
-def check(history: list[Happened], pushed: bool, ask_every: float) -> None:
+def check_usable_until(history: list[TimedEvent], pushed: bool, poll_interval: float) -> None:
     """The list is never good past the limit, and no earlier is it given up."""
-    limit, good_until = limit_of(history, pushed, ask_every), play(history, pushed, ask_every).good_until
-    assert good_until <= limit, (history, limit, good_until)
-    assert good_until >= limit - KEPT_BACK or good_until == limit, (history, limit, good_until)
+    limit, usable_until = (
+        usable_limit(history, pushed, poll_interval),
+        freshness_after(history, pushed, poll_interval).usable_until,
+    )
+    assert usable_until <= limit, (history, limit, usable_until)
+    assert usable_until >= limit - GRACE_MARGIN or usable_until == limit, (history, limit, usable_until)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_every_order_of_events(pushed: bool) -> None:
+def test_usable_until_after_every_short_order_of_events(pushed: bool) -> None:
     for gap in (200.0, 1_700.0):
-        for events in product(Event, repeat=LENGTH if gap > 1_000.0 else LENGTH - 1):
-            check([Happened(gap * (n + 1), event) for n, event in enumerate(events)], pushed, 10_000.0)
+        for events in product(FreshnessEvent, repeat=LENGTH if gap > 1_000.0 else LENGTH - 1):
+            check_usable_until([TimedEvent(gap * (n + 1), event) for n, event in enumerate(events)], pushed, 10_000.0)
 
 
-EVENTS = st.lists(st.tuples(st.floats(1.0, 9_000.0), st.sampled_from(list(Event))), max_size=16)
+EVENTS = st.lists(st.tuples(st.floats(1.0, 9_000.0), st.sampled_from(list(FreshnessEvent))), max_size=16)
 
 
 @given(EVENTS, st.booleans(), st.sampled_from([0.0, 900.0, 6_000.0, 60_000.0]))
-def test_longer_orders_at_any_times(events: list[tuple[float, Event]], pushed: bool, ask_every: float) -> None:
+def test_usable_until_after_longer_orders_at_any_times(
+    events: list[tuple[float, FreshnessEvent]], pushed: bool, poll_interval: float
+) -> None:
     history, now = [], 0.0
     for gap, event in events:
         now += gap
-        history.append(Happened(now, event))
-    check(history, pushed, ask_every)
+        history.append(TimedEvent(now, event))
+    check_usable_until(history, pushed, poll_interval)
 
 
-@pytest.mark.parametrize(("wait", "told"), [(20_000, 22_000), (12_000, 14_000), (1_000, 6_000), (0, 6_000)])
+@pytest.mark.parametrize(("wait", "notified_after"), [(20_000, 22_000), (12_000, 14_000), (1_000, 6_000), (0, 6_000)])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_falls_silent(wait: float, told: float, pushed: bool) -> None:
+def test_list_of_a_silent_watch_is_usable_until_missed_changes_count_as_notified(
+    wait: float, notified_after: float, pushed: bool
+) -> None:
     """What it misses counts 6 s after its call, or 2 s after the call's wait is over."""
-    clock = Freshness(pushed, 10_000, GRACE)
-    clock.happened(Event.ANSWERED, 100)
-    clock.called(100, wait)
-    assert clock.good_until == 100 + told + GRACE - KEPT_BACK
+    freshness = Freshness(pushed, 10_000, GRACE)
+    freshness.apply(FreshnessEvent.ANSWERED, 100)
+    freshness.poll_sent(100, wait)
+    assert freshness.usable_until == 100 + notified_after + GRACE - GRACE_MARGIN
 
 
-def test_a_process_that_takes_over_goes_on_with_the_time_that_was_left() -> None:
+def test_new_process_continues_with_the_remaining_time_of_the_list() -> None:
     """News count 2 s after it serves at the latest, and a list of unknown age is good for nothing."""
-    clock = Freshness(False, 10_000, GRACE)
-    clock.happened(Event.ANSWERED, 0)
-    clock.called(0, WAIT)
-    assert clock.remaining(1_000) == 6_000 + GRACE - KEPT_BACK
-    for left, good in ((8_000.0, 2_000 + GRACE - KEPT_BACK), (700.0, 700.0), (0.0, -inf)):
-        taken_over = Freshness(False, 10_000, GRACE)
-        taken_over.begin(50_000, left)
-        assert taken_over.good_until == 50_000 + good
-        assert taken_over.state is (State.UNWATCHED if left else State.UNCONFIRMED)
-
-
-def test_a_pause_that_fits_into_the_grace() -> None:
+    freshness = Freshness(False, 10_000, GRACE)
+    freshness.apply(FreshnessEvent.ANSWERED, 0)
+    freshness.poll_sent(0, WAIT)
+    assert freshness.remaining(1_000) == 6_000 + GRACE - GRACE_MARGIN
+    for left, good in ((8_000.0, 2_000 + GRACE - GRACE_MARGIN), (700.0, 700.0), (0.0, -inf)):
+        handed_over = Freshness(False, 10_000, GRACE)
+        handed_over.begin(50_000, left)
+        assert handed_over.usable_until == 50_000 + good
+        assert handed_over.state is (FreshnessState.UNWATCHED if left else FreshnessState.UNCONFIRMED)
+
+
+def test_retry_pause_fits_into_the_grace() -> None:
     for grace in (300.0, 1_200.0, 2_500.0):
-        pause = Freshness(True, 10_000, grace).pause
+        pause = Freshness(True, 10_000, grace).retry_pause
         assert pause is not None and pause <= grace / 3
-    assert Freshness(False, 10_000, GRACE).pause is None
-    assert Freshness(True, 10_000, 0.0).pause == 50.0
+    assert Freshness(False, 10_000, GRACE).retry_pause is None
+    assert Freshness(True, 10_000, 0.0).retry_pause == 50.0
--- a/tests/discovery/test_poll_pacing.py
+++ b/tests/discovery/test_poll_pacing.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.discovery import poll_pacing as pacing
+from heronlug.discovery import poll_pacing
 from heronlug.discovery.poll_failure import PollFailure
 from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 
@@ -47,7 +47,7 @@
 
     for number, pacer in enumerate(pacers):
         at = rng.uniform(0, starts)
-        call_at(pacer.begin(at, listed), number)
+        call_at(pacer.first_poll_at(at, listed), number)
     while heap and len(done) < many:
         now, _, number = heapq.heappop(heap)
         if now > 3_600_000:
@@ -56,19 +56,19 @@
             gaps.append(now - failed_at.pop(number))
         if now < down_until:
             failed_at[number] = now
-            call_at(pacers[number].failed(now, PollFailure.DOWN, has[number]), number)
+            call_at(pacers[number].on_failure(now, PollFailure.CONNECTION_LOST, has[number]), number)
             continue
         calls.append(now)
         wait = max(0.0, free - now)
         if wait > BOUND:
             turned, free, failed_at[number] = turned + 1, free + 1.0, now
-            call_at(pacers[number].failed(now, PollFailure.TURNED_AWAY, has[number]), number)
+            call_at(pacers[number].on_failure(now, PollFailure.REJECTED, has[number]), number)
             continue
         free = now + wait + cost
         if has[number]:
             done[number] = free  # a watch
             continue
-        pacers[number].answered(wait + cost)
+        pacers[number].on_answer(wait + cost)
         has[number] = True
         call_at(free, number)  # at once: a watch goes on within 200 ms
     return Played(calls, turned, max(done.values()), gaps)
@@ -96,9 +96,9 @@
     many: int, cost: float, told: bool, starts: float, listed: bool, down: float, seed: int
 ) -> None:
     played = play(many, cost, told=told, starts=starts, seed=seed, listed=listed, down_until=down)
-    assert all(gap >= pacing.SOONEST - 1e-6 for gap in played.gaps)
+    assert all(gap >= poll_pacing.MIN_RETRY_MS - 1e-6 for gap in played.gaps)
     least = many * (1 if listed else 2) * cost
-    assert played.last <= starts + down + 6 * least + 6 * pacing.LONGEST
+    assert played.last <= starts + down + 6 * least + 6 * poll_pacing.MAX_GUESSED_ROUND_MS
 
 
 @given(many=st.integers(20, 400), cost=st.floats(2.0, 60.0), starts=st.floats(0.0, 3000.0), seed=st.integers(0, 999))
@@ -116,12 +116,12 @@
     class Alone(PollPacer):
         """As it was: each waits for itself, at random, longer with each failure."""
 
-        def failed(self, now: float, why: PollFailure, listed: bool, retry_after: float = 0.0) -> float:
-            self.failures += 1
-            return now + 312.5 * 2.0 ** min(self.failures, 4) * (0.5 + 0.5 * self._draw())
+        def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
+            self.failures_in_row += 1
+            return now + 312.5 * 2.0 ** min(self.failures_in_row, 4) * (0.5 + 0.5 * self._draw())
 
-        def answered(self, took: float) -> None:
-            self.failures = 0
+        def on_answer(self, took: float) -> None:
+            self.failures_in_row = 0
 
     spread = many * 10.0
     now = [play(many, cost, starts=spread, seed=seed) for seed in range(3)]
@@ -136,22 +136,22 @@
 
 def test_the_register_says_when_to_come_again() -> None:
     pacer = PollPacer(PollTerms(10, 3), lambda: 0.5)
-    assert pacer.failed(1000.0, PollFailure.TURNED_AWAY, True, 5000.0) >= 6000.0
+    assert pacer.on_failure(1000.0, PollFailure.REJECTED, True, 5000.0) >= 6000.0
 
 
 def test_patience_grows_with_answers_that_come_late_and_falls_with_quick_ones() -> None:
     pacer = PollPacer(PollTerms(), lambda: 0.5)
     for _ in range(9):
-        pacer.failed(0.0, PollFailure.SLOW, False)
-    assert pacer.patience == pacing.PATIENCE_MOST
-    pacer.answered(5000.0)
-    assert pacer.patience == 10_000.0
-    pacer.answered(10.0)
-    assert pacer.patience == pacing.PATIENCE
+        pacer.on_failure(0.0, PollFailure.TIMED_OUT, False)
+    assert pacer.answer_timeout == poll_pacing.MAX_ANSWER_TIMEOUT_MS
+    pacer.on_answer(5000.0)
+    assert pacer.answer_timeout == 10_000.0
+    pacer.on_answer(10.0)
+    assert pacer.answer_timeout == poll_pacing.ANSWER_TIMEOUT_MS
 
 
 def test_watches_of_many_begin_anew_less_often() -> None:
-    assert PollPacer(PollTerms(), lambda: 0.5).watch == pacing.WATCH
-    assert PollPacer(PollTerms(300, 0, 50.0), lambda: 0.5).watch == pacing.WATCH_MOST
+    assert PollPacer(PollTerms(), lambda: 0.5).poll_wait == poll_pacing.POLL_WAIT_MS
+    assert PollPacer(PollTerms(300, 0, 50.0), lambda: 0.5).poll_wait == poll_pacing.MAX_POLL_WAIT_MS
     many = PollPacer(PollTerms(500, 0, 20.0), lambda: 0.5)
-    assert 500 / (many.watch / 1000) * 20.0 <= 1000 * pacing.RENEWALS
+    assert 500 / (many.poll_wait / 1000) * 20.0 <= 1000 * poll_pacing.RENEWAL_SHARE
