--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -21,8 +21,7 @@
 from heronlug.cluster.node import Node
 from heronlug.cluster.schema import read_keys
 from heronlug.cluster.task_runner import TaskRunner
-from heronlug.discovery.shared_client import DUTY as REGISTER
-from heronlug.discovery.shared_client import SCOUT, SharedDiscovery
+from heronlug.discovery.shared_client import INTERIM_TABLE, LEASE_TABLE, SharedDiscovery
 from heronlug.net.http import split_address
 from heronlug.requests.deadlines import Deadlines, Key
 
@@ -49,7 +48,7 @@
         self._table, self._deadlines, self._log, self._turn = table, deadlines, log, turn
         self.shared_discovery, self.health_checker = register, probes
         self.task_runner = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
-        kept = [REGISTER] if register is not None and register.view.share != "none" else []  # duties
+        kept = [LEASE_TABLE] if register is not None and register.view.share != "none" else []  # duties
         kept += probes.names if probes is not None else []
         local = LocalMember(table["name"], table["advertise"] or table["listen"], int(deadlines.clock()))
         self.node = Node(
@@ -177,9 +176,9 @@
         }
         if self.shared_discovery is not None:
             view = self.shared_discovery.view
-            counts["register_readings"] = ("counter", self.shared_discovery.readings)
+            counts["register_readings"] = ("counter", self.shared_discovery.lists_read)
             counts["register_shared"] = ("gauge", int(view.source.value == "shared"))
-            counts["register_scouted"] = ("counter", self.shared_discovery.scouted)
+            counts["register_scouted"] = ("counter", self.shared_discovery.interim_reads)
             counts["register_reads"] = ("gauge", int(view.watching))
             counts["register_switches"] = ("counter", view.switches)
             counts["hosts_down"] = ("gauge", len(view.down))
@@ -252,11 +251,11 @@
                 self.task_runner.gained(action.lease, action.token)
             else:
                 self.task_runner.lost(action.lease)
-        elif action.lease == REGISTER and self.shared_discovery is not None:
+        elif action.lease == LEASE_TABLE and self.shared_discovery is not None:
             if gained:
-                self.shared_discovery.gained(action.token)
+                self.shared_discovery.on_lease_gained(action.token)
             else:
-                self.shared_discovery.lost()
+                self.shared_discovery.on_lease_lost()
         elif self.health_checker is not None:
             if gained:
                 self.health_checker.gained(action.lease, action.token)
@@ -264,8 +263,8 @@
                 self.health_checker.lost(action.lease)
 
     def _sheet(self, sheet: TableChanged) -> None:
-        if sheet.table in (REGISTER, SCOUT) and self.shared_discovery is not None:
-            self.shared_discovery.sheet(sheet.table, sheet.changes)
+        if sheet.table in (LEASE_TABLE, INTERIM_TABLE) and self.shared_discovery is not None:
+            self.shared_discovery.on_table_change(sheet.table, sheet.changes)
         elif self.health_checker is not None:
             self.health_checker.sheet(sheet.table, sheet.changes)
 
--- a/heronlug/discovery/reader_election.py
+++ b/heronlug/discovery/reader_election.py
@@ -1,22 +1,24 @@
-"""Who of a cluster reads the node register, from the first second on and through its outages.
-
-One reading serves all. Once a lease is held its owner reads; a lease needs a settled list of members, which a fleet
-that starts at once does not have for seconds. So until then, and whenever nobody is heard reading, a few scouts read,
-chosen without agreement: each member takes its place in the duty's rank among those that it knows, and the first
-places come first. Whoever begins says so before the answer has come, and that holds the others back. A reader whose
-watch has failed goes on saying that it tries: the others keep what they have, and in turns, one a second over all of
-them, look whether they can reach the register.
-
-So a member is in one of four roles:
-
-    role    | from                                         | it
-    listen  | nobody is heard reading, and not our turn    | keeps its list and hears
-    follow  | somebody reads, and what it says is new      | goes by the shared list; our own watch ends after TRUST
-    wait    | somebody tries in vain                       | keeps its list; in its turn it makes one call
-    read    | owner, or our place has come                 | watches the register and tells all
-
-The promise: a member goes by a list whose reader has been heard within ``stale_after``; else it reads itself, at the
-latest ``LAST`` after that, or a register that nobody reaches is to blame. Times in milliseconds.
+"""Which members of a cluster poll service discovery, from the start on and through its outages.
+
+One reader serves all. Once there is a lease, its holder reads. A lease needs a settled list of members, which a fleet
+that starts at once does not have for seconds. So until then, and whenever no reader is heard, a few members read
+without a lease, chosen without agreement: each member takes its rank among the members that it knows, and the first
+ranks begin first. A reader announces itself before its first answer has come, which holds the others back. A reader
+whose watch has failed goes on announcing that it tries: the others keep the list that they have, and one of them a
+second, in rotation, checks whether it can reach service discovery.
+
+So a member has one of four roles:
+
+    role    | when                                        | what it does
+    listen  | no reader is heard, and its time has not    | keeps its list
+            | come                                        |
+    follow  | another reads, and its list is not outdated | uses the shared list; ends its own watch after
+            |                                             | ``TRUST_AFTER_MS``
+    wait    | another tries in vain                       | keeps its list; polls once when it is next in rotation
+    read    | it holds the lease, or its time has come    | watches service discovery and shares the list
+
+A member uses a list whose reader it has heard within ``stale_after``. Otherwise it reads itself at the latest
+``MAX_EXTRA_WAIT_MS`` after that, unless no member can reach service discovery. Times are in milliseconds.
 """
 
 from collections.abc import Iterable
@@ -24,18 +26,35 @@
 from math import inf
 from typing import NamedTuple
 
-LISTEN = 400.0  # a newcomer hears its seeds first
-STANDBY = 1000.0  # without a word of a reader the first places read
-STEP = 300.0  # and two more places after this
-LAST = 500.0  # after staleness nobody waits longer for its place
-CROWD = 25.0  # between two places of those that come last
-CHANCE = 1200.0  # who hears nobody though it has seeds waits up to this, by chance
-TRUST = 3000.0  # somebody else has to have been heard reading for so long before our own watch ends
-TURN = 1000.0  # while a reader tries in vain, one other member looks, each time another
+START_WAIT_MS = 400.0
+"""A new member listens for so long before the first ranks read."""
+
+STANDBY_WAIT_MS = 1000.0
+"""After so much silence of a reader that was heard the first ranks read."""
+
+RANK_STEP_MS = 300.0
+"""Two more ranks read after so much more silence."""
+
+RANKS_PER_STEP = 2
+
+MAX_EXTRA_WAIT_MS = 500.0
+"""No member waits longer than this after its list has become stale."""
+
+LAST_RANK_STEP_MS = 25.0
+"""Between two of the ranks that would otherwise come too late."""
+
+ALONE_WAIT_MS = 1200.0
+"""A member that hears nobody although it has seeds waits up to so much longer, at random."""
+
+TRUST_AFTER_MS = 3000.0
+"""Another reader must have been heard for so long before a member ends its own watch."""
+
+ROTATION_MS = 1000.0
+"""While a reader tries in vain, one other member polls in each such interval, another one each time."""
 
 
 class Role(Enum):
-    """What a member does about the register."""
+    """What a member does about service discovery; the values stand in the log."""
 
     LISTEN = "listen"
     FOLLOW = "follow"
@@ -44,86 +63,136 @@
 
 
 class SharedListStatus(NamedTuple):
-    """One shared list, as its writer was last heard."""
+    """A shared list, as its writer was last heard.
 
-    age: float  # ms since then
-    watched: bool  # its watch on the register is on
-    behind: bool  # the list is of a version below one that we have seen
+    Attributes:
+        age: Time since then, in ms.
+        watched: Whether the writer has an open watch.
+        outdated: Whether the list has a version below one that this member has seen.
+    """
+
+    age: float
+    watched: bool
+    outdated: bool
 
 
 class MemberPosition(NamedTuple):
-    """Ours among the members that we know."""
+    """A member's position among the members that it knows.
+
+    Attributes:
+        rank: Its number in the order in which they begin to read, from 0.
+        others: How many other members it knows.
+    """
 
-    rank: int  # 0 comes first
+    rank: int
     others: int
 
 
 class ReaderElection:
-    """One member's part."""
+    """Decides the role of one member.
+
+    Attributes:
+        stale_after: A list whose writer has been silent for so long is stale, in ms.
+        role: The member's role.
+    """
+
+    def __init__(self, stale_after: float, seeds: int, draw: float) -> None:
+        """Begin as a listener.
 
-    def __init__(self, stale_after: float, seeds: int, chance: float) -> None:
-        """``chance`` is a number from 0 to 1, drawn once."""
+        Args:
+            stale_after: A list whose writer has been silent for so long is stale, in ms.
+            seeds: How many seeds of the cluster the member has.
+            draw: A random number from 0 to 1, which spreads the members that hear nobody.
+        """
         self.stale_after = stale_after
-        self._alone_wait = CHANCE * chance if seeds else 0.0
-        self._began: float | None = None
-        self._tried_since = inf
-        self._trust_since: float | None = None
-        self._turned = 0  # the last turn that we took
         self.role = Role.LISTEN
+        self._alone_wait = ALONE_WAIT_MS * draw if seeds else 0.0
+        self._started_at: float | None = None
+        self._failing_since = inf
+        self._read_since: float | None = None
+        self._last_turn = 0
 
     def decide(
-        self, now: float, owner: bool, place: MemberPosition, heard: Iterable[SharedListStatus], works: bool
+        self,
+        now: float,
+        holds_lease: bool,
+        position: MemberPosition,
+        shared_lists: Iterable[SharedListStatus],
+        watching: bool,
     ) -> Role:
-        """The role from now on; ``works``: our own watch is on."""
-        self._began = now if self._began is None else self._began
-        good = [one for one in heard if not one.behind]
-        read_by = min((one.age for one in good if one.watched), default=inf)
-        tried_by = min((one.age for one in good if not one.watched), default=inf)
-        self.role = self._role(now, owner, place, read_by, tried_by, works)
+        """Decide the role from now on.
+
+        Args:
+            now: The time, in ms.
+            holds_lease: Whether the member holds the lease.
+            position: Its position among the members.
+            shared_lists: The lists that others share.
+            watching: Whether its own watch is open and has brought a list.
+        """
+        if self._started_at is None:
+            self._started_at = now
+        current = [status for status in shared_lists if not status.outdated]
+        reader_age = min((status.age for status in current if status.watched), default=inf)
+        failing_age = min((status.age for status in current if not status.watched), default=inf)
+        self._note_readers(now, reader_age, failing_age)
+        self.role = self._next_role(now, holds_lease, position, reader_age, failing_age, watching)
         return self.role
 
-    def _role(
-        self, now: float, owner: bool, place: MemberPosition, read_by: float, tried_by: float, works: bool
+    def _next_role(
+        self,
+        now: float,
+        holds_lease: bool,
+        position: MemberPosition,
+        reader_age: float,
+        failing_age: float,
+        watching: bool,
     ) -> Role:
-        self._note(now, read_by, tried_by)
-        if owner:
+        if holds_lease:
             return Role.READ
-        if works:  # what we have is worth more than what we would have to trust
-            trusted = self._trust_since is not None and now - self._trust_since >= TRUST
+        if watching:  # a list of its own is worth more than one that it would have to trust
+            trusted = self._read_since is not None and now - self._read_since >= TRUST_AFTER_MS
             return Role.FOLLOW if trusted else Role.READ
-        last = min(read_by, tried_by)
-        silent = last if last < inf or self._began is None else now - self._began
-        if silent >= self._due(place, last == inf):
+        if self._silence(now, reader_age, failing_age) >= self._wait(position, min(reader_age, failing_age) == inf):
             return Role.READ
-        if read_by <= self.stale_after:
+        if reader_age <= self.stale_after:
             return Role.FOLLOW
-        if tried_by <= self.stale_after:
-            turn = int((now - self._tried_since) / TURN)
-            if turn > self._turned and turn % (place.others + 1) == place.rank:
-                self._turned = turn
-                return Role.READ
-            return Role.WAIT
+        if failing_age <= self.stale_after:
+            return Role.READ if self._takes_turn(now, position) else Role.WAIT
         return Role.LISTEN
 
-    def _note(self, now: float, read_by: float, tried_by: float) -> None:
-        """Since when somebody reads, or tries in vain."""
-        if read_by > self.stale_after:
-            self._trust_since = None
-        elif self._trust_since is None:
-            self._trust_since = now
-        if tried_by > self.stale_after or read_by <= self.stale_after:
-            self._tried_since = inf
-        elif self._tried_since == inf:
-            self._tried_since, self._turned = now, 0
-
-    def _due(self, place: MemberPosition, started: bool) -> float:
-        """After how much silence our place comes; at a start sooner, for there is no list to go by."""
-        first = LISTEN if started else STANDBY
-        last = self.stale_after
-        if started and not place.others:
-            return first + self._alone_wait
-        step = first + STEP * (place.rank // 2)
-        if step <= last:
-            return step
-        places = 2 * int((last - first) / STEP + 1)
-        return last + min(LAST, CROWD * max(0, place.rank - places))
+    def _silence(self, now: float, reader_age: float, failing_age: float) -> float:
+        """Time since a writer was heard, or since the start if none ever was, in ms."""
+        age = min(reader_age, failing_age)
+        return age if age < inf or self._started_at is None else now - self._started_at
+
+    def _takes_turn(self, now: float, position: MemberPosition) -> bool:
+        """Whether this member is next in the rotation, and has not polled in this turn."""
+        turn = int((now - self._failing_since) / ROTATION_MS)
+        if turn <= self._last_turn or turn % (position.others + 1) != position.rank:
+            return False
+        self._last_turn = turn
+        return True
+
+    def _note_readers(self, now: float, reader_age: float, failing_age: float) -> None:
+        """Note since when another member reads, or tries in vain."""
+        if reader_age > self.stale_after:
+            self._read_since = None
+        elif self._read_since is None:
+            self._read_since = now
+        if failing_age > self.stale_after or reader_age <= self.stale_after:
+            self._failing_since = inf
+        elif self._failing_since == inf:
+            self._failing_since = now
+            self._last_turn = 0
+
+    def _wait(self, position: MemberPosition, never_heard: bool) -> float:
+        """The silence, in ms, after which this member reads; shorter at a start, when there may be no list to use."""
+        first_wait = START_WAIT_MS if never_heard else STANDBY_WAIT_MS
+        if never_heard and not position.others:
+            return first_wait + self._alone_wait
+        wait = first_wait + RANK_STEP_MS * (position.rank // RANKS_PER_STEP)
+        if wait <= self.stale_after:
+            return wait
+        ranks_in_time = RANKS_PER_STEP * int((self.stale_after - first_wait) / RANK_STEP_MS + 1)
+        extra_wait = LAST_RANK_STEP_MS * max(0, position.rank - ranks_in_time)
+        return self.stale_after + min(MAX_EXTRA_WAIT_MS, extra_wait)
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/discovery/shared_client.py
@@ -1,435 +1,376 @@
 """Shares service discovery among the members of a cluster: one member polls, all others read a replicated table.
 
-:class:`heronlug.discovery.reader_election.Reading` decides who polls, and
-:class:`heronlug.cluster.server_view.HostView` which endpoint list holds.  There are two tables of the same form: one is
-written by the lease holder while its watch is open, the other by whichever member polls before there is a lease holder
-or in place of one that cannot; its last claim counts.  A row's key is ``h`` and a server's name, its value the server's
-entry as msgpack; ``v`` holds the list's version, ``s`` is there while the writer's watch is closed, ``b`` says when the
-versions of service discovery began anew.
+:class:`heronlug.discovery.reader_election.ReaderElection` decides who polls, and
+:class:`heronlug.cluster.server_view.ServerView` which endpoint list is used. There are two tables of the same form
+(:mod:`heronlug.discovery.server_rows`). One is written by the lease holder while its watch is open. The interim table
+is written by whichever member polls before there is a lease holder, or in place of one that cannot; the latest claim to
+it counts.
 """
 
-import asyncio
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Callable
 from math import inf
-from random import Random
+from typing import NamedTuple
 
 import msgspec
 
-from heronlug.balancer.events import ListKind, ServerState
+from heronlug.balancer.events import ListKind
 from heronlug.cluster import merkle_trie
 from heronlug.cluster.model import FencingToken
 from heronlug.cluster.node import Node
-from heronlug.cluster.server_view import KnownList, ListSource, ServerView
+from heronlug.cluster.server_view import ListSource, ServerView
 from heronlug.discovery.client import DiscoveryClient
 from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
-from heronlug.net.background import run_in_background
+from heronlug.discovery.server_rows import (
+    UNWATCHED,
+    UNWATCHED_KEY,
+    VERSION_KEY,
+    VERSIONS_RESTARTED_KEY,
+    ServerRowCodec,
+    ServerTable,
+    server_key,
+)
+from heronlug.discovery.table_writer import TableWriter
 from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.interfaces import EventLog
 from heronlug.requests.model import ListedServer
 
-DUTY = "register"  # and the sheet's name
-SCOUT = "register-scout"
-VERSION, STATE, ANEW = b"v", b"s", b"b"
-LOOK = 100.0  # so often is it decided who reads, in ms
-UNHEARD = 600.0  # without a word of any reader others are asked; a beat and a half
-UNHEARD_LONG = 5000.0  # then less often
-LARGE = 300  # rows that are built into a sheet beside the loop
-Line = tuple[str, int, str, str, int, float, float]  # address, state, zone, kind, cell, weight, started at
-pack, unpack = msgspec.msgpack.encode, msgspec.msgpack.decode
-
-
-def rows_of(entries: Iterable[ListedServer], zones: list[str], kinds: list[str]) -> merkle_trie.Rows:
-    """The rows of hosts; zones and kinds go by name, for another dispatcher may number them otherwise."""
-    return {
-        b"h" + entry.name.encode(): pack(
-            (
-                entry.address,
-                int(entry.state),
-                zones[entry.zone] if entry.zone < len(zones) else "",
-                kinds[entry.kind] if entry.kind < len(kinds) else "",
-                entry.cell,
-                entry.weight,
-                entry.started_at,
-            )
-        )
-        for entry in entries
-    }
+LEASE_TABLE = "register"
+"""The table of the lease holder, and the lease's name."""
 
+INTERIM_TABLE = "register-scout"
+"""The table of a member that polls without the lease."""
 
-def entry_of(key: bytes, value: bytes, zones: list[str], kinds: list[str]) -> ListedServer:
-    """The host of a row; raises ``ValueError`` for one that makes no sense."""
-    line: Line = msgspec.msgpack.decode(value, type=Line)
-    address, state, zone, kind, cell, weight, started = line
-    return ListedServer(
-        key[1:].decode(),
-        address,
-        ServerState(state),
-        zones.index(zone) if zone in zones else len(zones),
-        kinds.index(kind) if kind in kinds else len(kinds),
-        cell,
-        weight,
-        started,
-    )
+TABLES = (LEASE_TABLE, INTERIM_TABLE)
 
+ELECTION_INTERVAL_MS = 100.0
+"""Time between two decisions on who polls."""
 
-class Writer:
-    """One sheet as we write it."""
+SILENCE_TO_PULL_MS = 600.0
+"""After so much silence of all writers other members are asked for the tables: one and a half heartbeats."""
 
-    def __init__(
-        self, topic: str, node: Node, deadlines: Deadlines, flush: Callable[[], None], refused: Callable[[str], None]
-    ) -> None:
-        self.topic = topic
-        self.fence: FencingToken | None = None
-        self._node, self._deadlines, self._flush, self._refused = node, deadlines, flush, refused
-        self._published: merkle_trie.Rows = {}
-        self._said = False  # something has been written under this fence
-        self._wanted: merkle_trie.Rows | None = None  # what came while a sheet was being built
-        self._building: asyncio.Task[None] | None = None
-
-    def begin(self, fence: FencingToken) -> None:
-        """Write from now on; what is known of the writer before is gone on with."""
-        self.fence, self._published, self._said = fence, self._node.tables.rows(self.topic), False
-
-    def end(self) -> None:
-        """Write no more; what we wrote goes stale, unless somebody else writes already."""
-        if self.fence is not None and self._node.tables.own_token(self.topic) is not None:
-            self._node.tables.withdraw(self.topic)
-        self.fence, self._published, self._wanted = None, {}, None
-        self._flush()
+LONG_SILENCE_MS = 5000.0
+"""After so much silence they are asked less often."""
 
-    @property
-    def lost(self) -> bool:
-        """Whether somebody else has begun to write after us."""
-        return self.fence is not None and self._said and self._node.tables.own_token(self.topic) is None
+LONG_SILENCE_INTERVALS = 10
+"""So many decisions apart."""
 
-    def put(self, rows: merkle_trie.Rows) -> None:
-        """The rows are these now."""
-        if self.fence is None:
-            return
-        if self._building is not None:
-            self._wanted = rows
-            return
-        writing = self._node.tables.own_token(self.topic) is not None
-        if (writing and rows is self._published) or self._node.tables.latest_token(self.topic) > self.fence:
-            return
-        changes: dict[bytes, bytes | None] = {k: v for k, v in rows.items() if self._published.get(k) != v}
-        changes.update((key, None) for key in self._published.keys() - rows.keys())
-        if writing and not changes:
-            self._published = rows
-            return
-        if len(changes) > LARGE:
-            self._building = asyncio.get_running_loop().create_task(self._build(self.fence, rows))
-            return
-        try:
-            self._node.tables.publish(self.topic, self.fence, changes, self._deadlines.clock())
-        except ValueError as error:
-            self._refused(str(error))
-        else:
-            self._published, self._said = rows, True
-            self._flush()
 
-    def close(self) -> None:
-        """Build no more."""
-        if self._building is not None:
-            self._building.cancel()
-
-    async def _build(self, fence: FencingToken, rows: merkle_trie.Rows) -> None:
-        nodes: dict[int, bytes] = {}
-        try:
-            root = await run_in_background(merkle_trie.build, rows, nodes)
-            if self.fence == fence:
-                self._node.tables.replace(self.topic, fence, root, nodes, self._deadlines.clock())
-                self._published, self._said = rows, True
-                self._flush()
-        except ValueError as error:
-            self._refused(str(error))
-        finally:
-            self._building = None
-        wanted, self._wanted = self._wanted, None
-        if wanted is not None:
-            self.put(wanted)
-
-
-@dataclass(slots=True)
-class Shared:
-    """One sheet as it is known here."""
-
-    listed: KnownList = field(default_factory=KnownList)
-    watched: bool = True  # by its writer
-    anew: float = 0.0  # when the register's versions began anew, Unix ms
+class TablePreference(NamedTuple):
+    """How a table compares with the other; the greatest is used.
+
+    Attributes:
+        is_read: Its writer is heard and has an open watch.
+        is_fresh: Its writer is heard, and the list is not outdated.
+        version: The version of the list, -1 for none.
+    """
+
+    is_read: bool
+    is_fresh: bool
+    version: int
 
 
 class SharedDiscovery:
-    """Between the inventory and the core."""
+    """Stands between the discovery client and the core of a cluster member.
+
+    Attributes:
+        view: Which endpoint list is used.
+        election: Decides whether this member polls.
+        lists_read: Lists that the member's own watch has brought.
+        interim_reads: Times that it began to poll without the lease.
+    """
 
     def __init__(
         self,
         view: ServerView,
-        inventory: DiscoveryClient,
-        tell: Callable[[ListKind, list[ListedServer]], None],
+        client: DiscoveryClient,
+        on_update: Callable[[ListKind, list[ListedServer]], None],
+        codec: ServerRowCodec,
+        election: ReaderElection,
         deadlines: Deadlines,
-        log: Callable[..., None],
-        zones: list[str],
-        kinds: list[str],
-        stale_after: float = 1500.0,
-        seeds: int = 0,
+        log: EventLog,
     ) -> None:
-        """``stale_after`` in milliseconds without a word of whoever reads for all; ``seeds`` is how many we know."""
+        """``on_update`` receives the changes of the list that is used."""
         self.view = view
-        self.reading = ReaderElection(stale_after, seeds, Random().random())
-        self._inventory, self._tell, self._deadlines, self._log = inventory, tell, deadlines, log
-        self._zones, self._kinds = zones, kinds
+        self.election = election
+        self.lists_read = 0
+        self.interim_reads = 0
+        self._client = client
+        self._on_update = on_update
+        self._codec = codec
+        self._deadlines = deadlines
+        self._log = log
         self._node: Node | None = None
-        self._writers: dict[str, Writer] = {}
-        self._shared = {DUTY: Shared(), SCOUT: Shared()}
-        self._chosen = DUTY
-        view.prefer_shared(self._shared[DUTY].listed)
-        self._owner: FencingToken | None = None
-        self._look_at: Key | None = None
-        self._read_at = -inf  # when our own watch last brought something
-        self._anew = 0.0
-        self._made: merkle_trie.Rows | None = None
-        self._ask_at = -inf
         self._flush: Callable[[], None] = lambda: None
-        self.readings = 0  # lists that our own watch has brought
-        self.scouted = 0  # times that we read without a lease
+        self._writers: dict[str, TableWriter] = {}
+        self._tables = {topic: ServerTable(topic, codec, log) for topic in TABLES}
+        self._preferred = LEASE_TABLE
+        self._lease: FencingToken | None = None
+        self._election_timer: Key | None = None
+        self._list_read_at = -inf
+        self._versions_restarted_at = 0.0
+        self._rows_cache: merkle_trie.Rows | None = None
+        self._next_pull_at = -inf
+        view.prefer_shared(self._tables[LEASE_TABLE].known)
 
     def join(self, node: Node, flush: Callable[[], None]) -> None:
-        """Read what others publish, and publish when it is our duty."""
-        self._node, self._flush = node, flush
-        if self.view.share != "none":
-            for topic in (DUTY, SCOUT):
-                node.tables.follow(topic)
-                self._writers[topic] = Writer(topic, node, self._deadlines, flush, self._refused)
-            self._look_at = self._deadlines.call_after(0.0, self._look)
+        """Follow the tables, and write them when this member is the reader; ``flush`` sends what the node has."""
+        self._node = node
+        self._flush = flush
+        if self.view.share == "none":
+            return
+        for topic in TABLES:
+            node.tables.follow(topic)
+            self._writers[topic] = TableWriter(topic, node, self._deadlines, flush, self._on_write_error)
+        self._election_timer = self._deadlines.call_after(0.0, self._on_election)
 
     def close(self) -> None:
-        """Look no more."""
-        self._deadlines.cancel(self._look_at)
+        """Stop deciding and writing."""
+        self._deadlines.cancel(self._election_timer)
         for writer in self._writers.values():
             writer.close()
 
-    # -- the core and the inventory
+    # -- The core and the discovery client
 
     def subscribe(self) -> None:
-        """The core wants a watch: ours goes on where that is our part."""
-        if self._node is None or self.view.share != "list" or self.reading.role is Role.READ:
-            self._watch()
-
-    def own_news(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """Our own watch has brought something."""
-        before, now = self.view.own, self._deadlines.clock()
-        failed = kind is ListKind.FAILED
-        self.readings += not failed
-        if kind is ListKind.FULL and before.known and (self._inventory.version or 0) < before.version:
-            self._anew = now
+        """The core wants updates: the own watch is opened if this member is to poll."""
+        if self._node is None or self.view.share != "list" or self.election.role is Role.READ:
+            self._open_watch()
+
+    def on_client_update(self, kind: ListKind, entries: list[ListedServer]) -> None:
+        """The own watch has brought a list or changes, or has failed."""
+        previous = self.view.own
+        now = self._deadlines.clock()
+        self.lists_read += kind is not ListKind.FAILED
+        if kind is ListKind.FULL and previous.known and (self._client.version or 0) < previous.version:
+            self._versions_restarted_at = now
         if kind in (ListKind.FULL, ListKind.CHANGES):
-            self._read_at = now
-        told = self.view.apply_own_update(kind, self._inventory.version, entries)
-        self._made = None
+            self._list_read_at = now
+        update = self.view.apply_own_update(kind, self._client.version, entries)
+        self._rows_cache = None
         self._write()
-        if told is not None:
-            self._tell(*told)
+        if update is not None:
+            self._on_update(*update)
 
-    # -- the duty
+    # -- The lease
 
-    def gained(self, fence: FencingToken) -> None:
-        """We read for all from now on."""
-        self._owner = fence
-        self._writers[DUTY].begin(fence)
+    def on_lease_gained(self, token: FencingToken) -> None:
+        """This member reads for all from now on."""
+        self._lease = token
+        self._writers[LEASE_TABLE].start(token)
         self._decide()
         self._write()
 
-    def lost(self) -> None:
-        """Another reads, from what we have published: that is a shared list for us too."""
-        self._owner = None
-        self._writers[DUTY].end()
-        self._reread(DUTY)
-
-    # -- the sheets
-
-    def sheet(self, topic: str, changes: dict[bytes, bytes | None]) -> None:
-        """A shared list has changed."""
-        self._made = None
-        shared, entries, gone = self._shared[topic], [], []
-        version = shared.listed.version
-        for key, value in changes.items():
-            try:
-                if key == VERSION:
-                    version = unpack(value, type=int) if value is not None else -1
-                elif key == STATE:
-                    shared.watched = value is None
-                elif key == ANEW:
-                    shared.anew = unpack(value, type=float) if value is not None else 0.0
-                elif value is None:
-                    gone.append(key[1:].decode())
-                else:
-                    entries.append(entry_of(key, value, self._zones, self._kinds))
-            except ValueError as error:  # msgspec's errors are ValueErrors too
-                self._log("bad_row", sheet=topic, key=key.hex(), error=str(error))
-        if topic != self._chosen:
-            shared.listed.apply(version, entries, gone)
-        elif told := self.view.apply_shared_update(version, entries, gone):
-            self._tell(ListKind.CHANGES, told)
-
-    # -- inside
-
-    def _reread(self, topic: str) -> None:
-        """A sheet that we wrote is one that others write."""
-        assert self._node is not None
-        rows: dict[bytes, bytes | None] = dict(self._node.tables.rows(topic))
-        for name in self._shared[topic].listed.servers:
-            rows.setdefault(b"h" + name.encode(), None)
-        for key in (STATE, ANEW):
+    def on_lease_lost(self) -> None:
+        """Another member reads; what this one has published is a shared list for it too."""
+        self._lease = None
+        self._writers[LEASE_TABLE].stop()
+        self._read_table(LEASE_TABLE)
+
+    # -- Reading the tables
+
+    def on_table_change(self, topic: str, rows: dict[bytes, bytes | None]) -> None:
+        """Rows of a table have changed; None stands for a row that is gone."""
+        self._rows_cache = None
+        table = self._tables[topic]
+        change = table.read(rows)
+        if topic != self._preferred:
+            table.known.apply(change.version, change.servers, change.removed)
+            return
+        update = self.view.apply_shared_update(change.version, change.servers, change.removed)
+        if update:
+            self._on_update(ListKind.CHANGES, update)
+
+    def _read_table(self, topic: str) -> None:
+        """Read all of a table that this member has written, as one that others write."""
+        node = self._joined_node()
+        rows: dict[bytes, bytes | None] = dict(node.tables.rows(topic))
+        for name in self._tables[topic].known.servers:
+            rows.setdefault(server_key(name), None)
+        for key in (UNWATCHED_KEY, VERSIONS_RESTARTED_KEY):
             rows.setdefault(key, None)
-        self.sheet(topic, rows)
+        self.on_table_change(topic, rows)
 
-    def _heard(self, topic: str) -> SharedListStatus | None:
-        """A sheet that somebody else writes."""
-        assert self._node is not None
-        sheets, shared, now = self._node.tables, self._shared[topic], self._deadlines.clock()
-        if sheets.own_token(topic) is not None:
-            return None
-        watched = shared.watched and shared.listed.known
+    def _status(self, topic: str) -> SharedListStatus | None:
+        """The status of a table; None for one that this member writes."""
+        tables = self._joined_node().tables
+        table = self._tables[topic]
         own = self.view.own
-        behind = watched and own.known and shared.listed.version < own.version and shared.anew <= self._read_at
-        return SharedListStatus(sheets.age(topic, now), watched, behind)
-
-    def _watch(self) -> None:
-        """Our own watch is wanted; after a failure the pace says when it begins again."""
-        if not self._inventory.watching:
-            self._inventory.resume()
-
-    def _look(self) -> None:
-        """Who reads now, and what follows from it for us."""
-        self._look_at = self._deadlines.call_after(LOOK, self._look)
-        scout = self._writers[SCOUT]
-        if scout.lost:
-            scout.end()
-            self._reread(SCOUT)
+        if tables.own_token(topic) is not None:
+            return None
+        is_older = own.known and table.known.version < own.version
+        outdated = table.watched and is_older and table.versions_restarted_at <= self._list_read_at
+        return SharedListStatus(tables.age(topic, self._deadlines.clock()), table.watched, outdated)
+
+    def _statuses(self) -> dict[str, SharedListStatus]:
+        statuses = {topic: self._status(topic) for topic in TABLES}
+        return {topic: status for topic, status in statuses.items() if status is not None}
+
+    def _pull_tables(self, statuses: dict[str, SharedListStatus]) -> None:
+        """Ask other members for the tables after a silence: they may have heard a writer that this one has not."""
+        now = self._deadlines.clock()
+        silence = min((status.age for status in statuses.values()), default=0.0)
+        if silence <= SILENCE_TO_PULL_MS or now < self._next_pull_at:
+            return
+        often = silence < LONG_SILENCE_MS or silence == inf
+        self._next_pull_at = now + ELECTION_INTERVAL_MS * (1 if often else LONG_SILENCE_INTERVALS)
+        for topic in statuses:
+            self._joined_node().tables.poll(topic, now)
+        self._flush()
+
+    def _prefer_best_table(self) -> None:
+        """Use the table whose reader is heard; of two such the one with the newer list."""
+        preferences = {topic: self._preference(topic) for topic in TABLES}
+        best = max(TABLES, key=lambda topic: preferences[topic])
+        if preferences[best] <= preferences[self._preferred]:
+            return
+        self._preferred = best
+        update = self.view.prefer_shared(self._tables[best].known)
+        if update:
+            self._on_update(ListKind.CHANGES, update)
+
+    def _preference(self, topic: str) -> TablePreference:
+        status = self._status(topic)
+        known = self._tables[topic].known
+        if status is None or not known.known:
+            return TablePreference(False, False, -1)
+        is_fresh = self._is_heard(status) and not status.outdated
+        return TablePreference(is_fresh and status.watched, is_fresh, known.version)
+
+    def _is_heard(self, status: SharedListStatus | None) -> bool:
+        return status is not None and status.age <= self.election.stale_after
+
+    # -- Deciding who polls
+
+    def _on_election(self) -> None:
+        self._election_timer = self._deadlines.call_after(ELECTION_INTERVAL_MS, self._on_election)
+        interim_writer = self._writers[INTERIM_TABLE]
+        if interim_writer.is_superseded:
+            interim_writer.stop()
+            self._read_table(INTERIM_TABLE)
         self._decide()
         self._write()
 
     def _decide(self) -> None:
-        assert self._node is not None
+        """Decide this member's role, and open or close its watch."""
         if self.view.share != "list":
-            self._watch()
-            self._choose()
+            self._open_watch()
+            self._prefer_best_table()
             return
-        heard = {topic: self._heard(topic) for topic in (DUTY, SCOUT)}
-        self._ask(heard)
-        before = self.reading.role
-        place = MemberPosition(*self._node.place(DUTY))
-        role = self.reading.decide(
-            self._deadlines.clock(),
-            self._owner is not None,
-            place,
-            [h for h in heard.values() if h is not None],
-            self.view.watching,
+        statuses = self._statuses()
+        self._pull_tables(statuses)
+        previous = self.election.role
+        position = MemberPosition(*self._joined_node().place(LEASE_TABLE))
+        role = self.election.decide(
+            self._deadlines.clock(), self._lease is not None, position, statuses.values(), self.view.watching
         )
-        self._choose()
+        self._prefer_best_table()
         if role is Role.READ:
-            self._watch()
-        elif role is Role.FOLLOW or not self._inventory.watching:
-            self._inventory.stop()  # a call that is out in our turn may end; none is made after it
-        # who tries in vain, the owner too, goes by what somebody else reads, or holds, where that is no older
-        shared, own = self.view.shared, self.view.own
-        newer = shared.known and (not own.known or shared.version >= own.version)
-        if role is Role.FOLLOW or (newer and not self.view.watching and role is not Role.LISTEN):
-            told, self._made = self.view.select_source(own=False), None
-            if told is not None:
-                self._log("register_shared", version=self.view.shared.version, hosts=len(self.view.shared.servers))
-                self._tell(*told)
-        if role is Role.READ and before is not Role.READ:
-            cause = "owner" if self._owner is not None else "turn" if before is Role.WAIT else "nobody is heard"
-            self._log(
-                "register_own",
-                cause=cause,
-                place=place.rank,
-                of=place.others + 1,
-                shared_version=self.view.shared.version,
-                own_version=self.view.own.version,
-            )
-        elif role is not before:
+            self._open_watch()
+        elif role is Role.FOLLOW or not self._client.watching:
+            self._client.stop()  # a poll of this member's turn may end; none is sent after it
+        if self._should_use_shared_list(role):
+            self._use_shared_list()
+        if role is not previous:
+            self._log_role(role, previous, position)
+
+    def _open_watch(self) -> None:
+        """Open the own watch; after a failure the pacer decides when."""
+        if not self._client.watching:
+            self._client.resume()
+
+    def _should_use_shared_list(self, role: Role) -> bool:
+        """Whether the shared list is used: also by a member that polls in vain, where its own is no newer."""
+        shared = self.view.shared
+        own = self.view.own
+        if role is Role.FOLLOW:
+            return True
+        is_newer = shared.known and (not own.known or shared.version >= own.version)
+        return is_newer and not self.view.watching and role is not Role.LISTEN
+
+    def _use_shared_list(self) -> None:
+        update = self.view.select_source(own=False)
+        self._rows_cache = None
+        if update is not None:
+            self._log("register_shared", version=self.view.shared.version, hosts=len(self.view.shared.servers))
+            self._on_update(*update)
+
+    def _log_role(self, role: Role, previous: Role, position: MemberPosition) -> None:
+        if role is not Role.READ:
             self._log("register_role", role=role.value)
+            return
+        cause = "turn" if previous is Role.WAIT else "nobody is heard"
+        if self._lease is not None:
+            cause = "owner"
+        self._log(
+            "register_own",
+            cause=cause,
+            place=position.rank,
+            of=position.others + 1,
+            shared_version=self.view.shared.version,
+            own_version=self.view.own.version,
+        )
 
-    def _ask(self, heard: dict[str, SharedListStatus | None]) -> None:
-        """Some others may have heard a reader that we have not: the word of it goes by chance."""
-        assert self._node is not None
-        age, now = min((h.age for h in heard.values() if h is not None), default=0.0), self._deadlines.clock()
-        if age > UNHEARD and now >= self._ask_at:
-            self._ask_at = now + (LOOK if age < UNHEARD_LONG or age == inf else 10 * LOOK)
-            for topic, one in heard.items():
-                if one is not None:
-                    self._node.tables.poll(topic, now)
-            self._flush()
-
-    def _choose(self) -> None:
-        """Which of the shared lists counts: one whose reader is heard, then the newer one."""
-
-        def worth(topic: str) -> tuple[bool, bool, int]:
-            heard, shared = self._heard(topic), self._shared[topic]
-            if heard is None or not shared.listed.known:
-                return False, False, -1
-            fresh = heard.age <= self.reading.stale_after and not heard.behind
-            return fresh and heard.watched, fresh, shared.listed.version
-
-        worths = {topic: worth(topic) for topic in (DUTY, SCOUT)}
-        best = max(worths, key=lambda topic: worths[topic])
-        if worths[best] > worths[self._chosen]:
-            self._chosen = best
-            told = self.view.prefer_shared(self._shared[best].listed)
-            if told:
-                self._tell(ListKind.CHANGES, told)
+    # -- Writing the tables
 
     def _write(self) -> None:
-        """Say what we read, or that we try to."""
+        """Publish the list that this member reads, or that it tries to read one."""
         if self._node is None or not self._writers:
             return
-        duty, scout = self._writers[DUTY], self._writers[SCOUT]
-        reads, works = self.reading.role is Role.READ, self.view.watching
-        if self._owner is not None:
-            if works:
-                duty.put(self._rows())
-            elif self._node.tables.own_token(DUTY) is not None:
-                self._node.tables.withdraw(DUTY)
-        if self.view.share != "list":
+        if self._lease is not None:
+            if self.view.watching:
+                self._writers[LEASE_TABLE].publish(self._rows())
+            elif self._node.tables.own_token(LEASE_TABLE) is not None:
+                self._node.tables.withdraw(LEASE_TABLE)
+        if self.view.share == "list":
+            self._write_interim_table(self._node)
+
+    def _write_interim_table(self, node: Node) -> None:
+        writer = self._writers[INTERIM_TABLE]
+        reads = self.election.role is Role.READ
+        claims = reads and self._may_claim_interim_table()
+        if claims and writer.token is None:
+            self.interim_reads += 1
+            writer.start(node.claim(INTERIM_TABLE, self._deadlines.clock()))
+        if writer.token is None or writer.is_superseded:
             return
-        # a turn to look is no claim, before it has found something
-        claims = reads and (self._owner is None if works else not self._tried_by_another())
-        if claims and scout.fence is None:
-            self.scouted += 1
-            scout.begin(self._node.claim(SCOUT, self._deadlines.clock()))
-        if scout.fence is not None and not scout.lost:
-            if claims:
-                scout.put(self._rows())
-            elif not reads or works:
-                self._node.release(SCOUT)
-                scout.end()
-
-    def _tried_by_another(self) -> bool:
-        heard = self._heard(SCOUT)
-        return heard is not None and heard.age <= self.reading.stale_after
+        if claims:
+            writer.publish(self._rows())
+        elif not reads or self.view.watching:
+            node.release(INTERIM_TABLE)
+            writer.stop()
+
+    def _may_claim_interim_table(self) -> bool:
+        """Whether a reader writes the interim table; one that tries in vain does so only if no other one does."""
+        if self.view.watching:
+            return self._lease is None
+        return not self._is_heard(self._status(INTERIM_TABLE))
 
     def _rows(self) -> merkle_trie.Rows:
-        """What we have read, or what we hold from others where we have not; made anew after each change."""
-        if self._made is not None:
-            return self._made
-        base = self.view.own if self.view.own.known or self.view.source is not ListSource.SHARED else self.view.shared
-        rows = rows_of(base.servers.values(), self._zones, self._kinds)
+        """The list that this member has read, or that it has from others; built anew after each change."""
+        if self._rows_cache is not None:
+            return self._rows_cache
+        uses_own = self.view.own.known or self.view.source is not ListSource.SHARED
+        base = self.view.own if uses_own else self.view.shared
+        rows = self._codec.encode(base.servers.values())
         if base.known:
-            rows[VERSION] = pack(base.version)
-        if self._anew:
-            rows[ANEW] = pack(self._anew)
+            rows[VERSION_KEY] = msgspec.msgpack.encode(base.version)
+        if self._versions_restarted_at:
+            rows[VERSIONS_RESTARTED_KEY] = msgspec.msgpack.encode(self._versions_restarted_at)
         if not self.view.watching:
-            rows[STATE] = b"\x01"
-        self._made = rows
+            rows[UNWATCHED_KEY] = UNWATCHED
+        self._rows_cache = rows
         return rows
 
-    def _refused(self, error: str) -> None:
-        """A list that cannot be shared is shared by nobody: each reads it itself."""
+    def _on_write_error(self, error: str) -> None:
+        """Withdraw a list that cannot be shared: each member then reads for itself."""
         self._log("register_not_shared", error=error)
-        if self._node is not None:
-            for topic in (DUTY, SCOUT):
-                if self._node.tables.own_token(topic) is not None:
-                    self._node.tables.withdraw(topic)
+        if self._node is None:
+            return
+        for topic in TABLES:
+            if self._node.tables.own_token(topic) is not None:
+                self._node.tables.withdraw(topic)
+
+    def _joined_node(self) -> Node:
+        if self._node is None:
+            raise RuntimeError("the shared list is used before join()")
+        return self._node
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -14,6 +14,8 @@
 from heronlug.cluster.transport import ClusterTransport
 from heronlug.discovery.client import DiscoveryClient
 from heronlug.discovery.poll_pacing import PollPacer, PollTerms
+from heronlug.discovery.reader_election import ReaderElection
+from heronlug.discovery.server_rows import ServerRowCodec
 from heronlug.discovery.shared_client import SharedDiscovery
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines
@@ -51,12 +53,10 @@
             self.view,
             inventory,
             self._news,
+            ServerRowCodec(zones, kinds),
+            ReaderElection(sharing.get("stale_after_ms", 1500.0), len(table["seeds"]), Random().random()),
             deadlines,
             log,
-            zones,
-            kinds,
-            sharing.get("stale_after_ms", 1500.0),
-            len(table["seeds"]),
         )
         self.probes = HealthChecker(probing, self.view, self._news, deadlines, log, turn) if probing else None
         self.cluster = ClusterTransport(table, deadlines, log, turn, self.register, self.probes)
@@ -72,8 +72,8 @@
         if self._shares:
             kind, entries = self._held
             if entries or kind is ListKind.FULL:  # it joins while it runs
-                self.register.own_news(kind, entries)
-            self._inventory.on_update = self.register.own_news
+                self.register.on_client_update(kind, entries)
+            self._inventory.on_update = self.register.on_client_update
             self._inventory.staleness.on_usable_change = None
 
     def subscribe(self) -> None:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -53,7 +53,7 @@
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 from heronlug.discovery.cache import write
 from heronlug.discovery.endpoint_list import read_list, write_list
-from heronlug.discovery.shared_client import rows_of
+from heronlug.discovery.server_rows import ServerRowCodec
 from heronlug.frontends.http.request import HttpRequest
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 from heronlug.lifecycle.peer_messages import PeerMessages
@@ -143,7 +143,9 @@
 
 def register_rows() -> bytes:
     """The rows of the shared server list."""
-    return as_lines({key.decode(): value for key, value in rows_of(SERVERS, ZONES, MACHINE_TYPES).items()})
+    return as_lines(
+        {key.decode(): value for key, value in ServerRowCodec(ZONES, MACHINE_TYPES).encode(SERVERS).items()}
+    )
 
 
 def cluster_parts() -> bytes:
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -48,7 +48,8 @@
 from heronlug.discovery.cache import read
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.discovery.endpoint_list import read_list, write_list
-from heronlug.discovery.shared_client import ANEW, DUTY, SCOUT, STATE, VERSION, entry_of
+from heronlug.discovery.server_rows import UNWATCHED_KEY, VERSION_KEY, VERSIONS_RESTARTED_KEY, ServerRowCodec
+from heronlug.discovery.shared_client import INTERIM_TABLE, LEASE_TABLE
 from heronlug.lifecycle.hot_restart.channel import listen, socket_path
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.deadlines import Deadlines
@@ -319,14 +320,15 @@
 
 
 def test_shared_server_list_has_the_recorded_names_and_keys() -> None:
-    assert [tag(name) for name in (DUTY, SCOUT)] == [3923872814, 3712889818]
-    assert (VERSION, STATE, ANEW) == (b"v", b"s", b"b")
+    assert [tag(name) for name in (LEASE_TABLE, INTERIM_TABLE)] == [3923872814, 3712889818]
+    assert (VERSION_KEY, UNWATCHED_KEY, VERSIONS_RESTARTED_KEY) == (b"v", b"s", b"b")
 
 
 def test_rows_of_the_shared_server_list_are_read() -> None:
     lines = from_lines(recorded("register-rows.txt"))
     assert list(lines) == ["hserver-1", "hserver-2", "hserver-3", "hserver-4"]
-    assert [entry_of(key.encode(), value, ZONES, MACHINE_TYPES) for key, value in lines.items()] == SERVERS
+    codec = ServerRowCodec(ZONES, MACHINE_TYPES)
+    assert [codec.decode(key.encode(), value) for key, value in lines.items()] == SERVERS
 
 
 # -- what is stored
--- a/tests/discovery/test_reader_election.py
+++ b/tests/discovery/test_reader_election.py
@@ -11,18 +11,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heronlug.discovery import reader_election as reading
+from heronlug.discovery import reader_election
 from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
 
-STALE, BEAT, LOOK = 1500.0, 400.0, 100.0
+STALE_AFTER, HEARTBEAT, INTERVAL = 1500.0, 400.0, 100.0
 ANSWER, RETRY = 150.0, 600.0
 
 
 class Member:
     def __init__(self, number: int, starts: float, rng: Random) -> None:
-        self.number, self.starts, self.alive, self.standing = number, starts, True, False
-        self.reading = ReaderElection(STALE, 3, rng.random())
-        self.works = self.said = False
+        self.number, self.starts, self.alive, self.paused = number, starts, True, False
+        self.election = ReaderElection(STALE_AFTER, 3, rng.random())
+        self.watching = self.announced_watching = False
         self.call_ends: float | None = None
         self.next_call = -inf
         self.claim: float | None = None  # when it began to say so
@@ -38,71 +38,73 @@
         self.rng, self.loss, self.now = Random(seed), loss, 0.0
         self.members = [Member(n, self.rng.uniform(0, spread), self.rng) for n in range(count)]
         self.down: set[int] = set()  # who cannot reach the register
-        self.parts: dict[int, int] = {}  # which part of a cut cluster each is in
+        self.partitions: dict[int, int] = {}  # which part of a cut cluster each is in
         self.calls: list[tuple[float, int]] = []
 
-    def together(self, a: Member, b: Member) -> bool:
-        return self.parts.get(a.number, 0) == self.parts.get(b.number, 0)
+    def connected(self, a: Member, b: Member) -> bool:
+        return self.partitions.get(a.number, 0) == self.partitions.get(b.number, 0)
 
     def up(self) -> list[Member]:
-        return [m for m in self.members if m.alive and not m.standing and m.starts <= self.now]
+        return [m for m in self.members if m.alive and not m.paused and m.starts <= self.now]
 
     def run(self, span: float) -> None:
         end = self.now + span
         while self.now < end:
-            self.now += LOOK
+            self.now += INTERVAL
             for member in self.up():
                 self.step(member)
-            if self.now % BEAT < LOOK / 2:
+            if self.now % HEARTBEAT < INTERVAL / 2:
                 for member in self.up():
-                    self.say(member)
+                    self.announce(member)
 
-    def say(self, writer: Member) -> None:
+    def announce(self, writer: Member) -> None:
         """A beat, or a change, which is told at once."""
         if writer.claim is not None:
             for member in self.up():
-                if member is writer or not self.together(member, writer) or self.rng.random() < self.loss:
+                if member is writer or not self.connected(member, writer) or self.rng.random() < self.loss:
                     continue
                 if member.claim is not None and writer.claim < member.claim:
                     continue
                 member.claim = None
                 if writer.claim >= member.heard_claim:
                     member.heard_claim, member.heard_at = writer.claim, self.now
-                    member.heard_watched = writer.works
-                    if writer.works:
+                    member.heard_watched = writer.watching
+                    if writer.watching:
                         member.list_at = self.now
 
     def step(self, member: Member) -> None:
         if member.call_ends is not None and member.call_ends <= self.now:
             member.call_ends = None
-            member.works = member.number not in self.down
+            member.watching = member.number not in self.down
             member.next_call = self.now + RETRY
-        if member.works and member.number in self.down:
-            member.works, member.next_call = False, self.now + RETRY
-        if member.works:
+        if member.watching and member.number in self.down:
+            member.watching, member.next_call = False, self.now + RETRY
+        if member.watching:
             member.list_at = self.now
-        others = [m for m in self.up() if m is not member and self.together(m, member)]
+        others = [m for m in self.up() if m is not member and self.connected(m, member)]
         place = MemberPosition(sum(m.number < member.number for m in others), len(others))
         heard = (
             [SharedListStatus(self.now - member.heard_at, member.heard_watched, False)] if member.claim is None else []
         )
-        role = member.reading.decide(self.now, False, place, heard, member.works)
-        if role is Role.READ and not member.works and member.call_ends is None and self.now >= member.next_call:
+        role = member.election.decide(self.now, False, place, heard, member.watching)
+        if role is Role.READ and not member.watching and member.call_ends is None and self.now >= member.next_call:
             self.calls.append((self.now, member.number))
             member.call_ends = self.now + ANSWER
         if role is Role.FOLLOW:
-            member.works = False
-        before = member.claim, member.works
-        tried = member.claim is None and self.now - member.heard_at <= STALE
-        if role is Role.READ and member.claim is None and (member.works or not tried):
+            member.watching = False
+        before = member.claim, member.watching
+        tried = member.claim is None and self.now - member.heard_at <= STALE_AFTER
+        if role is Role.READ and member.claim is None and (member.watching or not tried):
             member.claim = self.now + member.number / 1e6
         elif role is not Role.READ:
             member.claim = None
-        if (member.claim, member.works) != before or (member.claim is not None and member.works is not member.said):
-            member.said = member.works
-            self.say(member)
+        if (member.claim, member.watching) != before or (
+            member.claim is not None and member.watching is not member.announced_watching
+        ):
+            member.announced_watching = member.watching
+            self.announce(member)
 
-    def without(self, within: float = STALE) -> list[int]:
+    def members_without_list(self, within: float = STALE_AFTER) -> list[int]:
         return [m.number for m in self.up() if self.now - m.list_at > within]
 
 
@@ -113,17 +115,15 @@
     loss=st.sampled_from([0.0, 0.1, 0.3]),
     spread=st.sampled_from([0.0, 500.0, 4000.0]),
 )
-def test_a_fleet_that_starts_has_its_list_soon_from_few_calls(
-    count: int, seed: int, loss: float, spread: float
-) -> None:
+def test_starting_fleet_has_its_list_soon_after_few_polls(count: int, seed: int, loss: float, spread: float) -> None:
     cluster = Cluster(count, seed, loss, spread)
     cluster.run(spread + 3000)
-    assert not cluster.without()
+    assert not cluster.members_without_list()
     if not loss:
         assert len(cluster.calls) <= 6
     cluster.run(10_000)
     if not loss:
-        assert sum(m.works for m in cluster.up()) == 1
+        assert sum(m.watching for m in cluster.up()) == 1
 
 
 @settings(max_examples=40)
@@ -133,85 +133,93 @@
     cluster.run(6000)
     for _ in range(5):
         for member in cluster.up():
-            if member.works and len(cluster.up()) > 1:
+            if member.watching and len(cluster.up()) > 1:
                 member.alive = False
         cluster.run(data.draw(st.sampled_from([2500.0, 5000.0])))
-        assert not cluster.without(STALE + reading.LAST + (2 * BEAT + ANSWER if loss else 0.0))
+        assert not cluster.members_without_list(
+            STALE_AFTER + reader_election.MAX_EXTRA_WAIT_MS + (2 * HEARTBEAT + ANSWER if loss else 0.0)
+        )
     assert cluster.up()
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 100])
 @pytest.mark.parametrize("outage", [3000.0, 20_000.0])
-def test_an_outage_is_looked_at_by_few_and_one_reads_again_soon(count: int, outage: float) -> None:
+def test_few_poll_during_an_outage_and_one_reads_soon_after_it(count: int, outage: float) -> None:
     cluster = Cluster(count, 7)
     cluster.run(8000)
     cluster.down = set(range(count))
     cluster.run(outage)
     tried = [at for at, _ in cluster.calls if at > 8000]
     # the reader tries again each 0.75 s here, and one other a second looks
-    assert len(tried) <= 2 + outage / (RETRY + ANSWER) + outage / reading.TURN
+    assert len(tried) <= 2 + outage / (RETRY + ANSWER) + outage / reader_election.ROTATION_MS
     cluster.down, back, before = set(), cluster.now, len(cluster.calls)
     cluster.run(2000)
-    assert not cluster.without()
+    assert not cluster.members_without_list()
     cluster.run(18_000)
-    assert sum(m.works for m in cluster.up()) == 1
+    assert sum(m.watching for m in cluster.up()) == 1
     assert len(cluster.calls) - before <= 4, cluster.calls[before:]
     assert cluster.now - back == pytest.approx(20_000)
 
 
 @settings(max_examples=40)
 @given(seed=st.integers(0, 9999), reach=st.integers(0, 11))
-def test_whoever_alone_can_reach_the_register_is_found(seed: int, reach: int) -> None:
+def test_only_member_that_reaches_discovery_becomes_the_reader(seed: int, reach: int) -> None:
     cluster = Cluster(12, seed)
     cluster.down = set(range(12)) - {reach}
-    cluster.run(3000 + 14 * reading.TURN)
-    assert not cluster.without()
+    cluster.run(3000 + 14 * reader_election.ROTATION_MS)
+    assert not cluster.members_without_list()
 
 
 @settings(max_examples=40)
 @given(seed=st.integers(0, 9999), cut=st.integers(1, 11))
-def test_each_part_of_a_cut_cluster_has_a_reader_and_one_is_left_after_it(seed: int, cut: int) -> None:
+def test_each_partition_has_a_reader_and_one_is_left_after_healing(seed: int, cut: int) -> None:
     cluster = Cluster(12, seed)
-    cluster.parts = {number: int(number < cut) for number in range(12)}
+    cluster.partitions = {number: int(number < cut) for number in range(12)}
     cluster.run(6000)
-    assert not cluster.without()
-    cluster.parts = {}
+    assert not cluster.members_without_list()
+    cluster.partitions = {}
     cluster.run(8000)
-    assert sum(m.works for m in cluster.up()) == 1 and not cluster.without()
+    assert sum(m.watching for m in cluster.up()) == 1 and not cluster.members_without_list()
 
 
-def test_a_reader_that_stands_still_is_replaced_and_gives_way_when_it_goes_on() -> None:
+def test_paused_reader_is_replaced_and_yields_when_it_resumes() -> None:
     cluster = Cluster(8, 3)
     cluster.run(6000)
-    (reader,) = [m for m in cluster.up() if m.works]
-    reader.standing = True
+    (reader,) = [m for m in cluster.up() if m.watching]
+    reader.paused = True
     cluster.run(3000)
-    assert not cluster.without(STALE + reading.LAST)
-    reader.standing = False
+    assert not cluster.members_without_list(STALE_AFTER + reader_election.MAX_EXTRA_WAIT_MS)
+    reader.paused = False
     cluster.run(6000)
-    assert sum(m.works for m in cluster.up()) == 1
+    assert sum(m.watching for m in cluster.up()) == 1
 
 
-def test_a_list_that_is_behind_ours_is_not_followed() -> None:
-    part = ReaderElection(STALE, 3, 0.0)
-    part.decide(0.0, False, MemberPosition(5, 9), [], False)
-    assert part.decide(100.0, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, False)], False) is Role.FOLLOW
+def test_outdated_list_is_not_followed() -> None:
+    election = ReaderElection(STALE_AFTER, 3, 0.0)
+    election.decide(0.0, False, MemberPosition(5, 9), [], False)
+    assert (
+        election.decide(100.0, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, False)], False) is Role.FOLLOW
+    )
     for step in range(60):
-        role = part.decide(
-            200.0 + step * LOOK, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, True)], False
+        role = election.decide(
+            200.0 + step * INTERVAL, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, True)], False
         )
     assert role is Role.READ
 
 
-def test_the_owner_of_the_lease_always_reads_and_who_reads_stays_until_another_is_trusted() -> None:
-    part = ReaderElection(STALE, 3, 0.0)
-    assert part.decide(0.0, True, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], False) is Role.READ
-    assert part.decide(10.0, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True) is Role.READ
+def test_lease_holder_always_reads_and_a_reader_stays_until_another_is_trusted() -> None:
+    election = ReaderElection(STALE_AFTER, 3, 0.0)
+    assert election.decide(0.0, True, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], False) is Role.READ
+    assert election.decide(10.0, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True) is Role.READ
     assert (
-        part.decide(reading.TRUST - 1, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True)
+        election.decide(
+            reader_election.TRUST_AFTER_MS - 1, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True
+        )
         is Role.READ
     )
     assert (
-        part.decide(reading.TRUST, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True)
+        election.decide(
+            reader_election.TRUST_AFTER_MS, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True
+        )
         is Role.FOLLOW
     )
