--- a/heronlug/discovery/__init__.py
+++ b/heronlug/discovery/__init__.py
@@ -1,5 +1,6 @@
-"""How a dispatcher comes to its list when many start at once, or when the node register comes back.
+"""Service discovery: how a dispatcher gets its endpoint list, and how long it may use it.
 
-Decisions without I/O, clock or randomness of their own: when to call the register (:mod:`pacing`), who of a cluster
-reads it for all (:mod:`reading`), what a list kept over a restart is worth (:mod:`kept`).
+:mod:`client` polls service discovery. Decisions without I/O, clock or randomness of their own are :mod:`freshness`
+(until when a list may be used), :mod:`poll_pacing` (when to poll), :mod:`reader_election` (which members of a cluster
+poll for all) and :mod:`cache` (whether a cached list may be used).
 """
--- a/heronlug/discovery/cache.py
+++ b/heronlug/discovery/cache.py
@@ -1,8 +1,8 @@
-"""A list of hosts kept over a restart: what is written, and what it is worth when it is read again.
+"""The format of a cached endpoint list, and when it is written.
 
-At a start it is what ``known`` is on the platform: perhaps old, good enough to serve by until the register answers, and
-its version lets the first call ask for changes alone. One that cannot be trusted is no list at all, and is said to be
-so: a file that is torn, of another register, too old or from the future.
+At a start the cached list serves as ``known`` does on the platform: it may be old, but it is good enough to use until
+service discovery answers, and with its version the first poll can ask for changes only. A cache that is damaged, too
+old, from the future or of another service discovery is rejected with the reason.
 """
 
 from hashlib import blake2b
@@ -10,72 +10,119 @@
 
 import orjson
 
-FORM = 1
-MOST = 16 * 1024 * 1024  # bytes that are read
-AHEAD = 60_000.0  # ms that a clock may have gone back since it was written
-GAP = 5_000.0  # ms between two writings, at least
+from heronlug.discovery.errors import DiscoveryError
+
+FORMAT = 1
+"""The version of the format."""
+
+MAX_CACHE_BYTES = 16 * 1024 * 1024
+"""A larger file is rejected."""
+
+MAX_CLOCK_STEP_MS = 60_000.0
+"""The clock may have been set back by so much since the list was written."""
+
+WRITE_INTERVAL_MS = 5_000.0
+"""The shortest time between two writes."""
+
+CHECKSUM_BYTES = 16
+
+
+class CacheError(DiscoveryError, ValueError):
+    """A cached list cannot be used."""
 
 
 class CachedList(NamedTuple):
-    """What a file holds."""
+    """What a cache holds.
 
-    at: float  # Unix ms of the writing
-    table: dict[str, Any]  # the list in the register's own form, whole
+    Attributes:
+        written_at: When it was written, in Unix time in ms.
+        table: The complete list in the form of service discovery.
+    """
 
+    written_at: float
+    table: dict[str, Any]
 
-def write(register: str, at: float, table: dict[str, Any]) -> bytes:
-    """The bytes of a file."""
-    body = orjson.dumps({"form": FORM, "register": register, "at": at, "list": table}, option=orjson.OPT_SORT_KEYS)
-    return blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
+def write(address: str, written_at: float, table: dict[str, Any]) -> bytes:
+    """The bytes of a cache.
 
-def read(data: bytes, register: str, now: float, longest: float) -> CachedList:
-    """What stands in a file, if it may be trusted; raises ``ValueError`` that says why not.
+    Args:
+        address: Host and port of the service discovery that the list is from.
+        written_at: Unix time in ms.
+        table: The complete list in the form of service discovery.
+    """
+    content = {"form": FORMAT, "register": address, "at": written_at, "list": table}
+    body = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
+    return _checksum(body) + b"\n" + body
 
-    ``longest`` in milliseconds is how old it may be.
+
+def read(data: bytes, address: str, now: float, max_age: float) -> CachedList:
+    """The list of a cache.
+
+    Args:
+        data: The bytes of the cache.
+        address: Host and port of the service discovery that the list must be from.
+        now: Unix time in ms.
+        max_age: The age up to which it may be used, in ms.
+
+    Raises:
+        CacheError: It cannot be used.
+    """
+    if len(data) > MAX_CACHE_BYTES:
+        raise CacheError(f"it holds more than {MAX_CACHE_BYTES} bytes")
+    checksum, _, body = data.partition(b"\n")
+    if _checksum(body) != checksum:
+        raise CacheError("it is torn: its checksum is another")
+    content = orjson.loads(body)
+    if not isinstance(content, dict) or content.get("form") != FORMAT:
+        raise CacheError(f"it is of another form than {FORMAT}")
+    if content.get("register") != address:
+        raise CacheError(f"it is of another register, {content.get('register')}")
+    written_at = content.get("at")
+    table = content.get("list")
+    if isinstance(written_at, bool) or not isinstance(written_at, int | float) or not isinstance(table, dict):
+        raise CacheError("it has no time or no list")
+    if written_at > now + MAX_CLOCK_STEP_MS:
+        raise CacheError(f"it is from the future: written {(written_at - now) / 1000:.0f} s after now")
+    if now - written_at > max_age:
+        raise CacheError(f"it is too old: written {(now - written_at) / 1000:.0f} s ago")
+    return CachedList(float(written_at), table)
+
+
+class WriteSchedule:
+    """Decides when a cache is written: soon after a change, but rarely.
+
+    Attributes:
+        writing: Whether a write is under way.
     """
-    if len(data) > MOST:
-        raise ValueError(f"it holds more than {MOST} bytes")
-    head, _, body = data.partition(b"\n")
-    if blake2b(body, digest_size=16).hexdigest().encode() != head:
-        raise ValueError("it is torn: its checksum is another")
-    found = orjson.loads(body)
-    if not isinstance(found, dict) or found.get("form") != FORM:
-        raise ValueError("it is of another form")
-    if found.get("register") != register:
-        raise ValueError(f"it is of another register, {found.get('register')}")
-    at = found.get("at")
-    if isinstance(at, bool) or not isinstance(at, int | float) or not isinstance(found.get("list"), dict):
-        raise ValueError("it has no time or no list")
-    if at > now + AHEAD:
-        raise ValueError(f"it is from the future: written {(at - now) / 1000:.0f} s after now")
-    if now - at > longest:
-        raise ValueError(f"it is too old: written {(now - at) / 1000:.0f} s ago")
-    return CachedList(float(at), found["list"])
-
-
-class CacheSchedule:
-    """When to write: soon after a change, and rarely."""
-
-    def __init__(self, gap: float = GAP) -> None:
-        self._gap = gap
-        self._next = 0.0
+
+    def __init__(self, interval: float = WRITE_INTERVAL_MS) -> None:
+        """``interval`` is the shortest time between two writes, in ms."""
+        self.writing = False
+        self._interval = interval
+        self._next_write_at = 0.0
         self._changed = False
-        self.busy = False  # one is being written
 
-    def changed(self, now: float) -> float | None:
-        """The list has changed; when to write it, or None where that is planned already."""
-        planned, self._changed = self._changed, True
-        return None if planned or self.busy else max(now, self._next)
+    def on_change(self, now: float) -> float | None:
+        """The list has changed; returns when to write it, or None if that is planned already."""
+        is_planned = self._changed
+        self._changed = True
+        return None if is_planned or self.writing else max(now, self._next_write_at)
 
     def begin(self, now: float) -> bool:
-        """Whether to write now; what changes from here on has to be written again."""
-        if not self._changed or self.busy:
+        """Whether to write now; a change after this call is written by another write."""
+        if not self._changed or self.writing:
             return False
-        self._changed, self.busy, self._next = False, True, now + self._gap
+        self._changed = False
+        self.writing = True
+        self._next_write_at = now + self._interval
         return True
 
-    def done(self, now: float) -> float | None:
-        """It is written, or could not be; when to write again, if it has changed meanwhile."""
-        self.busy = False
-        return max(now, self._next) if self._changed else None
+    def end(self, now: float) -> float | None:
+        """A write has ended; returns when to write again if the list has changed meanwhile."""
+        self.writing = False
+        return max(now, self._next_write_at) if self._changed else None
+
+
+def _checksum(body: bytes) -> bytes:
+    return blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest().encode()
--- a/heronlug/discovery/cache_file.py
+++ b/heronlug/discovery/cache_file.py
@@ -1,4 +1,4 @@
-"""The file of a kept list: read at the start, written whole and rarely beside the loop.  Loaded where it is set."""
+"""The file of the cached endpoint list; imported only where an operators' file names one."""
 
 import asyncio
 import os
@@ -6,85 +6,104 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.discovery.cache import MOST, CacheSchedule, read, write
+from heronlug.discovery.cache import MAX_CACHE_BYTES, WriteSchedule, read, write
 from heronlug.net.background import run_in_background
 from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.interfaces import EventLog
 
 
 class CacheFile:
-    """One file."""
+    """Reads the cached list at the start, and writes it in a thread after changes.
+
+    Attributes:
+        path: The file.
+    """
 
     def __init__(
         self,
         path: str,
-        longest: float,
-        register: Callable[[], str],
-        table: Callable[[], dict[str, Any]],
+        max_age: float,
+        address: Callable[[], str],
+        current_list: Callable[[], dict[str, Any]],
         deadlines: Deadlines,
-        log: Callable[..., None],
+        log: EventLog,
     ) -> None:
-        """``table`` is the list as it is held now, in the register's form."""
-        self.path, self._longest = Path(path), longest
-        self._register, self._table, self._deadlines, self._log = register, table, deadlines, log
-        self._writing = CacheSchedule()
-        self._at: Key | None = None
-        self._task: asyncio.Task[None] | None = None
+        """Neither read nor write yet.
+
+        Args:
+            path: The file.
+            max_age: The age up to which the cached list may be used, in ms.
+            address: Returns host and port of service discovery.
+            current_list: Returns the list that is held, in the form of service discovery.
+            deadlines: Where writes are planned.
+            log: Where events are logged.
+        """
+        self.path = Path(path)
+        self._max_age = max_age
+        self._address = address
+        self._current_list = current_list
+        self._deadlines = deadlines
+        self._log = log
+        self._schedule = WriteSchedule()
+        self._timer: Key | None = None
+        self._write_task: asyncio.Task[None] | None = None
 
     def load(self) -> dict[str, Any] | None:
-        """The list of the file, or None, which is logged with its reason."""
+        """The cached list in the form of service discovery; None, with the reason in the log, if it is unusable."""
+        now = self._deadlines.clock()
         try:
             with self.path.open("rb") as file:
-                data = file.read(MOST + 1)
-            kept = read(data, self._register(), self._deadlines.clock(), self._longest)
+                data = file.read(MAX_CACHE_BYTES + 1)
+            cached = read(data, self._address(), now, self._max_age)
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
             self._log("kept_list_refused", file=str(self.path), why=str(error))
             return None
-        self._log("kept_list", age_s=round((self._deadlines.clock() - kept.at) / 1000, 1))
-        return kept.table
+        self._log("kept_list", age_s=round((now - cached.written_at) / 1000, 1))
+        return cached.table
 
-    def changed(self) -> None:
+    def on_change(self) -> None:
         """The list that is held has changed."""
-        self._plan(self._writing.changed(self._deadlines.clock()))
+        self._plan(self._schedule.on_change(self._deadlines.clock()))
 
     async def close(self) -> None:
-        """Write what is not written yet."""
-        self._deadlines.cancel(self._at)
-        if self._task is not None:
-            await self._task
-            self._deadlines.cancel(self._at)
-        self._begin()
-        if self._task is not None:
-            await self._task
+        """Write what has not been written yet."""
+        self._deadlines.cancel(self._timer)
+        if self._write_task is not None:
+            await self._write_task
+            self._deadlines.cancel(self._timer)
+        self._begin_write()
+        if self._write_task is not None:
+            await self._write_task
 
     def _plan(self, when: float | None) -> None:
         if when is not None:
-            self._at = self._deadlines.call_at(when, self._begin)
+            self._timer = self._deadlines.call_at(when, self._begin_write)
 
-    def _begin(self) -> None:
+    def _begin_write(self) -> None:
         now = self._deadlines.clock()
-        if self._writing.begin(now):
-            table = self._table()
-            self._task = asyncio.get_running_loop().create_task(self._write(now, table))
+        if self._schedule.begin(now):
+            table = self._current_list()
+            self._write_task = asyncio.get_running_loop().create_task(self._write(now, table))
 
     async def _write(self, now: float, table: dict[str, Any]) -> None:
         try:
-            await run_in_background(self._put, now, table)
+            await run_in_background(self._replace_file, now, table)
         except OSError as error:
             self._log("kept_list_not_written", file=str(self.path), why=str(error))
-        self._task = None
-        self._plan(self._writing.done(self._deadlines.clock()))
+        self._write_task = None
+        self._plan(self._schedule.end(self._deadlines.clock()))
 
-    def _put(self, now: float, table: dict[str, Any]) -> None:
-        """Whole or not at all: beside the old file, on the disk, then in its place."""
-        fresh = self.path.with_name(f".{self.path.name}.{os.getpid()}")
+    def _replace_file(self, now: float, table: dict[str, Any]) -> None:
+        """Write a temporary file to the disk and rename it, so that the file is always whole."""
+        temporary = self.path.with_name(f".{self.path.name}.{os.getpid()}")
         try:
-            with fresh.open("wb") as file:
-                file.write(write(self._register(), now, table))
+            with temporary.open("wb") as file:
+                file.write(write(self._address(), now, table))
                 file.flush()
                 os.fsync(file.fileno())
-            fresh.replace(self.path)
+            temporary.replace(self.path)
         except OSError:
-            fresh.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
             raise
--- a/heronlug/lifecycle/discovery_service.py
+++ b/heronlug/lifecycle/discovery_service.py
@@ -61,7 +61,7 @@
         self.core.update_servers(kind, entries)
         self._backend.retire(self.core.directory.by_number)
         if self.cache is not None and kind is not ListKind.CACHED and entries:
-            self.cache.changed()
+            self.cache.on_change()
 
     def use_reloaded(self, config: Config) -> None:
         """Use another address, or another configured list, of a configuration that was read again."""
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -339,25 +339,27 @@
     assert read_list(table, ZONES, MACHINE_TYPES, lambda at: at) == (42, True, SERVERS)
 
 
-def test_kept_list_is_read() -> None:
-    kept = read(recorded("kept-list.txt"), "127.0.0.1:8500", NOW + 1000, 5000.0)
-    assert kept.at == NOW
-    assert read_list(kept.table, ZONES, MACHINE_TYPES, lambda at: at) == (42, True, SERVERS[:3])
+def test_cached_list_is_read() -> None:
+    cached = read(recorded("kept-list.txt"), "127.0.0.1:8500", NOW + 1000, 5000.0)
+    assert cached.written_at == NOW
+    assert read_list(cached.table, ZONES, MACHINE_TYPES, lambda at: at) == (42, True, SERVERS[:3])
 
 
-def test_kept_list_file_is_read_and_written(tmp_path: Path) -> None:
-    asyncio.run(read_and_write_kept_list(tmp_path / "kept"))
+def test_cached_list_file_is_read_and_written(tmp_path: Path) -> None:
+    asyncio.run(read_and_write_cached_list(tmp_path / "kept"))
 
 
-async def read_and_write_kept_list(path: Path) -> None:
+async def read_and_write_cached_list(path: Path) -> None:
     """Read the recorded file, and write it again."""
     path.write_bytes(recorded("kept-list.txt"))
     table = write_list(42, SERVERS, ZONES, MACHINE_TYPES)
-    keep = CacheFile(str(path), 5000.0, lambda: "127.0.0.1:8500", lambda: table, Deadlines(lambda: NOW), MagicMock())
-    assert keep.load() == table
+    cache_file = CacheFile(
+        str(path), 5000.0, lambda: "127.0.0.1:8500", lambda: table, Deadlines(lambda: NOW), MagicMock()
+    )
+    assert cache_file.load() == table
     path.unlink()
-    keep.changed()
-    await keep.close()
+    cache_file.on_change()
+    await cache_file.close()
     assert path.read_bytes() == recorded("kept-list.txt")
 
 
--- a/tests/discovery/test_cache.py
+++ b/tests/discovery/test_cache.py
@@ -1,4 +1,4 @@
-"""A kept list is taken whole or not at all, and what is wrong with it is said."""
+"""A cached list is used whole or rejected with the reason."""
 
 import asyncio
 from itertools import pairwise
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.discovery.cache import AHEAD, CacheSchedule, read, write
+from heronlug.discovery.cache import MAX_CLOCK_STEP_MS, WriteSchedule, read, write
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.requests.deadlines import Deadlines
 
@@ -17,30 +17,30 @@
 DATA = write("10.0.0.1:8500", 1_000_000.0, TABLE)
 
 
-def test_what_is_written_is_read() -> None:
-    kept = read(DATA, "10.0.0.1:8500", 1_000_500.0, 1000.0)
-    assert kept.table == TABLE and kept.at == 1_000_000.0
+def test_written_cache_is_read() -> None:
+    cached = read(DATA, "10.0.0.1:8500", 1_000_500.0, 1000.0)
+    assert cached.table == TABLE and cached.written_at == 1_000_000.0
 
 
 @pytest.mark.parametrize(
-    ("data", "register", "now", "why"),
+    ("data", "address", "now", "reason"),
     [
         (DATA[:-3], "10.0.0.1:8500", 1_000_500.0, "torn"),
         (DATA[40:], "10.0.0.1:8500", 1_000_500.0, "torn"),
         (b"", "10.0.0.1:8500", 1_000_500.0, "torn"),
         (DATA, "10.0.0.2:8500", 1_000_500.0, "another register, 10.0.0.1:8500"),
         (DATA, "10.0.0.1:8500", 1_002_000.0, "too old: written 2 s ago"),
-        (DATA, "10.0.0.1:8500", 1_000_000.0 - AHEAD - 1000, "from the future: written 61 s after now"),
+        (DATA, "10.0.0.1:8500", 1_000_000.0 - MAX_CLOCK_STEP_MS - 1000, "from the future: written 61 s after now"),
         (write("10.0.0.1:8500", 1e6, [1]), "10.0.0.1:8500", 1e6, "no list"),  # type: ignore[arg-type]
     ],
 )
-def test_what_cannot_be_trusted_is_said(data: bytes, register: str, now: float, why: str) -> None:
-    with pytest.raises(ValueError, match=why):
-        read(data, register, now, 1000.0)
+def test_unusable_cache_is_rejected_with_the_reason(data: bytes, address: str, now: float, reason: str) -> None:
+    with pytest.raises(ValueError, match=reason):
+        read(data, address, now, 1000.0)
 
 
 @given(st.integers(0, len(DATA) - 1), st.integers(1, 255))
-def test_a_changed_byte_is_found(place: int, change: int) -> None:
+def test_changed_byte_is_detected(place: int, change: int) -> None:
     data = bytearray(DATA)
     data[place] ^= change
     with pytest.raises(ValueError):
@@ -48,8 +48,8 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 3000), st.sampled_from("cwd")), max_size=60))
-def test_writings_are_rare_and_the_last_change_is_written(steps: list[tuple[float, str]]) -> None:
-    writing, now, planned = CacheSchedule(gap=5000.0), 0.0, list[float]()
+def test_writes_are_rare_and_the_last_change_is_written(steps: list[tuple[float, str]]) -> None:
+    schedule, now, planned = WriteSchedule(interval=5000.0), 0.0, list[float]()
     began, changed_at, written_at = list[float](), -1.0, -1.0
 
     def plan(when: float | None) -> None:
@@ -58,10 +58,10 @@
 
     def begin() -> None:
         nonlocal written_at
-        if writing.begin(now):
+        if schedule.begin(now):
             began.append(now)
             written_at = now
-            plan(writing.done(now))
+            plan(schedule.end(now))
 
     for wait, what in [*steps, (20_000.0, "w"), (20_000.0, "w")]:
         now += wait
@@ -70,29 +70,30 @@
             begin()
         if what == "c":
             changed_at = now
-            plan(writing.changed(now))
+            plan(schedule.on_change(now))
     assert written_at >= changed_at
     assert all(b - a >= 5000.0 for a, b in pairwise(began))
 
 
-def test_a_file_that_cannot_be_written_is_said_and_the_old_one_stays(tmp_path: Path) -> None:
+def test_failed_write_is_logged_and_keeps_the_old_file(tmp_path: Path) -> None:
     logged: list[tuple[str, dict[str, Any]]] = []
 
+    def log(event: str, /, **fields: object) -> None:
+        logged.append((event, fields))
+
     async def run() -> None:
         deadlines = Deadlines(lambda: 1_000_000.0)
 
-        def keep(path: Path) -> CacheFile:
-            return CacheFile(
-                str(path), 1e9, lambda: "r", lambda: TABLE, deadlines, lambda e, **f: logged.append((e, f))
-            )
+        def cache_file(path: Path) -> CacheFile:
+            return CacheFile(str(path), 1e9, lambda: "r", lambda: TABLE, deadlines, log)
 
-        good = keep(tmp_path / "list")
+        good = cache_file(tmp_path / "list")
         assert good.load() is None and not logged  # there is none yet
-        good.changed()
+        good.on_change()
         await good.close()
         assert good.load() == TABLE
-        bad = keep(tmp_path / "nowhere" / "list")
-        bad.changed()
+        bad = cache_file(tmp_path / "nowhere" / "list")
+        bad.on_change()
         await bad.close()
         (tmp_path / "list").write_bytes(b"x")
         assert good.load() is None
