--- a/heronlug/cluster/periodic_tasks.py
+++ b/heronlug/cluster/periodic_tasks.py
@@ -1,7 +1,11 @@
-"""When the duties that we own are run.  No I/O, no clock: told what we own and what has ended, it says what begins."""
+"""When the periodic tasks whose leases this member holds are run.  No I/O and no clock.
+
+A schedule is told which leases are gained and lost and which runs have ended; it says which runs start.
+"""
 
 from dataclasses import dataclass, field
 from math import inf
+from typing import NamedTuple
 
 from heronlug.cluster.model import FencingToken
 from heronlug.cluster.ownership import tag
@@ -9,78 +13,114 @@
 
 @dataclass(frozen=True, slots=True)
 class PeriodicTask:
-    """One periodic duty; times in milliseconds."""
+    """One periodic task.  All times are milliseconds.
+
+    Attributes:
+        name: The name of the task and of its lease.
+        interval: Between the starts of two runs.
+        jitter: How much later a run may start; its name and its number give the fraction.
+        timeout: A run is ended after this time.
+    """
 
     name: str
     interval: float
-    jitter: float = 0.0  # a run may begin so much later, by a share that the name and the number of the run give
-    timeout: float = inf  # a run is ended after this
+    jitter: float = 0.0
+    timeout: float = inf
 
 
 @dataclass(slots=True)
 class TaskState:
-    """What is known here of a duty."""
+    """What this member knows of a periodic task.  All times are milliseconds of its clock.
+
+    Attributes:
+        task: The task.
+        token: The fencing token of its lease, while this member holds it.
+        due: When the next run starts.
+        started_at: When the last run here has started.
+        ended_at: When the last run here has ended.
+        running: Whether a run is going on here.
+        runs: Runs that have started here.
+        failed: Runs that have failed here.
+        takeovers: How often this member has gained the lease.
+    """
 
     task: PeriodicTask
-    token: FencingToken | None = None  # while it is ours
+    token: FencingToken | None = None
     due: float = inf
-    started_at: float = -inf  # of the last run here
+    started_at: float = -inf
     ended_at: float = -inf
     running: bool = False
     runs: int = 0
     failed: int = 0
     takeovers: int = 0
 
+    @property
+    def next_wake(self) -> float:
+        """When the present run times out, or the next one starts."""
+        return self.started_at + self.task.timeout if self.running else self.due
+
+    def start(self, now: float) -> None:
+        """Start a run, and plan the next one."""
+        self.running = True
+        self.started_at = now
+        self.runs += 1
+        jitter_fraction = tag(f"{self.task.name}{self.runs}") / 2**32
+        self.due = now + self.task.interval + self.task.jitter * jitter_fraction
+
+
+class TaskStart(NamedTuple):
+    """A run that starts now."""
+
+    name: str
+    token: FencingToken
+
 
 @dataclass(slots=True)
 class TaskSchedule:
-    """All duties of a member."""
+    """All periodic tasks of a member, by name."""
 
     tasks: dict[str, TaskState] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, duties: list[PeriodicTask]) -> "TaskSchedule":
-        """A schedule of these."""
-        return cls({duty.name: TaskState(duty) for duty in duties})
+    def of(cls, tasks: list[PeriodicTask]) -> "TaskSchedule":
+        """A schedule of these tasks, none of which this member may run yet."""
+        return cls({task.name: TaskState(task) for task in tasks})
 
-    def gained(self, name: str, fence: FencingToken, now: float) -> None:
-        """It is ours: its first run here is due at once, for nobody knows how long the last one is past."""
-        running = self.tasks[name]
-        running.token, running.due = fence, now
-        running.takeovers += 1
+    def gained(self, name: str, token: FencingToken, now: float) -> None:
+        """The lease was gained: the first run is due at once, as the time of the last one elsewhere is unknown."""
+        state = self.tasks[name]
+        state.token = token
+        state.due = now
+        state.takeovers += 1
 
     def lost(self, name: str) -> bool:
-        """It is not ours any more; returns whether a run of it has to be ended."""
-        running = self.tasks[name]
-        running.token, running.due = None, inf
-        return running.running
-
-    def start_due(self, now: float) -> list[tuple[str, FencingToken]]:
-        """What is due now: each begins with this, and is not due again before it has ended."""
-        begun: list[tuple[str, FencingToken]] = []
-        for name, running in self.tasks.items():
-            if running.token is not None and not running.running and running.due <= now:
-                running.running, running.started_at = True, now
-                running.runs += 1
-                share = tag(f"{name}{running.runs}") / 2**32
-                running.due = now + running.task.interval + running.task.jitter * share
-                begun.append((name, running.token))
-        return begun
-
-    def finished(self, name: str, now: float, well: bool) -> None:
+        """The lease was lost; returns whether a run has to be ended."""
+        state = self.tasks[name]
+        state.token = None
+        state.due = inf
+        return state.running
+
+    def start_due(self, now: float) -> list[TaskStart]:
+        """Start the runs that are due; none is due again before it has ended."""
+        started: list[TaskStart] = []
+        for name, state in self.tasks.items():
+            if state.token is not None and not state.running and state.due <= now:
+                state.start(now)
+                started.append(TaskStart(name, state.token))
+        return started
+
+    def finished(self, name: str, now: float, succeeded: bool) -> None:
         """A run has ended, by itself or because it was ended."""
-        running = self.tasks[name]
-        running.running, running.ended_at = False, now
-        running.failed += not well
+        state = self.tasks[name]
+        state.running = False
+        state.ended_at = now
+        state.failed += not succeeded
 
     def overdue(self, now: float) -> list[str]:
-        """Runs that have taken longer than they may."""
-        return [
-            n
-            for n, running in self.tasks.items()
-            if running.running and now - running.started_at >= running.task.timeout
-        ]
+        """The tasks whose run has reached its timeout."""
+        running = [(name, state) for name, state in self.tasks.items() if state.running]
+        return [name for name, state in running if now - state.started_at >= state.task.timeout]
 
     def next_wake(self) -> float:
-        """When something is due, or has to be over."""
-        return min((r.started_at + r.task.timeout if r.running else r.due for r in self.tasks.values()), default=inf)
+        """When a run is due, or times out."""
+        return min((state.next_wake for state in self.tasks.values()), default=inf)
