--- a/heronlug/frontends/faktory/commands.py
+++ b/heronlug/frontends/faktory/commands.py
@@ -117,6 +117,7 @@
     reply = session.defer_reply()
 
     def on_pushed(error: CommandError | None) -> None:
+        """Reply once the job is accepted or not."""
         reply(OK if error is None else error_reply(error))
 
     session.frontend.jobs.push(payload, on_pushed)
@@ -153,6 +154,7 @@
     reply = session.defer_reply()
 
     def on_stored(failure: str) -> None:
+        """Reply once the end is stored or not."""
         reply(error_reply(EndNotStoredError(failure)) if failure else OK)
 
     session.frontend.context.store.after(on_stored)
--- a/heronlug/frontends/faktory/frontend.py
+++ b/heronlug/frontends/faktory/frontend.py
@@ -59,6 +59,7 @@
 
     @core.setter
     def core(self, core: Core) -> None:
+        """Set the core, once it is made with this frontend as its transport."""
         self.context.core = core
 
     @property
@@ -68,6 +69,7 @@
 
     @config.setter
     def config(self, config: FaktoryConfig) -> None:
+        """Use another configuration from now on."""
         self.context.config = config
 
     # -- lifecycle
--- a/heronlug/frontends/faktory/jobs.py
+++ b/heronlug/frontends/faktory/jobs.py
@@ -61,6 +61,7 @@
         open_pushes = len(payloads)
 
         def on_pushed(jid: str, error: CommandError | None) -> None:
+            """Note one result; the last one completes the command."""
             nonlocal open_pushes
             open_pushes -= 1
             if error is not None:
@@ -167,21 +168,21 @@
         classes = {policy.name: policy for policy in context.core.settings.classes}
         records, counts = recover_records(context.store, classes, now, context.config.remember_ms)
         # all jobs are known before the first one starts, so that those in a chain find their parents
-        jobs = [self._recover_job(record, way, now) for record, way in records]
-        for job, (record, way) in zip(jobs, records, strict=True):
+        jobs = [self._recover_job(record, action, now) for record, action in records]
+        for job, (record, action) in zip(jobs, records, strict=True):
             if job.final_answer is None:
-                self._restart(job, record, way, now)
+                self._restart(job, record, action, now)
         if records:
             context.log("recovered", jobs=len(records), **counts)
 
-    def _restart(self, job: Job, record: Kept, way: Way, now: float) -> None:
+    def _restart(self, job: Job, record: Kept, action: Way, now: float) -> None:
         if record.delivered_at:  # the jobs that it waited for had ended
             self.scheduler.start_now(job, left(record, now))
         elif self.scheduler.may_start(job, StartTime(record.remaining, record.due)):
-            remaining_ms = record.remaining if way is Way.LATER else left(record, now)
+            remaining_ms = record.remaining if action is Way.LATER else left(record, now)
             self.scheduler.start(job, StartTime(remaining_ms, record.due))
 
-    def _recover_job(self, record: Kept, way: Way, now: float) -> Job:
+    def _recover_job(self, record: Kept, action: Way, now: float) -> Job:
         names = self._class_names()
         class_index = names.index(record.lane) if record.lane in names else 0
         payload: JsonObject = orjson.loads(record.table) if record.table else {}
@@ -196,17 +197,17 @@
         )
         self.by_jid[record.jid] = job
         if record.final:
-            self._recover_end(job, record, way, now)
+            self._recover_end(job, record, action, now)
         return job
 
-    def _recover_end(self, job: Job, record: Kept, way: Way, now: float) -> None:
+    def _recover_end(self, job: Job, record: Kept, action: Way, now: float) -> None:
         """Remember a job that has ended, for the rest of the configured time."""
         job.final_answer = FinalAnswer(record.final)
         job.payload = {}
-        ended_ms_ago = max(0.0, now - record.ended_at)
-        remember_ms = max(0.0, self._context.config.remember_ms - ended_ms_ago)
+        since_end_ms = max(0.0, now - record.ended_at)
+        remember_ms = max(0.0, self._context.config.remember_ms - since_end_ms)
         self._context.deadlines.call_after(remember_ms, self._forget, job)
-        if way is not Way.KNOWN:
+        if action is not Way.KNOWN:
             note = " (may have run)" if record.delivered_at else ""
             self._context.log("job_answered", jid=job.jid, final=record.final + note, cause="restart")
 
--- a/heronlug/frontends/faktory/recovery.py
+++ b/heronlug/frontends/faktory/recovery.py
@@ -28,10 +28,12 @@
     loop = asyncio.get_running_loop()
 
     def run_callback(callback: Callable[[], None]) -> None:
+        """Run a callback of the store, and the deadlines that are due after it."""
         callback()
         run_due()
 
     def call_on_loop(callback: Callable[[], None]) -> None:
+        """Pass a callback from the store's thread to the loop."""
         if not loop.is_closed():
             loop.call_soon_threadsafe(run_callback, callback)
 
@@ -60,14 +62,14 @@
     records: list[tuple[Kept, Way]] = []
     counts: dict[str, int] = {}
     for record in store.load():
-        way = settle(record, classes.get(record.lane), now, remember_ms)
-        counts[way.value] = counts.get(way.value, 0) + 1
-        if way is Way.FORGET:
+        action = settle(record, classes.get(record.lane), now, remember_ms)
+        counts[action.value] = counts.get(action.value, 0) + 1
+        if action is Way.FORGET:
             store.forget(record.jid)
             continue
-        if way in (Way.FAILED, Way.REFUSED):
-            final = Final.FAILED if way is Way.FAILED else Final.REFUSED
+        if action in (Way.FAILED, Way.REFUSED):
+            final = Final.FAILED if action is Way.FAILED else Final.REFUSED
             store.end(record.jid, final.value, now)
             record = record._replace(final=final.value, ended_at=now)
-        records.append((record, way))
+        records.append((record, action))
     return records, counts
--- a/heronlug/frontends/faktory/session.py
+++ b/heronlug/frontends/faktory/session.py
@@ -160,6 +160,7 @@
         self._step(SessionEvent.REPLY_DEFERRED)
 
         def reply(data: bytes) -> None:
+            """Write the reply, and carry out the commands that have waited for it."""
             self._step(SessionEvent.REPLIED)
             self.write(data)
             if not self._executing:
--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -1,27 +1,23 @@
 """One client's connection: requests are served in turn, pipelined ones wait."""
 
 import asyncio
-from collections import deque
 from collections.abc import Callable
 from typing import Protocol, cast
 
 from heronlug.frontends.http import responses
 from heronlug.frontends.http.body_memory import BodyMemory
 from heronlug.frontends.http.connection_state import ConnectionEvent, ConnectionState, next_state
-from heronlug.frontends.http.errors import (
-    BadRequestError,
-    IncompleteRequestError,
-    TooManyPipelinedRequestsError,
-)
+from heronlug.frontends.http.errors import BadRequestError, IncompleteRequestError
 from heronlug.frontends.http.eviction import EvictionRank
-from heronlug.frontends.http.request import NO_CLASS, HttpRequest
+from heronlug.frontends.http.pipeline import RequestPipeline
+from heronlug.frontends.http.request import HttpRequest
 from heronlug.frontends.http.request_policy import RequestPolicy
 from heronlug.frontends.http.request_reader import RequestReader
 from heronlug.net.connection_state import has_unread_input, peer_has_closed
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.interfaces import EventLog
-from heronlug.requests.model import FinalAnswer, Request
+from heronlug.requests.model import Request
 
 READ_TIMEOUT_MS = 2_500.0
 """Time for a request to be complete: the first one's runs from the connect, a later one's from its first byte."""
@@ -35,9 +31,6 @@
 MAX_DISCARDED_BYTES = 256 * 1024
 """Input that is read and discarded while a connection lingers."""
 
-MAX_PIPELINED_REQUESTS = 16
-"""Complete requests that may wait on one connection."""
-
 
 class ConnectionOwner(Protocol):
     """The frontend, as its connections use it."""
@@ -96,7 +89,7 @@
         self._on_connected = on_connected
         self._state = ConnectionState.IDLE
         self._reader = RequestReader(self)
-        self._pipeline: deque[HttpRequest] = deque()
+        self._pipeline = RequestPipeline()
         self._discarded = 0
         self._timeout: Key | None = None
 
@@ -162,9 +155,7 @@
         self._cancel_timeout()
         if not responses.is_health_check(request):
             self._frontend.policy.read(request)
-        self._pipeline.append(request)
-        if len(self._pipeline) > MAX_PIPELINED_REQUESTS:
-            raise TooManyPipelinedRequestsError
+        self._pipeline.add(request)
 
     # -- state
 
@@ -272,7 +263,7 @@
             if not self._reader.reading:
                 self._cancel_timeout()
             try:
-                self._frontend.serve(self, self._pipeline.popleft())
+                self._frontend.serve(self, self._pipeline.next())
             except BadRequestError as error:
                 self._reject(error)
 
@@ -286,25 +277,19 @@
             return
         self._frontend.log("bad_request", status=error.status, text=error.text)
         unserved = responses.unserved_response() * len(self._pipeline)
-        for request in self._pipeline:
-            if request.class_index != NO_CLASS:
-                self._frontend.core.count_answer(request.class_index, FinalAnswer.REFUSED)
+        self._pipeline.count_rejected(self._frontend.core)
         self._drop_unserved()
-        if self.open_request is not None and self._fail_open_request(self.open_request):
-            return
+        if self.open_request is not None:
+            self._frontend.core.fail(self.open_request)  # calls :meth:`answer`, which may end the connection
+            if self.closing:
+                return
         self.transport.write(unserved + responses.rejection_response(error))
         self._linger(self.transport)
 
-    def _fail_open_request(self, request: Request) -> bool:
-        """Fail the request that is being served, which is answered by :meth:`answer`; returns whether that closed."""
-        self._frontend.core.fail(request)
-        return self.closing
-
     def _drop_unserved(self) -> None:
         """Release the bodies of the requests that wait, and of the one that is being read."""
-        for request in (self._reader.request, *self._pipeline):
-            self._frontend.body_memory.release(request)
-        self._pipeline.clear()
+        self._frontend.body_memory.release(self._reader.request)
+        self._pipeline.clear(self._frontend.body_memory)
 
     def _discard(self, data: bytes) -> None:
         self._discarded += len(data)
