--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -4,10 +4,10 @@
 import sys
 from collections.abc import Callable
 
-from heronlug.lifecycle.startup_signals import early
+from heronlug.lifecycle.startup_signals import startup_signals
 
 if sys.argv[1:2] in ([], ["serve"]):
-    early.listen()  # before the imports below, which take most of the start
+    startup_signals.listen()  # before the imports below, which take most of the start
 
 from heronlug.config.desired_state import State, StateError
 from heronlug.config.files import Files
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -27,11 +27,11 @@
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown, ShutdownHooks
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 from heronlug.lifecycle.log import Log
-from heronlug.lifecycle.operations import accept_figures, calls
+from heronlug.lifecycle.operations import OperatorCalls, accept_figures
 from heronlug.lifecycle.peer_messages import PeerMessages
 from heronlug.lifecycle.readiness import Readiness
 from heronlug.lifecycle.running_state import RunningState
-from heronlug.lifecycle.startup_signals import early
+from heronlug.lifecycle.startup_signals import startup_signals
 from heronlug.lifecycle.transport import HttpTransport
 from heronlug.net.acceptor import Acceptor
 from heronlug.net.listener import Listener
@@ -149,8 +149,8 @@
         self.running_state = RunningState(changes)
         if config.paced:
             self.discovery.use_options({})
-        table = calls(self.shutdown, self.readiness.accepts_clients, self._cores, self.log, self._more_figures)
-        self.admin = AdminEndpoint(table, deadlines, self.log, self.turn)
+        calls = OperatorCalls(self.shutdown, self.readiness.accepts_clients, self._cores, self.log, self._more_figures)
+        self.admin = AdminEndpoint(calls.table(), deadlines, self.log, self.turn)
         self.admin_listener = Listener(Acceptor("operators", self.admin.protocol, self.log))
         self.reload = Reload(
             config,
@@ -204,7 +204,7 @@
         self.log("started", name=self.config.name, listen=":".join(map(str, self.config.listen)))
         # a reload needs a running configuration; a signal that came earlier was noted
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload.begin)
-        if early.came:
+        if startup_signals.reload_requested:
             self.reload.begin()
         self.turn()
 
--- a/heronlug/lifecycle/log.py
+++ b/heronlug/lifecycle/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, written by a thread of its own so that a full pipe never stops the loop."""
+"""The log: one JSON line for each event, written by a thread of its own so that a full pipe never blocks the loop."""
 
 import os
 import threading
@@ -8,31 +8,46 @@
 import orjson
 
 LEVELS = {"debug": 0, "info": 1, "warning": 2}
-LEVEL_OF = {
-    "taken": 0,
-    "client_gone": 0,
-    "exception": 2,
-    "overdue": 2,
-    "inventory_failed": 2,
-    "too_many_clients": 2,
-    "too_many_connections": 2,
-    "hook_disabled": 2,
-    "reload_failed": 2,
-    "bad_host": 2,
-    "slow_event": 2,
-    "late_turn": 2,
-    "accept_failed": 2,
+"""The levels by name; an event is logged from its level on."""
+DEFAULT_LEVEL = LEVELS["info"]
+"""Level of the events that :data:`EVENT_LEVELS` doesn't name."""
+EVENT_LEVELS = {
+    "taken": LEVELS["debug"],
+    "client_gone": LEVELS["debug"],
+    "exception": LEVELS["warning"],
+    "overdue": LEVELS["warning"],
+    "inventory_failed": LEVELS["warning"],
+    "too_many_clients": LEVELS["warning"],
+    "too_many_connections": LEVELS["warning"],
+    "hook_disabled": LEVELS["warning"],
+    "reload_failed": LEVELS["warning"],
+    "bad_host": LEVELS["warning"],
+    "slow_event": LEVELS["warning"],
+    "late_turn": LEVELS["warning"],
+    "accept_failed": LEVELS["warning"],
 }
-HELD = 4096  # lines kept while the reader is slow; what comes beyond is counted and dropped
+"""Levels of events by their name."""
+MAX_BUFFERED_LINES = 4096
+"""Lines kept while the reader is slow; more are counted and dropped."""
+LINES_PER_WRITE = 64
+"""Lines that are written at once at most."""
+CLOSE_TIMEOUT_S = 0.5
+"""How long closing waits for the reader, in seconds."""
 
 
 class Log:
-    """Lines to a file descriptor."""
+    """Writes lines to a file descriptor.
 
-    def __init__(self, fd: int = 1, level: str = "info") -> None:
+    Attributes:
+        level: events below this level are not logged.
+        dropped: lines dropped since the last one that was kept.
+    """
+
+    def __init__(self, descriptor: int = 1, level: str = "info") -> None:
+        """Start the thread that writes."""
         self.level = level
         self.dropped = 0
-        self._fd = fd
+        self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._wake = threading.Event()
         self._closing = False
@@ -40,34 +55,39 @@
         self._thread.start()
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """One event; unknown events are of level info."""
-        if LEVEL_OF.get(event, 1) < LEVELS[self.level]:
+        """Log an event with its fields."""
+        if EVENT_LEVELS.get(event, DEFAULT_LEVEL) < LEVELS[self.level]:
             return
-        if len(self._lines) >= HELD:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
         if self.dropped:
-            fields["dropped"], self.dropped = self.dropped, 0
+            fields["dropped"] = self.dropped
+            self.dropped = 0
         line = {"at": round(time.time(), 4), "event": event, **fields}
         self._lines.append(orjson.dumps(line, default=repr, option=orjson.OPT_APPEND_NEWLINE))
         self._wake.set()
 
-    def close(self, wait: float = 0.5) -> None:
-        """Write out what is held, for so many seconds at most."""
+    def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
+        """Write the buffered lines, for this many seconds at most."""
         self._closing = True
         self._wake.set()
-        self._thread.join(wait)
+        self._thread.join(timeout_s)
 
     def _run(self) -> None:
         while True:
             self._wake.wait()
             self._wake.clear()
             while self._lines:
-                data = b"".join(self._lines.popleft() for _ in range(min(64, len(self._lines))))
-                try:
-                    while data:
-                        data = data[os.write(self._fd, data) :]
-                except OSError:  # the reader has gone: so has the log
-                    self._lines.clear()
+                self._write_some()
             if self._closing:
                 return
+
+    def _write_some(self) -> None:
+        count = min(LINES_PER_WRITE, len(self._lines))
+        data = b"".join(self._lines.popleft() for _ in range(count))
+        try:
+            while data:
+                data = data[os.write(self._descriptor, data) :]
+        except OSError:  # the reader has closed the pipe, and nobody can read the rest
+            self._lines.clear()
--- a/heronlug/lifecycle/operations.py
+++ b/heronlug/lifecycle/operations.py
@@ -1,103 +1,138 @@
-"""What operators can call, and what the figures say."""
+"""Operators' calls on the admin endpoint, and the figures in Prometheus' text format."""
 
 from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from typing import Literal
 
-from heronlug.lifecycle.admin import Answer, Calls
+from heronlug.lifecycle.admin import Answer, CallKey, Calls
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown
 from heronlug.requests.core import Core
 from heronlug.requests.model import FinalAnswer
 
-HELP = {
-    "success": ("counter", "jobs served"),
-    "overload": ("counter", "jobs refused"),
-    "error": ("counter", "jobs failed"),
-    "dispatches": ("counter", "attempts written whole to runners"),
-    "concurrent": ("gauge", "jobs taken and not yet ended"),
-    "targets": ("gauge", "runners in the list"),
-    "targets_disabled": ("gauge", "listed runners that are avoided now"),
-    "halls_left": ("gauge", "halls that have failed as one and get no work, or not all of it yet"),
-    "parts_asked": ("counter", "parts of cold runners asked for"),
-    "parts_lent": ("counter", "parts of cold runners lent to others"),
-    "parts_used": ("counter", "jobs sent on parts that others lent"),
-    "attempts_postponed": ("counter", "attempts that waited until a list that had come was read"),
-    "slow_events": ("counter", "events that held the loop up for 100 ms or more"),
-    "waiting": ("gauge", "jobs that wait for a runner"),
+
+@dataclass(frozen=True)
+class Figure:
+    """A figure without its value; names and texts stand in the pages for operators."""
+
+    name: str
+    kind: Literal["counter", "gauge"]
+    help: str
+
+
+ANSWER_FIGURES = {
+    FinalAnswer.SERVED: Figure("success", "counter", "jobs served"),
+    FinalAnswer.REFUSED: Figure("overload", "counter", "jobs refused"),
+    FinalAnswer.FAILED: Figure("error", "counter", "jobs failed"),
 }
-NAMES = {FinalAnswer.SERVED: "success", FinalAnswer.REFUSED: "overload", FinalAnswer.FAILED: "error"}
+"""The figures that are given by class."""
+DISPATCHES = Figure("dispatches", "counter", "attempts written whole to runners")
+CONCURRENT = Figure("concurrent", "gauge", "jobs taken and not yet ended")
+SERVERS = Figure("targets", "gauge", "runners in the list")
+EXCLUDED_SERVERS = Figure("targets_disabled", "gauge", "listed runners that are avoided now")
+EXCLUDED_ZONES = Figure("halls_left", "gauge", "halls that have failed as one and get no work, or not all of it yet")
+LOANS_REQUESTED = Figure("parts_asked", "counter", "parts of cold runners asked for")
+LOANS_GIVEN = Figure("parts_lent", "counter", "parts of cold runners lent to others")
+LOANS_USED = Figure("parts_used", "counter", "jobs sent on parts that others lent")
+POSTPONED = Figure("attempts_postponed", "counter", "attempts that waited until a list that had come was read")
+SLOW_EVENTS = Figure("slow_events", "counter", "events that held the loop up for 100 ms or more")
+QUEUED = Figure("waiting", "gauge", "jobs that wait for a runner")
 
 
 def figures(cores: Iterable[Core]) -> str:
-    """The figures in Prometheus' text format: those of all fronts together, and each class from the start."""
+    """The figures of all frontends together; each class is named from the start."""
     cores = list(cores)
-    by_class = {name: dict.fromkeys(cores[0].class_names, 0) for name in NAMES.values()}
-    alone = {name: 0 for name in HELP if name not in by_class}
-    for core in cores:
-        for index, lane in enumerate(core.class_names):
-            for final, name in NAMES.items():
-                by_class[name][lane] += core.answer_counts[index][final]
-        alone["dispatches"] += core.dispatches
-        alone["concurrent"] += core.open_requests
-        listed, avoided = core.server_counts()
-        alone["targets"] += listed
-        alone["targets_disabled"] += avoided
-        alone["halls_left"] += core.dispatcher.rules.zone_failover.zones_away
-        shares = core.dispatcher.rules.shares
-        alone["parts_asked"] += shares.loans_requested
-        alone["parts_lent"] += shares.loans_given
-        alone["parts_used"] += shares.loans_used
-        alone["attempts_postponed"] += core.postponed
-        alone["slow_events"] += core.slow_events
-        alone["waiting"] += core.dispatcher.queue_length
-    return "\n".join([*_lines(by_class, alone), ""])
-
-
-def _lines(by_class: dict[str, dict[str, int]], alone: dict[str, int]) -> Iterator[str]:
-    for name, (kind, text) in HELP.items():
-        yield f"# HELP svc_{name} {text}"
-        yield f"# TYPE svc_{name} {kind}"
-        if name in alone:
-            yield f"svc_{name} {alone[name]}"
-        else:
-            yield from (f'svc_{name}{{type="{lane}"}} {count}' for lane, count in by_class[name].items())
+    lines = [*_answer_lines(cores)]
+    for figure, value in _totals(cores):
+        lines += [*_head(figure), f"svc_{figure.name} {value}"]
+    return "\n".join([*lines, ""])
 
 
-def accept_figures(failures: dict[str, int]) -> str:
-    """The lines on calls of accept that failed, by listener."""
-    lines = ["# HELP svc_accept_failures calls of accept that failed", "# TYPE svc_accept_failures counter"]
-    lines += [f'svc_accept_failures{{listener="{name}"}} {count}' for name, count in failures.items()]
-    return "\n".join([*lines, ""])
+def _answer_lines(cores: list[Core]) -> Iterator[str]:
+    """The final answers by class."""
+    class_names = cores[0].class_names
+    for final, figure in ANSWER_FIGURES.items():
+        counts = dict.fromkeys(class_names, 0)
+        for core in cores:
+            for index, name in enumerate(core.class_names):
+                counts[name] += core.answer_counts[index][final]
+        yield from _head(figure)
+        yield from (f'svc_{figure.name}{{type="{name}"}} {count}' for name, count in counts.items())
+
+
+def _totals(cores: list[Core]) -> Iterator[tuple[Figure, int]]:
+    """The figures that have one value, summed over the frontends."""
+    server_counts = [core.server_counts() for core in cores]
+    rules = [core.dispatcher.rules for core in cores]
+    yield DISPATCHES, sum(core.dispatches for core in cores)
+    yield CONCURRENT, sum(core.open_requests for core in cores)
+    yield SERVERS, sum(listed for listed, _ in server_counts)
+    yield EXCLUDED_SERVERS, sum(excluded for _, excluded in server_counts)
+    yield EXCLUDED_ZONES, sum(each.zone_failover.zones_away for each in rules)
+    yield LOANS_REQUESTED, sum(each.shares.loans_requested for each in rules)
+    yield LOANS_GIVEN, sum(each.shares.loans_given for each in rules)
+    yield LOANS_USED, sum(each.shares.loans_used for each in rules)
+    yield POSTPONED, sum(core.postponed for core in cores)
+    yield SLOW_EVENTS, sum(core.slow_events for core in cores)
+    yield QUEUED, sum(core.dispatcher.queue_length for core in cores)
+
+
+def _head(figure: Figure) -> Iterator[str]:
+    yield f"# HELP svc_{figure.name} {figure.help}"
+    yield f"# TYPE svc_{figure.name} {figure.kind}"
 
 
-def calls(
-    parting: GracefulShutdown,
-    takes_clients: Callable[[], bool],
-    cores: Callable[[], list[Core]],
-    log: Callable[..., None],
-    more: Callable[[], str] = str,
-) -> Calls:
-    """The table of the admin front.  Each call may come again and again; ``more`` are further figures."""
-
-    def health() -> Answer:
-        return (200, b"yes\n") if takes_clients() else (503, b"no\n")
-
-    def stats() -> Answer:
-        return 200, (figures(cores()) + more()).encode()
-
-    def drain() -> Answer:
-        if parting.drain():
-            log("draining")
-        return 200, b"draining\n"
-
-    def undrain() -> Answer:
-        if parting.stopping:
-            return 409, b"stopping: that cannot be taken back\n"
-        if parting.undrain():
-            log("drain_over")
-        return 200, b"serving\n"
-
-    return {
-        (b"GET", b"/healthcheck"): health,
-        (b"GET", b"/stats"): stats,
-        (b"PUT", b"/healthcheck/fail"): drain,
-        (b"PUT", b"/healthcheck/ok"): undrain,
-    }
+def accept_figures(failures: dict[str, int]) -> str:
+    """The lines on failed calls of ``accept``, by listener."""
+    figure = Figure("accept_failures", "counter", "calls of accept that failed")
+    lines = [f'svc_{figure.name}{{listener="{name}"}} {count}' for name, count in failures.items()]
+    return "\n".join([*_head(figure), *lines, ""])
+
+
+class OperatorCalls:
+    """What operators can call; each call may be repeated."""
+
+    def __init__(
+        self,
+        shutdown: GracefulShutdown,
+        accepts_clients: Callable[[], bool],
+        cores: Callable[[], list[Core]],
+        log: Callable[..., None],
+        more_figures: Callable[[], str],
+    ) -> None:
+        """Answer for these parts; ``more_figures`` gives the lines that don't come from the cores."""
+        self._shutdown = shutdown
+        self._accepts_clients = accepts_clients
+        self._cores = cores
+        self._log = log
+        self._more_figures = more_figures
+
+    def table(self) -> Calls:
+        """The calls of the admin endpoint."""
+        return {
+            CallKey(b"GET", b"/healthcheck"): self.health,
+            CallKey(b"GET", b"/stats"): self.stats,
+            CallKey(b"PUT", b"/healthcheck/fail"): self.drain,
+            CallKey(b"PUT", b"/healthcheck/ok"): self.undrain,
+        }
+
+    def health(self) -> Answer:
+        """Whether this process accepts clients."""
+        return Answer(200, b"yes\n") if self._accepts_clients() else Answer(503, b"no\n")
+
+    def stats(self) -> Answer:
+        """All figures."""
+        return Answer(200, (figures(self._cores()) + self._more_figures()).encode())
+
+    def drain(self) -> Answer:
+        """Send clients elsewhere."""
+        if self._shutdown.drain():
+            self._log("draining")
+        return Answer(200, b"draining\n")
+
+    def undrain(self) -> Answer:
+        """Accept clients again."""
+        if self._shutdown.stopping:
+            return Answer(409, b"stopping: that cannot be taken back\n")
+        if self._shutdown.undrain():
+            self._log("drain_over")
+        return Answer(200, b"serving\n")
--- a/heronlug/lifecycle/startup_signals.py
+++ b/heronlug/lifecycle/startup_signals.py
@@ -1,9 +1,9 @@
-"""SIGHUP before the loop runs: it must not end the process, as it does by default, and is not to be lost.
+"""SIGHUP before the event loop runs: by default it would end the process, and the reload would be lost.
 
 An operator may write a new configuration and send the signal at any moment, also right after a restart, when the old
-file may have been read already.  So it is noted from the first line of the program on, and the files are read once more
-when the process serves.  What comes before that line is for whoever starts the process to hold off, as
-``deploy/balancer.toml`` does: the files are read later than that in any case.
+file may have been read already. The signal is therefore noted from the first line of the program on, and the files are
+read once more when the process serves. Whoever starts the process holds a signal back that comes even earlier, as
+``deploy/balancer.toml`` does; the files are read later than that.
 """
 
 import signal
@@ -11,17 +11,23 @@
 
 
 class StartupSignals:
-    """Whether the signal has come; one for a process."""
+    """Notes the signals of a start.
+
+    Attributes:
+        reload_requested: SIGHUP has come.
+    """
 
     def __init__(self) -> None:
-        self.came = False
+        """Note nothing yet."""
+        self.reload_requested = False
 
     def listen(self) -> None:
-        """Note it from now on, until the loop has a handler of its own."""
+        """Note SIGHUP from now on, until the event loop has a handler of its own."""
         signal.signal(signal.SIGHUP, self._note)
 
     def _note(self, number: int, frame: FrameType | None) -> None:
-        self.came = True
+        self.reload_requested = True
 
 
-early = StartupSignals()
+startup_signals = StartupSignals()
+"""The signals of this process."""
--- a/heronlug/lifecycle/zone_commands.py
+++ b/heronlug/lifecycle/zone_commands.py
@@ -1,4 +1,4 @@
-"""What operators see of the halls, and what they order: how names and words become calls on the decisions."""
+"""Operators' view of the zones, and their orders for one (``halls`` on the command line and in its answers)."""
 
 from typing import Any
 
@@ -7,40 +7,59 @@
 from heronlug.config.desired_state import StateError
 from heronlug.requests.core import Core
 
-LONGEST = 7 * 86_400.0  # s that an order may hold
-ORDERS = {"leave": ZonePhase.EXCLUDED, "return": ZonePhase.HEALTHY}
+MAX_ORDER_S = 7 * 86_400.0
+"""How long an order may hold at most, in seconds."""
+RELEASE = "release"
+"""The order that ends another: the balancer decides again."""
+ORDERED_PHASES = {"leave": ZonePhase.EXCLUDED, "return": ZonePhase.HEALTHY}
+"""The phase that each order sets."""
 
 
-def _named(number: int, zones: list[str]) -> str:
-    return zones[number] if number < len(zones) else f"no. {number}"
-
+def view(core: Core, zones: list[str]) -> list[dict[str, Any]]:
+    """A row for each zone that has servers.
 
-def _looked_at(core: Core) -> None:
-    if not core.settings.zone_failover:
-        raise StateError("halls are not left as one here: [site] leave_halls is false")
+    Raises:
+        StateError: if zones don't fail over here.
+    """
+    _check_enabled(core)
+    rows = core.dispatcher.rules.zone_failover.overview(core.deadlines.clock())
+    return [{"hall": _zone_name(number, zones), **row} for number, row in sorted(rows.items())]
 
 
-def view(core: Core, zones: list[str]) -> list[dict[str, Any]]:
-    """All halls that have hosts, for people; raises :class:`StateError` where halls are not looked at."""
-    _looked_at(core)
-    rows = core.dispatcher.rules.zone_failover.overview(core.deadlines.clock())
-    return [{"hall": _named(number, zones), **row} for number, row in sorted(rows.items())]
+def order(core: Core, zones: list[str], request: dict[str, Any]) -> list[dict[str, Any]]:
+    """Exclude a zone, return to it, or let the balancer decide again; returns the rows of :func:`view`.
 
+    Args:
+        core: of the HTTP frontend.
+        zones: the names, by number.
+        request: ``do`` has the order, ``hall`` the zone, ``for_s`` how long it holds in seconds, None for ever.
 
-def order(core: Core, zones: list[str], asked: dict[str, Any]) -> list[dict[str, Any]]:
-    """Leave a hall, return to it, or decide by what is seen again; raises :class:`StateError` and changes nothing."""
-    _looked_at(core)
-    what, name, seconds = asked["do"], asked["hall"], asked.get("for_s")
+    Raises:
+        StateError: if the order cannot be carried out; nothing has changed.
+    """
+    _check_enabled(core)
+    what = request["do"]
+    name = request["hall"]
+    seconds = request.get("for_s")
     if name not in zones:
         raise StateError(f"hall {name!r}: none is called so; there are {', '.join(zones)}")
-    if what not in (*ORDERS, "release"):
+    if what not in (*ORDERED_PHASES, RELEASE):
         raise StateError(f"{what!r} is no order for a hall")
-    if seconds is not None and not 0 < float(seconds) <= LONGEST:
-        raise StateError(f"--for {seconds}: more than 0 and at most {LONGEST:g} seconds")
-    now, number = core.deadlines.clock(), zones.index(name)
+    if seconds is not None and not 0 < float(seconds) <= MAX_ORDER_S:
+        raise StateError(f"--for {seconds}: more than 0 and at most {MAX_ORDER_S:g} seconds")
+    now = core.deadlines.clock()
     until = now + 1000.0 * float(seconds) if seconds is not None else float("inf")
     try:
-        core.dispatcher.rules.zone_failover.order(number, ORDERS.get(what), until, now)
+        core.dispatcher.rules.zone_failover.order(zones.index(name), ORDERED_PHASES.get(what), until, now)
     except ZoneOrderError as error:
         raise StateError(f"hall {name}: {error}") from error
     return view(core, zones)
+
+
+def _zone_name(number: int, zones: list[str]) -> str:
+    return zones[number] if number < len(zones) else f"no. {number}"
+
+
+def _check_enabled(core: Core) -> None:
+    if not core.settings.zone_failover:
+        raise StateError("halls are not left as one here: [site] leave_halls is false")
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -9,7 +9,7 @@
 
 from heronlug import CancelAttempt, ListKind, Outcome, ServerState, StartAttempt
 from heronlug.backends.pool import ConnectionPool, ServerConnection
-from heronlug.lifecycle.log import HELD, Log
+from heronlug.lifecycle.log import MAX_BUFFERED_LINES, Log
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines
@@ -223,7 +223,7 @@
     def test_full_pipe_stops_nothing(self) -> None:
         reader, writer = os.pipe()
         log = Log(writer)
-        for number in range(3 * HELD):  # it would hang here if a line were written on this thread
+        for number in range(3 * MAX_BUFFERED_LINES):  # it would hang here if a line were written on this thread
             log("started", number=number, text="x" * 50)
         self.assertGreater(log.dropped, 0)
         os.close(reader)
