--- a/heronlug/frontends/faktory/session.py
+++ b/heronlug/frontends/faktory/session.py
@@ -21,9 +21,9 @@
 from heronlug.frontends.faktory.resp import NO_JOB, OK, error_reply
 from heronlug.frontends.faktory.session_state import SessionEvent, SessionState, next_state
 from heronlug.frontends.faktory.worker import Reply, Worker
+from heronlug.frontends.timeout import Timeout
 from heronlug.net import http
 from heronlug.net.connection_state import peer_has_closed
-from heronlug.requests.deadlines import Key
 
 HELLO_TIMEOUT_MS = 15_000.0
 """Time for a new connection to send HELLO."""
@@ -71,13 +71,12 @@
         self.queues: list[str] = []
         self.frontend = frontend
         self.salt = secrets.token_hex(SALT_BYTES)
-        self._deadlines = frontend.context.deadlines
         self._state = SessionState.AWAITING_HELLO
         self._lines = http.Lines()
         self._commands: deque[bytes] = deque()
         self._executing = False  # a reply that comes meanwhile must not start the next command within this one
-        self._hello_timeout: Key | None = None
-        self._fetch_timeout: Key | None = None
+        self._hello_timeout = Timeout(frontend.context.deadlines)
+        self._fetch_timeout = Timeout(frontend.context.deadlines)
 
     # -- asyncio
 
@@ -90,7 +89,7 @@
         greeting: dict[str, Any] = {"v": PROTOCOL_VERSION}
         if self.frontend.context.config.password:
             greeting |= {"s": self.salt, "i": HASH_ITERATIONS}
-        self._hello_timeout = self._deadlines.call_after(HELLO_TIMEOUT_MS, self.close)
+        self._hello_timeout.start(HELLO_TIMEOUT_MS, self.close)
         self.transport.write(b"+HI " + orjson.dumps(greeting) + b"\r\n")
         self.frontend.run_due()
 
@@ -110,8 +109,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended: the jobs that were fetched on it may have run."""
         self._step(SessionEvent.CLOSED)
-        self._deadlines.cancel(self._hello_timeout)
-        self._deadlines.cancel(self._fetch_timeout)
+        self._hello_timeout.cancel()
+        self._fetch_timeout.cancel()
         self.frontend.session_closed(self)
         self.frontend.run_due()
 
@@ -142,7 +141,7 @@
     def greet(self, wid: str | None) -> None:
         """Accept the client, as a worker if it gives a wid."""
         self._step(SessionEvent.GREETED)
-        self._deadlines.cancel(self._hello_timeout)
+        self._hello_timeout.cancel()
         self.write(OK)
         if wid is not None:
             self.worker = self.frontend.workers.connect(wid, self)
@@ -151,12 +150,12 @@
         """Wait for a job of these queues."""
         self.queues = queues
         self._step(SessionEvent.FETCH_STARTED)
-        self._fetch_timeout = self._deadlines.call_after(FETCH_TIMEOUT_MS, self._on_fetch_timeout)
+        self._fetch_timeout.start(FETCH_TIMEOUT_MS, self._on_fetch_timeout)
         self.frontend.delivery.match(worker)
 
     def defer_reply(self) -> Reply:
         """Carry out no further command until the result is called with the reply, which may be at once."""
-        self._deadlines.cancel(self._fetch_timeout)
+        self._fetch_timeout.cancel()
         self._step(SessionEvent.REPLY_DEFERRED)
 
         def reply(data: bytes) -> None:
--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -13,9 +13,10 @@
 from heronlug.frontends.http.request import HttpRequest
 from heronlug.frontends.http.request_policy import RequestPolicy
 from heronlug.frontends.http.request_reader import RequestReader
+from heronlug.frontends.timeout import Timeout
 from heronlug.net.connection_state import has_unread_input, peer_has_closed
 from heronlug.requests.core import Core
-from heronlug.requests.deadlines import Deadlines, Key
+from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.interfaces import EventLog
 from heronlug.requests.model import Request
 
@@ -91,14 +92,14 @@
         self._reader = RequestReader(self)
         self._pipeline = RequestPipeline()
         self._discarded = 0
-        self._timeout: Key | None = None
+        self._timeout = Timeout(frontend.deadlines)
 
     # -- asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The client is connected."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's class has the methods but is no subclass
-        self._set_timeout(IDLE_TIMEOUT_MS if self.has_sent_request else READ_TIMEOUT_MS)
+        self._timeout.start(IDLE_TIMEOUT_MS if self.has_sent_request else READ_TIMEOUT_MS, self._on_timeout)
         self._frontend.connection_opened(self)
         if self._on_connected is not None:
             self._on_connected(self)
@@ -106,7 +107,9 @@
     def data_received(self, data: bytes) -> None:
         """Read bytes from the client; requests are served only once all of the bytes have been read."""
         if self.closing:
-            self._discard(data)
+            self._discarded += len(data)
+            if self._discarded > MAX_DISCARDED_BYTES:
+                self.abort()
             return
         try:
             self._reader.feed(data)
@@ -123,9 +126,10 @@
         """The connection has ended, and with it the client's interest in its requests."""
         self._step(ConnectionEvent.CLOSED)
         self._reader.close()
-        self._cancel_timeout()
+        self._timeout.cancel()
         self._frontend.connection_closed(self)
-        self._drop_unserved()
+        self._frontend.body_memory.release(self._reader.request)
+        self._pipeline.clear(self._frontend.body_memory)
         if self.open_request is not None:
             request, self.open_request = self.open_request, None
             self._frontend.body_memory.release(request.payload)
@@ -137,7 +141,7 @@
     def request_began(self) -> None:
         """The first byte of a request has come."""
         if self.has_sent_request:  # the time of the first one runs from the connect
-            self._set_timeout(READ_TIMEOUT_MS)
+            self._timeout.start(READ_TIMEOUT_MS, self._on_timeout)
 
     def head_complete(self, expects_continue: bool) -> None:
         """The head of a request is complete."""
@@ -152,7 +156,7 @@
         """A request is complete: it waits for its turn, unless it breaks the protocol."""
         request.connection = self
         self.has_sent_request = True
-        self._cancel_timeout()
+        self._timeout.cancel()
         if not responses.is_health_check(request):
             self._frontend.policy.read(request)
         self._pipeline.add(request)
@@ -240,7 +244,7 @@
         """Go on with a request that another process took from this connection."""
         self.open_request = request
         self._step(ConnectionEvent.REQUEST_STARTED)
-        self._cancel_timeout()
+        self._timeout.cancel()
         self._frontend.rank_for_eviction(self, EvictionRank.BUSY)
 
     # -- inside
@@ -253,7 +257,7 @@
         served = EvictionRank.SERVED if self.requests_accepted else EvictionRank.HEALTH_CHECKED
         self._frontend.rank_for_eviction(self, served)
         if not self._reader.reading:
-            self._set_timeout(IDLE_TIMEOUT_MS)
+            self._timeout.start(IDLE_TIMEOUT_MS, self._on_timeout)
         self._serve_next()
 
     def _serve_next(self) -> None:
@@ -261,7 +265,7 @@
             self._step(ConnectionEvent.REQUEST_STARTED)
             self._frontend.rank_for_eviction(self, EvictionRank.BUSY)
             if not self._reader.reading:
-                self._cancel_timeout()
+                self._timeout.cancel()
             try:
                 self._frontend.serve(self, self._pipeline.next())
             except BadRequestError as error:
@@ -278,7 +282,8 @@
         self._frontend.log("bad_request", status=error.status, text=error.text)
         unserved = responses.unserved_response() * len(self._pipeline)
         self._pipeline.count_rejected(self._frontend.core)
-        self._drop_unserved()
+        self._frontend.body_memory.release(self._reader.request)
+        self._pipeline.clear(self._frontend.body_memory)
         if self.open_request is not None:
             self._frontend.core.fail(self.open_request)  # calls :meth:`answer`, which may end the connection
             if self.closing:
@@ -286,16 +291,6 @@
         self.transport.write(unserved + responses.rejection_response(error))
         self._linger(self.transport)
 
-    def _drop_unserved(self) -> None:
-        """Release the bodies of the requests that wait, and of the one that is being read."""
-        self._frontend.body_memory.release(self._reader.request)
-        self._pipeline.clear(self._frontend.body_memory)
-
-    def _discard(self, data: bytes) -> None:
-        self._discarded += len(data)
-        if self._discarded > MAX_DISCARDED_BYTES:
-            self.abort()
-
     def _close(self, transport: asyncio.Transport) -> None:
         """Close the connection once all that has been written has gone out."""
         self._step(ConnectionEvent.CLOSED)
@@ -307,21 +302,13 @@
         if not transport.is_closing():
             transport.write_eof()
         self._frontend.rank_for_eviction(self, EvictionRank.REJECTED)
-        self._cancel_timeout()
-        self._timeout = self._frontend.deadlines.call_after(LINGER_MS, self.abort)
-
-    def _set_timeout(self, timeout_ms: float) -> None:
-        self._cancel_timeout()
-        self._timeout = self._frontend.deadlines.call_after(timeout_ms, self._on_timeout)
-
-    def _cancel_timeout(self) -> None:
-        self._frontend.deadlines.cancel(self._timeout)
+        self._timeout.start(LINGER_MS, self.abort)
 
     def _on_timeout(self) -> None:
         """A request that has begun is not complete in time, or nothing comes at all."""
         if self._reader.reading:
             self._reject(IncompleteRequestError())
         elif self.has_unanswered_input:  # it has just come, and is read in this turn of the loop
-            self._set_timeout(READ_TIMEOUT_MS)
+            self._timeout.start(READ_TIMEOUT_MS, self._on_timeout)
         else:
             self.abort()
