--- a/heronlug/config/reload.py
+++ b/heronlug/config/reload.py
@@ -1,70 +1,92 @@
-"""SIGHUP: read the files again and take from them what can change while serving."""
+"""Reload on SIGHUP: reads the files again, and uses what can change while the dispatcher serves."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from dataclasses import fields
+from dataclasses import dataclass, fields
 
 from heronlug.config.desired_state import State, StateError
 from heronlug.config.platform import Config, ConfigError
 from heronlug.net.background import run_in_background
 
-APPLIED = "discovery"
-FRESH = {"seed", "known"}  # new with each file, and of use at a start only
+APPLIED_FIELD = "discovery"
+"""The field of the configuration that a reload changes."""
+START_ONLY_FIELDS = {"seed", "known"}
+"""Fields that differ in each file, and are used at a start only."""
+
+
+@dataclass(frozen=True)
+class ReloadHooks:
+    """What a reload does to the other parts of a dispatcher.
+
+    Attributes:
+        read_files: reads and checks all files; called in a thread.
+        use_config: uses what can change of the platform's configuration.
+        use_limits: uses the limits of the classes; returns a line for each change.
+        read_keys: reads the cluster's keys, None without a cluster; called in a thread.
+        use_keys: uses the keys.
+    """
+
+    read_files: Callable[[], tuple[Config, State]]
+    use_config: Callable[[Config], None]
+    use_limits: Callable[[State], Awaitable[list[str]]]
+    read_keys: Callable[[], dict[int, bytes] | None]
+    use_keys: Callable[[dict[int, bytes] | None], None]
 
 
 class Reload:
-    """From the signal to the new settings; files that cannot be used, or break a rule, change nothing."""
-
-    def __init__(
-        self,
-        config: Config,
-        read: Callable[[], tuple[Config, State]],
-        move: Callable[[Config], None],
-        limit: Callable[[State], Awaitable[list[str]]],
-        log: Callable[..., None],
-        read_keys: Callable[[], dict[int, bytes] | None],
-        use_keys: Callable[[dict[int, bytes] | None], None],
-    ) -> None:
+    """From the signal to the new settings; files that cannot be used, or break a rule, change nothing.
+
+    Attributes:
+        config: the platform's configuration that was read last.
+    """
+
+    def __init__(self, config: Config, hooks: ReloadHooks, log: Callable[..., None]) -> None:
+        """Start with the configuration of the start."""
         self.config = config
-        self._read, self._move, self._limit, self._log = read, move, limit, log
-        self._read_keys, self._use_keys = read_keys, use_keys
+        self._hooks = hooks
+        self._log = log
         self._task: asyncio.Task[None] | None = None
-        self._again = False
+        self._requested = False
 
     def begin(self) -> None:
-        """The signal has come; one that comes during a reading has the files read once more after it."""
-        self._again = True
+        """The signal has come; one that comes during a reload has the files read once more after it."""
+        self._requested = True
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
         try:
-            while self._again:
-                self._again = False
-                try:  # the files' disk may be slow, and the loop serves on
-                    config, state = await run_in_background(self._read)
-                except (ConfigError, StateError) as error:
-                    self._log("reload_failed", error=str(error))
-                except Exception as error:  # a file that parses and yet cannot be used must not end us either
-                    self._log("reload_failed", error=repr(error))
-                else:
-                    await self._take(config, state)
+            while self._requested:
+                self._requested = False
+                await self._reload()
         finally:
             self._task = None
 
-    async def _take(self, config: Config, state: State) -> None:
-        kept = [
-            field.name
-            for field in fields(Config)
-            if field.name not in {APPLIED, *FRESH} and getattr(config, field.name) != getattr(self.config, field.name)
-        ]
+    async def _reload(self) -> None:
         try:
-            keys = await run_in_background(self._read_keys)
-            limits = await self._limit(state["classes"])
-        except (OSError, ValueError) as error:  # perhaps good for the site in the files, and not for ours
+            config, state = await run_in_background(self._hooks.read_files)
+        except (ConfigError, StateError) as error:
+            self._log("reload_failed", error=str(error))
+        except Exception as error:  # a file that can be parsed but not used must not end the process either
+            self._log("reload_failed", error=repr(error))
+        else:
+            await self._use(config, state)
+
+    async def _use(self, config: Config, state: State) -> None:
+        needs_restart = self._changed_fields(config)
+        try:
+            keys = await run_in_background(self._hooks.read_keys)
+            limits = await self._hooks.use_limits(state["classes"])
+        except (OSError, ValueError) as error:  # perhaps right for the site in the files, but not for the one that runs
             self._log("reload_failed", error=str(error))
             return
-        self._use_keys(keys)
-        self._log("reloaded", discovery=config.discovery, needs_restart=kept, limits=limits)
+        self._hooks.use_keys(keys)
+        self._log("reloaded", discovery=config.discovery, needs_restart=needs_restart, limits=limits)
         self.config = config
-        self._move(config)
+        self._hooks.use_config(config)
+
+    def _changed_fields(self, config: Config) -> list[str]:
+        """The fields that differ from what runs and that only a restart changes."""
+        unchecked = {APPLIED_FIELD, *START_ONLY_FIELDS}
+        names = [field.name for field in fields(Config) if field.name not in unchecked]
+        return [name for name in names if getattr(config, name) != getattr(self.config, name)]
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -15,7 +15,7 @@
 from heronlug.config.desired_state import EMPTY, State, StateError, digest
 from heronlug.config.files import Files
 from heronlug.config.platform import Config
-from heronlug.config.reload import Reload
+from heronlug.config.reload import Reload, ReloadHooks
 from heronlug.frontends.http.frontend import HttpFrontend
 from heronlug.lifecycle import control
 from heronlug.lifecycle.admin import MAX_CALLERS, AdminEndpoint
@@ -152,15 +152,14 @@
         calls = OperatorCalls(self.shutdown, self.readiness.accepts_clients, self._cores, self.log, self._more_figures)
         self.admin = AdminEndpoint(calls.table(), deadlines, self.log, self.turn)
         self.admin_listener = Listener(Acceptor("operators", self.admin.protocol, self.log))
-        self.reload = Reload(
-            config,
-            partial(files.load, again=True),
-            self._use_reloaded,
-            self.running_state.limit,
-            self.log,
-            self.cluster.read_keys,
-            self.cluster.use_keys,
+        hooks = ReloadHooks(
+            read_files=partial(files.load, again=True),
+            use_config=self._use_reloaded,
+            use_limits=self.running_state.limit,
+            read_keys=self.cluster.read_keys,
+            use_keys=self.cluster.use_keys,
         )
+        self.reload = Reload(config, hooks, self.log)
 
     # -- start and stop
 
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -1,6 +1,6 @@
-"""Being a member of a cluster: puts the node, the shared register and the probes beside a running daemon.
+"""Membership in a cluster: joins its transport, shared service discovery and health checks with a dispatcher.
 
-Imported only where there is ``[cluster]``.
+Imported only where the files have ``[cluster]``.
 """
 
 from collections.abc import Callable
@@ -12,82 +12,109 @@
 from heronlug.cluster import schema
 from heronlug.cluster.server_view import ServerView
 from heronlug.cluster.transport import ClusterTransport
-from heronlug.discovery.client import DiscoveryClient
+from heronlug.config.platform import Config
 from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 from heronlug.discovery.reader_election import ReaderElection
 from heronlug.discovery.server_rows import ServerRowCodec
 from heronlug.discovery.shared_client import SharedDiscovery
+from heronlug.lifecycle.discovery_service import DiscoveryService
+from heronlug.lifecycle.log import Log
 from heronlug.requests.core import Core
-from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.model import ListedServer
 
+DEFAULT_STALE_AFTER_MS = 1500.0
+"""Age at which the shared list is stale where the file gives none, in ms."""
+SHARES_ONE_LIST = "list"
+"""The value of ``share`` with which one member reads the list for all."""
+
 
 class ClusterMember:
-    """This daemon's membership."""
+    """The membership of one dispatcher.
+
+    Attributes:
+        cluster: the members' transport, with leases and replicated tables.
+    """
 
     def __init__(
         self,
         table: dict[str, Any],
-        inventory: DiscoveryClient,
+        config: Config,
         core: Core,
-        tell: Callable[[ListKind, list[ListedServer]], None],
-        deadlines: Deadlines,
-        log: Callable[..., None],
+        discovery: DiscoveryService,
+        log: Log,
         turn: Callable[[], None],
-        zones: list[str],
-        kinds: list[str],
     ) -> None:
-        """``table`` is as the schema reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
-        self.table, self._inventory, self._tell = table, inventory, tell
-        sharing, probing = table["register"], table["probe"]
-        self.view = ServerView(sharing.get("share", "none"), probing.get("panic_share", 1.0))
-        if sharing and (sharing["share"] == "list" or inventory.pacer is None):
-            # one reads, and calls with nobody else; where all read, each has its place
-            many = (
-                PollTerms()
-                if sharing["share"] == "list"
-                else PollTerms(core.settings.instances, core.settings.position)
-            )
-            inventory.pacer = PollPacer(many, Random().random)
-        self.register = SharedDiscovery(
-            self.view,
-            inventory,
-            self._news,
-            ServerRowCodec(zones, kinds),
-            ReaderElection(sharing.get("stale_after_ms", 1500.0), len(table["seeds"]), Random().random()),
+        """Make a membership that is not joined yet.
+
+        Args:
+            table: ``[cluster]`` as its schema reads it.
+            config: of the platform.
+            core: of the HTTP frontend.
+            discovery: its client reads the list, and its update uses what the members share.
+            log: where events are logged.
+            turn: to be called after every event from outside.
+
+        Raises:
+            OSError: if a key file cannot be read.
+            ValueError: if a key is malformed.
+        """
+        sharing = table["register"]
+        checking = table["probe"]
+        deadlines = core.deadlines
+        view = ServerView(sharing.get("share", "none"), checking.get("panic_share", 1.0))
+        self._key_files = table["key_files"]
+        self._discovery = discovery
+        self._client = discovery.client
+        self._set_pace(sharing, core)
+        self._shared = SharedDiscovery(
+            view,
+            self._client,
+            self._update,
+            ServerRowCodec(config.zones, config.kinds),
+            ReaderElection(
+                sharing.get("stale_after_ms", DEFAULT_STALE_AFTER_MS), len(table["seeds"]), Random().random()
+            ),
             deadlines,
             log,
         )
-        self.probes = HealthChecker(probing, self.view, self._news, deadlines, log, turn) if probing else None
-        self.cluster = ClusterTransport(table, deadlines, log, turn, self.register, self.probes)
-        self._shares = bool(sharing or probing)
-        entries = [
-            host.entry for host in core.directory.by_number.values() if host.entry.state is not ServerState.REMOVED
-        ]
-        self._held = (ListKind.FULL if inventory.watching else ListKind.CACHED), entries
+        self._checker = HealthChecker(checking, view, self._update, deadlines, log, turn) if checking else None
+        self.cluster = ClusterTransport(table, deadlines, log, turn, self._shared, self._checker)
+        self._uses_view = bool(sharing or checking)
+        servers = core.directory.by_number.values()
+        self._first_list = [server.entry for server in servers if server.entry.state is not ServerState.REMOVED]
+        self._first_kind = ListKind.FULL if self._client.watching else ListKind.CACHED
 
     async def open(self) -> None:
-        """Join; raises ``OSError``, and then nothing has changed."""
+        """Join the cluster; raises ``OSError``, and then nothing has changed."""
         await self.cluster.open()
-        if self._shares:
-            kind, entries = self._held
-            if entries or kind is ListKind.FULL:  # it joins while it runs
-                self.register.on_client_update(kind, entries)
-            self._inventory.on_update = self.register.on_client_update
-            self._inventory.staleness.on_usable_change = None
+        if not self._uses_view:
+            return
+        if self._first_list or self._first_kind is ListKind.FULL:  # the dispatcher has served before it joins
+            self._shared.on_client_update(self._first_kind, self._first_list)
+        self._client.on_update = self._shared.on_client_update
+        self._client.staleness.on_usable_change = None
 
     def subscribe(self) -> None:
-        """The core wants a watch."""
-        if self._shares:
-            self.register.subscribe()
+        """The balancer wants the endpoint list."""
+        if self._uses_view:
+            self._shared.subscribe()
         else:
-            self._inventory.subscribe()
+            self._client.subscribe()
 
     def read_keys(self) -> dict[int, bytes]:
         """The keys as their files have them now; raises ``OSError`` or ``ValueError``."""
-        return schema.read_keys(self.table["key_files"])
+        return schema.read_keys(self._key_files)
+
+    def _set_pace(self, sharing: dict[str, Any], core: Core) -> None:
+        """Pace the polls: a single reader polls alone; where all members read, each has its place."""
+        if not sharing:
+            return
+        one_reader = sharing["share"] == SHARES_ONE_LIST
+        if one_reader or self._client.pacer is None:
+            terms = PollTerms() if one_reader else PollTerms(core.settings.instances, core.settings.position)
+            self._client.pacer = PollPacer(terms, Random().random)
 
-    def _news(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        self._tell(kind, entries)
-        if self.probes is not None:
-            self.probes.use_list()
+    def _update(self, kind: ListKind, entries: list[ListedServer]) -> None:
+        self._discovery.update(kind, entries)
+        if self._checker is not None:
+            self._checker.use_list()
--- a/heronlug/lifecycle/cluster_service.py
+++ b/heronlug/lifecycle/cluster_service.py
@@ -40,17 +40,7 @@
         """
         from heronlug.lifecycle.cluster_member import ClusterMember
 
-        member = ClusterMember(
-            table,
-            self._discovery.client,
-            self._core,
-            self._discovery.update,
-            self._core.deadlines,
-            self._log,
-            self._turn,
-            self._config.zones,
-            self._config.kinds,
-        )
+        member = ClusterMember(table, self._config, self._core, self._discovery, self._log, self._turn)
         await member.open()
         self.member = member
         self._discovery.subscribe_through = member.subscribe
--- a/heronlug/lifecycle/discovery_service.py
+++ b/heronlug/lifecycle/discovery_service.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from functools import partial
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from heronlug.backends.pool import ConnectionPool
 from heronlug.balancer.events import ListKind
@@ -16,6 +16,9 @@
 from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.model import ListedServer
 
+if TYPE_CHECKING:
+    from heronlug.discovery.cache_file import CacheFile
+
 
 class DiscoveryService:
     """Owner of the discovery client and of the file that caches its list.
@@ -49,7 +52,7 @@
             log,
             turn,
         )
-        self.cache: Any = None  # its type is imported only where a file is configured
+        self.cache: CacheFile | None = None
         self.subscribe_through: Callable[[], None] = self.client.subscribe
 
     def subscribe(self) -> None:
