--- a/heronlug/cluster/health_checks.py
+++ b/heronlug/cluster/health_checks.py
@@ -1,102 +1,132 @@
-"""Which host is probed when, and what follows from the answers.  No I/O and no clock.
+"""Which server's health is checked when, and what follows from the results.  No I/O and no clock.
 
-Hosts are divided into shards by their names; each shard is a duty, so each host has one prober at a time. A host's
-probes come at its own time within the interval, so that they are spread. So many failures in a row and it is down, so
-many successes and it is up again; a host that the owner before held down stays so until then.
+Servers are divided into shards by their names. Each shard has a lease, so each server is checked by one member at a
+time. The checks of a server have their own offset within the interval, so that checks are spread. After a number of
+failures in a row a server is down, after a number of successes it is up again; a server that the previous owner of the
+shard held down stays down until then.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from heapq import heappop, heappush
 from math import inf
+from typing import NamedTuple
 
 from xxhash import xxh32_intdigest
 
 
-def shard_of(host: str, shards: int) -> int:
-    """The shard of a host; the same at every member."""
-    return int(xxh32_intdigest(host.encode())) % shards
+def shard_of(server: str, shards: int) -> int:
+    """The shard of a server; the same at every member."""
+    return int(xxh32_intdigest(server.encode())) % shards
 
 
 def shard_name(number: int) -> str:
-    """The duty and the sheet of a shard."""
+    """The name of a shard's lease and of its replicated table."""
     return f"probe-{number}"
 
 
+class DueCheck(NamedTuple):
+    """A health check that starts now."""
+
+    server: str
+    address: str
+
+
 @dataclass(slots=True)
 class CheckedServer:
-    """What is known of one host."""
+    """What is known of the health of one server.
+
+    Attributes:
+        address: Where it is checked.
+        due: When the next check starts, in milliseconds.
+        streak: Checks in a row whose result differs from the present state.
+        down: Whether the server is down.
+        in_flight: Whether a check is under way.
+        checks: Checks that were started.
+    """
 
     address: str
     due: float
-    streak: int = 0  # probes in a row that say other than what holds
+    streak: int = 0
     down: bool = False
-    in_flight: bool = False  # a probe is under way
+    in_flight: bool = False
     checks: int = 0
 
 
 class HealthCheckSchedule:
-    """The hosts of the shards that are ours."""
-
-    def __init__(self, every: float, fall: int, rise: int, most: int) -> None:
-        """``every`` in milliseconds; ``fall`` and ``rise`` in probes; at most ``most`` probes are out at once."""
-        self.interval, self.fall, self.rise, self.max_in_flight = every, fall, rise, most
+    """The servers of the shards that this member checks.
+
+    Attributes:
+        interval: Between two checks of a server, in milliseconds.
+        fall: Failures in a row after which a server is down.
+        rise: Successes in a row after which it is up again.
+        max_in_flight: Checks that may be under way at once.
+        servers: The servers by their names.
+        in_flight: Checks that are under way.
+    """
+
+    def __init__(self, interval: float, fall: int, rise: int, max_in_flight: int) -> None:
+        self.interval = interval
+        self.fall = fall
+        self.rise = rise
+        self.max_in_flight = max_in_flight
         self.servers: dict[str, CheckedServer] = {}
         self.in_flight = 0
         self._queue: list[tuple[float, str]] = []
 
-    def use(self, hosts: dict[str, str], down: Iterable[str], now: float) -> None:
-        """Probe these hosts (addresses by name) and no others; a new one that is in ``down`` begins as down."""
-        held = set(down)
-        for name in self.servers.keys() - hosts.keys():
+    def use(self, addresses: dict[str, str], down: Iterable[str], now: float) -> None:
+        """Check these servers, addresses by name, and no others; new ones that are in ``down`` start as down."""
+        held_down = set(down)
+        for name in self.servers.keys() - addresses.keys():
             self.in_flight -= self.servers.pop(name).in_flight
-        for name, address in hosts.items():
+        for name, address in addresses.items():
             known = self.servers.get(name)
             if known is not None and known.address == address:
                 continue
             if known is not None:  # another process, of which nothing is known
                 self.in_flight -= known.in_flight
-            share = xxh32_intdigest(name.encode(), seed=1) / 2**32
-            due = now + self.interval * share
-            self.servers[name] = CheckedServer(address, due, down=name in held and known is None)
+            offset = xxh32_intdigest(name.encode(), seed=1) / 2**32
+            due = now + self.interval * offset
+            self.servers[name] = CheckedServer(address, due, down=name in held_down and known is None)
             heappush(self._queue, (due, name))
 
-    def start_due(self, now: float) -> list[tuple[str, str]]:
-        """Names and addresses to probe now.  What cannot be, for too many are out, waits for one to end."""
-        begun = []
+    def start_due(self, now: float) -> list[DueCheck]:
+        """Start the checks that are due, as far as more may be under way."""
+        started: list[DueCheck] = []
         while self._queue and self._queue[0][0] <= now and self.in_flight < self.max_in_flight:
             due, name = heappop(self._queue)
-            host = self.servers.get(name)
-            if host is None or host.due != due:
-                continue  # gone, or planned anew
-            host.due = max(due + self.interval, now + self.interval / 2)
-            heappush(self._queue, (host.due, name))
-            if not host.in_flight:
-                host.in_flight = True
-                host.checks += 1
+            server = self.servers.get(name)
+            if server is None or server.due != due:
+                continue  # removed, or scheduled anew
+            server.due = max(due + self.interval, now + self.interval / 2)
+            heappush(self._queue, (server.due, name))
+            if not server.in_flight:
+                server.in_flight = True
+                server.checks += 1
                 self.in_flight += 1
-                begun.append((name, host.address))
-        return begun
+                started.append(DueCheck(name, server.address))
+        return started
 
-    def ended(self, name: str, address: str, well: bool) -> bool | None:
-        """A probe has ended: True the host is up again, False it is down now, None for nothing new."""
-        host = self.servers.get(name)
-        if host is None or host.address != address or not host.in_flight:
+    def ended(self, name: str, address: str, succeeded: bool) -> bool | None:
+        """A check has ended: True if the server is up again, False if it is down now, None if nothing has changed."""
+        server = self.servers.get(name)
+        if server is None or server.address != address or not server.in_flight:
             return None
-        host.in_flight = False
+        server.in_flight = False
         self.in_flight -= 1
-        host.streak = host.streak + 1 if well is host.down else 0
-        if host.streak < (self.rise if host.down else self.fall):
+        server.streak = server.streak + 1 if succeeded is server.down else 0
+        if server.streak < (self.rise if server.down else self.fall):
             return None
-        host.streak, host.down = 0, not host.down
-        return not host.down
+        server.streak = 0
+        server.down = not server.down
+        return not server.down
 
     def next_wake(self) -> float:
-        """When a probe is due; not while as many are out as may be, for then one that ends comes first."""
+        """When a check is due; infinite while no more may be under way, as then one that ends comes first."""
         while self._queue:
             due, name = self._queue[0]
-            host = self.servers.get(name)
-            if host is not None and host.due == due:
+            server = self.servers.get(name)
+            if server is not None and server.due == due:
                 return due if self.in_flight < self.max_in_flight else inf
             heappop(self._queue)
         return inf
--- a/heronlug/cluster/schema.py
+++ b/heronlug/cluster/schema.py
@@ -1,4 +1,7 @@
-"""The form of ``[cluster]`` in an operators' file, and the files with its keys."""
+"""The schema of ``[cluster]`` in an operators' file, and the files with its keys.
+
+The attributes of the classes are the keys of the file; a duty in the file is a periodic task.
+"""
 
 from hashlib import blake2b
 from pathlib import Path
@@ -12,13 +15,26 @@
 from heronlug.net.http import split_address
 
 SECTION = "cluster"
-MIN_KEY_SIZE = 16  # bytes
+"""The table's name in the file."""
+
+MIN_KEY_SIZE = 16
+"""Bytes of a key file at least, without white space around."""
+
+KEY_SIZE = 32
+"""Bytes of a key that is made of a file."""
+
+DISCOVERY_LEASE = "register"
+"""Name of the lease of shared service discovery."""
+
+HEALTH_CHECK_LEASE_PREFIX = "probe-"
+"""Start of the names of the leases of health checks."""
+
 Address = Annotated[str, Meta(min_length=1, description="an address such as 10.0.0.1:7946")]
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds, more than 0 and at most a day")]
 
 
 class PeriodicTaskTable(Struct, forbid_unknown_fields=True):
-    """A periodic duty: one of the members runs its command at each interval."""
+    """A periodic task, ``[[cluster.duty]]``: one of the members runs its command at each interval."""
 
     name: Text
     every_s: Seconds
@@ -29,7 +45,7 @@
 
 
 class SweepTable(Struct, forbid_unknown_fields=True):
-    """Files of a folder that all members see are deleted when they are old."""
+    """Deletion of old files in a folder that all members see."""
 
     folder: Text
     keep_s: Annotated[float, Meta(ge=1, le=1e9, description="seconds, 1 or more")]
@@ -37,7 +53,7 @@
 
 
 class SharedDiscoveryTable(Struct, forbid_unknown_fields=True):
-    """How the reading of the node register is shared."""
+    """How service discovery is shared."""
 
     share: Annotated[Literal["list", "news"], Meta(description='"list" or "news"')]
     stale_after_ms: Annotated[
@@ -46,7 +62,7 @@
 
 
 class HealthCheckTable(Struct, forbid_unknown_fields=True):
-    """How hosts are probed."""
+    """How the health of servers is checked."""
 
     every_s: Annotated[float, Meta(ge=0.1, le=3600, description="seconds, 0.1 to 3600")] = 2.0
     timeout_ms: Annotated[float, Meta(ge=10, le=60_000, description="milliseconds, 10 to 60000")] = 500.0
@@ -72,82 +88,120 @@
     probe: Any = None
 
 
-def read(source: Source) -> tuple[dict[str, Any], list[ConfigProblem]]:
-    """The table as plain values, paths made whole; and the faults of it."""
-    table, faults = decode(ClusterTable, source.table.get(SECTION, {}), source, (SECTION,))
+Problems = list[ConfigProblem]
+
+
+def read(source: Source) -> tuple[dict[str, Any], Problems]:
+    """The table as plain values with absolute paths, and what is wrong with it."""
+    table, problems = decode(ClusterTable, source.table.get(SECTION, {}), source, (SECTION,))
     if table is None:
-        return {}, faults
-    duties: list[dict[str, Any]] = []
-    for number, each in enumerate(table.duty):
-        duty, wrong = decode(PeriodicTaskTable, each, source, (SECTION, "duty", number))
-        faults += wrong
-        if duty is None:
-            continue
-        if duty.name == "register" or duty.name.startswith("probe-"):
-            wrong_text = f"{duty.name!r} is a duty of the program's own"
-            faults.append(source.fault((SECTION, "duty", number, "name"), wrong_text, "another name"))
-        if (duty.command is None) is (duty.sweep is None):
-            faults.append(
-                source.fault(
-                    (SECTION, "duty", number),
-                    "there is nothing, or more than one thing, to do",
-                    "either command or sweep",
-                )
-            )
-        elif duty.sweep is not None:
-            sweep, wrong = decode(SweepTable, duty.sweep, source, (SECTION, "duty", number, "sweep"))
-            faults += wrong
-            if sweep is not None:
-                folder = str((Path(source.path).parent / sweep.folder).resolve())
-                duty = structs.replace(duty, sweep={**structs.asdict(sweep), "folder": folder})
-        if duty.name in [known["name"] for known in duties]:
-            faults.append(
-                source.fault((SECTION, "duty", number, "name"), f"{duty.name!r} is there twice", "its own name")
-            )
-        if duty.longest_s + duty.jitter_s > duty.every_s:
-            wrong_text = f"a run of {duty.longest_s:g} s, {duty.jitter_s:g} s late, is not over when the next begins"
-            faults.append(source.fault((SECTION, "duty", number, "every_s"), wrong_text, "more than both together"))
-        duties.append(structs.asdict(duty))
-    shared: dict[str, dict[str, Any]] = {"register": {}, "probe": {}}
-    forms: tuple[tuple[str, type[Struct], Any], ...] = (
-        ("register", SharedDiscoveryTable, table.register),
-        ("probe", HealthCheckTable, table.probe),
-    )
-    for key, form, given in forms:
-        if given is not None:
-            made, wrong = decode(form, given, source, (SECTION, key))
-            faults += wrong
-            shared[key] = structs.asdict(made) if made is not None else {}
-    if shared["probe"] and shared["probe"]["timeout_ms"] > shared["probe"]["every_s"] * 1000:
-        wrong_text = f"{shared['probe']['timeout_ms']:g} ms is more than the interval"
-        right = f"{shared['probe']['every_s'] * 1000:g} at most"
-        faults.append(source.fault((SECTION, "probe", "timeout_ms"), wrong_text, right))
-    advertised = [table.advertise] if table.advertise else []
-    for key, addresses in (("listen", [table.listen]), ("advertise", advertised), ("seeds", table.seeds)):
-        for number, address in enumerate(addresses):
-            try:
-                split_address(address)
-            except ValueError as error:
-                at = (SECTION, key) if key != "seeds" else (SECTION, key, number)
-                faults.append(source.fault(at, str(error), "such as 10.0.0.1:7946"))
-    files = [str((Path(source.path).parent / name).resolve()) for name in table.key_files]
+        return {}, problems
+    tasks = _read_tasks(table.duty, source, problems)
+    discovery = _read_section("register", SharedDiscoveryTable, table.register, source, problems)
+    health_checks = _read_section("probe", HealthCheckTable, table.probe, source, problems)
+    if health_checks and health_checks["timeout_ms"] > health_checks["every_s"] * 1000:
+        wrong = f"{health_checks['timeout_ms']:g} ms is more than the interval"
+        right = f"{health_checks['every_s'] * 1000:g} at most"
+        problems.append(source.fault((SECTION, "probe", "timeout_ms"), wrong, right))
+    problems += _address_problems(table, source)
+    files = [_absolute(name, source) for name in table.key_files]
     try:
         read_keys(files)
     except (OSError, ValueError) as error:
-        faults.append(source.fault((SECTION, "key_files"), str(error), f"files of {MIN_KEY_SIZE} bytes or more"))
-    return {**structs.asdict(table), **shared, "key_files": files, "duty": duties}, faults
+        problems.append(source.fault((SECTION, "key_files"), str(error), f"files of {MIN_KEY_SIZE} bytes or more"))
+    values = structs.asdict(table)
+    values.update(register=discovery, probe=health_checks, key_files=files, duty=tasks)
+    return values, problems
+
+
+def _absolute(path: str, source: Source) -> str:
+    """A path that is relative to the operators' file, made absolute."""
+    return str((Path(source.path).parent / path).resolve())
+
+
+def _read_section(key: str, kind: type[Struct], value: object, source: Source, problems: Problems) -> dict[str, Any]:
+    """The values of a table below ``[cluster]``; empty if it is not given or cannot be read."""
+    if value is None:
+        return {}
+    section, found = decode(kind, value, source, (SECTION, key))
+    problems += found
+    return structs.asdict(section) if section is not None else {}
+
+
+def _read_tasks(tables: list[Any], source: Source, problems: Problems) -> list[dict[str, Any]]:
+    """The periodic tasks that can be read."""
+    tasks: list[dict[str, Any]] = []
+    for index, table in enumerate(tables):
+        task, found = decode(PeriodicTaskTable, table, source, (SECTION, "duty", index))
+        problems += found
+        if task is None:
+            continue
+        task = _read_work(task, index, source, problems)
+        problems += _task_problems(task, index, [known["name"] for known in tasks], source)
+        tasks.append(structs.asdict(task))
+    return tasks
+
+
+def _read_work(task: PeriodicTaskTable, index: int, source: Source, problems: Problems) -> PeriodicTaskTable:
+    """The task with its deletion of files read; a task has either that or a command."""
+    if (task.command is None) is (task.sweep is None):
+        wrong = "there is nothing, or more than one thing, to do"
+        problems.append(source.fault((SECTION, "duty", index), wrong, "either command or sweep"))
+        return task
+    if task.sweep is None:
+        return task
+    sweep, found = decode(SweepTable, task.sweep, source, (SECTION, "duty", index, "sweep"))
+    problems += found
+    if sweep is None:
+        return task
+    return structs.replace(task, sweep={**structs.asdict(sweep), "folder": _absolute(sweep.folder, source)})
+
+
+def _task_problems(task: PeriodicTaskTable, index: int, known: list[str], source: Source) -> Problems:
+    """What is wrong with the name and the times of a task."""
+    problems: Problems = []
+    at = (SECTION, "duty", index)
+    if task.name == DISCOVERY_LEASE or task.name.startswith(HEALTH_CHECK_LEASE_PREFIX):
+        wrong = f"{task.name!r} is a duty of the program's own"
+        problems.append(source.fault((*at, "name"), wrong, "another name"))
+    if task.name in known:
+        problems.append(source.fault((*at, "name"), f"{task.name!r} is there twice", "its own name"))
+    if task.longest_s + task.jitter_s > task.every_s:
+        wrong = f"a run of {task.longest_s:g} s, {task.jitter_s:g} s late, is not over when the next begins"
+        problems.append(source.fault((*at, "every_s"), wrong, "more than both together"))
+    return problems
+
+
+def _address_problems(table: ClusterTable, source: Source) -> Problems:
+    """Addresses that cannot be parsed."""
+    places: list[tuple[tuple[str | int, ...], str]] = [((SECTION, "listen"), table.listen)]
+    if table.advertise:
+        places.append(((SECTION, "advertise"), table.advertise))
+    places += [((SECTION, "seeds", index), seed) for index, seed in enumerate(table.seeds)]
+    problems: Problems = []
+    for at, address in places:
+        try:
+            split_address(address)
+        except ValueError as error:
+            problems.append(source.fault(at, str(error), "such as 10.0.0.1:7946"))
+    return problems
 
 
 def read_keys(files: list[str]) -> dict[int, bytes]:
-    """The keys by their numbers, the one that signs first; raises ``OSError`` or ``ValueError``."""
-    found: dict[int, bytes] = {}
+    """The keys by their numbers, the one that signs first.
+
+    Raises:
+        OSError: A file cannot be read.
+        ValueError: A key is too short, or two have the same number.
+    """
+    keys: dict[int, bytes] = {}
     for name in files:
         data = Path(name).read_bytes().strip()
         if len(data) < MIN_KEY_SIZE:
             raise ValueError(f"{name}: a key of {len(data)} bytes")
-        key = blake2b(data, digest_size=32).digest()
+        key = blake2b(data, digest_size=KEY_SIZE).digest()
         number = blake2b(key, digest_size=1).digest()[0]
-        if number in found:
+        if number in keys:
             raise ValueError(f"{name}: the same key, or one of the same number, as the other")
-        found[number] = key
-    return found
+        keys[number] = key
+    return keys
--- a/heronlug/cluster/server_view.py
+++ b/heronlug/cluster/server_view.py
@@ -1,173 +1,237 @@
-"""Which hosts this dispatcher holds to be there, out of its own reading, the shared list and the verdicts of probes.
+"""Which servers this dispatcher uses, out of its own list, the shared list and the results of health checks.
 
-Decides and does nothing: which list holds, and what the core is to be told. Whether our own watch of the register has
-to be on is decided in :mod:`heronlug.discovery.reader_election`.
+Decides and does nothing: which list is used, and which changes the core is told. Whether this dispatcher has to watch
+service discovery itself is decided in :mod:`heronlug.discovery.reader_election`.
 
-``share = "list"``: one member reads the register for all.
-``share = "news"``: all read; of the shared list counts only that a host which our own list names drains or has gone.
-``share = "none"``: all read; only the verdicts of probes are shared.
+``share = "list"``: one member reads service discovery for all.
+``share = "news"``: all read; the shared list counts only where it drains or lacks a server that the own list names.
+``share = "none"``: all read; only the results of health checks are shared.
 
-A host that the probes find down is told as draining: nothing new goes there, and what runs there goes on. If more than
-a stated share of the list is down, the probes are not believed (Envoy calls that panic): then it is more likely that
-they fail.
+A server that health checks find down is reported as draining: it gets no new attempts, and those that run there go on.
+If more than a given fraction of the list is down, the health checks are ignored (Envoy's panic threshold), as then it
+is likelier that the checks themselves fail.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from heronlug.balancer.events import ListKind, ServerState
 from heronlug.requests.model import ListedServer
 
+NO_LIST = -1
+"""The version of a list that is not known."""
+
 
 class ListSource(Enum):
-    """Which list holds."""
+    """Which list is used."""
 
     NONE = "none"
     OWN = "own"
     SHARED = "shared"
 
 
+class ListUpdate(NamedTuple):
+    """What the core is told."""
+
+    kind: ListKind
+    entries: list[ListedServer]
+
+
 @dataclass(slots=True)
 class KnownList:
-    """One list, whole."""
+    """One complete list.
+
+    Attributes:
+        servers: The servers by their names.
+        version: The version that service discovery gave it; ``NO_LIST`` for none.
+        known: Whether a list has come.
+    """
 
     servers: dict[str, ListedServer] = field(default_factory=dict)
-    version: int = -1  # the register's; -1 for none
+    version: int = NO_LIST
     known: bool = False
 
     def apply(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> None:
-        """It has changed."""
-        self.known, self.version = version >= 0, version
+        """Apply changes, and the version that they lead to."""
+        self.known = version >= 0
+        self.version = version
         for entry in entries:
             self.servers[entry.name] = entry
         for name in gone:
             self.servers.pop(name, None)
 
+    def apply_watch(self, kind: ListKind, entries: list[ListedServer]) -> None:
+        """Apply a complete list, or changes, of a watch; servers that it names as removed go."""
+        if kind is not ListKind.CHANGES:
+            self.servers = {entry.name: entry for entry in entries}
+        for entry in entries:
+            if entry.state is ServerState.REMOVED:
+                self.servers.pop(entry.name, None)
+            else:
+                self.servers[entry.name] = entry
+
 
 class ServerView:
-    """The hosts as the core is told of them."""
+    """The servers as they are reported to the core.
+
+    Attributes:
+        share: How lists are shared: ``none``, ``list`` or ``news``.
+        panic_share: The fraction of servers above which the results of health checks are ignored.
+        own: The list of this dispatcher's own watch.
+        shared: The list that another member publishes.
+        source: Which of the two is used.
+        watching: Whether the own watch is on, so that the own list is current.
+        down: Servers that health checks have found down, with the shard that says so.
+        panic: Whether the results of health checks are ignored.
+        shared_ahead: Whether the shared list is newer than the own one, and counts for what it takes away.
+        reported: What the core was told last.
+        switches: How often the source has changed.
+    """
 
     def __init__(self, share: str = "none", panic_share: float = 0.5) -> None:
-        self.share, self.panic_share = share, panic_share
-        self.own, self.shared = KnownList(), KnownList()
+        """Create a view without any list."""
+        self.share = share
+        self.panic_share = panic_share
+        self.own = KnownList()
+        self.shared = KnownList()
         self.source = ListSource.NONE
-        self.watching = False  # our own watch is on, and what it says is as it was last told
-        self.down: dict[str, str] = {}  # hosts that probes have found down, and which shard says so
+        self.watching = False
+        self.down: dict[str, str] = {}
         self.panic = False
-        self.shared_ahead = False  # the others' list is newer than ours, and counts for what it takes away
+        self.shared_ahead = False
         self.reported: dict[str, ListedServer] = {}
         self.switches = 0
 
-    # -- our own watch
+    # -- the own list
 
-    def select_source(self, own: bool) -> tuple[ListKind, list[ListedServer]] | None:
-        """Go by our own list, or by the shared one; what the core is to be told, if anything changes."""
+    def select_source(self, own: bool) -> ListUpdate | None:
+        """Use the own list, or the shared one; what the core is told, if the source changes."""
         self.watching = own
-        ours = own and self.own.known
-        wanted = ListSource.OWN if ours else self.source
-        if self.share == "list" and self.shared.known and not ours:
+        own_usable = own and self.own.known
+        wanted = ListSource.OWN if own_usable else self.source
+        if self.share == "list" and self.shared.known and not own_usable:
             wanted = ListSource.SHARED
         if wanted is self.source:
             return None
         self.switches += self.source is not ListSource.NONE
         self.source = wanted
-        return self._news(None)
+        return ListUpdate(ListKind.CHANGES, self._changes_of_all())
 
     def apply_own_update(
         self, kind: ListKind, version: int | None, entries: Iterable[ListedServer]
-    ) -> tuple[ListKind, list[ListedServer]] | None:
-        """Our own watch has brought this; what the core is to be told, if anything."""
+    ) -> ListUpdate | None:
+        """Apply what the own watch has brought; what the core is told, if anything."""
         entries = list(entries)
         if kind is ListKind.FAILED:
             self.watching = False
-            return kind, []  # the core decides when to ask again
-        if kind is not ListKind.CHANGES:
-            self.own.servers = {entry.name: entry for entry in entries}
-        for entry in entries:
-            if entry.state is ServerState.REMOVED:
-                self.own.servers.pop(entry.name, None)
-            else:
-                self.own.servers[entry.name] = entry
-        before = self.source
+            return ListUpdate(kind, [])  # the core decides when to poll again
+        self.own.apply_watch(kind, entries)
+        previous = self.source
         if kind is not ListKind.CACHED:
-            self.own.known, self.watching = True, True
-            self.own.version = version if version is not None else -1
+            self.own.known = True
+            self.own.version = version if version is not None else NO_LIST
+            self.watching = True
             self.source = ListSource.OWN
         elif self.source is ListSource.NONE:
             self.source = ListSource.OWN
         elif self.source is ListSource.SHARED:
             return None
-        whole = kind is not ListKind.CHANGES or self.source is not before
-        changed = None if whole else {entry.name for entry in entries}
-        _, told = self._news(changed)
-        return (kind, list(self.reported.values())) if kind is not ListKind.CHANGES else (kind, told)
+        if kind is ListKind.CHANGES and self.source is previous:
+            return ListUpdate(kind, self._changes({entry.name for entry in entries}))
+        changes = self._changes_of_all()
+        return ListUpdate(kind, changes if kind is ListKind.CHANGES else list(self.reported.values()))
 
-    # -- what others say
+    # -- what other members publish
 
     def apply_shared_update(
         self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]
     ) -> list[ListedServer]:
-        """The shared list has changed; what the core is to be told as changes."""
+        """Apply changes of the shared list; the changes that the core is told."""
         entries, gone = list(entries), list(gone)
         self.shared.apply(version, entries, gone)
-        if self.source is not ListSource.SHARED and self.share != "news":
+        if not self._uses_shared:
             return []
-        return self._news({entry.name for entry in entries} | set(gone))[1]
+        return self._changes({entry.name for entry in entries} | set(gone))
 
-    def prefer_shared(self, listed: KnownList) -> list[ListedServer]:
-        """Of several shared lists this one counts from now on; what the core is to be told as changes."""
-        self.shared = listed
-        return self._news(None)[1] if self.source is ListSource.SHARED or self.share == "news" else []
+    def prefer_shared(self, shared: KnownList) -> list[ListedServer]:
+        """Use this one of several shared lists from now on; the changes that the core is told."""
+        self.shared = shared
+        return self._changes_of_all() if self._uses_shared else []
 
     def apply_health_results(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
-        """A shard's owner holds these hosts down, and these up again; what the core is to be told as changes."""
-        touched = set()
+        """Apply that the owner of a shard holds servers down, or up again; the changes that the core is told."""
+        changed = set()
         for name in up:
             if self.down.get(name) == shard:
                 del self.down[name]
-                touched.add(name)
+                changed.add(name)
         for name in down:
             self.down[name] = shard
-            touched.add(name)
-        return self._news(touched)[1]
+            changed.add(name)
+        return self._changes(changed)
 
     def withdraw(self, shard: str) -> list[ListedServer]:
-        """Nobody probes this shard any more: what was said of its hosts counts no more."""
-        return self.apply_health_results(shard, (), [name for name, by in self.down.items() if by == shard])
-
-    # -- inside
-
-    def _news(self, names: set[str] | None) -> tuple[ListKind, list[ListedServer]]:
-        """What has changed for the core among these hosts, or among all."""
-        base = self.shared.servers if self.source is ListSource.SHARED else self.own.servers
-        held_down = sum(name in base for name in self.down)
-        panic = held_down > self.panic_share * len(base)
+        """Drop all results of a shard that nobody checks any more; the changes that the core is told."""
+        return self.apply_health_results(shard, (), [name for name, source in self.down.items() if source == shard])
+
+    # -- changes
+
+    @property
+    def _uses_shared(self) -> bool:
+        return self.source is ListSource.SHARED or self.share == "news"
+
+    def _base(self) -> dict[str, ListedServer]:
+        """The servers of the list that is used."""
+        return self.shared.servers if self.source is ListSource.SHARED else self.own.servers
+
+    def _changes_of_all(self) -> list[ListedServer]:
+        """What has changed for the core among all servers."""
+        self._update_modes()
+        return self._differences(self._base().keys() | self.reported.keys())
+
+    def _changes(self, names: set[str]) -> list[ListedServer]:
+        """What has changed for the core among these servers, or among all if that follows from them."""
+        if self._update_modes():
+            return self._changes_of_all()
+        return self._differences(names)
+
+    def _update_modes(self) -> bool:
+        """Decide whether health checks are ignored and the shared list counts; whether one of both has changed."""
+        base = self._base()
+        panic = sum(name in base for name in self.down) > self.panic_share * len(base)
         ahead = self.share == "news" and self.shared.known and self.shared.version > self.own.version
-        if panic is not self.panic or ahead is not self.shared_ahead or names is None:
-            self.panic, self.shared_ahead, names = panic, ahead, base.keys() | self.reported.keys()
-        told = []
+        changed = panic is not self.panic or ahead is not self.shared_ahead
+        self.panic = panic
+        self.shared_ahead = ahead
+        return changed
+
+    def _differences(self, names: set[str]) -> list[ListedServer]:
+        """How these servers differ from what the core was told last, which is updated."""
+        base = self._base()
+        changes = []
         for name in sorted(names):
-            entry = self._entry(base.get(name))
-            before = self.reported.get(name)
-            if entry is None and before is not None:
+            entry = self._effective(base.get(name))
+            previous = self.reported.get(name)
+            if entry is None and previous is not None:
                 del self.reported[name]
-                told.append(before._replace(state=ServerState.REMOVED))
-            elif entry is not None and entry != before:
+                changes.append(previous._replace(state=ServerState.REMOVED))
+            elif entry is not None and entry != previous:
                 self.reported[name] = entry
-                told.append(entry)
-        return ListKind.CHANGES, told
+                changes.append(entry)
+        return changes
 
-    def _entry(self, entry: ListedServer | None) -> ListedServer | None:
-        """A host as it counts here."""
+    def _effective(self, entry: ListedServer | None) -> ListedServer | None:
+        """A server of the list as it is reported; None if it is not."""
         if entry is None:
             return None
         if self.shared_ahead:
-            other = self.shared.servers.get(entry.name)
-            if other is None:
+            shared = self.shared.servers.get(entry.name)
+            if shared is None:
                 return None
-            if other.state is not ServerState.READY:
-                entry = entry._replace(state=other.state)
+            if shared.state is not ServerState.READY:
+                entry = entry._replace(state=shared.state)
         if entry.name in self.down and not self.panic and entry.state is ServerState.READY:
             entry = entry._replace(state=ServerState.DRAINING)
         return entry
--- /dev/null
+++ b/heronlug/cluster/status.py
@@ -0,0 +1,134 @@
+"""What operators see of the cluster: its members, its leases and its figures.
+
+Keys of rows and names of figures are part of the command line and of the metrics endpoint, and keep their names.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from heronlug.backends.health_checker import HealthChecker
+from heronlug.cluster.lease_state import LeaseState
+from heronlug.cluster.node import Node
+from heronlug.cluster.periodic_tasks import TaskState
+from heronlug.discovery.shared_client import SharedDiscovery
+
+
+class _Figure(NamedTuple):
+    kind: str
+    """``counter`` or ``gauge``."""
+    value: int
+
+
+def _counter(value: int) -> _Figure:
+    return _Figure("counter", value)
+
+
+def _gauge(value: int) -> _Figure:
+    return _Figure("gauge", value)
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterStatus:
+    """The cluster as one member knows it at a time.
+
+    Attributes:
+        node: The member.
+        tasks: Its periodic tasks by name.
+        now: The time by its clock, in milliseconds.
+        discovery: Its part in shared service discovery, if there is any.
+        health_checker: Its health checks, if configured.
+    """
+
+    node: Node
+    tasks: Mapping[str, TaskState]
+    now: float
+    discovery: SharedDiscovery | None
+    health_checker: HealthChecker | None
+
+    def members(self) -> list[dict[str, Any]]:
+        """A row for each member, this one first."""
+        local = self.node.local
+        rows: list[dict[str, Any]] = [
+            {
+                "name": local.name,
+                "address": local.address,
+                "health": "self",
+                "incarnation": local.incarnation,
+                "for_s": 0.0,
+            }
+        ]
+        for member in sorted(self.node.membership.members.values(), key=lambda member: member.name):
+            rows.append(
+                {
+                    "name": member.name,
+                    "address": member.address,
+                    "health": member.health.name.lower(),
+                    "incarnation": member.incarnation,
+                    "for_s": round((self.now - member.changed_at) / 1000, 1),
+                }
+            )
+        return rows
+
+    def leases(self) -> list[dict[str, Any]]:
+        """A row for each lease; one without runs serves shared service discovery or health checks."""
+        return [self._lease(lease) for lease in self.node.leases.leases.values()]
+
+    def _lease(self, lease: LeaseState) -> dict[str, Any]:
+        held = self.node.may_act(lease.name, self.now) is not None
+        task = self.tasks.get(lease.name)
+        last_run = round((self.now - task.started_at) / 1000, 1) if task is not None and task.runs else None
+        return {
+            "name": lease.name,
+            "owner": self.node.local.name if held else None,
+            "stage": lease.stage.value,
+            "fence": lease.token.number if held else None,
+            "lease_left_ms": round(lease.valid_until - self.now) if held else 0,
+            "last_run_s": last_run,
+            "runs": task.runs if task is not None else None,
+            "failed": task.failed if task is not None else None,
+            "takeovers": lease.times_gained,
+        }
+
+    def metrics(self) -> str:
+        """All figures in Prometheus' text format."""
+        figures = {**self._node_figures(), **self._discovery_figures()}
+        if self.health_checker is not None:
+            figures.update({f"host_{name}": _counter(count) for name, count in self.health_checker.counts.items()})
+        lines: list[str] = []
+        for name, figure in figures.items():
+            lines += [f"# TYPE svc_cluster_{name} {figure.kind}", f"svc_cluster_{name} {figure.value}"]
+        lines.append("# TYPE svc_cluster_dropped counter")
+        for reason, count in sorted(self.node.codec.dropped.items()):
+            lines.append(f'svc_cluster_dropped{{why="{reason}"}} {count}')
+        return "\n".join([*lines, ""])
+
+    def _node_figures(self) -> dict[str, _Figure]:
+        membership, tables = self.node.membership, self.node.tables
+        return {
+            "members": _gauge(len(membership.active_members()) + 1),
+            "duties_owned": _gauge(sum(row["owner"] is not None for row in self.leases())),
+            "suspicions": _counter(membership.suspicions),
+            "false_suspicions": _counter(membership.false_suspicions),
+            "refutations": _counter(membership.refutations),
+            "local_health": _gauge(membership.local_health),
+            "lease_conflicts": _counter(self.node.leases.conflicts),
+            "duty_runs": _counter(sum(task.runs for task in self.tasks.values())),
+            "duty_runs_failed": _counter(sum(task.failed for task in self.tasks.values())),
+            "pieces_sent": _counter(tables.counts["pieces_sent"]),
+            "pieces_taken": _counter(tables.counts["pieces_taken"]),
+        }
+
+    def _discovery_figures(self) -> dict[str, _Figure]:
+        if self.discovery is None:
+            return {}
+        view = self.discovery.view
+        return {
+            "register_readings": _counter(self.discovery.lists_read),
+            "register_shared": _gauge(int(view.source.value == "shared")),
+            "register_scouted": _counter(self.discovery.interim_reads),
+            "register_reads": _gauge(int(view.watching)),
+            "register_switches": _counter(view.switches),
+            "hosts_down": _gauge(len(view.down)),
+            "probes_not_believed": _gauge(int(view.panic)),
+        }
--- a/heronlug/cluster/task_runner.py
+++ b/heronlug/cluster/task_runner.py
@@ -1,6 +1,6 @@
 """Runs periodic tasks: a command, or the deletion of old files.
 
-:mod:`heronlug.cluster.periodic_tasks` decides when one runs.
+:mod:`heronlug.cluster.periodic_tasks` decides when a task runs.
 """
 
 import asyncio
@@ -9,71 +9,94 @@
 from asyncio.subprocess import DEVNULL, Process
 from collections.abc import Awaitable, Callable
 from functools import partial
+from math import inf
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from heronlug.cluster.model import FencingToken
 from heronlug.cluster.periodic_tasks import PeriodicTask, TaskSchedule
 from heronlug.requests.deadlines import Deadlines, Key
 
-TaskFunction = Callable[
-    [str, FencingToken], Awaitable[int]
-]  # one run, returns its status, 0 for well; cancelled when it is late
-FILES_PER_SLICE = 256  # files looked at before somebody else has the thread
+TaskFunction = Callable[[str, FencingToken], Awaitable[int]]
+"""One run of a task under a token; returns its exit status, 0 for success, and is cancelled at its timeout."""
+
+FILES_PER_SLICE = 256
+"""Files that are looked at before another thread gets its turn."""
+
+SLICE_PAUSE_S = 0.001
+"""The pause after each slice, in seconds."""
+
+MIN_PLAN_DELAY = 10.0
+"""The shortest time until the schedule is looked at again, in milliseconds."""
+
+NOT_RUN = -1
+"""The status of a run that could not start, or whose lease was lost before."""
+
+
+class Deletions(NamedTuple):
+    """The result of a deletion of old files."""
+
+    deleted: int
+    failed: int
+    """Old files that could not be deleted."""
 
 
 def task_function(table: dict[str, Any], log: Callable[..., None]) -> TaskFunction:
-    """What a ``[[cluster.duty]]`` calls for."""
+    """What a ``[[cluster.duty]]`` runs."""
     if table.get("sweep"):
-        return partial(_sweep, table["sweep"], log)
-    return partial(_command, list(table["command"]))
+        return partial(_delete_old_files, table["sweep"], log)
+    return partial(_run_command, list(table["command"]))
 
 
-async def _command(words: list[str], name: str, fence: FencingToken) -> int:
-    """Run a command under our fence; it is killed when this is cancelled.  Raises ``OSError``."""
-    environ = {**os.environ, "HERONLUG_DUTY": name, "HERONLUG_FENCE": f"{fence.number}.{fence.owner}"}
-    program: Process | None = None
+async def _run_command(words: list[str], name: str, token: FencingToken) -> int:
+    """Run a command, which is killed when this is cancelled; raises ``OSError`` if it cannot start."""
+    environment = {**os.environ, "HERONLUG_DUTY": name, "HERONLUG_FENCE": f"{token.number}.{token.owner}"}
+    process: Process | None = None
     try:
-        program = await asyncio.create_subprocess_exec(
-            *words, env=environ, stdin=DEVNULL, stdout=DEVNULL, stderr=DEVNULL
+        process = await asyncio.create_subprocess_exec(
+            *words, env=environment, stdin=DEVNULL, stdout=DEVNULL, stderr=DEVNULL
         )
-        return await program.wait()
+        return await process.wait()
     finally:
-        if program is not None and program.returncode is None:
-            program.kill()
-            await program.wait()
+        if process is not None and process.returncode is None:
+            process.kill()
+            await process.wait()
 
 
-async def _sweep(table: dict[str, Any], log: Callable[..., None], name: str, fence: FencingToken) -> int:
+async def _delete_old_files(table: dict[str, Any], log: Callable[..., None], name: str, token: FencingToken) -> int:
     """Delete files of a folder that are older than they may be; links and folders stay.  Raises ``OSError``."""
-    before = time.time() - table["keep_s"]
-    swept, kept = await asyncio.to_thread(_sweep_folder, Path(table["folder"]), table["pattern"], before)
-    if swept or kept:
-        log("swept", duty=name, files=swept, failed=kept)
-    return 1 if kept else 0
+    oldest = time.time() - table["keep_s"]
+    result = await asyncio.to_thread(_delete_in_folder, Path(table["folder"]), table["pattern"], oldest)
+    if result.deleted or result.failed:
+        log("swept", duty=name, files=result.deleted, failed=result.failed)
+    return 1 if result.failed else 0
 
 
-def _sweep_folder(folder: Path, pattern: str, before: float) -> tuple[int, int]:
-    """How many were deleted, and how many that are old could not be."""
-    swept = kept = 0
+def _delete_in_folder(folder: Path, pattern: str, oldest: float) -> Deletions:
+    """Delete the files that match a pattern and were changed before ``oldest``, in Unix seconds."""
+    deleted = failed = 0
     for number, path in enumerate(sorted(folder.glob(pattern))):
         if number % FILES_PER_SLICE == FILES_PER_SLICE - 1:
-            time.sleep(0.001)
+            time.sleep(SLICE_PAUSE_S)
         try:
             status = path.lstat()
-            if path.is_symlink() or not path.is_file() or status.st_mtime >= before:
+            if path.is_symlink() or not path.is_file() or status.st_mtime >= oldest:
                 continue
             path.unlink()
-            swept += 1
+            deleted += 1
         except FileNotFoundError:
-            continue  # somebody else was quicker
+            continue  # another process has deleted it
         except OSError:
-            kept += 1
-    return swept, kept
+            failed += 1
+    return Deletions(deleted, failed)
 
 
 class TaskRunner:
-    """The periodic duties of this member."""
+    """The periodic tasks of this member.
+
+    Attributes:
+        schedule: Decides which tasks run when.
+    """
 
     def __init__(
         self,
@@ -83,75 +106,89 @@
         log: Callable[..., None],
         turn: Callable[[], None],
     ) -> None:
-        """``tables`` as :mod:`heronlug.cluster.schema` reads ``[[cluster.duty]]``."""
-        self._works = {table["name"]: task_function(table, log) for table in tables}
-        self.schedule = TaskSchedule.of(
-            [
-                PeriodicTask(
-                    table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, table["longest_s"] * 1000
-                )
-                for table in tables
-            ]
-        )
-        self._may_act, self._deadlines, self._log, self._turn = may_act, deadlines, log, turn
-        self._due: Key | None = None
-        self._tasks: dict[str, asyncio.Task[int]] = {}
+        """Create a runner that holds no lease yet.
+
+        Args:
+            tables: ``[[cluster.duty]]`` as :mod:`heronlug.cluster.schema` reads it.
+            may_act: The token under which this member may run a task at a time.
+            deadlines: The timers of this process.
+            log: Writes a log event with its fields.
+            turn: Is called after each run.
+        """
+        self._functions = {table["name"]: task_function(table, log) for table in tables}
+        self.schedule = TaskSchedule.of([_periodic_task(table) for table in tables])
+        self._may_act = may_act
+        self._deadlines = deadlines
+        self._log = log
+        self._turn = turn
+        self._next_plan: Key | None = None
+        self._runs: dict[str, asyncio.Task[int]] = {}
 
     @property
     def names(self) -> list[str]:
-        """The duties' names."""
-        return list(self._works)
+        """The names of the tasks, which are those of their leases."""
+        return list(self._functions)
 
-    def gained(self, name: str, fence: FencingToken) -> None:
-        """It is ours."""
-        self.schedule.gained(name, fence, self._deadlines.clock())
+    def gained(self, name: str, token: FencingToken) -> None:
+        """This member has gained the lease of a task."""
+        self.schedule.gained(name, token, self._deadlines.clock())
         self._plan()
 
     def lost(self, name: str) -> None:
-        """It is not ours any more: a run is ended."""
-        if self.schedule.lost(name) and name in self._tasks:
-            self._tasks[name].cancel()
+        """This member has lost the lease of a task: a run is ended."""
+        if self.schedule.lost(name) and name in self._runs:
+            self._runs[name].cancel()
 
     async def close(self) -> None:
-        """Begin nothing more, and end what runs."""
-        self._deadlines.cancel(self._due)
+        """Start no more runs, and end those that go on."""
+        self._deadlines.cancel(self._next_plan)
         for name in self.names:
             self.schedule.lost(name)
-        tasks = [*self._tasks.values()]
-        for task in tasks:
-            task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
+        runs = [*self._runs.values()]
+        for run in runs:
+            run.cancel()
+        await asyncio.gather(*runs, return_exceptions=True)
 
     def _plan(self) -> None:
-        """Begin what is due, end what takes too long, and come again for the next."""
+        """Start what is due, end what has reached its timeout, and set the timer for the next."""
         now = self._deadlines.clock()
         for name in self.schedule.overdue(now):
-            if name in self._tasks:
-                self._tasks[name].cancel()
-        for name, fence in self.schedule.start_due(now):
-            task = self._tasks[name] = asyncio.get_running_loop().create_task(self._run(name, fence))
-            task.add_done_callback(partial(self._ended, name))
-        self._deadlines.cancel(self._due)
-        when = self.schedule.next_wake()
-        self._due = self._deadlines.call_at(max(when, now + 10.0), self._plan) if when < float("inf") else None
-
-    async def _run(self, name: str, fence: FencingToken) -> int:
-        """One run under our fence."""
-        if self._may_act(name, self._deadlines.clock()) != fence:
-            return -1
+            if name in self._runs:
+                self._runs[name].cancel()
+        for start in self.schedule.start_due(now):
+            run = asyncio.get_running_loop().create_task(self._run(start.name, start.token))
+            self._runs[start.name] = run
+            run.add_done_callback(partial(self._ended, start.name))
+        self._deadlines.cancel(self._next_plan)
+        self._next_plan = None
+        next_wake = self.schedule.next_wake()
+        if next_wake < inf:
+            self._next_plan = self._deadlines.call_at(max(next_wake, now + MIN_PLAN_DELAY), self._plan)
+
+    async def _run(self, name: str, token: FencingToken) -> int:
+        """One run, if the lease still holds."""
+        if self._may_act(name, self._deadlines.clock()) != token:
+            return NOT_RUN
         try:
-            return await self._works[name](name, fence)
+            return await self._functions[name](name, token)
         except OSError as error:
             self._log("duty_failed", duty=name, error=str(error))
-            return -1
+            return NOT_RUN
 
-    def _ended(self, name: str, task: "asyncio.Task[int]") -> None:
-        """A run is over, also one that was ended before it had begun: the next may begin."""
-        if self._tasks.get(name) is task:
-            del self._tasks[name]
-        status = None if task.cancelled() or task.exception() is not None else task.result()
+    def _ended(self, name: str, run: "asyncio.Task[int]") -> None:
+        """A run has ended, perhaps before it has started: the next one may start."""
+        if self._runs.get(name) is run:
+            del self._runs[name]
+        status = None if run.cancelled() or run.exception() is not None else run.result()
         if status != 0:
             self._log("duty_failed", duty=name, status=status)
         self.schedule.finished(name, self._deadlines.clock(), status == 0)
         self._plan()
         self._turn()
+
+
+def _periodic_task(table: dict[str, Any]) -> PeriodicTask:
+    """The task of a ``[[cluster.duty]]``, whose times are seconds."""
+    return PeriodicTask(
+        table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, timeout=table["longest_s"] * 1000
+    )
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -1,4 +1,4 @@
-"""The cluster on UDP: datagrams and time to :class:`Node`, its actions to the network, the log and the duties."""
+"""The cluster on UDP: datagrams and time go to :class:`Node`, its actions to the network, the log and the tasks."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,18 +20,32 @@
 )
 from heronlug.cluster.node import Node
 from heronlug.cluster.schema import read_keys
+from heronlug.cluster.status import ClusterStatus
 from heronlug.cluster.task_runner import TaskRunner
 from heronlug.discovery.shared_client import INTERIM_TABLE, LEASE_TABLE, SharedDiscovery
 from heronlug.net.http import split_address
 from heronlug.requests.deadlines import Deadlines, Key
 
-LEAVE_TIMEOUT = 3000.0  # so long a planned leave may take
-HEALTH_CHECK_RESULT_TTL = 10_000.0  # verdicts of probes count so long after their prober was last heard of
+LEAVE_TIMEOUT = 3000.0
+"""How long a planned leave may take, in milliseconds."""
+
+HEALTH_CHECK_RESULT_TTL = 10_000.0
+"""How long the results of a shard's owner count after it was last heard of, in milliseconds."""
+
 STALE_CHECK_INTERVAL = 500.0
+"""How often results of health checks are checked for their age, in milliseconds."""
 
 
 class ClusterTransport(asyncio.DatagramProtocol):
-    """This process as a member."""
+    """This process as a member of a cluster.
+
+    Attributes:
+        listen: Host and port of the socket.
+        shared_discovery: Publishes and reads the shared server list, if it is shared.
+        health_checker: Checks servers and shares the results, if configured.
+        task_runner: Runs the periodic tasks whose leases this member holds.
+        node: The member's decisions.
+    """
 
     def __init__(
         self,
@@ -39,56 +53,64 @@
         deadlines: Deadlines,
         log: Callable[..., None],
         turn: Callable[[], None],
-        register: SharedDiscovery | None = None,
-        probes: HealthChecker | None = None,
-        terms: ClusterTiming | None = None,
+        discovery: SharedDiscovery | None = None,
+        health_checker: HealthChecker | None = None,
+        timing: ClusterTiming | None = None,
     ) -> None:
-        """``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``; raises ``OSError`` or ``ValueError``."""
+        """Create a member that has not joined; ``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``.
+
+        Raises:
+            OSError: A key file cannot be read.
+            ValueError: An address or a key is malformed.
+        """
         self.listen = split_address(table["listen"])
-        self._table, self._deadlines, self._log, self._turn = table, deadlines, log, turn
-        self.shared_discovery, self.health_checker = register, probes
+        self._deadlines = deadlines
+        self._log = log
+        self._turn = turn
+        self.shared_discovery = discovery
+        self.health_checker = health_checker
         self.task_runner = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
-        kept = [LEASE_TABLE] if register is not None and register.view.share != "none" else []  # duties
-        kept += probes.names if probes is not None else []
+        own_leases = [LEASE_TABLE] if discovery is not None and discovery.view.share != "none" else []
+        own_leases += health_checker.names if health_checker is not None else []
         local = LocalMember(table["name"], table["advertise"] or table["listen"], int(deadlines.clock()))
         self.node = Node(
             local,
             table["seeds"],
-            [*self.task_runner.names, *kept],
+            [*self.task_runner.names, *own_leases],
             read_keys(table["key_files"]),
             Random(),
-            terms,
+            timing,
         )
-        for part in (register, probes):
+        for part in (discovery, health_checker):
             if part is not None:
                 part.join(self.node, self._flush)
         self._transport: asyncio.DatagramTransport | None = None
         self._acting = False
         self._wake: Key | None = None
-        self._look_at: Key | None = None
+        self._stale_check: Key | None = None
         self._left: asyncio.Future[None] | None = None
 
     async def open(self) -> None:
-        """Join; raises ``OSError``."""
+        """Join the cluster; raises ``OSError`` if the address cannot be bound."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=self.listen)
-        self._look()
+        self._check_stale()
         self.act(self.node.wake(self._deadlines.clock()))
 
-    def replace_keys(self, found: dict[int, bytes]) -> None:
-        """Seal with the first of these from now on, and take all of them."""
-        self.node.codec.keys = found
+    def replace_keys(self, keys: dict[int, bytes]) -> None:
+        """Sign with the first of these keys from now on, and accept all of them."""
+        self.node.codec.keys = keys
 
     async def leave(self) -> None:
-        """Hand over what we own, say that we go, and close."""
+        """Hand the leases over, announce the leave, and close."""
         if self._transport is not None:
             self._left = asyncio.get_running_loop().create_future()
-            over = self._deadlines.call_after(LEAVE_TIMEOUT, self._gone)
+            timeout = self._deadlines.call_after(LEAVE_TIMEOUT, self._leave_done)
             self.act(self.node.leave(self._deadlines.clock()))
             self._turn()
             await self._left
-            self._deadlines.cancel(over)
+            self._deadlines.cancel(timeout)
             self._transport.close()
-        for key in (self._wake, self._look_at):
+        for key in (self._wake, self._stale_check):
             self._deadlines.cancel(key)
         for part in (self.shared_discovery, self.health_checker):
             if part is not None:
@@ -102,100 +124,42 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram."""
+        """Handle a datagram."""
         self.act(self.node.receive(data, f"{addr[0]}:{addr[1]}", self._deadlines.clock()))
         self._turn()
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there; the probes find that out by themselves."""
-
-    # -- what operators see
+        """Ignore that nobody listens at an address; the failure detector notices it by itself."""
+
+    # -- status for operators
+
+    @property
+    def status(self) -> ClusterStatus:
+        """What this member knows of the cluster."""
+        return ClusterStatus(
+            self.node,
+            self.task_runner.schedule.tasks,
+            self._deadlines.clock(),
+            self.shared_discovery,
+            self.health_checker,
+        )
 
     def members(self) -> list[dict[str, Any]]:
-        """Everybody, ourselves first."""
-        node, now = self.node, self._deadlines.clock()
-        own = {
-            "name": node.local.name,
-            "address": node.local.address,
-            "health": "self",
-            "incarnation": node.local.incarnation,
-            "for_s": 0.0,
-        }
-        return [
-            own,
-            *(
-                {
-                    "name": m.name,
-                    "address": m.address,
-                    "health": m.health.name.lower(),
-                    "incarnation": m.incarnation,
-                    "for_s": round((now - m.changed_at) / 1000, 1),
-                }
-                for m in sorted(node.membership.members.values(), key=lambda m: m.name)
-            ),
-        ]
+        """All members, this one first."""
+        return self.status.members()
 
     def leases(self) -> list[dict[str, Any]]:
-        """All duties as this member knows them; those without runs are done as long as they are owned."""
-        now, listed = self._deadlines.clock(), []
-        for lease in self.node.leases.leases.values():
-            ours = self.node.may_act(lease.name, now) is not None
-            row: dict[str, Any] = {
-                "name": lease.name,
-                "owner": self.node.local.name if ours else None,
-                "stage": lease.stage.value,
-                "fence": lease.token.number if ours else None,
-                "lease_left_ms": round(lease.valid_until - now) if ours else 0,
-                "last_run_s": None,
-                "runs": None,
-                "failed": None,
-                "takeovers": lease.times_gained,
-            }
-            running = self.task_runner.schedule.tasks.get(lease.name)
-            if running is not None:
-                last = round((now - running.started_at) / 1000, 1) if running.runs else None
-                row.update(last_run_s=last, runs=running.runs, failed=running.failed)
-            listed.append(row)
-        return listed
+        """All leases, with the runs of their periodic tasks here."""
+        return self.status.leases()
 
     def metrics(self) -> str:
-        """Prometheus' text format, to stand behind the other figures."""
-        members, leases = self.node.membership, self.node.leases
-        counts = {
-            "members": ("gauge", len(members.active_members()) + 1),
-            "duties_owned": ("gauge", sum(d["owner"] is not None for d in self.leases())),
-            "suspicions": ("counter", members.suspicions),
-            "false_suspicions": ("counter", members.false_suspicions),
-            "refutations": ("counter", members.refutations),
-            "local_health": ("gauge", members.local_health),
-            "lease_conflicts": ("counter", leases.conflicts),
-            "duty_runs": ("counter", sum(r.runs for r in self.task_runner.schedule.tasks.values())),
-            "duty_runs_failed": ("counter", sum(r.failed for r in self.task_runner.schedule.tasks.values())),
-            "pieces_sent": ("counter", self.node.tables.counts["pieces_sent"]),
-            "pieces_taken": ("counter", self.node.tables.counts["pieces_taken"]),
-        }
-        if self.shared_discovery is not None:
-            view = self.shared_discovery.view
-            counts["register_readings"] = ("counter", self.shared_discovery.lists_read)
-            counts["register_shared"] = ("gauge", int(view.source.value == "shared"))
-            counts["register_scouted"] = ("counter", self.shared_discovery.interim_reads)
-            counts["register_reads"] = ("gauge", int(view.watching))
-            counts["register_switches"] = ("counter", view.switches)
-            counts["hosts_down"] = ("gauge", len(view.down))
-            counts["probes_not_believed"] = ("gauge", int(view.panic))
-        if self.health_checker is not None:
-            counts.update({f"host_{name}": ("counter", count) for name, count in self.health_checker.counts.items()})
-        lines: list[str] = []
-        for name, (kind, value) in counts.items():
-            lines += [f"# TYPE svc_cluster_{name} {kind}", f"svc_cluster_{name} {value}"]
-        lines.append("# TYPE svc_cluster_dropped counter")
-        lines += [f'svc_cluster_dropped{{why="{why}"}} {n}' for why, n in sorted(self.node.codec.dropped.items())]
-        return "\n".join([*lines, ""])
+        """The figures of the cluster in Prometheus' text format."""
+        return self.status.metrics()
 
-    # -- inside
+    # -- actions
 
     def act(self, actions: list[Action]) -> None:
-        """Carry out what the node says, and what follows from it."""
+        """Carry out the actions of the node, and those that follow from them."""
         self._acting = True
         try:
             while actions:
@@ -204,10 +168,10 @@
         finally:
             self._acting = False
         if self.node.left:
-            self._gone()
+            self._leave_done()
 
     def _flush(self) -> None:
-        """Something was published or withdrawn, perhaps while actions are carried out, and then it goes with these."""
+        """Send what was published or withdrawn; while actions are carried out, it is sent with these."""
         if not self._acting:
             self.act(self.node.flush(self._deadlines.clock()))
 
@@ -222,26 +186,26 @@
                 health = action.health.name.lower()
                 self._log("member", name=action.name, health=health, cause=action.cause)
             elif isinstance(action, TableChanged):
-                self._sheet(action)
+                self._table_changed(action)
             else:
-                self._owned(action)
+                self._lease_changed(action)
 
     def _wake_at(self, when: float) -> None:
         self._deadlines.cancel(self._wake)
-        self._wake = self._deadlines.call_at(when, self._woken)
+        self._wake = self._deadlines.call_at(when, self._wake_due)
 
-    def _woken(self) -> None:
+    def _wake_due(self) -> None:
         self._wake = None
         self.act(self.node.wake(self._deadlines.clock()))
 
-    def _gone(self) -> None:
+    def _leave_done(self) -> None:
         if self._left is not None and not self._left.done():
             self._left.set_result(None)
 
     def _may_act(self, name: str, now: float) -> FencingToken | None:
         return self.node.may_act(name, now)
 
-    def _owned(self, action: LeaseGained | LeaseLost) -> None:
+    def _lease_changed(self, action: LeaseGained | LeaseLost) -> None:
         gained = isinstance(action, LeaseGained)
         self._log(
             "duty_gained" if gained else "duty_lost", duty=action.lease, fence=action.token.number, cause=action.cause
@@ -262,14 +226,14 @@
             else:
                 self.health_checker.lost(action.lease)
 
-    def _sheet(self, sheet: TableChanged) -> None:
-        if sheet.table in (LEASE_TABLE, INTERIM_TABLE) and self.shared_discovery is not None:
-            self.shared_discovery.on_table_change(sheet.table, sheet.changes)
+    def _table_changed(self, change: TableChanged) -> None:
+        if change.table in (LEASE_TABLE, INTERIM_TABLE) and self.shared_discovery is not None:
+            self.shared_discovery.on_table_change(change.table, change.changes)
         elif self.health_checker is not None:
-            self.health_checker.sheet(sheet.table, sheet.changes)
+            self.health_checker.sheet(change.table, change.changes)
 
-    def _look(self) -> None:
-        """Verdicts that nobody stands for are withdrawn."""
-        self._look_at = self._deadlines.call_after(STALE_CHECK_INTERVAL, self._look)
+    def _check_stale(self) -> None:
+        """Withdraw results of health checks whose owner is silent."""
+        self._stale_check = self._deadlines.call_after(STALE_CHECK_INTERVAL, self._check_stale)
         if self.health_checker is not None:
             self.health_checker.stale(HEALTH_CHECK_RESULT_TTL)
--- a/tests/cluster/test_hosts.py
+++ b/tests/cluster/test_hosts.py
@@ -118,7 +118,7 @@
 
 
 def test_probes_are_spread_and_verdicts_take_several_in_a_row() -> None:
-    prober = HealthCheckSchedule(1000, fall=3, rise=2, most=64)
+    prober = HealthCheckSchedule(1000, fall=3, rise=2, max_in_flight=64)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
     begun = []
     for tick in range(100, 1100, 100):
@@ -139,7 +139,7 @@
 
 
 def test_so_many_probes_are_out_at_once_and_what_has_gone_counts_no_more() -> None:
-    prober = HealthCheckSchedule(100, fall=1, rise=1, most=4)
+    prober = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
     first = prober.start_due(1000.0)
     assert len(first) == 4 and not prober.start_due(1000.0) and prober.next_wake() == float("inf")
@@ -151,7 +151,7 @@
 
 
 def test_a_successor_begins_with_what_was_down() -> None:
-    prober = HealthCheckSchedule(100, fall=3, rise=2, most=4)
+    prober = HealthCheckSchedule(100, fall=3, rise=2, max_in_flight=4)
     prober.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
     now = 0.0
     said = []
