--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -121,23 +121,21 @@
             if case.down_s:
                 rig.down(True)
                 await asyncio.sleep(case.down_s)
-                rig.checker.calls.clear()
-                for rush in rig.checker.call_rush:
-                    rush.most = 0
+                rig.checker.statistics.reset_calls()
                 rig.down(False)
                 wanted = 1 if case.cluster else case.count
                 after = await until(lambda: len(set(rig.reading())) >= wanted)
                 await asyncio.sleep(20.0 if case.cluster else 0.0)
-            calls = rig.checker.calls
+            statistics = rig.checker.statistics
             memory = [_memory(p.program.pid) for p in rig.processes.values() if p.runs and p.program is not None]
             least = 1 if case.cluster else case.count * (1 if case.down_s else 2)
             return {
                 "all there s": round(after, 1),
-                "calls": calls["all"],
-                "whole": calls["whole"],
-                "turned away": calls["turned"],
-                "most in 100 ms": rig.checker.call_rush[0].most,
-                "most in 1 s": rig.checker.call_rush[1].most,
+                "calls": statistics.calls,
+                "whole": statistics.list_calls,
+                "turned away": statistics.rejected_calls,
+                "most in 100 ms": rig.checker.statistics.short_call_peak.most,
+                "most in 1 s": rig.checker.statistics.long_call_peak.most,
                 "reading in the end": len(set(rig.reading())),
                 "least calls": least,
                 "least s": round(least * case.call_ms / 1000, 1),
--- a/heronlug/conformance/checker.py
+++ b/heronlug/conformance/checker.py
@@ -1,20 +1,12 @@
-"""Proves the four rules on a run's events, one after the other as they come.
+"""Checks the four rules on the events of a run, emulated or from sockets.
 
-1. Every accepted job ends in exactly one final answer, in time.
-2. What must not run twice does not.
-3. A host that counts as draining or gone for a dispatcher gets nothing new of it after the grace
-   (:mod:`heronlug.conformance.notification`).
-4. No cold host is pushed over, by all dispatchers together.
-
-Beside these it counts what spares others: calls of the register and dials at hosts, the most in any window of time.
-
-A violation comes with the events that led to it. Memory is bounded by what is open and, for rule 2, by the jobs that
-must not run twice.
+A checker does no I/O and imports nothing of what it judges.
 """
 
 from collections import Counter, deque
-from math import inf
-from typing import NamedTuple
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 from heronlug.conformance.events import (
     Answered,
@@ -34,187 +26,254 @@
     Watching,
     WatchOver,
 )
-from heronlug.conformance.notification import Notified
+from heronlug.conformance.notification import NotificationHistory
+from heronlug.conformance.peak_rate import PeakRate
 
-TRAIL = 12  # events kept for each open job, and for each host
-KEPT = 200  # violations kept whole; all are counted
+TRAIL_LENGTH = 12
+"""Events kept for each open request and for each server."""
+MAX_KEPT_VIOLATIONS = 200
+"""Violations kept with their events; all are counted."""
+SHORT_WINDOW_MS = 100.0
+"""The shorter window in which calls of service discovery are counted."""
+LONG_WINDOW_MS = 1000.0
+"""The longer window in which calls of service discovery, and dials of a server, are counted."""
 
 
 class Violation(NamedTuple):
-    """A rule was broken."""
+    """A rule was broken.
+
+    Attributes:
+        rule: its number.
+        at: when, in ms.
+        what: happened, as a sentence.
+        trail: the events that led there, the last one last.
+    """
 
     rule: int
     at: float
     what: str
-    trail: tuple[Event, ...]  # the events that led there, the last last
-
+    trail: tuple[Event, ...]
 
-class Rush:
-    """The most that came within a window of time, of a kind of event."""
 
-    __slots__ = ("_last", "most", "span")
+class RequestKey(NamedTuple):
+    """A request at a dispatcher."""
 
-    def __init__(self, span: float) -> None:
-        """``span`` in milliseconds."""
-        self.span, self.most = span, 0
-        self._last: deque[float] = deque()
+    dispatcher: str
+    request: str
 
-    def see(self, at: float) -> None:
-        """One more."""
-        self._last.append(at)
-        while self._last[0] <= at - self.span:
-            self._last.popleft()
-        self.most = max(self.most, len(self._last))
 
+class OpenRequest:
+    """A request that is owed a final answer.
 
-class Open:
-    """A job that is owed an answer."""
+    Attributes:
+        taken: its acceptance.
+        trail: its last events.
+    """
 
     __slots__ = ("taken", "trail")
 
     def __init__(self, taken: Taken) -> None:
         self.taken = taken
-        self.trail: deque[Event] = deque([taken], maxlen=TRAIL)
+        self.trail: deque[Event] = deque([taken], maxlen=TRAIL_LENGTH)
+
+
+@dataclass(slots=True)
+class Statistics:
+    """What a run cost service discovery and servers.
+
+    Attributes:
+        warmup_peak_load: the highest load of a server that warmed up; 1 is where overload begins.
+        calls: of service discovery.
+        list_calls: those of them that were for the whole list.
+        rejected_calls: those of them that were rejected.
+        short_call_peak: most calls in the shorter window.
+        long_call_peak: most calls in the longer window.
+        dials: connections, by server.
+        dial_peaks: most connections in the longer window, by server.
+    """
+
+    warmup_peak_load: float = 0.0
+    calls: int = 0
+    list_calls: int = 0
+    rejected_calls: int = 0
+    short_call_peak: PeakRate = field(default_factory=lambda: PeakRate(SHORT_WINDOW_MS))
+    long_call_peak: PeakRate = field(default_factory=lambda: PeakRate(LONG_WINDOW_MS))
+    dials: Counter[str] = field(default_factory=Counter)
+    dial_peaks: dict[str, PeakRate] = field(default_factory=dict)
+
+    def reset_calls(self) -> None:
+        """Count calls from here on."""
+        self.calls = self.list_calls = self.rejected_calls = 0
+        self.short_call_peak.reset()
+        self.long_call_peak.reset()
+
+    def called(self, event: Called) -> None:
+        """Count a call of service discovery."""
+        self.calls += 1
+        self.list_calls += event.whole
+        self.rejected_calls += event.turned
+        self.short_call_peak.add(event.at)
+        self.long_call_peak.add(event.at)
+
+    def dialled(self, event: Dialled) -> None:
+        """Count a connection to a server."""
+        self.dials[event.host] += 1
+        self.dial_peaks.setdefault(event.host, PeakRate(LONG_WINDOW_MS)).add(event.at)
 
 
 class Checker:
-    """Give it events by :meth:`see`, and at the end :meth:`finish`."""
+    """Is given all events of a run in their order by :meth:`see`, and at the end :meth:`finish`.
+
+    Attributes:
+        drain_grace: how long after a notified change attempts may still be sent, in ms.
+        slack: granted to answers, in ms, for the clocks of several processes.
+        violations: the first ones, with their events.
+        counts: all violations, by rule.
+        seen: how many events there were.
+        statistics: what the run cost.
+    """
 
     def __init__(self, drain_grace: float = 2500.0, slack: float = 0.0) -> None:
-        """``slack`` in milliseconds is granted to answers, for clocks of different processes."""
         self.drain_grace, self.slack = drain_grace, slack
         self.violations: list[Violation] = []
-        self.counts: Counter[int] = Counter()  # by rule
+        self.counts: Counter[int] = Counter()
         self.seen = 0
-        self.coldest = 0.0  # the highest share of what a cold host stands
-        self.calls: Counter[str] = Counter()  # of the register: all, whole, turned
-        self.call_rush = Rush(100.0), Rush(1000.0)
-        self.dials: Counter[str] = Counter()  # by host
-        self.dial_rush: dict[str, Rush] = {}
-        self._open: dict[tuple[str, str], Open] = {}
-        self._over: dict[str, set[str]] = {}  # by dispatcher: jobs that have had their answer
-        self._once: set[str] = set()
-        self._ran: dict[str, Began] = {}  # what must not run twice, and has run
-        self._notified = Notified()
-        self._hosts: dict[str, deque[Event]] = {}
-        self._last = -inf
+        self.statistics = Statistics()
+        self._open: dict[RequestKey, OpenRequest] = {}
+        self._answered_requests: dict[str, set[str]] = {}  # by dispatcher
+        self._non_idempotent: set[str] = set()
+        self._executed: dict[str, Began] = {}  # non-idempotent requests that have been executed
+        self._notifications = NotificationHistory()
+        self._server_trails: dict[str, deque[Event]] = {}
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
+            Started: self._started,
+            Stopped: self._stopped,
+            Taken: self._taken,
+            Answered: self._answered,
+            Sent: self._sent,
+            Began: self._began,
+            Ended: self._ended,
+            Listed: self._listed,
+            Changed: self._changed,
+            Watching: self._watching,
+            WatchOver: self._watch_over,
+            Reachable: self._reachable,
+            Load: self._load,
+            Called: self.statistics.called,
+            Dialled: self.statistics.dialled,
+        }
 
     def see(self, event: Event) -> None:
-        """One event."""
+        """Check an event."""
         self.seen += 1
-        self._last = event.at
-        if isinstance(event, Taken):
-            self._taken(event)
-        elif isinstance(event, Answered):
-            self._answered(event)
-        elif isinstance(event, Sent):
-            self._sent(event)
-        elif isinstance(event, Began):
-            self._began(event)
-        elif isinstance(event, Listed):
-            self._listed(event)
-        elif isinstance(event, Load):
-            self._load(event)
-        elif isinstance(event, Ended):
-            if self._open.pop((event.dispatcher, event.job), None) is not None:
-                self._over.setdefault(event.dispatcher, set()).add(event.job)
-        elif isinstance(event, Started):
-            self._over[event.dispatcher] = set()
-            self._notified.line(event.dispatcher)  # its clocks run on from process to process
-        elif isinstance(event, Changed):
-            self._trail(event.host).append(event)
-            self._notified.changed(event.at, event.host, event.state)
-        elif isinstance(event, Watching):
-            self._notified.watching(event.at, event.dispatcher, event.call, event.wait)
-        elif isinstance(event, WatchOver):
-            self._notified.watch_over(event.at, event.dispatcher, event.call)
-        elif isinstance(event, Reachable):
-            self._notified.reachable(event.at, event.dispatcher, event.reachable)
-        elif isinstance(event, Called):
-            self.calls.update(all=1, whole=int(event.whole), turned=int(event.turned))
-            for rush in self.call_rush:
-                rush.see(event.at)
-        elif isinstance(event, Dialled):
-            self.dials[event.host] += 1
-            self.dial_rush.setdefault(event.host, Rush(1000.0)).see(event.at)
-        else:
-            self._stopped(event)
+        self._handlers[type(event)](event)
 
     def finish(self, at: float) -> list[Violation]:
-        """The run is over: what is still open and out of time has had no answer."""
-        for job in self._open.values():
-            if job.taken.give_up_at + self.slack < at:
-                self._break(1, at, f"{job.taken.job} has had no final answer", job.trail)
+        """End the run: what is still open and past its deadline has had no answer."""
+        for request in self._open.values():
+            if request.taken.give_up_at + self.slack < at:
+                self._add_violation(1, at, f"{request.taken.job} has had no final answer", request.trail)
         return self.violations
 
-    # -- inside
-
-    def _break(self, rule: int, at: float, what: str, trail: "deque[Event] | tuple[Event, ...]") -> None:
+    def _add_violation(self, rule: int, at: float, what: str, trail: "deque[Event] | tuple[Event, ...]") -> None:
         self.counts[rule] += 1
-        if len(self.violations) < KEPT:
+        if len(self.violations) < MAX_KEPT_VIOLATIONS:
             self.violations.append(Violation(rule, at, what, tuple(trail)))
 
-    def _trail(self, host: str) -> "deque[Event]":
-        return self._hosts.setdefault(host, deque(maxlen=TRAIL))
+    def _server_trail(self, server: str) -> "deque[Event]":
+        return self._server_trails.setdefault(server, deque(maxlen=TRAIL_LENGTH))
+
+    # -- dispatchers
+
+    def _started(self, event: Started) -> None:
+        self._answered_requests[event.dispatcher] = set()
+        self._notifications.dispatcher(event.dispatcher)  # its clocks run on from process to process
+
+    def _stopped(self, event: Stopped) -> None:
+        for key in [key for key in self._open if key.dispatcher == event.dispatcher]:
+            request = self._open.pop(key)
+            if not event.killed:
+                what = f"{request.taken.job} has had no final answer when {event.dispatcher} ended"
+                self._add_violation(1, event.at, what, (*request.trail, event))
+        self._answered_requests.pop(event.dispatcher, None)
+
+    # -- rules 1 and 2: requests
 
     def _taken(self, event: Taken) -> None:
-        key = event.dispatcher, event.job
+        key = RequestKey(event.dispatcher, event.job)
         if key in self._open:
-            self._break(1, event.at, f"{event.job} was taken twice while it is open", (*self._open[key].trail, event))
-        self._open[key] = Open(event)
-        self._over.setdefault(event.dispatcher, set()).discard(event.job)
+            what = f"{event.job} was taken twice while it is open"
+            self._add_violation(1, event.at, what, (*self._open[key].trail, event))
+        self._open[key] = OpenRequest(event)
+        self._answered_requests.setdefault(event.dispatcher, set()).discard(event.job)
         if event.once:
-            self._once.add(event.job)
+            self._non_idempotent.add(event.job)
 
     def _answered(self, event: Answered) -> None:
-        job = self._open.pop((event.dispatcher, event.job), None)
-        over = self._over.setdefault(event.dispatcher, set())
-        if job is None:
-            why = "has had a second answer" if event.job in over else "was answered and never taken"
-            self._break(1, event.at, f"{event.job} {why}", (event,))
-        elif event.at > job.taken.give_up_at + self.slack:
-            late = event.at - job.taken.give_up_at
-            self._break(1, event.at, f"{event.job} was answered {late:.0f} ms too late", (*job.trail, event))
-        over.add(event.job)
-
-    def _sent(self, event: Sent) -> None:
-        job = self._open.get((event.dispatcher, event.job))
-        if job is not None:
-            job.trail.append(event)
-        else:
-            self._break(1, event.at, f"{event.job} was sent and is not open", (event,))
-        found = self._notified.counts_at(event.dispatcher, event.host)
-        if found is not None and event.at - found[0] > self.drain_grace:
-            since, trail = event.at - found[0], (*self._trail(event.host), event)
-            what = f"{event.host} was sent {event.job} {since:.0f} ms after its change counted as notified, which"
-            self._break(3, event.at, f"{what} {found[1]}", trail)
+        request = self._open.pop(RequestKey(event.dispatcher, event.job), None)
+        answered = self._answered_requests.setdefault(event.dispatcher, set())
+        if request is None:
+            why = "has had a second answer" if event.job in answered else "was answered and never taken"
+            self._add_violation(1, event.at, f"{event.job} {why}", (event,))
+        elif event.at > request.taken.give_up_at + self.slack:
+            late = event.at - request.taken.give_up_at
+            what = f"{event.job} was answered {late:.0f} ms too late"
+            self._add_violation(1, event.at, what, (*request.trail, event))
+        answered.add(event.job)
+
+    def _ended(self, event: Ended) -> None:
+        if self._open.pop(RequestKey(event.dispatcher, event.job), None) is not None:
+            self._answered_requests.setdefault(event.dispatcher, set()).add(event.job)
 
     def _began(self, event: Began) -> None:
-        if event.job not in self._once:
+        if event.job not in self._non_idempotent:
             return
-        before = self._ran.get(event.job)
+        before = self._executed.get(event.job)
         if before is not None:
             what = f"{event.job} ran at {event.host} after it had at {before.host}"
-            trails = [job.trail for (_, name), job in self._open.items() if name == event.job]
-            self._break(2, event.at, what, (*(trails[0] if trails else ()), before, event))
-        self._ran[event.job] = event
+            trails = [request.trail for key, request in self._open.items() if key.request == event.job]
+            self._add_violation(2, event.at, what, (*(trails[0] if trails else ()), before, event))
+        self._executed[event.job] = event
+
+    # -- rule 3: draining servers
+
+    def _sent(self, event: Sent) -> None:
+        request = self._open.get(RequestKey(event.dispatcher, event.job))
+        if request is not None:
+            request.trail.append(event)
+        else:
+            self._add_violation(1, event.at, f"{event.job} was sent and is not open", (event,))
+        notified = self._notifications.notified(event.dispatcher, event.host)
+        if notified is not None and event.at - notified.at > self.drain_grace:
+            since = event.at - notified.at
+            what = (
+                f"{event.host} was sent {event.job} {since:.0f} ms after its change counted as notified, "
+                f"which {notified.reason}"
+            )
+            self._add_violation(3, event.at, what, (*self._server_trail(event.host), event))
 
     def _listed(self, event: Listed) -> None:
-        self._trail(event.host).append(event)
-        self._notified.wrote(event.at, event.dispatcher, event.host, event.state)
+        self._server_trail(event.host).append(event)
+        self._notifications.written(event.at, event.dispatcher, event.host, event.state)
+
+    def _changed(self, event: Changed) -> None:
+        self._server_trail(event.host).append(event)
+        self._notifications.changed(event.at, event.host, event.state)
+
+    def _watching(self, event: Watching) -> None:
+        self._notifications.watching(event.at, event.dispatcher, event.call, event.wait)
+
+    def _watch_over(self, event: WatchOver) -> None:
+        self._notifications.watch_over(event.at, event.dispatcher, event.call)
+
+    def _reachable(self, event: Reachable) -> None:
+        self._notifications.reachable(event.at, event.dispatcher, event.reachable)
+
+    # -- rule 4: servers that warm up
 
     def _load(self, event: Load) -> None:
-        self.coldest = max(self.coldest, event.share)
-        trail = self._trail(event.host)
+        self.statistics.warmup_peak_load = max(self.statistics.warmup_peak_load, event.share)
+        trail = self._server_trail(event.host)
         trail.append(event)
         if event.fell:
-            self._break(4, event.at, f"{event.host} was pushed over while it was cold", trail)
-
-    def _stopped(self, event: Stopped) -> None:
-        held = [key for key in self._open if key[0] == event.dispatcher]
-        for key in held:
-            job = self._open.pop(key)
-            if not event.killed:
-                what = f"{job.taken.job} has had no final answer when {event.dispatcher} ended"
-                self._break(1, event.at, what, (*job.trail, event))
-        self._over.pop(event.dispatcher, None)
+            self._add_violation(4, event.at, f"{event.host} was pushed over while it was cold", trail)
--- a/heronlug/conformance/notification.py
+++ b/heronlug/conformance/notification.py
@@ -1,134 +1,174 @@
-"""When a change of the list counts as notified to a dispatcher, from the records of service discovery alone.
+"""When a change of the endpoint list counts as notified to a dispatcher, from the records of discovery alone.
 
-An oracle for rule 3: it imports nothing of what it judges, and takes no constant from it.  A change that discovery has
-made and not written to a dispatcher counts, whether or not it ever arrives,
+This decides for rule 3 without what it judges: it imports nothing of that and takes no constant from it. A change that
+discovery has made and not written to a dispatcher counts, whether or not it ever arrives,
 
 - 6 s after discovery had it and could be reached by that dispatcher, where that has no watch;
 - where a watch was open when the change was made: 6 s after it, or 2 s after the wait of that call is over, if that is
   later; and where the watch has ended meanwhile, 6 s after that end, if that is sooner and discovery can be reached.
 
-What was written counts from its writing.  All this holds for a dispatcher, whichever of its processes runs, or none.
-Where two sentences of the protocol give different times the earlier one counts, but of a watch that looks well.
+What was written counts from its writing. All this holds for a dispatcher, whichever of its processes runs, or none.
+Where two sentences of the protocol give different times the earlier one counts, except for a watch that looks healthy.
 
-Times in milliseconds.
+Times are in milliseconds.
 """
 
 from math import inf
 from typing import NamedTuple
 
-COUNTS_AFTER = 6_000.0
-AFTER_WAIT = 2_000.0
+COUNTS_AFTER_MS = 6_000.0
+"""A change that has not arrived counts this long after it could have."""
+COUNTS_AFTER_WAIT_MS = 2_000.0
+"""A change that a watch has missed counts this long after the wait of the watch is over, if that is later."""
+READY = "ready"
+"""The state of a server that takes requests, in the records."""
+
+
+class Notified(NamedTuple):
+    """A server counts as draining or gone for a dispatcher.
+
+    Attributes:
+        at: since when.
+        reason: why since then; completes "its change counted as notified, which".
+    """
+
+    at: float
+    reason: str
 
 
 class Watch(NamedTuple):
-    """A call that waits for news."""
+    """A call that waits for an event.
+
+    Attributes:
+        call: its number.
+        since: when it came.
+        wait: how long it waits at most.
+    """
 
     call: int
     since: float
     wait: float
 
     @property
-    def silent_counts_at(self) -> float:
+    def missed_change_counts_at(self) -> float:
         """When a change that it does not bring counts at the latest, if it was made right after the call."""
-        return max(self.since + COUNTS_AFTER, self.since + self.wait + AFTER_WAIT)
+        return max(self.since + COUNTS_AFTER_MS, self.since + self.wait + COUNTS_AFTER_WAIT_MS)
 
 
-class Missed(NamedTuple):
-    """A change that a dispatcher has not been written."""
+class UnwrittenChange(NamedTuple):
+    """A change that has not been written to a dispatcher.
+
+    Attributes:
+        at: when it was made.
+        watch: that was open then.
+        reached_at: the first moment from then on at which discovery could be reached; None: not yet.
+    """
 
     at: float
-    watch: Watch | None  # that was open when it was made
-    reached_at: float | None  # the first moment from then on at which discovery could be reached; None: not yet
+    watch: Watch | None
+    reached_at: float | None
 
     @property
     def counts_at(self) -> float:
-        """When it counts, whether or not it arrives."""
+        """When it counts as notified, whether or not it arrives."""
         if self.watch is not None:
-            return max(self.at + COUNTS_AFTER, self.watch.silent_counts_at)
-        return self.reached_at + COUNTS_AFTER if self.reached_at is not None else inf
+            return max(self.at + COUNTS_AFTER_MS, self.watch.missed_change_counts_at)
+        return self.reached_at + COUNTS_AFTER_MS if self.reached_at is not None else inf
 
     @property
     def reason(self) -> str:
-        """Why then."""
+        """Why it counts then."""
         if self.watch is not None:
             return "was missed by a watch"
         return f"was made at {self.at:.0f}, and discovery could be reached at {self.reached_at:.0f}"
 
 
-class Line:
-    """One dispatcher, as discovery sees it."""
+class DispatcherNotifications:
+    """What one dispatcher counts as notified of.
+
+    Attributes:
+        reachable: whether it can reach discovery now.
+        watch: that it has open.
+        unwritten: by server, the first change to draining or gone that was not written to it.
+        written: by server, the change to draining or gone that was written to it.
+    """
 
-    __slots__ = ("missed", "reachable", "watch", "written")
+    __slots__ = ("reachable", "unwritten", "watch", "written")
 
     def __init__(self) -> None:
-        self.reachable = True  # discovery, for this dispatcher, now
+        self.reachable = True
         self.watch: Watch | None = None
-        self.missed: dict[str, Missed] = {}  # by server: the first change that says it drains or is gone
-        self.written: dict[str, tuple[float, str]] = {}  # since when a server counts so, and why
+        self.unwritten: dict[str, UnwrittenChange] = {}
+        self.written: dict[str, Notified] = {}
 
-    def miss(self, server: str, at: float, watch: Watch | None) -> None:
-        """A change that was made then is not here."""
-        self.missed[server] = Missed(at, watch, at if self.reachable else None)
+    def add_unwritten(self, server: str, at: float, watch: Watch | None) -> None:
+        """A change that was made at a time has not been written."""
+        self.unwritten[server] = UnwrittenChange(at, watch, at if self.reachable else None)
 
     def end_watch(self, at: float, call: int) -> None:
-        """What a watch has missed counts so long after its end, if that is sooner."""
+        """A watch has ended: what it has missed counts as long after that as without a watch, if that is sooner."""
         if self.watch is not None and self.watch.call == call:
             self.watch = None
-        for server, change in self.missed.items():
-            if change.watch is not None and change.watch.call == call and at + COUNTS_AFTER < change.counts_at:
-                self.miss(server, at, None)
+        for server, change in self.unwritten.items():
+            missed = change.watch is not None and change.watch.call == call
+            if missed and at + COUNTS_AFTER_MS < change.counts_at:
+                self.add_unwritten(server, at, None)
 
 
-class Notified:
-    """The changes and calls of a run, dispatcher by dispatcher."""
+class NotificationHistory:
+    """The changes and calls of a run, by dispatcher."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, Line] = {}
+        self._dispatchers: dict[str, DispatcherNotifications] = {}
 
-    def line(self, dispatcher: str) -> Line:
-        """What is known of a dispatcher; one that is new has just been made."""
-        return self._lines.setdefault(dispatcher, Line())
+    def dispatcher(self, name: str) -> DispatcherNotifications:
+        """What is known of a dispatcher; one that is new starts here."""
+        return self._dispatchers.setdefault(name, DispatcherNotifications())
 
     def changed(self, at: float, server: str, state: str) -> None:
         """Discovery has another state of a server."""
-        for line in self._lines.values():
-            if state == "ready":
-                line.missed.pop(server, None)
-                line.written.pop(server, None)
-            elif server not in line.written and server not in line.missed:
-                line.miss(server, at, line.watch)
-
-    def wrote(self, at: float, dispatcher: str, server: str, state: str) -> None:
+        for dispatcher in self._dispatchers.values():
+            if state == READY:
+                dispatcher.unwritten.pop(server, None)
+                dispatcher.written.pop(server, None)
+            elif server not in dispatcher.written and server not in dispatcher.unwritten:
+                dispatcher.add_unwritten(server, at, dispatcher.watch)
+
+    def written(self, at: float, dispatcher: str, server: str, state: str) -> None:
         """Discovery has written a state of a server to a dispatcher."""
-        line = self.line(dispatcher)
-        change = line.missed.pop(server, None)
-        if state == "ready":
-            line.written.pop(server, None)
+        notifications = self.dispatcher(dispatcher)
+        change = notifications.unwritten.pop(server, None)
+        if state == READY:
+            notifications.written.pop(server, None)
         elif change is not None and change.counts_at < at:
-            line.written.setdefault(server, (change.counts_at, change.reason))
+            notifications.written.setdefault(server, Notified(change.counts_at, change.reason))
         else:
-            line.written.setdefault(server, (at, "was written"))
+            notifications.written.setdefault(server, Notified(at, "was written"))
 
     def watching(self, at: float, dispatcher: str, call: int, wait: float) -> None:
-        """A call of a dispatcher waits for news."""
-        self.line(dispatcher).watch = Watch(call, at, wait)
+        """A call of a dispatcher waits for an event."""
+        self.dispatcher(dispatcher).watch = Watch(call, at, wait)
 
     def watch_over(self, at: float, dispatcher: str, call: int) -> None:
         """That call was answered, or its connection has ended."""
-        self.line(dispatcher).end_watch(at, call)
+        self.dispatcher(dispatcher).end_watch(at, call)
 
     def reachable(self, at: float, dispatcher: str, reachable: bool) -> None:
         """Discovery can be reached by a dispatcher from now on, or not any more."""
-        line = self.line(dispatcher)
-        line.reachable = reachable
-        if reachable:
-            late = {s: c._replace(reached_at=at) for s, c in line.missed.items() if c.reached_at is None}
-            line.missed.update(late)
-
-    def counts_at(self, dispatcher: str, server: str) -> tuple[float, str] | None:
-        """Since when a server counts as draining or gone for a dispatcher, with the reason; None: not known to be."""
-        line = self.line(dispatcher)
-        if server in line.written:
-            return line.written[server]
-        change = line.missed.get(server)
-        return (change.counts_at, change.reason) if change is not None and change.counts_at < inf else None
+        notifications = self.dispatcher(dispatcher)
+        notifications.reachable = reachable
+        if not reachable:
+            return
+        for server, change in notifications.unwritten.items():
+            if change.reached_at is None:
+                notifications.unwritten[server] = change._replace(reached_at=at)
+
+    def notified(self, dispatcher: str, server: str) -> Notified | None:
+        """Since when a server counts as draining or gone for a dispatcher; None: it does not, as far as is known."""
+        notifications = self.dispatcher(dispatcher)
+        if server in notifications.written:
+            return notifications.written[server]
+        change = notifications.unwritten.get(server)
+        if change is None or change.counts_at == inf:
+            return None
+        return Notified(change.counts_at, change.reason)
--- a/heronlug/emulator/discovery.py
+++ b/heronlug/emulator/discovery.py
@@ -1,7 +1,7 @@
-"""The node register as dispatchers hear of it: each change comes to each one after a lag of its own.
+"""Emulated service discovery: each change of the endpoint list reaches each dispatcher after a lag of its own.
 
-Where a call costs something the register works through calls one after another, and turns away what would wait too
-long. Whoever reads calls for the list and again for a watch, and for a watch again when that has waited in vain.
+Where a call costs something, calls are handled one after another, and a call that would wait too long is rejected. A
+dispatcher calls for the list, then for a watch, and for a watch again when that has ended without an event.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,24 @@
 from heronlug.emulator.timeline import Timeline
 from heronlug.requests.model import ListedServer
 
-REJECTION_COST_MS = 1.0  # ms that it costs to turn a call away
+REJECTION_COST_MS = 1.0
+"""How long service discovery needs to reject a call."""
+DEFAULT_MAX_WAIT_MS = 1000.0
+"""How long a call waits at most before it is rejected, unless the scenario says otherwise."""
+
+
+def _record_nothing(event: Event) -> None:
+    """Record no event."""
 
 
 class ListWatcher(Protocol):
-    """Who watches."""
+    """A dispatcher, as service discovery knows it.
+
+    Attributes:
+        name: in the records of the conformance checker.
+        up: whether it has a process.
+        incarnation: how many processes it has had.
+    """
 
     name: str
     up: bool
@@ -25,109 +38,141 @@
 
     @property
     def watch_timeout_ms(self) -> float:
-        """How long its watch waits for news."""
+        """How long its watch waits for an event."""
 
     def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """News."""
+        """An endpoint list or watch event has come."""
 
     def list_call_answered(self, took: float) -> None:
-        """A call that did not wait for news has been answered."""
+        """A call for the list has been answered after so many ms."""
 
     def list_call_rejected(self) -> None:
-        """A call has been turned away, and there is no watch."""
+        """A call has been rejected, and there is no watch."""
 
 
 class ServiceDiscovery:
-    """All entries, and who watches them."""
+    """The endpoint list and its watchers.
+
+    Attributes:
+        entries: the list, by server.
+        watchers: the dispatchers that watch, each with the time of the last event to it, since events keep their order.
+        silent: whether nothing is sent to anybody.
+        calls: that came, where they cost something.
+        rejected_calls: those of them that were rejected.
+        first_watch_at: when a watch of a dispatcher was first held open, by name.
+    """
 
     def __init__(
         self,
-        line: Timeline,
+        timeline: Timeline,
         lag: Draws,
         call_ms: float = 0.0,
-        wait_most: float = 1000.0,
-        tell: Callable[[Event], None] = lambda event: None,
+        max_wait_ms: float = DEFAULT_MAX_WAIT_MS,
+        record_event: Callable[[Event], None] = _record_nothing,
     ) -> None:
+        """Start with an empty list.
+
+        Args:
+            timeline: the time that it runs in.
+            lag: draws of the time until something reaches a dispatcher, in ms.
+            call_ms: what a call costs; 0: calls are answered at once, all of them.
+            max_wait_ms: how long a call waits at most before it is rejected.
+            record_event: called with an event for each call that costs something.
+        """
         self.entries: dict[str, ListedServer] = {}
-        self.watchers: dict[ListWatcher, float] = {}  # and up to when each has been told: news keep their order
+        self.watchers: dict[ListWatcher, float] = {}
         self.silent = False
-        self.calls = self.rejected_calls = 0
-        self.first_watch_at: dict[str, float] = {}  # when a reader's first watch waited for news
-        self._timeline, self._lag, self._record_event = line, lag, tell
-        self._call_ms, self._max_wait_ms, self._idle_at = call_ms, wait_most, 0.0
+        self.calls = 0
+        self.rejected_calls = 0
+        self.first_watch_at: dict[str, float] = {}
+        self._timeline, self._lag, self._record_event = timeline, lag, record_event
+        self._call_ms, self._max_wait_ms = call_ms, max_wait_ms
+        self._idle_at = 0.0
         self._held_back: list[ListedServer] = []
 
     def update(self, entry: ListedServer) -> None:
-        """A host's entry is new or other."""
+        """Add or change the entry of a server."""
         self.entries[entry.name] = entry
         if self.silent:
             self._held_back.append(entry)
-        else:
-            for reader in self.watchers:
-                self._send(reader, ListKind.CHANGES, [entry])
+            return
+        for watcher in self.watchers:
+            self._send(watcher, ListKind.CHANGES, [entry])
 
-    def watch(self, reader: ListWatcher) -> None:
-        """Tell it of all there is, and then of changes."""
+    def watch(self, watcher: ListWatcher) -> None:
+        """Send a dispatcher the whole list, and each change from then on."""
         if self._call_ms:
-            self._call(reader, reader.incarnation, self._answer_list_call)
-            return
-        self._send_whole_list(reader)
+            self._call(watcher, watcher.incarnation, self._answer_list_call)
+        else:
+            self._send_whole_list(watcher)
 
-    def unwatch(self, reader: ListWatcher) -> None:
-        """It is not there any more."""
-        self.watchers.pop(reader, None)
+    def unwatch(self, watcher: ListWatcher) -> None:
+        """Send a dispatcher nothing more."""
+        self.watchers.pop(watcher, None)
 
     def end_silence(self) -> None:
-        """The silence is over: all is told that was held back."""
-        self.silent, held, self._held_back = False, self._held_back, []
-        if held:
-            for reader in self.watchers:
-                self._send(reader, ListKind.CHANGES, held)
+        """Send again, with all that was held back."""
+        self.silent = False
+        held_back, self._held_back = self._held_back, []
+        if held_back:
+            for watcher in self.watchers:
+                self._send(watcher, ListKind.CHANGES, held_back)
 
     # -- calls that cost something
 
-    def _call(self, reader: ListWatcher, life: int, then: Callable[[ListWatcher, int, float], None]) -> None:
-        if not reader.up or life != reader.incarnation:
+    def _call(self, watcher: ListWatcher, incarnation: int, answer: Callable[[ListWatcher, int, float], None]) -> None:
+        """Queue a call, or reject it if it would wait too long."""
+        if not _is_alive(watcher, incarnation):
             return
         now = self._timeline.now
         wait = max(0.0, self._idle_at - now)
-        turned = wait > self._max_wait_ms
+        rejected = wait > self._max_wait_ms
         self.calls += 1
-        self.rejected_calls += turned
-        self._record_event(Called(now, reader.name, then == self._answer_list_call, turned, wait))
-        if turned:
+        self.rejected_calls += rejected
+        self._record_event(Called(now, watcher.name, answer == self._answer_list_call, rejected, wait))
+        if rejected:
             self._idle_at += REJECTION_COST_MS
-            self.watchers.pop(reader, None)
-            self._timeline.schedule_after(self._lag.next(), self._reject, reader, life)
+            self.watchers.pop(watcher, None)
+            self._timeline.schedule_after(self._lag.next(), self._reject, watcher, incarnation)
         else:
+            took = wait + self._call_ms
             self._idle_at = now + wait + self._call_ms
-            self._timeline.schedule_at(self._idle_at, then, reader, life, wait + self._call_ms)
+            self._timeline.schedule_at(self._idle_at, answer, watcher, incarnation, took)
 
-    def _reject(self, reader: ListWatcher, life: int) -> None:
-        if reader.up and life == reader.incarnation:
-            reader.list_call_rejected()
+    def _reject(self, watcher: ListWatcher, incarnation: int) -> None:
+        if _is_alive(watcher, incarnation):
+            watcher.list_call_rejected()
 
-    def _answer_list_call(self, reader: ListWatcher, life: int, took: float) -> None:
-        if reader.up and life == reader.incarnation:
-            self._send_whole_list(reader)
-            reader.list_call_answered(took)
-            self._call(reader, life, self._start_watch_call)
+    def _answer_list_call(self, watcher: ListWatcher, incarnation: int, took: float) -> None:
+        if _is_alive(watcher, incarnation):
+            self._send_whole_list(watcher)
+            watcher.list_call_answered(took)
+            self._call(watcher, incarnation, self._hold_watch_open)
 
-    def _start_watch_call(self, reader: ListWatcher, life: int, took: float) -> None:
-        if reader.up and life == reader.incarnation:
-            self.first_watch_at.setdefault(reader.name, self._timeline.now)
-            self._timeline.schedule_after(reader.watch_timeout_ms, self._call, reader, life, self._start_watch_call)
+    def _hold_watch_open(self, watcher: ListWatcher, incarnation: int, took: float) -> None:
+        if _is_alive(watcher, incarnation):
+            self.first_watch_at.setdefault(watcher.name, self._timeline.now)
+            timeout = watcher.watch_timeout_ms
+            self._timeline.schedule_after(timeout, self._call, watcher, incarnation, self._hold_watch_open)
 
-    def _send_whole_list(self, reader: ListWatcher) -> None:
-        self.watchers[reader] = self._timeline.now
+    # -- what is sent
+
+    def _send_whole_list(self, watcher: ListWatcher) -> None:
+        self.watchers[watcher] = self._timeline.now
         if not self.silent:
-            self._send(reader, ListKind.FULL, [e for e in self.entries.values() if e.state is not ServerState.REMOVED])
+            listed = [entry for entry in self.entries.values() if entry.state is not ServerState.REMOVED]
+            self._send(watcher, ListKind.FULL, listed)
+
+    def _send(self, watcher: ListWatcher, kind: ListKind, entries: list[ListedServer]) -> None:
+        arrives_at = max(self._timeline.now + self._lag.next(), self.watchers[watcher])
+        self.watchers[watcher] = arrives_at
+        self._timeline.schedule_at(arrives_at, self._deliver, watcher, kind, entries)
+
+    def _deliver(self, watcher: ListWatcher, kind: ListKind, entries: list[ListedServer]) -> None:
+        if watcher in self.watchers and watcher.up:
+            watcher.receive_list(kind, entries)
 
-    def _send(self, reader: ListWatcher, kind: ListKind, entries: list[ListedServer]) -> None:
-        when = max(self._timeline.now + self._lag.next(), self.watchers[reader])
-        self.watchers[reader] = when
-        self._timeline.schedule_at(when, self._deliver, reader, kind, entries)
 
-    def _deliver(self, reader: ListWatcher, kind: ListKind, entries: list[ListedServer]) -> None:
-        if reader in self.watchers and reader.up:
-            reader.receive_list(kind, entries)
+def _is_alive(watcher: ListWatcher, incarnation: int) -> bool:
+    """Whether the process that made a call still runs."""
+    return watcher.up and incarnation == watcher.incarnation
--- a/heronlug/emulator/policies.py
+++ b/heronlug/emulator/policies.py
@@ -1,11 +1,12 @@
-"""Other ways to choose a host, to compare the module with: a floor and a ceiling for every figure.
+"""Other policies to choose a server by, to compare the balancer with: a floor and a ceiling for every figure.
 
-Each takes the module's place in a core: events in, actions out. All retry alike (what the effect allows, at once, up to
-the cap) and send nothing to a host that is not ready; they differ in the choice alone. None keeps a margin for cold
-hosts or hands on what it knows.
+Each takes the balancer's place in a core: events in, actions out. All retry alike (what the effect allows, at once, up
+to the cap) and send nothing to a server that is not ready; they differ in the choice alone. None reserves capacity at
+servers that warm up or hands on what it has learned.
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from random import Random
 from typing import NamedTuple
 
@@ -23,7 +24,12 @@
     ServerListUpdate,
     ServerState,
 )
-from heronlug.balancer.settings import Effect, Settings
+from heronlug.balancer.settings import Effect, RequestClass, Settings
+
+BUILT_IN_POLICY = "heronlug"
+"""The name of the balancer itself among the policies."""
+MEAN_WORK_MS = 200.0
+"""The work of a request that the oracle reckons with; only the proportion of queueing to distance depends on it."""
 
 
 class ServerTruth(NamedTuple):
@@ -53,214 +59,243 @@
         return cls(0.0, 0.0, 1.0, 1.0, 1.0, responsive=False, round_trip_ms=0.0)
 
 
+@dataclass(slots=True)
 class KnownServer:
-    """A host as a policy knows it."""
+    """A server as a policy knows it.
 
-    __slots__ = ("entry", "number", "own_slots")
+    Attributes:
+        number: of the server.
+        entry: its entry in the endpoint list.
+        own_slots: slots of our attempts that have not ended.
+    """
 
-    def __init__(self, entry: ServerEntry) -> None:
-        self.number, self.entry = entry.server, entry
-        self.own_slots = 0.0  # slots that we have sent and that have not ended
+    number: int
+    entry: ServerEntry
+    own_slots: float = 0.0
 
 
+@dataclass(slots=True)
 class OpenRequest:
-    """An open job."""
+    """A request that has had no final answer.
 
-    __slots__ = ("arrived", "attempt_count", "attempts_in_flight", "may_have_run", "servers")
+    Attributes:
+        arrived: its arrival.
+        attempt_count: attempts that were started.
+        attempts_in_flight: the numbers of those that have not ended.
+        servers: that it was sent to.
+        may_have_run: whether an attempt may have run.
+    """
 
-    def __init__(self, arrived: RequestArrived) -> None:
-        self.arrived = arrived
-        self.attempt_count = 0
-        self.attempts_in_flight: set[int] = set()
-        self.servers: list[int] = []
-        self.may_have_run = False  # an attempt may have run
+    arrived: RequestArrived
+    attempt_count: int = 0
+    attempts_in_flight: set[int] = field(default_factory=set)
+    servers: list[int] = field(default_factory=list)
+    may_have_run: bool = False
 
 
 class Policy:
-    """The base: everything but the choice.  ``look`` takes a worker's number."""
+    """The base of all: everything but the choice.
+
+    Attributes:
+        name: in scenario files.
+        settings: of the dispatcher.
+        rng: its random draws.
+        server_truth: tells what is true of the server with a number.
+        servers: of the endpoint list, by number.
+        ready_servers: those that are ready.
+        requests: that are open, by number.
+    """
 
     name = ""
 
-    def __init__(self, settings: Settings, seed: int, look: Callable[[int], ServerTruth]) -> None:
-        self.settings, self.rng, self.server_truth = settings, Random(seed), look
+    def __init__(self, settings: Settings, seed: int, server_truth: Callable[[int], ServerTruth]) -> None:
+        self.settings, self.rng, self.server_truth = settings, Random(seed), server_truth
         self.servers: dict[int, KnownServer] = {}
         self.ready_servers: list[KnownServer] = []
         self.requests: dict[int, OpenRequest] = {}
         self._subscribed = False
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
-        """A worker of those, of which there is at least one; None turns the job away."""
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
+        """Choose one of at least one candidate for the next attempt of a request; None rejects the request."""
         raise NotImplementedError
 
     def avoided(self, now: float) -> set[int]:
-        """None is avoided for what it did."""
+        """The servers that are avoided for what they did: none."""
         return set()
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """The actions that an event leads to."""
-        out: list[Action] = []
+        actions: list[Action] = []
         if isinstance(event, RequestArrived):
             self.requests[event.request] = OpenRequest(event)
-            self._send(event.request, now, out)
+            self._start_attempt(event.request, now, actions)
         elif isinstance(event, AttemptEnded):
-            self._ended(event, now, out)
+            self._attempt_ended(event, now, actions)
         elif isinstance(event, ServerListUpdate):
-            self._listed(event, out)
+            self._update_servers(event, actions)
         elif isinstance(event, ClientGone | RequestHandedOver):
-            job = self.requests.pop(event.request, None)
-            if job is not None:
-                out += [CancelAttempt(event.request, attempt) for attempt in job.attempts_in_flight]
+            request = self.requests.pop(event.request, None)
+            if request is not None:
+                actions += [CancelAttempt(event.request, attempt) for attempt in request.attempts_in_flight]
         elif isinstance(event, FinalAnswerDue):
             if self.requests.pop(event.request, None) is not None:
-                out.append(Fail(event.request))
-        return out
+                actions.append(Fail(event.request))
+        return actions
+
+    # -- the endpoint list
 
-    def _listed(self, event: ServerListUpdate, out: list[Action]) -> None:
+    def _update_servers(self, event: ServerListUpdate, actions: list[Action]) -> None:
         if event.kind is ListKind.FAILED:
             self._subscribed = False
             return
         if event.kind is not ListKind.CHANGES:
-            here = {entry.server for entry in event.entries}
-            for gone in self.servers.keys() - here:
-                del self.servers[gone]
+            listed = {entry.server for entry in event.entries}
+            for unlisted in self.servers.keys() - listed:
+                del self.servers[unlisted]
         for entry in event.entries:
-            if entry.state is ServerState.REMOVED:
-                self.servers.pop(entry.server, None)
-            elif entry.server in self.servers:
-                self.servers[entry.server].entry = entry
-            else:
-                self.servers[entry.server] = KnownServer(entry)
-        self.ready_servers = [worker for worker in self.servers.values() if worker.entry.state is ServerState.READY]
+            self._update_server(entry)
+        self.ready_servers = [server for server in self.servers.values() if server.entry.state is ServerState.READY]
         if not self._subscribed:
             self._subscribed = True
-            out.append(Subscribe())
-
-    def _send(self, number: int, now: float, out: list[Action]) -> None:
-        job = self.requests[number]
-        arrived = job.arrived
-        lane = arrived.policy or self.settings.classes[arrived.request_class]
-        if (
-            job.attempt_count >= self.settings.max_attempts_of(lane)
-            or now >= arrived.give_up_at
-            or not self.ready_servers
-        ):
-            del self.requests[number]
-            out.append(Fail(number) if job.may_have_run else Reject(number))
-            return
-        among = [worker for worker in self.ready_servers if worker.number not in job.servers] or self.ready_servers
-        worker = self.choose(job, among)
-        if worker is None:
+            actions.append(Subscribe())
+
+    def _update_server(self, entry: ServerEntry) -> None:
+        if entry.state is ServerState.REMOVED:
+            self.servers.pop(entry.server, None)
+        elif entry.server in self.servers:
+            self.servers[entry.server].entry = entry
+        else:
+            self.servers[entry.server] = KnownServer(entry.server, entry)
+
+    # -- attempts
+
+    def _start_attempt(self, number: int, now: float, actions: list[Action]) -> None:
+        """Start the next attempt of a request, or end the request if there is no server, time or attempt left."""
+        request = self.requests[number]
+        server = self._next_server(request, now)
+        if server is None:
             del self.requests[number]
-            out.append(Fail(number) if job.may_have_run else Reject(number))
+            actions.append(Fail(number) if request.may_have_run else Reject(number))
             return
-        worker.own_slots += arrived.slots
-        job.attempts_in_flight.add(job.attempt_count)
-        job.servers.append(worker.number)
-        job.attempt_count += 1
-        out.append(StartAttempt(number, worker.number))
-
-    def _ended(self, event: AttemptEnded, now: float, out: list[Action]) -> None:
-        job = self.requests.get(event.request)
-        worker = self.servers.get(event.server)
-        if worker is not None:
-            worker.own_slots = max(0.0, worker.own_slots - (job.arrived.slots if job is not None else 1.0))
-        if job is None:
+        server.own_slots += request.arrived.slots
+        request.attempts_in_flight.add(request.attempt_count)
+        request.servers.append(server.number)
+        request.attempt_count += 1
+        actions.append(StartAttempt(number, server.number))
+
+    def _next_server(self, request: OpenRequest, now: float) -> KnownServer | None:
+        """The server of the next attempt, if possible one that the request was not sent to; None: no attempt."""
+        exhausted = request.attempt_count >= self.settings.max_attempts_of(self._class_of(request))
+        if exhausted or now >= request.arrived.give_up_at or not self.ready_servers:
+            return None
+        untried = [server for server in self.ready_servers if server.number not in request.servers]
+        return self.choose(request, untried or self.ready_servers)
+
+    def _attempt_ended(self, event: AttemptEnded, now: float, actions: list[Action]) -> None:
+        request = self.requests.get(event.request)
+        server = self.servers.get(event.server)
+        if server is not None:
+            slots = request.arrived.slots if request is not None else 1.0
+            server.own_slots = max(0.0, server.own_slots - slots)
+        if request is None:
             return
-        job.attempts_in_flight.discard(event.attempt)
+        request.attempts_in_flight.discard(event.attempt)
         if event.final:
             del self.requests[event.request]
             return
-        lane = job.arrived.policy or self.settings.classes[job.arrived.request_class]
         ran = event.outcome not in NEVER_RAN
-        job.may_have_run = job.may_have_run or ran
-        if ran and lane.effect is not Effect.IDEMPOTENT:
+        request.may_have_run = request.may_have_run or ran
+        if ran and self._class_of(request).effect is not Effect.IDEMPOTENT:
             del self.requests[event.request]
-            out.append(Fail(event.request))
+            actions.append(Fail(event.request))
         else:
-            self._send(event.request, now, out)
+            self._start_attempt(event.request, now, actions)
+
+    def _class_of(self, request: OpenRequest) -> RequestClass:
+        return request.arrived.policy or self.settings.classes[request.arrived.request_class]
 
 
 class RandomChoice(Policy):
-    """Any."""
+    """Any server."""
 
     name = "random"
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
-        """Any of them, each as likely."""
-        return self.rng.choice(among)
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Any candidate, each as likely."""
+        return self.rng.choice(candidates)
 
 
 class RoundRobin(Policy):
-    """One after the other."""
+    """One server after the other."""
 
     name = "round-robin"
-    _next = 0
+    _position = 0
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
-        """The next."""
-        self._next += 1
-        return among[self._next % len(among)]
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
+        """The next candidate."""
+        self._position += 1
+        return candidates[self._position % len(candidates)]
 
 
 class LeastInFlight(Policy):
-    """The one to which we have sent the least that has not ended."""
+    """The server with the fewest slots of our own attempts in flight."""
 
     name = "least-in-flight"
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
-        """Of those with as little, any."""
-        least = min(worker.own_slots for worker in among)
-        return self.rng.choice([worker for worker in among if worker.own_slots == least])
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Any of the candidates with the fewest."""
+        fewest = min(server.own_slots for server in candidates)
+        return self.rng.choice([server for server in candidates if server.own_slots == fewest])
 
 
 class TwoChoices(Policy):
-    """Of two, the one with less of ours in flight (Mitzenmacher 2001)."""
+    """Of two servers, the one with fewer slots of our own attempts in flight (Mitzenmacher 2001)."""
 
     name = "two-choices"
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
-        """Of two at random, the better."""
-        one, other = self.rng.choice(among), self.rng.choice(among)
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Of two random candidates, the one with fewer."""
+        one, other = self.rng.choice(candidates), self.rng.choice(candidates)
         return one if one.own_slots <= other.own_slots else other
 
 
 class ShortestQueue(Policy):
-    """The one with the least in it, whoever sent it: join the shortest queue, which no dispatcher can see."""
+    """The server with the least in it, from whichever dispatcher: join the shortest queue, which no dispatcher sees."""
 
     name = "shortest-queue"
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer:
-        """Of those with as little, any."""
-        inside = [(self.server_truth(worker.number).occupied_slots, worker) for worker in among]
-        least = min(each for each, _ in inside)
-        return self.rng.choice([worker for each, worker in inside if each == least])
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Any of the candidates with the least."""
+        occupied = {server.number: self.server_truth(server.number).occupied_slots for server in candidates}
+        least = min(occupied.values())
+        return self.rng.choice([server for server in candidates if occupied[server.number] == least])
 
 
 class Oracle(Policy):
-    """Sees all: queues, what is on its way, capacity, speed, distance, who stands still, and how much a host stands.
+    """Knows all: queues, attempts on their way, capacity, speed, distance, suspension, and what a server bears.
 
-    Chooses by when the job would be done, and turns it away where every host has as much as it stands.
+    Chooses by when the request would be done, and rejects it where every server has as much as it bears.
     """
 
     name = "oracle"
 
-    def choose(self, job: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
-        """The one where it would be done first, by how much stands before it."""
+    def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
+        """The candidate where the request would be done first."""
+        best = min(candidates, key=lambda server: self._time_to_done(request, server))
+        return best if self._time_to_done(request, best) < float("inf") else None
 
-        def waits(worker: KnownServer) -> float:
-            seen = self.server_truth(worker.number)
-            after = seen.occupied_slots + seen.inbound_slots + job.arrived.slots
-            if not seen.responsive or (after > seen.overload_slots and seen.occupied_slots + seen.inbound_slots > 0):
-                return float("inf")
-            over = max(0.0, after - seen.capacity) / seen.capacity
-            return (1 + over) * MEAN_WORK_MS / seen.speed + seen.round_trip_ms
+    def _time_to_done(self, request: OpenRequest, server: KnownServer) -> float:
+        """About how many ms a server would need, by what is in it or on its way; infinite if it must not be chosen."""
+        truth = self.server_truth(server.number)
+        before = truth.occupied_slots + truth.inbound_slots
+        after = before + request.arrived.slots
+        if not truth.responsive or (after > truth.overload_slots and before > 0):
+            return float("inf")
+        queueing = max(0.0, after - truth.capacity) / truth.capacity
+        return (1 + queueing) * MEAN_WORK_MS / truth.speed + truth.round_trip_ms
 
-        best = min(among, key=waits)
-        return best if waits(best) < float("inf") else None
 
-
-MEAN_WORK_MS = 200.0  # ms: only the proportion of waiting to distance depends on it
 POLICIES: dict[str, type[Policy]] = {
     policy.name: policy for policy in (RandomChoice, RoundRobin, LeastInFlight, TwoChoices, ShortestQueue, Oracle)
 }
-BUILT_IN_POLICY = "heronlug"
+"""The policies by their names in scenario files."""
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -66,15 +66,15 @@
 
 def _figures(run: Run) -> dict[str, Any]:
     checker, tallies = run.history.checker, list(run.tallies)
-    dials = {host: rush.most for host, rush in checker.dial_rush.items()}
+    dials = {host: rush.most for host, rush in checker.statistics.dial_peaks.items()}
     after = sorted(run.listed_after.values())
     used = [process.usage() for process in run.processes.values() if process.runs]
     return {
-        "calls": checker.calls["all"],
-        "calls for the whole list": checker.calls["whole"],
-        "calls turned away": checker.calls["turned"],
-        "most calls in 100 ms": checker.call_rush[0].most,
-        "most calls in 1 s": checker.call_rush[1].most,
+        "calls": checker.statistics.calls,
+        "calls for the whole list": checker.statistics.list_calls,
+        "calls turned away": checker.statistics.rejected_calls,
+        "most calls in 100 ms": checker.statistics.short_call_peak.most,
+        "most calls in 1 s": checker.statistics.long_call_peak.most,
         "reading in the end": len(run.reading),
         "listed in the end": sum(run.listed.values()),
         "running in the end": len(run.listed),
@@ -83,8 +83,8 @@
         "served": sum(tally.outcomes["on_time"] + tally.outcomes["late"] for tally in tallies),
         "lost with their dispatcher": run.lost_with,
         "most dials at a runner in 1 s": max(dials.values(), default=0),
-        "dials": sum(checker.dials.values()),
-        "most of what a cold runner stands": round(checker.coldest, 2),
+        "dials": sum(checker.statistics.dials.values()),
+        "most of what a cold runner stands": round(checker.statistics.warmup_peak_load, 2),
         "CPU s of those that run": round(sum(usage.cpu_s for usage in used), 2),
         "peak MB of one": round(max((usage.peak_mb for usage in used), default=0.0), 1),
         "descriptors of one": max((usage.descriptors for usage in used), default=0),
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -123,7 +123,7 @@
         over: set[str] = set()
         while not over and not playing.done():
             await asyncio.sleep(0.02)
-            over = rig.checker._over.get("d0", set())
+            over = rig.checker._answered_requests.get("d0", set())
         txn = min(over)
         with socket.create_connection(("127.0.0.1", rig.runners.servers["r0"].port)) as sock:
             head = f"POST /job HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: job\r\nContent-Length: 2\r\n\r\n20"
