--- a/heronlug/adapter/frames.py
+++ b/heronlug/adapter/frames.py
@@ -2,6 +2,8 @@
 
 import struct
 from collections.abc import Callable, Iterable
+from enum import IntEnum, IntFlag
+from typing import Any, NamedTuple
 
 from heronlug.balancer.actions import (
     Action,
@@ -32,36 +34,82 @@
 from heronlug.config.settings_json import parse_settings
 
 HEADER = struct.Struct(">IId")
+"""Of a batch: the number of records, the length of the body in bytes, and the clock in ms."""
 REPLY_HEADER = struct.Struct(">II")
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 56, 32, 22
-
+"""Of a reply: the number of records, and the length of the body in bytes."""
+EVENT_SIZE = 56
+"""Bytes of an event's record."""
+ACTION_SIZE = 32
+"""Bytes of an action's record."""
+ENTRY_SIZE = 22
+"""Bytes of a server's entry in a list."""
+
+# Layouts of records; each begins with the code, which ``x`` skips, and the instance.
 _INSTANCE = struct.Struct(">I")
 _SPAWN = struct.Struct(">xIQII")
-_LIST = struct.Struct(">xIBQII")
-_REQUEST = struct.Struct(">xIQfdQHdBfB")
-_NOTE = struct.Struct(">xIQBIBf")
-_PROBED = struct.Struct(">xIIHdB4f")
-_REQUEST_ONLY = struct.Struct(">xIQ")
-_BEGUN = struct.Struct(">xIQIdB")
-_ENDED = struct.Struct(">xIQBBHdBIB4f")
-_PEER = struct.Struct(">xIHII")
+_SERVER_LIST = struct.Struct(">xIBQII")
+_REQUEST_ARRIVED = struct.Struct(">xIQfdQHdBfB")
+_ATTEMPT_PROGRESS = struct.Struct(">xIQBIBf")
+_PROBE_RESULT = struct.Struct(">xIIHdB4f")
+_ONE_NUMBER = struct.Struct(">xIQ")
+_ANSWER_STARTED = struct.Struct(">xIQIdB")
+_ATTEMPT_ENDED = struct.Struct(">xIQBBHdBIB4f")
+_PEER_MESSAGE = struct.Struct(">xIHII")
 _ENTRY = struct.Struct(">fBHHIBd")
 
-_SEND = struct.Struct(">BIQId7x")
-_ANSWER = struct.Struct(">BIQ19x")
-_CANCEL = struct.Struct(">BIQB18x")
-_TIMER = struct.Struct(">BIdQ11x")
-_TELL = struct.Struct(">BIIII15x")
+_START_ATTEMPT = struct.Struct(">BIQId7x")
+_FINAL_ANSWER = struct.Struct(">BIQ19x")
+_CANCEL_ATTEMPT = struct.Struct(">BIQB18x")
+_SET_TIMER = struct.Struct(">BIdQ11x")
+_SEND_PEER_MESSAGE = struct.Struct(">BIIII15x")
 _TEXT = struct.Struct(">BIII19x")
-_WATCH = struct.Struct(">BIB26x")
+_SUBSCRIBE = struct.Struct(">BIB26x")
 
 EVERY_PEER = 0xFFFFFFFF
-HINT_VALID, CLIENT_RETRY = 1, 2
-SPAWN, KILL = 6, 5
+"""The peer of a message to all of them."""
+IMMEDIATELY = 0.0
+"""The delay of an attempt, in ms."""
+
+
+class RequestFlag(IntFlag):
+    """Flags of a request's record."""
+
+    HINT_VALID = 1
+    CLIENT_RETRY = 2
+
+
+class EventCode(IntEnum):
+    """The first byte of an event's record."""
+
+    REQUEST_ARRIVED = 1
+    ATTEMPT_PROGRESS = 2
+    PEER_MESSAGE = 3
+    SERVER_LIST = 4
+    KILL = 5
+    SPAWN = 6
+    TIMER_FIRED = 7
+    ATTEMPT_ENDED = 8
+    PROBE_RESULT = 9
+    CLIENT_GONE = 10
+    ANSWER_STARTED = 11
+
+
+class ActionCode(IntEnum):
+    """The first byte of an action's record."""
+
+    START_ATTEMPT = 1
+    REJECT = 2
+    FAIL = 3
+    CANCEL_ATTEMPT = 4
+    SET_TIMER = 5
+    SEND_PEER_MESSAGE = 8
+    LOG_LINE = 9
+    INSTANCE_FAILED = 10
+    SUBSCRIBE = 11
 
 
 class WireError(ValueError):
-    """A frame that does not follow the wire; the text says what and where."""
+    """A frame that does not follow the protocol; the text says what and where."""
 
 
 class Spawn:
@@ -75,118 +123,162 @@
 
 
 class Kill:
-    """A dispatcher is killed; all it held is void."""
+    """A dispatcher is killed, with all that it held."""
 
     __slots__ = ()
 
 
 WireEvent = Event | Spawn | Kill
 
+
+class BatchHeader(NamedTuple):
+    """The header of a batch.
+
+    Attributes:
+        record_count: events in the body.
+        body_length: in bytes.
+        now: the clock, in ms.
+    """
+
+    record_count: int
+    body_length: int
+    now: float
+
+
+class InstanceEvent(NamedTuple):
+    """An event and the instance that it is for."""
+
+    instance: int
+    event: WireEvent
+
+
 # -- events -----------------------------------------------------------------------------------------
 
 
-def _cut(tail: memoryview, offset: int, length: int, at: int, what: str) -> memoryview:
-    if offset + length > len(tail):
-        raise WireError(f"record at byte {at}: {what} ends at byte {offset + length} of a tail of {len(tail)} bytes")
-    return tail[offset : offset + length]
+class _Record(NamedTuple):
+    """An event's record in a batch.
+
+    Attributes:
+        body: of the batch.
+        offset: of the record in the body.
+        tail: what follows the records: lists, messages and settings.
+    """
+
+    body: memoryview
+    offset: int
+    tail: memoryview
+
+    def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The fields of the record."""
+        return layout.unpack_from(self.body, self.offset)
+
+    def from_tail(self, offset: int, length: int, what: str) -> memoryview:
+        """A part of the tail; raises :class:`WireError` if it reaches beyond the tail."""
+        end, available = offset + length, len(self.tail)
+        if end > available:
+            raise WireError(f"record at byte {self.offset}: {what} ends at byte {end} of a tail of {available} bytes")
+        return self.tail[offset:end]
 
 
-def _request(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, request, slots, hint, key, tenant, give_up_at, policy, memory, marks = _REQUEST.unpack_from(body, at)
-    hint = hint if marks & HINT_VALID else 0.0
-    return RequestArrived(request, policy, give_up_at, slots, memory, hint, tenant, key, bool(marks & CLIENT_RETRY))
+def _request_arrived(record: _Record) -> WireEvent:
+    _, request, slots, hint, key, tenant, give_up_at, policy, memory, flags = record.unpack(_REQUEST_ARRIVED)
+    hint = hint if flags & RequestFlag.HINT_VALID else 0.0
+    client_retry = bool(flags & RequestFlag.CLIENT_RETRY)
+    return RequestArrived(request, policy, give_up_at, slots, memory, hint, tenant, key, client_retry)
 
 
-def _note(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, request, attempt, server, topic, amount = _NOTE.unpack_from(body, at)
-    return AttemptProgress(request, attempt, server, topic, amount)
+def _attempt_progress(record: _Record) -> WireEvent:
+    _, request, attempt, server, kind, amount = record.unpack(_ATTEMPT_PROGRESS)
+    return AttemptProgress(request, attempt, server, kind, amount)
 
 
-def _peer(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, peer, offset, length = _PEER.unpack_from(body, at)
-    return PeerMessage(peer, bytes(_cut(tail, offset, length, at, "message")))
+def _peer_message(record: _Record) -> WireEvent:
+    _, peer, offset, length = record.unpack(_PEER_MESSAGE)
+    return PeerMessage(peer, bytes(record.from_tail(offset, length, "message")))
 
 
-def _list(body: memoryview, at: int, tail: memoryview) -> WireEvent | None:
-    _, kind, _, offset, count = _LIST.unpack_from(body, at)
+def _server_list(record: _Record) -> WireEvent | None:
+    _, kind, _, offset, count = record.unpack(_SERVER_LIST)
     if kind > ListKind.FAILED:
         return None
-    cut = _cut(tail, offset, count * ENTRY_SIZE, at, "list")
     entries = tuple(
         ServerEntry(server, ServerState(state), zone, sku, cell, weight, started)
-        for weight, sku, zone, cell, server, state, started in _ENTRY.iter_unpack(cut)
+        for weight, sku, zone, cell, server, state, started in _ENTRY.iter_unpack(
+            record.from_tail(offset, count * ENTRY_SIZE, "list")
+        )
         if state <= ServerState.DRAINING
     )
     return ServerListUpdate(ListKind(kind), entries)
 
 
-def _kill(body: memoryview, at: int, tail: memoryview) -> WireEvent:
+def _kill(record: _Record) -> WireEvent:
     return Kill()
 
 
-def _spawn(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, seed, offset, length = _SPAWN.unpack_from(body, at)
-    return Spawn(seed, parse_settings(bytes(_cut(tail, offset, length, at, "settings"))))
+def _spawn(record: _Record) -> WireEvent:
+    _, seed, offset, length = record.unpack(_SPAWN)
+    return Spawn(seed, parse_settings(bytes(record.from_tail(offset, length, "settings"))))
 
 
-def _timer(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    return TimerFired(_REQUEST_ONLY.unpack_from(body, at)[1])
+def _timer_fired(record: _Record) -> WireEvent:
+    _, token = record.unpack(_ONE_NUMBER)
+    return TimerFired(token)
 
 
-def _ended(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, request, n, _, code, lag, terminal, server, count, *load = _ENDED.unpack_from(body, at)
-    return AttemptEnded(request, n, server, code, lag, terminal != 0, tuple(load[:count]))
+def _attempt_ended(record: _Record) -> WireEvent:
+    _, request, attempt, _, outcome, lag, final, server, load_count, *load = record.unpack(_ATTEMPT_ENDED)
+    return AttemptEnded(request, attempt, server, outcome, lag, final != 0, tuple(load[:load_count]))
 
 
-def _probed(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, server, code, lag, count, *load = _PROBED.unpack_from(body, at)
-    return ProbeResult(server, code, lag, tuple(load[:count]))
+def _probe_result(record: _Record) -> WireEvent:
+    _, server, outcome, lag, load_count, *load = record.unpack(_PROBE_RESULT)
+    return ProbeResult(server, outcome, lag, tuple(load[:load_count]))
 
 
-def _aborted(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    return ClientGone(_REQUEST_ONLY.unpack_from(body, at)[1])
+def _client_gone(record: _Record) -> WireEvent:
+    _, request = record.unpack(_ONE_NUMBER)
+    return ClientGone(request)
 
 
-def _begun(body: memoryview, at: int, tail: memoryview) -> WireEvent:
-    _, request, server, lag, n = _BEGUN.unpack_from(body, at)
-    return AnswerStarted(request, n, server, lag)
+def _answer_started(record: _Record) -> WireEvent:
+    _, request, server, lag, attempt = record.unpack(_ANSWER_STARTED)
+    return AnswerStarted(request, attempt, server, lag)
 
 
-_DECODERS: dict[int, Callable[[memoryview, int, memoryview], WireEvent | None]] = {
-    1: _request,
-    2: _note,
-    3: _peer,
-    4: _list,
-    KILL: _kill,
-    SPAWN: _spawn,
-    7: _timer,
-    8: _ended,
-    9: _probed,
-    10: _aborted,
-    11: _begun,
+_DECODERS: dict[int, Callable[[_Record], WireEvent | None]] = {
+    EventCode.REQUEST_ARRIVED: _request_arrived,
+    EventCode.ATTEMPT_PROGRESS: _attempt_progress,
+    EventCode.PEER_MESSAGE: _peer_message,
+    EventCode.SERVER_LIST: _server_list,
+    EventCode.KILL: _kill,
+    EventCode.SPAWN: _spawn,
+    EventCode.TIMER_FIRED: _timer_fired,
+    EventCode.ATTEMPT_ENDED: _attempt_ended,
+    EventCode.PROBE_RESULT: _probe_result,
+    EventCode.CLIENT_GONE: _client_gone,
+    EventCode.ANSWER_STARTED: _answer_started,
 }
 
 
-def decode_header(header: bytes) -> tuple[int, int, float]:
-    """Record count, length of the body and clock of a batch."""
+def decode_header(header: bytes) -> BatchHeader:
+    """The header of a batch; raises :class:`WireError` if it is cut short or its figures do not fit each other."""
     if len(header) != HEADER.size:
         raise WireError(f"header: {len(header)} of {HEADER.size} bytes")
-    count, length, now = HEADER.unpack(header)
-    if count * EVENT_SIZE > length:
-        raise WireError(f"header: {count} records do not fit into {length} bytes")
-    return count, length, now
+    decoded = BatchHeader(*HEADER.unpack(header))
+    if decoded.record_count * EVENT_SIZE > decoded.body_length:
+        raise WireError(f"header: {decoded.record_count} records do not fit into {decoded.body_length} bytes")
+    return decoded
 
 
-def decode_events(count: int, body: bytes) -> Iterable[tuple[int, WireEvent]]:
+def decode_events(count: int, body: bytes) -> Iterable[InstanceEvent]:
     """The events of a batch with their instances, in order; unknown codes are skipped."""
     view = memoryview(body)
     tail = view[count * EVENT_SIZE :]
-    for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
-        decoder = _DECODERS.get(body[at])
-        if decoder is not None:
-            event = decoder(view, at, tail)
-            if event is not None:
-                yield _INSTANCE.unpack_from(view, at + 1)[0], event
+    for offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
+        decoder = _DECODERS.get(body[offset])
+        event = decoder(_Record(view, offset, tail)) if decoder is not None else None
+        if event is not None:
+            yield InstanceEvent(_INSTANCE.unpack_from(view, offset + 1)[0], event)
 
 
 # -- actions ----------------------------------------------------------------------------------------
@@ -201,36 +293,52 @@
         self._records: list[bytes] = []
         self._tail = bytearray()
 
-    def _text(self, code: int, instance: int, text: str) -> bytes:
-        data = text.encode("utf-8", "replace")
-        self._tail += data
-        return _TEXT.pack(code, instance, len(self._tail) - len(data), len(data))
-
     def add(self, instance: int, action: Action) -> None:
-        """One action of an instance."""
-        if isinstance(action, StartAttempt):
-            record = _SEND.pack(1, instance, action.request, action.server, 0.0)
-        elif isinstance(action, SetTimer):
-            record = _TIMER.pack(5, instance, action.delay, action.token)
-        elif isinstance(action, CancelAttempt):
-            record = _CANCEL.pack(4, instance, action.request, action.attempt)
-        elif isinstance(action, Reject | Fail):
-            record = _ANSWER.pack(2 if isinstance(action, Reject) else 3, instance, action.request)
-        elif isinstance(action, SendPeerMessage):
-            whom = action.peer if action.peer >= 0 else EVERY_PEER
-            record = _TELL.pack(8, instance, whom, len(self._tail), len(action.content))
-            self._tail += action.content
-        elif isinstance(action, LogLine):
-            record = self._text(9, instance, action.text)
-        else:
-            record = _WATCH.pack(11, instance, 1)
-        self._records.append(record)
-
-    def die(self, instance: int, text: str) -> None:
-        """The decision code failed: say so in one line."""
-        self._records.append(self._text(10, instance, text))
+        """Add an action of an instance."""
+        self._records.append(self._record(instance, action))
+
+    def add_failure(self, instance: int, text: str) -> None:
+        """Report in one line that the decision code of an instance failed."""
+        self._records.append(self._text(ActionCode.INSTANCE_FAILED, instance, text))
 
     def encode(self) -> bytes:
         """The whole frame."""
-        body = b"".join(self._records)
-        return REPLY_HEADER.pack(len(self._records), len(body) + len(self._tail)) + body + self._tail
+        records = b"".join(self._records)
+        header = REPLY_HEADER.pack(len(self._records), len(records) + len(self._tail))
+        return header + records + self._tail
+
+    def _record(self, instance: int, action: Action) -> bytes:
+        match action:
+            case StartAttempt():
+                code = ActionCode.START_ATTEMPT
+                return _START_ATTEMPT.pack(code, instance, action.request, action.server, IMMEDIATELY)
+            case SetTimer():
+                return _SET_TIMER.pack(ActionCode.SET_TIMER, instance, action.delay, action.token)
+            case CancelAttempt():
+                return _CANCEL_ATTEMPT.pack(ActionCode.CANCEL_ATTEMPT, instance, action.request, action.attempt)
+            case Reject():
+                return _FINAL_ANSWER.pack(ActionCode.REJECT, instance, action.request)
+            case Fail():
+                return _FINAL_ANSWER.pack(ActionCode.FAIL, instance, action.request)
+            case SendPeerMessage():
+                return self._peer_message(instance, action)
+            case LogLine():
+                return self._text(ActionCode.LOG_LINE, instance, action.text)
+            case _:
+                return _SUBSCRIBE.pack(ActionCode.SUBSCRIBE, instance, 1)
+
+    def _peer_message(self, instance: int, action: SendPeerMessage) -> bytes:
+        peer = action.peer if action.peer >= 0 else EVERY_PEER
+        offset = self._add_to_tail(action.content)
+        code = ActionCode.SEND_PEER_MESSAGE
+        return _SEND_PEER_MESSAGE.pack(code, instance, peer, offset, len(action.content))
+
+    def _text(self, code: ActionCode, instance: int, text: str) -> bytes:
+        data = text.encode("utf-8", "replace")
+        return _TEXT.pack(code, instance, self._add_to_tail(data), len(data))
+
+    def _add_to_tail(self, data: bytes) -> int:
+        """Append to the tail; returns the offset."""
+        offset = len(self._tail)
+        self._tail += data
+        return offset
--- a/heronlug/adapter/host.py
+++ b/heronlug/adapter/host.py
@@ -8,7 +8,7 @@
 from heronlug.balancer.dispatcher import Dispatcher
 
 
-class Host:
+class InstanceHost:
     """The instances of one process, each independent of the others."""
 
     def __init__(self) -> None:
@@ -29,20 +29,20 @@
                         reply.add(instance, action)
             except Exception as error:
                 traceback.print_exc()
-                reply.die(instance, f"{type(error).__name__}: {error}".splitlines()[0])
+                reply.add_failure(instance, f"{type(error).__name__}: {error}".splitlines()[0])
                 break
         return reply.encode()
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Read batches and write replies until the input ends; raises :class:`WireError` on a bad one."""
-    host = Host()
+    host = InstanceHost()
     while header := source.read(HEADER.size):
-        count, length, now = decode_header(header)
-        body = source.read(length)
-        if len(body) != length:
-            raise WireError(f"body: {len(body)} of {length} bytes")
-        sink.write(host.answer(count, now, body))
+        batch = decode_header(header)
+        body = source.read(batch.body_length)
+        if len(body) != batch.body_length:
+            raise WireError(f"body: {len(body)} of {batch.body_length} bytes")
+        sink.write(host.answer(batch.record_count, batch.now, body))
         sink.flush()
 
 
--- a/tests/adapter/test_frames.py
+++ b/tests/adapter/test_frames.py
@@ -18,7 +18,7 @@
     decode_events,
     decode_header,
 )
-from heronlug.adapter.host import Host
+from heronlug.adapter.host import InstanceHost
 from heronlug.balancer.actions import (
     CancelAttempt,
     Fail,
@@ -229,7 +229,7 @@
 
 
 def test_failing_module_dies_with_one_line(capfd: pytest.CaptureFixture[str]) -> None:
-    host = Host()
+    host = InstanceHost()
     batch = start()
     count, _, now = decode_header(batch[:16])
     host.answer(count, now, batch[16:])
@@ -254,7 +254,7 @@
 def test_one_process_or_several_give_the_same_actions() -> None:
     batch = start()
     count, _, now = decode_header(batch[:16])
-    together, alone = Host(), Host()
+    together, alone = InstanceHost(), InstanceHost()
     other = batch.replace(b"\x06\0\0\0\x03", b"\x06\0\0\0\x04").replace(
         b"\x04\0\0\0\x03\0\0\0", b"\x04\0\0\0\x04\0\0\0"
     )
