--- a/heronlug/cli/store.py
+++ b/heronlug/cli/store.py
@@ -7,6 +7,7 @@
 
 from heronlug.cli.helpers import FILE, print_columns
 from heronlug.storage import sqlite
+from heronlug.storage.model import StoredRequest
 
 
 @click.group()
@@ -18,8 +19,8 @@
     db = sqlite.connect(path, create=False)
     try:
         states: dict[str, int] = {}
-        for job in sqlite.rows(db):
-            state = job.final or ("delivered" if job.delivered_at else "waiting")
+        for job in sqlite.read_requests(db):
+            state = job.final_state or ("delivered" if job.first_delivered_at else "waiting")
             states[state] = states.get(state, 0) + 1
         return states
     finally:
@@ -39,6 +40,22 @@
     return 0
 
 
+def _dumped(request: StoredRequest) -> dict[str, object]:
+    """A stored request under the keys that the dump has always had."""
+    return {
+        "jid": request.jid,
+        "lane": request.class_name,
+        "queue": request.queue,
+        "table": orjson.loads(request.job) if request.job else None,
+        "accepted_at": request.accepted_at,
+        "remaining": request.time_allowed_ms,
+        "due": request.not_before,
+        "delivered_at": request.first_delivered_at,
+        "final": request.final_state,
+        "ended_at": request.ended_at,
+    }
+
+
 @store.command()
 @click.argument("file", type=FILE)
 def dump(file: Path) -> int:
@@ -46,9 +63,8 @@
     try:
         db = sqlite.connect(file, create=False)
         try:
-            for job in sqlite.rows(db):
-                table = orjson.loads(job.table) if job.table else None
-                print(orjson.dumps({**job._asdict(), "table": table}).decode())
+            for job in sqlite.read_requests(db):
+                print(orjson.dumps(_dumped(job)).decode())
         finally:
             db.close()
     except sqlite.StoreError as error:
--- a/heronlug/frontends/faktory/commands.py
+++ b/heronlug/frontends/faktory/commands.py
@@ -157,7 +157,7 @@
         """Reply once the end is stored or not."""
         reply(error_reply(EndNotStoredError(failure)) if failure else OK)
 
-    session.frontend.context.store.after(on_stored)
+    session.frontend.context.store.when_durable(on_stored)
 
 
 def _heartbeat(session: CommandSession, argument: bytes) -> None:
--- a/heronlug/frontends/faktory/jobs.py
+++ b/heronlug/frontends/faktory/jobs.py
@@ -27,7 +27,7 @@
 from heronlug.frontends.faktory.resp import JsonObject
 from heronlug.frontends.faktory.scheduler import JobScheduler
 from heronlug.requests.model import FinalAnswer
-from heronlug.storage.model import Kept, Way, left
+from heronlug.storage.model import RecoveryAction, StoredRequest, remaining_ms
 
 PushAllCallback = Callable[[dict[str, str]], None]
 """Called once each of many jobs is accepted or not, with the reasons of those that are not, by jid."""
@@ -109,7 +109,9 @@
         start = StartTime(deadline_ms if arguments.remaining_ms is None else arguments.remaining_ms, due_at)
         accepted_at = self._context.deadlines.clock()
         class_name = self._class_names()[job.class_index]
-        record = Kept(job.jid, class_name, job.queue, arguments.encoded, accepted_at, start.remaining_ms, due_at)
+        record = StoredRequest(
+            job.jid, class_name, job.queue, arguments.encoded, accepted_at, start.remaining_ms, due_at
+        )
         self._context.store.accept(record, partial(self._on_stored, job, start))
 
     def _on_stored(self, job: Job, start: StartTime, failure: str) -> None:
@@ -142,14 +144,14 @@
         """End a job; its jid stays known for the configured time."""
         job.final_answer = final
         job.payload = {}
-        self._context.store.end(job.jid, final.value, self._context.deadlines.clock())
+        self._context.store.record_final_state(job.jid, final.value, self._context.deadlines.clock())
         self._context.log("job_answered", jid=job.jid, final=final.value)
         self._context.deadlines.call_after(self._context.config.remember_ms, self._forget, job)
         self.scheduler.job_ended(job.jid, final is FinalAnswer.SERVED)
 
     def answer(self, job: Job, final: FinalAnswer) -> None:
         """End a job as the core says; one that a stop rejects stays stored for the next process."""
-        if self.scheduler.stopping and self._context.store.lasts and final is FinalAnswer.REFUSED:
+        if self.scheduler.stopping and self._context.store.is_durable and final is FinalAnswer.REFUSED:
             self._context.log("job_kept", jid=job.jid)
             return
         self.finish(job, final)
@@ -175,41 +177,42 @@
         if records:
             context.log("recovered", jobs=len(records), **counts)
 
-    def _restart(self, job: Job, record: Kept, action: Way, now: float) -> None:
-        if record.delivered_at:  # the jobs that it waited for had ended
-            self.scheduler.start_now(job, left(record, now))
-        elif self.scheduler.may_start(job, StartTime(record.remaining, record.due)):
-            remaining_ms = record.remaining if action is Way.LATER else left(record, now)
-            self.scheduler.start(job, StartTime(remaining_ms, record.due))
+    def _restart(self, job: Job, record: StoredRequest, action: RecoveryAction, now: float) -> None:
+        if record.first_delivered_at:  # the jobs that it waited for had ended
+            self.scheduler.start_now(job, remaining_ms(record, now))
+        elif self.scheduler.may_start(job, StartTime(record.time_allowed_ms, record.not_before)):
+            scheduled = action is RecoveryAction.SCHEDULE
+            allowed_ms = record.time_allowed_ms if scheduled else remaining_ms(record, now)
+            self.scheduler.start(job, StartTime(allowed_ms, record.not_before))
 
-    def _recover_job(self, record: Kept, action: Way, now: float) -> Job:
+    def _recover_job(self, record: StoredRequest, action: RecoveryAction, now: float) -> Job:
         names = self._class_names()
-        class_index = names.index(record.lane) if record.lane in names else 0
-        payload: JsonObject = orjson.loads(record.table) if record.table else {}
+        class_index = names.index(record.class_name) if record.class_name in names else 0
+        payload: JsonObject = orjson.loads(record.job) if record.job else {}
         job = Job(
             record.jid,
             class_index,
             record.queue,
             payload,
-            len(record.table),
+            len(record.job),
             self._reserve_ms(float(payload.get("reserve_for") or 0)),
             self._context.core.settings.classes[class_index],
         )
         self.by_jid[record.jid] = job
-        if record.final:
+        if record.final_state:
             self._recover_end(job, record, action, now)
         return job
 
-    def _recover_end(self, job: Job, record: Kept, action: Way, now: float) -> None:
+    def _recover_end(self, job: Job, record: StoredRequest, action: RecoveryAction, now: float) -> None:
         """Remember a job that has ended, for the rest of the configured time."""
-        job.final_answer = FinalAnswer(record.final)
+        job.final_answer = FinalAnswer(record.final_state)
         job.payload = {}
         since_end_ms = max(0.0, now - record.ended_at)
         remember_ms = max(0.0, self._context.config.remember_ms - since_end_ms)
         self._context.deadlines.call_after(remember_ms, self._forget, job)
-        if action is not Way.KNOWN:
-            note = " (may have run)" if record.delivered_at else ""
-            self._context.log("job_answered", jid=job.jid, final=record.final + note, cause="restart")
+        if action is not RecoveryAction.REMEMBER:
+            note = " (may have run)" if record.first_delivered_at else ""
+            self._context.log("job_answered", jid=job.jid, final=record.final_state + note, cause="restart")
 
     def _class_names(self) -> list[str]:
         return [policy.name for policy in self._context.core.settings.classes]
--- a/heronlug/frontends/faktory/recovery.py
+++ b/heronlug/frontends/faktory/recovery.py
@@ -7,7 +7,7 @@
 from heronlug.balancer.settings import Effect, RequestClass
 from heronlug.requests.interfaces import EventLog
 from heronlug.storage.memory import MemoryStore
-from heronlug.storage.model import Final, Kept, Store, Way, settle
+from heronlug.storage.model import FinalState, RecoveryAction, Store, StoredRequest, recovery_action
 
 
 def open_store(path: str, log: EventLog, run_due: Callable[[], None]) -> Store:
@@ -47,7 +47,7 @@
 
 def recover_records(
     store: Store, classes: dict[str, RequestClass], now: float, remember_ms: float
-) -> tuple[list[tuple[Kept, Way]], dict[str, int]]:
+) -> tuple[list[tuple[StoredRequest, RecoveryAction]], dict[str, int]]:
     """Read the store at the start, and store the outcomes that follow from the restart.
 
     Args:
@@ -59,17 +59,17 @@
     Returns:
         The jobs, each with what becomes of it, and how many jobs there were of each kind.
     """
-    records: list[tuple[Kept, Way]] = []
+    records: list[tuple[StoredRequest, RecoveryAction]] = []
     counts: dict[str, int] = {}
     for record in store.load():
-        action = settle(record, classes.get(record.lane), now, remember_ms)
+        action = recovery_action(record, classes.get(record.class_name), now, remember_ms)
         counts[action.value] = counts.get(action.value, 0) + 1
-        if action is Way.FORGET:
+        if action is RecoveryAction.FORGET:
             store.forget(record.jid)
             continue
-        if action in (Way.FAILED, Way.REFUSED):
-            final = Final.FAILED if action is Way.FAILED else Final.REFUSED
-            store.end(record.jid, final.value, now)
-            record = record._replace(final=final.value, ended_at=now)
+        if action in (RecoveryAction.FAIL, RecoveryAction.REJECT):
+            final = FinalState.FAILED if action is RecoveryAction.FAIL else FinalState.REFUSED
+            store.record_final_state(record.jid, final.value, now)
+            record = record._replace(final_state=final.value, ended_at=now)
         records.append((record, action))
     return records, counts
--- a/heronlug/frontends/faktory/scheduler.py
+++ b/heronlug/frontends/faktory/scheduler.py
@@ -9,7 +9,7 @@
 from heronlug.frontends.faktory.resp import JsonObject
 from heronlug.requests.deadlines import Key
 from heronlug.requests.model import FinalAnswer, Request
-from heronlug.scheduling.chains import Chains, Edge, Start, edges_of
+from heronlug.scheduling.chains import ChainState, Edge, RequestChains, parse_edges
 
 
 class _DelayedJob(NamedTuple):
@@ -49,7 +49,7 @@
         self._finish = finish
         self._delayed: dict[str, _DelayedJob] = {}
         self._dependent: dict[str, _DependentJob] = {}
-        self._chains = Chains()
+        self._chains = RequestChains()
 
     def start(self, job: Job, start: StartTime) -> Request | None:
         """Hand a job to the core, now or when its time has come; returns the request if it is now."""
@@ -78,12 +78,12 @@
                 if parent.final_answer is not None
             ],
         )
-        if verdict is Start.WAITS:
+        if verdict is ChainState.WAITS:
             self._dependent[job.jid] = _DependentJob(job, start)
-        elif verdict is Start.FAILED:
+        elif verdict is ChainState.FAILED:
             self._context.log("job_chain_failed", jid=job.jid, cause="a parent had failed")
             self._finish(job, FinalAnswer.FAILED)
-        return verdict is Start.READY
+        return verdict is ChainState.READY
 
     def check_parents(self, custom: JsonObject) -> None:
         """Check what a pushed job waits for.
@@ -103,7 +103,7 @@
     def job_ended(self, jid: str, served: bool) -> None:
         """Start the jobs that waited for this one last, and fail those that need it to be served."""
         self._dependent.pop(jid, None)
-        consequences = self._chains.ended(jid, served)
+        consequences = self._chains.request_ended(jid, served)
         for child in consequences.failed:
             failed = self._dependent.pop(child)
             self._context.log("job_chain_failed", jid=child, cause=jid)
@@ -115,7 +115,7 @@
     def stop(self) -> None:
         """Start nothing later: what has not started is rejected, unless the store keeps it for the next process."""
         self.stopping = True
-        durable = self._context.store.lasts
+        durable = self._context.store.is_durable
         for delayed in list(self._delayed.values()):
             self._context.deadlines.cancel(delayed.deadline)
             if not durable:
@@ -130,4 +130,4 @@
 
 def _edges(custom: JsonObject) -> list[Edge]:
     """The jobs that a job waits for; raises ``ValueError``."""
-    return edges_of(custom.get("after"), custom.get("on_failure"))
+    return parse_edges(custom.get("after"), custom.get("on_failure"))
--- a/heronlug/plugins/host.py
+++ b/heronlug/plugins/host.py
@@ -17,9 +17,9 @@
 
 from heronlug.requests.model import FinalAnswer
 
-FINALS = {FinalAnswer.SERVED: 0, FinalAnswer.REFUSED: 1, FinalAnswer.FAILED: 2}
-ADMIT = (["i32", "f64", "i32"], ["i32"])
-OBSERVE: tuple[list[str], list[str]] = (["i32", "i32", "f64"], [])
+FINAL_CODES = {FinalAnswer.SERVED: 0, FinalAnswer.REFUSED: 1, FinalAnswer.FAILED: 2}
+ADMIT_SIGNATURE = (["i32", "f64", "i32"], ["i32"])
+OBSERVE_SIGNATURE: tuple[list[str], list[str]] = (["i32", "i32", "f64"], [])
 
 
 class PluginError(ValueError):
@@ -46,8 +46,8 @@
             raise PluginError(f"plugin {name}: {str(error).splitlines()[0]}") from None
         except wasmtime.Trap as error:
             raise PluginError(f"plugin {name}: its start traps: {str(error).splitlines()[0]}") from None
-        self.admit = self._hook(exports, "admit", ADMIT)
-        self.observe = self._hook(exports, "observe", OBSERVE)
+        self.admit = self._hook(exports, "admit", ADMIT_SIGNATURE)
+        self.observe = self._hook(exports, "observe", OBSERVE_SIGNATURE)
         if self.admit is None and self.observe is None:
             raise PluginError(f"plugin {name}: it exports neither admit nor observe")
 
@@ -99,7 +99,7 @@
         """Tell all of a final answer."""
         for plugin in self._plugins:
             if plugin.observe is not None:
-                self._call(plugin, plugin.observe, lane, FINALS[final], float(took))
+                self._call(plugin, plugin.observe, lane, FINAL_CODES[final], float(took))
 
     def _call(self, plugin: Plugin, hook: Callable[..., Any], *values: float) -> Any:
         if not plugin.enabled:
--- a/heronlug/scheduling/chains.py
+++ b/heronlug/scheduling/chains.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-PARENTS_MOST = 64
+MAX_PARENTS = 64
 
 
 class OnFailure(str, Enum):
@@ -28,7 +28,7 @@
     on_failure: OnFailure = OnFailure.FAIL
 
 
-class Start(Enum):
+class ChainState(Enum):
     """What becomes of a job that has just been accepted."""
 
     READY = "ready"
@@ -36,14 +36,14 @@
     FAILED = "failed"
 
 
-class Ended(NamedTuple):
+class ChainEnd(NamedTuple):
     """What follows from an end, in the order in which it does."""
 
     released: list[str]
     failed: list[str]
 
 
-class Chains:
+class RequestChains:
     """All jobs that wait, and for what."""
 
     def __init__(self) -> None:
@@ -60,24 +60,24 @@
         """What a job still waits for."""
         return sorted(self._waits.get(jid, ()))
 
-    def add(self, jid: str, open_edges: Iterable[Edge], ended: Iterable[tuple[Edge, bool]]) -> Start:
+    def add(self, jid: str, open_edges: Iterable[Edge], ended: Iterable[tuple[Edge, bool]]) -> ChainState:
         """A job with its edges: to parents that are open, and to those that have ended, each with whether served."""
         if any(not served and edge.on_failure is OnFailure.FAIL for edge, served in ended):
-            return Start.FAILED
+            return ChainState.FAILED
         edges = list(open_edges)
         if not edges:
-            return Start.READY
+            return ChainState.READY
         self._waits[jid] = {edge.parent for edge in edges}
         for edge in edges:
             children = self._children.setdefault(edge.parent, {})
             # of two edges to the same parent the stricter one holds
             if children.get(jid) is not OnFailure.FAIL:
                 children[jid] = edge.on_failure
-        return Start.WAITS
+        return ChainState.WAITS
 
-    def ended(self, jid: str, served: bool) -> Ended:
+    def request_ended(self, jid: str, served: bool) -> ChainEnd:
         """A job has ended, one that others wait for or one that waits; what that releases and fails."""
-        found = Ended([], [])
+        found = ChainEnd([], [])
         self._forget(jid)
         ends = [(jid, served)]
         while ends:
@@ -106,14 +106,14 @@
                     del self._children[parent]
 
 
-def edges_of(given: object, default: object) -> list[Edge]:
+def parse_edges(given: object, default: object) -> list[Edge]:
     """The edges that a job names: jids, or objects with ``jid`` and ``on_failure``; raises ``ValueError``."""
     try:
         kind = OnFailure(default) if default is not None else OnFailure.FAIL
         if given is None:
             return []
-        if not isinstance(given, list) or len(given) > PARENTS_MOST:
-            raise ValueError(f"after is no list of at most {PARENTS_MOST} jids")
+        if not isinstance(given, list) or len(given) > MAX_PARENTS:
+            raise ValueError(f"after is no list of at most {MAX_PARENTS} jids")
         edges = []
         for each in given:
             if isinstance(each, str):
--- a/heronlug/storage/memory.py
+++ b/heronlug/storage/memory.py
@@ -1,36 +1,36 @@
-"""Nothing lasts: the same calls, done at once."""
+"""A store that stores nothing, for dispatchers whose requests need not survive a restart."""
 
 from collections.abc import Iterable
 
-from heronlug.storage.model import Done, Kept
+from heronlug.storage.model import DurabilityCallback, StoredRequest
 
 
 class MemoryStore:
-    """Keeps nothing that its process does not keep itself."""
+    """Stores nothing; every callback is called at once."""
 
-    lasts = False
+    is_durable = False
 
-    def load(self) -> Iterable[Kept]:
-        """Nothing."""
+    def load(self) -> Iterable[StoredRequest]:
+        """There is nothing stored."""
         return ()
 
-    def accept(self, job: Kept, done: Done) -> None:
-        """Done."""
+    def accept(self, request: StoredRequest, done: DurabilityCallback) -> None:
+        """Call back at once."""
         done("")
 
-    def deliver(self, jid: str, at: float, done: Done) -> None:
-        """Done."""
+    def deliver(self, jid: str, at: float, done: DurabilityCallback) -> None:
+        """Call back at once."""
         done("")
 
-    def end(self, jid: str, final: str, at: float) -> None:
-        """Nothing to do."""
+    def record_final_state(self, jid: str, final: str, at: float) -> None:
+        """Do nothing."""
 
     def forget(self, jid: str) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
-    def after(self, done: Done) -> None:
-        """Done."""
+    def when_durable(self, done: DurabilityCallback) -> None:
+        """Call back at once."""
         done("")
 
     def close(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
--- a/heronlug/storage/model.py
+++ b/heronlug/storage/model.py
@@ -1,6 +1,7 @@
-"""What is kept of an accepted job, and what becomes of it after a restart.  No I/O, no clock.
+"""What is stored of an accepted request, and what becomes of it after a restart. No I/O, no clock.
 
-Times are Unix milliseconds: they have to mean the same to the next process.
+Times are Unix milliseconds, since they have to mean the same to the next process. Requests come from Faktory clients,
+whose word for them is job and for their id jid.
 """
 
 from collections.abc import Callable, Iterable
@@ -9,100 +10,141 @@
 
 from heronlug.balancer.settings import Effect, RequestClass
 
-Done = Callable[[str], None]  # told why it could not be kept, or nothing once it is on the disk
+DurabilityCallback = Callable[[str], None]
+"""Called with an empty text once something is durable, or with the reason why it could not be stored."""
 
 
-class Final(str, Enum):
-    """How a job ended; the words are the core's."""
+class FinalState(str, Enum):
+    """How a request ended; the values are those of :class:`heronlug.requests.model.FinalAnswer`."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
 
 
-class Kept(NamedTuple):
-    """One job."""
+class StoredRequest(NamedTuple):
+    """What is stored of a request.
+
+    Attributes:
+        jid: its id.
+        class_name: of its request class.
+        queue: that it was pushed to.
+        job: as it was pushed, in JSON; empty once it has ended.
+        accepted_at: when it was accepted.
+        time_allowed_ms: from its acceptance or from ``not_before``.
+        not_before: when it may start; 0: at once.
+        first_delivered_at: when it first went to a worker; 0: never.
+        final_state: how it ended; empty: it has not.
+        ended_at: when it ended.
+    """
 
     jid: str
-    lane: str
+    class_name: str
     queue: str
-    table: bytes  # as it was pushed, JSON; empty once it has ended
+    job: bytes
     accepted_at: float
-    remaining: float  # ms that it may take, from acceptance or from ``due``
-    due: float = 0.0  # not before this
-    delivered_at: float = 0.0  # first, to a worker; 0: never
-    final: str = ""
+    time_allowed_ms: float
+    not_before: float = 0.0
+    first_delivered_at: float = 0.0
+    final_state: str = ""
     ended_at: float = 0.0
 
     @property
     def chained(self) -> bool:
-        """Whether it names others that it waits for."""
-        return b'"after"' in self.table
+        """Whether it names requests that it waits for."""
+        return b'"after"' in self.job
 
 
 class Store(Protocol):
-    """Where jobs are kept.  Each call returns at once; ``done`` is called on the loop when it is durable, or is not."""
+    """Where requests are stored.
+
+    Each call returns at once; its callback is called on the event loop when the change is durable or has failed.
+    """
 
     @property
-    def lasts(self) -> bool:
+    def is_durable(self) -> bool:
         """Whether it outlasts the process."""
 
-    def load(self) -> Iterable[Kept]:
-        """All that is kept, once, at the start."""
+    def load(self) -> Iterable[StoredRequest]:
+        """All that is stored; called once, at the start."""
 
-    def accept(self, job: Kept, done: Done) -> None:
-        """A job is taken in."""
+    def accept(self, request: StoredRequest, done: DurabilityCallback) -> None:
+        """Store a request that is about to be accepted."""
 
-    def deliver(self, jid: str, at: float, done: Done) -> None:
-        """A job is about to be given to a worker."""
+    def deliver(self, jid: str, at: float, done: DurabilityCallback) -> None:
+        """Store that a request is about to be given to a worker."""
 
-    def end(self, jid: str, final: str, at: float) -> None:
-        """A job has its final outcome; kept trying for until it is durable."""
+    def record_final_state(self, jid: str, final: str, at: float) -> None:
+        """Store how a request ended; retried until it is durable."""
 
     def forget(self, jid: str) -> None:
-        """A job is not known any more."""
+        """Delete a request."""
 
-    def after(self, done: Done) -> None:
-        """Call when all before this is durable."""
+    def when_durable(self, done: DurabilityCallback) -> None:
+        """Call back when all changes before this one are durable."""
 
     def close(self) -> None:
-        """Write what is open, and end."""
+        """Write what is outstanding, and release the file."""
 
 
-class Way(Enum):
-    """What to do with a kept job after a restart."""
+class RecoveryAction(Enum):
+    """What to do with a stored request after a restart; the values are counted in the log.
+
+    Attributes:
+        REMEMBER: it has ended; its jid stays known.
+        RESTART: it goes on as if it had just been accepted.
+        SCHEDULE: it may not start yet.
+        REJECT: it never ran, and its time is over.
+        FAIL: it may have run and must not run again, or its time is over.
+        FORGET: it ended so long ago that its jid need not be known.
+    """
 
-    KNOWN = "known"  # it has ended: its jid is remembered
-    AGAIN = "again"  # it goes on as if just accepted
-    LATER = "later"  # its time has not come
-    REFUSED = "refused"  # it never ran, and its time is over
-    FAILED = "failed"  # it may have run and must not again, or its time is over
-    FORGET = "forget"  # it ended so long ago that its jid need not be known
+    REMEMBER = "known"
+    RESTART = "again"
+    SCHEDULE = "later"
+    REJECT = "refused"
+    FAIL = "failed"
+    FORGET = "forget"
 
 
-def settle(job: Kept, lane: RequestClass | None, now: float, remember: float) -> Way:
-    """What becomes of a kept job: by its class, where it had been delivered.
+def recovery_action(
+    request: StoredRequest, policy: RequestClass | None, now: float, remember_ms: float
+) -> RecoveryAction:
+    """What becomes of a stored request after a restart.
 
-    ``lane`` is None for a class that the settings do not have any more: what has not ended cannot be run.
+    Args:
+        request: the request.
+        policy: its class; None: the settings do not have it any more, so that the request cannot run.
+        now: the time.
+        remember_ms: how long the jid of an ended request stays known.
     """
-    if job.final:
-        return Way.FORGET if now - job.ended_at > remember else Way.KNOWN
-    if lane is None:
-        return Way.FAILED if job.delivered_at else Way.REFUSED
-    if job.delivered_at:
-        if lane.effect is Effect.NON_IDEMPOTENT:
-            return Way.FAILED
-        if lane.effect is Effect.IDEMPOTENT_BY_KEY and now - job.delivered_at >= lane.repeat_window:
-            return Way.FAILED
-        return Way.AGAIN if left(job, now) > 0 else Way.FAILED
-    if job.due > now:
-        return Way.LATER
-    # a job in a chain counts its time from its release, and when that was is not kept: it has all of it again
-    return Way.AGAIN if job.chained or left(job, now) > 0 else Way.REFUSED
-
-
-def left(job: Kept, now: float) -> float:
-    """Milliseconds that it has left; a clock that went back does not give it more than it had."""
-    if job.chained:
-        return job.remaining
-    return min(job.remaining, max(job.accepted_at, job.due) + job.remaining - now)
+    if request.final_state:
+        forgotten = now - request.ended_at > remember_ms
+        return RecoveryAction.FORGET if forgotten else RecoveryAction.REMEMBER
+    if policy is None:
+        return RecoveryAction.FAIL if request.first_delivered_at else RecoveryAction.REJECT
+    if request.first_delivered_at:
+        return _action_after_delivery(request, policy, now)
+    if request.not_before > now:
+        return RecoveryAction.SCHEDULE
+    # The time of a request in a chain counts from its release, which is not stored: it has all of it again.
+    may_start = request.chained or remaining_ms(request, now) > 0
+    return RecoveryAction.RESTART if may_start else RecoveryAction.REJECT
+
+
+def _action_after_delivery(request: StoredRequest, policy: RequestClass, now: float) -> RecoveryAction:
+    """What becomes of a request that may have run: it runs again only if its effect allows that."""
+    if policy.effect is Effect.NON_IDEMPOTENT:
+        return RecoveryAction.FAIL
+    key_expired = now - request.first_delivered_at >= policy.repeat_window
+    if policy.effect is Effect.IDEMPOTENT_BY_KEY and key_expired:
+        return RecoveryAction.FAIL
+    return RecoveryAction.RESTART if remaining_ms(request, now) > 0 else RecoveryAction.FAIL
+
+
+def remaining_ms(request: StoredRequest, now: float) -> float:
+    """The time that a request has left; a clock that went back does not give it more than it had."""
+    allowed = request.time_allowed_ms
+    if request.chained:
+        return allowed
+    return min(allowed, max(request.accepted_at, request.not_before) + allowed - now)
--- a/heronlug/storage/sqlite.py
+++ b/heronlug/storage/sqlite.py
@@ -1,8 +1,9 @@
-"""Accepted work in SQLite: a write-ahead log, full synchronisation, and group commit in a thread of its own.
+"""Stores accepted requests in SQLite: a write-ahead log, full synchronisation, and group commit in a thread of its own.
 
-All that has come while a commit was under way goes into the next one, so one synchronisation of the disk serves many
-jobs, and the loop never waits. One process has the file: another that opens it is told so. What cannot be written is
-told to who asked (so new work is refused), and what must not be forgotten, an outcome, is tried again.
+All changes that come while a commit is under way go into the next one, so that one synchronisation of the disk serves
+many requests and the event loop never waits. One process has the file; another one that opens it gets an error. A
+change that cannot be written is reported to its caller, so that new requests are rejected; a final state, which must
+not be lost, is retried.
 """
 
 import os
@@ -14,11 +15,21 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from heronlug.storage.model import Done, Kept
-
-FORMAT = 1
-RETRY = 0.5  # s, when an outcome could not be written
-MOST = 4096  # operations in one commit
+from heronlug.requests.interfaces import EventLog
+from heronlug.storage.model import DurabilityCallback, StoredRequest
+
+FORMAT_VERSION = 1
+"""The ``user_version`` of the file."""
+RETRY_DELAY_S = 0.5
+"""How long to wait before a commit that failed is retried."""
+MAX_COMMIT_OPERATIONS = 4096
+"""Operations in one commit at most."""
+CLOSE_TIMEOUT_S = 10
+"""How long closing waits for the last commits."""
+BUSY_TIMEOUT_S = 0.2
+"""How long SQLite waits for a file that another process has."""
+EXIT_STATUS_KILLED = 137
+"""The exit status of an injected fault, that of a killed process."""
 SCHEMA = """
 create table if not exists jobs (
     jid text primary key, lane text not null, queue text not null, job blob not null, accepted_at real not null,
@@ -30,20 +41,52 @@
 DELIVER = "update jobs set delivered_at = ? where jid = ? and delivered_at = 0"
 END = "update jobs set final = ?, ended_at = ?, job = x'' where jid = ? and final = ''"
 FORGET = "delete from jobs where jid = ?"
-FAULT = "HERONLUG_STORE_FAULT"  # for tests: KIND:NUMBER:before or after ends the process round that commit
+FAULT_VARIABLE = "HERONLUG_STORE_FAULT"
+"""For tests: ``KIND:NUMBER:before`` or ``after`` ends the process around the commit of that operation."""
 
 
 class StoreError(ValueError):
-    """The file cannot be used; says why."""
+    """The file cannot be used; the text says why."""
+
+
+class FileSizes(NamedTuple):
+    """The size of a file in bytes before and after it was compacted."""
 
+    before: int
+    after: int
 
-class _Op(NamedTuple):
-    """One thing to write."""
+
+class _Operation(NamedTuple):
+    """A change to write; ``done`` is None for one that is retried until it is durable."""
 
     kind: str
     sql: str
     values: tuple[Any, ...]
-    done: Done | None
+    done: DurabilityCallback | None
+
+
+class _InjectedFault:
+    """Ends the process at a commit, for tests of what a kill leaves behind."""
+
+    def __init__(self, kind: str, countdown: int, moment: str) -> None:
+        self._kind, self._countdown, self._moment = kind, countdown, moment
+
+    @classmethod
+    def from_environment(cls) -> "_InjectedFault | None":
+        """The fault that the environment asks for."""
+        text = os.environ.get(FAULT_VARIABLE, "")
+        if not text:
+            return None
+        kind, countdown, moment = text.split(":")
+        return cls(kind, int(countdown), moment)
+
+    def check(self, batch: list[_Operation], moment: str) -> None:
+        """End the process if this is the commit, before or after it, that the fault is for."""
+        if moment != self._moment:
+            return
+        self._countdown -= sum(operation.kind == self._kind for operation in batch)
+        if self._countdown <= 0:
+            os._exit(EXIT_STATUS_KILLED)
 
 
 def connect(path: Path, create: bool = True) -> sqlite3.Connection:
@@ -51,177 +94,199 @@
     if not create and not path.is_file():
         raise StoreError(f"{path}: there is no such store")
     try:
-        db = sqlite3.connect(path, timeout=0.2, isolation_level=None, check_same_thread=False)
+        connection = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False)
     except sqlite3.Error as error:
-        raise StoreError(f"{path}: {error}") from None
+        raise StoreError(f"{path}: {error}") from error
     try:
-        db.execute("pragma locking_mode = exclusive")
-        db.execute("pragma journal_mode = wal")
-        db.execute("pragma synchronous = full")
-        found = db.execute("pragma user_version").fetchone()[0]
-        if found not in (0, FORMAT):
-            raise StoreError(f"{path}: a store of format {found}, this program has {FORMAT}")
-        wrong = db.execute("pragma quick_check(5)").fetchall()
-        if wrong != [("ok",)]:
-            raise StoreError(f"{path}: damaged: {'; '.join(str(row[0]) for row in wrong)}")
-        db.execute("begin immediate")  # from here on nobody else may write
-        db.execute(SCHEMA)
-        db.execute(f"pragma user_version = {FORMAT}")
-        db.execute("commit")
+        _prepare(connection, path)
     except sqlite3.Error as error:
-        db.close()
+        connection.close()
         locked = "locked" in str(error)
-        raise StoreError(f"{path}: {'another process has it' if locked else error}") from None
+        raise StoreError(f"{path}: {'another process has it' if locked else error}") from error
     except StoreError:
-        db.close()
+        connection.close()
         raise
-    return db
-
-
-def rows(db: sqlite3.Connection) -> Iterator[Kept]:
-    """All jobs; raises :class:`StoreError`."""
+    return connection
+
+
+def _prepare(connection: sqlite3.Connection, path: Path) -> None:
+    """Lock a store, check it, and create its table if it has none."""
+    connection.execute("pragma locking_mode = exclusive")
+    connection.execute("pragma journal_mode = wal")
+    connection.execute("pragma synchronous = full")
+    version = connection.execute("pragma user_version").fetchone()[0]
+    if version not in (0, FORMAT_VERSION):
+        raise StoreError(f"{path}: a store of format {version}, this program has {FORMAT_VERSION}")
+    problems = connection.execute("pragma quick_check(5)").fetchall()
+    if problems != [("ok",)]:
+        raise StoreError(f"{path}: damaged: {'; '.join(str(row[0]) for row in problems)}")
+    connection.execute("begin immediate")  # from here on no other process may write
+    connection.execute(SCHEMA)
+    connection.execute(f"pragma user_version = {FORMAT_VERSION}")
+    connection.execute("commit")
+
+
+def read_requests(connection: sqlite3.Connection) -> Iterator[StoredRequest]:
+    """All stored requests; raises :class:`StoreError`."""
     try:
-        yield from (Kept(*row) for row in db.execute(SELECT))
+        yield from (StoredRequest(*row) for row in connection.execute(SELECT))
     except sqlite3.Error as error:
-        raise StoreError(str(error)) from None
+        raise StoreError(str(error)) from error
 
 
 class SqliteStore:
-    """One file."""
-
-    lasts = True
-
-    def __init__(self, path: Path, soon: Callable[[Callable[[], None]], object], log: Callable[..., None]) -> None:
-        """``soon`` calls something on the loop, from any thread; raises :class:`StoreError`."""
-        self._db, self._soon, self._log = connect(path), soon, log
-        self._ops: deque[_Op] = deque()
+    """A store in a file; see :class:`heronlug.storage.model.Store`.
+
+    Attributes:
+        commits: that were made.
+        written: operations in them.
+        failures: commits that failed.
+    """
+
+    is_durable = True
+
+    def __init__(self, path: Path, call_soon: Callable[[Callable[[], None]], object], log: EventLog) -> None:
+        """Open the file and start the thread that writes; raises :class:`StoreError`.
+
+        Args:
+            path: of the file.
+            call_soon: makes a call on the event loop, from any thread.
+            log: where failures are logged.
+        """
+        self._connection = connect(path)
+        self._call_soon, self._log = call_soon, log
+        self._operations: deque[_Operation] = deque()
         self._wake = threading.Condition()
         self._closing = False
         self._failing = False
-        self._fault = _fault()
-        self.commits = self.written = self.failures = 0
+        self._fault = _InjectedFault.from_environment()
+        self.commits = 0
+        self.written = 0
+        self.failures = 0
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
-    def load(self) -> Iterable[Kept]:
-        """All that is kept."""
-        return list(rows(self._db))
+    def load(self) -> Iterable[StoredRequest]:
+        """All that is stored."""
+        return list(read_requests(self._connection))
 
-    def accept(self, job: Kept, done: Done) -> None:
-        """A job is taken in."""
-        self._put(_Op("accept", INSERT, tuple(job), done))
+    def accept(self, request: StoredRequest, done: DurabilityCallback) -> None:
+        """Store a request that is about to be accepted."""
+        self._put(_Operation("accept", INSERT, tuple(request), done))
 
-    def deliver(self, jid: str, at: float, done: Done) -> None:
-        """A job is about to be given to a worker."""
-        self._put(_Op("deliver", DELIVER, (at, jid), done))
+    def deliver(self, jid: str, at: float, done: DurabilityCallback) -> None:
+        """Store that a request is about to be given to a worker."""
+        self._put(_Operation("deliver", DELIVER, (at, jid), done))
 
-    def end(self, jid: str, final: str, at: float) -> None:
-        """A job has its final outcome."""
-        self._put(_Op("end", END, (final, at, jid), None))
+    def record_final_state(self, jid: str, final: str, at: float) -> None:
+        """Store how a request ended."""
+        self._put(_Operation("end", END, (final, at, jid), None))
 
     def forget(self, jid: str) -> None:
-        """A job is not known any more."""
-        self._put(_Op("forget", FORGET, (jid,), None))
+        """Delete a request."""
+        self._put(_Operation("forget", FORGET, (jid,), None))
 
-    def after(self, done: Done) -> None:
-        """Call when all before this is durable."""
-        self._put(_Op("after", "", (), done))
+    def when_durable(self, done: DurabilityCallback) -> None:
+        """Call back when all changes before this one are durable."""
+        self._put(_Operation("after", "", (), done))
 
     def close(self) -> None:
-        """Write what is open, and end."""
+        """Write what is outstanding, and release the file."""
         with self._wake:
             self._closing = True
             self._wake.notify()
-        self._thread.join(10)
-        self._db.close()
-
-    # -- inside
+        self._thread.join(CLOSE_TIMEOUT_S)
+        self._connection.close()
 
-    def _put(self, op: _Op) -> None:
+    def _put(self, operation: _Operation) -> None:
         with self._wake:
-            self._ops.append(op)
+            self._operations.append(operation)
             self._wake.notify()
 
+    # -- in the thread
+
     def _run(self) -> None:
-        while True:
-            with self._wake:
-                while not self._ops and not self._closing:
-                    self._wake.wait()
-                if not self._ops:
-                    return
-                batch = [self._ops.popleft() for _ in range(min(MOST, len(self._ops)))]
-            why = self._write(batch)
-            if why and not self._failing:
-                self._log("store_failed", error=why)
-            elif not why and self._failing:
-                self._log("store_well")
-            self._failing = bool(why)
-            again = [op for op in batch if why and op.done is None]
-            told = [op.done for op in batch if op.done is not None]
-            if told:
-                self._soon(partial(_tell, told, why))
-            if again:
-                with self._wake:
-                    if self._closing:
-                        self._log("store_lost", operations=len(again))
-                        return
-                    self._ops.extendleft(reversed(again))
-                    self._wake.wait(RETRY)
-
-    def _write(self, batch: list[_Op]) -> str:
-        """One commit; why it could not be made, or nothing."""
+        while batch := self._next_batch():
+            error = self._write(batch)
+            self._log_health(error)
+            callbacks = [operation.done for operation in batch if operation.done is not None]
+            if callbacks:
+                self._call_soon(partial(_call_all, callbacks, error))
+            unwritten = [operation for operation in batch if error and operation.done is None]
+            if unwritten and not self._retry_later(unwritten):
+                return
+
+    def _next_batch(self) -> list[_Operation]:
+        """Wait for operations; none once the store is closing and all are written."""
+        with self._wake:
+            while not self._operations and not self._closing:
+                self._wake.wait()
+            count = min(MAX_COMMIT_OPERATIONS, len(self._operations))
+            return [self._operations.popleft() for _ in range(count)]
+
+    def _write(self, batch: list[_Operation]) -> str:
+        """Make one commit; returns why it could not be made, or an empty text."""
         try:
-            self._db.execute("begin immediate")
-            for op in batch:
-                if op.sql:
-                    self._db.execute(op.sql, op.values)
-            self._hit(batch, "before")
-            self._db.execute("commit")
-            self._hit(batch, "after")
+            self._connection.execute("begin immediate")
+            for operation in batch:
+                if operation.sql:
+                    self._connection.execute(operation.sql, operation.values)
+            self._check_fault(batch, "before")
+            self._connection.execute("commit")
+            self._check_fault(batch, "after")
         except sqlite3.Error as error:
             self.failures += 1
-            if self._db.in_transaction:
-                try:
-                    self._db.execute("rollback")
-                except sqlite3.Error as second:
-                    self._log("store_failed", error=f"rollback: {second}")
+            self._roll_back()
             return str(error) or type(error).__name__
         self.commits += 1
         self.written += len(batch)
         return ""
 
-    def _hit(self, batch: list[_Op], when: str) -> None:
-        if self._fault is not None:
-            kind, left, at = self._fault
-            if at == when:
-                left -= sum(op.kind == kind for op in batch)
-                self._fault = kind, left, at
-                if left <= 0:
-                    os._exit(137)  # as if killed at this very moment
-
+    def _roll_back(self) -> None:
+        if not self._connection.in_transaction:
+            return
+        try:
+            self._connection.execute("rollback")
+        except sqlite3.Error as error:
+            self._log("store_failed", error=f"rollback: {error}")
 
-def _tell(told: list[Done], why: str) -> None:
-    for done in told:
-        done(why)
+    def _check_fault(self, batch: list[_Operation], moment: str) -> None:
+        if self._fault is not None:
+            self._fault.check(batch, moment)
+
+    def _log_health(self, error: str) -> None:
+        """Log when commits begin to fail, and when they succeed again."""
+        if error and not self._failing:
+            self._log("store_failed", error=error)
+        elif not error and self._failing:
+            self._log("store_well")
+        self._failing = bool(error)
+
+    def _retry_later(self, unwritten: list[_Operation]) -> bool:
+        """Put operations back and wait; False if the store is closing, so that they are lost."""
+        with self._wake:
+            if self._closing:
+                self._log("store_lost", operations=len(unwritten))
+                return False
+            self._operations.extendleft(reversed(unwritten))
+            self._wake.wait(RETRY_DELAY_S)
+            return True
 
 
-def _fault() -> tuple[str, int, str] | None:
-    text = os.environ.get(FAULT, "")
-    if not text:
-        return None
-    kind, number, when = text.split(":")
-    return kind, int(number), when
+def _call_all(callbacks: list[DurabilityCallback], error: str) -> None:
+    for done in callbacks:
+        done(error)
 
 
-def compact(path: Path) -> tuple[int, int]:
-    """Give free pages back; the file's size before and after in bytes.  Raises :class:`StoreError`."""
-    db = connect(path, create=False)
+def compact(path: Path) -> FileSizes:
+    """Give free pages of the file back; raises :class:`StoreError`."""
+    connection = connect(path, create=False)
     try:
         before = path.stat().st_size
-        db.execute("vacuum")
-        db.execute("pragma wal_checkpoint(truncate)")
-        return before, path.stat().st_size
+        connection.execute("vacuum")
+        connection.execute("pragma wal_checkpoint(truncate)")
+        return FileSizes(before, path.stat().st_size)
     except sqlite3.Error as error:
-        raise StoreError(f"{path}: {error}") from None
+        raise StoreError(f"{path}: {error}") from error
     finally:
-        db.close()
+        connection.close()
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -61,7 +61,7 @@
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.model import ListedServer, Workload
-from heronlug.storage.model import Kept
+from heronlug.storage.model import StoredRequest
 from heronlug.storage.sqlite import SqliteStore
 
 DATA = Path(__file__).parent / "data"
@@ -118,9 +118,9 @@
 KEYS = {3: b"the key of the recorded datagrams", 4: b"another key"}
 ROWS = {b"key-%02d" % number: b"value of row %d" % number for number in range(24)}
 JOBS = [
-    Kept("jid-1", "safe", "default", b'{"jid":"jid-1"}', 1000.5, 800.0),
-    Kept("jid-2", "once", "mail", b'{"jid":"jid-2","after":["jid-1"]}', 1001.0, 900.0, 5000.0, 1100.0),
-    Kept("jid-3", "safe", "default", b"", 1002.0, 700.0, 0.0, 1200.0, "served", 1300.0),
+    StoredRequest("jid-1", "safe", "default", b'{"jid":"jid-1"}', 1000.5, 800.0),
+    StoredRequest("jid-2", "once", "mail", b'{"jid":"jid-2","after":["jid-1"]}', 1001.0, 900.0, 5000.0, 1100.0),
+    StoredRequest("jid-3", "safe", "default", b"", 1002.0, 700.0, 0.0, 1200.0, "served", 1300.0),
 ]
 
 
@@ -243,11 +243,13 @@
     """A store with three requests: one accepted, one delivered, one served."""
     store = SqliteStore(path, lambda call: call(), MagicMock())
     for job in JOBS:
-        store.accept(job._replace(table=job.table or b"{}", delivered_at=0.0, final="", ended_at=0.0), MagicMock())
-        if job.delivered_at:
-            store.deliver(job.jid, job.delivered_at, MagicMock())
-        if job.final:
-            store.end(job.jid, job.final, job.ended_at)
+        store.accept(
+            job._replace(job=job.job or b"{}", first_delivered_at=0.0, final_state="", ended_at=0.0), MagicMock()
+        )
+        if job.first_delivered_at:
+            store.deliver(job.jid, job.first_delivered_at, MagicMock())
+        if job.final_state:
+            store.record_final_state(job.jid, job.final_state, job.ended_at)
     store.close()
 
 
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -53,8 +53,8 @@
 from heronlug.lifecycle.hot_restart.channel import listen, socket_path
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.deadlines import Deadlines
-from heronlug.storage.model import Final
-from heronlug.storage.sqlite import connect, rows
+from heronlug.storage.model import FinalState
+from heronlug.storage.sqlite import connect, read_requests
 
 SECOND_SERVER = 494609309  # the number of "server-2" at every dispatcher
 JOBS_TABLE = (
@@ -367,13 +367,13 @@
     path = Path(shutil.copy(DATA / "store.sqlite", tmp_path))
     database = connect(path, create=False)
     try:
-        assert list(rows(database)) == JOBS
+        assert list(read_requests(database)) == JOBS
     finally:
         database.close()
 
 
 def test_outcomes_are_stored_in_these_words() -> None:
-    assert [outcome.value for outcome in Final] == ["served", "refused", "failed"]
+    assert [outcome.value for outcome in FinalState] == ["served", "refused", "failed"]
 
 
 def test_new_store_has_the_recorded_schema_and_rows(tmp_path: Path) -> None:
--- a/tests/scheduling/test_chains.py
+++ b/tests/scheduling/test_chains.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.scheduling.chains import Chains, Edge, OnFailure, Start, edges_of
+from heronlug.scheduling.chains import ChainState, Edge, OnFailure, RequestChains, parse_edges
 
 GRAPH = st.lists(
     st.lists(st.tuples(st.integers(0, 30), st.sampled_from(OnFailure)), max_size=4), min_size=1, max_size=25
@@ -15,7 +15,7 @@
 def test_what_follows_from_ends_is_what_a_plain_look_at_the_graph_gives(
     graph: list[list[tuple[int, OnFailure]]], ends: list[tuple[int, bool]]
 ) -> None:
-    chains = Chains()
+    chains = RequestChains()
     edges: list[list[tuple[int, OnFailure]]] = []
     state: dict[int, str] = {}  # ready, waits, served, failed
 
@@ -40,7 +40,7 @@
         before = dict(state)
         state[number] = "served" if served else "failed"
         settle()
-        found = chains.ended(f"j{number}", served)
+        found = chains.request_ended(f"j{number}", served)
         changed = {n: now for n, now in state.items() if now != before[n] and n != number}
         assert sorted(found.released) == sorted(f"j{n}" for n, now in changed.items() if now == "ready")
         assert sorted(found.failed) == sorted(f"j{n}" for n, now in changed.items() if now == "failed")
@@ -68,38 +68,38 @@
 
 
 def test_a_diamond() -> None:
-    chains = Chains()
-    assert chains.add("top", [], []) is Start.READY
+    chains = RequestChains()
+    assert chains.add("top", [], []) is ChainState.READY
     for side in ("left", "right"):
-        assert chains.add(side, [Edge("top")], []) is Start.WAITS
-    assert chains.add("bottom", [Edge("left"), Edge("right", OnFailure.RELEASE)], []) is Start.WAITS
-    assert chains.ended("top", True).released == ["left", "right"]
-    assert chains.ended("right", False) == ([], [])
+        assert chains.add(side, [Edge("top")], []) is ChainState.WAITS
+    assert chains.add("bottom", [Edge("left"), Edge("right", OnFailure.RELEASE)], []) is ChainState.WAITS
+    assert chains.request_ended("top", True).released == ["left", "right"]
+    assert chains.request_ended("right", False) == ([], [])
     assert chains.parents("bottom") == ["left"]
-    assert chains.ended("left", True).released == ["bottom"] and not len(chains)
+    assert chains.request_ended("left", True).released == ["bottom"] and not len(chains)
 
 
 def test_a_chain_a_thousand_deep_fails_at_once_and_one_that_is_cancelled_fails_what_follows() -> None:
-    chains = Chains()
+    chains = RequestChains()
     chains.add("j0", [], [])
     for number in range(1, 1000):
         chains.add(f"j{number}", [Edge(f"j{number - 1}")], [])
-    assert len(chains.ended("j500", False).failed) == 499  # cancelled while it waited
-    assert chains.ended("j0", False).failed == [f"j{n}" for n in range(1, 500)]
+    assert len(chains.request_ended("j500", False).failed) == 499  # cancelled while it waited
+    assert chains.request_ended("j0", False).failed == [f"j{n}" for n in range(1, 500)]
     assert not len(chains)
 
 
 def test_of_two_edges_to_one_parent_the_stricter_holds() -> None:
     for edges in ([Edge("p", OnFailure.RELEASE), Edge("p")], [Edge("p"), Edge("p", OnFailure.RELEASE)]):
-        chains = Chains()
+        chains = RequestChains()
         chains.add("c", edges, [])
-        assert chains.ended("p", False).failed == ["c"]
+        assert chains.request_ended("p", False).failed == ["c"]
 
 
 def test_edges_as_they_are_given() -> None:
-    assert edges_of(None, None) == []
-    assert edges_of(["a", {"jid": "b", "on_failure": "release"}], None) == [Edge("a"), Edge("b", OnFailure.RELEASE)]
-    assert edges_of(["a", {"jid": "b"}], "release") == [Edge("a", OnFailure.RELEASE), Edge("b", OnFailure.RELEASE)]
+    assert parse_edges(None, None) == []
+    assert parse_edges(["a", {"jid": "b", "on_failure": "release"}], None) == [Edge("a"), Edge("b", OnFailure.RELEASE)]
+    assert parse_edges(["a", {"jid": "b"}], "release") == [Edge("a", OnFailure.RELEASE), Edge("b", OnFailure.RELEASE)]
     broken: list[tuple[object, object, str]] = [
         ("a", None, "no list"),
         ([1], None, "no jid"),
@@ -109,4 +109,4 @@
     ]
     for given_, default, why in broken:
         with pytest.raises(ValueError, match=why):
-            edges_of(given_, default)
+            parse_edges(given_, default)
--- a/tests/storage/test_kills.py
+++ b/tests/storage/test_kills.py
@@ -58,7 +58,7 @@
         return f"jid-{number - 1:06}" if number % 4 == 3 else ""
 
     def start(self, fault: str = "") -> None:
-        environ = {**os.environ, sqlite.FAULT: fault}
+        environ = {**os.environ, sqlite.FAULT_VARIABLE: fault}
         with (self.folder / "log").open("ab") as log:
             words = [sys.executable, "-m", "heronlug", "serve", str(self.folder / "site.toml")]
             self.program = subprocess.Popen(words, stdout=log, stderr=log, env=environ)
@@ -143,22 +143,22 @@
 
 def check(play: Play) -> None:
     db = sqlite.connect(play.folder / "jobs.sqlite")
-    kept = {job.jid: job for job in sqlite.rows(db)}
+    kept = {job.jid: job for job in sqlite.read_requests(db)}
     db.close()
     assert play.accepted <= kept.keys()  # no orphan
-    assert all(kept[jid].final for jid in play.accepted), "a job without an outcome"
+    assert all(kept[jid].final_state for jid in play.accepted), "a job without an outcome"
     for jid, parent in play.early:  # the worker's connection may have gone before it heard that its ACK was taken
-        assert kept[parent].final == "served", f"{jid} was given out, and {parent} has {kept[parent].final}"
+        assert kept[parent].final_state == "served", f"{jid} was given out, and {parent} has {kept[parent].final_state}"
     for jid in play.accepted:
-        if (parent := play.parent(jid)) and kept[parent].final != "served":
-            assert kept[jid].final != "served", f"{jid} was served, and {parent} was not"
+        if (parent := play.parent(jid)) and kept[parent].final_state != "served":
+            assert kept[jid].final_state != "served", f"{jid} was served, and {parent} was not"
     for jid, times in play.given.items():
         if play.lane(jid) == "once":
             assert times == 1, f"{jid} was given out {times} times"
         if jid in play.acknowledged:
-            assert kept[jid].final == "served", f"{jid} was acknowledged and has {kept[jid].final}"
+            assert kept[jid].final_state == "served", f"{jid} was acknowledged and has {kept[jid].final_state}"
             assert play.given_in[jid] <= play.acknowledged[jid], f"{jid} was given out again after a restart"
-    assert sum(job.final == "served" for job in kept.values()) > JOBS / 2
+    assert sum(job.final_state == "served" for job in kept.values()) > JOBS / 2
     assert sum(bool(play.parent(jid)) for jid in play.accepted) > JOBS / 8
     text = (play.folder / "log").read_text()
     assert '"exception"' not in text and "Traceback" not in text, text[-3000:]
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -7,48 +7,58 @@
 
 from heronlug.balancer.settings import Effect, RequestClass
 from heronlug.cli import group
-from heronlug.storage.model import Kept, Way, settle
+from heronlug.storage.model import RecoveryAction, StoredRequest, recovery_action
 from heronlug.storage.sqlite import SqliteStore, StoreError, connect
 
 ONCE = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.NON_IDEMPOTENT)
 KEYED = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT_BY_KEY, repeat_window=500.0)
 SAFE = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT)
-NEW = Kept("jid-00001", "c", "default", b"{}", 1000.0, 800.0)
+NEW = StoredRequest("jid-00001", "c", "default", b"{}", 1000.0, 800.0)
 
 
 @pytest.mark.parametrize(
-    ("job", "lane", "now", "way"),
+    ("request_", "policy", "now", "action"),
     [
-        (NEW, ONCE, 1100.0, Way.AGAIN),
-        (NEW, ONCE, 1900.0, Way.REFUSED),  # it never ran
-        (NEW, None, 1100.0, Way.REFUSED),
-        (NEW._replace(due=5000.0), ONCE, 1900.0, Way.LATER),
-        (NEW._replace(due=5000.0), ONCE, 5100.0, Way.AGAIN),
-        (NEW._replace(due=5000.0), ONCE, 5900.0, Way.REFUSED),
-        (NEW._replace(delivered_at=1050.0), ONCE, 1100.0, Way.FAILED),
-        (NEW._replace(delivered_at=1050.0), SAFE, 1100.0, Way.AGAIN),
-        (NEW._replace(delivered_at=1050.0), SAFE, 1900.0, Way.FAILED),
-        (NEW._replace(delivered_at=1050.0), KEYED, 1500.0, Way.AGAIN),
-        (NEW._replace(delivered_at=1050.0), KEYED, 1600.0, Way.FAILED),  # the hosts have forgotten its key
-        (NEW._replace(delivered_at=1050.0), None, 1100.0, Way.FAILED),
-        (NEW, SAFE, 0.0, Way.AGAIN),  # the clock went back
-        (NEW._replace(final="served", ended_at=1100.0), ONCE, 1200.0, Way.KNOWN),
-        (NEW._replace(final="served", ended_at=1100.0), ONCE, 9e9, Way.FORGET),
+        (NEW, ONCE, 1100.0, RecoveryAction.RESTART),
+        (NEW, ONCE, 1900.0, RecoveryAction.REJECT),  # it never ran
+        (NEW, None, 1100.0, RecoveryAction.REJECT),
+        (NEW._replace(not_before=5000.0), ONCE, 1900.0, RecoveryAction.SCHEDULE),
+        (NEW._replace(not_before=5000.0), ONCE, 5100.0, RecoveryAction.RESTART),
+        (NEW._replace(not_before=5000.0), ONCE, 5900.0, RecoveryAction.REJECT),
+        (NEW._replace(first_delivered_at=1050.0), ONCE, 1100.0, RecoveryAction.FAIL),
+        (NEW._replace(first_delivered_at=1050.0), SAFE, 1100.0, RecoveryAction.RESTART),
+        (NEW._replace(first_delivered_at=1050.0), SAFE, 1900.0, RecoveryAction.FAIL),
+        (NEW._replace(first_delivered_at=1050.0), KEYED, 1500.0, RecoveryAction.RESTART),
+        (
+            NEW._replace(first_delivered_at=1050.0),
+            KEYED,
+            1600.0,
+            RecoveryAction.FAIL,
+        ),  # the hosts have forgotten its key
+        (NEW._replace(first_delivered_at=1050.0), None, 1100.0, RecoveryAction.FAIL),
+        (NEW, SAFE, 0.0, RecoveryAction.RESTART),  # the clock went back
+        (NEW._replace(final_state="served", ended_at=1100.0), ONCE, 1200.0, RecoveryAction.REMEMBER),
+        (NEW._replace(final_state="served", ended_at=1100.0), ONCE, 9e9, RecoveryAction.FORGET),
     ],
 )
-def test_what_becomes_of_a_kept_job(job: Kept, lane: RequestClass | None, now: float, way: Way) -> None:
-    assert settle(job, lane, now, 10_000.0) is way
+def test_what_becomes_of_a_stored_request(
+    request_: StoredRequest, policy: RequestClass | None, now: float, action: RecoveryAction
+) -> None:
+    assert recovery_action(request_, policy, now, 10_000.0) is action
 
 
-class Opened:
-    """A store, its loop being this thread: what is told waits until it is asked for."""
+class OpenedStore:
+    """A store whose callbacks run in its own thread; keeps what they were called with, and the events logged."""
 
     def __init__(self, path: Path) -> None:
         self.told: list[str] = []
         self.events: list[str] = []
-        self.store = SqliteStore(path, lambda what: what(), lambda event, **more: self.events.append(event))
+        self.store = SqliteStore(path, lambda callback: callback(), self._log)
         self._over = threading.Event()
 
+    def _log(self, event: str, /, **fields: object) -> None:
+        self.events.append(event)
+
     def accept(self, *jids: str) -> list[str]:
         """Accept, wait, and what was told."""
         self.told.clear()
@@ -66,33 +76,33 @@
             why.append(text)
             over.set()
 
-        self.store.after(done)
+        self.store.when_durable(done)
         assert over.wait(20)
         return why[0]
 
 
 def test_what_was_kept_is_there_for_the_next_process(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = Opened(path)
+    one = OpenedStore(path)
     assert one.accept(*(f"jid-{n:05}" for n in range(500))) == [""] * 500
     assert one.store.commits < 400  # many in one
     one.store.deliver("jid-00001", 5.0, one.told.append)
     one.store.deliver("jid-00001", 9.0, one.told.append)
-    one.store.end("jid-00002", "served", 7.0)
-    one.store.end("jid-00002", "failed", 8.0)  # the first outcome stays
+    one.store.record_final_state("jid-00002", "served", 7.0)
+    one.store.record_final_state("jid-00002", "failed", 8.0)  # the first outcome stays
     one.store.forget("jid-00003")
     one.store.close()
-    two = Opened(path)
+    two = OpenedStore(path)
     jobs = {job.jid: job for job in two.store.load()}
     assert len(jobs) == 499 and jobs["jid-00000"] == NEW._replace(jid="jid-00000")
-    assert jobs["jid-00001"].delivered_at == 5.0
-    assert jobs["jid-00002"][-2:] == ("served", 7.0) and jobs["jid-00002"].table == b""
+    assert jobs["jid-00001"].first_delivered_at == 5.0
+    assert jobs["jid-00002"][-2:] == ("served", 7.0) and jobs["jid-00002"].job == b""
     two.store.close()
 
 
 def test_one_process_has_the_file(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = Opened(path)
+    one = OpenedStore(path)
     with pytest.raises(StoreError, match="another process has it"):
         connect(path)
     assert one.accept("jid-00001") == [""]
@@ -101,23 +111,23 @@
 
 def test_a_full_disk_refuses_new_work_and_loses_nothing(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = Opened(path)
+    one = OpenedStore(path)
     one.accept("jid-00001", "jid-00002")
-    pages = one.store._db.execute("pragma page_count").fetchone()[0]
-    one.store._db.execute(f"pragma max_page_count = {pages}")
+    pages = one.store._connection.execute("pragma page_count").fetchone()[0]
+    one.store._connection.execute(f"pragma max_page_count = {pages}")
     told = one.accept(*(f"jid-{n:05}" for n in range(100, 400)))
     assert any("full" in why for why in told) and "store_failed" in one.events
-    one.store._db.execute("pragma max_page_count = 100000")
+    one.store._connection.execute("pragma max_page_count = 100000")
     assert one.accept("jid-90000") == [""] and "store_well" in one.events
     one.store.close()
-    kept = {job.jid for job in Opened(path).store.load()}
+    kept = {job.jid for job in OpenedStore(path).store.load()}
     good = {f"jid-{n:05}" for n, why in zip(range(100, 400), told, strict=True) if not why}
     assert kept == {"jid-00001", "jid-00002", "jid-90000"} | good
 
 
 def test_damage_and_another_format_are_told_and_nothing_is_touched(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = Opened(path)
+    one = OpenedStore(path)
     one.accept(*(f"jid-{n:05}" for n in range(2000)))
     one.store.close()
     data = path.read_bytes()
@@ -139,7 +149,7 @@
 def test_a_write_ahead_log_that_is_cut_anywhere_holds_whole_commits(tmp_path: Path) -> None:
     """What a crash of the machine may leave of the log: after each cut some number of whole commits, in order."""
     path = tmp_path / "jobs.sqlite"
-    one = Opened(path)
+    one = OpenedStore(path)
     for number in range(12):
         assert one.accept(f"a-{number:06}", f"b-{number:06}") == ["", ""]
     wal = Path(f"{path}-wal").read_bytes()
@@ -165,9 +175,9 @@
 
 def test_the_commands_look_at_a_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = Opened(path)
+    one = OpenedStore(path)
     one.accept("jid-00001", "jid-00002")
-    one.store.end("jid-00002", "served", 7.0)
+    one.store.record_final_state("jid-00002", "served", 7.0)
     one.wait()
     one.store.close()
 
