--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -120,7 +120,7 @@
 ]
 
 
-@pytest.mark.parametrize(("wrong", "told"), WRONG)
+@pytest.mark.parametrize(("wrong", "reported"), WRONG)
 def test_invalid_settings_are_rejected(wrong: dict[str, Any], reported: str) -> None:
     """Refused at the start with file and key; by a reload nothing changes."""
     harness = DispatcherHarness(1)
