--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -1,7 +1,8 @@
-"""What a dispatcher is told: the environment and the configuration file, read and checked once."""
+"""The platform's configuration: the environment and the JSON file that it names, read and checked once."""
 
 import os
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
+from contextlib import contextmanager
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
@@ -23,15 +24,47 @@
     "discovery": "RELAY_DISCOVERY",
     "admin_addr": "RELAY_ADMIN_ADDR",
 }
+"""Keys of the file that a variable of the environment overrides."""
+DEFAULT_SOCKETS = 1024
+"""File descriptors where the file gives none."""
+DEFAULT_MEMORY_MB = 192
+"""Memory where the file gives none, in MB."""
+DEFAULT_IDLE_MS = 10_000
+"""How long an idle connection to a server is kept where the file says nothing, in ms."""
+DEFAULT_MAX_OPEN = 20_000
+"""Open requests where the file gives no maximum."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a start needs."""
+    """All that a start needs. A reload logs the names of changed fields, so they keep their names.
+
+    Attributes:
+        name: of the dispatcher.
+        listen: the clients' address.
+        discovery: address of service discovery; empty where the servers are listed in a file.
+        seed: of all random draws.
+        settings: of the balancer.
+        sockets: file descriptors that the process may use.
+        memory_mb: memory that it may use, in MB.
+        conn_idle: how long servers keep an idle connection, in ms.
+        max_open: open requests at most.
+        max_come_back: the longest Retry-After of a rejection, in ms; 0 for none.
+        zones: names of the zones, by number.
+        kinds: names of the server kinds, by number.
+        known: the endpoint list of the file; None where it gives none.
+        peer_listen: address of the peers' datagrams; None for none.
+        peers: addresses of all dispatchers, by position.
+        peers_all: the address that reaches all peers; None for none.
+        inherited_fd: the clients' listening socket, which other processes hold too; None where it is bound.
+        admin: address of the admin endpoint; None for none.
+        pushed: updates of the list count as notified at once, whether or not they are polled.
+        paced: polls keep to a pace of their own; on the platform the balancer alone decides when to poll.
+    """
 
     name: str
     listen: tuple[str, int]
-    discovery: str  # empty where the hosts are known from a file
+    discovery: str
     seed: int
     settings: Settings
     sockets: int
@@ -45,10 +78,10 @@
     peer_listen: tuple[str, int] | None = None
     peers: list[str] = field(default_factory=list)
     peers_all: str | None = None
-    inherited_fd: int | None = None  # the clients' listening socket, held by others too
-    admin: tuple[str, int] | None = None  # where operators call; None is nowhere
-    pushed: bool = False  # what the register has to tell counts as told at once, whether or not it is asked
-    paced: bool = False  # calls of the register keep to a pace; on the platform the module alone says when
+    inherited_fd: int | None = None
+    admin: tuple[str, int] | None = None
+    pushed: bool = False
+    paced: bool = False
 
 
 def _table(raw: Mapping[str, Any], key: str, where: str) -> dict[str, Any]:
@@ -66,8 +99,8 @@
 
 
 def _check(settings: Settings) -> None:
-    """What can be read and yet cannot be; raises ``ValueError``."""
-    names = [lane.name for lane in settings.classes]
+    """Check what is right by itself and wrong together; raises ``ValueError``."""
+    names = [request_class.name for request_class in settings.classes]
     if twice := next((name for name in names if names.count(name) > 1), None):
         raise ValueError(f"lanes: two classes are named {twice!r}, each needs a name of its own")
     if settings.position >= settings.instances:
@@ -76,7 +109,7 @@
 
 
 def reload(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again; what the environment said of discovery at the start has been overtaken by it."""
+    """Read the file again; its address of service discovery is newer than the one in the environment."""
     return load({key: value for key, value in environ.items() if key != "RELAY_DISCOVERY"})
 
 
@@ -102,54 +135,73 @@
 
 
 def parse(raw: Mapping[str, Any], where: str, watched: bool = True) -> Config:
-    """A configuration from its JSON object; raises :class:`ConfigError` naming the key.
+    """Read a configuration from its JSON object.
+
+    Args:
+        raw: the object.
+        where: the file's name, for errors.
+        watched: whether service discovery gives the servers; else they are those of the file's list.
 
-    Unless the hosts are ``watched`` for at discovery, they are those that are known at the start.
+    Raises:
+        ConfigError: if a key is missing or its value cannot be used; the text names the key.
     """
-    conf, limits = _table(raw, "settings", where), _table(raw, "limits", where)
+    conf = _table(raw, "settings", where)
+    limits = _table(raw, "limits", where)
     site = _table(conf, "limits", where)
-    key = "listen"
-    try:
+    with _naming(where, "listen"):
         listen = split_address(str(raw["listen"]))
-        key = "discovery"
-        discovery = str(raw["discovery"]) if watched else ""
-        if watched:
-            split_address(discovery)
-        key = "peer_listen"
-        peer_listen = split_address(str(raw["peer_listen"])) if raw.get("peer_listen") else None
-        key = "admin_addr"
-        admin = split_address(str(raw["admin_addr"])) if raw.get("admin_addr") else None
-        key = "peers"
+    with _naming(where, "discovery"):
+        discovery = _discovery(raw) if watched else ""
+    with _naming(where, "peer_listen"):
+        peer_listen = _optional_address(raw, "peer_listen")
+    with _naming(where, "admin_addr"):
+        admin = _optional_address(raw, "admin_addr")
+    with _naming(where, "peers"):
         peers = [str(peer) for peer in raw.get("peers") or ()]
-        everyone = str(raw["peers_all"]) if raw.get("peers_all") else None
-        for peer in [*peers, *([everyone] if everyone else [])]:
+        peers_all = str(raw["peers_all"]) if raw.get("peers_all") else None
+        for peer in [*peers, *([peers_all] if peers_all else [])]:
             split_address(peer)
-        key = "seed"
+    with _naming(where, "seed"):
         seed = int(str(raw.get("seed") or "0"), 16)
-        key = "settings"
+    with _naming(where, "settings"):
         settings = parse_settings(orjson.dumps(conf))
         _check(settings)
-        pushed = settings.list_pushed and watched
-        settings = replace(settings, list_pushed=not watched)  # on sockets no list comes unasked
-    except (KeyError, ValueError, TypeError) as error:
-        raise ConfigError(f"{where}: {key}: {error}") from None
     return Config(
         name=str(raw.get("name", "")),
         listen=listen,
         discovery=discovery,
         seed=seed,
-        settings=settings,
-        sockets=int(_number(limits, "sockets", 1024, where)) or 1024,
-        memory_mb=_number(limits, "memory_mb", 192, where),
-        conn_idle=_number(site, "conn_idle", 10_000, where),
-        max_open=int(_number(site, "max_open", 20_000, where)),
+        settings=replace(settings, list_pushed=not watched),  # on sockets no list comes without a poll
+        sockets=int(_number(limits, "sockets", DEFAULT_SOCKETS, where)) or DEFAULT_SOCKETS,
+        memory_mb=_number(limits, "memory_mb", DEFAULT_MEMORY_MB, where),
+        conn_idle=_number(site, "conn_idle", DEFAULT_IDLE_MS, where),
+        max_open=int(_number(site, "max_open", DEFAULT_MAX_OPEN, where)),
         max_come_back=_number(site, "max_retry_after", 0, where) if site.get("retry_after") else 0.0,
         zones=[str(zone) for zone in conf.get("zones") or ()],
         kinds=[str(kind) for kind in conf.get("skus") or ()],
         known=raw.get("known"),
         peer_listen=peer_listen,
         peers=peers,
-        peers_all=everyone,
+        peers_all=peers_all,
         admin=admin,
-        pushed=pushed,
+        pushed=settings.list_pushed and watched,
     )
+
+
+@contextmanager
+def _naming(where: str, key: str) -> Iterator[None]:
+    """Turn an error in reading a key into a :class:`ConfigError` that names it."""
+    try:
+        yield
+    except (KeyError, ValueError, TypeError) as error:
+        raise ConfigError(f"{where}: {key}: {error}") from error
+
+
+def _discovery(raw: Mapping[str, Any]) -> str:
+    address = str(raw["discovery"])
+    split_address(address)
+    return address
+
+
+def _optional_address(raw: Mapping[str, Any], key: str) -> tuple[str, int] | None:
+    return split_address(str(raw[key])) if raw.get(key) else None
