--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 
 # what is too long for each landing: ten thousand seeds of the cluster's troubles, and more states of its leases
 soak: .venv-dev/ready
-	CLUSTER_SEEDS=10000 CLUSTER_STATES=100000 $(PYTHON) -m pytest -q -s tests/cluster/test_virtual.py tests/cluster/test_states.py
+	CLUSTER_SEEDS=10000 CLUSTER_STATES=100000 $(PYTHON) -m pytest -q -s tests/cluster/test_virtual_network.py tests/cluster/test_lease_states.py
 	RIG_ALL=1 $(PYTHON) -m pytest -q tests/faults/test_plans.py
 
 lint: .venv-dev/ready
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from cluster.virtual import Net  # noqa: E402
+from cluster.virtual_network import VirtualNetwork  # noqa: E402
 
 from heronlug.cluster import codec, datagrams, messages  # noqa: E402
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate  # noqa: E402
@@ -31,7 +31,7 @@
 def takeover(job: tuple[int, float]) -> float:
     """Milliseconds from a kill of a duty's owner until somebody else acts; four members."""
     seed, loss = job
-    net = Net("abcd", seed, loss=loss, duties=["one"])
+    net = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
     net.may_overlap = True  # counted by the tests; here a run is never given up
     for name in net.names:
         net.start(name)
@@ -49,7 +49,7 @@
 def suspicions(job: tuple[int, float]) -> tuple[int, int, float]:
     """Suspicions and deaths of members that live, in how many hours of all members together."""
     seed, loss = job
-    net = Net("abcd", seed, loss=loss, duties=["one"])
+    net = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
     net.may_overlap = True
     for name in net.names:
         net.start(name)
@@ -61,7 +61,7 @@
 
 def traffic(size: int) -> tuple[int, float, float, float]:
     """Datagrams and bytes a second for each member, and milliseconds of CPU a second."""
-    net = Net([f"m{n:03}" for n in range(size)], 1, loss=0.0)
+    net = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=0.0)
     net.may_overlap = True
     for name in net.names:
         net.start(name)
@@ -73,10 +73,10 @@
     return size, (net.sent - sent) / span / size, (net.bytes - data) / span / size, cpu
 
 
-def sheet(job: tuple[int, float, int]) -> tuple[float, list[float]]:
+def table(job: tuple[int, float, int]) -> tuple[float, list[float]]:
     """Milliseconds until all have a first sheet of so many rows, and until all know each of ten changes."""
     size, loss, rows = job
-    net = Net([f"m{n:03}" for n in range(size)], 1, loss=loss, duties=["register"], topics=["register"])
+    net = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=loss, leases=["register"], topics=["register"])
     net.may_overlap = True
     for name in net.names:
         net.start(name)
@@ -86,8 +86,8 @@
         owner = net.owner("register")
         if owner is None or not net.publish(owner, "register", changes):
             return float("nan")
-        begun, wanted = net.now, net.processes[owner].sheets["register"]
-        while any(p.sheets["register"] != wanted for p in net.processes.values()) and net.now - begun < 60_000:
+        begun, wanted = net.now, net.processes[owner].tables["register"]
+        while any(p.tables["register"] != wanted for p in net.processes.values()) and net.now - begun < 60_000:
             net.run(10)
         return net.now - begun
 
@@ -114,11 +114,11 @@
 def forms() -> None:
     """The fixed form beside msgpack of the same tuples, by size and cost."""
     pack, unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
-    fence = FencingToken(1_796_138_343_696, 0xB5C3A1D2)
+    token = FencingToken(1_796_138_343_696, 0xB5C3A1D2)
     for part in (
         messages.Ping(0x6B3F21C4),
-        messages.LeaseRequest(0xB5C3A1D2, fence, 0x6B3F21C4, fence),
-        messages.TableAnnouncement(0xB5C3A1D2, fence, 4711, 0xB5C3A1D2B5C3A1D2),
+        messages.LeaseRequest(0xB5C3A1D2, token, 0x6B3F21C4, token),
+        messages.TableAnnouncement(0xB5C3A1D2, token, 4711, 0xB5C3A1D2B5C3A1D2),
         MemberUpdate("dispatcher-12", "10.0.0.12:7946", 1_796_138_343_696, Health.ALIVE),
     ):
         fixed = codec.encode_part(part)
@@ -157,7 +157,7 @@
             print(f"{size:7} {datagrams:12.1f} {data:9.0f} {cpu:9.2f}")
         print(f"\n{'members':>7} {'loss':>5} {'first of 1,000 rows':>20} {'a change p50':>13} {'most':>6} ms")
         jobs = [(size, loss, 1000) for size in (4, 16, 48) for loss in LOSSES[:3]] + [(200, 0.0, 300)]
-        for (size, loss, rows), (first, took) in zip(jobs, pool.map(sheet, jobs), strict=True):
+        for (size, loss, rows), (first, took) in zip(jobs, pool.map(table, jobs), strict=True):
             p50, most = np.nanpercentile(took, [50, 100])
             print(f"{size:7} {loss:5.0%} {first:20.0f} {p50:13.0f} {most:6.0f}   {rows} rows")
     heads = ("fixed", "msgpack", "encode", "msgpack", "decode", "msgpack")
--- a/heronlug/cli/cluster.py
+++ b/heronlug/cli/cluster.py
@@ -1,4 +1,4 @@
-"""``cluster members`` and ``cluster duties``: what a running member sees."""
+"""``cluster members`` and ``cluster duties``: the cluster as the running dispatcher sees it."""
 
 import click
 
@@ -8,7 +8,7 @@
 
 @click.group()
 def cluster() -> None:
-    """The dispatchers that share duties, as the running one sees them."""
+    """The dispatchers that share leases, as the running one sees them."""
 
 
 def _show(control: str, what: str, as_json: bool) -> None:
@@ -19,13 +19,13 @@
 @JSON
 @SOCKET
 def members(as_json: bool, control: str) -> None:
-    """Who is there, and since when."""
+    """The members, their health, and since when."""
     _show(control, "members", as_json)
 
 
-@cluster.command()
+@cluster.command("duties")
 @JSON
 @SOCKET
-def duties(as_json: bool, control: str) -> None:
-    """Each duty: whether it is ours, under which fence, the lease that is left, the last run, runs and takeovers."""
+def leases(as_json: bool, control: str) -> None:
+    """Each lease: whether this member holds it, its fencing token, the time left, the last run, runs and takeovers."""
     _show(control, "duties", as_json)
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -2,6 +2,7 @@
 
 import struct
 
+from heronlug.cluster.errors import MalformedMessageError
 from heronlug.cluster.messages import (
     Ack,
     IndirectPing,
@@ -75,15 +76,15 @@
 
 
 def decode_parts(body: bytes) -> list[Part]:
-    """All messages of a datagram's body; raises ``ValueError`` if it is malformed."""
+    """All messages of a datagram's body; raises :class:`MalformedMessageError`."""
     parts: list[Part] = []
     offset = 0
     try:
         while offset < len(body):
             part, offset = _decode_part(body, offset)
             parts.append(part)
-    except (struct.error, KeyError, IndexError) as error:
-        raise ValueError(f"malformed message at byte {offset}: {error!r}") from error
+    except (struct.error, KeyError, IndexError, ValueError) as error:
+        raise MalformedMessageError(offset, repr(error)) from error
     return parts
 
 
--- a/heronlug/cluster/datagrams.py
+++ b/heronlug/cluster/datagrams.py
@@ -20,6 +20,7 @@
 from typing import NamedTuple
 
 from heronlug.cluster.codec import decode_parts, encode_part
+from heronlug.cluster.errors import MalformedMessageError
 from heronlug.cluster.messages import Part
 
 PROTOCOL_VERSION = 1
@@ -89,7 +90,7 @@
         _, _, _, sender, stamp = HEADER.unpack_from(data)
         try:
             parts = decode_parts(data[HEADER.size : -AUTHENTICATION_TAG_SIZE])
-        except ValueError:
+        except MalformedMessageError:
             self.dropped["malformed"] += 1
             return None
         if not self._accept_stamp(sender, stamp):
--- a/heronlug/cluster/merkle_trie.py
+++ b/heronlug/cluster/merkle_trie.py
@@ -1,12 +1,12 @@
-"""A table of rows as a tree of small nodes, each named by its content (a Merkle trie; Merkle 1987, Bagwell 2001).
+"""A table of rows as a tree of small nodes, each named by the hash of its content (Merkle 1987, Bagwell 2001).
 
-Rows stand by the hash of their key, two bits a level (four leave leaves half as full); a node that would be larger
-than a datagram takes is a branch.
-The same rows give the same tree whatever order they came in, so two tables are alike when their roots are, and what
-differs is found without looking at what does not.  A store is a mapping from names of nodes to their bytes.
+Rows are placed by the hash of their key, two bits a level; with four bits a level leaves are half as full. A node that
+would be larger than a datagram allows is a branch. The same rows give the same tree in whatever order they came, so
+two tables are equal if their roots are, and differences are found without looking at equal subtrees. A store is a
+mapping from the names of nodes to their bytes.
 
     leaf      "L", then rows in the order of their keys: lengths of key and value (a byte each), key, value
-    branch    "B", a bit for each child that is there, then their names, 8 bytes each
+    branch    "B", a bit for each child that is present, then the children's names, 8 bytes each
 """
 
 import struct
@@ -14,62 +14,94 @@
 
 from xxhash import xxh3_64_intdigest, xxh64_intdigest
 
-MAX_LEAF_SIZE = 224  # bytes of a leaf that can still be split
-MAX_ROW_SIZE = MAX_LEAF_SIZE - 3  # of a key and its value together
-BITS_PER_LEVEL = 2  # of the hash that a level takes
-LEVELS, WIDTH = 64 // BITS_PER_LEVEL, 1 << BITS_PER_LEVEL
-Rows = dict[bytes, bytes]
-Nodes = Mapping[int, bytes]
+from heronlug.cluster.errors import MalformedNodeError, RowTooLongError
+
+LEAF_MARK = b"L"
+"""The first byte of a leaf."""
+
+BRANCH_MARK = b"B"
+"""The first byte of a branch."""
+
+MAX_LEAF_SIZE = 224
+"""Bytes of a leaf at most; larger ones are split."""
+
+ROW_OVERHEAD = 2
+"""Bytes of a row besides its key and its value."""
+
+MAX_ROW_SIZE = MAX_LEAF_SIZE - len(LEAF_MARK) - ROW_OVERHEAD
+"""Bytes of a key and its value together at most."""
+
+NAME_SIZE = 8
+"""Bytes of a node's name in a branch."""
 
+HASH_BITS = 64
+"""Bits of the hash of a key."""
 
-class MalformedNodeError(ValueError):
-    """Bytes that are no node."""
+BITS_PER_LEVEL = 2
+"""Bits of that hash that choose a child."""
+
+LEVELS = HASH_BITS // BITS_PER_LEVEL
+"""Levels of the tree at most."""
+
+WIDTH = 1 << BITS_PER_LEVEL
+"""Children of a branch at most."""
+
+Rows = dict[bytes, bytes]
+Nodes = Mapping[int, bytes]
 
 
 def name_of(node: bytes) -> int:
-    """The name of a node."""
+    """The name of a node: the hash of its content."""
     return int(xxh3_64_intdigest(node))
 
 
 def _place(key: bytes, level: int) -> int:
-    return int(xxh64_intdigest(key)) >> (64 - BITS_PER_LEVEL * (level + 1)) & (WIDTH - 1)
+    return int(xxh64_intdigest(key)) >> (HASH_BITS - BITS_PER_LEVEL * (level + 1)) & (WIDTH - 1)
 
 
 def _leaf(rows: Rows) -> bytes:
-    return b"L" + b"".join(bytes((len(k), len(rows[k]))) + k + rows[k] for k in sorted(rows))
+    return LEAF_MARK + b"".join(bytes((len(key), len(rows[key]))) + key + rows[key] for key in sorted(rows))
+
+
+def _leaf_size(rows: Mapping[bytes, bytes]) -> int:
+    return len(LEAF_MARK) + sum(len(key) + len(value) + ROW_OVERHEAD for key, value in rows.items())
 
 
 def _branch(children: dict[int, int]) -> bytes:
     bits = sum(1 << place for place in children)
-    return struct.pack(f">cB{len(children)}Q", b"B", bits, *(children[place] for place in sorted(children)))
+    return struct.pack(f">cB{len(children)}Q", BRANCH_MARK, bits, *(children[place] for place in sorted(children)))
 
 
 def rows_of(node: bytes) -> Rows | None:
     """The rows of a leaf, None for a branch; raises :class:`MalformedNodeError`."""
-    if node[:1] == b"B":
+    if node[:1] == BRANCH_MARK:
         return None
-    if node[:1] != b"L":
-        raise MalformedNodeError(f"a node that begins with {node[:1]!r}")
-    rows, at = {}, 1
-    while at < len(node):
-        if at + 2 > len(node) or at + 2 + node[at] + node[at + 1] > len(node):
-            raise MalformedNodeError("a row is cut off")
-        middle = at + 2 + node[at]
-        end = middle + node[at + 1]
-        rows[node[at + 2 : middle]] = node[middle:end]
-        at = end
+    if node[:1] != LEAF_MARK:
+        raise MalformedNodeError(f"a node starts with {node[:1]!r}, not with L or B")
+    rows: Rows = {}
+    offset = len(LEAF_MARK)
+    while offset < len(node):
+        if offset + ROW_OVERHEAD > len(node):
+            raise MalformedNodeError("a row of a leaf is cut off")
+        key_at = offset + ROW_OVERHEAD
+        value_at = key_at + node[offset]
+        end = value_at + node[offset + 1]
+        if end > len(node):
+            raise MalformedNodeError("a row of a leaf is cut off")
+        rows[node[key_at:value_at]] = node[value_at:end]
+        offset = end
     return rows
 
 
 def children_of(node: bytes) -> dict[int, int]:
     """The children of a branch by their place, none for a leaf; raises :class:`MalformedNodeError`."""
-    if node[:1] == b"L":
+    if node[:1] == LEAF_MARK:
         return {}
-    if len(node) < 2 or node[:1] != b"B" or node[1] >> WIDTH:
-        raise MalformedNodeError("neither leaf nor branch")
+    if len(node) < 2 or node[:1] != BRANCH_MARK or node[1] >> WIDTH:
+        raise MalformedNodeError("a node is neither a leaf nor a branch")
     places = [place for place in range(WIDTH) if node[1] >> place & 1]
-    if len(node) != 2 + 8 * len(places):
-        raise MalformedNodeError("a branch of another length than its children take")
+    if len(node) != 2 + NAME_SIZE * len(places):
+        raise MalformedNodeError(f"a branch with {len(places)} children has {len(node)} bytes")
     return dict(zip(places, struct.unpack_from(f">{len(places)}Q", node, 2), strict=True))
 
 
@@ -80,12 +112,12 @@
 
 
 def build(rows: Mapping[bytes, bytes], nodes: MutableMapping[int, bytes], level: int = 0) -> int:
-    """Put a whole table into a store and return its root; raises ``ValueError`` for a row that is too long."""
-    size = sum(len(key) + len(value) + 2 for key, value in rows.items()) + 1
+    """Put a complete table into a store, and return its root; raises :class:`RowTooLongError`."""
+    size = _leaf_size(rows)
     if size <= MAX_LEAF_SIZE:
         return _put(nodes, _leaf(dict(rows)))
     if level == LEVELS or len(rows) == 1:
-        raise ValueError(f"a row of {size - 3} bytes: {MAX_ROW_SIZE} at most")
+        raise RowTooLongError(size - len(LEAF_MARK) - ROW_OVERHEAD, MAX_ROW_SIZE)
     parts: dict[int, Rows] = {}
     for key, value in rows.items():
         parts.setdefault(_place(key, level), {})[key] = value
@@ -93,7 +125,7 @@
 
 
 def change(nodes: MutableMapping[int, bytes], root: int, key: bytes, value: bytes | None, level: int = 0) -> int:
-    """The root of the table with this row put in, or taken out with None; raises ``ValueError`` as :func:`build`."""
+    """The root of the table with this row put in, or removed if it is None; raises :class:`RowTooLongError`."""
     node = nodes[root]
     rows = rows_of(node)
     if rows is not None:
@@ -107,22 +139,22 @@
     if place in children:
         below = change(nodes, children[place], key, value, level + 1)
         children[place] = below
-        if nodes[below] == b"L":
+        if nodes[below] == LEAF_MARK:
             del children[place]
     elif value is not None:
         children[place] = build({key: value}, nodes, level + 1)
     if value is None:
-        # what fits into one leaf is one leaf: a child that is a branch does not fit by itself
+        # rows that fit into one leaf are one leaf; those of a branch never do
         leaves = [rows_of(nodes[child]) for child in children.values()]
         if all(leaf is not None for leaf in leaves):
-            together = {k: v for leaf in leaves if leaf for k, v in leaf.items()}
-            if sum(len(k) + len(v) + 2 for k, v in together.items()) + 1 <= MAX_LEAF_SIZE:
+            together = {key: value for leaf in leaves if leaf for key, value in leaf.items()}
+            if _leaf_size(together) <= MAX_LEAF_SIZE:
                 return build(together, nodes, level)
     return _put(nodes, _branch(children))
 
 
 def walk(nodes: Nodes, root: int) -> Iterator[tuple[bytes, bytes]]:
-    """All rows; raises ``KeyError`` where a node is not there."""
+    """All rows of a table; raises ``KeyError`` if a node is missing."""
     node = nodes[root]
     rows = rows_of(node)
     if rows is not None:
@@ -132,7 +164,7 @@
 
 
 def names(nodes: Nodes, root: int) -> Iterator[int]:
-    """The names of all nodes below a root that are there, itself first."""
+    """The names of all nodes below a root that are present, the root first."""
     node = nodes.get(root)
     if node is not None:
         yield root
@@ -141,7 +173,7 @@
 
 
 def difference(nodes: Nodes, old: int, new: int) -> dict[bytes, bytes | None]:
-    """What changes from one table to another: the rows that are new or other, and None for those that go."""
+    """What changes from one table to another: rows that are new or different, and None for removed ones."""
     if old == new:
         return {}
     before, after = children_of(nodes[old]), children_of(nodes[new])
@@ -155,16 +187,16 @@
             else:
                 changes.update(difference(nodes, before[place], after[place]))
         return changes
-    was, now = dict(walk(nodes, old)), dict(walk(nodes, new))
-    changes = {key: value for key, value in now.items() if was.get(key) != value}
-    changes.update((key, None) for key in was.keys() - now.keys())
+    old_rows, new_rows = dict(walk(nodes, old)), dict(walk(nodes, new))
+    changes = {key: value for key, value in new_rows.items() if old_rows.get(key) != value}
+    changes.update((key, None) for key in old_rows.keys() - new_rows.keys())
     return changes
 
 
 def absent(nodes: Nodes, old: int | None, new: int) -> dict[int, int | None]:
-    """The nodes of a table that are not there, as far as can be seen, each with its counterpart in an older table.
+    """The missing nodes of a table as far as they are known, each with the node at its place in an older table.
 
-    What is at the same place in the older one, which is there whole, is not looked into.
+    Nodes that the older table, which is complete, has at the same place are not looked into.
     """
     if new == old:
         return {}
@@ -179,4 +211,5 @@
     return found
 
 
-EMPTY = name_of(b"L")
+EMPTY = name_of(LEAF_MARK)
+"""The name of the empty table's root."""
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -149,7 +149,7 @@
         """End the claim of a table."""
         self._claims.pop(table, None)
 
-    def place(self, lease: str) -> RankPosition:
+    def rank_position(self, lease: str) -> RankPosition:
         """This member's position in the ranking of a lease."""
         own_weight = rendezvous_weight(lease, self.local.name)
         others = self.membership.active_members()
--- a/heronlug/cluster/node_store.py
+++ b/heronlug/cluster/node_store.py
@@ -60,7 +60,7 @@
         self._unrequested: OrderedDict[int, bytes] = OrderedDict()
         self._collection_size = MIN_COLLECTION_SIZE
 
-    def keep_unrequested(self, name: int, node: bytes) -> None:
+    def add_unrequested(self, name: int, node: bytes) -> None:
         """Keep a node that no table misses; the oldest ones are dropped."""
         self._unrequested[name] = node
         while len(self._unrequested) > MAX_UNREQUESTED_NODES:
@@ -81,7 +81,7 @@
         """Whether there are so many nodes that unused ones should be looked for."""
         return len(self.nodes) > self._collection_size
 
-    def keep_only(self, roots: Iterable[int]) -> None:
+    def retain(self, roots: Iterable[int]) -> None:
         """Drop all nodes that are not below one of these."""
         live: set[int] = {merkle_trie.EMPTY}
         for root in roots:
--- a/heronlug/cluster/replicated_tables.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -13,6 +13,7 @@
 from random import Random
 
 from heronlug.cluster import merkle_trie
+from heronlug.cluster.errors import MalformedNodeError
 from heronlug.cluster.messages import MAX_NODES_PER_REQUEST, NodeData, NodeRequest, Part, Sync, TableAnnouncement
 from heronlug.cluster.model import ClusterTiming, FencingToken, TableChanged
 from heronlug.cluster.node_store import NodeStore, Overlay
@@ -126,7 +127,7 @@
         """Put rows in, and remove those that are None; the first publication goes on from the predecessor's version.
 
         Raises:
-            ValueError: A row is too long.
+            RowTooLongError: A row is too long.
         """
         state = self.states[tag(name)]
         new_nodes: dict[int, bytes] = {}
@@ -283,7 +284,7 @@
         try:
             merkle_trie.rows_of(data)
             merkle_trie.children_of(data)
-        except merkle_trie.MalformedNodeError:
+        except MalformedNodeError:
             self.counts["bad_nodes"] += 1
             return
         name = merkle_trie.name_of(data)
@@ -291,7 +292,7 @@
             return
         waiting = [state for state in self.states.values() if name in state.missing.counterparts]
         if not waiting:
-            self._store.keep_unrequested(name, data)
+            self._store.add_unrequested(name, data)
             return
         self._store.nodes[name] = data
         self.counts["pieces_taken"] += 1
@@ -332,4 +333,4 @@
     def _collect_garbage(self) -> None:
         """Drop nodes that no table needs, once there are many."""
         if self._store.collection_due:
-            self._store.keep_only([root for state in self.states.values() for root in state.live_roots()])
+            self._store.retain([root for state in self.states.values() for root in state.live_roots()])
--- a/heronlug/cluster/schema.py
+++ b/heronlug/cluster/schema.py
@@ -9,6 +9,7 @@
 
 from msgspec import Meta, Struct, field, structs
 
+from heronlug.cluster.errors import KeyFileError
 from heronlug.config.strict_toml import ConfigProblem, Source
 from heronlug.config.strict_toml.decode import decode
 from heronlug.config.strict_toml.value_types import Text
@@ -107,7 +108,7 @@
     files = [_absolute(name, source) for name in table.key_files]
     try:
         read_keys(files)
-    except (OSError, ValueError) as error:
+    except (OSError, KeyFileError) as error:
         problems.append(source.fault((SECTION, "key_files"), str(error), f"files of {MIN_KEY_SIZE} bytes or more"))
     values = structs.asdict(table)
     values.update(register=discovery, probe=health_checks, key_files=files, duty=tasks)
@@ -192,16 +193,16 @@
 
     Raises:
         OSError: A file cannot be read.
-        ValueError: A key is too short, or two have the same number.
+        KeyFileError: A key is too short, or two have the same number.
     """
     keys: dict[int, bytes] = {}
     for name in files:
         data = Path(name).read_bytes().strip()
         if len(data) < MIN_KEY_SIZE:
-            raise ValueError(f"{name}: a key of {len(data)} bytes")
+            raise KeyFileError(name, f"a key of {len(data)} bytes")
         key = blake2b(data, digest_size=KEY_SIZE).digest()
         number = blake2b(key, digest_size=1).digest()[0]
         if number in keys:
-            raise ValueError(f"{name}: the same key, or one of the same number, as the other")
+            raise KeyFileError(name, "the same key, or one of the same number, as the other")
         keys[number] = key
     return keys
--- a/heronlug/cluster/status.py
+++ b/heronlug/cluster/status.py
@@ -75,15 +75,15 @@
         return [self._lease(lease) for lease in self.node.leases.leases.values()]
 
     def _lease(self, lease: LeaseState) -> dict[str, Any]:
-        held = self.node.may_act(lease.name, self.now) is not None
+        holds = self.node.may_act(lease.name, self.now) is not None
         task = self.tasks.get(lease.name)
         last_run = round((self.now - task.started_at) / 1000, 1) if task is not None and task.runs else None
         return {
             "name": lease.name,
-            "owner": self.node.local.name if held else None,
+            "owner": self.node.local.name if holds else None,
             "stage": lease.stage.value,
-            "fence": lease.token.number if held else None,
-            "lease_left_ms": round(lease.valid_until - self.now) if held else 0,
+            "fence": lease.token.number if holds else None,
+            "lease_left_ms": round(lease.valid_until - self.now) if holds else 0,
             "last_run_s": last_run,
             "runs": task.runs if task is not None else None,
             "failed": task.failed if task is not None else None,
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -61,7 +61,7 @@
 
         Raises:
             OSError: A key file cannot be read.
-            ValueError: An address or a key is malformed.
+            ValueError: An address is malformed, or a key (:class:`KeyFileError`).
         """
         self.listen = split_address(table["listen"])
         self._deadlines = deadlines
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/discovery/shared_client.py
@@ -259,7 +259,7 @@
         statuses = self._statuses()
         self._pull_tables(statuses)
         previous = self.election.role
-        position = MemberPosition(*self._joined_node().place(LEASE_TABLE))
+        position = MemberPosition(*self._joined_node().rank_position(LEASE_TABLE))
         role = self.election.decide(
             self._deadlines.clock(), self._lease is not None, position, statuses.values(), self.view.watching
         )
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -11,7 +11,7 @@
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
 WORD = st.integers(0, 2**32 - 1)
-FENCE = st.builds(FencingToken, st.integers(0, 2**63), WORD)
+TOKEN = st.builds(FencingToken, st.integers(0, 2**63), WORD)
 NAME = st.text("abcdefåäö-", min_size=1, max_size=20)
 PARTS = st.one_of(
     st.builds(messages.Ping, WORD),
@@ -19,12 +19,12 @@
     st.builds(messages.IndirectPing, WORD, WORD),
     st.builds(messages.Nack, WORD),
     st.builds(messages.Sync),
-    st.builds(messages.LeaseRequest, WORD, FENCE, WORD, FENCE),
-    st.builds(messages.LeaseGrant, WORD, FENCE, WORD),
-    st.builds(messages.LeaseDenial, WORD, FENCE, WORD),
-    st.builds(messages.TransferOffer, WORD, FENCE),
-    st.builds(messages.TransferAcceptance, WORD, FENCE),
-    st.builds(messages.TransferCompletion, WORD, FENCE),
+    st.builds(messages.LeaseRequest, WORD, TOKEN, WORD, TOKEN),
+    st.builds(messages.LeaseGrant, WORD, TOKEN, WORD),
+    st.builds(messages.LeaseDenial, WORD, TOKEN, WORD),
+    st.builds(messages.TransferOffer, WORD, TOKEN),
+    st.builds(messages.TransferAcceptance, WORD, TOKEN),
+    st.builds(messages.TransferCompletion, WORD, TOKEN),
     st.builds(MemberUpdate, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
 )
 
@@ -34,7 +34,7 @@
 
 
 @given(st.lists(PARTS, max_size=30))
-def test_what_goes_in_comes_out_within_256_bytes(parts: list[messages.Part]) -> None:
+def test_messages_round_trip_in_datagrams_of_256_bytes(parts: list[messages.Part]) -> None:
     sender, receiver = seals()
     got: list[messages.Part] = []
     for data in sender.pack(parts):
--- a/tests/cluster/test_states.py
+++ b/tests/cluster/test_lease_states.py
@@ -1,9 +1,9 @@
-"""An explicit-state check of the lease protocol: three members, one duty, every order of messages up to a bound.
+"""An explicit-state check of the lease protocol: three members, one lease, every order of messages up to a bound.
 
 Members are the real :class:`LeaseManager`. From a state, any member may be woken, the first message of any link may
 be lost, arrive, or arrive and have its answer arrive at once, time may go on by half a lease, the first in rank may
 change for a member, a member may start anew. All states that come of it are visited, each once. In none of them act
-two, or is a vote bound to a fence whose owner is not yet promised all votes. The protocol is also broken on purpose,
+two, or is a vote bound to a token whose owner is not yet promised all votes. The protocol is also broken on purpose,
 each time in one place, and the check has to find that.
 """
 
@@ -70,7 +70,7 @@
                 self.links[link] = (*waiting, part)
 
     def settle(self) -> None:
-        """The first member has the duty, as it comes to when nothing is lost."""
+        """The first member has the lease, as it comes to when nothing is lost."""
         for _ in range(2):
             self.act("a", lambda member: member.wake(self.now))
             while any(self.links.values()):
@@ -80,7 +80,7 @@
         assert self.owners() == ["a"]
 
     def key(self) -> Any:
-        """What makes two states the same: times as spans from now, fences and requests as they are."""
+        """What makes two states the same: times as spans from now, tokens and requests as they are."""
 
         def rel(when: float) -> float:
             return max(-1.0, when - self.now)
@@ -120,21 +120,21 @@
 
     def bound_too_soon(self) -> list[str]:
         """Who binds a vote, perhaps its own, while it is not promised all."""
-        duties = {name: member.leases[KEY] for name, member in self.members.items()}
+        leases = {name: member.leases[KEY] for name, member in self.members.items()}
         asking = {
             d.token: name
-            for name, d in duties.items()
+            for name, d in leases.items()
             if d.stage is LeaseStage.REQUESTING and not d.collecting_votes and d.released == NO_TOKEN
         }
-        votes = [d.vote for d in duties.values()]
+        votes = [d.vote for d in leases.values()]
         return [f"{asking[v.token]} too soon" for v in votes if v.token in asking and v.until > self.now]
 
     def next(self) -> Iterator["World"]:
         """All worlds that one step leads to."""
         for name in NAMES[:2]:
             world = copy.deepcopy(self)
-            for duty in world.members[name].leases.values():
-                duty.next_action_at = world.now
+            for lease in world.members[name].leases.values():
+                lease.next_action_at = world.now
             world.act(name, lambda member, now=world.now: member.wake(now))
             yield world
         for link, parts in self.links.items():
@@ -184,13 +184,13 @@
     return len(seen), broken
 
 
-def test_no_state_has_two_owners() -> None:
+def test_no_state_has_two_holders() -> None:
     states, broken = visit(STATES)
     print(f"{states} states visited")
     assert states >= STATES and not broken
 
 
-def test_a_protocol_broken_on_purpose_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_vote_granted_twice_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The voter does not wait a lease out."""
 
     def grant(
--- a/tests/cluster/test_machine.py
+++ b/tests/cluster/test_random_faults.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from cluster.virtual import Net
+from cluster.virtual_network import VirtualNetwork
 
 NAMES = "abcd"
 TOPIC = "register"
@@ -16,13 +16,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.net = Net(NAMES, 0)
+        self.net = VirtualNetwork(NAMES, 0)
         self.cut_until = -1.0
         self.published: set[bytes] = set()
 
     @initialize(seed=st.integers(0, 10_000), loss=st.sampled_from([0.0, 0.1, 0.3]))
     def begin(self, seed: int, loss: float) -> None:
-        self.net = Net(NAMES, seed, loss=loss, duties=[TOPIC, "sweep"], topics=[TOPIC])
+        self.net = VirtualNetwork(NAMES, seed, loss=loss, leases=[TOPIC, "sweep"], topics=[TOPIC])
         for name in NAMES[:3]:
             self.net.start(name)
         self.net.run(5000)
@@ -75,7 +75,7 @@
 
     @invariant()
     def nobody_acts_twice(self) -> None:
-        """:meth:`Net.check` has looked after every event: fences are unique, and two act only in a partition."""
+        """:meth:`VirtualNetwork.check` runs after every event: tokens are unique, two act only in a partition."""
         if not self.net.cut and self.net.now > self.cut_until:
             self.net.may_overlap = False
         self.net.check()
@@ -83,21 +83,21 @@
     @invariant()
     def nothing_is_read_that_nobody_wrote(self) -> None:
         for process in self.net.processes.values():
-            assert process.sheets[TOPIC].get(b"row") in {None, *self.published}
+            assert process.tables[TOPIC].get(b"row") in {None, *self.published}
 
     def teardown(self) -> None:
-        """Left alone and healed, with everybody there, each duty has one owner again, and all read one sheet."""
+        """Left alone and healed, with everybody there, each lease has one owner again, and all read one table."""
         self.net.cut.clear()
         for name in NAMES:
             if name not in self.net.processes:
                 self.net.start(name)
         self.net.run(20_000)
-        assert all(len(self.net.owners(duty)) == 1 for duty in self.net.duties)
+        assert all(len(self.net.owners(lease)) == 1 for lease in self.net.leases)
         self.net.may_overlap = False
         owner = self.net.owners(TOPIC)[0]
         assert self.net.publish(owner, TOPIC, {b"row": b"last"})
         self.net.run(4000)
-        assert {process.sheets[TOPIC].get(b"row") for process in self.net.processes.values()} == {b"last"}
+        assert {process.tables[TOPIC].get(b"row") for process in self.net.processes.values()} == {b"last"}
 
 
 Cluster.TestCase.settings = settings(max_examples=25, stateful_step_count=15)
--- a/tests/cluster/test_sheets.py
+++ b/tests/cluster/test_replicated_tables.py
@@ -1,4 +1,4 @@
-"""Sheets: the tree is canonical, a sheet is taken whole or not at all, and gets through whatever is lost."""
+"""Replicated tables: the tree is canonical, a table is taken whole or not at all, and gets through whatever is lost."""
 
 from random import Random
 
@@ -6,8 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cluster.virtual import Net
+from cluster.virtual_network import VirtualNetwork
 from heronlug.cluster import merkle_trie
+from heronlug.cluster.errors import MalformedNodeError
 from heronlug.cluster.model import FencingToken
 
 TOPIC = "register"
@@ -40,7 +41,7 @@
 
 
 @given(st.dictionaries(KEYS, VALUES, min_size=20, max_size=60), st.integers(0, 2**32))
-def test_what_is_absent_is_found_whatever_is_there(rows: dict[bytes, bytes], seed: int) -> None:
+def test_missing_nodes_are_found_whatever_is_present(rows: dict[bytes, bytes], seed: int) -> None:
     whole: dict[int, bytes] = {}
     old = merkle_trie.build({key: rows[key] for key in list(rows)[::2]}, whole)
     new = merkle_trie.build(rows, whole)
@@ -54,7 +55,7 @@
     assert dict(merkle_trie.walk(there, new)) == rows
 
 
-def test_a_row_that_no_datagram_holds_is_refused_and_nothing_has_changed() -> None:
+def test_a_row_too_long_for_a_datagram_is_rejected_and_changes_nothing() -> None:
     nodes: dict[int, bytes] = {}
     root = merkle_trie.build({b"a": b"1"}, nodes)
     with pytest.raises(ValueError, match=f"{merkle_trie.MAX_ROW_SIZE} at most"):
@@ -63,18 +64,18 @@
 
 
 @given(st.binary(max_size=40))
-def test_bytes_that_are_no_node_are_told(data: bytes) -> None:
+def test_malformed_nodes_raise(data: bytes) -> None:
     try:
         merkle_trie.rows_of(data)
         merkle_trie.children_of(data)
-    except merkle_trie.MalformedNodeError:
+    except MalformedNodeError:
         return
     assert data[:1] in (b"L", b"B")
 
 
-def settled(seed: int, names: str | list[str], loss: float, rows: int = 60) -> tuple[Net, str]:
-    """Members that all have a sheet of so many rows, and who publishes it."""
-    net = Net(names, seed, loss=loss, duties=[TOPIC], topics=[TOPIC])
+def settled(seed: int, names: str | list[str], loss: float, rows: int = 60) -> tuple[VirtualNetwork, str]:
+    """Members that all have a table of so many rows, and who publishes it."""
+    net = VirtualNetwork(names, seed, loss=loss, leases=[TOPIC], topics=[TOPIC])
     for name in net.names:
         net.start(name)
     net.run(8000)
@@ -85,17 +86,17 @@
     return net, owner
 
 
-def behind(net: Net, rows: dict[bytes, bytes]) -> list[str]:
+def behind(net: VirtualNetwork, rows: dict[bytes, bytes]) -> list[str]:
     """Who has something else."""
-    return [name for name, process in net.processes.items() if process.sheets[TOPIC] != rows]
+    return [name for name, process in net.processes.items() if process.tables[TOPIC] != rows]
 
 
 @pytest.mark.parametrize(("members", "loss"), [(4, 0.0), (4, 0.3), (12, 0.3)])
-def test_a_change_is_known_by_all_within_the_drain_promise(members: int, loss: float) -> None:
-    """Ten changes at each of six seeds, one row each; the sheet is never taken by halves."""
+def test_a_change_reaches_all_members_within_the_drain_time(members: int, loss: float) -> None:
+    """Ten changes at each of six seeds, one row each; the table is never taken by halves."""
     for seed in range(6):
         net, owner = settled(seed, [f"m{n}" for n in range(members)], loss)
-        rows = dict(net.processes[owner].sheets[TOPIC])
+        rows = dict(net.processes[owner].tables[TOPIC])
         for turn in range(10):
             if not net.publish(owner, TOPIC, {b"h%d" % turn: b"draining", b"h%d" % (turn + 20): None}):
                 break  # its lease has run out for want of answers: another publishes from what it has
@@ -106,14 +107,14 @@
             while behind(net, rows) and net.now - begun <= REACHED:
                 net.run(20)
                 for process in net.processes.values():
-                    assert process.sheets[TOPIC] in (before, rows), f"seed {seed}: half of a change was taken"
+                    assert process.tables[TOPIC] in (before, rows), f"seed {seed}: half of a change was taken"
             assert not behind(net, rows), f"seed {seed}: {behind(net, rows)} do not know after {REACHED:.0f} ms"
 
 
-def test_an_owner_that_dies_is_noticed_and_its_successor_goes_on_from_its_rows() -> None:
+def test_a_dead_writer_is_noticed_and_its_successor_continues_from_its_rows() -> None:
     for seed in range(4):
         net, owner = settled(seed, "abcd", 0.3)
-        rows = dict(net.processes[owner].sheets[TOPIC])
+        rows = dict(net.processes[owner].tables[TOPIC])
         net.kill(owner)
         net.run(1600)
         ages = [p.node.tables.age(TOPIC, p.clock()) for p in net.processes.values()]
@@ -126,7 +127,7 @@
         assert not behind(net, {**rows, b"h1": b"new"})
 
 
-def test_an_owner_that_stood_still_does_not_put_its_old_rows_back() -> None:
+def test_a_paused_writer_does_not_restore_its_old_rows() -> None:
     net, owner = settled(9, "abcd", 0.0)
     net.pause(owner, 9000)
     net.run(7000)
@@ -135,11 +136,11 @@
     net.run(2500)  # the one before is back, with a lease that has run out
     assert not net.publish(owner, TOPIC, {b"h1": b"old"})
     net.run(2500)
-    assert not behind(net, {**net.processes[successor].sheets[TOPIC]})
-    assert net.processes[owner].sheets[TOPIC][b"h1"] == b"new"
+    assert not behind(net, {**net.processes[successor].tables[TOPIC]})
+    assert net.processes[owner].tables[TOPIC][b"h1"] == b"new"
 
 
-def test_both_sides_of_a_partition_come_to_one_sheet() -> None:
+def test_both_sides_of_a_healed_partition_converge_to_one_table() -> None:
     net, owner = settled(4, "abcd", 0.0)
     net.may_overlap = True
     net.split("ab", "cd")
@@ -151,11 +152,11 @@
     net.run(2000)
     net.cut.clear()
     net.run(9000)
-    sides = {process.sheets[TOPIC][b"side"] for process in net.processes.values()}
+    sides = {process.tables[TOPIC][b"side"] for process in net.processes.values()}
     assert len(net.owners(TOPIC)) == 1 and len(sides) == 1
 
 
-def test_a_member_that_comes_late_gets_the_whole_sheet() -> None:
+def test_a_late_joiner_gets_the_complete_table() -> None:
     net, owner = settled(5, "abcd", 0.3, rows=400)
     late = next(name for name in net.names if name != owner)
     net.kill(late)
@@ -169,7 +170,7 @@
     assert not behind(net, net.processes[publisher].node.tables.rows(TOPIC))
 
 
-def test_nodes_of_old_tables_are_forgotten() -> None:
+def test_nodes_of_old_versions_are_dropped() -> None:
     net, owner = settled(6, "ab", 0.0, rows=200)
     for turn in range(400):
         assert net.publish(owner, TOPIC, {b"h%d" % (turn % 200): b"%d" % turn})
@@ -185,16 +186,16 @@
     )
     for process in net.processes.values():
         assert len(process.node.tables.nodes) < 3 * live + 1100
-    assert not behind(net, net.processes[owner].sheets[TOPIC])
+    assert not behind(net, net.processes[owner].tables[TOPIC])
 
 
-def test_a_sheet_of_a_lower_fence_is_not_taken() -> None:
+def test_a_table_under_a_lower_token_is_ignored() -> None:
     net, owner = settled(7, "ab", 0.0)
     other = next(name for name in net.names if name != owner)
-    sheets = net.processes[other].node.tables
-    before = sheets.rows(TOPIC)
-    sheets.publish(TOPIC, FencingToken(1, 1), {b"h1": b"late"}, net.processes[other].clock())
+    tables = net.processes[other].node.tables
+    before = tables.rows(TOPIC)
+    tables.publish(TOPIC, FencingToken(1, 1), {b"h1": b"late"}, net.processes[other].clock())
     net._do(net.processes[other], net.processes[other].node.flush(net.processes[other].clock()))
     net.run(2000)
-    assert net.processes[owner].sheets[TOPIC] == before
+    assert net.processes[owner].tables[TOPIC] == before
     assert net.processes[other].node.tables.rows(TOPIC) == before
--- a/tests/cluster/test_hosts.py
+++ b/tests/cluster/test_server_view.py
@@ -21,7 +21,7 @@
     return {name: entry.state for name, entry in view.reported.items()}
 
 
-def test_the_shared_list_is_gone_by_once_our_own_is_not() -> None:
+def test_the_shared_list_is_used_once_the_own_watch_ends() -> None:
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, hosts("a", "b"))
     view.apply_shared_update(6, hosts("a"), [])
@@ -30,7 +30,7 @@
     assert view.source is ListSource.SHARED and not view.watching
 
 
-def test_a_change_of_the_list_tells_only_what_differs() -> None:
+def test_a_change_of_source_reports_only_differences() -> None:
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, hosts("a", "b", "c"))
     view.apply_shared_update(8, hosts("a", "b"), [])
@@ -41,14 +41,14 @@
     assert view.source is ListSource.OWN
 
 
-def test_a_failed_watch_changes_no_host() -> None:
+def test_a_failed_watch_changes_no_server() -> None:
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, hosts("a"))
     assert view.apply_own_update(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
     assert states(view) == {"a": READY} and not view.watching
 
 
-def test_news_of_others_only_takes_hosts_away() -> None:
+def test_a_newer_shared_list_only_takes_servers_away() -> None:
     """``share = "news"``: nothing is sent to a host that our own list has not named."""
     view = ServerView("news")
     view.apply_own_update(ListKind.FULL, 7, hosts("a", "b", "c"))
@@ -58,7 +58,7 @@
     assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # ours is as new now, and counts
 
 
-def test_a_host_found_down_drains_until_it_is_up() -> None:
+def test_a_server_found_down_drains_until_it_is_up() -> None:
     view = ServerView("none", panic_share=0.5)
     view.apply_own_update(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
     assert view.apply_health_results("probe-1", ["a"], []) == hosts("a", state=DRAINING)
@@ -70,7 +70,7 @@
     assert view.apply_health_results("probe-1", [], ["a"]) == hosts("a")
 
 
-def test_probes_that_find_most_hosts_down_are_not_believed() -> None:
+def test_health_checks_that_find_most_servers_down_are_ignored() -> None:
     view = ServerView("none", panic_share=0.5)
     view.apply_own_update(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
     view.apply_health_results("probe-1", ["a", "b"], [])
@@ -91,7 +91,7 @@
 
 
 @given(st.sampled_from(["none", "list", "news"]), st.lists(STEP, max_size=40))
-def test_what_was_told_adds_up_to_what_holds(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
+def test_reported_changes_add_up_to_the_view(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
     """The core, which applies what it is told, ends with the very hosts of the view; and none that no list has."""
     view, core = ServerView(share, 1500), dict[str, ListedServer]()
 
@@ -117,7 +117,7 @@
         assert view.reported.keys() <= named
 
 
-def test_probes_are_spread_and_verdicts_take_several_in_a_row() -> None:
+def test_checks_are_spread_and_a_state_changes_after_several_in_a_row() -> None:
     prober = HealthCheckSchedule(1000, fall=3, rise=2, max_in_flight=64)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
     begun = []
@@ -138,7 +138,7 @@
     assert verdicts == [None, None, None, None, None, False, None, True]
 
 
-def test_so_many_probes_are_out_at_once_and_what_has_gone_counts_no_more() -> None:
+def test_checks_in_flight_are_limited_and_removed_servers_do_not_count() -> None:
     prober = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
     prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
     first = prober.start_due(1000.0)
@@ -150,7 +150,7 @@
     assert not prober.servers["h0"].down and prober.in_flight == 0  # another process at another address
 
 
-def test_a_successor_begins_with_what_was_down() -> None:
+def test_a_new_shard_owner_starts_with_the_servers_that_are_down() -> None:
     prober = HealthCheckSchedule(100, fall=3, rise=2, max_in_flight=4)
     prober.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
     now = 0.0
@@ -161,6 +161,6 @@
     assert said == [None, True]
 
 
-def test_every_host_has_one_shard() -> None:
+def test_every_server_has_one_shard() -> None:
     shards = [shard_of(f"s-{n:08x}", 8) for n in range(4000)]
     assert all(400 < shards.count(number) < 600 for number in range(8))
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual_network.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from cluster.virtual import Net
+from cluster.virtual_network import VirtualNetwork
 from heronlug.cluster.model import Health, LeaseGained, LeaseLost, MemberUpdate
 
 SEEDS = int(os.environ.get("CLUSTER_SEEDS", "300"))
 BOUND = 5000.0  # ms without an owner, at 30% loss
 
 
-def started(seed: int, loss: float = 0.3) -> Net:
+def started(seed: int, loss: float = 0.3) -> VirtualNetwork:
     """Four members that have settled."""
-    net = Net("abcd", seed, loss=loss)
+    net = VirtualNetwork("abcd", seed, loss=loss)
     for name in net.names:
         net.start(name)
     net.run(8000)
@@ -25,9 +25,9 @@
 
 
 def kills(seed: int) -> float:
-    """The owner of a duty is killed, and comes back; returns the longest time that a duty had no owner."""
+    """The owner of a lease is killed, and comes back; returns the longest time that a lease had no owner."""
     net = started(seed)
-    victim = net.owner(net.duties[seed % 4]) or "a"
+    victim = net.owner(net.leases[seed % 4]) or "a"
     net.kill(victim)
     net.run(5500)
     net.start(victim)
@@ -61,23 +61,23 @@
         return list(pool.map(play, range(seeds), chunksize=4))
 
 
-def test_takeover_within_its_bound_whatever_is_lost() -> None:
-    """30% loss, delays, duplicates, clocks 1% apart: :meth:`Net.check` holds after every event of every seed."""
+def test_takeover_is_bounded_under_packet_loss() -> None:
+    """30% loss, delays, duplicates, clocks 1% apart; the network's invariants hold after every event of every seed."""
     idle = many(kills, SEEDS)
     assert max(idle) <= BOUND, f"seed {idle.index(max(idle))}: {max(idle):.0f} ms without an owner"
 
 
-def test_who_gives_way_frees_the_vote_that_it_gave_itself() -> None:
-    """Found by ten thousand seeds: one that had asked anew kept its vote for its first fence; 10 s without an owner."""
+def test_a_withdrawn_request_releases_its_own_vote() -> None:
+    """Found by ten thousand seeds: one that had asked anew kept its vote for its first token; 10 s without an owner."""
     assert kills(6800) <= BOUND
 
 
-def test_two_that_ask_with_different_views_bind_no_votes_against_each_other() -> None:
+def test_competing_requests_with_different_views_bind_no_votes() -> None:
     """Found by seed 61029: each had part of the votes, renewed them, and left them bound: 10 s without an owner."""
     assert kills(61029) <= BOUND
 
 
-def test_no_trouble_makes_two_owners() -> None:
+def test_no_fault_makes_two_holders() -> None:
     many(troubles, SEEDS // 3)
 
 
@@ -86,28 +86,28 @@
     assert logs[0] == logs[1]
 
 
-def test_a_death_moves_only_the_dead_ones_duties() -> None:
-    net = Net("abcd", 3, duties=[f"d{n}" for n in range(12)])
+def test_only_the_leases_of_a_dead_member_move() -> None:
+    net = VirtualNetwork("abcd", 3, leases=[f"d{n}" for n in range(12)])
     for name in net.names:
         net.start(name)
     net.run(9000)
-    before = {duty: net.owner(duty) for duty in net.duties}
+    before = {lease: net.owner(lease) for lease in net.leases}
     assert set(before.values()) == set("abcd")
     net.kill("b")
     net.run(6000)
-    after = {duty: net.owner(duty) for duty in net.duties}
+    after = {lease: net.owner(lease) for lease in net.leases}
     assert all(owner is not None and owner != "b" for owner in after.values())
-    assert {duty for duty in before if before[duty] != after[duty]} == {d for d in before if before[d] == "b"}
+    assert {lease for lease in before if before[lease] != after[lease]} == {d for d in before if before[d] == "b"}
 
 
-def test_a_leave_hands_over_without_waiting_for_the_lease() -> None:
+def test_a_leaving_member_transfers_its_leases_before_they_expire() -> None:
     net = started(11, loss=0.0)
-    duty = net.duties[0]
-    owner = net.owner(duty)
+    lease = net.leases[0]
+    owner = net.owner(lease)
     assert owner is not None
     net.leave(owner)
     net.run(600)
-    assert net.owner(duty) not in (None, owner) and net.longest_idle < 300
+    assert net.owner(lease) not in (None, owner) and net.longest_idle < 300
     net.run(1500)
     assert net.processes[owner].node.left
     others = [process.node.membership.members[owner].health for name, process in net.processes.items() if name != owner]
@@ -117,13 +117,13 @@
 @pytest.mark.parametrize(
     "lost", ["TransferOffer", "TransferAcceptance", "TransferCompletion", "LeaseRequest", "LeaseGrant", "LEFT"]
 )
-def test_a_handover_with_one_kind_of_message_lost(lost: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each message of the handover is lost the first three times: that costs time and never a duty."""
+def test_a_transfer_survives_the_loss_of_each_message(lost: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each message of the handover is lost the first three times: that costs time and never a lease."""
     from heronlug.cluster import codec, datagrams
 
     net = started(13, loss=0.0)
-    duty = net.duties[1]
-    owner = net.owner(duty)
+    lease = net.leases[1]
+    owner = net.owner(lease)
     assert owner is not None
     dropped = 0
     send = net._send
@@ -142,11 +142,11 @@
     net.leave(owner)
     net.run(BOUND)
     assert dropped == 3
-    assert net.owner(duty) not in (None, owner)
+    assert net.owner(lease) not in (None, owner)
     assert net.longest_idle <= BOUND
 
 
-def test_all_restarted_one_after_another_and_all_at_once() -> None:
+def test_leases_survive_rolling_and_simultaneous_restarts() -> None:
     for seed in range(6):
         net = started(seed)
         for name in net.names:
@@ -161,62 +161,62 @@
         for name in net.names:
             net.start(name)
         net.run(9000)
-        assert all(net.owner(duty) for duty in net.duties), f"seed {seed}"
+        assert all(net.owner(lease) for lease in net.leases), f"seed {seed}"
 
 
-def test_a_partition_two_against_two_and_its_healing() -> None:
-    """Both sides act while they cannot hear of each other, under different fences; healed, one of the two stops."""
+def test_a_healed_partition_leaves_one_holder() -> None:
+    """Both sides act while they cannot hear of each other, under different tokens; healed, one of the two stops."""
     for seed in range(8):
         net = started(seed, loss=0.1)
         net.may_overlap = True
         net.split("ab", "cd")
         net.run(15_000)
-        for duty in net.duties:
-            owners = net.owners(duty)
+        for lease in net.leases:
+            owners = net.owners(lease)
             assert len(owners) == 2 and len({"ab".find(owner) >= 0 for owner in owners}) == 2, f"seed {seed}"
         net.cut.clear()
         net.run(6000)
         net.overlap, net.since = 0.0, {}
         net.may_overlap = False
         net.run(4000)
-        assert [len(net.owners(duty)) for duty in net.duties] == [1] * 4, f"seed {seed}"
+        assert [len(net.owners(lease)) for lease in net.leases] == [1] * 4, f"seed {seed}"
 
 
-def test_a_one_way_cut_makes_no_second_owner() -> None:
+def test_a_one_way_cut_makes_no_second_holder() -> None:
     for seed in range(6):
         net = started(seed, loss=0.0)
-        owner = net.owner(net.duties[0])
+        owner = net.owner(net.leases[0])
         assert owner is not None
         net.cut = {(owner, other) for other in net.names if other != owner}  # it hears, and is not heard
         net.run(9000)
-        assert net.owner(net.duties[0]) not in (None, owner), f"seed {seed}"
+        assert net.owner(net.leases[0]) not in (None, owner), f"seed {seed}"
 
 
-def test_a_paused_owner_does_not_act_when_it_comes_back() -> None:
+def test_a_resumed_holder_does_not_act() -> None:
     for seed in range(6):
         net = started(seed, loss=0.0)
-        duty = net.duties[0]
-        owner = net.owner(duty)
+        lease = net.leases[0]
+        owner = net.owner(lease)
         assert owner is not None
         net.pause(owner, 7000.0)
         net.run(6900)
-        other = net.owner(duty)
+        other = net.owner(lease)
         assert other not in (None, owner)
         net.run(4000)
         told = [action for _, name, action in net.log if name == owner and isinstance(action, LeaseGained | LeaseLost)]
-        assert any(isinstance(action, LeaseLost) and action.lease == duty for action in told)
+        assert any(isinstance(action, LeaseLost) and action.lease == lease for action in told)
 
 
-def test_fences_only_rise() -> None:
-    """Whoever takes over has a higher fence than all before it, over kills and restarts."""
+def test_fencing_tokens_only_rise() -> None:
+    """Whoever takes over has a higher token than all before it, over kills and restarts."""
     for seed in range(4):
         net = started(seed, loss=0.2)
         for turn in range(4):
-            name = net.owner(net.duties[0]) or "a"
+            name = net.owner(net.leases[0]) or "a"
             net.kill(name)
             net.run(5500)
             net.start(name)
             net.run(4000 + 100 * turn)
         told = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
-        gained = [action.token for action in told if action.lease == net.duties[0]]
+        gained = [action.token for action in told if action.lease == net.leases[0]]
         assert len(gained) >= 4 and gained == sorted(gained)
--- a/tests/cluster/virtual.py
+++ b/tests/cluster/virtual_network.py
@@ -1,7 +1,7 @@
 """A virtual network: no sockets and no sleep.  Seeded, so that a run can be played again to the letter.
 
 Loss, delay, duplicates, reordering, one-way cuts, partitions, clocks that run apart, pauses of whole processes, kills
-and restarts.  After every event the invariants are checked: never two owners under one fence, and never two at once,
+and restarts.  After every event the invariants are checked: never two owners under one token, and never two at once,
 but where the test says that the network is cut.
 """
 
@@ -30,17 +30,17 @@
 class Process:
     """A running member with its own clock."""
 
-    def __init__(self, net: "Net", name: str, drift: float) -> None:
+    def __init__(self, net: "VirtualNetwork", name: str, drift: float) -> None:
         self.net, self.name, self.drift = net, name, drift
         self.offset = net.rng.uniform(0, 1e6)
         incarnation = BORN + int(net.now) + net.skew.setdefault(name, net.rng.randrange(-2000, 2000))
         seeds = [other for other in net.names[: net.seeds] if other != name]
         local = LocalMember(name, name, incarnation)
-        self.node = Node(local, seeds, net.duties, net.keys, Random(net.rng.random()), net.terms)
+        self.node = Node(local, seeds, net.leases, net.keys, Random(net.rng.random()), net.terms)
         self.paused = self.dead = False
         self.missed: list[tuple[bytes, str]] = []
         self.next = 0.0
-        self.sheets: dict[str, dict[bytes, bytes]] = {topic: {} for topic in net.topics}  # as it is told of them
+        self.tables: dict[str, dict[bytes, bytes]] = {topic: {} for topic in net.topics}  # as it is told of them
         for topic in net.topics:
             self.node.tables.follow(topic)
 
@@ -49,21 +49,21 @@
         return self.offset + self.net.now * (1 + self.drift)
 
 
-class Net:
+class VirtualNetwork:
     """All members, and what is on its way between them."""
 
     def __init__(
         self,
         names: Iterable[str],
         seed: int,
-        duties: Iterable[str] = ("register", "sweep", "probe", "audit"),
+        leases: Iterable[str] = ("register", "sweep", "probe", "audit"),
         loss: float = 0.0,
         terms: ClusterTiming | None = None,
         drift: float = 0.01,
         topics: Iterable[str] = (),
     ) -> None:
         self.rng, self.seed = Random(seed), seed
-        self.names, self.duties, self.topics, self.keys = list(names), list(duties), list(topics), KEYS
+        self.names, self.leases, self.topics, self.keys = list(names), list(leases), list(topics), KEYS
         self.seeds = 3 if len(self.names) > 16 else len(self.names)  # the first ones, that the others are told of
         self.loss, self.delay, self.twice, self.terms = loss, (0.5, 40.0), 0.02, terms or ClusterTiming()
         self.now = 0.0
@@ -75,11 +75,11 @@
         self._queue: list[tuple[float, int, str, Any]] = []
         self._seq = 0
         self.log: list[tuple[float, str, Any]] = []
-        self.fences: dict[tuple[str, FencingToken], str] = {}  # who has had it
-        self.acting: dict[str, set[str]] = {duty: set() for duty in self.duties}
-        self.since: dict[str, float] = {}  # how long a duty has had more than one owner
+        self.tokens: dict[tuple[str, FencingToken], str] = {}  # who has had it
+        self.acting: dict[str, set[str]] = {lease: set() for lease in self.leases}
+        self.since: dict[str, float] = {}  # how long a lease has had more than one owner
         self.overlap = 0.0  # the longest that it has
-        self.idle_since: dict[str, float] = dict.fromkeys(self.duties, 0.0)
+        self.idle_since: dict[str, float] = dict.fromkeys(self.leases, 0.0)
         self.longest_idle = 0.0
         self.may_overlap = False
         self.sent = self.bytes = 0
@@ -104,14 +104,14 @@
         self._do(process, process.node.leave(process.clock()))
 
     def publish(self, name: str, topic: str, changes: dict[bytes, bytes | None]) -> bool:
-        """It publishes under its fence, if it has one."""
+        """It publishes under its token, if it has one."""
         process = self.processes[name]
         now = process.clock()
-        fence = process.node.may_act(topic, now)
-        if fence is None:
+        token = process.node.may_act(topic, now)
+        if token is None:
             return False
-        process.node.tables.publish(topic, fence, changes, now)
-        process.sheets[topic] = process.node.tables.rows(topic)
+        process.node.tables.publish(topic, token, changes, now)
+        process.tables[topic] = process.node.tables.rows(topic)
         self._do(process, process.node.flush(now))
         return True
 
@@ -155,34 +155,34 @@
 
     # -- what it sees
 
-    def owner(self, duty: str) -> str | None:
-        """Who acts on a duty now."""
-        return next(iter(self.owners(duty)), None)
+    def owner(self, lease: str) -> str | None:
+        """Who acts on a lease now."""
+        return next(iter(self.owners(lease)), None)
 
-    def owners(self, duty: str) -> list[str]:
+    def owners(self, lease: str) -> list[str]:
         """All that act on it now: more than one is a fault, but in a partition."""
         running = [p for p in self.processes.values() if not p.paused]
-        return [p.name for p in running if p.node.may_act(duty, p.clock()) is not None]
+        return [p.name for p in running if p.node.may_act(lease, p.clock()) is not None]
 
     def check(self) -> None:
         """The invariants; raises ``AssertionError`` with the seed."""
-        for duty in self.duties:
-            owners = self.owners(duty)
+        for lease in self.leases:
+            owners = self.owners(lease)
             for name in owners:
                 process = self.processes[name]
-                fence = process.node.may_act(duty, process.clock())
-                assert fence is not None
-                first = self.fences.setdefault((duty, fence), f"{name}/{process.node.local.name}/{id(process)}")
-                assert first.endswith(f"/{id(process)}"), f"seed {self.seed}: {duty} {fence} twice: {first} and {name}"
+                token = process.node.may_act(lease, process.clock())
+                assert token is not None
+                first = self.tokens.setdefault((lease, token), f"{name}/{process.node.local.name}/{id(process)}")
+                assert first.endswith(f"/{id(process)}"), f"seed {self.seed}: {lease} {token} twice: {first} and {name}"
             if len(owners) > 1:
-                self.overlap = max(self.overlap, self.now - self.since.setdefault(duty, self.now))
-                assert self.may_overlap, f"seed {self.seed}: at {self.now:.0f} {duty} is owned by {owners}"
+                self.overlap = max(self.overlap, self.now - self.since.setdefault(lease, self.now))
+                assert self.may_overlap, f"seed {self.seed}: at {self.now:.0f} {lease} is owned by {owners}"
             else:
-                self.since.pop(duty, None)
+                self.since.pop(lease, None)
             if owners:
-                self.idle_since.pop(duty, None)
+                self.idle_since.pop(lease, None)
             else:
-                self.longest_idle = max(self.longest_idle, self.now - self.idle_since.setdefault(duty, self.now))
+                self.longest_idle = max(self.longest_idle, self.now - self.idle_since.setdefault(lease, self.now))
 
     # -- inside
 
@@ -201,7 +201,7 @@
                     process.next = when
                     self._at(when, process.name, (process, when))
             elif isinstance(action, TableChanged):
-                rows = process.sheets[action.table]
+                rows = process.tables[action.table]
                 for key, value in action.changes.items():
                     if value is None:
                         del rows[key]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
     "tests/faults/test_soak.py",
     "tests/test_exchanges.py",
     "tests/balancer/test_zone_failover.py",
-    "tests/cluster/test_states.py",
+    "tests/cluster/test_lease_states.py",
     "tests/cluster/test_sockets.py",
     "tests/cluster/test_register.py",
     "tests/emulator/test_maths.py",
