--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -95,9 +95,9 @@
         )
         policy = world.scenario.policy
         if policy != BUILT_IN_POLICY:
-            core.dispatcher = POLICIES[policy](settings, seed, self._server_truth)  # type: ignore[assignment]
+            core.events.dispatcher = POLICIES[policy](settings, seed, self._server_truth)  # type: ignore[assignment]
         elif world.decision_module is not None:
-            core.dispatcher = world.decision_module(settings, seed)
+            core.events.dispatcher = world.decision_module(settings, seed)
         return core
 
     def _make_pacer(self, settings: Settings, seed: int) -> PollPacer | None:
--- a/heronlug/frontends/http/frontend.py
+++ b/heronlug/frontends/http/frontend.py
@@ -168,7 +168,7 @@
         if request.class_index == NO_CLASS:
             self._answer_health_check(connection, request)
             return
-        if self.core.is_open(request.request_id):
+        if self.core.requests.has_id(request.request_id):
             self.body_memory.release(request)
             self.core.count_answer(request.class_index, FinalAnswer.FAILED)
             raise DuplicateRequestIdError
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -133,7 +133,7 @@
         )
         self.shutdown = GracefulShutdown(deadlines, max_deadline, hooks)
         self.state_transfer = StateTransfer(self, deadlines, os.environ.get("TMPDIR"))
-        self.core.on_request_id = self.state_transfer.request_id_changed
+        self.core.requests.on_id_changed = self.state_transfer.request_id_changed
         self.hot_restart = self.state_transfer.session
         self.peer_messages.hot_restart = self.hot_restart
         self.readiness.shutdown = self.shutdown
--- a/heronlug/lifecycle/hot_restart/state_transfer.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -92,7 +92,7 @@
             self._parts.log("handover_failed", error=repr(error))
             self.session.abandon_predecessor()
             return
-        self._parts.core.peer_process_request_ids.update(state.request_ids)
+        self._parts.core.requests.peer_process_ids.update(state.request_ids)
         self._state = state
         self._share_limits(2)
 
@@ -153,7 +153,7 @@
             endpoint_list=write_current_list(parts.core, parts.discovery.client, parts.config),
             list_valid_ms=parts.discovery.client.freshness.remaining(self._deadlines.clock()),
             learned=parts.core.dispatcher.snapshot(),
-            request_ids=tuple(sorted(parts.core.request_ids)),
+            request_ids=tuple(sorted(parts.core.requests.ids)),
             socket_names=tuple(open_sockets),
         )
         return state.encode(), list(open_sockets.values())
@@ -184,8 +184,8 @@
         """The other process has accepted or finished requests; raises ``TypeError`` or ``ValueError``."""
         news = News.decode(message)
         core = self._parts.core
-        core.peer_process_request_ids.update(news.opened)
-        core.peer_process_request_ids.difference_update(news.ended)
+        core.requests.peer_process_ids.update(news.opened)
+        core.requests.peer_process_ids.difference_update(news.ended)
         if news.counts is not None:
             core.peer_message(core.settings.position, news.counts)
 
--- a/heronlug/requests/core.py
+++ b/heronlug/requests/core.py
@@ -4,7 +4,6 @@
 goes out through a :class:`heronlug.requests.interfaces.Transport`.  No socket and no protocol is known here.
 """
 
-from collections import deque
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 from math import inf
@@ -41,14 +40,13 @@
 )
 from heronlug.balancer.settings import Effect, RequestClass, Settings
 from heronlug.requests.deadlines import Deadlines
+from heronlug.requests.event_queue import EventQueue
 from heronlug.requests.interfaces import EventLog, Plugins, Transport, log_nothing
 from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request, Workload
+from heronlug.requests.request_table import RequestTable
 from heronlug.requests.server_directory import ServerDirectory
 from heronlug.requests.slots import SlotTable
 
-SLOW_EVENT_MS = 100.0
-"""Time that the balancer may take for an event before it is logged."""
-
 POSTPONED_MS = 5.0
 """Time until the endpoint list is looked at again, for which an attempt waits."""
 
@@ -63,22 +61,17 @@
         settings: of the dispatcher, with the limits of the classes that hold now.
         transport: the frontend and backend.
         deadlines: all deadlines of the process, and its clock.
-        dispatcher: the decisions.
         plugins: may reject requests, and see each final answer; None for none.
         directory: the servers of the endpoint list.
-        requests: open requests, and answered ones with attempts in flight.
+        events: events that the balancer is given.
+        requests: the table of requests.
         attempts: attempts in flight.
-        request_ids: the clients' ids of the requests in the table.
-        peer_process_request_ids: ids of requests that another process of this dispatcher has.
-        on_request_id: called with an id when its request is accepted (True), and when it is forgotten.
         has_unread_update: whether an update of the endpoint list has come and is not read: no attempt begins then.
         max_open: open requests at most; more are rejected.
         answer_by: the last moment for any answer, once a planned stop has begun.
-        open_requests: requests that are owed a final answer.
         answer_counts: final answers by class and kind, since the start.
         dispatches: attempts that were written whole.
         postponed: attempts that have waited for the endpoint list.
-        slow_events: events that took longer than ``SLOW_EVENT_MS``.
     """
 
     def __init__(
@@ -113,32 +106,26 @@
         """
         self.settings, self.transport, self.deadlines = settings, transport, deadlines
         self.plugins = plugins
-        self.dispatcher = Dispatcher(settings, seed)
         self.directory = ServerDirectory()
-        self.requests: SlotTable[Request] = SlotTable()
+        self.requests = RequestTable(deadlines)
         self.attempts: SlotTable[Attempt] = SlotTable()
-        self.request_ids: set[str] = set()
-        self.peer_process_request_ids: set[str] = set()
-        self.on_request_id: Callable[[str, bool], None] | None = None
         self.has_unread_update = has_unread_update
         self.max_open = max_open
         self.answer_by = inf
         self.class_names = [request_class.name for request_class in settings.classes]
-        self.open_requests = 0
         self.answer_counts = [dict.fromkeys(FinalAnswer, 0) for _ in self.class_names]
         self.dispatches = 0
         self.postponed = 0
-        self.slow_events = 0
         self._log, self._subscribe, self._send_peer_message = log, subscribe, send_peer_message
         self._retry_after = max_retry_after / 2
-        self._events: deque[Event] = deque()
-        self._handling = False
+        self.events = EventQueue(Dispatcher(settings, seed), deadlines.clock, self._do, self._log_slow_event)
 
-    # -- requests
+    @property
+    def dispatcher(self) -> Dispatcher:
+        """The decisions."""
+        return self.events.dispatcher
 
-    def is_open(self, request_id: str) -> bool:
-        """Whether a request of that id is open: a server could not tell another one from it."""
-        return request_id in self.request_ids or request_id in self.peer_process_request_ids
+    # -- requests
 
     def accept(
         self,
@@ -168,9 +155,8 @@
             remaining = min(remaining, policy.give_up_after)
         give_up_at = min(now + remaining, self.answer_by)
         request = Request(payload, class_index, policy, give_up_at, now, request_id)
-        self._open(request)
-        if request_id and self.on_request_id is not None:
-            self.on_request_id(request_id, True)
+        self.requests.add(request, self._on_deadline)
+        self.requests.announce(request)
         self._log(
             "taken", message=request.handle, id=request_id, lane=policy.name, left=round(request.give_up_at - now)
         )
@@ -178,7 +164,7 @@
         if reason:
             self._close(request, FinalAnswer.REFUSED, b"", self._retry_after, reason)
         else:
-            self._handle(_arrival(request, workload))
+            self.events.handle(_arrival(request, workload))
         return request
 
     def _reason_to_reject(self, request: Request, now: float, remaining: float, size: int) -> str:
@@ -206,7 +192,7 @@
             workload: what the client told of its work.
             not_before: when its backoff ends.
         """
-        self._open(request)
+        self.requests.add(request, self._on_deadline)
         snapshots = []
         for entry, snapshot in passed:
             number = self.directory.number_of(entry.name)
@@ -220,7 +206,7 @@
                 attempt.handle = self.attempts.add(attempt)
             snapshots.append(snapshot._replace(server=number))
         arrival = _arrival(request, workload)
-        self._handle(RequestAdopted(arrival, request.accepted_at, tuple(snapshots), not_before))
+        self.events.handle(RequestAdopted(arrival, request.accepted_at, tuple(snapshots), not_before))
 
     def attempt_snapshots(self, request: Request) -> list[tuple[ListedServer, AttemptSnapshot]] | None:
         """The attempts of a request, for another process to go on with; None if it is over."""
@@ -237,13 +223,13 @@
     def hand_over(self, request: Request) -> None:
         """Forget a request that another process goes on with: nothing is owed here, and nothing has ended."""
         request.client_gone = True
-        self.open_requests -= 1
+        self.requests.settle()
         for attempt in request.attempts:
             if attempt.in_flight:
                 attempt.in_flight = False
                 self.attempts.remove(attempt.handle)
-        self._handle(RequestHandedOver(request.handle))
-        self._forget(request)
+        self.events.handle(RequestHandedOver(request.handle))
+        self.requests.forget(request)
 
     def use_classes(self, classes: tuple[RequestClass, ...]) -> None:
         """Use other limits from now on, in one step; what has been accepted keeps its own.
@@ -256,10 +242,10 @@
         """Note that the client has left: nothing is owed any more."""
         if not request.closed:
             request.client_gone = True
-            self.open_requests -= 1
+            self.requests.settle()
             self._log("client_gone", message=request.handle, id=request.request_id)
-            self._handle(ClientGone(request.handle))
-            self._forget(request)
+            self.events.handle(ClientGone(request.handle))
+            self.requests.forget(request)
 
     def count_answer(self, class_index: int, final: FinalAnswer) -> None:
         """Count a final answer; a frontend counts here too what it answers without having it accepted."""
@@ -269,14 +255,14 @@
         """Fail a request for a reason outside the balancer, and cancel its attempts in flight."""
         if not request.closed:
             self._close(request, FinalAnswer.FAILED, b"", reason="connection_rejected")
-            self._handle(ClientGone(request.handle))
-            self._forget(request)
+            self.events.handle(ClientGone(request.handle))
+            self.requests.forget(request)
 
     def give_up_all(self) -> None:
         """Answer whatever is still owed now, as the balancer words it: the process ends."""
         for request in list(self.requests):
             if not request.closed:
-                self._handle(FinalAnswerDue(request.handle))
+                self.events.handle(FinalAnswerDue(request.handle))
 
     @property
     def counts(self) -> dict[FinalAnswer, int]:
@@ -291,7 +277,8 @@
         Guards the rules of draining and of repeats at the last moment: the decision was right when it was made, but the
         server may drain, or the request be closed, while a connection was being made.
         """
-        if self.directory.stale or not attempt.server.ready or not self._repeat_window_open(attempt):
+        repeat_window_open = attempt.repeat_window_open(self.deadlines.clock())
+        if self.directory.stale or not attempt.server.ready or not repeat_window_open:
             return False
         return attempt.in_flight and not self._is_over(attempt.request)
 
@@ -306,7 +293,9 @@
     def attempt_progressed(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
         """Take in that a server reports the start of an attempt, or how much of it is done."""
         if attempt.in_flight:
-            self._handle(AttemptProgress(attempt.request.handle, attempt.number, attempt.server.number, kind, share))
+            self.events.handle(
+                AttemptProgress(attempt.request.handle, attempt.number, attempt.server.number, kind, share)
+            )
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
         """Take in the one end of an attempt; further ones are ignored.  A first ``SERVED`` answers the request."""
@@ -321,10 +310,10 @@
         elif not request.closed:
             self._close(request, FinalAnswer.SERVED, result)
         latency = max(0.0, now - attempt.sent_at)
-        self._handle(
+        self.events.handle(
             AttemptEnded(request.handle, attempt.number, attempt.server.number, outcome, latency, request.closed)
         )
-        self._forget(request)
+        self.requests.forget(request)
 
     def postpone(self, act: Callable[[Attempt], None], attempt: Attempt) -> None:
         """Go on with an attempt in the next turn of the loop, as the endpoint list is read in this one."""
@@ -337,23 +326,23 @@
     def update_servers(self, kind: ListKind, entries: Sequence[ListedServer]) -> None:
         """Take in an update of the endpoint list."""
         now = self.deadlines.clock()
-        self._handle(self.directory.update(kind, entries, now))
+        self.events.handle(self.directory.update(kind, entries, now))
         self.directory.forget_removed((attempt.server.number for attempt in self.attempts), now)
 
     def set_list_usable(self, usable: bool) -> None:
         """Set whether the endpoint list may be used; while it may not, no server gets new work."""
         update = self.directory.set_usable(usable)
         if update is not None:
-            self._handle(update)
+            self.events.handle(update)
 
     def peer_message(self, peer: int, content: bytes) -> None:
         """Take in a message from another dispatcher."""
-        self._handle(PeerMessage(peer, content))
+        self.events.handle(PeerMessage(peer, content))
 
     def peer_process_ended(self) -> None:
         """Note that there is no other process of this dispatcher any more."""
-        self.peer_process_request_ids.clear()
-        self._handle(PeerGone(self.settings.position))
+        self.requests.peer_process_ids.clear()
+        self.events.handle(PeerGone(self.settings.position))
 
     def server_counts(self) -> tuple[int, int]:
         """How many servers the endpoint list holds, and how many of them the balancer avoids now."""
@@ -363,32 +352,14 @@
 
     # -- events and actions
 
-    def _handle(self, event: Event) -> None:
-        """Give the balancer an event; events that its actions cause wait until all of these are done."""
-        self._events.append(event)
-        if self._handling:
-            return
-        self._handling = True
-        try:
-            while self._events:
-                now, event = self.deadlines.clock(), self._events.popleft()
-                for action in self.dispatcher.handle(now, event):
-                    self._do(action, now)
-                took = self.deadlines.clock() - now
-                if took >= SLOW_EVENT_MS:
-                    self._note_slow_event(event, took)
-        finally:
-            self._handling = False
-
-    def _note_slow_event(self, event: Event, took: float) -> None:
+    def _log_slow_event(self, event: Event, took: float) -> None:
         """Log an event that has held the loop up, or during which the process had no processor."""
-        self.slow_events += 1
         self._log(
             "slow_event",
             kind=type(event).__name__,
             ms=round(took, 1),
             hosts=len(self.directory.by_number),
-            open=self.open_requests,
+            open=self.requests.open_count,
             waiting=self.dispatcher.queue_length,
         )
 
@@ -397,7 +368,7 @@
             case StartAttempt():
                 self._start_attempt(action, now)
             case SetTimer():
-                self.deadlines.call_at(now + action.delay, self._handle, TimerFired(action.token))
+                self.deadlines.call_at(now + action.delay, self.events.handle, TimerFired(action.token))
             case Reject() | Fail():
                 self._give_up(action)
             case CancelAttempt():
@@ -417,7 +388,7 @@
             never_began = AttemptEnded(
                 action.request, 0, server.number, Outcome.CANCELLED_BEFORE_START, latency=0.0, final=True
             )
-            self._events.append(never_began)
+            self.events.put_behind(never_began)
             return
         attempt = Attempt(request, len(request.attempts), server, now)
         request.attempts.append(attempt)
@@ -449,15 +420,6 @@
             self.transport.cancel(attempt)
             self.attempt_ended(attempt, outcome)
 
-    def _repeat_window_open(self, attempt: Attempt) -> bool:
-        """Whether servers still drop a repeat, where they do so for a while only: a dial takes some of that."""
-        request = attempt.request
-        if request.policy.effect is not Effect.IDEMPOTENT_BY_KEY:
-            return True
-        now, window = self.deadlines.clock(), request.policy.repeat_window
-        earlier = request.attempts[: attempt.number]
-        return all(now - other.sent_at <= window for other in earlier if other.may_have_run)
-
     # -- ends
 
     def _is_over(self, request: Request) -> bool:
@@ -471,7 +433,7 @@
         if request is not None and not request.closed:
             final = FinalAnswer.REFUSED if isinstance(action, Reject) else FinalAnswer.FAILED
             self._close(request, final, b"", self._retry_after, action.reason.value)
-            self._forget(request)
+            self.requests.forget(request)
 
     def _on_deadline(self, request: Request) -> None:
         """End what is in flight when the client's time is over, and fail what the balancer has not answered."""
@@ -480,21 +442,14 @@
         if not request.closed:
             self._log("overdue", message=request.handle, id=request.request_id)
             self._close(request, FinalAnswer.FAILED, b"", reason="overdue")
-        self._forget(request)
-
-    def _open(self, request: Request) -> None:
-        request.handle = self.requests.add(request)
-        self.open_requests += 1
-        if request.request_id:
-            self.request_ids.add(request.request_id)
-        request.deadline_key = self.deadlines.call_at(request.give_up_at, self._on_deadline, request)
+        self.requests.forget(request)
 
     def _close(
         self, request: Request, final: FinalAnswer, body: bytes, retry_after: float = 0.0, reason: str = ""
     ) -> None:
         """Give the final answer: the one place where one goes out."""
         request.final_answer = final
-        self.open_requests -= 1
+        self.requests.settle()
         self.count_answer(request.class_index, final)
         took = self.deadlines.clock() - request.accepted_at
         self._log(
@@ -510,17 +465,7 @@
         self.transport.answer(request, final, body, retry_after)
         if self.plugins is not None:
             self.plugins.observe(request.class_index, final, took)
-        self._forget(request)
-
-    def _forget(self, request: Request) -> None:
-        """Free the slot of a request once nothing is owed and nothing is in flight."""
-        if not request.closed or any(attempt.in_flight for attempt in request.attempts):
-            return
-        self.deadlines.cancel(request.deadline_key)
-        if self.requests.remove(request.handle) is not None and request.request_id:
-            self.request_ids.discard(request.request_id)
-            if self.on_request_id is not None:
-                self.on_request_id(request.request_id, False)
+        self.requests.forget(request)
 
     def _log_attempt(self, event: str, attempt: Attempt, **fields: object) -> None:
         request = attempt.request
--- a/heronlug/requests/model.py
+++ b/heronlug/requests/model.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from heronlug.balancer.events import ServerEntry, ServerState
-from heronlug.balancer.settings import RequestClass
+from heronlug.balancer.settings import Effect, RequestClass
 from heronlug.requests.deadlines import Key
 
 
@@ -134,6 +134,14 @@
     may_have_run: bool = True
     exchange: Any = None
 
+    def repeat_window_open(self, now: float) -> bool:
+        """Whether servers still drop a repeat, where they do so for a while only; a dial takes some of that time."""
+        policy = self.request.policy
+        if policy.effect is not Effect.IDEMPOTENT_BY_KEY:
+            return True
+        earlier = self.request.attempts[: self.number]
+        return all(now - other.sent_at <= policy.repeat_window for other in earlier if other.may_have_run)
+
 
 class Workload(NamedTuple):
     """What a client tells of the work of a request.
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -179,7 +179,7 @@
             process.takeover.use_state()
             assert [server.entry for server in process.core.directory.by_number.values()] == SERVERS[:3]
             process.daemon.discovery.client.begin_freshness.assert_called_once_with(7500.0)
-            assert process.core.peer_process_request_ids == {"t-1"}
+            assert process.core.requests.peer_process_ids == {"t-1"}
             process.takeover.session.announce_serving()
             assert await receive(sock) == SERVING
             assert process.core.dispatcher.state.servers.by_id[SECOND_SERVER].load.peer_slots == 2.0
@@ -189,7 +189,7 @@
             await until(
                 lambda: (server.load.peer_slots, server.load.own_slots) == (0.0, 2.0)
             )  # the attempt is the new process's now
-            assert process.core.peer_process_request_ids == {"t-2"}
+            assert process.core.requests.peer_process_ids == {"t-2"}
             sock.send(rest[-1].data.encode())
             await until(lambda: process.takeover.session.predecessor is None)
     assert hands_on(process) == orjson.loads(rest[1].data[1:])
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -85,7 +85,7 @@
         self.front, self.module = Front(), Silent()
         settings = with_settings(classes=(SAFE, KEYED, ONCE), max_attempts=2)
         self.core = Core(settings, 1, self.front, self.deadlines)
-        self.core.dispatcher = cast(Any, self.module)
+        self.core.events.dispatcher = cast(Any, self.module)
         self.core.update_servers(ListKind.FULL, [ListedServer("h", "127.0.0.1:9")])
         self.host = next(iter(self.core.directory.by_number))
 
@@ -129,7 +129,9 @@
         )
         south.core = self.core
         for told_off in (False, True):
-            load = type("Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"", "txn": "t"})()
+            load = type(
+                "Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"", "request_id": "t"}
+            )()
             _, relay = self.sent(load)
             connection = ServerConnection(south, relay.server, "127.0.0.1:9")
             connection.relay, connection.transport = relay, cast(Any, Transport())
@@ -153,7 +155,9 @@
             (11, True, False, True, never),
             (11, False, True, False, never),  # its end has come and waits to be read
         ):
-            load = type("Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"ab", "txn": "t"})()
+            load = type(
+                "Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"ab", "request_id": "t"}
+            )()
             _, relay = self.sent(load)
             connection = ServerConnection(south, relay.server, "127.0.0.1:9")
             connection.transport = cast(Any, Transport())
