--- a/heronlug/lifecycle/operations.py
+++ b/heronlug/lifecycle/operations.py
@@ -64,7 +64,7 @@
     server_counts = [core.server_counts() for core in cores]
     rules = [core.dispatcher.rules for core in cores]
     yield DISPATCHES, sum(core.dispatches for core in cores)
-    yield CONCURRENT, sum(core.open_requests for core in cores)
+    yield CONCURRENT, sum(core.requests.open_count for core in cores)
     yield SERVERS, sum(listed for listed, _ in server_counts)
     yield EXCLUDED_SERVERS, sum(excluded for _, excluded in server_counts)
     yield EXCLUDED_ZONES, sum(each.zone_failover.zones_away for each in rules)
@@ -72,7 +72,7 @@
     yield LOANS_GIVEN, sum(each.shares.loans_given for each in rules)
     yield LOANS_USED, sum(each.shares.loans_used for each in rules)
     yield POSTPONED, sum(core.postponed for core in cores)
-    yield SLOW_EVENTS, sum(core.slow_events for core in cores)
+    yield SLOW_EVENTS, sum(core.events.slow_events for core in cores)
     yield QUEUED, sum(core.dispatcher.queue_length for core in cores)
 
 
