--- a/heronlug/frontends/http/body_memory.py
+++ b/heronlug/frontends/http/body_memory.py
@@ -9,7 +9,7 @@
 
     Attributes:
         limit: the most bytes that bodies may take.
-        used: the bytes that they take.
+        used: the bytes that are reserved.
     """
 
     __slots__ = ("limit", "used")
@@ -18,19 +18,19 @@
         self.limit = limit
         self.used = 0
 
-    def hold(self, request: HttpRequest, size: int) -> None:
-        """Count ``size`` bytes more for a request.
+    def reserve(self, request: HttpRequest, size: int) -> None:
+        """Reserve ``size`` bytes more for a request.
 
         Raises:
-            BodyMemoryExhaustedError: the limit is exceeded; the bytes count until the request is released.
+            BodyMemoryExhaustedError: the limit is exceeded; the bytes stay reserved until the request is released.
         """
-        request.held_bytes += size
+        request.reserved_bytes += size
         self.used += size
         if self.used > self.limit:
             raise BodyMemoryExhaustedError
 
     def release(self, request: HttpRequest) -> None:
         """Drop the body of a request of which nothing more is forwarded."""
-        self.used -= request.held_bytes
-        request.held_bytes = 0
+        self.used -= request.reserved_bytes
+        request.reserved_bytes = 0
         request.body = b""
--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -150,7 +150,7 @@
 
     def body_received(self, request: HttpRequest, size: int) -> None:
         """So many bytes more of a body have come; raises :class:`BadRequestError` without memory for them."""
-        self._frontend.body_memory.hold(request, size)
+        self._frontend.body_memory.reserve(request, size)
 
     def request_complete(self, request: HttpRequest) -> None:
         """A request is complete: it waits for its turn, unless it breaks the protocol."""
--- a/heronlug/frontends/http/request.py
+++ b/heronlug/frontends/http/request.py
@@ -41,7 +41,7 @@
         remaining_ms: the time that it has left for its answer.
         workload: what the client says of the work.
         keep_alive: the client wants to go on with the connection.
-        held_bytes: bytes of its body that count against the memory for bodies.
+        reserved_bytes: bytes of its body that count against the memory for bodies.
         connection: where it came, None if that is not known.
     """
 
@@ -54,7 +54,7 @@
     remaining_ms: float = 0.0
     workload: Workload = field(default_factory=Workload)
     keep_alive: bool = True
-    held_bytes: int = 0
+    reserved_bytes: int = 0
     connection: AnswerableConnection | None = None
 
     @property
--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -149,7 +149,7 @@
         self._server = await asyncio.get_running_loop().create_server(lambda: StandInConnection(self), sock=self.sock)
 
     async def refuse(self) -> None:
-        """Listen no more: dials are refused, and the connections that are open stay."""
+        """Listen no more: connects are refused, and the connections that are open stay."""
         self._server.close()
         self.sock.close()
         await asyncio.sleep(0)
@@ -253,10 +253,10 @@
         for _ in range(SETTLE_TURNS):
             await asyncio.sleep(0)
 
-    async def pass_time(self, ms: float) -> None:
+    async def pass_time(self, duration_ms: float) -> None:
         """Let time pass for the application."""
         await self.settle()
-        end, deadlines = self.clock.at + ms, self.application.deadline_loop.deadlines
+        end, deadlines = self.clock.at + duration_ms, self.application.deadline_loop.deadlines
         while (head := deadlines.next_due()) is not None and head <= end:
             self.clock.at = max(self.clock.at, head)
             self.application.turn()
@@ -265,9 +265,9 @@
         self.application.turn()
         await self.settle()
 
-    async def until_time(self, ms: float) -> None:
+    async def until_time(self, duration_ms: float) -> None:
         """Let time pass up to a time after the start."""
-        await self.pass_time(START_TIME + ms - self.clock.at)
+        await self.pass_time(START_TIME + duration_ms - self.clock.at)
 
     async def client(self) -> StandInConnection:
         """A client's connection."""
@@ -286,8 +286,8 @@
 
     async def confirm(self) -> None:
         """Let service discovery confirm the endpoint list."""
-        call, asked = await self.discovery.request()
-        assert b"?after=3&wait_ms=0 " in asked
+        call, poll = await self.discovery.request()
+        assert b"?after=3&wait_ms=0 " in poll
         call.send(self.list_response(3))
         await self.settle()
 
@@ -295,9 +295,9 @@
         """A client on a blocking socket."""
         return BlockingClient(self.listen)
 
-    def stall(self, ms: float) -> None:
+    def stall(self, duration_ms: float) -> None:
         """Let time pass without running the loop."""
-        self.clock.at += ms
+        self.clock.at += duration_ms
 
     def logged(self, event: str) -> list[dict[str, object]]:
         """The events of a kind that have been logged."""
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -1,4 +1,4 @@
-"""A client that leaves while its request waits: not a byte of it goes to a host from then on.
+"""A client that leaves while its request waits: not a byte of it goes to a server from then on.
 
 Each test has the client leave in the kernel, lets time pass in which the loop does not turn, and makes what the request
 waits for come true before the loop can have read that the client has left: that is the order to be feared.
@@ -32,7 +32,7 @@
 
 
 async def open_connections(harness: DispatcherHarness) -> None:
-    """Every host has a connection that is kept warm, so that what is sent goes out in the same turn."""
+    """Every server has a connection that is kept warm, so that what is sent goes out in the same turn."""
     clients = [await harness.post(f"warm{number}") for number in range(2 * len(harness.servers))]
     while any(server.requests for server in harness.servers.values()):
         for server in harness.servers.values():
@@ -44,14 +44,14 @@
 
 
 def nothing_sent(harness: DispatcherHarness) -> bool:
-    """No host has a byte that was not taken, and nothing is held for anybody."""
+    """No server has a byte that was not taken, and nothing is held for anybody."""
     return not any(server.requests for server in harness.servers.values()) and not len(
         harness.application.core.requests
     )
 
 
 async def fill_servers(harness: DispatcherHarness) -> list[tuple[StandInConnection, str]]:
-    """All hosts have as much as they get: what comes now is held.  Returns what runs."""
+    """All servers have as much as they get: what comes now is held.  Returns what runs."""
     for number in range(100):
         await harness.post(f"fill{number}")
         out = sum(len(request_bytes.attempts) for request_bytes in harness.application.core.requests)
@@ -75,15 +75,15 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", "safe", 4000))
             await harness.settle()
-            held = len(harness.application.core.requests) - len(running)
-            assert held >= 1 and not harness.servers["h1"].requests
+            queued = len(harness.application.core.requests) - len(running)
+            assert queued >= 1 and not harness.servers["h1"].requests
             for end, request_id in running:
                 end.send_now(done(request_id))  # first in the queue of what is to be read
             client.leave(ending)
             harness.stall(LONG)
             await harness.settle()
             received = b"".join(end.received for end in harness.servers["h1"].connections)
-            assert received.count(b"POST ") == held - 1 and b"x-txn: t1\r" not in received
+            assert received.count(b"POST ") == queued - 1 and b"x-txn: t1\r" not in received
 
     run_async(test)
 
@@ -101,7 +101,7 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", class_name, 4000))
             await harness.settle()
-            await harness.pass_time(20)  # the last byte of what runs once is held back
+            await harness.pass_time(20)  # the last byte of a non-idempotent request is held back
             [server] = [server for server in harness.servers.values() if server.requests]
             end, _ = await server.request()
             end.send(REJECTED_RESPONSE)
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize("ending", WAYS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_a_connection_to_the_server_is_opened(ending: str, class_name: str) -> None:
-    """The dial comes up before the end is read: nothing goes out on it."""
+    """The connection opens before the end is read: nothing goes out on it."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -253,7 +253,7 @@
 
 @pytest.mark.parametrize("ending", [*WAYS, ""])
 def test_client_leaves_while_its_request_is_handed_over(ending: str) -> None:
-    """It was held in the process before, which read no more of it; here a host is free at once."""
+    """It was held in the process before, which read no more of it; here a server is free at once."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
--- a/tests/end_to_end/test_closed_connections.py
+++ b/tests/end_to_end/test_closed_connections.py
@@ -22,7 +22,7 @@
 
 
 async def expect_served(harness: DispatcherHarness, client: BlockingClient, *request_ids: str) -> None:
-    """All of these are relayed and answered, in order."""
+    """All of these are forwarded and answered, in order."""
     for request_id in request_ids:
         end, request = await harness.servers["h1"].request()
         assert f"x-txn: {request_id}\r".encode() in request
--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -1,6 +1,6 @@
 """Deployments with unlike settings, one after the other in the same tree: each dispatcher behaves by its own.
 
-Classes, effects, deadlines, tenants, grace, refusals and the register differ; nothing is kept of the one before.
+Classes, effects, deadlines, tenants, grace, refusals and discovery differ; nothing is kept of the one before.
 """
 
 import os
@@ -39,7 +39,7 @@
 
 
 async def response_after_broken_connection(harness: DispatcherHarness, class_name: str) -> bytes:
-    """What a client is told whose job has started where the connection breaks; the next host's answer counts."""
+    """What a client is told whose request has started where the connection breaks; the next server's answer counts."""
     client = await harness.post(f"b-{class_name}", class_name)
     await harness.pass_time(20)
     end, _ = await next(server for server in harness.servers.values() if server.requests).request()
@@ -59,8 +59,8 @@
 
     async def first() -> None:
         async with DispatcherHarness(2, **FIRST).open(confirmed=False) as harness:
-            call, asked = await harness.discovery.request()
-            assert b"&wait_ms=0 " in asked
+            call, poll = await harness.discovery.request()
+            assert b"&wait_ms=0 " in poll
             call.send(harness.list_response(3))
             assert await response_after_broken_connection(harness, "letters") == b"500"
             assert await response_after_broken_connection(harness, "readings") == b"200"
@@ -69,8 +69,8 @@
 
     async def second() -> None:
         async with DispatcherHarness(2, **SECOND).open() as harness:
-            _, asked = await harness.discovery.request()
-            assert b"&wait_ms=20000 " in asked
+            _, poll = await harness.discovery.request()
+            assert b"&wait_ms=20000 " in poll
             assert await response_after_broken_connection(harness, "readings") == b"500"
             assert await response_after_broken_connection(harness, "letters") == b"200"
             assert await response_after_broken_connection(harness, "maps") == b"200"
@@ -90,7 +90,7 @@
 
 
 def test_requests_count_against_the_tenant_that_they_name() -> None:
-    """Each job counts against its own tenant's share, and one of nobody's against none."""
+    """Each request counts against its own tenant's share, and one of nobody's against none."""
 
     async def test() -> None:
         async with DispatcherHarness(1, **SECOND).open() as harness:
--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -1,7 +1,7 @@
 """The loop stands still for seconds, and what discovery has told meanwhile waits unread behind other bytes.
 
 Whether the process was held up or had no processor time: what has been written to it counts as told, so it is read
-before any attempt begins.  The bytes are in the daemon's kernel, in the order to be feared, when the loop turns again.
+before any attempt begins.  The bytes are in the kernel, in the worst order, when the loop turns again.
 """
 
 from functools import partial
--- a/tests/end_to_end/test_graceful_shutdown.py
+++ b/tests/end_to_end/test_graceful_shutdown.py
@@ -20,7 +20,8 @@
 )
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 
-REFUSED, FAILED = b"HTTP/1.1 503 ", b"HTTP/1.1 500 "
+REFUSED = b"HTTP/1.1 503 "
+FAILED = b"HTTP/1.1 500 "
 KILL = 3_000 + 700  # ms after the signal, where deadlines are longer than 3 s
 
 
--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -1,6 +1,6 @@
-"""Many dispatchers that may not talk: a job is held while ours wait at hosts, and it has its end where it is held.
+"""Many dispatchers without gossip: a request is queued while others wait at servers, and ends where it is queued.
 
-The hosts hold back the word of a start, or say it, when a test says so.
+The servers hold back the word of a start, or say it, when a test says so.
 """
 
 import pytest
@@ -17,7 +17,7 @@
     run_async,
 )
 
-RUN = 100.0  # ms that jobs run; their aim is 400, so they have to start within 300
+RUN = 100.0  # ms that requests run; their aim is 400, so they have to start within 300
 
 
 def overloaded_harness(servers: int = 8) -> DispatcherHarness:
@@ -48,7 +48,7 @@
 
 
 async def start_two_waiting_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
-    """At hosts that have not started them: where they are."""
+    """At servers that have not started them: where they are."""
     await learn_run_times(harness)
     for number in range(2):
         await harness.post(f"w{number}")
@@ -58,7 +58,7 @@
 
 
 async def queue_third_request(harness: DispatcherHarness) -> tuple[StandInConnection, dict[str, StandInConnection]]:
-    """Two wait at hosts, and a third one is here: its client, and where the two are."""
+    """Two wait at servers, and a third one is here: its client, and where the two are."""
     waiting = await start_two_waiting_requests(harness)
     client = await harness.post("t")
     assert not await received_requests(harness)
--- a/tests/end_to_end/test_servers.py
+++ b/tests/end_to_end/test_servers.py
@@ -1,4 +1,4 @@
-"""A host's connection at the wrong instant: what may have run once is not sent again, and what never ran is."""
+"""A server's connection at the wrong instant: what may have run once is not sent again, and what never ran is."""
 
 from dataclasses import replace
 from unittest import mock
@@ -22,14 +22,15 @@
 from heronlug.net.connection_state import peer_has_closed
 from heronlug.requests.model import Attempt
 
-FAILED, REFUSED = b"HTTP/1.1 500 ", b"HTTP/1.1 503 "
-HELD = 20.0  # ms; the last byte of what runs once has gone out after that
+FAILED = b"HTTP/1.1 500 "
+REFUSED = b"HTTP/1.1 503 "
+HOLD_BACK_MS = 20.0  # ms; the last byte of a non-idempotent request has gone out after that
 
 
 async def send_first(
     harness: DispatcherHarness, request_id: str, class_name: str
 ) -> tuple[StandInConnection, StandIn, StandInConnection]:
-    """A job up to its last byte: the client, the host that it is at, and the connection."""
+    """Send a request up to its last byte: the client, the server that it is at, and the connection."""
     client = await harness.post(request_id, class_name)
     server = next(server for server in harness.servers.values() if server.requests)
     end = next(end for end in server.connections if end.received)
@@ -39,9 +40,9 @@
 async def serve_one(
     harness: DispatcherHarness, request_id: str, class_name: str = "safe"
 ) -> tuple[StandIn, StandInConnection]:
-    """A job is served; returns the connection that is warm now."""
+    """Serve a request; returns the connection that is idle now."""
     client, server, end = await send_first(harness, request_id, class_name)
-    await harness.pass_time(HELD)
+    await harness.pass_time(HOLD_BACK_MS)
     assert end.take_request()
     end.send(done(request_id))
     await harness.settle()
@@ -51,7 +52,7 @@
 
 @pytest.mark.parametrize("ending", ["close", "reset"])
 def test_connection_broken_before_the_last_byte_is_retried(ending: str) -> None:
-    """It never ran, and goes out again, what runs once too."""
+    """It never ran, and goes out again, a non-idempotent request too."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -71,12 +72,12 @@
 @pytest.mark.parametrize("ending", ["close", "reset", "half_close"])
 @pytest.mark.parametrize("reported", [b"", RESPONSE_HEAD, RESPONSE_HEAD + progress_chunk("t1", "started")])
 def test_connection_broken_after_the_last_byte_fails_a_non_idempotent_request(ending: str, reported: bytes) -> None:
-    """What runs once may have run: it fails at once, and goes nowhere else."""
+    """A non-idempotent request may have run: it fails at once, and goes nowhere else."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
             client, _, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end.take_request()
             if reported:
                 end.send(reported)
@@ -92,7 +93,7 @@
 
 @pytest.mark.parametrize("ending", ["close", "reset"])
 def test_connection_broken_between_selection_and_write_is_replaced(ending: str) -> None:
-    """A warm connection has ended and nobody has read it: what runs once goes out on another."""
+    """An idle connection has ended, which is not read yet: a non-idempotent request goes out on another."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -106,7 +107,7 @@
             harness.application.backend.send = crossed  # type: ignore[method-assign]
             client = await harness.post("t2", "once")
             harness.application.backend.send = send  # type: ignore[method-assign]
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             end, _ = await server.request()
             end.send(done("t2"))
             await harness.settle()
@@ -121,7 +122,7 @@
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             client, server, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end.take_request()
             end.send(RESPONSE_HEAD + progress_chunk("t1", "done", "ok"))
             await harness.settle()
@@ -155,12 +156,12 @@
 
 
 def test_progress_lines_without_end_fail_at_the_deadline() -> None:
-    """The job fails when its time is over, what runs once is not sent again, and the connection is closed."""
+    """The non-idempotent request fails at its deadline and is not sent again; the connection is closed."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
             client, _, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end.take_request()
             end.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
             for _ in range(45):
@@ -196,13 +197,13 @@
 
 @pytest.mark.parametrize("cut", [0, 1, 30, len(RESPONSE_HEAD) + 9, len(done("t1")) - 3, len(done("t1"))])
 def test_duplicate_response_after_the_last_byte_of_the_next_request(cut: int) -> None:
-    """It names another message: what runs once waits for its own answer, which follows on the same connection."""
+    """It names another request: this one waits for its own answer, which follows on the same connection."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             server, warm = await serve_one(harness, "t1", "once")
             client, _, end = await send_first(harness, "t2", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end is warm and end.take_request()
             both = done("t1", "stale") + done("t2")
             for part in (both[:cut], both[cut:]):
@@ -215,13 +216,13 @@
 
 
 def test_duplicate_response_after_which_the_server_dies() -> None:
-    """What runs once may have run; it fails, and is not sent again."""
+    """A non-idempotent request may have run; it fails, and is not sent again."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             server, warm = await serve_one(harness, "t1", "once")
             client, _, end = await send_first(harness, "t2", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end.take_request()
             end.send(done("t1"))
             await harness.settle()
@@ -253,7 +254,7 @@
                 next(iter(harness.application.core.directory.by_number))
             ].outlier.trials_left = 0  # not avoided for it
             following, server, other = await send_first(harness, "t2", class_name)
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert other is not end and other.take_request()
             if not end.ended:
                 end.send(answer)
@@ -267,7 +268,7 @@
 
 @pytest.mark.parametrize("lifecycle", ["leaving", "left", "elsewhere"])
 def test_connection_opened_after_its_server_changed_is_not_used(lifecycle: str) -> None:
-    """Meanwhile its host drains, is gone, or is at another address: nothing is written on it."""
+    """Meanwhile its server drains, is gone, or is at another address: nothing is written on it."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -308,7 +309,7 @@
 
 @pytest.mark.parametrize(("broken_after", "repeated"), [(1_300, True), (1_500, False), (1_900, False)])
 def test_retry_opens_a_connection_only_within_the_deduplication_window(broken_after: float, repeated: bool) -> None:
-    """Hosts drop repeats for 2 s, and a dial with the way there may take 0.6 s of that."""
+    """Servers drop repeats for 2 s, and a dial with the way there may take 0.6 s of that."""
 
     async def test() -> None:
         async with DispatcherHarness(2, settings={"lanes": [KEYED]}).open() as harness:
@@ -348,7 +349,7 @@
 
 
 def test_connection_that_never_opens_ends_the_attempt_in_time() -> None:
-    """Its relay ends in time, and what comes of it later is closed unwritten."""
+    """Its attempt ends in time, and what comes of it later is closed unwritten."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -373,9 +374,9 @@
     async def test() -> None:
         write, watched, ended = ServerConnection.write, list[StandInConnection](), list[bool]()
 
-        def written(connection: ServerConnection, relay: Attempt) -> None:
+        def written(connection: ServerConnection, attempt: Attempt) -> None:
             ended.extend(peer_has_closed(end.transport) for end in watched if end.transport is not None)
-            write(connection, relay)
+            write(connection, attempt)
 
         with mock.patch.object(ServerConnection, "write", written):
             async with DispatcherHarness(2).open() as harness:
@@ -397,13 +398,13 @@
 
 
 def test_idle_server_connection_is_closed_at_the_limit_of_descriptors() -> None:
-    """Who runs a job stays, and the one more never ran; who only rests makes room, and owes nothing."""
+    """Busy connections stay, and the request that finds none never runs; an idle one is closed to make room."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
             harness.application.backend.max_connections = 1
             running, server, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end.take_request()
             [other] = [each for each in harness.servers.values() if each is not server]
             refused = await harness.post("t2", "safe", 300)
@@ -433,12 +434,12 @@
 
 
 def test_attempt_at_a_hanging_server_fails_before_sigkill() -> None:
-    """What hangs there fails before we are killed, what runs once is not sent again, and the process leaves."""
+    """Its requests fail before SIGKILL, a non-idempotent one is not sent again, and the process exits."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
             client, _, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HELD)
+            await harness.pass_time(HOLD_BACK_MS)
             assert end.take_request()
             harness.application._stop()
             await harness.pass_time(3_440)
--- a/tests/end_to_end/test_stale_list.py
+++ b/tests/end_to_end/test_stale_list.py
@@ -30,8 +30,9 @@
 from end_to_end.process import DispatcherProcess
 from heronlug.standins.ports import free_port
 
-LANES = ("safe", "once", "keyed")
-GONE, STAY = ("h1", "h2", "h3"), ("h4", "h5", "h6")
+CLASS_NAMES = ("safe", "once", "keyed")
+REMOVED_SERVERS = ("h1", "h2", "h3")
+REMAINING_SERVERS = ("h4", "h5", "h6")
 REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -52,7 +53,7 @@
         """So many clients more hand in a request each, of all effects in turn."""
         for number in range(len(self.clients), len(self.clients) + count):
             client = await self.program.dial()
-            client.send(request_bytes(f"t{number}", LANES[number % len(LANES)], 4000))
+            client.send(request_bytes(f"t{number}", CLASS_NAMES[number % len(CLASS_NAMES)], 4000))
             self.clients.append(client)
 
     def at(self, names: tuple[str, ...]) -> list[StandIn]:
@@ -94,10 +95,10 @@
         again, _ = await harness.discovery.request()
         await restarted.requests(6)
         await restarted.placed()
-        assert not restarted.at(GONE)
-        again.send(harness.list_response(5, *(f"{name}:left" for name in GONE)))
-        await restarted.served(STAY)
-        assert not restarted.at(GONE)
+        assert not restarted.at(REMOVED_SERVERS)
+        again.send(harness.list_response(5, *(f"{name}:left" for name in REMOVED_SERVERS)))
+        await restarted.served(REMAINING_SERVERS)
+        assert not restarted.at(REMOVED_SERVERS)
 
     run_async(lambda: Restarted(tmp_path).run_async(test))
 
@@ -107,7 +108,7 @@
 
     async def test(restarted: Restarted) -> None:
         await restarted.requests(6)
-        await restarted.served(GONE + STAY)
+        await restarted.served(REMOVED_SERVERS + REMAINING_SERVERS)
 
     nobody = f"127.0.0.1:{free_port()}"
     run_async(lambda: Restarted(tmp_path, discovery=nobody).run_async(test))
@@ -118,7 +119,7 @@
 
     async def test(restarted: Restarted) -> None:
         await restarted.requests(6)
-        await restarted.served(GONE + STAY)
+        await restarted.served(REMOVED_SERVERS + REMAINING_SERVERS)
 
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = full.getsockname()
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -18,7 +18,7 @@
 
 
 async def expect_sent(harness: DispatcherHarness, request_id: str, *only: str) -> None:
-    """A job is sent to a host, or to one of those, and served."""
+    """A request is sent to a server, or to one of those, and served."""
     client = await harness.post(request_id)
     server = next(server for server in harness.servers.values() if server.requests)
     assert server.name in (only or harness.servers)
@@ -29,7 +29,7 @@
 
 
 async def expect_not_sent(harness: DispatcherHarness, request_id: str) -> None:
-    """A job is taken, and no host gets a byte of it; what cannot be had in its time is refused."""
+    """A request is taken, and no server gets a byte of it; what cannot be had in its time is rejected."""
     client = await harness.post(request_id, remaining=300)
     await harness.pass_time(320)
     assert not any(server.requests for server in harness.servers.values())
@@ -66,7 +66,7 @@
 
 
 def test_change_missed_by_a_silent_watch_is_polled_in_time() -> None:
-    """The host that drains meanwhile gets nothing new, and the other serves on."""
+    """The server that drains meanwhile gets nothing new, and the other serves on."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -111,8 +111,8 @@
 
     async def test() -> None:
         async with DispatcherHarness(1, safety={"drain_grace": grace}, **PUSHED).open(confirmed=False) as harness:
-            call, asked = await harness.discovery.request()
-            assert b"?after=3&wait_ms=0 " in asked
+            call, poll = await harness.discovery.request()
+            assert b"?after=3&wait_ms=0 " in poll
             await expect_not_sent(harness, "t1")
             await harness.until_time(grace)
             await expect_not_sent(harness, "t2")
@@ -128,13 +128,13 @@
 
     async def test() -> None:
         async with DispatcherHarness(2, safety={"drain_grace": 600.0}, **PUSHED).open() as harness:
-            watch, asked = await harness.discovery.request()
-            assert b"&wait_ms=20000 " in asked
+            watch, poll = await harness.discovery.request()
+            assert b"&wait_ms=20000 " in poll
             await harness.until_time(5_000)
             watch.reset()
             await harness.pass_time(300)
-            again, asked = await harness.discovery.request()
-            assert b"&wait_ms=0 " in asked
+            again, poll = await harness.discovery.request()
+            assert b"&wait_ms=0 " in poll
             await expect_sent(harness, "t1")
             await harness.until_time(5_600)
             await expect_not_sent(harness, "t2")
@@ -146,7 +146,7 @@
 
 
 def test_pushed_list_while_discovery_is_down() -> None:
-    """Its agent learns nothing meanwhile, which each refused dial shows: work goes on, and stops once it is silent."""
+    """Its agent learns nothing, as each refused connect shows: requests are served on, until discovery is silent."""
 
     async def test() -> None:
         async with DispatcherHarness(1, **PUSHED).open() as harness:
@@ -171,8 +171,8 @@
             await harness.until_time(3_000)
             harness.raw["discovery"] = harness.other_discovery.address
             os.kill(os.getpid(), signal.SIGHUP)
-            moved, asked = await harness.other_discovery.request()
-            assert asked.startswith(b"GET /registry/instances HTTP/1.1")
+            moved, poll = await harness.other_discovery.request()
+            assert poll.startswith(b"GET /registry/instances HTTP/1.1")
             last = 3_000 + 4_000 + GRACE
             await harness.until_time(last - 200)
             await expect_sent(harness, "t1", "h1")
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -1,4 +1,4 @@
-"""Plays a recorded exchange against the program: bytes out, bytes compared, nothing asserted on speed.
+"""Plays a recorded exchange against the program: sends bytes and compares bytes; no speed is asserted.
 
 A step is ``WHO > BYTES`` (the stand-in sends), ``WHO < BYTES`` (the program must send just these), ``WHO close``,
 ``WHO reset``, ``WHO eof`` (the program must have closed), ``WHO refuse`` (a host stops listening), ``wait MS`` or
@@ -26,6 +26,7 @@
 import tempfile
 import threading
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -33,12 +34,16 @@
 from heronlug.standins.ports import free_port
 
 FOLDER = Path(__file__).parent / "exchanges"
-ANSWERS = {
+"""Where the recorded exchanges are."""
+
+PEER_PROCESS_ANSWERS = {
     "babbling": b"+\xff\x00",
     "lying": b'.{"kind":"state","names":5,"sockets":["peers"],"known":[],"learned":{"all":1}}',
     "half right": b'.{"kind":"state","names":["t9"],"sockets":[],"known":7,"learned":{"all":[]}}',
 }
-PATIENCE = 10.0  # for something that must come; no speed is asserted
+TIMEOUT_S = 10.0
+"""Time for something that must come; no speed is asserted."""
+
 SETTINGS: dict[str, Any] = {
     "instances": 2,
     "position": 0,
@@ -74,12 +79,13 @@
         "warm_after": 20000.0,
     },
 }
-FREE_FORM = (
+VARIABLE_PARTS = (
     (rb"Host: [0-9.:]+", b"Host: H"),
     (rb'"connections":\d+', b'"connections":N'),
     (rb"\d\d:\d\d:\d\d UTC", b"T UTC"),
     (rb"x-remaining-ms: \d+", b"x-remaining-ms: N"),
 )
+"""Patterns whose matches differ from run to run, and what stands for them in comparisons."""
 
 
 def listener(kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
@@ -88,7 +94,7 @@
     sock.bind(("127.0.0.1", 0))
     if kind == socket.SOCK_STREAM:
         sock.listen(64)
-    sock.settimeout(PATIENCE)
+    sock.settimeout(TIMEOUT_S)
     return sock
 
 
@@ -98,8 +104,126 @@
     return f"{host}:{port}"
 
 
-class Player:
-    """The stand-ins of one exchange, and the program that they speak with."""
+def http_response(body: dict[str, Any]) -> bytes:
+    """A response of service discovery."""
+    encoded = json.dumps(body).encode()
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(encoded), encoded)
+
+
+class StandIns:
+    """The sockets of clients, servers, discovery and peers, by the names that exchanges give them.
+
+    Attributes:
+        listeners: the listening sockets of servers and discovery.
+        peers: the datagram sockets of peers.
+        connections: the open connections.
+        replaced: connections whose name has gone to another one.
+        unread: bytes that have come with those that were expected.
+    """
+
+    def __init__(self, servers: int, connect_address: Callable[[str], str]) -> None:
+        """Open the listeners; ``connect_address`` tells where a client of this name connects."""
+        self.listeners = {f"h{number + 1}": listener() for number in range(servers)}
+        self.listeners["inv"], self.listeners["inv2"] = listener(), listener()
+        self.peers = {f"p{number}": listener(socket.SOCK_DGRAM) for number in range(2)}
+        self.peers["p9"] = listener(socket.SOCK_DGRAM)  # not a peer in the configuration
+        self.connections: dict[str, socket.socket] = {}
+        self.replaced: list[tuple[str, socket.socket]] = []
+        self.unread: dict[str, bytes] = {}
+        self.peer_address = ""
+        self._connect_address = connect_address
+
+    def send(self, who: str, data: bytes) -> None:
+        """Send bytes; a peer sends a datagram."""
+        if who in self.peers:
+            host, port = self.peer_address.split(":")
+            self.peers[who].sendto(data, (host, int(port)))
+        else:
+            self.connection(who).sendall(data)
+
+    def expect(self, who: str, data: bytes) -> None:
+        """Check that the program sends just this."""
+        if who in self.peers:
+            while not self.peers[who].recv(65536).startswith(data):
+                pass  # how often counts are reported depends on the time
+            return
+        sock, received = self.connection(who), self.unread.pop(who, b"")
+        expected = _without_variable_parts(data)
+        while len(_without_variable_parts(received)) < len(expected):
+            try:
+                chunk = sock.recv(65536)
+            except TimeoutError:
+                raise AssertionError(f"only {received!r} came") from None
+            assert chunk, f"the program closed after {received!r}"
+            received += chunk
+        compared = _without_variable_parts(received)
+        assert compared[: len(expected)] == expected, f"got {compared!r}\nnot {expected!r}"
+        if compared[len(expected) :]:
+            self.unread[who] = compared[len(expected) :]
+
+    def expect_end(self, who: str) -> None:
+        """Check that the program has closed a connection and sent nothing more."""
+        received = self.unread.pop(who, b"") + self.connections[who].recv(65536)
+        assert received == b"", f"{received!r} in place of an end"
+        self.connections.pop(who).close()
+
+    def expect_nothing_more(self) -> None:
+        """Check that servers got neither bytes nor connections that no step has taken."""
+        for who, sock in [*self.connections.items(), *self.replaced]:
+            rest = self.unread.get(who, b"") + _receive_now(sock)
+            assert not rest or not who.startswith("h"), f"{who} was sent more: {rest!r}"
+        for who, sock in self.listeners.items():
+            assert who.startswith("inv") or not _has_connection(sock), f"a connection to {who} that nobody expected"
+
+    def expect_request(self, who: str) -> bytes:
+        """Read the next request of a connection."""
+        sock, received = self.connection(who), b""
+        while b"\r\n\r\n" not in received:
+            chunk = sock.recv(65536)
+            assert chunk, "the watch's connection has ended"
+            received += chunk
+        return received
+
+    def replace(self, who: str) -> None:
+        """Leave a connection open and let its name stand for the next one."""
+        self.replaced.append((who, self.connections.pop(who)))
+        self.unread.pop(who, None)
+
+    def reset(self, who: str) -> None:
+        """Reset a connection."""
+        sock = self.connections.pop(who)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock.close()
+
+    def connection(self, who: str) -> socket.socket:
+        """The connection of this name, accepted or opened if there is none."""
+        if who not in self.connections:
+            if who in self.listeners:
+                self.connections[who], _ = self.listeners[who].accept()
+            else:
+                host, port = self._connect_address(who).split(":")
+                self.connections[who] = socket.create_connection((host, int(port)))
+            self.connections[who].settimeout(TIMEOUT_S)
+        return self.connections[who]
+
+    def close(self) -> None:
+        """Close all sockets."""
+        replaced = [sock for _, sock in self.replaced]
+        for sock in [*self.connections.values(), *self.listeners.values(), *self.peers.values(), *replaced]:
+            sock.close()
+
+
+class ExchangePlayer:
+    """The program, the stand-ins that it speaks with, and the steps of an exchange.
+
+    Attributes:
+        program: the process.
+        second_process: a process started beside it, if any.
+        standins: the sockets.
+        faktory_address: where the Faktory frontend listens.
+        control_path: of the control socket.
+        log: the file that the program logs to.
+    """
 
     def __init__(
         self,
@@ -110,118 +234,42 @@
         taken: bool = False,
         **changes: Any,
     ) -> None:
-        self.listeners = {f"h{n + 1}": listener() for n in range(hosts)}
-        self.listeners["inv"], self.listeners["inv2"] = listener(), listener()
-        self.peers = {f"p{n}": listener(socket.SOCK_DGRAM) for n in range(2)}
-        self.peers["p9"] = listener(socket.SOCK_DGRAM)  # no peer of ours
-        self.open: dict[str, socket.socket] = {}
-        self.left: list[tuple[str, socket.socket]] = []
-        self.unread: dict[str, bytes] = {}
-        self.words: dict[str, str] = {}
+        """Start the program; the names of the parameters stand in the files of exchanges.
+
+        Args:
+            hosts: how many servers there are.
+            state: the desired state.
+            inherited: the program inherits its listening socket.
+            partner: what it finds in place of a process before it.
+            taken: the address for its peers is in use.
+            changes: keys of its configuration.
+        """
+        self.standins = StandIns(hosts, self._connect_address)
         self.listen, self.admin = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
-        self.taken = self.peers.pop("p0")
-        self.own = address(self.taken)
+        self.faktory_address = f"127.0.0.1:{free_port()}"
+        self.definitions: dict[str, str] = {}
+        self.taken_socket = self.standins.peers.pop("p0")
+        self.standins.peer_address = address(self.taken_socket)
         if not taken:
-            self.taken.close()
+            self.taken_socket.close()
         self.folder = tempfile.TemporaryDirectory()
-        settings = {**SETTINGS, **changes.pop("settings", {})}
-        settings["limits"] = {**SETTINGS["limits"], **changes.pop("limits", {})}
-        config = {
-            "name": "n0",
-            "listen": self.listen,
-            "discovery": address(self.listeners["inv"]),
-            "seed": "ab12",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)},
-            "settings": settings,
-            "admin_addr": self.admin,
-            "peer_listen": self.own,
-            "peers": [self.own, address(self.peers["p1"])],
-            "known": self.listed(3, True, *(f"h{n + 1}" for n in range(hosts))),
-            **changes,
-        }
-        self.config = config
-        path = Path(self.folder.name) / "config.json"
-        path.write_text(json.dumps(config))
-        self.faktory = f"127.0.0.1:{free_port()}"
-        self.control = str(Path(self.folder.name) / "control")
-        self.desired = Path(self.folder.name) / "state.toml"
-        self.desired.write_text(state.replace("HERE", self.faktory) or 'log_level = "info"\n')
-        self.door: socket.socket | None = None
+        folder = Path(self.folder.name)
+        self.config = self._configuration(hosts, changes)
+        (folder / "config.json").write_text(json.dumps(self.config))
+        self.control_path = str(folder / "control")
+        self.desired_state = folder / "state.toml"
+        self.desired_state.write_text(state.replace("HERE", self.faktory_address) or 'log_level = "info"\n')
+        self.inherited_socket: socket.socket | None = None
         if inherited:
             host, port = self.listen.split(":")
-            self.door = socket.create_server((host, int(port)))
-        self.partner = self._partner(partner) if partner else None
-        self.environ = {
-            **os.environ,
-            "RELAY_CONFIG": str(path),
-            "RELAY_DISCOVERY": address(self.listeners["inv"]),
-            "HERONLUG_STATE": str(self.desired),
-            "HERONLUG_CONTROL": self.control,
-            "TMPDIR": self.folder.name,
-            **({"RELAY_INHERITED_FD": str(self.door.fileno())} if self.door is not None else {}),
-        }
-        self.log = (Path(self.folder.name) / "log").open("w+b")
-        self.beside: subprocess.Popen[bytes] | None = None
+            self.inherited_socket = socket.create_server((host, int(port)))
+        self.peer_process = self._peer_process(partner) if partner else None
+        self.log = (folder / "log").open("w+b")
+        self.second_process: subprocess.Popen[bytes] | None = None
         self.program = self._start({})
         self._until_ready(self.admin)
         self._confirm()
 
-    def _start(self, more: dict[str, str]) -> "subprocess.Popen[bytes]":
-        return subprocess.Popen(
-            [sys.executable, "-m", "heronlug"],
-            env={**self.environ, **more},
-            stdout=self.log,
-            stderr=self.log,
-            pass_fds=[self.door.fileno()] if self.door is not None else [],
-        )
-
-    def _partner(self, kind: str) -> socket.socket:
-        """What the program finds in place of another process: nobody, one that is silent, or one that babbles."""
-        sock = listen(socket_path(self.folder.name, "n0", self.listen))
-        sock.setblocking(True)
-        if kind == "stale":
-            sock.close()
-        elif kind in ANSWERS:
-            threading.Thread(target=lambda: sock.accept()[0].sendall(ANSWERS[kind]), daemon=True).start()
-        return sock
-
-    def _until_ready(self, admin: str) -> None:
-        end = time.monotonic() + 3 * PATIENCE
-        while True:
-            try:
-                if self._ask(admin, "/healthcheck").startswith("HTTP"):
-                    return
-            except OSError as error:
-                if time.monotonic() > end or self.program.poll() is not None:
-                    raise AssertionError(f"not ready, status {self.program.poll()}: {error}\n{self.logged()}") from None
-            time.sleep(0.02)
-
-    @staticmethod
-    def _ask(admin: str, path: str) -> str:
-        host, port = admin.split(":")
-        with socket.create_connection((host, int(port)), PATIENCE) as sock:
-            sock.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
-            return b"".join(iter(lambda: sock.recv(65536), b"")).decode()
-
-    def listed(self, version: int, whole: bool, *lines: str) -> dict[str, Any]:
-        """A list; a line is a host's name, its state if that is not ``active``, and its start if there is one."""
-        instances = []
-        for line in lines:
-            name, state, started = (line + ":" + ":".join(["active", "0"][line.count(":") :])).rstrip(":").split(":")
-            instances.append(
-                {
-                    "instanceId": name,
-                    "hostPort": address(self.listeners[name]),
-                    "zone": "a",
-                    "machineType": "m1",
-                    "cell": 0,
-                    "lifecycle": state,
-                    "weight": 1.0,
-                    "startedAtMs": int(started),
-                }
-            )
-        return {"generation": version, "reset": whole, "instances": instances}
-
     # -- the steps
 
     def play(self, text: str) -> None:
@@ -231,138 +279,108 @@
                 try:
                     self.step(line)
                 except (AssertionError, OSError, KeyError) as error:
-                    why = f"line {number}: {line}\n{type(error).__name__}: {error}\n{self.logged()}"
-                    raise AssertionError(why) from None
-        for who, sock in [*self.open.items(), *self.left]:
-            rest = self.unread.get(who, b"") + self._now(sock)
-            assert not rest or not who.startswith("h"), f"{who} was sent more: {rest!r}"
-        for who, sock in self.listeners.items():
-            assert who.startswith("inv") or not self._waiting(sock), f"a connection to {who} that nobody expected"
+                    reason = f"line {number}: {line}\n{type(error).__name__}: {error}\n{self.logged()}"
+                    raise AssertionError(reason) from None
+        self.standins.expect_nothing_more()
 
     def step(self, line: str) -> None:
-        """One step."""
+        """Carry out one step."""
         if match := re.fullmatch(r"let (\w+) = (.*)", line):
-            self.words[match[1]] = match[2]
-        elif match := re.fullmatch(r"(\w+) ([<>]) (.*)", line):
-            who, way, data = match[1], match[2], self.read(match[3])
-            (self.send if way == ">" else self.expect)(who, data)
+            self.definitions[match[1]] = match[2]
+        elif match := re.fullmatch(r"(\w+) > (.*)", line):
+            self.standins.send(match[1], self.decode(match[2]))
+        elif match := re.fullmatch(r"(\w+) < (.*)", line):
+            self.standins.expect(match[1], self.decode(match[2]))
         elif match := re.fullmatch(r"list(?: (inv\d))? (\w+) (\d+)(.*)", line):
             who = match[1] or "inv"
-            self._take_call(who)
-            body = json.dumps(self.listed(int(match[3]), match[2] == "whole", *match[4].split())).encode()
-            self.send(who, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+            self.standins.expect_request(who)
+            entries = match[4].split()
+            self.standins.send(who, http_response(self.endpoint_list(int(match[3]), match[2] == "whole", *entries)))
         else:
-            word, *args = line.split()
-            if word == "wait":
-                time.sleep(int(args[0]) / 1000)
-            elif word == "next":
-                self.left.append((args[0], self.open.pop(args[0])))
-                self.unread.pop(args[0], None)
-            elif word == "dial":
-                for number in range(int(args[1])):
-                    self._socket(f"{args[0]}{number}")
-            elif word == "rename":
-                self.open[args[1]] = self.open.pop(args[0])
-            elif word == "signal":
-                self.program.send_signal(signal.Signals[args[0]])
-            elif word == "configure":
-                listening = self.listeners.get(args[0])
-                text = json.dumps({**self.config, "discovery": address(listening)}) if listening else '{"name":'
-                (Path(self.folder.name) / "config.json").write_text(text)
-            elif word == "state":
-                self.desired.write_text(line.removeprefix("state ").encode().decode("unicode_escape"))
-            elif word == "logged":
-                self.until_logged(line.removeprefix("logged "))
-            elif word == "figure":
-                self.figure(line.removeprefix("figure "))
-            elif word == "exit":
-                status = self.program.wait(3 * PATIENCE)
-                assert status == int(args[0]), f"the program ended with {status}"
-                self.program, self.beside = self.beside or self.program, None
-            elif word == "beside":
-                self.admin = f"127.0.0.1:{free_port()}"
-                self.beside = self._start({"RELAY_ADMIN_ADDR": self.admin})
-                self._until_ready(self.admin)
-                self.left += [("inv", self.open.pop("inv"))] if "inv" in self.open else []
-                self._confirm()
-            elif word == "kill":
-                assert self.beside is not None
-                self.beside.kill()
-                self.beside.wait()
-            elif word == "free":
-                self.taken.close()
-            elif args == ["close"]:
-                self.open.pop(word).close()
-            elif args == ["reset"]:
-                sock = self.open.pop(word)
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                sock.close()
-            elif args == ["eof"]:
-                got = self.unread.pop(word, b"") + self.open[word].recv(65536)
-                assert got == b"", f"{got!r} in place of an end"
-                self.open.pop(word).close()
-            elif args == ["refuse"]:
-                self.listeners.pop(word).close()
-            else:
-                raise AssertionError("no such step")
+            name, _, rest = line.partition(" ")
+            self._named_step(name, rest)
+
+    def _named_step(self, name: str, rest: str) -> None:
+        steps = {
+            "wait": lambda: time.sleep(int(rest) / 1000),
+            "next": lambda: self.standins.replace(rest.strip()),
+            "dial": lambda: self._dial(*rest.split()),
+            "rename": lambda: self._rename(*rest.split()),
+            "signal": lambda: self.program.send_signal(signal.Signals[rest.strip()]),
+            "configure": lambda: self._configure(rest.strip()),
+            "state": lambda: self.desired_state.write_text(rest.encode().decode("unicode_escape")),
+            "logged": lambda: self.until_logged(rest),
+            "figure": lambda: self.until_figure(rest),
+            "exit": lambda: self._expect_exit(int(rest)),
+            "beside": self._start_second_process,
+            "kill": self._kill_second_process,
+            "free": self.taken_socket.close,
+        }
+        endings = {
+            "close": lambda: self.standins.connections.pop(name).close(),
+            "reset": lambda: self.standins.reset(name),
+            "eof": lambda: self.standins.expect_end(name),
+            "refuse": lambda: self.standins.listeners.pop(name).close(),
+        }
+        step = steps.get(name) or endings.get(rest.strip())
+        if step is None:
+            raise AssertionError("no such step")
+        step()
+
+    def _dial(self, prefix: str, count: str) -> None:
+        for number in range(int(count)):
+            self.standins.connection(f"{prefix}{number}")
+
+    def _rename(self, old: str, new: str) -> None:
+        self.standins.connections[new] = self.standins.connections.pop(old)
+
+    def _configure(self, who: str) -> None:
+        """Replace the configuration by one with this discovery, or by one that cannot be read."""
+        listening = self.standins.listeners.get(who)
+        text = json.dumps({**self.config, "discovery": address(listening)}) if listening else '{"name":'
+        (Path(self.folder.name) / "config.json").write_text(text)
+
+    def _expect_exit(self, expected: int) -> None:
+        status = self.program.wait(3 * TIMEOUT_S)
+        assert status == expected, f"the program ended with {status}"
+        self.program, self.second_process = self.second_process or self.program, None
+
+    def _start_second_process(self) -> None:
+        self.admin = f"127.0.0.1:{free_port()}"
+        self.second_process = self._start({"RELAY_ADMIN_ADDR": self.admin})
+        self._until_ready(self.admin)
+        if "inv" in self.standins.connections:
+            self.standins.replaced.append(("inv", self.standins.connections.pop("inv")))
+        self._confirm()
+
+    def _kill_second_process(self) -> None:
+        assert self.second_process is not None
+        self.second_process.kill()
+        self.second_process.wait()
 
-    def read(self, text: str) -> bytes:
+    def decode(self, text: str) -> bytes:
         """The bytes that a text stands for."""
         while match := re.search(r"\{(\w+)((?: [^{}\s]+)*)\}", text):
-            word = self.words[match[1]]
+            definition = self.definitions[match[1]]
             for number, argument in enumerate(match[2].split(), 1):
-                word = word.replace(f"${number}", argument)
-            text = text[: match.start()] + re.sub(r"\$\d", "", word) + text[match.end() :]
-        text = re.sub(r"\[\[(.*?)\]\](?!\])", self._chunk, text)
+                definition = definition.replace(f"${number}", argument)
+            text = text[: match.start()] + re.sub(r"\$\d", "", definition) + text[match.end() :]
+        text = re.sub(r"\[\[(.*?)\]\](?!\])", _encode_chunk, text)
         text = re.sub(r"\(\((.*?)\)\)", lambda m: f"${len(m[1])}\\r\\n{m[1]}\\r\\n", text)
         data = text.encode().decode("unicode_escape").encode("latin-1")
         return re.sub(rb"<(\d+)x(.)>", lambda m: m[2] * int(m[1]), data)
 
-    @staticmethod
-    def _chunk(match: re.Match[str]) -> str:
-        """``[[TEXT]]`` is a chunk of a chunked body."""
-        size = len(match[1].encode().decode("unicode_escape"))
-        return f"{size:x}\\r\\n{match[1]}\\r\\n"
-
-    def send(self, who: str, data: bytes) -> None:
-        """A stand-in sends; a peer sends a datagram."""
-        if who in self.peers:
-            host, port = self.own.split(":")
-            self.peers[who].sendto(data, (host, int(port)))
-        else:
-            self._socket(who).sendall(data)
-
-    def expect(self, who: str, data: bytes) -> None:
-        """The program must send just this."""
-        if who in self.peers:
-            while not self.peers[who].recv(65536).startswith(data):
-                pass  # how often counts are told depends on the time
-            return
-        sock, got = self._socket(who), self.unread.pop(who, b"")
-        wanted = self._plain(data)
-        while len(self._plain(got)) < len(wanted):
-            try:
-                chunk = sock.recv(65536)
-            except TimeoutError:
-                raise AssertionError(f"only {got!r} came") from None
-            assert chunk, f"the program closed after {got!r}"
-            got += chunk
-        plain = self._plain(got)
-        assert plain[: len(wanted)] == wanted, f"got {plain!r}\nnot {wanted!r}"
-        if plain[len(wanted) :]:
-            self.unread[who] = plain[len(wanted) :]
-
-    def figure(self, wanted: str) -> None:
+    def until_figure(self, expected: str) -> None:
         """Ask for the figures until they hold this line."""
-        end, told = time.monotonic() + PATIENCE, ""
-        while wanted not in told.splitlines():
-            assert time.monotonic() < end, f"not among the figures:\n{told}"
-            told = self._ask(self.admin, "/stats")
+        end, figures = time.monotonic() + TIMEOUT_S, ""
+        while expected not in figures.splitlines():
+            assert time.monotonic() < end, f"not among the figures:\n{figures}"
+            figures = self._get(self.admin, "/stats")
 
-    def until_logged(self, wanted: str) -> None:
+    def until_logged(self, expected: str) -> None:
         """Wait until a text is in the log."""
-        end = time.monotonic() + PATIENCE
-        while wanted not in Path(self.log.name).read_text():
+        end = time.monotonic() + TIMEOUT_S
+        while expected not in Path(self.log.name).read_text():
             assert time.monotonic() < end, "that is not in the log"
             time.sleep(0.02)
 
@@ -372,67 +390,139 @@
         return Path(self.log.name).read_text()[-3000:]
 
     def close(self) -> None:
-        """End the program that this player started, and close all sockets."""
-        for program in (self.program, self.beside):
+        """End the processes and close all sockets."""
+        for program in (self.program, self.second_process):
             if program is not None and program.poll() is None:
                 program.kill()
                 program.wait()
         self.log.close()
-        for ours in (self.taken, self.door, self.partner):
-            if ours is not None:
-                ours.close()
-        for sock in [*self.open.values(), *self.listeners.values(), *self.peers.values(), *(s for _, s in self.left)]:
-            sock.close()
+        for sock in (self.taken_socket, self.inherited_socket, self.peer_process):
+            if sock is not None:
+                sock.close()
+        self.standins.close()
         self.folder.cleanup()
 
-    # -- inside
+    def endpoint_list(self, version: int, complete: bool, *lines: str) -> dict[str, Any]:
+        """A list; a line is a server's name, its state if that is not ``active``, and its start if there is one."""
+        instances = []
+        for line in lines:
+            name, state, started = (line + ":" + ":".join(["active", "0"][line.count(":") :])).rstrip(":").split(":")
+            instances.append(
+                {
+                    "instanceId": name,
+                    "hostPort": address(self.standins.listeners[name]),
+                    "zone": "a",
+                    "machineType": "m1",
+                    "cell": 0,
+                    "lifecycle": state,
+                    "weight": 1.0,
+                    "startedAtMs": int(started),
+                }
+            )
+        return {"generation": version, "reset": complete, "instances": instances}
 
-    @staticmethod
-    def _plain(data: bytes) -> bytes:
-        for pattern, stand_in in FREE_FORM:
-            data = re.sub(pattern, stand_in, data)
-        return data
+    # -- the program
 
-    @staticmethod
-    def _now(sock: socket.socket) -> bytes:
-        sock.setblocking(False)
-        try:
-            return sock.recv(65536)
-        except OSError:
-            return b""
+    def _connect_address(self, who: str) -> str:
+        return {"f": self.faktory_address, "a": self.admin}.get(who[0], self.listen)
 
-    @staticmethod
-    def _waiting(sock: socket.socket) -> bool:
-        sock.setblocking(False)
-        try:
-            sock.accept()[0].close()
-            return True
-        except OSError:
-            return False
-
-    def _socket(self, who: str) -> socket.socket:
-        if who not in self.open:
-            if who in self.listeners:
-                self.open[who], _ = self.listeners[who].accept()
-            else:
-                host, port = {"f": self.faktory, "a": self.admin}.get(who[0], self.listen).split(":")
-                self.open[who] = socket.create_connection((host, int(port)))
-            self.open[who].settimeout(PATIENCE)
-        return self.open[who]
+    def _configuration(self, servers: int, changes: dict[str, Any]) -> dict[str, Any]:
+        settings = {**SETTINGS, **changes.pop("settings", {})}
+        settings["limits"] = {**SETTINGS["limits"], **changes.pop("limits", {})}
+        return {
+            "name": "n0",
+            "listen": self.listen,
+            "discovery": address(self.standins.listeners["inv"]),
+            "seed": "ab12",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)},
+            "settings": settings,
+            "admin_addr": self.admin,
+            "peer_listen": self.standins.peer_address,
+            "peers": [self.standins.peer_address, address(self.standins.peers["p1"])],
+            "known": self.endpoint_list(3, True, *(f"h{number + 1}" for number in range(servers))),
+            **changes,
+        }
+
+    def _start(self, environment: dict[str, str]) -> "subprocess.Popen[bytes]":
+        inherited = [self.inherited_socket.fileno()] if self.inherited_socket is not None else []
+        return subprocess.Popen(
+            [sys.executable, "-m", "heronlug"],
+            env={
+                **os.environ,
+                "RELAY_CONFIG": str(Path(self.folder.name) / "config.json"),
+                "RELAY_DISCOVERY": address(self.standins.listeners["inv"]),
+                "HERONLUG_STATE": str(self.desired_state),
+                "HERONLUG_CONTROL": self.control_path,
+                "TMPDIR": self.folder.name,
+                **({"RELAY_INHERITED_FD": str(inherited[0])} if inherited else {}),
+                **environment,
+            },
+            stdout=self.log,
+            stderr=self.log,
+            pass_fds=inherited,
+        )
+
+    def _peer_process(self, kind: str) -> socket.socket:
+        """What the program finds in place of another process: none, a silent one, or one that sends nonsense."""
+        sock = listen(socket_path(self.folder.name, "n0", self.listen))
+        sock.setblocking(True)
+        if kind == "stale":
+            sock.close()
+        elif kind in PEER_PROCESS_ANSWERS:
+            answer = PEER_PROCESS_ANSWERS[kind]
+            threading.Thread(target=lambda: sock.accept()[0].sendall(answer), daemon=True).start()
+        return sock
+
+    def _until_ready(self, admin: str) -> None:
+        end = time.monotonic() + 3 * TIMEOUT_S
+        while True:
+            try:
+                if self._get(admin, "/healthcheck").startswith("HTTP"):
+                    return
+            except OSError as error:
+                if time.monotonic() > end or self.program.poll() is not None:
+                    raise AssertionError(f"not ready, status {self.program.poll()}: {error}\n{self.logged()}") from None
+            time.sleep(0.02)
 
     def _confirm(self) -> None:
-        """Discovery answers a process's first call: nothing has changed since the list that it was given."""
-        call = self._take_call("inv")
-        asked = re.match(rb"GET /registry/instances\?after=(\d+)&wait_ms=0 ", call)
-        assert asked, f"{call!r} is no first call"
-        body = json.dumps(self.listed(int(asked[1]), False)).encode()
-        self.send("inv", b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-
-    def _take_call(self, who: str) -> bytes:
-        """Read discovery's next call."""
-        sock, got = self._socket(who), b""
-        while b"\r\n\r\n" not in got:
-            chunk = sock.recv(65536)
-            assert chunk, "the watch's connection has ended"
-            got += chunk
-        return got
+        """Let discovery answer a process's first poll: nothing has changed since the list that it was given."""
+        request = self.standins.expect_request("inv")
+        match = re.match(rb"GET /registry/instances\?after=(\d+)&wait_ms=0 ", request)
+        assert match, f"{request!r} is no first poll"
+        self.standins.send("inv", http_response(self.endpoint_list(int(match[1]), False)))
+
+    @staticmethod
+    def _get(admin: str, path: str) -> str:
+        host, port = admin.split(":")
+        with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
+            sock.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
+            return b"".join(iter(lambda: sock.recv(65536), b"")).decode()
+
+
+def _encode_chunk(match: re.Match[str]) -> str:
+    """``[[TEXT]]`` is a chunk of a chunked body."""
+    size = len(match[1].encode().decode("unicode_escape"))
+    return f"{size:x}\\r\\n{match[1]}\\r\\n"
+
+
+def _without_variable_parts(data: bytes) -> bytes:
+    for pattern, replacement in VARIABLE_PARTS:
+        data = re.sub(pattern, replacement, data)
+    return data
+
+
+def _receive_now(sock: socket.socket) -> bytes:
+    sock.setblocking(False)
+    try:
+        return sock.recv(65536)
+    except OSError:
+        return b""
+
+
+def _has_connection(sock: socket.socket) -> bool:
+    sock.setblocking(False)
+    try:
+        sock.accept()[0].close()
+        return True
+    except OSError:
+        return False
--- /dev/null
+++ b/tests/frontends/test_states.py
@@ -0,0 +1,44 @@
+"""The states of client connections and of Faktory sessions."""
+
+from heronlug.frontends.faktory.session_state import SessionEvent, SessionState
+from heronlug.frontends.faktory.session_state import next_state as next_session_state
+from heronlug.frontends.http.connection_state import ConnectionEvent, ConnectionState
+from heronlug.frontends.http.connection_state import next_state as next_connection_state
+
+
+def test_closed_connection_stays_closed() -> None:
+    for event in ConnectionEvent:
+        assert next_connection_state(ConnectionState.CLOSED, event) is ConnectionState.CLOSED
+
+
+def test_lingering_connection_serves_nothing_more() -> None:
+    for event in ConnectionEvent:
+        after = next_connection_state(ConnectionState.LINGERING, event)
+        assert after in (ConnectionState.LINGERING, ConnectionState.CLOSED)
+
+
+def test_connection_serves_one_request_after_another() -> None:
+    state = next_connection_state(ConnectionState.IDLE, ConnectionEvent.REQUEST_STARTED)
+    assert state is ConnectionState.SERVING
+    assert next_connection_state(state, ConnectionEvent.ANSWERED) is ConnectionState.IDLE
+
+
+def test_session_is_ready_only_after_hello() -> None:
+    for event in SessionEvent:
+        after = next_session_state(SessionState.AWAITING_HELLO, event)
+        ready = event is SessionEvent.GREETED
+        assert (after is SessionState.READY) == ready
+
+
+def test_fetch_ends_by_timeout_or_delivery() -> None:
+    fetching = next_session_state(SessionState.READY, SessionEvent.FETCH_STARTED)
+    assert next_session_state(fetching, SessionEvent.FETCH_TIMED_OUT) is SessionState.READY
+    delivering = next_session_state(fetching, SessionEvent.REPLY_DEFERRED)
+    assert delivering is SessionState.REPLY_PENDING
+    assert next_session_state(delivering, SessionEvent.FETCH_TIMED_OUT) is SessionState.REPLY_PENDING
+    assert next_session_state(delivering, SessionEvent.REPLIED) is SessionState.READY
+
+
+def test_closed_session_stays_closed() -> None:
+    for event in SessionEvent:
+        assert next_session_state(SessionState.CLOSED, event) is SessionState.CLOSED
--- a/tests/lifecycle/test_plan_and_apply.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import wasmtime
-from exchange import FOLDER, Player
+from exchange import FOLDER, ExchangePlayer
 
 from heronlug.plugins.host import PluginError, PluginHost
 from heronlug.requests.model import FinalAnswer
@@ -60,7 +60,7 @@
 
 class PlanAndApply(unittest.TestCase):
     def setUp(self) -> None:
-        self.player = Player()
+        self.player = ExchangePlayer()
         self.addCleanup(self.player.close)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -76,7 +76,7 @@
         return path
 
     def call(self, *words: object) -> tuple[int, str, str]:
-        environ = {**os.environ, "HERONLUG_CONTROL": self.player.control}
+        environ = {**os.environ, "HERONLUG_CONTROL": self.player.control_path}
         done = subprocess.run(
             [sys.executable, "-m", "heronlug", *map(str, words)], env=environ, capture_output=True, text=True
         )
@@ -94,7 +94,7 @@
         self.assertIn("Applied.", self.call("apply", plan)[1])
         self.assertEqual(self.call("apply", plan)[:2], (0, "Nothing to do.\n"))
         self.assertEqual(self.call("plan", self.file)[1], "Nothing to do.\n")
-        self.player.faktory = f"127.0.0.1:{self.port}"
+        self.player.faktory_address = f"127.0.0.1:{self.port}"
         self.player.play(
             WORDS + 'f1 < {hi}\nf1 > HELLO {"v":2}\\r\\n{push job-0001 once}\n'
             "f1 < +OK\\r\\n-ERR refused, come back later\\r\\n\n"  # the plug-in has it refused, on both fronts
@@ -106,7 +106,7 @@
         self.assertEqual(error, "heronlug: the plan is stale: the running state has changed since it was made\n")
 
     def test_all_or_nothing(self) -> None:
-        taken = self.player.listeners["h1"].getsockname()[1]
+        taken = self.player.standins.listeners["h1"].getsockname()[1]
         status, _, error = self.call("apply", self.write("b.toml", taken))
         self.assertEqual((status, error.count("\n")), (1, 1))
         out = self.call("plan", self.file)[1]
@@ -137,7 +137,7 @@
         self.assertEqual(self.call("apply", plan)[0], 1)
 
     def test_only_our_user_may_open_the_control_socket(self) -> None:
-        self.assertEqual(Path(self.player.control).stat().st_mode & 0o077, 0)
+        self.assertEqual(Path(self.player.control_path).stat().st_mode & 0o077, 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -4,7 +4,7 @@
 import re
 import unittest
 
-from exchange import FOLDER, Player
+from exchange import FOLDER, ExchangePlayer
 
 WORDS = (FOLDER / "words.txt").read_text()
 
@@ -16,7 +16,7 @@
         text = (FOLDER / name).read_text()
         given = re.findall(r"^# (limits|hosts|sockets|state|inherited|partner|taken) (.*)$", text, re.M)
         options = {key: json.loads(value) for key, value in given}
-        player = Player(**options)
+        player = ExchangePlayer(**options)
         try:
             for line in WORDS.splitlines():
                 player.step(line)
