--- /dev/null
+++ b/heronlug/backends/response.py
@@ -0,0 +1,199 @@
+"""Reads a server's response to one request: HTTP with a line of JSON for each step of the work."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+import httptools
+import orjson
+
+from heronlug.balancer.events import Outcome, ProgressKind
+from heronlug.net import http
+
+STATUSES_OF_SERVER = (408, 429)
+"""Of the 4xx, these say nothing against the request."""
+
+FINAL_STATES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
+"""Outcomes by the protocol's words for the states that end a request without a result."""
+
+
+class Verdict(NamedTuple):
+    """How an attempt has ended, as the server says.
+
+    Attributes:
+        outcome: The outcome.
+        result: The result of the work, empty where there is none.
+    """
+
+    outcome: Outcome
+    result: bytes = b""
+
+
+class ResponseReader:
+    """Parses the response to one request.
+
+    Some servers repeat the response to the request before, so lines that name that request are skipped.
+
+    Attributes:
+        verdict: How the attempt has ended; None while it runs.
+        complete: Whether the response is complete.
+        keep_alive: Whether the connection can be used again; known once the response is complete.
+        begun: Whether the server has begun to respond.
+        closes_connection: Whether the head says that the connection ends with the response.
+        request_withheld: Whether part of the request has not been sent, so that no response to it can be valid.
+    """
+
+    begun: bool
+    closes_connection: bool
+    _status: int
+    _rejected: bool
+    _chunked: bool
+    _between_chunks: bool
+    _is_repeated: bool
+    _lines: http.Lines
+
+    def __init__(
+        self,
+        request_id: str,
+        previous_request_id: str,
+        on_progress: Callable[[ProgressKind, float], None],
+        on_invalid_line: Callable[[str], None],
+    ) -> None:
+        """Expect a response.
+
+        Args:
+            request_id: The id of the request.
+            previous_request_id: The id of the request before on this connection; empty for none.
+            on_progress: Receives the progress of the work and the share of it that is done.
+            on_invalid_line: Receives what is wrong with a line that breaks the protocol.
+        """
+        self.verdict: Verdict | None = None
+        self.complete = False
+        self.keep_alive = False
+        self.request_withheld = False
+        self._request_id = request_id
+        self._previous_request_id = previous_request_id
+        self._on_progress = on_progress
+        self._on_invalid_line = on_invalid_line
+        self._parser: Any = httptools.HttpResponseParser(self)  # httptools has no types
+        self._expect_head()
+
+    @property
+    def is_unnamed(self) -> bool:
+        """Whether the response names no request, so that a repetition would be taken for the next request's."""
+        return self._status != 200 or (self.verdict is not None and self.verdict.outcome is Outcome.FULL)
+
+    @property
+    def at_line_boundary(self) -> bool:
+        """Whether another process can go on reading here."""
+        between_lines = self._between_chunks and not self._lines.has_partial_line
+        return not self.begun or (self._status == 200 and self._chunked and between_lines)
+
+    def feed(self, data: bytes) -> None:
+        """Parse bytes of the response.
+
+        Raises:
+            httptools.HttpParserError: They are no HTTP response.
+            httptools.HttpParserUpgrade: The server wants to change the protocol.
+        """
+        self.begun = True
+        self._parser.feed_data(data)
+        self._between_chunks = self._between_chunks and data.endswith(b"\r\n")
+
+    def skip_head(self, closes_connection: bool) -> None:
+        """Go on with the chunks of a response whose head another process has read."""
+        connection = b"Connection: close\r\n" if closes_connection else b""
+        self._parser.feed_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + connection + b"\r\n")
+        self.begun = True
+
+    def finish(self) -> None:
+        """Read the last line, which may lack its end, when nothing more comes."""
+        for line in self._lines.end():
+            self._read_line(line)
+
+    # -- httptools
+
+    def on_message_begin(self) -> None:
+        """A response begins."""
+        self.begun = True
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Read one header."""
+        name = name.lower()
+        if name == b"x-turned-away":
+            self._rejected = value.strip() == b"1"
+        elif name == b"transfer-encoding":
+            self._chunked = value.strip().lower() == b"chunked"
+        elif name == b"connection":
+            self.closes_connection = b"close" in value.lower()
+
+    def on_headers_complete(self) -> None:
+        """The head is complete: every status but 200 ends the attempt."""
+        self._status = self._parser.get_status_code()
+        if self._status in (503, 504) and self._rejected:
+            self.verdict = Verdict(Outcome.FULL)
+        elif 400 <= self._status < 500 and self._status not in STATUSES_OF_SERVER:
+            self.verdict = Verdict(Outcome.REJECTED_BY_SERVER)
+        elif self._status >= 200 and self._status != 200:
+            self.verdict = Verdict(Outcome.ERROR)
+
+    def on_chunk_header(self) -> None:
+        """A chunk begins."""
+        self._between_chunks = False
+
+    def on_chunk_complete(self) -> None:
+        """A chunk is complete."""
+        self._between_chunks = True
+
+    def on_body(self, body: bytes) -> None:
+        """Read the lines of a chunk, which may end anywhere in a line."""
+        if self._status == 200:
+            for line in self._lines.feed(body):
+                self._read_line(line)
+
+    def on_message_complete(self) -> None:
+        """A response is complete."""
+        if self._status == 200:
+            self.finish()
+        if self._is_repeated and self.verdict is None:
+            self._expect_head()
+        elif self._status >= 200:
+            self.verdict = self.verdict or Verdict(Outcome.RESET)  # it ended before the last line
+            self.complete = True
+            # After this callback the parser answers as if the next response had begun.
+            self.keep_alive = self._parser.should_keep_alive()
+
+    # -- Lines
+
+    def _expect_head(self) -> None:
+        self.begun = False
+        self.closes_connection = False
+        self._status = 0
+        self._rejected = False
+        self._chunked = False
+        self._between_chunks = True
+        self._is_repeated = False  # this response answers the request before once more
+        self._lines = http.Lines()
+
+    def _read_line(self, line: bytes) -> None:
+        if self.verdict is not None:
+            return
+        try:
+            self._apply_line(orjson.loads(line))
+        except (ValueError, KeyError, TypeError, AttributeError, UnicodeError) as error:
+            self._on_invalid_line(repr(error))
+            self.verdict = Verdict(Outcome.ERROR)
+
+    def _apply_line(self, message: dict[str, Any]) -> None:
+        state = message["state"]
+        if message["id"] != self._request_id:
+            if message["id"] != self._previous_request_id or self.request_withheld:
+                raise ValueError(f"a line names request {message['id']!r}, {self._request_id!r} was sent")
+            self._is_repeated = True
+        elif state == "started":
+            self._on_progress(ProgressKind.STARTED, 0.0)
+        elif state == "running":
+            self._on_progress(ProgressKind.PROGRESS, float(message.get("share", 0.0)))
+        elif state == "done":
+            self.verdict = Verdict(Outcome.SERVED, message["result"].encode())
+        else:
+            self.verdict = Verdict(FINAL_STATES[state])
--- a/heronlug/lifecycle/hot_restart/handed_over_requests.py
+++ b/heronlug/lifecycle/hot_restart/handed_over_requests.py
@@ -46,7 +46,7 @@
         connections = self._pausable(request)
         if attempts is None or connections is None:
             return
-        paused = [exchange.pause() for exchange in connections.servers]
+        paused = [exchange.pause_for_handover() for exchange in connections.servers]
         handover = RequestHandover(
             request=request.payload,
             give_up_at=request.give_up_at,
@@ -54,15 +54,15 @@
             policy=request.policy,
             not_before=self._core.not_before(request),
             attempts=attempts,
-            exchanges=[ExchangeState(**progress) for _, progress in paused],
+            exchanges=[ExchangeState(answered=connection.answered, last=connection.last) for connection in paused],
         )
         message = handover.encode(self._config.zones, self._config.kinds)
-        server_fds = [fd for fd, _ in paused]
+        server_fds = [connection.fd for connection in paused]
         self._session.hand_over_request(message, [connections.client.pause_for_handover(), *server_fds])
         self._core.hand_over(request)
         connections.client.detach()
         for exchange in connections.servers:
-            exchange.let_go()
+            exchange.detach()
 
     def _pausable(self, request: Request) -> _Pausable | None:
         """The connections of a request; None while one of them is in the middle of a read or write."""
@@ -70,6 +70,6 @@
         servers = [attempt.exchange for attempt in request.attempts if attempt.in_flight]
         if client is None or not client.can_hand_over() or len(servers) >= MAX_FDS:
             return None
-        if not all(exchange is not None and exchange.can_pass() for exchange in servers):
+        if not all(exchange is not None and exchange.can_hand_over() for exchange in servers):
             return None
         return _Pausable(client, servers)
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -14,6 +14,7 @@
 
 import orjson
 
+from heronlug.backends.connection import PausedConnection
 from heronlug.balancer.capacity import CapacityEstimate
 from heronlug.balancer.events import (
     ListKind,
@@ -303,12 +304,14 @@
     def connection(self) -> MagicMock:
         """A client's or a server's, that may be handed over."""
         connection = MagicMock()
-        connection.can_pass.return_value = connection.can_hand_over.return_value = True
+        connection.can_hand_over.return_value = True
         return connection
 
     def _sent(self, relay: Any) -> None:
         relay.exchange = self.connection()
-        relay.exchange.pause.return_value = self.descriptors()[0], {"answered": True, "last": False}
+        relay.exchange.pause_for_handover.return_value = PausedConnection(
+            self.descriptors()[0], answered=True, last=False
+        )
 
     def _adopted(self, sock: socket.socket, served: bool, made: Callable[[Any], None] | None = None) -> None:
         sock.close()
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -36,6 +36,7 @@
     workers,
     write_store,
 )
+from heronlug.backends.connection import PausedConnection
 from heronlug.balancer.dispatcher import Dispatcher
 from heronlug.balancer.events import ListKind, PeerMessage, ServerEntry, ServerListUpdate
 from heronlug.balancer.peer_load import PeerLoad
@@ -210,7 +211,7 @@
     for attempt in message.attempts:
         if attempt.in_flight:
             attempt.exchange = process.connection()
-            attempt.exchange.pause.return_value = 0, {"answered": True, "last": False}
+            attempt.exchange.pause_for_handover.return_value = PausedConnection(0, answered=True, last=False)
     third = MagicMock()
     process.takeover.session.successor = third
     process.takeover.successor_serves()
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -164,16 +164,16 @@
         async with DispatcherHarness(1).open() as harness:
             client = harness.blocking_client()
             client.send(request_bytes("t1", class_name, 4000))
-            dialled = harness.application.backend.dialled
+            on_connected = harness.application.backend.on_connected
 
             def late(connection: object) -> None:
                 client.leave(ending)
                 harness.stall(LONG)
-                dialled(connection)  # type: ignore[arg-type]
+                on_connected(connection)  # type: ignore[arg-type]
 
-            harness.application.backend.dialled = late  # type: ignore[method-assign]
+            harness.application.backend.on_connected = late  # type: ignore[method-assign]
             await harness.settle()
-            harness.application.backend.dialled = dialled  # type: ignore[method-assign]
+            harness.application.backend.on_connected = on_connected  # type: ignore[method-assign]
             assert harness.application.backend.dials == 1 and nothing_sent(harness)
             assert await expect_still_serving(harness)
 
--- a/tests/end_to_end/test_servers.py
+++ b/tests/end_to_end/test_servers.py
@@ -17,7 +17,7 @@
     served,
 )
 from end_to_end.test_client_leaves import open_connections
-from heronlug.backends.pool import ServerConnection
+from heronlug.backends.connection import ServerConnection
 from heronlug.balancer.events import ListKind, ServerState
 from heronlug.net.connection_state import peer_has_closed
 from heronlug.requests.model import Attempt
@@ -100,9 +100,9 @@
             server, warm = await serve_one(harness, "t1")
             send = harness.application.backend.send
 
-            def crossed(relay: object) -> None:
+            def crossed(attempt: Attempt) -> None:
                 warm.end_now(ending)
-                send(relay)  # type: ignore[arg-type]
+                send(attempt)
 
             harness.application.backend.send = crossed  # type: ignore[method-assign]
             client = await harness.post("t2", "once")
@@ -276,7 +276,7 @@
             watch.send(harness.list_response(4, "h2:leaving"))
             watch, _ = await harness.discovery.request()
             late = list[ServerConnection]()
-            with mock.patch.object(harness.application.backend, "dialled", late.append):
+            with mock.patch.object(harness.application.backend, "on_connected", late.append):
                 client = await harness.post("t1")
             assert len(late) == 1
             if lifecycle == "elsewhere":
@@ -286,7 +286,7 @@
                 before = harness.servers["h1"]
                 watch.send(harness.list_response(5, f"h1:{lifecycle}", "h2"))
             await harness.settle()
-            harness.application.backend.dialled(late[0])
+            harness.application.backend.on_connected(late[0])
             await harness.settle()
             assert not before.requests
             await harness.pass_time(1_500)
@@ -335,12 +335,12 @@
             assert end.take_request()
             await harness.pass_time(1_300)
             late = list[ServerConnection]()
-            with mock.patch.object(harness.application.backend, "dialled", late.append):
+            with mock.patch.object(harness.application.backend, "on_connected", late.append):
                 end.end_now("reset")
                 await harness.settle()
             assert len(late) == 1
             harness.stall(750)
-            harness.application.backend.dialled(late[0])
+            harness.application.backend.on_connected(late[0])
             await harness.settle()
             assert not any(server.requests for server in harness.servers.values())
             assert client.received.startswith(REFUSED)
@@ -354,14 +354,14 @@
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             late = list[ServerConnection]()
-            with mock.patch.object(harness.application.backend, "dialled", late.append):
+            with mock.patch.object(harness.application.backend, "on_connected", late.append):
                 client = await harness.post("t1", remaining=900)
                 await harness.pass_time(310)
                 assert harness.servers["h1"].connections[0].ended
                 await harness.pass_time(900)
             assert client.received.startswith(REFUSED) and not harness.servers["h1"].requests
             for connection in late:
-                harness.application.backend.dialled(connection)
+                harness.application.backend.on_connected(connection)
             await harness.settle()
             assert not harness.servers["h1"].requests
 
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -10,7 +10,8 @@
 from drive import Host, entries, with_settings
 
 from heronlug import ListKind, Outcome, PeerMessage, RequestArrived, RequestClass, ServerEntry, StartAttempt
-from heronlug.backends.pool import ConnectionPool, ServerConnection
+from heronlug.backends.connection import ServerConnection
+from heronlug.backends.pool import ConnectionPool
 from heronlug.balancer.actions import Reject
 from heronlug.balancer.events import AttemptEnded, AttemptSnapshot, PeerGone, RequestAdopted, RequestHandedOver
 from heronlug.balancer.settings import Effect
@@ -156,16 +157,16 @@
         deadlines = Deadlines(lambda: now[0])
         lane = RequestClass(latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT)
         core = Core(with_settings(classes=(lane,)), 1, cast(Any, Front()), deadlines)
-        south = ConnectionPool(
+        pool = ConnectionPool(
             deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
-        south.core = core
+        pool.core = core
         core.update_servers(ListKind.FULL, [ListedServer("h", "127.0.0.1:9")])
         request = HttpRequest()
         request.method, request.target, request.request_id, request.class_index = b"POST", b"/x", "t", 0
         core.accept(request, 0, 4000.0, request_id="t")
-        connection = ServerConnection(south, relays[0].server, "127.0.0.1:9")
-        connection.ticket = south.connections.add(connection)
+        connection = ServerConnection(pool, relays[0].server, "127.0.0.1:9")
+        connection.handle = pool.connections.add(connection)
         connection.transport = cast(Any, Transport())
         return core, answers, connection, relays[0]
 
@@ -181,11 +182,11 @@
                 first.write(relay)
                 if cut:
                     first.data_received(data[:cut])
-                if not first.can_pass():
+                if not first.can_hand_over():
                     continue
                 passed.append(cut)
                 _, answers, second, relay = self.connection()
-                second.read_on(relay, cut > 0, False)
+                second.resume(relay, cut > 0, False)
                 second.data_received(data[cut:])
                 self.assertEqual(answers, [b"served ok"], cut)
             head = data.index(b"\r\n\r\n") + 4
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -8,7 +8,8 @@
 from drive import KEYED, ONCE, SAFE, with_settings
 
 from heronlug import CancelAttempt, ListKind, Outcome, ServerState, StartAttempt
-from heronlug.backends.pool import ConnectionPool, ServerConnection
+from heronlug.backends.connection import ServerConnection
+from heronlug.backends.pool import ConnectionPool
 from heronlug.lifecycle.log import MAX_BUFFERED_LINES, Log
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.core import Core
@@ -124,30 +125,30 @@
         self.assertEqual(self.module.events[-1].outcome, Outcome.CANCELLED_BEFORE_START)
 
     def test_relay_still_dialling_when_its_host_drains_is_not_written(self) -> None:
-        south = ConnectionPool(
+        pool = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
-        south.core = self.core
+        pool.core = self.core
         for told_off in (False, True):
             load = type(
                 "Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"", "request_id": "t"}
             )()
             _, relay = self.sent(load)
-            connection = ServerConnection(south, relay.server, "127.0.0.1:9")
-            connection.relay, connection.transport = relay, cast(Any, Transport())
+            connection = ServerConnection(pool, relay.server, "127.0.0.1:9")
+            connection.attempt, connection.transport = relay, cast(Any, Transport())
             if told_off:
                 self.core.update_servers(ListKind.CHANGES, [ListedServer("h", "127.0.0.1:9", ServerState.DRAINING)])
-            south.dialled(connection)
+            pool.on_connected(connection)
             self.assertEqual(bool(cast(Any, connection.transport).written), not told_off)
             cast(Any, connection.transport).close()
         self.assertEqual(self.module.events[-1].outcome, Outcome.CONNECT_FAILED)
 
     def test_break_is_never_ran_only_while_a_byte_is_unwritten(self) -> None:
         """The last byte of send-invites waits for 10 ms: a connection that breaks at its next request costs nothing."""
-        south = ConnectionPool(
+        pool = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
-        south.core = self.core
+        pool.core = self.core
         never, perhaps = Outcome.CONNECT_FAILED, Outcome.RESET
         for wait, stuck, ended, whole, outcome in (
             (0, False, False, False, never),
@@ -159,7 +160,7 @@
                 "Load", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"ab", "request_id": "t"}
             )()
             _, relay = self.sent(load)
-            connection = ServerConnection(south, relay.server, "127.0.0.1:9")
+            connection = ServerConnection(pool, relay.server, "127.0.0.1:9")
             connection.transport = cast(Any, Transport())
             connection.write(relay)
             if ended:
