--- a/heronlug/cluster/failure_detector.py
+++ b/heronlug/cluster/failure_detector.py
@@ -46,7 +46,7 @@
     answered: bool = False
 
 
-class _RelayedProbe(NamedTuple):
+class _IndirectProbe(NamedTuple):
     """A probe that another member has asked for."""
 
     expires_at: float
@@ -84,11 +84,11 @@
         self._probe: Probe | None = None
         self._last_number = rng.getrandbits(31)
         self._next_probe_at = -inf
-        self._relayed: dict[int, _RelayedProbe] = {}
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
 
     def next_wake(self) -> float:
-        """When :meth:`wake` or :meth:`expire_relayed` has something to do."""
-        expiries = [probe.expires_at for probe in self._relayed.values()]
+        """When :meth:`wake` or :meth:`expire_indirect_probes` has something to do."""
+        expiries = [probe.expires_at for probe in self._indirect_probes.values()]
         return min(self._next_probe_at, self._next_ping_at(), *expiries)
 
     def add(self, member: Member) -> None:
@@ -101,11 +101,11 @@
 
     # -- time
 
-    def expire_relayed(self, now: float) -> None:
+    def expire_indirect_probes(self, now: float) -> None:
         """Tell members that have asked for an indirect probe that no answer has come."""
-        for number, probe in list(self._relayed.items()):
+        for number, probe in list(self._indirect_probes.items()):
             if probe.expires_at <= now:
-                del self._relayed[number]
+                del self._indirect_probes[number]
                 self._send(probe.requester, [Nack(probe.number)])
 
     def wake(self, now: float) -> None:
@@ -173,9 +173,9 @@
     def receive_ack(self, number: int) -> None:
         """A member has answered a ping of this process, for itself or for another member."""
         probe = self._probe
-        if number in self._relayed:
-            relayed = self._relayed.pop(number)
-            self._send(relayed.requester, [Ack(relayed.number)])
+        if number in self._indirect_probes:
+            indirect = self._indirect_probes.pop(number)
+            self._send(indirect.requester, [Ack(indirect.number)])
         elif probe is not None and probe.number == number and not probe.answered:
             probe.answered = True
             self.adjust_local_health(-1)
@@ -191,5 +191,5 @@
         if member is not None:
             number = self._new_number()
             expires_at = now + 2 * self._timing.probe_timeout
-            self._relayed[number] = _RelayedProbe(expires_at, requester, request.number)
+            self._indirect_probes[number] = _IndirectProbe(expires_at, requester, request.number)
             self._ping(member, number)
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -108,7 +108,7 @@
 
     def wake(self, now: float) -> None:
         """Do what is due."""
-        self._detector.expire_relayed(now)
+        self._detector.expire_indirect_probes(now)
         self._expire_members(now)
         if now >= self._next_join_at:
             self._join(now)
--- a/heronlug/cluster/merkle_trie.py
+++ b/heronlug/cluster/merkle_trie.py
@@ -55,7 +55,7 @@
     return int(xxh3_64_intdigest(node))
 
 
-def _place(key: bytes, level: int) -> int:
+def _child_index(key: bytes, level: int) -> int:
     return int(xxh64_intdigest(key)) >> (HASH_BITS - BITS_PER_LEVEL * (level + 1)) & (WIDTH - 1)
 
 
@@ -68,8 +68,8 @@
 
 
 def _branch(children: dict[int, int]) -> bytes:
-    bits = sum(1 << place for place in children)
-    return struct.pack(f">cB{len(children)}Q", BRANCH_MARK, bits, *(children[place] for place in sorted(children)))
+    bits = sum(1 << index for index in children)
+    return struct.pack(f">cB{len(children)}Q", BRANCH_MARK, bits, *(children[index] for index in sorted(children)))
 
 
 def rows_of(node: bytes) -> Rows | None:
@@ -94,15 +94,15 @@
 
 
 def children_of(node: bytes) -> dict[int, int]:
-    """The children of a branch by their place, none for a leaf; raises :class:`MalformedNodeError`."""
+    """The children of a branch by their index, none for a leaf; raises :class:`MalformedNodeError`."""
     if node[:1] == LEAF_MARK:
         return {}
     if len(node) < 2 or node[:1] != BRANCH_MARK or node[1] >> WIDTH:
         raise MalformedNodeError("a node is neither a leaf nor a branch")
-    places = [place for place in range(WIDTH) if node[1] >> place & 1]
-    if len(node) != 2 + NAME_SIZE * len(places):
-        raise MalformedNodeError(f"a branch with {len(places)} children has {len(node)} bytes")
-    return dict(zip(places, struct.unpack_from(f">{len(places)}Q", node, 2), strict=True))
+    indexes = [index for index in range(WIDTH) if node[1] >> index & 1]
+    if len(node) != 2 + NAME_SIZE * len(indexes):
+        raise MalformedNodeError(f"a branch with {len(indexes)} children has {len(node)} bytes")
+    return dict(zip(indexes, struct.unpack_from(f">{len(indexes)}Q", node, 2), strict=True))
 
 
 def _put(nodes: MutableMapping[int, bytes], node: bytes) -> int:
@@ -120,8 +120,8 @@
         raise RowTooLongError(size - len(LEAF_MARK) - ROW_OVERHEAD, MAX_ROW_SIZE)
     parts: dict[int, Rows] = {}
     for key, value in rows.items():
-        parts.setdefault(_place(key, level), {})[key] = value
-    return _put(nodes, _branch({place: build(part, nodes, level + 1) for place, part in parts.items()}))
+        parts.setdefault(_child_index(key, level), {})[key] = value
+    return _put(nodes, _branch({index: build(part, nodes, level + 1) for index, part in parts.items()}))
 
 
 def change(nodes: MutableMapping[int, bytes], root: int, key: bytes, value: bytes | None, level: int = 0) -> int:
@@ -135,14 +135,14 @@
             rows[key] = value
         return build(rows, nodes, level)
     children = children_of(node)
-    place = _place(key, level)
-    if place in children:
-        below = change(nodes, children[place], key, value, level + 1)
-        children[place] = below
+    index = _child_index(key, level)
+    if index in children:
+        below = change(nodes, children[index], key, value, level + 1)
+        children[index] = below
         if nodes[below] == LEAF_MARK:
-            del children[place]
+            del children[index]
     elif value is not None:
-        children[place] = build({key: value}, nodes, level + 1)
+        children[index] = build({key: value}, nodes, level + 1)
     if value is None:
         # rows that fit into one leaf are one leaf; those of a branch never do
         leaves = [rows_of(nodes[child]) for child in children.values()]
@@ -179,13 +179,13 @@
     before, after = children_of(nodes[old]), children_of(nodes[new])
     if before and after:
         changes: dict[bytes, bytes | None] = {}
-        for place in before.keys() | after.keys():
-            if place not in after:
-                changes.update((key, None) for key, _ in walk(nodes, before[place]))
-            elif place not in before:
-                changes.update(walk(nodes, after[place]))
+        for index in before.keys() | after.keys():
+            if index not in after:
+                changes.update((key, None) for key, _ in walk(nodes, before[index]))
+            elif index not in before:
+                changes.update(walk(nodes, after[index]))
             else:
-                changes.update(difference(nodes, before[place], after[place]))
+                changes.update(difference(nodes, before[index], after[index]))
         return changes
     old_rows, new_rows = dict(walk(nodes, old)), dict(walk(nodes, new))
     changes = {key: value for key, value in new_rows.items() if old_rows.get(key) != value}
@@ -206,8 +206,8 @@
     known = nodes.get(old) if old is not None else None
     counterparts = children_of(known) if known is not None else {}
     found: dict[int, int | None] = {}
-    for place, child in children_of(node).items():
-        found.update(absent(nodes, counterparts.get(place), child))
+    for index, child in children_of(node).items():
+        found.update(absent(nodes, counterparts.get(index), child))
     return found
 
 
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -9,7 +9,6 @@
 from heronlug.cluster.member import LocalMember
 from heronlug.cluster.model import (
     Action,
-    ClusterTiming,
     FencingToken,
     LeaseGained,
     LeaseLost,
@@ -55,7 +54,6 @@
         turn: Callable[[], None],
         discovery: SharedDiscovery | None = None,
         health_checker: HealthChecker | None = None,
-        timing: ClusterTiming | None = None,
     ) -> None:
         """Create a member that has not joined; ``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``.
 
@@ -70,17 +68,7 @@
         self.shared_discovery = discovery
         self.health_checker = health_checker
         self.task_runner = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
-        own_leases = [LEASE_TABLE] if discovery is not None and discovery.view.share != "none" else []
-        own_leases += health_checker.names if health_checker is not None else []
-        local = LocalMember(table["name"], table["advertise"] or table["listen"], int(deadlines.clock()))
-        self.node = Node(
-            local,
-            table["seeds"],
-            [*self.task_runner.names, *own_leases],
-            read_keys(table["key_files"]),
-            Random(),
-            timing,
-        )
+        self.node = self._create_node(table)
         for part in (discovery, health_checker):
             if part is not None:
                 part.join(self.node, self._flush)
@@ -90,6 +78,16 @@
         self._stale_check: Key | None = None
         self._left: asyncio.Future[None] | None = None
 
+    def _create_node(self, table: dict[str, Any]) -> Node:
+        """The member, with a lease for each periodic task, for shared discovery and for each shard of health checks."""
+        leases = self.task_runner.names
+        if self.shared_discovery is not None and self.shared_discovery.view.share != "none":
+            leases.append(LEASE_TABLE)
+        if self.health_checker is not None:
+            leases += self.health_checker.names
+        local = LocalMember(table["name"], table["advertise"] or table["listen"], int(self._deadlines.clock()))
+        return Node(local, table["seeds"], leases, read_keys(table["key_files"]), Random())
+
     async def open(self) -> None:
         """Join the cluster; raises ``OSError`` if the address cannot be bound."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=self.listen)
--- a/tests/cluster/test_server_view.py
+++ b/tests/cluster/test_server_view.py
@@ -1,4 +1,4 @@
-"""Which list holds, what the core is told, and which host is probed when."""
+"""Which list is used, what the core is told, and which server is checked when."""
 
 from typing import Any
 
@@ -10,10 +10,10 @@
 from heronlug.cluster.server_view import ListSource, ServerView
 from heronlug.requests.model import ListedServer
 
-READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
+READY, DRAINING, REMOVED = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def hosts(*names: str, state: ServerState = READY) -> list[ListedServer]:
+def servers(*names: str, state: ServerState = READY) -> list[ListedServer]:
     return [ListedServer(name, f"127.0.0.1:{9000 + ord(name[0])}", state) for name in names]
 
 
@@ -23,27 +23,27 @@
 
 def test_the_shared_list_is_used_once_the_own_watch_ends() -> None:
     view = ServerView("list")
-    view.apply_own_update(ListKind.FULL, 7, hosts("a", "b"))
-    view.apply_shared_update(6, hosts("a"), [])
-    view.apply_shared_update(7, hosts("b"), [])
+    view.apply_own_update(ListKind.FULL, 7, servers("a", "b"))
+    view.apply_shared_update(6, servers("a"), [])
+    view.apply_shared_update(7, servers("b"), [])
     assert view.select_source(own=False) is not None or view.source is ListSource.SHARED
     assert view.source is ListSource.SHARED and not view.watching
 
 
 def test_a_change_of_source_reports_only_differences() -> None:
     view = ServerView("list")
-    view.apply_own_update(ListKind.FULL, 7, hosts("a", "b", "c"))
-    view.apply_shared_update(8, hosts("a", "b"), [])
-    told = view.select_source(own=False)
-    assert told == (ListKind.CHANGES, [e._replace(state=GONE) for e in hosts("c")])
-    assert [e.name for e in view.apply_shared_update(9, hosts("a", state=DRAINING), [])] == ["a"]
-    assert view.apply_own_update(ListKind.CHANGES, 9, []) == (ListKind.CHANGES, [*hosts("a"), *hosts("c")])
+    view.apply_own_update(ListKind.FULL, 7, servers("a", "b", "c"))
+    view.apply_shared_update(8, servers("a", "b"), [])
+    update = view.select_source(own=False)
+    assert update == (ListKind.CHANGES, [e._replace(state=REMOVED) for e in servers("c")])
+    assert [e.name for e in view.apply_shared_update(9, servers("a", state=DRAINING), [])] == ["a"]
+    assert view.apply_own_update(ListKind.CHANGES, 9, []) == (ListKind.CHANGES, [*servers("a"), *servers("c")])
     assert view.source is ListSource.OWN
 
 
 def test_a_failed_watch_changes_no_server() -> None:
     view = ServerView("list")
-    view.apply_own_update(ListKind.FULL, 7, hosts("a"))
+    view.apply_own_update(ListKind.FULL, 7, servers("a"))
     assert view.apply_own_update(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
     assert states(view) == {"a": READY} and not view.watching
 
@@ -51,35 +51,35 @@
 def test_a_newer_shared_list_only_takes_servers_away() -> None:
     """``share = "news"``: nothing is sent to a host that our own list has not named."""
     view = ServerView("news")
-    view.apply_own_update(ListKind.FULL, 7, hosts("a", "b", "c"))
-    view.apply_shared_update(8, [*hosts("a", state=DRAINING), *hosts("b", "new")], [])
+    view.apply_own_update(ListKind.FULL, 7, servers("a", "b", "c"))
+    view.apply_shared_update(8, [*servers("a", state=DRAINING), *servers("b", "new")], [])
     assert states(view) == {"a": DRAINING, "b": READY}
-    view.apply_own_update(ListKind.CHANGES, 8, hosts("a", state=DRAINING))
+    view.apply_own_update(ListKind.CHANGES, 8, servers("a", state=DRAINING))
     assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # ours is as new now, and counts
 
 
 def test_a_server_found_down_drains_until_it_is_up() -> None:
     view = ServerView("none", panic_share=0.5)
-    view.apply_own_update(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
-    assert view.apply_health_results("probe-1", ["a"], []) == hosts("a", state=DRAINING)
+    view.apply_own_update(ListKind.FULL, 1, servers("a", "b", "c", "d"))
+    assert view.apply_health_results("probe-1", ["a"], []) == servers("a", state=DRAINING)
     assert view.apply_health_results("probe-2", [], ["a"]) == []  # another shard has no say in it
-    assert view.apply_own_update(ListKind.CHANGES, 2, hosts("a")) == (
+    assert view.apply_own_update(ListKind.CHANGES, 2, servers("a")) == (
         ListKind.CHANGES,
         [],
     )  # the register knows nothing of it
-    assert view.apply_health_results("probe-1", [], ["a"]) == hosts("a")
+    assert view.apply_health_results("probe-1", [], ["a"]) == servers("a")
 
 
 def test_health_checks_that_find_most_servers_down_are_ignored() -> None:
     view = ServerView("none", panic_share=0.5)
-    view.apply_own_update(ListKind.FULL, 1, hosts("a", "b", "c", "d"))
+    view.apply_own_update(ListKind.FULL, 1, servers("a", "b", "c", "d"))
     view.apply_health_results("probe-1", ["a", "b"], [])
     assert sum(state is DRAINING for state in states(view).values()) == 2
     view.apply_health_results("probe-1", ["c"], [])
     assert view.panic and set(states(view).values()) == {READY}
     view.apply_health_results("probe-1", [], ["c"])
     assert not view.panic and states(view)["a"] is DRAINING
-    assert view.withdraw("probe-1") == hosts("a", "b")
+    assert view.withdraw("probe-1") == servers("a", "b")
 
 
 STEP = st.one_of(
@@ -92,7 +92,7 @@
 
 @given(st.sampled_from(["none", "list", "news"]), st.lists(STEP, max_size=40))
 def test_reported_changes_add_up_to_the_view(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
-    """The core, which applies what it is told, ends with the very hosts of the view; and none that no list has."""
+    """The core, which applies the reported changes, ends with the servers of the view, and none is on no list."""
     view, core = ServerView(share, 1500), dict[str, ListedServer]()
 
     def apply(kind: ListKind, entries: list[ListedServer]) -> None:
@@ -103,62 +103,62 @@
 
     for number, (what, how, names) in enumerate(steps):
         if what == "own":
-            told = view.apply_own_update(ListKind(how), number, hosts(*names))
-            apply(*(told or (ListKind.CHANGES, [])))
+            update = view.apply_own_update(ListKind(how), number, servers(*names))
+            apply(*(update or (ListKind.CHANGES, [])))
         elif what == "shared":
             gone = [name for name in view.shared.servers if name not in names]
-            apply(ListKind.CHANGES, view.apply_shared_update(how, hosts(*names), gone))
+            apply(ListKind.CHANGES, view.apply_shared_update(how, servers(*names), gone))
         elif what == "verdict":
             apply(ListKind.CHANGES, view.apply_health_results("s", *((names, []) if how else ([], names))))
         else:
             apply(*(view.select_source(own=bool(how)) or (ListKind.CHANGES, [])))
-        assert {name: e for name, e in core.items() if e.state is not GONE} == view.reported
+        assert {name: e for name, e in core.items() if e.state is not REMOVED} == view.reported
         named = view.own.servers.keys() | (view.shared.servers.keys() if share == "list" else set())
         assert view.reported.keys() <= named
 
 
 def test_checks_are_spread_and_a_state_changes_after_several_in_a_row() -> None:
-    prober = HealthCheckSchedule(1000, fall=3, rise=2, max_in_flight=64)
-    prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
-    begun = []
+    schedule = HealthCheckSchedule(1000, fall=3, rise=2, max_in_flight=64)
+    schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
+    started = []
     for tick in range(100, 1100, 100):
-        batch = prober.start_due(float(tick))
-        begun += [name for name, _ in batch]
+        batch = schedule.start_due(float(tick))
+        started += [name for name, _ in batch]
         assert len(batch) < 15
         for name, address in batch:
-            prober.ended(name, address, True)
-    assert sorted(begun) == sorted({f"h{n}" for n in range(50)})
-    verdicts, now = [], 1000.0
-    for well in (False, False, True, False, False, False, True, True):
-        now = prober.servers["h0"].due
-        for name, address in prober.start_due(now):
-            said = prober.ended(name, address, well or name != "h0")
+            schedule.ended(name, address, True)
+    assert sorted(started) == sorted({f"h{n}" for n in range(50)})
+    results, now = [], 1000.0
+    for succeeded in (False, False, True, False, False, False, True, True):
+        now = schedule.servers["h0"].due
+        for name, address in schedule.start_due(now):
+            result = schedule.ended(name, address, succeeded or name != "h0")
             if name == "h0":
-                verdicts.append(said)
-    assert verdicts == [None, None, None, None, None, False, None, True]
+                results.append(result)
+    assert results == [None, None, None, None, None, False, None, True]
 
 
 def test_checks_in_flight_are_limited_and_removed_servers_do_not_count() -> None:
-    prober = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
-    prober.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
-    first = prober.start_due(1000.0)
-    assert len(first) == 4 and not prober.start_due(1000.0) and prober.next_wake() == float("inf")
-    prober.use({"h0": "127.0.0.1:9000"}, [], 1000.0)
-    assert prober.in_flight == sum(name == "h0" for name, _ in first)
-    assert all(prober.ended(name, address, False) is None for name, address in first if name != "h0")
-    prober.use({"h0": "127.0.0.1:9999"}, ["h0"], 1000.0)
-    assert not prober.servers["h0"].down and prober.in_flight == 0  # another process at another address
+    schedule = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
+    schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
+    first = schedule.start_due(1000.0)
+    assert len(first) == 4 and not schedule.start_due(1000.0) and schedule.next_wake() == float("inf")
+    schedule.use({"h0": "127.0.0.1:9000"}, [], 1000.0)
+    assert schedule.in_flight == sum(name == "h0" for name, _ in first)
+    assert all(schedule.ended(name, address, False) is None for name, address in first if name != "h0")
+    schedule.use({"h0": "127.0.0.1:9999"}, ["h0"], 1000.0)
+    assert not schedule.servers["h0"].down and schedule.in_flight == 0  # another process at another address
 
 
 def test_a_new_shard_owner_starts_with_the_servers_that_are_down() -> None:
-    prober = HealthCheckSchedule(100, fall=3, rise=2, max_in_flight=4)
-    prober.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
+    schedule = HealthCheckSchedule(100, fall=3, rise=2, max_in_flight=4)
+    schedule.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
     now = 0.0
-    said = []
+    results = []
     for _ in range(2):
-        now = prober.next_wake()
-        said += [prober.ended(*which, True) for which in prober.start_due(now)]
-    assert said == [None, True]
+        now = schedule.next_wake()
+        results += [schedule.ended(*which, True) for which in schedule.start_due(now)]
+    assert results == [None, True]
 
 
 def test_every_server_has_one_shard() -> None:
--- a/tests/cluster/test_virtual_network.py
+++ b/tests/cluster/test_virtual_network.py
@@ -97,7 +97,9 @@
     net.run(6000)
     after = {lease: net.owner(lease) for lease in net.leases}
     assert all(owner is not None and owner != "b" for owner in after.values())
-    assert {lease for lease in before if before[lease] != after[lease]} == {d for d in before if before[d] == "b"}
+    assert {lease for lease in before if before[lease] != after[lease]} == {
+        lease for lease in before if before[lease] == "b"
+    }
 
 
 def test_a_leaving_member_transfers_its_leases_before_they_expire() -> None:
@@ -203,8 +205,10 @@
         other = net.owner(lease)
         assert other not in (None, owner)
         net.run(4000)
-        told = [action for _, name, action in net.log if name == owner and isinstance(action, LeaseGained | LeaseLost)]
-        assert any(isinstance(action, LeaseLost) and action.lease == lease for action in told)
+        events = [
+            action for _, name, action in net.log if name == owner and isinstance(action, LeaseGained | LeaseLost)
+        ]
+        assert any(isinstance(action, LeaseLost) and action.lease == lease for action in events)
 
 
 def test_fencing_tokens_only_rise() -> None:
@@ -217,6 +221,6 @@
             net.run(5500)
             net.start(name)
             net.run(4000 + 100 * turn)
-        told = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
-        gained = [action.token for action in told if action.lease == net.leases[0]]
+        events = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
+        gained = [action.token for action in events if action.lease == net.leases[0]]
         assert len(gained) >= 4 and gained == sorted(gained)
