--- a/heronlug/cluster/schema.py
+++ b/heronlug/cluster/schema.py
@@ -103,13 +103,13 @@
     if health_checks and health_checks["timeout_ms"] > health_checks["every_s"] * 1000:
         wrong = f"{health_checks['timeout_ms']:g} ms is more than the interval"
         right = f"{health_checks['every_s'] * 1000:g} at most"
-        problems.append(source.fault((SECTION, "probe", "timeout_ms"), wrong, right))
+        problems.append(source.problem((SECTION, "probe", "timeout_ms"), wrong, right))
     problems += _address_problems(table, source)
     files = [_absolute(name, source) for name in table.key_files]
     try:
         read_keys(files)
     except (OSError, KeyFileError) as error:
-        problems.append(source.fault((SECTION, "key_files"), str(error), f"files of {MIN_KEY_SIZE} bytes or more"))
+        problems.append(source.problem((SECTION, "key_files"), str(error), f"files of {MIN_KEY_SIZE} bytes or more"))
     values = structs.asdict(table)
     values.update(register=discovery, probe=health_checks, key_files=files, duty=tasks)
     return values, problems
@@ -147,7 +147,7 @@
     """The task with its deletion of files read; a task has either that or a command."""
     if (task.command is None) is (task.sweep is None):
         wrong = "there is nothing, or more than one thing, to do"
-        problems.append(source.fault((SECTION, "duty", index), wrong, "either command or sweep"))
+        problems.append(source.problem((SECTION, "duty", index), wrong, "either command or sweep"))
         return task
     if task.sweep is None:
         return task
@@ -164,12 +164,12 @@
     at = (SECTION, "duty", index)
     if task.name == DISCOVERY_LEASE or task.name.startswith(HEALTH_CHECK_LEASE_PREFIX):
         wrong = f"{task.name!r} is a duty of the program's own"
-        problems.append(source.fault((*at, "name"), wrong, "another name"))
+        problems.append(source.problem((*at, "name"), wrong, "another name"))
     if task.name in known:
-        problems.append(source.fault((*at, "name"), f"{task.name!r} is there twice", "its own name"))
+        problems.append(source.problem((*at, "name"), f"{task.name!r} is there twice", "its own name"))
     if task.longest_s + task.jitter_s > task.every_s:
         wrong = f"a run of {task.longest_s:g} s, {task.jitter_s:g} s late, is not over when the next begins"
-        problems.append(source.fault((*at, "every_s"), wrong, "more than both together"))
+        problems.append(source.problem((*at, "every_s"), wrong, "more than both together"))
     return problems
 
 
@@ -184,7 +184,7 @@
         try:
             split_address(address)
         except ValueError as error:
-            problems.append(source.fault(at, str(error), "such as 10.0.0.1:7946"))
+            problems.append(source.problem(at, str(error), "such as 10.0.0.1:7946"))
     return problems
 
 
--- a/heronlug/config/desired_state.py
+++ b/heronlug/config/desired_state.py
@@ -51,26 +51,26 @@
 
 
 class StateError(ValueError):
-    """A file or a change that cannot be had; the text has a line for each fault, with file, line and key."""
+    """A file or a change that cannot be had; the text has a line for each problem, with file, line and key."""
 
 
-def _checked(table: Any, form: Mapping[str, Any], source: Source, at: Keys, faults: list[ConfigProblem]) -> State:
+def _checked(table: Any, form: Mapping[str, Any], source: Source, at: Keys, problems: list[ConfigProblem]) -> State:
     """The table with what it leaves out; every key is known, and of its type."""
     if not isinstance(table, dict):
-        faults.append(source.fault(at, "not a table", f"[{at[0]}]"))
+        problems.append(source.problem(at, "not a table", f"[{at[0]}]"))
         return dict(form)
     for key, value in table.items():
         if key not in form:
-            faults.append(source.fault((*at, key), "unknown key", "one of " + ", ".join(form)))
+            problems.append(source.problem((*at, key), "unknown key", "one of " + ", ".join(form)))
             continue
         number = isinstance(form[key], int | float)
         if isinstance(value, bool) or not isinstance(value, int | float if number else str):
             kind = "number" if number else "text"
-            faults.append(source.fault((*at, key), f"{value!r} is no {kind}", f"expected a {kind}"))
+            problems.append(source.problem((*at, key), f"{value!r} is no {kind}", f"expected a {kind}"))
         elif number and not 0 < value < 1e12:
             shown = value if isinstance(value, float) else "the number"
             right = "expected more than 0 and less than 1e12"
-            faults.append(source.fault((*at, key), f"{shown} is out of range", right))
+            problems.append(source.problem((*at, key), f"{shown} is out of range", right))
     return {**form, **table}
 
 
@@ -79,41 +79,41 @@
 
     With a site its limits are checked against that too, else only their form.
     """
-    table, faults = source.table, list[ConfigProblem]()
+    table, problems = source.table, list[ConfigProblem]()
     for key in table.keys() - {*KEYS, *WHOLE}:
-        faults.append(source.fault((key,), "unknown key", "one of " + ", ".join((*KEYS, *WHOLE))))
+        problems.append(source.problem((key,), "unknown key", "one of " + ", ".join((*KEYS, *WHOLE))))
     level = table.get("log_level", "info")
     if not isinstance(level, str) or level not in LEVELS:
-        faults.append(source.fault(("log_level",), f"{level!r} is no level", "one of " + ", ".join(LEVELS)))
-    faktory = _checked(table.get("faktory", {}), FAKTORY, source, ("faktory",), faults)
+        problems.append(source.problem(("log_level",), f"{level!r} is no level", "one of " + ", ".join(LEVELS)))
+    faktory = _checked(table.get("faktory", {}), FAKTORY, source, ("faktory",), problems)
     if faktory["listen"] and isinstance(faktory["listen"], str):
         try:
             split_address(faktory["listen"])
         except ValueError as error:
-            faults.append(source.fault(("faktory", "listen"), str(error), "such as 127.0.0.1:7419"))
+            problems.append(source.problem(("faktory", "listen"), str(error), "such as 127.0.0.1:7419"))
     if faktory["store"] and isinstance(faktory["store"], str):
         faktory["store"] = str((Path(source.path).parent / faktory["store"]).resolve())
-    plugins = _plugins(table.get("plugin", []), source, faults)
+    plugins = _plugins(table.get("plugin", []), source, problems)
     classes: dict[str, Any] = {}
     if "class" in table:
         from heronlug.config.limits import load
 
         classes, wrong = load.read(source)
-        faults += [*wrong, *(load.faults(source, load.check(site, classes)) if site is not None else ())]
+        problems += [*wrong, *(load.problems(source, load.check(site, classes)) if site is not None else ())]
     cluster: State = {}
     if "cluster" in table:
         from heronlug.cluster import schema
 
         cluster, wrong = schema.read(source)
-        faults += wrong
+        problems += wrong
     register: State = {}
     if "register" in table:
         from heronlug.discovery import schema as arrival
 
         register, wrong = arrival.read(source)
-        faults += wrong
-    if faults:
-        raise ConfigProblems(faults)
+        problems += wrong
+    if problems:
+        raise ConfigProblems(problems)
     return {
         "log_level": level,
         "faktory": faktory if faktory["listen"] else {},
@@ -124,26 +124,26 @@
     }
 
 
-def _plugins(listed: Any, source: Source, faults: list[ConfigProblem]) -> State:
+def _plugins(listed: Any, source: Source, problems: list[ConfigProblem]) -> State:
     if not isinstance(listed, list):
-        faults.append(source.fault(("plugin",), "not a list of tables", "[[plugin]]"))
+        problems.append(source.problem(("plugin",), "not a list of tables", "[[plugin]]"))
         return {}
     plugins: State = {}
     for number, entry in enumerate(listed):
-        at, before = ("plugin", number), len(faults)
-        plugin = _checked(entry, PLUGIN, source, at, faults)
-        if len(faults) > before:
+        at, before = ("plugin", number), len(problems)
+        plugin = _checked(entry, PLUGIN, source, at, problems)
+        if len(problems) > before:
             continue
         if not plugin["name"] or plugin["name"] in plugins:
-            faults.append(source.fault((*at, "name"), "missing, or there twice", "a name of its own"))
+            problems.append(source.problem((*at, "name"), "missing, or there twice", "a name of its own"))
         module = (Path(source.path).parent / plugin["file"]).resolve()
         try:
             data = module.read_bytes()
         except OSError as error:
-            faults.append(source.fault((*at, "file"), error.strerror or str(error), "a WebAssembly module"))
+            problems.append(source.problem((*at, "file"), error.strerror or str(error), "a WebAssembly module"))
             continue
         if len(data) > MAX_MODULE:
-            faults.append(source.fault((*at, "file"), f"over {MAX_MODULE} bytes", "a smaller module"))
+            problems.append(source.problem((*at, "file"), f"over {MAX_MODULE} bytes", "a smaller module"))
         digest = hashlib.sha256(data).hexdigest()
         plugins[plugin.pop("name")] = {**plugin, "file": str(module), "sha256": digest}
     return plugins
--- a/heronlug/config/files.py
+++ b/heronlug/config/files.py
@@ -28,9 +28,9 @@
     def load(self, again: bool = False) -> tuple[Config, State]:
         """Read and check everything, at a start or ``again``; raises :class:`ConfigError` or :class:`StateError`."""
         read = config.reload if again else config.load
-        conf, state, faults = gather(self.state, lambda: read(self.environ))
-        if conf is None or state is None or faults:
-            raise StateError(str(ConfigProblems(faults)))
+        conf, state, problems = gather(self.state, lambda: read(self.environ))
+        if conf is None or state is None or problems:
+            raise StateError(str(ConfigProblems(problems)))
         return conf, state
 
 
@@ -41,7 +41,7 @@
 
     Where it is not the whole configuration, ``platform`` gives that; None checks the file by its form alone.
     """
-    faults: list[ConfigProblem] = []
+    problems: list[ConfigProblem] = []
     conf: Config | None = None
     state: State | None = None
     try:
@@ -49,10 +49,10 @@
         if source.table.keys() & {"serve", "site"}:
             from heronlug.config.site import read_site
 
-            conf, faults = read_site(source)
+            conf, problems = read_site(source)
         else:
             conf = platform()
         state = parse(source, conf.settings if conf is not None else None)
     except ConfigProblems as error:
-        faults = [*faults, *error.faults]
-    return conf, state, ConfigProblems(faults).faults
+        problems = [*problems, *error.problems]
+    return conf, state, ConfigProblems(problems).problems
--- a/heronlug/config/limits/model.py
+++ b/heronlug/config/limits/model.py
@@ -26,27 +26,31 @@
     return value == "again" if key == "after_timeout" else tuple(value) if key == "wait_ms" else value
 
 
-def limit(lane: RequestClass, given: Given) -> RequestClass:
+def limit(request_class: RequestClass, given: Given) -> RequestClass:
     """The class under these limits; what is not given stays."""
-    return replace(lane, **{KEYS[key]: _field(key, value) for key, value in given.items()}) if given else lane
+    return (
+        replace(request_class, **{KEYS[key]: _field(key, value) for key, value in given.items()})
+        if given
+        else request_class
+    )
 
 
 def resolve(classes: Sequence[RequestClass], given: Mapping[str, Given]) -> tuple[RequestClass, ...]:
     """All classes, in their order, under the limits that a file gives for some of them by name."""
-    return tuple(limit(lane, given.get(lane.name, {})) for lane in classes)
+    return tuple(limit(request_class, given.get(request_class.name, {})) for request_class in classes)
 
 
-def write(lane: RequestClass) -> Given:
+def write(request_class: RequestClass) -> Given:
     """All limits of a class, for another process to go on with."""
-    values = {key: getattr(lane, field) for key, field in KEYS.items()}
+    values = {key: getattr(request_class, field) for key, field in KEYS.items()}
     return {
         **values,
-        "after_timeout": "again" if lane.retry_after_timeout else "end",
-        "wait_ms": list(lane.retry_backoff),
+        "after_timeout": "again" if request_class.retry_after_timeout else "end",
+        "wait_ms": list(request_class.retry_backoff),
     }
 
 
-def read(lane: RequestClass, table: Any) -> RequestClass:
+def read(request_class: RequestClass, table: Any) -> RequestClass:
     """The class under limits that another process wrote; raises ``ValueError`` or ``TypeError``."""
     if not isinstance(table, dict) or table.keys() != KEYS.keys():
         raise ValueError("no table of limits")
@@ -56,4 +60,4 @@
             raise ValueError(f"{number!r} is no limit")
     if table["after_timeout"] not in ("again", "end") or not isinstance(table["second_copy"], bool):
         raise ValueError("no table of limits")
-    return limit(lane, table)
+    return limit(request_class, table)
--- a/heronlug/config/site.py
+++ b/heronlug/config/site.py
@@ -88,9 +88,9 @@
 
 def read_site(source: Source) -> tuple[Config | None, list[ConfigProblem]]:
     """The configuration in a file, or all that is wrong with it."""
-    raw, faults = read_object(source)
+    raw, problems = read_object(source)
     if raw is None:
-        return None, faults
+        return None, problems
     try:
         watched = raw["discovery"] is not None
         return replace(parse(raw, source.path, watched=watched), paced=watched), []
@@ -100,67 +100,67 @@
 
 def read_object(source: Source) -> tuple[dict[str, Any] | None, list[ConfigProblem]]:
     """The same as the platform's object, or all that is wrong with the file."""
-    faults: list[ConfigProblem] = []
+    problems: list[ConfigProblem] = []
 
     def form(kind: type[Any], table: Any, *at: str | int) -> Any:
         decoded, wrong = decode(kind, table, source, at)
-        faults.extend(wrong)
+        problems.extend(wrong)
         return decoded
 
     serve = form(Serve, source.table.get("serve", {}), "serve")
     site = form(Site, source.table.get("site", {}), "site")
     listed = source.table.get("host", [])
     if not isinstance(listed, list):
-        faults.append(source.fault(("host",), "not a list of tables", "[[host]]"))
+        problems.append(source.problem(("host",), "not a list of tables", "[[host]]"))
         listed = []
     hosts = [form(Host, table, "host", number) for number, table in enumerate(listed)]
     classes = [form(SiteClass, t, "site", "class", n) for n, t in enumerate(site.classes)] if site is not None else []
     if serve is not None:
         for key in ("listen", "operators", "discovery"):
-            _address(getattr(serve, key), source, ("serve", key), faults)
+            _address(getattr(serve, key), source, ("serve", key), problems)
         for number, peer in enumerate(serve.peers):
-            _address(peer, source, ("serve", "peers", number), faults)
+            _address(peer, source, ("serve", "peers", number), problems)
         if site is not None and serve.peers and len(serve.peers) != site.dispatchers:
             wrong = f"{len(serve.peers)} addresses for {site.dispatchers} dispatchers"
-            faults.append(source.fault(("serve", "peers"), wrong, "one for each, in the order of their positions"))
+            problems.append(source.problem(("serve", "peers"), wrong, "one for each, in the order of their positions"))
         if site is not None and serve.position >= site.dispatchers:
             wrong = f"{serve.position} is none of the positions of {site.dispatchers} dispatchers"
-            faults.append(source.fault(("serve", "position"), wrong, f"0 to {site.dispatchers - 1}"))
+            problems.append(source.problem(("serve", "position"), wrong, f"0 to {site.dispatchers - 1}"))
     names: set[str] = set()
     for number, host in enumerate(hosts):
         if host is None:
             continue
         at: Keys = ("host", number)
-        _address(host.address, source, (*at, "address"), faults)
+        _address(host.address, source, (*at, "address"), problems)
         if host.name in names:
-            faults.append(source.fault((*at, "name"), f"{host.name!r} is there twice", "a name of its own"))
+            problems.append(source.problem((*at, "name"), f"{host.name!r} is there twice", "a name of its own"))
         names.add(host.name)
         for key, known in (("zone", site.zones), ("kind", site.kinds)) if site is not None else ():
             if getattr(host, key) not in ("", *known):
                 wrong = f"{getattr(host, key)!r} is none of the site's"
-                faults.append(source.fault((*at, key), wrong, "one of " + ", ".join(known)))
+                problems.append(source.problem((*at, key), wrong, "one of " + ", ".join(known)))
     names = set()
     for number, lane in enumerate(classes):
         if lane is None:
             continue
         at = ("site", "class", number)
         if lane.name in names:
-            faults.append(source.fault((*at, "name"), f"{lane.name!r} is there twice", "a name of its own"))
+            problems.append(source.problem((*at, "name"), f"{lane.name!r} is there twice", "a name of its own"))
         names.add(lane.name)
         if lane.aim_ms > lane.deadline_ms:
             wrong = f"{lane.aim_ms:g} ms is past the deadline"
-            faults.append(source.fault((*at, "aim_ms"), wrong, f"{lane.deadline_ms:g} at most"))
-    if faults:
-        return None, faults
+            problems.append(source.problem((*at, "aim_ms"), wrong, f"{lane.deadline_ms:g} at most"))
+    if problems:
+        return None, problems
     return _raw(serve, site, classes, hosts), []
 
 
-def _address(text: str | None, source: Source, at: tuple[str | int, ...], faults: list[ConfigProblem]) -> None:
+def _address(text: str | None, source: Source, at: tuple[str | int, ...], problems: list[ConfigProblem]) -> None:
     try:
         if text is not None:
             split_address(text)
     except ValueError as error:
-        faults.append(source.fault(at, str(error), "such as 127.0.0.1:8081"))
+        problems.append(source.problem(at, str(error), "such as 127.0.0.1:8081"))
 
 
 def _raw(serve: Serve, site: Site, classes: list[SiteClass], hosts: list[Host]) -> dict[str, Any]:
--- a/heronlug/config/strict_toml/__init__.py
+++ b/heronlug/config/strict_toml/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' files: TOML read whole, decoded strictly, and every fault told with its line."""
+"""Operators' files: TOML read whole, decoded strictly, and every problem told with its line."""
 
 from heronlug.config.strict_toml.errors import ConfigProblem, ConfigProblems
 from heronlug.config.strict_toml.source import Source
--- a/heronlug/config/strict_toml/decode.py
+++ b/heronlug/config/strict_toml/decode.py
@@ -15,20 +15,20 @@
 
 
 def decode(form: type[Form], table: Any, source: Source, at: Keys) -> tuple[Form | None, list[ConfigProblem]]:
-    """The struct of a table, or None with the faults that stood in its way.
+    """The struct of a table, or None with the problems that stood in its way.
 
     A field's ``Meta(description=...)`` says in an error what would be right.
     """
     if not isinstance(table, dict):
-        return None, [source.fault(at, f"{_shown(table)} is no table", f"[{'.'.join(map(str, at))}]")]
+        return None, [source.problem(at, f"{_shown(table)} is no table", f"[{'.'.join(map(str, at))}]")]
     hints = get_type_hints(form, include_extras=True)
     fields = {field.encode_name: field for field in msgspec.structs.fields(form)}
-    faults: list[ConfigProblem] = []
+    problems: list[ConfigProblem] = []
     values: dict[str, Any] = {}
     for key, value in table.items():
         field = fields.get(key)
         if field is None:
-            faults.append(source.fault((*at, key), "unknown key", near(key, fields)))
+            problems.append(source.problem((*at, key), "unknown key", near(key, fields)))
             continue
         kind, right = hints[field.name], _right(hints[field.name])
         try:
@@ -41,11 +41,11 @@
             shown = value
             for step in steps:
                 shown = shown[step]
-            faults.append(source.fault((*at, key, *steps), f"{_shown(shown)} is not accepted", right))
+            problems.append(source.problem((*at, key, *steps), f"{_shown(shown)} is not accepted", right))
     for key, field in fields.items():
         if field.required and key not in table:
-            faults.append(source.fault((*at, key), "missing", _right(hints[field.name])))
-    return (None, faults) if faults else (form(**values), [])
+            problems.append(source.problem((*at, key), "missing", _right(hints[field.name])))
+    return (None, problems) if problems else (form(**values), [])
 
 
 def _right(kind: Any) -> str:
--- a/heronlug/config/strict_toml/errors.py
+++ b/heronlug/config/strict_toml/errors.py
@@ -1,15 +1,23 @@
-"""What is wrong with a file."""
+"""Problems of an operators' file, and the error that carries them."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 
 class ConfigProblem(NamedTuple):
-    """One thing that is wrong: where, what, and what would be right."""
+    """One thing that is wrong with a file.
+
+    Attributes:
+        path: of the file.
+        line: counted from 1; 0 where no line can be named.
+        key: dotted, as in ``class.send-invites.attempts``; empty for the file as a whole.
+        wrong: what is wrong.
+        right: what would be right; empty where that is plain.
+    """
 
     path: str
-    line: int  # from 1; 0 where no line can be named
-    key: str  # dotted, as in ``class.send-invites.attempts``; empty for the file as a whole
+    line: int
+    key: str
     wrong: str
     right: str = ""
 
@@ -29,8 +37,12 @@
 
 
 class ConfigProblems(ValueError):
-    """All faults of a file, one line each, in the order of their lines."""
+    """All problems of a file, one line each, in the order of their lines.
+
+    Attributes:
+        problems: in that order.
+    """
 
-    def __init__(self, faults: Iterable[ConfigProblem]) -> None:
-        self.faults = sorted(faults, key=lambda fault: (fault.path, fault.line, fault.key))
-        super().__init__("\n".join(map(str, self.faults)))
+    def __init__(self, problems: Iterable[ConfigProblem]) -> None:
+        self.problems = sorted(problems, key=lambda problem: (problem.path, problem.line, problem.key))
+        super().__init__("\n".join(map(str, self.problems)))
--- a/heronlug/config/strict_toml/source.py
+++ b/heronlug/config/strict_toml/source.py
@@ -8,18 +8,29 @@
 from heronlug.config.strict_toml.errors import ConfigProblem, ConfigProblems
 
 MAX_BYTES = 1024 * 1024
-TRIES = 5  # a file that changes while it is read is read anew so often
+"""Size of a file at most, in bytes."""
+MAX_READS = 5
+"""How often a file that changes while it is read is read anew."""
 Keys = tuple[str | int, ...]
+"""The path of a key: names, and numbers in lists."""
 
 
 class Source:
     """The text of a file, the table in it, and the lines of its keys.
 
-    The lines are found only when a fault has to be told: the parser for that is not loaded before.
+    The lines are found only when a problem is reported: the parser for that is not imported before.
+
+    Attributes:
+        path: of the file, as the operator gave it.
+        text: of the file.
+        table: what the text says.
     """
 
     def __init__(self, path: str, text: str, table: dict[str, Any]) -> None:
-        self.path, self.text, self.table = path, text, table
+        """Hold a file that was parsed."""
+        self.path = path
+        self.text = text
+        self.table = table
         self._lines: dict[Keys, int] | None = None
 
     @classmethod
@@ -53,8 +64,8 @@
             wrong, line = _syntax(str(error) or "nested too deeply", text)
             raise ConfigProblems([ConfigProblem(path, line, "", wrong, "TOML 1.0")]) from None
 
-    def fault(self, keys: Keys, wrong: str, right: str = "") -> ConfigProblem:
-        """A fault of a key; where the key is absent, at the table it should be in."""
+    def problem(self, keys: Keys, wrong: str, right: str = "") -> ConfigProblem:
+        """A problem at a key; an absent key has the line of the table that it should be in."""
         return ConfigProblem(self.path, self.line(keys), ".".join(map(str, keys)), wrong, right)
 
     def line(self, keys: Keys) -> int:
@@ -71,7 +82,7 @@
 def _whole(path: Path) -> bytes:
     """The bytes of one state of a file: one that changes under the reading is read anew; raises ``OSError``."""
     data = b""
-    for _ in range(TRIES):
+    for _ in range(MAX_READS):
         with path.open("rb") as file:
             before = os.fstat(file.fileno())
             data = file.read(MAX_BYTES + 1)
--- a/heronlug/discovery/schema.py
+++ b/heronlug/discovery/schema.py
@@ -34,5 +34,5 @@
     cache_path = str((Path(source.path).parent / table.keep).resolve()) if table.keep else ""
     if cache_path and not Path(cache_path).parent.is_dir():
         found = f"{Path(cache_path).parent} is no folder"
-        problems.append(source.fault((TABLE, "keep"), found, "a file in a folder that is there"))
+        problems.append(source.problem((TABLE, "keep"), found, "a file in a folder that is there"))
     return {**structs.asdict(table), "keep": cache_path}, problems
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -233,7 +233,7 @@
         made = [form(kind, table, key, n) for n, table in enumerate(getattr(scenario, attribute))]
         setattr(scenario, attribute, made)
         if not made and key != "trouble":
-            faults.append(source.fault((key,), "there is none", f"at least one [[{key}]]"))
+            faults.append(source.problem((key,), "there is none", f"at least one [[{key}]]"))
     if not faults:
         faults = list(_wrong(scenario, source))
     if faults:
@@ -245,7 +245,7 @@
     """What the tables have wrong among each other."""
 
     def fault(at: Keys, wrong: str, right: str) -> ConfigProblem:
-        return source.fault(at, wrong, right)
+        return source.problem(at, wrong, right)
 
     if scenario.policy not in (BUILT_IN_POLICY, *POLICIES):
         yield fault(("policy",), f"{scenario.policy!r} is none", "one of " + ", ".join((BUILT_IN_POLICY, *POLICIES)))
--- a/heronlug/experiments/experiment.py
+++ b/heronlug/experiments/experiment.py
@@ -90,11 +90,11 @@
     for key, values in experiment.vary.items():
         at = ("vary", *key.split("."))
         if not isinstance(values, list) or not values:
-            faults.append(source.fault(at, f"{values!r} is no list", "a list of at least one value"))
+            faults.append(source.problem(at, f"{values!r} is no list", "a list of at least one value"))
         elif any(value in values[:number] for number, value in enumerate(values)):
-            faults.append(source.fault(at, "a value is there twice", "each value once"))
+            faults.append(source.problem(at, "a value is there twice", "each value once"))
         if key in experiment.set or key == "seed":
-            faults.append(source.fault(at, "it is set by something else", "seeds, or in [set], or here"))
+            faults.append(source.problem(at, "it is set by something else", "seeds, or in [set], or here"))
     if faults:
         raise ConfigProblems(faults)
     base = path.parent / experiment.scenario
@@ -104,15 +104,15 @@
             scenario = scenarios.load(base, {**experiment.set, **params})
         except ConfigProblems as error:
             with_params = ", ".join(f"{key} = {value!r}" for key, value in params.items())
-            text = f"with {with_params or 'what is set'}: {error.faults[0]}"
-            raise ConfigProblems([source.fault(("scenario",), text, "a scenario that holds")]) from None
+            text = f"with {with_params or 'what is set'}: {error.problems[0]}"
+            raise ConfigProblems([source.problem(("scenario",), text, "a scenario that holds")]) from None
         except ValueError as error:
-            raise ConfigProblems([source.fault(("vary",), str(error), "a key of the scenario")]) from None
+            raise ConfigProblems([source.problem(("vary",), str(error), "a key of the scenario")]) from None
         for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
             key = hashlib.sha256(orjson.dumps([known(scenario), seed, code], option=orjson.OPT_SORT_KEYS)).hexdigest()
             jobs.append(Job(key[:24], str(base), params, experiment.set, seed, code))
     if len(jobs) > MOST:
-        raise ConfigProblems([source.fault(("vary",), f"{len(jobs)} runs", f"{MOST} at most")])
+        raise ConfigProblems([source.problem(("vary",), f"{len(jobs)} runs", f"{MOST} at most")])
     return experiment, jobs
 
 
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -225,26 +225,26 @@
     for number, step in enumerate(script.step):
         at = ("step", number)
         if step.at_s >= script.span_s:
-            faults.append(source.fault((*at, "at_s"), "after the end", f"less than {script.span_s:g}"))
+            faults.append(source.problem((*at, "at_s"), "after the end", f"less than {script.span_s:g}"))
         if step.do in (*PROCESS, *HOSTS) and not step.who:
-            faults.append(source.fault((*at, "who"), "nobody", 'such as ["d0"]'))
+            faults.append(source.problem((*at, "who"), "nobody", 'such as ["d0"]'))
         if step.for_s is not None and step.do not in LASTING:
             right = "no for_s; it can be taken back of " + ", ".join(sorted(LASTING))
-            faults.append(source.fault((*at, "for_s"), f"{step.do!r} is over at once", right))
+            faults.append(source.problem((*at, "for_s"), f"{step.do!r} is over at once", right))
         for key, selectors in (("who", step.who), ("from", step.source), ("to", step.target)):
             for place, selector in enumerate(selectors):
                 if selector != "reading" and not choose([selector], script, Random(1), ["d0"]):
                     wrong = f"{selector!r} names nobody"
-                    faults.append(source.fault((*at, key, place), wrong, "a party of the script"))
+                    faults.append(source.problem((*at, key, place), wrong, "a party of the script"))
     for place, selector in enumerate(script.dispatchers.later):
         if not choose([selector], script, Random(1)):
-            faults.append(source.fault(("dispatchers", "later", place), f"{selector!r} names nobody", "such as d3"))
+            faults.append(source.problem(("dispatchers", "later", place), f"{selector!r} names nobody", "such as d3"))
     least_most = script.expect.reading
     if least_most is not None and (len(least_most) != 2 or least_most[0] > least_most[1]):
-        faults.append(source.fault(("expect", "reading"), f"{least_most} is no span", "such as [1, 2]"))
+        faults.append(source.problem(("expect", "reading"), f"{least_most} is no span", "such as [1, 2]"))
     if script.dispatchers.cluster and "runners" in script.relays and script.runners.count:
         wrong = "with [dispatchers] cluster one list serves all, and so does one address of each runner"
-        faults.append(source.fault(("relays",), wrong, '["register", "peers"]'))
+        faults.append(source.problem(("relays",), wrong, '["register", "peers"]'))
     return faults
 
 
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -240,5 +240,5 @@
 
 def test_faults_are_in_the_order_of_their_lines() -> None:
     source = Source.parse("x", b"a = 1\nb = 2\n")
-    told_of = ConfigProblems([source.fault(("b",), "later"), source.fault(("a",), "first", "so")])
+    told_of = ConfigProblems([source.problem(("b",), "later"), source.problem(("a",), "first", "so")])
     assert str(told_of) == "x:1: a: first, so\nx:2: b: later"
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -111,7 +111,7 @@
     file.write_text(text)
     with pytest.raises(ConfigProblems) as told:
         experiment.read(file)
-    assert [fault.line for fault in told.value.faults] == [line], told.value
+    assert [fault.line for fault in told.value.problems] == [line], told.value
     assert wrong in str(told.value)
 
 
@@ -141,7 +141,7 @@
     path.write_text(TEXT)
     with pytest.raises(ConfigProblems) as told:
         scenarios.load(path, changed((change.replace("=inf", "=1e999"),)))
-    assert any(f.key.startswith(key) and wrong in str(f) for f in told.value.faults), told.value
+    assert any(f.key.startswith(key) and wrong in str(f) for f in told.value.problems), told.value
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda path: path.stem)
--- a/tests/faults/test_harness.py
+++ b/tests/faults/test_harness.py
@@ -81,7 +81,7 @@
 def test_faults_of_a_script_are_told_with_their_line(text: str, line: int, key: str) -> None:
     with pytest.raises(ConfigProblems) as caught:
         script(text)
-    assert [(fault.line, fault.key) for fault in caught.value.faults] == [(line, key)], caught.value.faults
+    assert [(fault.line, fault.key) for fault in caught.value.problems] == [(line, key)], caught.value.problems
 
 
 def test_the_command_says_what_it_did_and_how_it_ended(tmp_path: Path) -> None:
