--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -116,8 +116,8 @@
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from heronlug.experiments import runner
-    from heronlug.experiments.experiment import Job, read
-    from heronlug.experiments.store import Kept, Store
+    from heronlug.experiments.experiment import PlannedRun, read
+    from heronlug.experiments.store import Store, StoredRun
 
     try:
         experiment, jobs = read(file)
@@ -129,7 +129,7 @@
         with Progress(*columns) as progress:
             task = progress.add_task(experiment.name, total=len(jobs), completed=len(there))
 
-            def done(job: Job, run: Kept | None, why: str) -> None:
+            def done(job: PlannedRun, run: StoredRun | None, why: str) -> None:
                 progress.advance(task)
                 if run is None:
                     progress.console.print(f"seed {job.seed} of {job.params}: {why}")
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -64,13 +64,13 @@
     if as_json:
         print_json(
             {
-                t.request_class.name: {"finals": t.outcomes, **t.percentiles(), "begun_late": t.late_begun}
+                t.request_class.name: {"finals": t.outcomes, **t.percentiles(), "begun_late": t.started_late}
                 for t in listed
             }
         )
     else:
         print_columns(tallying.table(listed))
-        late = sum(tally.late_begun for tally in listed)
+        late = sum(tally.started_late for tally in listed)
         print(f"service {tallying.service(listed):.4f}; {late} jobs begun late by the tool")
     return 0
 
--- a/heronlug/experiments/compare.py
+++ b/heronlug/experiments/compare.py
@@ -8,7 +8,7 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-from heronlug.experiments.store import Kept
+from heronlug.experiments.store import StoredRun
 
 CONFIDENCE = 0.95
 RESAMPLES = 4000
@@ -42,13 +42,13 @@
     return wanted
 
 
-def pairs(runs: Sequence[Kept], a: dict[str, str], b: dict[str, str]) -> list[tuple[Kept, Kept]]:
+def pairs(runs: Sequence[StoredRun], a: dict[str, str], b: dict[str, str]) -> list[tuple[StoredRun, StoredRun]]:
     """Runs of both ways with the same seed and the same of all else that varies; raises ``ValueError`` for none."""
     known = {key for run in runs for key in run.params}
     for key in a.keys() | b.keys():
         if key not in known:
             raise ValueError(f"{key!r} does not vary here; what does: {', '.join(sorted(known)) or 'nothing'}")
-    sides: list[dict[Any, Kept]] = []
+    sides: list[dict[Any, StoredRun]] = []
     for wanted in (a, b):
         found = {}
         for run in runs:
@@ -62,7 +62,7 @@
     return [(sides[0][key], sides[1][key]) for key in both]
 
 
-def compare(matched: Sequence[tuple[Kept, Kept]], figures: Sequence[str] = ()) -> list[Difference]:
+def compare(matched: Sequence[tuple[StoredRun, StoredRun]], figures: Sequence[str] = ()) -> list[Difference]:
     """Each figure, or those named; raises ``ValueError`` for one that there is not."""
     names = list(figures) or [name for name in matched[0][0].figures if name in matched[0][1].figures]
     found = []
--- a/heronlug/experiments/experiment.py
+++ b/heronlug/experiments/experiment.py
@@ -29,7 +29,10 @@
 from heronlug.emulator.scenario import Scenario
 
 Params = dict[str, Any]
-MOST = 100_000  # runs of one experiment
+MAX_RUNS = 100_000
+"""Runs of one experiment at most."""
+CODE_PACKAGES = ("balancer", "config", "conformance", "discovery", "emulator", "requests")
+"""The packages of heronlug that a run imports."""
 
 
 class Experiment(Struct, forbid_unknown_fields=True):
@@ -43,7 +46,7 @@
     vary: dict[str, Any] = field(default_factory=dict)
 
 
-class Job(NamedTuple):
+class PlannedRun(NamedTuple):
     """One run that is to be: what varies, its seed, and a key that no other run of another outcome has."""
 
     key: str
@@ -54,39 +57,33 @@
     code: str  # the version that was asked for, whatever becomes of the files meanwhile
 
 
-def flat(table: dict[str, Any], prefix: str = "") -> Params:
+def dotted_keys(table: dict[str, Any], prefix: str = "") -> Params:
     """Nested tables as dotted keys."""
     found: Params = {}
     for key, value in table.items():
         if isinstance(value, dict):
-            found |= flat(value, f"{prefix}{key}.")
+            found |= dotted_keys(value, f"{prefix}{key}.")
         else:
             found[prefix + key] = value
     return found
 
 
 def version() -> str:
-    """What of the program bears on a run: its version and a digest of the code that plays it."""
+    """What of the program bears on a run: its version and a digest of the packages that a run imports."""
     digest, root = hashlib.sha256(), Path(heronlug.__file__).parent
-    for path in sorted(
-        [
-            *root.glob("*.py"),
-            *(root / "memory").glob("*.py"),
-            *(root / "emulator").glob("*.py"),
-            *(root / "rules").glob("*.py"),
-        ]
-    ):
-        digest.update(path.name.encode() + path.read_bytes())
+    for package in CODE_PACKAGES:
+        for path in sorted((root / package).rglob("*.py")):
+            digest.update(str(path.relative_to(root)).encode() + path.read_bytes())
     return f"{heronlug.__version__}+{digest.hexdigest()[:8]}"
 
 
-def read(path: Path) -> tuple[Experiment, list[Job]]:
+def read(path: Path) -> tuple[Experiment, list[PlannedRun]]:
     """An experiment and all its runs, each scenario checked; raises :class:`ConfigProblems`."""
     source = Source.read(path)
     experiment, faults = decode(Experiment, source.table, source, ())
     if experiment is None:
         raise ConfigProblems(faults)
-    experiment.set, experiment.vary = flat(experiment.set), flat(experiment.vary)
+    experiment.set, experiment.vary = dotted_keys(experiment.set), dotted_keys(experiment.vary)
     for key, values in experiment.vary.items():
         at = ("vary", *key.split("."))
         if not isinstance(values, list) or not values:
@@ -110,9 +107,9 @@
             raise ConfigProblems([source.problem(("vary",), str(error), "a key of the scenario")]) from None
         for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
             key = hashlib.sha256(orjson.dumps([known(scenario), seed, code], option=orjson.OPT_SORT_KEYS)).hexdigest()
-            jobs.append(Job(key[:24], str(base), params, experiment.set, seed, code))
-    if len(jobs) > MOST:
-        raise ConfigProblems([source.problem(("vary",), f"{len(jobs)} runs", f"{MOST} at most")])
+            jobs.append(PlannedRun(key[:24], str(base), params, experiment.set, seed, code))
+    if len(jobs) > MAX_RUNS:
+        raise ConfigProblems([source.problem(("vary",), f"{len(jobs)} runs", f"{MAX_RUNS} at most")])
     return experiment, jobs
 
 
--- a/heronlug/experiments/report.py
+++ b/heronlug/experiments/report.py
@@ -13,13 +13,13 @@
 
 from heronlug.emulator.figures import OUTCOMES
 from heronlug.experiments.compare import interval
-from heronlug.experiments.store import Kept
+from heronlug.experiments.store import StoredRun
 
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-LINES = 10  # cases that a drawing shows at most: more cannot be told apart
-SHOWN = 10  # broken rules that are shown with what led to them
+MAX_DRAWN_CASES = 10  # cases that a drawing shows at most: more cannot be told apart
+MAX_SHOWN_VIOLATIONS = 10  # broken rules that are shown with what led to them
 HEADS = [*OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"]
 
 
@@ -28,16 +28,16 @@
     return ", ".join(f"{key} {value}" for key, value in sorted(params.items())) or "all"
 
 
-def page(name: str, runs: Sequence[Kept]) -> str:
+def page(name: str, runs: Sequence[StoredRun]) -> str:
     """The page; raises ``ValueError`` where there are no runs."""
     if not runs:
         raise ValueError(f"{name}: there are no runs to report")
-    grouped: dict[str, list[Kept]] = defaultdict(list)
+    grouped: dict[str, list[StoredRun]] = defaultdict(list)
     for run in runs:
         grouped[label_of(run.params)].append(run)
     lanes = sorted({lane for run in runs for lane in run.details["aims"]})
     cases = [_case(label, group, lanes) for label, group in grouped.items()]
-    drawn = dict(list(grouped.items())[:LINES])
+    drawn = dict(list(grouped.items())[:MAX_DRAWN_CASES])
     folder = Path(__file__).parent
     loader = Environment(
         loader=FileSystemLoader(folder), autoescape=select_autoescape(["html"]), undefined=StrictUndefined
@@ -64,7 +64,7 @@
     return float(np.mean(finite)) if finite else math.nan
 
 
-def _case(label: str, group: list[Kept], lanes: list[str]) -> dict[str, Any]:
+def _case(label: str, group: list[StoredRun], lanes: list[str]) -> dict[str, Any]:
     mean = {key: _mean([run.figures.get(key, math.nan) for run in group]) for key in group[0].figures}
     low, high = interval(np.array([run.figures["service"] for run in group]))
     service = f"{mean['service']:.4f}" + (f" ({low:.4f} to {high:.4f})" if math.isfinite(low) else "")
@@ -92,7 +92,7 @@
     return figure, axes
 
 
-def _cdf(lane: str, grouped: dict[str, list[Kept]]) -> str:
+def _cdf(lane: str, grouped: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes(f"{lane}: latency of what was served", "ms", "share")
     aim = 0.0
     for label, group in grouped.items():
@@ -107,7 +107,7 @@
     return _svg(figure)
 
 
-def _over_time(grouped: dict[str, list[Kept]]) -> str:
+def _over_time(grouped: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes("Worth earned of what was possible, by the second of arrival", "s", "share")
     for label, group in grouped.items():
         earned, possible = np.sum([run.details["by_second"] for run in group], axis=0)
@@ -127,7 +127,7 @@
     return _svg(figure)
 
 
-def _loads(grouped: dict[str, list[Kept]]) -> str:
+def _loads(grouped: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes("Load of each host, from the least to the most loaded", "share of the hosts", "share of slots")
     for label, group in grouped.items():
         loads = np.sort([host["load"] for run in group for host in run.details["hosts"]])
@@ -136,7 +136,7 @@
     return _svg(figure)
 
 
-def _colds(grouped: dict[str, list[Kept]]) -> str:
+def _colds(grouped: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes("Most in a cold host, in shares of what it stands", "", "share")
     peaks = {
         label: [max((host["peak"] for host in run.details["hosts"]), default=0.0) for run in group]
@@ -149,7 +149,7 @@
     return _svg(figure)
 
 
-def _recoveries(grouped: dict[str, list[Kept]]) -> list[dict[str, Any]]:
+def _recoveries(grouped: dict[str, list[StoredRun]]) -> list[dict[str, Any]]:
     rows = []
     for label, group in grouped.items():
         for number, trouble in enumerate(group[0].details["recovery"]):
@@ -162,11 +162,11 @@
     return rows
 
 
-def _violations(grouped: dict[str, list[Kept]]) -> list[dict[str, Any]]:
+def _violations(grouped: dict[str, list[StoredRun]]) -> list[dict[str, Any]]:
     found = [
         {"label": label, "seed": run.seed, **each}
         for label, group in grouped.items()
         for run in group
         for each in run.details["violations"]
     ]
-    return found[:SHOWN]
+    return found[:MAX_SHOWN_VIOLATIONS]
--- a/heronlug/experiments/runner.py
+++ b/heronlug/experiments/runner.py
@@ -10,19 +10,19 @@
 from heronlug.emulator import scenario as scenarios
 from heronlug.emulator.figures import Figures, ServerFigures
 from heronlug.emulator.world import World
-from heronlug.experiments.experiment import Job
-from heronlug.experiments.store import Kept, Store
+from heronlug.experiments.experiment import PlannedRun
+from heronlug.experiments.store import Store, StoredRun
 
 QUANTILES = 200
-SHOWN = 20  # violations kept with what led to them
+MAX_STORED_VIOLATIONS = 20  # violations kept with what led to them
 
 
-def play(job: Job) -> Kept:
+def play(job: PlannedRun) -> StoredRun:
     """One run, in a process of its own."""
     scenario = scenarios.load(Path(job.path), {**job.fixed, **job.params})
     world = World(scenario, job.seed)
     figures = world.run()
-    return Kept(job.params, job.seed, job.code, figures.by_name(), _details(world, figures), figures.wall_time_s)
+    return StoredRun(job.params, job.seed, job.code, figures.by_name(), _details(world, figures), figures.wall_time_s)
 
 
 def _details(world: World, figures: Figures) -> dict[str, Any]:
@@ -37,7 +37,7 @@
         "hosts": [_stored_server(server) for server in figures.servers],
         "violations": [
             {"rule": v.rule, "at": v.at, "what": v.what, "trail": [[type(e).__name__, *e] for e in v.trail]}
-            for v in world.checker.violations[:SHOWN]
+            for v in world.checker.violations[:MAX_STORED_VIOLATIONS]
         ],
         "recovery": [
             {"what": trouble.what, "at_s": trouble.at_s, "seconds": figures.recovery_s(trouble.at_s)}
@@ -61,7 +61,11 @@
 
 
 def run(
-    name: str, jobs: list[Job], store: Store, workers: int, done: Callable[[Job, Kept | None, str], None]
+    name: str,
+    jobs: list[PlannedRun],
+    store: Store,
+    workers: int,
+    done: Callable[[PlannedRun, StoredRun | None, str], None],
 ) -> tuple[int, int]:
     """Play what is not there yet; how many runs there are now, and how many failed.
 
--- a/heronlug/experiments/store.py
+++ b/heronlug/experiments/store.py
@@ -22,7 +22,7 @@
     """A file that is no store of ours."""
 
 
-class Kept(NamedTuple):
+class StoredRun(NamedTuple):
     """One run."""
 
     params: dict[str, Any]
@@ -63,7 +63,7 @@
         there = {row[0] for row in self._db.execute("select key from runs where experiment = ?", (experiment,))}
         return there & set(keys)
 
-    def put(self, experiment: str, key: str, run: Kept) -> None:
+    def put(self, experiment: str, key: str, run: StoredRun) -> None:
         """Keep a run."""
         values = (
             key,
@@ -79,7 +79,7 @@
         with self._db:
             self._db.execute("insert or replace into runs values (?, ?, ?, ?, ?, ?, ?, ?, ?)", values)
 
-    def runs(self, experiment: str = "", version: str = "") -> list[Kept]:
+    def runs(self, experiment: str = "", version: str = "") -> list[StoredRun]:
         """All runs of an experiment, or of all; of the version that ran last where none is named."""
         rows = self._db.execute(
             "select params, seed, version, figures, details, wall from runs where ? in ('', experiment)"
@@ -88,7 +88,7 @@
         ).fetchall()
         wanted = version or (rows[-1][2] if rows else "")
         return [
-            Kept(orjson.loads(params), seed, code, _numbers(figures), orjson.loads(details), wall)
+            StoredRun(orjson.loads(params), seed, code, _numbers(figures), orjson.loads(details), wall)
             for params, seed, code, figures, details, wall in rows
             if code == wanted
         ]
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -34,8 +34,8 @@
 from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
 from heronlug.faults.servers import Requests, Runners, lanes_of
 from heronlug.faults.verdict import Run, Verdict, judge
-from heronlug.loadgen.http import HttpLoad, Job
-from heronlug.loadgen.plan import Due
+from heronlug.loadgen.http import HttpLoad, SentRequest
+from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
 from heronlug.standins.discovery import Call, Register
 from heronlug.standins.ports import free_port, free_ports
@@ -64,14 +64,14 @@
         told = self.rig.processes[f"d{door}"].told_at
         return told is None or time.monotonic() - told < FRONT_NOTICES
 
-    def handed(self, job: Job, door: int) -> None:
+    def handed(self, job: SentRequest, door: int) -> None:
         """A job goes to a dispatcher."""
-        now, name, lane = self.rig.history.now(), f"d{door}", job.due.lane
+        now, name, lane = self.rig.history.now(), f"d{door}", job.due.request_class
         self.at[job.txn], self.lives[job.txn] = name, self.rig.processes[name].starts
-        left = max(1.0, lane.deadline_ms - (self.now() - job.due.at))
+        left = max(1.0, lane.deadline_ms - (self.now() - job.due.due_at))
         self.rig.history.see(Taken(now, name, job.txn, lane.name, lane.effect == "once", now + left))
 
-    def ended_requests(self, job: Job, how: str) -> None:
+    def ended_requests(self, job: SentRequest, how: str) -> None:
         """A job is over."""
         super().ended(job, how)
         name, history = self.at.get(job.txn), self.rig.history
@@ -230,8 +230,8 @@
         for lane in self.script.classes:
             at = 0.0
             while (at := at + rng.expovariate(lane.rate / 1000)) < span - lane.deadline_ms:
-                due.append(Due(at, lanes[lane.name], lane.work_ms * rng.uniform(0.5, 1.5)))
-        await self.clients.run(sorted(due, key=lambda each: each.at))
+                due.append(PlannedRequest(at, lanes[lane.name], lane.work_ms * rng.uniform(0.5, 1.5)))
+        await self.clients.run(sorted(due, key=lambda each: each.due_at))
 
     async def _close(self) -> None:
         for task in self._tasks:
--- a/heronlug/loadgen/faktory.py
+++ b/heronlug/loadgen/faktory.py
@@ -13,28 +13,28 @@
 import orjson
 
 from heronlug.emulator.scenario import Scenario
-from heronlug.loadgen.pace import Pace
-from heronlug.loadgen.plan import Due
+from heronlug.loadgen.pace import OpenLoopPacer
+from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
 
 PRODUCERS = 4
-WORKERS_MOST = 200
-WAIT = 10.0  # s for any reply
-BEAT = 10.0  # s
+MAX_WORKERS = 200
+REPLY_TIMEOUT_S = 10.0  # s for any reply
+HEARTBEAT_INTERVAL_S = 10.0  # s
 
 
 class FaktoryError(ValueError):
     """The server has answered an error, or what is no answer."""
 
 
-class Client:
+class FaktoryClient:
     """A connection: one command at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer = reader, writer
 
     @classmethod
-    async def connect(cls, address: tuple[str, int], hello: dict[str, object]) -> "Client":
+    async def connect(cls, address: tuple[str, int], hello: dict[str, object]) -> "FaktoryClient":
         """Connect and say hello; raises ``OSError`` or :class:`FaktoryError`."""
         client = cls(*await asyncio.open_connection(*address))
         greeting = await client._reply()
@@ -46,7 +46,7 @@
     async def call(self, command: bytes) -> bytes | None:
         """One command and its reply; raises :class:`FaktoryError`, ``OSError`` or ``EOFError``."""
         self._writer.write(command + b"\r\n")
-        return await asyncio.wait_for(self._reply(), WAIT)
+        return await asyncio.wait_for(self._reply(), REPLY_TIMEOUT_S)
 
     def close(self) -> None:
         """End it."""
@@ -63,7 +63,7 @@
         raise FaktoryError(rest.decode("utf-8", "replace"))
 
 
-class FaktoryLoad(Pace):
+class FaktoryLoad(OpenLoopPacer):
     """Producers and workers of one scenario."""
 
     def __init__(self, address: tuple[str, int], scenario: Scenario, tallies: dict[str, Tally], seconds: float) -> None:
@@ -72,40 +72,42 @@
         self.address = address
         speeds = {kind.name: (kind.slots, kind.speed) for kind in scenario.kind}
         self.speeds = [speeds[pool.kind][1] for pool in scenario.pool for _ in range(pool.count * speeds[pool.kind][0])]
-        self.out: dict[str, Due] = {}
-        self._queue: asyncio.Queue[Due] = asyncio.Queue()
+        self.out: dict[str, PlannedRequest] = {}
+        self._queue: asyncio.Queue[PlannedRequest] = asyncio.Queue()
 
-    async def run(self, due: Iterable[Due]) -> None:
+    async def run(self, due: Iterable[PlannedRequest]) -> None:
         """Play it, and wait for the last acknowledgements; raises ``OSError`` or :class:`FaktoryError` at the start."""
-        producers = [await Client.connect(self.address, {}) for _ in range(PRODUCERS)]
+        producers = [await FaktoryClient.connect(self.address, {}) for _ in range(PRODUCERS)]
         workers = []
-        for speed in self.speeds[:WORKERS_MOST]:
+        for speed in self.speeds[:MAX_WORKERS]:
             wid = secrets.token_hex(8)
             hello = {"wid": wid, "hostname": "load", "pid": 1, "labels": ["load"]}
-            workers.append(asyncio.create_task(self._work(await Client.connect(self.address, hello), wid, speed)))
+            workers.append(
+                asyncio.create_task(self._work(await FaktoryClient.connect(self.address, hello), wid, speed))
+            )
         pushing = [asyncio.create_task(self._push(client)) for client in producers]
         async for each in self.due(due):
             self._queue.put_nowait(each)
-        while (self.out or not self._queue.empty()) and not self.over():
+        while (self.out or not self._queue.empty()) and not self.is_over():
             await asyncio.sleep(0.02)
         for each in self.out.values():
-            self.tallies[each.lane.name].ended("refused", self.now() - each.at)
+            self.tallies[each.request_class.name].request_ended("refused", self.now() - each.due_at)
         for task in [*workers, *pushing]:
             task.cancel()
         await asyncio.gather(*workers, *pushing, return_exceptions=True)
 
-    async def _push(self, client: Client) -> None:
+    async def _push(self, client: FaktoryClient) -> None:
         try:
             while True:
                 due = await self._queue.get()
                 jid = secrets.token_hex(12)
-                left = max(1, round(due.lane.deadline_ms - (self.now() - due.at)))
+                left = max(1, round(due.request_class.deadline_ms - (self.now() - due.due_at)))
                 self.out[jid] = due
                 job = {
                     "jid": jid,
-                    "jobtype": due.lane.name,
+                    "jobtype": due.request_class.name,
                     "queue": "default",
-                    "args": [due.work],
+                    "args": [due.work_ms],
                     "custom": {"remaining_ms": left},
                 }
                 try:
@@ -115,11 +117,11 @@
         finally:
             client.close()
 
-    async def _work(self, client: Client, wid: str, speed: float) -> None:
+    async def _work(self, client: FaktoryClient, wid: str, speed: float) -> None:
         beaten = time.monotonic()
         try:
             while True:
-                if time.monotonic() - beaten > BEAT:
+                if time.monotonic() - beaten > HEARTBEAT_INTERVAL_S:
                     await client.call(b"BEAT " + orjson.dumps({"wid": wid}))
                     beaten = time.monotonic()
                 data = await client.call(b"FETCH default")
@@ -136,4 +138,4 @@
     def _ended(self, jid: str, how: str) -> None:
         due = self.out.pop(jid, None)
         if due is not None:
-            self.tallies[due.lane.name].ended(how, self.now() - due.at)
+            self.tallies[due.request_class.name].request_ended(how, self.now() - due.due_at)
--- a/heronlug/loadgen/http.py
+++ b/heronlug/loadgen/http.py
@@ -9,19 +9,19 @@
 
 import httptools
 
-from heronlug.loadgen.pace import Pace
-from heronlug.loadgen.plan import Due
+from heronlug.loadgen.pace import OpenLoopPacer
+from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
 
-MOST = 4000  # connections at once; a job that finds all busy waits, and its time counts
+MAX_CONNECTIONS = 4000  # connections at once; a job that finds all busy waits, and its time counts
 
 
-class Job:
+class SentRequest:
     """One job that is out."""
 
     __slots__ = ("began", "due", "txn")
 
-    def __init__(self, due: Due, began: float) -> None:
+    def __init__(self, due: PlannedRequest, began: float) -> None:
         self.due, self.began, self.txn = due, began, secrets.token_hex(8)
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self, load: "HttpLoad", door: int) -> None:
         self.load, self.door = load, door
-        self.job: Job | None = None
+        self.job: SentRequest | None = None
         self.transport: asyncio.Transport | None = None
         self._parser: Any = None
 
@@ -38,13 +38,13 @@
         """Open."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def hand(self, job: Job) -> None:
+    def hand(self, job: SentRequest) -> None:
         """Send a job."""
         assert self.transport is not None
         self.job, self._parser = job, httptools.HttpResponseParser(self)
         self.load.handed(job, self.door)
-        lane, body = job.due.lane, f"{job.due.work:.3f}".encode()
-        left = max(1, round(lane.deadline_ms - (self.load.now() - job.due.at)))
+        lane, body = job.due.request_class, f"{job.due.work_ms:.3f}".encode()
+        left = max(1, round(lane.deadline_ms - (self.load.now() - job.due.due_at)))
         head = (
             f"POST /{lane.name} HTTP/1.1\r\nHost: load\r\nX-Txn: {job.txn}\r\nX-Lane: {lane.name}\r\n"
             f"X-Remaining-Ms: {left}\r\nIdempotency-Key: {job.txn * 2}\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -82,7 +82,7 @@
             self.load.ended(job, "lost")
 
 
-class HttpLoad(Pace):
+class HttpLoad(OpenLoopPacer):
     """Hands a plan's jobs to dispatchers in turn, each when it is due."""
 
     def __init__(self, addresses: list[tuple[str, int]], tallies: dict[str, Tally], seconds: float) -> None:
@@ -92,17 +92,17 @@
         self.out = 0
         self._idle: list[deque[Connection]] = [deque() for _ in addresses]
         self._open = 0
-        self._waiting: deque[Job] = deque()
+        self._waiting: deque[SentRequest] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
         self._turn = 0
         self._all: set[Connection] = set()
 
-    async def run(self, due: Iterable[Due]) -> None:
+    async def run(self, due: Iterable[PlannedRequest]) -> None:
         """Play it, and wait for the last answers."""
         async for each in self.due(due):
             self.out += 1
-            self._hand(Job(each, self.now()))
-        while self.out and not self.over():
+            self._hand(SentRequest(each, self.now()))
+        while self.out and not self.is_over():
             await asyncio.sleep(0.02)
         for job in self._waiting:
             self.ended(job, "lost")
@@ -115,13 +115,13 @@
         """Whether new connections go there; those that are open are used as long as they are."""
         return True
 
-    def handed(self, job: Job, door: int) -> None:
+    def handed(self, job: SentRequest, door: int) -> None:
         """A job goes to a dispatcher."""
 
-    def ended(self, job: Job, how: str) -> None:
+    def ended(self, job: SentRequest, how: str) -> None:
         """A job is over; its time counts from when it was due."""
         self.out -= 1
-        self.tallies[job.due.lane.name].ended(how, self.now() - job.due.at)
+        self.tallies[job.due.request_class.name].request_ended(how, self.now() - job.due.due_at)
 
     def idle(self, connection: Connection) -> None:
         """A connection is free."""
@@ -137,7 +137,7 @@
         if connection in self._idle[connection.door]:
             self._idle[connection.door].remove(connection)
 
-    def _hand(self, job: Job) -> None:
+    def _hand(self, job: SentRequest) -> None:
         for _ in self.addresses:
             self._turn = (self._turn + 1) % len(self.addresses)
             idle = self._idle[self._turn]
@@ -148,7 +148,7 @@
                     return
             if self.takes(self._turn):
                 break
-        if self._open >= MOST:
+        if self._open >= MAX_CONNECTIONS:
             self._waiting.append(job)
             return
         self._open += 1
@@ -156,7 +156,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, door: int, job: Job) -> None:
+    async def _dial(self, door: int, job: SentRequest) -> None:
         loop = asyncio.get_running_loop()
         for turn in range(len(self.addresses)):  # one that does not listen is passed over
             door = (door + turn) % len(self.addresses)
--- a/heronlug/loadgen/pace.py
+++ b/heronlug/loadgen/pace.py
@@ -4,37 +4,37 @@
 import time
 from collections.abc import AsyncIterator, Iterable
 
-from heronlug.loadgen.plan import Due
+from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
 
-LATE = 10.0  # ms that the tool itself may be late with a job
+LATE_START_MS = 10.0  # ms that the tool itself may be late with a job
 
 
-class Pace:
+class OpenLoopPacer:
     """The base of both loads: their time, and when the last job's has passed."""
 
     def __init__(self, tallies: dict[str, Tally], seconds: float) -> None:
         """``seconds`` bounds the whole, beside the plan's own end."""
-        self.tallies, self._most = tallies, seconds * 1000
+        self.tallies, self._span_ms = tallies, seconds * 1000
         self._began = time.monotonic()
-        self._longest = 0.0  # the latest deadline of a job that was given out
+        self._last_deadline = 0.0  # the latest deadline of a job that was given out
 
     def now(self) -> float:
         """Milliseconds since the start."""
         return (time.monotonic() - self._began) * 1000
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether no answer can come any more."""
-        return self.now() >= self._longest + 1000
+        return self.now() >= self._last_deadline + 1000
 
-    async def due(self, plan: Iterable[Due]) -> AsyncIterator[Due]:
+    async def due(self, plan: Iterable[PlannedRequest]) -> AsyncIterator[PlannedRequest]:
         """Begin now, and give each job out when it is due."""
         self._began = time.monotonic()
         for each in plan:
-            if each.at > self._most:
+            if each.due_at > self._span_ms:
                 return
-            while (wait := each.at - self.now()) > 0.5:
+            while (wait := each.due_at - self.now()) > 0.5:
                 await asyncio.sleep(wait / 1000)
-            self._longest = max(self._longest, each.at + each.lane.deadline_ms)
-            self.tallies[each.lane.name].late_begun += self.now() - each.at > LATE
+            self._last_deadline = max(self._last_deadline, each.due_at + each.request_class.deadline_ms)
+            self.tallies[each.request_class.name].started_late += self.now() - each.due_at > LATE_START_MS
             yield each
--- a/heronlug/loadgen/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -11,15 +11,15 @@
 from heronlug.net.http import split_address
 
 
-class Due(NamedTuple):
+class PlannedRequest(NamedTuple):
     """One job."""
 
-    at: float  # ms from the start
-    lane: ClassTable
-    work: float  # ms at speed 1
+    due_at: float  # ms from the start
+    request_class: ClassTable
+    work_ms: float  # ms at speed 1
 
 
-def plan(scenario: Scenario, seed: int) -> Iterator[Due]:
+def plan(scenario: Scenario, seed: int) -> Iterator[PlannedRequest]:
     """All jobs, in order."""
     lanes = {lane.name: lane for lane in scenario.classes}
     works = {name: Draws(distribution(lane.work), stream(seed, "work", name)) for name, lane in lanes.items()}
@@ -30,7 +30,7 @@
             yield when, number, arrivals.lane
 
     for when, _, name in heapq.merge(*(come(*each) for each in enumerate(scenario.arrivals))):
-        yield Due(when, lanes[name], works[name].next())
+        yield PlannedRequest(when, lanes[name], works[name].next())
 
 
 def loopback(address: str) -> tuple[str, int]:
--- a/heronlug/loadgen/tally.py
+++ b/heronlug/loadgen/tally.py
@@ -7,7 +7,7 @@
 from heronlug.emulator.figures import OUTCOMES, PERCENTILES, ClassFigures
 from heronlug.emulator.scenario import ClassTable
 
-LONGEST = 3_600_000_000  # us that a histogram holds
+MAX_LATENCY_US = 3_600_000_000  # us that a histogram holds
 
 
 @dataclass(slots=True)
@@ -16,19 +16,19 @@
 
     request_class: ClassTable
     outcomes: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
-    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST, 3))
-    late_begun: int = 0  # jobs that the load tool itself began more than 10 ms late
+    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
+    started_late: int = 0  # jobs that the load tool itself began more than 10 ms late
 
     @property
     def request_count(self) -> int:
         """All that have ended."""
         return sum(self.outcomes.values())
 
-    def ended(self, how: str, took: float) -> None:
+    def request_ended(self, how: str, took: float) -> None:
         """One has ended: ``served``, ``refused``, ``failed`` or ``lost``, so many ms after it was due."""
         if how == "served":
             how = "on_time" if took <= self.request_class.aim_ms else "late"
-            self.times.record_value(max(1, min(LONGEST, round(took * 1000))))
+            self.times.record_value(max(1, min(MAX_LATENCY_US, round(took * 1000))))
         self.outcomes[how] += 1
 
     def earned_value(self) -> float:
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -1,6 +1,8 @@
 """Experiments: resumed where they were interrupted, paired comparisons, a page; broken files told with their line."""
 
 import sqlite3
+import subprocess
+import sys
 from html.parser import HTMLParser
 from pathlib import Path
 from typing import Any
@@ -15,7 +17,7 @@
 from heronlug.emulator.draws import fit, stream
 from heronlug.experiments import compare, experiment, runner
 from heronlug.experiments.report import page
-from heronlug.experiments.store import Kept, Store, StoreError
+from heronlug.experiments.store import Store, StoredRun, StoreError
 
 ROOT = Path(__file__).parents[2]
 FILE = """
@@ -52,7 +54,7 @@
     with Store(store) as kept:
         done = []
 
-        def stop_after_three(job: experiment.Job, run: Kept | None, why: str) -> None:
+        def stop_after_three(job: experiment.PlannedRun, run: StoredRun | None, why: str) -> None:
             done.append(job.key)
             if len(done) == 3:
                 raise KeyboardInterrupt
@@ -154,8 +156,8 @@
     assert len(experiment.read(path)[1]) > 10
 
 
-def kept(policy: str, seed: int, service: float) -> Kept:
-    return Kept({"policy": policy}, seed, "v", {"service": service}, {}, 0.0)
+def kept(policy: str, seed: int, service: float) -> StoredRun:
+    return StoredRun({"policy": policy}, seed, "v", {"service": service}, {}, 0.0)
 
 
 def test_a_difference_is_told_from_noise_by_pairs() -> None:
@@ -227,3 +229,9 @@
     events.write_bytes(b"\n".join([*lines, answers[0]]))
     assert call("rules", "check", events) == 1
     assert "second answer" in capsys.readouterr().out
+
+
+def test_the_version_of_a_run_covers_every_package_that_a_run_imports() -> None:
+    listing = "import sys, heronlug.emulator.world; print(*{m.split('.')[1] for m in sys.modules if 'heronlug.' in m})"
+    done = subprocess.run([sys.executable, "-c", listing], capture_output=True, text=True, check=True)
+    assert set(done.stdout.split()) == set(experiment.CODE_PACKAGES)
--- a/tests/loadgen/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -38,7 +38,7 @@
 
     world.clients._submit = record_and_submit  # type: ignore[method-assign]
     world.run()
-    due = [(each.at, made.classes.index(each.lane), each.work) for each in plan(made, 7)]
+    due = [(each.due_at, made.classes.index(each.request_class), each.work_ms) for each in plan(made, 7)]
     assert sorted(due) == sorted(come) and len(due) > 600
 
 
--- a/tests/storage/test_kills.py
+++ b/tests/storage/test_kills.py
@@ -17,7 +17,7 @@
 import orjson
 import pytest
 
-from heronlug.loadgen.faktory import Client, FaktoryError
+from heronlug.loadgen.faktory import FaktoryClient, FaktoryError
 from heronlug.standins.ports import free_port
 from heronlug.storage import sqlite
 
@@ -63,11 +63,11 @@
             words = [sys.executable, "-m", "heronlug", "serve", str(self.folder / "site.toml")]
             self.program = subprocess.Popen(words, stdout=log, stderr=log, env=environ)
 
-    async def client(self, **hello: object) -> Client:
+    async def client(self, **hello: object) -> FaktoryClient:
         end = time.monotonic() + 30
         while True:
             try:
-                return await Client.connect(("127.0.0.1", self.port), hello)
+                return await FaktoryClient.connect(("127.0.0.1", self.port), hello)
             except (OSError, EOFError, FaktoryError):
                 assert time.monotonic() < end, (self.folder / "log").read_text()[-2000:]
                 assert self.program is not None
