--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -22,7 +22,7 @@
 from heronlug.config.strict_toml import Source
 from heronlug.emulator.scenario import load as load_scenario
 from heronlug.emulator.world import World
-from heronlug.faults.harness import Rig
+from heronlug.faults.harness import FaultHarness
 from heronlug.faults.plan import parse
 
 MOST = 150.0  # s for a case
@@ -93,7 +93,7 @@
     """One case with one version."""
     script = parse(Source.parse("case.toml", case.text().encode()))
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(script, Path(folder), None, source)
+        rig = FaultHarness(script, Path(folder), None, source)
         playing = asyncio.create_task(rig.play())
         began = time.monotonic()
         cpu = _cpu(rig)
@@ -187,7 +187,7 @@
     ]
 
 
-def _cpu(rig: Rig) -> float:
+def _cpu(rig: FaultHarness) -> float:
     """Seconds of all processes that run, and of those that have ended."""
     total = resource.getrusage(resource.RUSAGE_CHILDREN)
     spent = total.ru_utime + total.ru_stime
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -17,8 +17,8 @@
     ExpectTable,
     RegisterTable,
     RunnersTable,
-    Script,
     Step,
+    TestPlan,
 )
 from heronlug.faults.verdict import Verdict
 
@@ -49,10 +49,10 @@
 )
 
 
-def day(servers: int, span: float, peers: bool) -> Script:
+def day(servers: int, span: float, peers: bool) -> TestPlan:
     """A release under steady traffic, and an outage of discovery in it."""
     share = servers * 6 // 10 // STEPS
-    script = Script(
+    script = TestPlan(
         name=f"{servers} servers",
         span_s=span,
         begin="listed",
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -23,9 +23,9 @@
 import click
 
 from heronlug.faults.processes import UTIME
-from heronlug.standins.discovery import Register
+from heronlug.standins.discovery import StandInDiscovery
 from heronlug.standins.ports import free_port
-from heronlug.standins.server import Host
+from heronlug.standins.server import StandInServer
 
 SERVERS, RATE, SPAN = 12, 60.0, 8.0  # servers, requests a second, s of load
 BEGIN, WINDOW, SHORT = 3_000.0, 4_000.0, 1_000.0  # ms after the start of the process; of the failures
@@ -114,7 +114,7 @@
 
 async def play(shim: Path, rule: str, source: Path | None) -> Result:
     """One row: load from before the failures until after them."""
-    register, servers = Register(), [Host() for _ in range(SERVERS)]
+    register, servers = StandInDiscovery(), [StandInServer() for _ in range(SERVERS)]
     ports = [await server.open() for server in servers]
     for number, port in enumerate(ports):
         register.put(f"s{number}", hostPort=f"127.0.0.1:{port}", zone="a", machineType="m1")
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -27,17 +27,16 @@
     WatchOver,
 )
 from heronlug.faults.history import History
-from heronlug.faults.network import Path as Between
-from heronlug.faults.network import Paths
-from heronlug.faults.ordering import Behind
-from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Script, Step, choose
+from heronlug.faults.network import FaultyNetwork, NetworkPath
+from heronlug.faults.ordering import OrderedEnds
+from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Step, TestPlan, choose
 from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
-from heronlug.faults.servers import Requests, Runners, lanes_of
-from heronlug.faults.verdict import Run, Verdict, judge
+from heronlug.faults.servers import RequestListener, StandInServers, load_classes_of
+from heronlug.faults.verdict import FinishedRun, Verdict, judge
 from heronlug.loadgen.http import HttpLoad, SentRequest
 from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
-from heronlug.standins.discovery import Call, Register
+from heronlug.standins.discovery import Call, StandInDiscovery
 from heronlug.standins.ports import free_port, free_ports
 
 KILL_COUNTS, KILL_AFTER = 3.0, 0.7  # s: the kill comes the longest deadline, of which so much counts, and this later
@@ -50,10 +49,12 @@
 STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
 
 
-class Clients(HttpLoad):
+class ObservedLoad(HttpLoad):
     """Load whose jobs are told to the history."""
 
-    def __init__(self, rig: "Rig", addresses: list[tuple[str, int]], tallies: dict[str, Tally], seconds: float) -> None:
+    def __init__(
+        self, rig: "FaultHarness", addresses: list[tuple[str, int]], tallies: dict[str, Tally], seconds: float
+    ) -> None:
         super().__init__(addresses, tallies, seconds)
         self.rig = rig
         self.at: dict[str, str] = {}  # who has a job
@@ -71,7 +72,7 @@
         left = max(1.0, lane.deadline_ms - (self.now() - job.due.due_at))
         self.rig.history.see(Taken(now, name, job.txn, lane.name, lane.effect == "once", now + left))
 
-    def ended_requests(self, job: SentRequest, how: str) -> None:
+    def ended(self, job: SentRequest, how: str) -> None:
         """A job is over."""
         super().ended(job, how)
         name, history = self.at.get(job.txn), self.rig.history
@@ -87,29 +88,35 @@
             self.rig.lost_with += 1
 
 
-class Rig:
+class FaultHarness:
     """One run of a script in a folder of its own."""
 
-    def __init__(self, script: Script, folder: Path, events: Path | None = None, source: Path | None = None) -> None:
+    def __init__(
+        self,
+        script: TestPlan,
+        folder: Path,
+        events: Path | None = None,
+        source: Path | None = None,
+    ) -> None:
         """``source`` is the folder of another version of the program, in place of this one."""
         self.script, self.folder, self._source = script, folder, source
         self.rng = Random(script.seed)
         self.checker = Checker(slack=script.slack_ms, drain_grace=2500.0 + script.slack_ms)
         self.history = History(self.checker, events)
-        self.paths = Paths(script.seed)
-        self.behind = Behind(self.paths)
+        self.paths = FaultyNetwork(script.seed)
+        self.behind = OrderedEnds(self.paths)
         table = script.register
-        self.register = Register(table.call_ms, table.wait_most_ms, table.turned_ms, script.seed)
+        self.register = StandInDiscovery(table.call_ms, table.wait_most_ms, table.turned_ms, script.seed)
         self.register.retry_after = table.retry_after_ms
         self.register.told, self.register.wrote = self._called, self._wrote
         self.register.unwatched, self.register.changed = self._unwatched, self._listed_as
         self._unreachable: set[str] = set()  # dispatchers that discovery is out of reach of, as the judge has it
         self.register.address_of = self._address_of
-        self.runners = Runners(
+        self.runners = StandInServers(
             script, self.register, self.history, lambda txn: self.clients.at.get(txn, ""), self.paths.gone
         )
         self.processes: dict[str, Process] = {}
-        self.clients: Clients
+        self.clients: ObservedLoad
         self.lost_with = 0  # jobs that ended with their dispatcher
         self.listed_after: dict[str, float] = {}  # s from the beginning until a dispatcher had its list
         self.watched_after: dict[str, float] = {}  # and until its first watch waited for news
@@ -140,7 +147,7 @@
             listed = await self._lists()
             await self.behind.caught_up()
             return judge(
-                Run(
+                FinishedRun(
                     self.script,
                     self.history,
                     self.processes,
@@ -220,10 +227,10 @@
                 await asyncio.sleep(0)
 
     async def _load(self) -> None:
-        lanes, rng, span = lanes_of(self.script), Random(self.script.seed), self.script.span_s * 1000
+        lanes, rng, span = load_classes_of(self.script), Random(self.script.seed), self.script.span_s * 1000
         tallies = {name: Tally(lane) for name, lane in lanes.items()}
         addresses = [("127.0.0.1", port) for port in self._doors.values()]
-        self.clients = Clients(self, addresses, tallies, self.script.span_s + 60)
+        self.clients = ObservedLoad(self, addresses, tallies, self.script.span_s + 60)
         if self.script.begin == "listed":
             await self.until(self._all_listed, LISTED_WITHIN)
         due = []
@@ -322,7 +329,7 @@
     def _address_of(self, caller: str, name: str, address: str) -> str:
         if "runners" not in self.script.relays or name not in self.runners.servers:
             return address
-        self.paths.of(caller, name).ear = lambda: Requests(lambda txn: self.runners.sent(name, txn))
+        self.paths.of(caller, name).ear = lambda: RequestListener(lambda txn: self.runners.sent(name, txn))
         return self.paths.tcp(caller, name, lambda: self.runners.address(name))
 
     async def _watch_processes(self) -> None:
@@ -435,7 +442,7 @@
         elif step.do == "list":
             self.runners.list_as(name, step.state)
             self._changed(name, step.state)
-        return lambda: setattr(self.runners.hosts[name], "slow", 1.0)
+        return lambda: setattr(self.runners.hosts[name], "slowdown", 1.0)
 
     def _register(self, step: Step) -> Callable[[], Any]:
         register = self.register
@@ -481,7 +488,7 @@
 
         return back
 
-    def _fault(self, step: Step, path: Between, forward: bool, on: bool) -> None:
+    def _fault(self, step: Step, path: NetworkPath, forward: bool, on: bool) -> None:
         ways = [path.out, path.back] if step.both else [path.out if forward else path.back]
         if step.do == "heal":
             path.refusing = path.full = path.silent = False
@@ -510,7 +517,12 @@
             self._note_reach([path.name[0]])
 
 
-def play(script: Script, folder: Path | None = None, events: Path | None = None, source: Path | None = None) -> Verdict:
+def play(
+    script: TestPlan,
+    folder: Path | None = None,
+    events: Path | None = None,
+    source: Path | None = None,
+) -> Verdict:
     """Play a script in a folder, or in one that is deleted afterwards; raises ``OSError``."""
     where = folder or Path(tempfile.mkdtemp(prefix="heronlug-rig-"))
     try:
@@ -520,8 +532,8 @@
             shutil.rmtree(where, ignore_errors=True)
 
 
-async def _play(script: Script, folder: Path, events: Path | None, source: Path | None) -> Verdict:
-    return await Rig(script, folder, events, source).play()
+async def _play(script: TestPlan, folder: Path, events: Path | None, source: Path | None) -> Verdict:
+    return await FaultHarness(script, folder, events, source).play()
 
 
 def _wait(process: Process) -> None:
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -18,16 +18,16 @@
 from heronlug.net.http import split_address
 from heronlug.standins.ports import free_port
 
-BACKLOG = 512
-FILLERS = 3  # connections that fill the queue of a socket with a backlog of 0
-PACE = 0.05  # s between two sips of a trickle
-HELD_MOST = 1 << 20  # bytes that a way holds before its sender is made to wait
-LINGER = struct.pack("ii", 1, 0)  # a close sends a reset
-Name = tuple[str, str]
+LISTEN_BACKLOG = 512
+FILLER_COUNT = 3  # connections that fill the queue of a socket with a backlog of 0
+TRICKLE_INTERVAL_S = 0.05  # s between two sips of a trickle
+MAX_HELD_BYTES = 1 << 20  # bytes that a way holds before its sender is made to wait
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a close sends a reset
+PathName = tuple[str, str]
 
 
 @dataclass(slots=True)
-class Way:
+class Direction:
     """What befalls bytes one way."""
 
     held: bool = False
@@ -41,25 +41,27 @@
         self.held, self.delay_ms, self.trickle, self.half, self.loss = False, 0.0, 0, 0, 0.0
 
 
-class Ear(Protocol):
+class ConnectionListener(Protocol):
     """Whoever hears bytes of one connection."""
 
     def hear(self, data: bytes) -> None:
         """They have been written, whenever they come through."""
 
 
-class Path:
+class NetworkPath:
     """One path, with its faults and all that goes through it."""
 
-    def __init__(self, name: Name) -> None:
+    def __init__(self, name: PathName) -> None:
         self.name = name
-        self.out, self.back = Way(), Way()
+        self.out, self.back = Direction(), Direction()
         self.refusing = self.full = self.silent = False  # silent: dials come up, and then nothing comes through
         self.gone = False  # the target's process has ended
         self.dials = 0
-        self.links: set[Link] = set()
-        self.door: Door | None = None
-        self.ear: Callable[[], Ear] | None = None  # hears what is written into each connection, when it is written
+        self.links: set[ProxiedConnection] = set()
+        self.door: ListeningProxy | None = None
+        self.ear: Callable[[], ConnectionListener] | None = (
+            None  # hears what is written into each connection, when it is written
+        )
 
     @property
     def blocked(self) -> bool:
@@ -81,10 +83,10 @@
             link.pump()
 
 
-class Door:
+class ListeningProxy:
     """A listening socket whose dials are taken, refused or left unanswered."""
 
-    def __init__(self, path: Path, target: Callable[[], str]) -> None:
+    def __init__(self, path: NetworkPath, target: Callable[[], str]) -> None:
         self._path, self._target = path, target
         self._socket: socket.socket | None = None
         self._fillers: list[socket.socket] = []
@@ -111,7 +113,7 @@
         else:
             if self._socket is None:
                 self._socket = self._bind()
-            self._socket.listen(BACKLOG if how == "taken" else 0)
+            self._socket.listen(LISTEN_BACKLOG if how == "taken" else 0)
             if how == "taken":
                 loop.add_reader(self._socket, self._accept)
             else:
@@ -132,7 +134,7 @@
         return sock
 
     def _fill(self) -> None:
-        for _ in range(FILLERS):
+        for _ in range(FILLER_COUNT):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
@@ -157,11 +159,11 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _link(self, sock: socket.socket) -> None:
-        loop, link = asyncio.get_running_loop(), Link(self._path)
+        loop, link = asyncio.get_running_loop(), ProxiedConnection(self._path)
         try:
             await loop.create_connection(lambda: link.far, *split_address(self._target()))
         except OSError:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             return
         self._path.links.add(link)
@@ -171,13 +173,13 @@
             link.reset()
 
 
-class Side(asyncio.Protocol):
+class ConnectionEnd(asyncio.Protocol):
     """One end of a link."""
 
-    def __init__(self, link: "Link", way: Way) -> None:
+    def __init__(self, link: "ProxiedConnection", way: Direction) -> None:
         self.link, self.way = link, way  # the way of what is read here
         self.transport: asyncio.Transport | None = None
-        self.other: Side
+        self.other: ConnectionEnd
         self.queue: deque[tuple[float, bytes]] = deque()  # when it may go on, and what; empty bytes are the end
         self.size = self.passed = 0
         self.ended = False
@@ -187,7 +189,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.link.pump()
 
     def data_received(self, data: bytes) -> None:
@@ -213,18 +215,18 @@
         when = asyncio.get_running_loop().time() + self.way.delay_ms / 1000
         self.queue.append((when, data))
         self.size += len(data)
-        if self.size > HELD_MOST and self.transport is not None:
+        if self.size > MAX_HELD_BYTES and self.transport is not None:
             self.transport.pause_reading()
         self.link.pump()
 
 
-class Link:
+class ProxiedConnection:
     """A connection through a path."""
 
-    def __init__(self, path: Path) -> None:
+    def __init__(self, path: NetworkPath) -> None:
         self.path = path
         self.ear = path.ear() if path.ear is not None else None
-        self.near, self.far = Side(self, path.out), Side(self, path.back)
+        self.near, self.far = ConnectionEnd(self, path.out), ConnectionEnd(self, path.back)
         self.near.other, self.far.other = self.far, self.near
         self._timer: asyncio.TimerHandle | None = None
 
@@ -246,7 +248,7 @@
             if side.transport is not None:
                 side.transport.abort()
 
-    def lost(self, side: Side) -> None:
+    def lost(self, side: ConnectionEnd) -> None:
         """A side has gone; the other one hears of it as soon as its bytes have come through."""
         if side.other.transport is None:
             self.path.links.discard(self)
@@ -254,7 +256,7 @@
             side.other.transport.abort()
         self.pump()
 
-    def _pass(self, side: Side) -> float | None:
+    def _pass(self, side: ConnectionEnd) -> float | None:
         """Pass on what was read at a side; seconds until there may be more, None for no more by itself."""
         way, to, loop = side.way, side.other.transport, asyncio.get_running_loop()
         while side.queue and not way.held and to is not None:
@@ -271,7 +273,7 @@
                 continue
             room = len(data)
             if way.trickle:
-                room = min(room, max(1, round(way.trickle * PACE)))
+                room = min(room, max(1, round(way.trickle * TRICKLE_INTERVAL_S)))
             if way.half:
                 room = min(room, max(0, way.half - side.passed))
                 if not room:
@@ -284,33 +286,33 @@
                 side.queue[0] = when, data[room:]
             else:
                 side.queue.popleft()
-            if side.transport is not None and side.size <= HELD_MOST // 2:
+            if side.transport is not None and side.size <= MAX_HELD_BYTES // 2:
                 side.transport.resume_reading()
             if way.half and side.passed >= way.half:
                 self.reset()
                 return None
             if way.trickle:
-                return max(PACE, 1 / way.trickle)
+                return max(TRICKLE_INTERVAL_S, 1 / way.trickle)
         return None
 
 
-class Paths:
+class FaultyNetwork:
     """All paths of a rig."""
 
     def __init__(self, seed: int) -> None:
         self._rng = Random(seed)
-        self._paths: dict[Name, Path] = {}
-        self._boxes: list[Box] = []
+        self._paths: dict[PathName, NetworkPath] = {}
+        self._boxes: list[DatagramProxy] = []
 
-    def of(self, source: str, target: str) -> Path:
+    def of(self, source: str, target: str) -> NetworkPath:
         """The path from one to another."""
-        return self._paths.setdefault((source, target), Path((source, target)))
+        return self._paths.setdefault((source, target), NetworkPath((source, target)))
 
     def tcp(self, source: str, target: str, address: Callable[[], str]) -> str:
         """The address at which the source finds the target; ``address`` is where it really is."""
         path = self.of(source, target)
         if path.door is None:
-            path.door = Door(path, address)
+            path.door = ListeningProxy(path, address)
         return f"127.0.0.1:{path.door.port}"
 
     async def udp(self, real: dict[str, int]) -> dict[str, int]:
@@ -318,19 +320,19 @@
 
         What comes in at the relay of X is sent on to X from the relay of whoever sent it, so answers take the same way.
         """
-        names, boxes = {port: name for name, port in real.items()}, dict[str, Box]()
+        names, boxes = {port: name for name, port in real.items()}, dict[str, DatagramProxy]()
         for name in real:
-            box = Box(self, name, names, real, boxes)
+            box = DatagramProxy(self, name, names, real, boxes)
             await asyncio.get_running_loop().create_datagram_endpoint(lambda box=box: box, ("127.0.0.1", 0))  # type: ignore[misc]
             boxes[name] = box
             self._boxes.append(box)
         return {name: box.port for name, box in boxes.items()}
 
-    def lost(self, way: Way) -> bool:
+    def lost(self, way: Direction) -> bool:
         """Whether a datagram does not come through."""
         return way.held or (way.loss > 0 and self._rng.random() < way.loss)
 
-    def choose(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[Path, bool]]:
+    def choose(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[NetworkPath, bool]]:
         """The paths between these, each with whether it goes from a source to a target or back."""
         froms, tos = set(sources), set(targets)
         chosen = []
@@ -362,11 +364,11 @@
             box.transport.close()
 
 
-class Box(asyncio.DatagramProtocol):
+class DatagramProxy(asyncio.DatagramProtocol):
     """The relay of one party's datagrams."""
 
     def __init__(
-        self, paths: Paths, owner: str, names: dict[int, str], real: dict[str, int], boxes: dict[str, Any]
+        self, paths: FaultyNetwork, owner: str, names: dict[int, str], real: dict[str, int], boxes: dict[str, Any]
     ) -> None:
         self._paths, self._owner, self._names, self._real, self._boxes = paths, owner, names, real, boxes
         self.transport: asyncio.DatagramTransport
--- a/heronlug/faults/ordering.py
+++ b/heronlug/faults/ordering.py
@@ -13,10 +13,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from heronlug.faults.network import Paths
+from heronlug.faults.network import FaultyNetwork
 from heronlug.net.http import split_address
 
-NAME = "mark"  # no party of a script
+MARK_PARTY = "mark"  # no party of a script
 
 
 class _Mark(asyncio.Protocol):
@@ -27,10 +27,10 @@
         self._come()
 
 
-class Behind:
+class OrderedEnds:
     """What waits for a mark, in order; one mark is out at a time."""
 
-    def __init__(self, paths: Paths) -> None:
+    def __init__(self, paths: FaultyNetwork) -> None:
         self._paths = paths
         self._waiting: deque[Callable[[], None]] = deque()
         self._covered = 0  # so many of these were there when the mark that is out was sent
@@ -43,7 +43,7 @@
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Mark(self._come), "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
-        self._address = split_address(self._paths.tcp(NAME, NAME, lambda: f"127.0.0.1:{port}"))
+        self._address = split_address(self._paths.tcp(MARK_PARTY, MARK_PARTY, lambda: f"127.0.0.1:{port}"))
 
     def tell(self, end: Callable[[], None]) -> None:
         """Call this when all that has come by now has been read, and after all that was handed in before."""
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -142,7 +142,7 @@
     alive: Flag = True  # nobody ended that no step ended
 
 
-class Script(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
+class TestPlan(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
     """A whole script.  The lists hold the forms above once it has been read."""
 
     name: Text
@@ -190,14 +190,14 @@
 LISTS: dict[str, type[Struct]] = {"class": ClassTable, "step": Step}
 
 
-def load(path: Path) -> Script:
+def load(path: Path) -> TestPlan:
     """Read a file; raises :class:`ConfigProblems` with all that is wrong."""
     return parse(Source.read(path))
 
 
-def parse(source: Source) -> Script:
+def parse(source: Source) -> TestPlan:
     """The script of a file; raises :class:`ConfigProblems`."""
-    script, faults = decode(Script, source.table, source, ())
+    script, faults = decode(TestPlan, source.table, source, ())
     if script is None:
         raise ConfigProblems(faults)
     for key, kind in TABLES.items():
@@ -219,7 +219,7 @@
     return script
 
 
-def _wrong(script: Script, source: Source) -> list[ConfigProblem]:
+def _wrong(script: TestPlan, source: Source) -> list[ConfigProblem]:
     """What is wrong among the tables."""
     faults = []
     for number, step in enumerate(script.step):
@@ -248,7 +248,7 @@
     return faults
 
 
-def choose(selectors: list[str], script: Script, rng: Random, reading: list[str] | None = None) -> list[str]:
+def choose(selectors: list[str], script: TestPlan, rng: Random, reading: list[str] | None = None) -> list[str]:
     """The parties that selectors name, each once, in order."""
     chosen: dict[str, None] = {}
     for selector in selectors:
@@ -256,7 +256,7 @@
     return list(chosen)
 
 
-def _chosen(selector: str, script: Script, rng: Random, reading: list[str]) -> list[str]:
+def _chosen(selector: str, script: TestPlan, rng: Random, reading: list[str]) -> list[str]:
     if selector == "reading":
         return reading
     if script.names(selector):
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -14,7 +14,7 @@
 
 from heronlug.config.site import read_object
 from heronlug.config.strict_toml import ConfigProblems, Source
-from heronlug.faults.plan import Script
+from heronlug.faults.plan import TestPlan
 from heronlug.standins.ports import starting
 
 HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
@@ -189,7 +189,7 @@
 
 def write_file(
     process: Process,
-    script: Script,
+    script: TestPlan,
     *,
     door: int,
     discovery: str,
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -10,16 +10,16 @@
 from heronlug.emulator.scenario import ClassTable
 from heronlug.emulator.servers import EmulatedServer, Execution, ServerKind, WarmupModel
 from heronlug.faults.history import History
-from heronlug.faults.plan import Script
-from heronlug.standins.discovery import Register
+from heronlug.faults.plan import TestPlan
+from heronlug.standins.discovery import StandInDiscovery
 from heronlug.standins.fleet import Server
 from heronlug.standins.live import LiveLine
 from heronlug.standins.ports import free_port
 
-KIND = "m1"
+MACHINE_TYPE = "m1"
 
 
-def lanes_of(script: Script) -> dict[str, ClassTable]:
+def load_classes_of(script: TestPlan) -> dict[str, ClassTable]:
     """The script's classes as the stand-ins know them."""
     return {
         lane.name: ClassTable(
@@ -34,7 +34,7 @@
     }
 
 
-class Requests:
+class RequestListener:
     """Hears the requests of one connection as they are written, though a cut may hold them."""
 
     def __init__(self, written: Callable[[str], None]) -> None:
@@ -59,20 +59,20 @@
         self._written(self._txn)
 
 
-class Runners:
+class StandInServers:
     """All runners by name; the register lists them."""
 
     def __init__(
         self,
-        script: Script,
-        register: Register,
+        script: TestPlan,
+        register: StandInDiscovery,
         history: History,
         sender: Callable[[str], str],
         gone: Callable[[str, bool], None],
     ) -> None:
         """``sender`` knows the dispatcher that a request was handed to; ``gone`` hears of processes that end."""
         self.script, self.register, self.history = script, register, history
-        self.lanes = lanes_of(script)
+        self.lanes = load_classes_of(script)
         self.works: dict[str, Draws] = {}  # each job brings its own
         self.line = LiveLine()
         self.hosts: dict[str, EmulatedServer] = {}
@@ -86,7 +86,7 @@
         table = self.script.runners
         for number in range(table.count):
             name = f"r{number}"
-            kind = ServerKind(KIND, table.slots, 1.0, table.queue)
+            kind = ServerKind(MACHINE_TYPE, table.slots, 1.0, table.queue)
             host = self.hosts[name] = EmulatedServer(
                 name, kind, number % len(self.script.halls), self.line, self._warmth
             )
@@ -110,7 +110,7 @@
             name,
             hostPort=self.address(name),
             zone=self.script.halls[host.zone],
-            machineType=KIND,
+            machineType=MACHINE_TYPE,
             lifecycle=state,
             startedAtMs=started,
         )
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -6,7 +6,7 @@
 
 from heronlug.conformance import Violation
 from heronlug.faults.history import History
-from heronlug.faults.plan import ExpectTable, FailedTable, Script
+from heronlug.faults.plan import ExpectTable, FailedTable, TestPlan
 from heronlug.faults.processes import Process
 from heronlug.loadgen.tally import Tally
 
@@ -35,10 +35,10 @@
         return "\n".join(lines)
 
 
-class Run(NamedTuple):
+class FinishedRun(NamedTuple):
     """A run that is over, as the rig saw it."""
 
-    script: Script
+    script: TestPlan
     history: History
     processes: Mapping[str, Process]
     tallies: Iterable[Tally]
@@ -50,7 +50,7 @@
     failures: list[str]  # of the rig, and processes that ended by themselves
 
 
-def judge(run: Run) -> Verdict:
+def judge(run: FinishedRun) -> Verdict:
     """The verdict of a run."""
     checker = run.history.checker
     verdict = Verdict(run.script.name, checker.finish(run.history.now()), list(run.failures))
@@ -64,7 +64,7 @@
     return verdict
 
 
-def _figures(run: Run) -> dict[str, Any]:
+def _figures(run: FinishedRun) -> dict[str, Any]:
     checker, tallies = run.history.checker, list(run.tallies)
     dials = {host: rush.most for host, rush in checker.statistics.dial_peaks.items()}
     after = sorted(run.listed_after.values())
@@ -102,7 +102,7 @@
     }
 
 
-def _missed(run: Run, figures: dict[str, Any]) -> list[str]:
+def _missed(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
     """What was expected of the figures and is not so."""
     expect, faults = run.script.expect, []
     for name, most in _bounds(expect).items():
@@ -120,7 +120,7 @@
     return faults
 
 
-def _failed_relays(run: Run, figures: dict[str, Any]) -> list[str]:
+def _failed_relays(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
     """The bounds on attempts into a zone that fail; their counts go into the figures."""
     faults = []
     for table in run.script.expect.failed:
@@ -132,7 +132,7 @@
     return faults
 
 
-def _failures(run: Run, process: Process, table: FailedTable) -> int:
+def _failures(run: FinishedRun, process: Process, table: FailedTable) -> int:
     """How many attempts a dispatcher began into a zone between two times that it says have failed."""
     count = 0
     for line in process.lines("relay_ended"):
--- a/heronlug/standins/discovery.py
+++ b/heronlug/standins/discovery.py
@@ -32,7 +32,7 @@
     waited: float  # ms in the queue
 
 
-class Register:
+class StandInDiscovery:
     """Instances by name, and a version that each change raises by one."""
 
     def __init__(self, call_ms: float = 0.0, wait_most: float = 1000.0, turned_ms: float = 0.0, seed: int = 1) -> None:
@@ -141,7 +141,7 @@
 class Connection(asyncio.Protocol):
     """One dispatcher's connection."""
 
-    def __init__(self, register: Register, caller: str = "") -> None:
+    def __init__(self, register: StandInDiscovery, caller: str = "") -> None:
         self._register, self.caller = register, caller
         self._parser: Any = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
--- a/heronlug/standins/first_request.py
+++ b/heronlug/standins/first_request.py
@@ -8,7 +8,7 @@
 
 from heronlug.config.platform import Config
 from heronlug.net.http import split_address
-from heronlug.standins.server import Host
+from heronlug.standins.server import StandInServer
 
 WAIT = 10.0  # s, for the dispatcher to come up
 
@@ -30,13 +30,13 @@
         connection.close()
 
 
-async def _hosts(config: Config) -> list[Host]:
+async def _hosts(config: Config) -> list[StandInServer]:
     """A stand-in at each listed loopback address that nobody listens at."""
     hosts = []
     for line in (config.known or {}).get("instances", ()):
         address, port = split_address(line["hostPort"])
         if address.startswith("127.") or address in ("localhost", "::1"):
-            host = Host()
+            host = StandInServer()
             try:
                 await host.open(address, port)
             except OSError:
--- a/heronlug/standins/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -19,7 +19,7 @@
 from heronlug.emulator.faults import ServerFaultInjector
 from heronlug.emulator.scenario import ClassTable, Scenario
 from heronlug.emulator.servers import EmulatedServer, Execution, ExecutionState, ServerKind, WarmupModel
-from heronlug.standins.discovery import Register
+from heronlug.standins.discovery import StandInDiscovery
 from heronlug.standins.live import LiveLine
 
 WORDS = {state: word for word, state in STATES.items()}
@@ -51,7 +51,7 @@
         self.scenario, self.seed = scenario, scenario.seed if seed is None else seed
         self.line: LiveLine
         self.troubles: ServerFaultInjector
-        self.register, self.hosts = Register(), dict[str, EmulatedServer]()
+        self.register, self.hosts = StandInDiscovery(), dict[str, EmulatedServer]()
         self.servers: dict[str, Server] = {}
         self._record = record
         safety = scenario.safety
--- a/heronlug/standins/server.py
+++ b/heronlug/standins/server.py
@@ -30,7 +30,7 @@
     number: int  # of those of the same X-Txn here, from 1
 
 
-class Host:
+class StandInServer:
     """A listening stand-in; ``behave`` is asked for each request."""
 
     def __init__(self, behave: Callable[[Begun], Behaviour] = lambda begun: Behaviour()) -> None:
@@ -58,7 +58,7 @@
 class Connection(asyncio.Protocol):
     """One connection of a dispatcher: one request at a time."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: StandInServer) -> None:
         self.host = host
         self.transport: asyncio.Transport | None = None
         self._parser: Any = httptools.HttpRequestParser(self)
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -20,9 +20,9 @@
 import pytest
 
 from heronlug.lifecycle.control import ask
-from heronlug.standins.discovery import Register
+from heronlug.standins.discovery import StandInDiscovery
 from heronlug.standins.ports import free_port
-from heronlug.standins.server import Host
+from heronlug.standins.server import StandInServer
 
 NAMES = "abc"
 PATIENCE = 30.0
@@ -57,7 +57,7 @@
 
     def __init__(self, folder: Path, more: str) -> None:
         self.folder, self.more = folder, more
-        self.register, self.hosts = Register(), [Host() for _ in range(5)]
+        self.register, self.hosts = StandInDiscovery(), [StandInServer() for _ in range(5)]
         self.ports = {name: (free_port(), free_port(), free_port()) for name in NAMES}
         self.programs: dict[str, subprocess.Popen[bytes]] = {}
         (folder / "key").write_text("a key that is long enough")
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -11,7 +11,7 @@
 import pytest
 
 from heronlug.config.desired_state import StateError
-from heronlug.faults.network import Paths
+from heronlug.faults.network import FaultyNetwork
 from heronlug.lifecycle.control import ask
 from heronlug.standins.ports import free_port
 
@@ -48,7 +48,7 @@
     """Four daemons."""
 
     def __init__(self, folder: Path, loss: float) -> None:
-        self.folder, self.paths, self.loss = folder, Paths(7), loss
+        self.folder, self.paths, self.loss = folder, FaultyNetwork(7), loss
         self.real, self.seen = {name: free_port() for name in NAMES}, dict[str, int]()
         (folder / "key").write_text("a key that is long enough")
         self.http = {name: free_port() for name in NAMES}
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from heronlug.standins.ports import free_port
-from heronlug.standins.server import Begun, Behaviour, Host
+from heronlug.standins.server import Begun, Behaviour, StandInServer
 
 SETS = {  # attempts of a silent job under each; the last is no table at all, where no silent jobs are sent
     "two": (2, "attempts = 2\nattempt_timeout_ms = 1500\nwait_ms = [60]\nsecond_copy = false\n"),
@@ -63,7 +63,7 @@
     def __init__(self, folder: Path) -> None:
         self.path, self.log = folder / "site.toml", folder / "log"
         self.port = free_port()
-        self.hosts = [Host(behave) for _ in range(HOSTS)]
+        self.hosts = [StandInServer(behave) for _ in range(HOSTS)]
         self.listed = ""
         self.current, self.coming = "two", "two"
         self.tasks: list[asyncio.Task[Sent]] = []
--- a/tests/faults/test_harness.py
+++ b/tests/faults/test_harness.py
@@ -36,12 +36,12 @@
     import asyncio
     import socket
 
-    from heronlug.faults.harness import Rig
+    from heronlug.faults.harness import FaultHarness
 
     table = "[runners]\ncount = 1\nslots = 4\ncold = true\noverload_for_ms = 200\n" + CLASS
 
     async def run() -> list[int]:
-        rig = Rig(script(table, 2), tmp_path)
+        rig = FaultHarness(script(table, 2), tmp_path)
         playing = asyncio.create_task(rig.play())
         while not rig.processes:
             await asyncio.sleep(0.05)
--- a/tests/faults/test_network.py
+++ b/tests/faults/test_network.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from heronlug.faults.network import LINGER, Path, Paths
+from heronlug.faults.network import RESET_ON_CLOSE, FaultyNetwork, NetworkPath
 
 SHORT = 0.3  # s within which nothing may come
 
@@ -29,9 +29,9 @@
     return await asyncio.wait_for(reader.readexactly(len(data)), 10)
 
 
-def play(steps: Callable[[Path, str, Echo], Awaitable[None]]) -> None:
+def play(steps: Callable[[NetworkPath, str, Echo], Awaitable[None]]) -> None:
     async def run() -> None:
-        echo, paths = Echo(), Paths(1)
+        echo, paths = Echo(), FaultyNetwork(1)
         server = await asyncio.start_server(echo.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         address = paths.tcp("a", "b", lambda: f"127.0.0.1:{port}")
@@ -49,7 +49,7 @@
 
 
 def test_a_cut_holds_bytes_both_ways_and_gives_them_when_it_is_over() -> None:
-    async def steps(path: Path, address: str, echo: Echo) -> None:
+    async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         reader, writer = await dial(address)
         assert await say(reader, writer, b"one") == b"one"
         path.out.held = path.back.held = True
@@ -70,7 +70,7 @@
 
 
 def test_a_cut_one_way_lets_requests_through_and_holds_answers() -> None:
-    async def steps(path: Path, address: str, echo: Echo) -> None:
+    async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         reader, writer = await dial(address)
         await say(reader, writer, b"x")
         path.back.held = True
@@ -85,7 +85,7 @@
 
 
 def test_refused_dials_and_resets() -> None:
-    async def steps(path: Path, address: str, echo: Echo) -> None:
+    async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         reader, writer = await dial(address)
         await say(reader, writer, b"x")
         path.refusing = True
@@ -105,7 +105,7 @@
 
 
 def test_half_of_an_answer_then_a_reset_and_a_trickle_brings_all() -> None:
-    async def steps(path: Path, address: str, echo: Echo) -> None:
+    async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         path.back.half = 4
         reader, writer = await dial(address)
         writer.write(b"12345678")
@@ -121,7 +121,7 @@
 
 
 def test_a_path_that_is_silent_takes_dials_and_gives_nothing() -> None:
-    async def steps(path: Path, address: str, echo: Echo) -> None:
+    async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         path.silent = path.out.held = path.back.held = True
         path.changed()
         reader, writer = await asyncio.wait_for(dial(address), 10)
@@ -133,7 +133,7 @@
 
 
 def test_a_target_that_is_gone_refuses_and_a_closed_one_ends_the_link() -> None:
-    async def steps(path: Path, address: str, echo: Echo) -> None:
+    async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         reader, writer = await dial(address)
         await say(reader, writer, b"x")
         writer.write_eof()
@@ -153,7 +153,7 @@
             sock.bind(("127.0.0.1", 0))
             sock.setblocking(False)
         real = dict(zip("ab", (sock.getsockname()[1] for sock in socks), strict=True))
-        paths, loop = Paths(1), asyncio.get_running_loop()
+        paths, loop = FaultyNetwork(1), asyncio.get_running_loop()
         seen = await paths.udp(real)
         await loop.sock_sendto(socks[0], b"to b", ("127.0.0.1", seen["b"]))
         data, sender = await asyncio.wait_for(loop.sock_recvfrom(socks[1], 100), 10)
@@ -174,7 +174,7 @@
 
 def test_an_end_that_comes_to_a_connection_just_reset_is_no_fault_of_the_rig() -> None:
     async def run() -> None:
-        paths, target = Paths(1), socket.create_server(("127.0.0.1", 0))
+        paths, target = FaultyNetwork(1), socket.create_server(("127.0.0.1", 0))
         port = target.getsockname()[1]
         _, writer = await dial(paths.tcp("a", "b", lambda: f"127.0.0.1:{port}"))
         path = paths.of("a", "b")
@@ -187,7 +187,7 @@
             while not link.near.ended:
                 await asyncio.sleep(0)
         there, _ = target.accept()
-        there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+        there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         there.close()  # its reset lies unread while the end goes on
         path.out.held = False
         path.changed()
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -5,16 +5,16 @@
 from pathlib import Path
 
 from heronlug.config.strict_toml import Source
-from heronlug.faults.harness import Rig
-from heronlug.faults.network import Paths
-from heronlug.faults.ordering import Behind
+from heronlug.faults.harness import FaultHarness
+from heronlug.faults.network import FaultyNetwork
+from heronlug.faults.ordering import OrderedEnds
 from heronlug.faults.plan import parse
 
 
 class Heard(asyncio.Protocol):
     """Tells of the first bytes of a connection."""
 
-    def __init__(self, told: list[str], what: str, behind: Behind | None = None) -> None:
+    def __init__(self, told: list[str], what: str, behind: OrderedEnds | None = None) -> None:
         self.told, self.what, self.behind = told, what, behind
 
     def data_received(self, data: bytes) -> None:
@@ -25,7 +25,7 @@
             self.behind.tell(lambda: self.told.append(self.what))
 
 
-async def listening(told: list[str], what: str, behind: Behind | None = None) -> int:
+async def listening(told: list[str], what: str, behind: OrderedEnds | None = None) -> int:
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Heard(told, what, behind), "127.0.0.1", 0)
     return int(server.sockets[0].getsockname()[1])
@@ -36,8 +36,8 @@
 
     async def run() -> list[str]:
         told: list[str] = []
-        paths = Paths(1)
-        behind = Behind(paths)
+        paths = FaultyNetwork(1)
+        behind = OrderedEnds(paths)
         await behind.open()
         answers = socket.create_connection(("127.0.0.1", await listening(told, "answered", behind)))
         runner = await listening(told, "sent")
@@ -84,8 +84,8 @@
 def test_ends_keep_their_order_and_what_waits_at_the_close_is_told() -> None:
     async def run() -> list[int]:
         told: list[int] = []
-        paths = Paths(1)
-        behind = Behind(paths)
+        paths = FaultyNetwork(1)
+        behind = OrderedEnds(paths)
         await behind.open()
         for number in range(5):
             behind.tell(lambda number=number: told.append(number))  # type: ignore[misc]
@@ -118,7 +118,7 @@
 """
 
     async def run() -> list[str]:
-        rig = Rig(parse(Source.parse("x.toml", text)), tmp_path)
+        rig = FaultHarness(parse(Source.parse("x.toml", text)), tmp_path)
         playing = asyncio.create_task(rig.play())
         over: set[str] = set()
         while not over and not playing.done():
