--- a/heronlug/adapter/frames.py
+++ b/heronlug/adapter/frames.py
@@ -176,7 +176,8 @@
         """A part of the tail; raises :class:`WireError` if it reaches beyond the tail."""
         end, available = offset + length, len(self.tail)
         if end > available:
-            raise WireError(f"record at byte {self.offset}: {what} ends at byte {end} of a tail of {available} bytes")
+            msg = f"record at byte {self.offset}: {what} ends at byte {end} of a tail of {available} bytes"
+            raise WireError(msg)
         return self.tail[offset:end]
 
 
@@ -263,10 +264,12 @@
 def decode_header(header: bytes) -> BatchHeader:
     """The header of a batch; raises :class:`WireError` if it is cut short or its figures do not fit each other."""
     if len(header) != HEADER.size:
-        raise WireError(f"header: {len(header)} of {HEADER.size} bytes")
+        msg = f"header: {len(header)} of {HEADER.size} bytes"
+        raise WireError(msg)
     decoded = BatchHeader(*HEADER.unpack(header))
     if decoded.record_count * EVENT_SIZE > decoded.body_length:
-        raise WireError(f"header: {decoded.record_count} records do not fit into {decoded.body_length} bytes")
+        msg = f"header: {decoded.record_count} records do not fit into {decoded.body_length} bytes"
+        raise WireError(msg)
     return decoded
 
 
--- a/heronlug/adapter/host.py
+++ b/heronlug/adapter/host.py
@@ -41,7 +41,8 @@
         batch = decode_header(header)
         body = source.read(batch.body_length)
         if len(body) != batch.body_length:
-            raise WireError(f"body: {len(body)} of {batch.body_length} bytes")
+            msg = f"body: {len(body)} of {batch.body_length} bytes"
+            raise WireError(msg)
         sink.write(host.answer(batch.record_count, batch.now, body))
         sink.flush()
 
--- a/heronlug/backends/connection.py
+++ b/heronlug/backends/connection.py
@@ -252,7 +252,8 @@
         fd = int(transport.get_extra_info("socket").fileno())
         response = self._response
         if response is None:
-            raise RuntimeError(f"no response of {self.address} is due: check can_hand_over() first")
+            msg = f"no response of {self.address} is due: check can_hand_over() first"
+            raise RuntimeError(msg)
         return PausedConnection(fd, response.begun, response.closes_connection)
 
     def detach(self) -> None:
@@ -348,5 +349,6 @@
 
     def _connected_transport(self) -> asyncio.Transport:
         if self.transport is None:
-            raise ConnectionError(f"no connection to {self.address} is established: dial it first")
+            msg = f"no connection to {self.address} is established: dial it first"
+            raise ConnectionError(msg)
         return self.transport
--- a/heronlug/backends/response.py
+++ b/heronlug/backends/response.py
@@ -187,7 +187,8 @@
         state = message["state"]
         if message["id"] != self._request_id:
             if message["id"] != self._previous_request_id or self.request_withheld:
-                raise ValueError(f"a line names request {message['id']!r}, {self._request_id!r} was sent")
+                msg = f"a line names request {message['id']!r}, {self._request_id!r} was sent"
+                raise ValueError(msg)
             self._is_repeated = True
         elif state == "started":
             self._on_progress(ProgressKind.STARTED, 0.0)
--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -101,7 +101,8 @@
     if code == _NODE_DATA:
         end = offset + 1 + body[offset]
         if end > len(body):
-            raise ValueError("a table node is cut off")
+            msg = "a table node is cut off"
+            raise ValueError(msg)
         return NodeData(body[offset + 1 : end]), end
     kind, layout = _BY_CODE[code]
     return _from_fields(kind, layout.unpack_from(body, offset)), offset + layout.size
@@ -113,7 +114,8 @@
     address_at = name_at + name_size
     end = address_at + address_size
     if end > len(body) or not name_size:
-        raise ValueError("a member update is cut off")
+        msg = "a member update is cut off"
+        raise ValueError(msg)
     name, address = body[name_at:address_at].decode(), body[address_at:end].decode()
     return MemberUpdate(name, address, incarnation, Health(health)), end
 
--- a/heronlug/cluster/merkle_trie.py
+++ b/heronlug/cluster/merkle_trie.py
@@ -77,17 +77,20 @@
     if node[:1] == BRANCH_MARK:
         return None
     if node[:1] != LEAF_MARK:
-        raise MalformedNodeError(f"a node starts with {node[:1]!r}, not with L or B")
+        msg = f"a node starts with {node[:1]!r}, not with L or B"
+        raise MalformedNodeError(msg)
     rows: Rows = {}
     offset = len(LEAF_MARK)
     while offset < len(node):
         if offset + ROW_OVERHEAD > len(node):
-            raise MalformedNodeError("a row of a leaf is cut off")
+            msg = "a row of a leaf is cut off"
+            raise MalformedNodeError(msg)
         key_at = offset + ROW_OVERHEAD
         value_at = key_at + node[offset]
         end = value_at + node[offset + 1]
         if end > len(node):
-            raise MalformedNodeError("a row of a leaf is cut off")
+            msg = "a row of a leaf is cut off"
+            raise MalformedNodeError(msg)
         rows[node[key_at:value_at]] = node[value_at:end]
         offset = end
     return rows
@@ -98,10 +101,12 @@
     if node[:1] == LEAF_MARK:
         return {}
     if len(node) < 2 or node[:1] != BRANCH_MARK or node[1] >> WIDTH:
-        raise MalformedNodeError("a node is neither a leaf nor a branch")
+        msg = "a node is neither a leaf nor a branch"
+        raise MalformedNodeError(msg)
     indexes = [index for index in range(WIDTH) if node[1] >> index & 1]
     if len(node) != 2 + NAME_SIZE * len(indexes):
-        raise MalformedNodeError(f"a branch with {len(indexes)} children has {len(node)} bytes")
+        msg = f"a branch with {len(indexes)} children has {len(node)} bytes"
+        raise MalformedNodeError(msg)
     return dict(zip(indexes, struct.unpack_from(f">{len(indexes)}Q", node, 2), strict=True))
 
 
--- a/heronlug/config/limits/model.py
+++ b/heronlug/config/limits/model.py
@@ -53,11 +53,14 @@
 def read(request_class: RequestClass, table: Any) -> RequestClass:
     """The class under limits that another process wrote; raises ``ValueError`` or ``TypeError``."""
     if not isinstance(table, dict) or table.keys() != KEYS.keys():
-        raise ValueError("no table of limits")
+        msg = "no table of limits"
+        raise ValueError(msg)
     numbers = [table[key] for key in KEYS if key not in ("after_timeout", "wait_ms", "second_copy")]
     for number in [*numbers, *table["wait_ms"]]:
         if isinstance(number, bool) or not isinstance(number, int | float) or not 0 <= number < float("inf"):
-            raise ValueError(f"{number!r} is no limit")
+            msg = f"{number!r} is no limit"
+            raise ValueError(msg)
     if table["after_timeout"] not in ("again", "end") or not isinstance(table["second_copy"], bool):
-        raise ValueError("no table of limits")
+        msg = "no table of limits"
+        raise ValueError(msg)
     return limit(request_class, table)
--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -87,14 +87,16 @@
 def _table(raw: Mapping[str, Any], key: str, where: str) -> dict[str, Any]:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"{where}: {key}: not an object")
+        msg = f"{where}: {key}: not an object"
+        raise ConfigError(msg)
     return value
 
 
 def _number(table: Mapping[str, Any], key: str, default: float, where: str) -> float:
     value = table.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
-        raise ConfigError(f"{where}: {key}: {value!r} is no figure of 0 or more")
+        msg = f"{where}: {key}: {value!r} is no figure of 0 or more"
+        raise ConfigError(msg)
     return float(value)
 
 
@@ -102,10 +104,12 @@
     """Check what is right by itself and wrong together; raises ``ValueError``."""
     names = [request_class.name for request_class in settings.classes]
     if twice := next((name for name in names if names.count(name) > 1), None):
-        raise ValueError(f"lanes: two classes are named {twice!r}, each needs a name of its own")
+        msg = f"lanes: two classes are named {twice!r}, each needs a name of its own"
+        raise ValueError(msg)
     if settings.position >= settings.instances:
         right = f"of {settings.instances} instances it is 0 to {settings.instances - 1}"
-        raise ValueError(f"position: {settings.position}: {right}")
+        msg = f"position: {settings.position}: {right}"
+        raise ValueError(msg)
 
 
 def reload(environ: Mapping[str, str] = os.environ) -> Config:
@@ -117,16 +121,20 @@
     """Read the file that ``RELAY_CONFIG`` names; raises :class:`ConfigError`."""
     where = environ.get("RELAY_CONFIG", "")
     if not where:
-        raise ConfigError("environment: RELAY_CONFIG: not set")
+        msg = "environment: RELAY_CONFIG: not set"
+        raise ConfigError(msg)
     try:
         raw = orjson.loads(Path(where).read_bytes())
     except (OSError, ValueError) as error:
-        raise ConfigError(f"{where}: {error}") from None
+        msg = f"{where}: {error}"
+        raise ConfigError(msg) from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{where}: not an object")
+        msg = f"{where}: not an object"
+        raise ConfigError(msg)
     inherited = environ.get("RELAY_INHERITED_FD", "")
     if inherited and not inherited.isdecimal():
-        raise ConfigError(f"environment: RELAY_INHERITED_FD: {inherited!r} is no descriptor")
+        msg = f"environment: RELAY_INHERITED_FD: {inherited!r} is no descriptor"
+        raise ConfigError(msg)
     raw = {
         **raw,
         **{key: environ[variable] for key, variable in FROM_ENVIRONMENT.items() if environ.get(variable)},
@@ -194,7 +202,8 @@
     try:
         yield
     except (KeyError, ValueError, TypeError) as error:
-        raise ConfigError(f"{where}: {key}: {error}") from error
+        msg = f"{where}: {key}: {error}"
+        raise ConfigError(msg) from error
 
 
 def _discovery(raw: Mapping[str, Any]) -> str:
--- a/heronlug/config/strict_toml/decode.py
+++ b/heronlug/config/strict_toml/decode.py
@@ -33,7 +33,8 @@
         kind, right = hints[field.name], _right(hints[field.name])
         try:
             if not _finite(value):
-                raise msgspec.ValidationError("not finite")
+                msg = "not finite"
+                raise msgspec.ValidationError(msg)
             values[field.name] = msgspec.convert(value, kind, strict=True)
         except (msgspec.ValidationError, OverflowError) as error:
             inside = INSIDE.search(str(error))
--- a/heronlug/discovery/cache.py
+++ b/heronlug/discovery/cache.py
@@ -69,23 +69,30 @@
         CacheError: It cannot be used.
     """
     if len(data) > MAX_CACHE_BYTES:
-        raise CacheError(f"it holds more than {MAX_CACHE_BYTES} bytes")
+        msg = f"it holds more than {MAX_CACHE_BYTES} bytes"
+        raise CacheError(msg)
     checksum, _, body = data.partition(b"\n")
     if _checksum(body) != checksum:
-        raise CacheError("it is torn: its checksum is another")
+        msg = "it is torn: its checksum is another"
+        raise CacheError(msg)
     content = orjson.loads(body)
     if not isinstance(content, dict) or content.get("form") != FORMAT:
-        raise CacheError(f"it is of another form than {FORMAT}")
+        msg = f"it is of another form than {FORMAT}"
+        raise CacheError(msg)
     if content.get("register") != address:
-        raise CacheError(f"it is of another register, {content.get('register')}")
+        msg = f"it is of another register, {content.get('register')}"
+        raise CacheError(msg)
     written_at = content.get("at")
     table = content.get("list")
     if isinstance(written_at, bool) or not isinstance(written_at, int | float) or not isinstance(table, dict):
-        raise CacheError("it has no time or no list")
+        msg = "it has no time or no list"
+        raise CacheError(msg)
     if written_at > now + MAX_CLOCK_STEP_MS:
-        raise CacheError(f"it is from the future: written {(written_at - now) / 1000:.0f} s after now")
+        msg = f"it is from the future: written {(written_at - now) / 1000:.0f} s after now"
+        raise CacheError(msg)
     if now - written_at > max_age:
-        raise CacheError(f"it is too old: written {(now - written_at) / 1000:.0f} s ago")
+        msg = f"it is too old: written {(now - written_at) / 1000:.0f} s ago"
+        raise CacheError(msg)
     return CachedList(float(written_at), table)
 
 
--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -343,7 +343,8 @@
     def _read_answer(self, body: bytes) -> EndpointList:
         answer = self.parse_list(orjson.loads(body))
         if not answer.complete and self.version is not None and answer.version < self.version:
-            raise EndpointListError(f"changes of version {answer.version} after {self.version}")
+            msg = f"changes of version {answer.version} after {self.version}"
+            raise EndpointListError(msg)
         return answer
 
     def _set_poll_deadline(
--- a/heronlug/discovery/connection.py
+++ b/heronlug/discovery/connection.py
@@ -118,7 +118,8 @@
     def send(self, poll: Poll, now: float) -> None:
         """Send a poll on the established connection; ``now`` in ms."""
         if self._transport is None:
-            raise ConnectionError(f"no connection to {self._address} is established: dial it first")
+            msg = f"no connection to {self._address} is established: dial it first"
+            raise ConnectionError(msg)
         self.poll = poll
         self.sent_at = now
         self.retry_after_ms = 0.0
@@ -167,7 +168,8 @@
 
     def _parse(self, data: bytes) -> None:
         if self._parser is None:
-            raise EndpointListError("an answer came without a poll")
+            msg = "an answer came without a poll"
+            raise EndpointListError(msg)
         if not self._answer_begun:
             self._answer_begun = True
             self._observer.on_answer_begun(self)
@@ -197,7 +199,8 @@
         """
         self._body_size += len(body)
         if self._body_size > MAX_LIST_BYTES:
-            raise EndpointListError(f"the list is larger than {MAX_LIST_BYTES} bytes")
+            msg = f"the list is larger than {MAX_LIST_BYTES} bytes"
+            raise EndpointListError(msg)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
--- a/heronlug/discovery/endpoint_list.py
+++ b/heronlug/discovery/endpoint_list.py
@@ -47,10 +47,12 @@
         version = table["generation"]
         complete = table["reset"]
         if type(version) is not int or type(complete) is not bool:
-            raise EndpointListError("generation or reset is of the wrong type")
+            msg = "generation or reset is of the wrong type"
+            raise EndpointListError(msg)
         servers = [_read_server(row, zones, kinds, to_clock) for row in table["instances"]]
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise EndpointListError(f"{type(error).__name__}: {error}") from error
+        msg = f"{type(error).__name__}: {error}"
+        raise EndpointListError(msg) from error
     return EndpointList(version, complete, servers)
 
 
@@ -82,7 +84,8 @@
     started_at = float(row.get("startedAtMs", 0))
     weight = float(row.get("weight", 1.0))
     if not (math.isfinite(started_at) and math.isfinite(weight)):
-        raise EndpointListError("startedAtMs or weight is not finite")
+        msg = "startedAtMs or weight is not finite"
+        raise EndpointListError(msg)
     address = row["hostPort"]
     http.split_address(address)
     return ListedServer(
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/discovery/shared_client.py
@@ -372,5 +372,6 @@
 
     def _joined_node(self) -> Node:
         if self._node is None:
-            raise RuntimeError("the shared list is used before join()")
+            msg = "the shared list is used before join()"
+            raise RuntimeError(msg)
         return self._node
--- a/heronlug/emulator/clients.py
+++ b/heronlug/emulator/clients.py
@@ -63,7 +63,8 @@
     if arrivals.shape == "bursts":
         return _bursts(arrivals, rng, begin, end)
     if arrivals.rate is None:
-        raise ValueError(f"arrivals of {arrivals.lane} have no rate; {arrivals.shape} arrivals need one")
+        msg = f"arrivals of {arrivals.lane} have no rate; {arrivals.shape} arrivals need one"
+        raise ValueError(msg)
     if arrivals.shape == "waves":
         return _waves(arrivals, arrivals.rate, rng, begin, end)
     return (arrival.time for arrival in _poisson(arrivals.rate / 1000, rng, begin, end))
--- a/heronlug/emulator/draws.py
+++ b/heronlug/emulator/draws.py
@@ -30,26 +30,31 @@
     given = dict(table)
     name = given.pop("dist", "")
     if name not in NAMES:
-        raise ValueError(f"{name!r} is none of {', '.join(NAMES)}")
+        msg = f"{name!r} is none of {', '.join(NAMES)}"
+        raise ValueError(msg)
     for key, value in given.items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not np.isfinite(value):
-            raise ValueError(f"{key}: {value!r} is no finite number")
+            msg = f"{key}: {value!r} is no finite number"
+            raise ValueError(msg)
     if name == "constant":
         if set(given) != {"value"} or not given["value"] >= 0:
-            raise ValueError("a constant takes value, 0 or more, and nothing else")
+            msg = "a constant takes value, 0 or more, and nothing else"
+            raise ValueError(msg)
         return float(given["value"])
     kind = getattr(stats, name)
     shapes = kind.shapes.split(", ") if kind.shapes else []
     unknown = given.keys() - {*shapes, "loc", "scale"}
     if unknown or not set(shapes) <= given.keys():
-        raise ValueError(f"{name} takes {', '.join([*shapes, 'loc', 'scale'])}")
+        msg = f"{name} takes {', '.join([*shapes, 'loc', 'scale'])}"
+        raise ValueError(msg)
     frozen = kind(**given)
     low, mean = frozen.support()[0], frozen.mean()
     if not (np.isfinite(mean) and low >= 0):
-        raise ValueError(
+        msg = (
             f"{name} with these has a mean of {mean:g} and begins at {low:g}: times are 0 or more, "
             "and their mean is finite"
         )
+        raise ValueError(msg)
     return frozen
 
 
@@ -86,7 +91,8 @@
 def fit(values: NDArray[np.float64]) -> list[Fit]:
     """Distributions fitted to times (ms, positive), the best by AIC first; raises ``ValueError`` for too few."""
     if len(values) < 20 or not np.all(np.isfinite(values)) or np.min(values) <= 0:
-        raise ValueError("20 values or more, all above 0, are needed")
+        msg = "20 values or more, all above 0, are needed"
+        raise ValueError(msg)
     fits = []
     for name in FITTED:
         kind = getattr(stats, name)
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -211,7 +211,8 @@
         else:
             here[last] = value
     except (KeyError, IndexError, ValueError, TypeError, AttributeError):
-        raise ValueError(f"{key}: there is no such place in the scenario") from None
+        msg = f"{key}: there is no such place in the scenario"
+        raise ValueError(msg) from None
 
 
 def parse(source: Source) -> Scenario:
--- a/heronlug/experiments/compare.py
+++ b/heronlug/experiments/compare.py
@@ -37,7 +37,8 @@
     for part in text.split(","):
         key, equals, value = part.partition("=")
         if not equals or not key:
-            raise ValueError(f"{part!r} is no KEY=VALUE")
+            msg = f"{part!r} is no KEY=VALUE"
+            raise ValueError(msg)
         wanted[key.strip()] = value.strip()
     return wanted
 
@@ -47,7 +48,8 @@
     known = {key for run in runs for key in run.params}
     for key in a.keys() | b.keys():
         if key not in known:
-            raise ValueError(f"{key!r} does not vary here; what does: {', '.join(sorted(known)) or 'nothing'}")
+            msg = f"{key!r} does not vary here; what does: {', '.join(sorted(known)) or 'nothing'}"
+            raise ValueError(msg)
     sides: list[dict[Any, StoredRun]] = []
     for wanted in (a, b):
         found = {}
@@ -58,7 +60,8 @@
         sides.append(found)
     both = sorted(sides[0].keys() & sides[1].keys())
     if not both:
-        raise ValueError("no two runs have the same seed and all else alike")
+        msg = "no two runs have the same seed and all else alike"
+        raise ValueError(msg)
     return [(sides[0][key], sides[1][key]) for key in both]
 
 
@@ -70,7 +73,8 @@
         try:
             values = np.array([(a.figures[name], b.figures[name]) for a, b in matched])
         except KeyError:
-            raise ValueError(f"{name!r} is no figure; there are {', '.join(matched[0][0].figures)}") from None
+            msg = f"{name!r} is no figure; there are {', '.join(matched[0][0].figures)}"
+            raise ValueError(msg) from None
         values = values[np.isfinite(values).all(axis=1)]
         if not len(values):
             continue
--- a/heronlug/experiments/report.py
+++ b/heronlug/experiments/report.py
@@ -31,7 +31,8 @@
 def page(name: str, runs: Sequence[StoredRun]) -> str:
     """The page; raises ``ValueError`` where there are no runs."""
     if not runs:
-        raise ValueError(f"{name}: there are no runs to report")
+        msg = f"{name}: there are no runs to report"
+        raise ValueError(msg)
     grouped: dict[str, list[StoredRun]] = defaultdict(list)
     for run in runs:
         grouped[label_of(run.params)].append(run)
--- a/heronlug/experiments/store.py
+++ b/heronlug/experiments/store.py
@@ -39,18 +39,21 @@
     def __init__(self, path: Path, create: bool = True) -> None:
         """Raises :class:`StoreError`, or ``OSError`` where there is none and none is to be made."""
         if not create and not path.is_file():
-            raise FileNotFoundError(f"{path}: there is no such store; `experiment run` makes it")
+            msg = f"{path}: there is no such store; `experiment run` makes it"
+            raise FileNotFoundError(msg)
         try:
             self._db = sqlite3.connect(path)
             self._db.execute("pragma journal_mode = wal")
             found = self._db.execute("pragma user_version").fetchone()[0]
             if found not in (0, FORMAT):
-                raise StoreError(f"{path}: a store of format {found}, this program has {FORMAT}")
+                msg = f"{path}: a store of format {found}, this program has {FORMAT}"
+                raise StoreError(msg)
             self._db.execute(f"pragma user_version = {FORMAT}")
             self._db.execute(TABLE)
             self._db.commit()
         except sqlite3.DatabaseError as error:
-            raise StoreError(f"{path}: {error}") from None
+            msg = f"{path}: {error}"
+            raise StoreError(msg) from None
 
     def __enter__(self) -> "Store":
         return self
--- a/heronlug/frontends/faktory/commands.py
+++ b/heronlug/frontends/faktory/commands.py
@@ -131,7 +131,8 @@
 
 def _fetch(session: CommandSession, argument: bytes) -> None:
     if session.worker is None:
-        raise WorkerRequiredError("FETCH needs")
+        msg = "FETCH needs"
+        raise WorkerRequiredError(msg)
     session.wait_for_job(session.worker, argument.decode("utf-8", "replace").split() or [DEFAULT_QUEUE])
 
 
@@ -147,7 +148,8 @@
     """End a job, and reply once that is stored."""
     jid = parse_object(argument).get("jid")
     if session.worker is None:
-        raise WorkerRequiredError("ACK and FAIL need")
+        msg = "ACK and FAIL need"
+        raise WorkerRequiredError(msg)
     if not isinstance(jid, str) or jid not in session.frontend.jobs.by_jid:
         raise UnknownJobError
     session.frontend.delivery.acknowledge(session.worker, jid, outcome)
--- a/heronlug/frontends/faktory/job.py
+++ b/heronlug/frontends/faktory/job.py
@@ -98,20 +98,24 @@
     """The jid of a pushed job; raises :class:`InvalidArgumentError`."""
     jid = payload.get("jid")
     if not isinstance(jid, str) or not MIN_JID_CHARACTERS <= len(jid) <= MAX_JID_CHARACTERS:
-        raise InvalidArgumentError(f"jid is no text of {MIN_JID_CHARACTERS} to {MAX_JID_CHARACTERS} characters")
+        msg = f"jid is no text of {MIN_JID_CHARACTERS} to {MAX_JID_CHARACTERS} characters"
+        raise InvalidArgumentError(msg)
     return jid
 
 
 def parse_push(payload: JsonObject, class_names: list[str]) -> PushArguments:
     """Check a pushed job but for its jid and its times; raises :class:`CommandError`."""
     if payload.get("jobtype") not in class_names:
-        raise InvalidArgumentError("jobtype names no class")
+        msg = "jobtype names no class"
+        raise InvalidArgumentError(msg)
     if not isinstance(payload.get("args"), list):
-        raise InvalidArgumentError("args is no list")
+        msg = "args is no list"
+        raise InvalidArgumentError(msg)
     queue = payload.get("queue", DEFAULT_QUEUE)
     custom = payload.get("custom") or {}
     if not isinstance(queue, str) or not queue or not isinstance(custom, dict):
-        raise InvalidArgumentError("queue is no text, or custom no object")
+        msg = "queue is no text, or custom no object"
+        raise InvalidArgumentError(msg)
     encoded = orjson.dumps(payload)
     if len(encoded) > http.MAX_BODY:
         raise JobTooLargeError
@@ -134,4 +138,5 @@
     try:
         return datetime.fromisoformat(str(at)).astimezone().timestamp() * 1000
     except ValueError as error:
-        raise InvalidArgumentError("at is no time") from error
+        msg = "at is no time"
+        raise InvalidArgumentError(msg) from error
--- a/heronlug/frontends/faktory/resp.py
+++ b/heronlug/frontends/faktory/resp.py
@@ -46,7 +46,8 @@
     """The JSON object that a command has as its argument; raises :class:`InvalidArgumentError`."""
     value = _parse_json(text)
     if not isinstance(value, dict):
-        raise InvalidArgumentError("not a JSON object")
+        msg = "not a JSON object"
+        raise InvalidArgumentError(msg)
     return value
 
 
@@ -54,7 +55,8 @@
     """The list of JSON objects that a command has as its argument; raises :class:`InvalidArgumentError`."""
     value = _parse_json(text)
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
-        raise InvalidArgumentError("not a JSON list of objects")
+        msg = "not a JSON list of objects"
+        raise InvalidArgumentError(msg)
     return value
 
 
@@ -64,7 +66,8 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
-        raise InvalidArgumentError(f"{key} is no figure of 0 or more")
+        msg = f"{key} is no figure of 0 or more"
+        raise InvalidArgumentError(msg)
     return float(value)
 
 
@@ -72,4 +75,5 @@
     try:
         return orjson.loads(text)
     except ValueError as error:
-        raise InvalidArgumentError("malformed JSON") from error
+        msg = "malformed JSON"
+        raise InvalidArgumentError(msg) from error
--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -229,7 +229,8 @@
             ConnectionError: it is not connected.
         """
         if self.transport is None:
-            raise ConnectionError("a connection without a transport cannot be handed over")
+            msg = "a connection without a transport cannot be handed over"
+            raise ConnectionError(msg)
         self.transport.pause_reading()
         return int(self.transport.get_extra_info("socket").fileno())
 
--- a/heronlug/lifecycle/cluster_service.py
+++ b/heronlug/lifecycle/cluster_service.py
@@ -48,7 +48,8 @@
     def view(self, what: str) -> list[dict[str, Any]]:
         """The rows of the members, or of the periodic tasks; raises :class:`StateError` where there is no cluster."""
         if self.member is None:
-            raise StateError("there is no [cluster] in the file that runs")
+            msg = "there is no [cluster] in the file that runs"
+            raise StateError(msg)
         cluster = self.member.cluster
         return cluster.members() if what == "members" else cluster.leases()
 
--- a/heronlug/lifecycle/control.py
+++ b/heronlug/lifecycle/control.py
@@ -91,7 +91,8 @@
         StateError: if the dispatcher cannot be reached or refuses the request.
     """
     if not path:
-        raise StateError("environment: HERONLUG_CONTROL: not set, and no --control")
+        msg = "environment: HERONLUG_CONTROL: not set, and no --control"
+        raise StateError(msg)
     try:
         with socket.socket(socket.AF_UNIX) as sock:
             sock.settimeout(ASK_TIMEOUT_S)
@@ -102,7 +103,8 @@
                 data += chunk
         answer = orjson.loads(data)
     except (OSError, ValueError) as error:
-        raise StateError(f"{path}: control: {error}") from error
+        msg = f"{path}: control: {error}"
+        raise StateError(msg) from error
     if "error" in answer:
         raise StateError(answer["error"])
     return cast(dict[str, Any], answer)
--- a/heronlug/lifecycle/faktory_service.py
+++ b/heronlug/lifecycle/faktory_service.py
@@ -65,7 +65,8 @@
         """
         wanted = _read_config(table)
         if self.frontend is not None and self.frontend.config.store != wanted.store:
-            raise ValueError("faktory: store: it changes with a restart alone")
+            msg = "faktory: store: it changes with a restart alone"
+            raise ValueError(msg)
         if self.frontend is None:
             self.frontend = self._make_frontend(wanted)
             self.frontend.recover()
--- a/heronlug/lifecycle/hot_restart/channel.py
+++ b/heronlug/lifecycle/hot_restart/channel.py
@@ -214,15 +214,15 @@
         marker = data[:1]
         self._fragments.append(data[1:])
         if marker not in (MORE, LAST) or sum(map(len, self._fragments)) > MAX_MESSAGE_BYTES:
-            raise MalformedMessageError(
-                f"a packet begins with {MORE!r} or {LAST!r}, and its message is of limited size"
-            )
+            msg = f"a packet begins with {MORE!r} or {LAST!r}, and its message is of limited size"
+            raise MalformedMessageError(msg)
         if marker == MORE:
             return None
         message = orjson.loads(b"".join(self._fragments))
         self._fragments = []
         if not isinstance(message, dict):
-            raise MalformedMessageError("a message is a JSON object")
+            msg = "a message is a JSON object"
+            raise MalformedMessageError(msg)
         return message
 
 
--- a/heronlug/lifecycle/hot_restart/inherited_sockets.py
+++ b/heronlug/lifecycle/hot_restart/inherited_sockets.py
@@ -54,7 +54,8 @@
         sockets = dict(zip(names, fds, strict=True))
         wrong_type = any(SOCKET_TYPES.get(name) != _socket_type(fd) for name, fd in sockets.items())
         if wrong_type or len(sockets) != len(fds):
-            raise MalformedMessageError("sockets of the wrong kinds")
+            msg = "sockets of the wrong kinds"
+            raise MalformedMessageError(msg)
         self._inherited = sockets
 
     def open_listener(self) -> None:
--- a/heronlug/lifecycle/hot_restart/messages.py
+++ b/heronlug/lifecycle/hot_restart/messages.py
@@ -55,9 +55,8 @@
 def check_hello(message: Message, name: str) -> None:
     """Raise :class:`IncompatiblePeerError` unless the message is from a process of this dispatcher and version."""
     if message["version"] != VERSION or message["name"] != name:
-        raise IncompatiblePeerError(
-            f"expected version {VERSION} of {name!r}, got version {message['version']!r} of {message['name']!r}"
-        )
+        msg = f"expected version {VERSION} of {name!r}, got version {message['version']!r} of {message['name']!r}"
+        raise IncompatiblePeerError(msg)
 
 
 def serving() -> Message:
@@ -203,9 +202,8 @@
         exchanges = [_read_exchange(dict(exchange)) for exchange in message["wires"]]
         in_flight = sum(attempt.in_flight for attempt in snapshots)
         if len(exchanges) != connections or len(exchanges) != in_flight or version != 0:
-            raise MalformedMessageError(
-                f"{in_flight} attempts in flight need as many connections, got {connections} for {len(exchanges)}"
-            )
+            msg = f"{in_flight} attempts in flight need as many connections, got {connections} for {len(exchanges)}"
+            raise MalformedMessageError(msg)
         policy = classes[request.class_index]
         if "terms" in message:  # versions without limits don't tell them
             policy = model.read(policy, message["terms"])
--- a/heronlug/lifecycle/hot_restart/session.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -216,7 +216,8 @@
             elif peer in self._joining:
                 self._receive_from_joining(peer, kind, message)
             else:
-                raise UnexpectedMessageError(f"{kind!r} is not expected")
+                msg = f"{kind!r} is not expected"
+                raise UnexpectedMessageError(msg)
         finally:
             received.close()
         self._turn()
@@ -235,7 +236,8 @@
             peer.close()
             self._lose(peer, "parted")
         else:
-            raise UnexpectedMessageError(f"{kind!r} is not expected from the process before")
+            msg = f"{kind!r} is not expected from the process before"
+            raise UnexpectedMessageError(msg)
 
     def _receive_from_joining(self, peer: PeerProcess, kind: object, message: Message) -> None:
         """Handle what a new process sends."""
@@ -249,7 +251,8 @@
             self._log("handed_over")
             self._handler.successor_serves()
         else:
-            raise UnexpectedMessageError(f"{kind!r} is not expected from a process that starts")
+            msg = f"{kind!r} is not expected from a process that starts"
+            raise UnexpectedMessageError(msg)
 
     def _lose(self, peer: PeerProcess, reason: str) -> None:
         """The connection with a process has ended."""
--- a/heronlug/lifecycle/running_state.py
+++ b/heronlug/lifecycle/running_state.py
@@ -106,7 +106,8 @@
             if self.state == desired:
                 return []
             if await run_in_background(digest, self.state) != base:
-                raise StateError("the plan is stale: the running state has changed since it was made")
+                msg = "the plan is stale: the running state has changed since it was made"
+                raise StateError(msg)
             classes = await self._resolve_limits(desired["classes"])
             changes = await run_in_background(difference, self.state, desired)
             self._check_restart_only(desired)
@@ -144,9 +145,11 @@
     def _check_restart_only(self, desired: State) -> None:
         """Raise :class:`StateError` for a change that needs a restart."""
         if self._changes(desired, "cluster") and self.state["cluster"]:
-            raise StateError("cluster: it changes with a restart alone; keys are read again by SIGHUP")
+            msg = "cluster: it changes with a restart alone; keys are read again by SIGHUP"
+            raise StateError(msg)
         if self._changes(desired, "register") and self.state is not EMPTY:
-            raise StateError("register: it changes with a restart alone")
+            msg = "register: it changes with a restart alone"
+            raise StateError(msg)
 
     async def _resolve_limits(self, classes: State) -> tuple[RequestClass, ...]:
         """All classes under limits, checked here: a file may have been checked against another site."""
@@ -189,7 +192,9 @@
     try:
         data = Path(plugin["file"]).read_bytes()
     except OSError as error:
-        raise StateError(f"plugin {name}: file: {error.strerror}") from error
+        msg = f"plugin {name}: file: {error.strerror}"
+        raise StateError(msg) from error
     if hashlib.sha256(data).hexdigest() != plugin["sha256"]:
-        raise StateError(f"plugin {name}: the plan is stale: its file has changed since it was made")
+        msg = f"plugin {name}: the plan is stale: its file has changed since it was made"
+        raise StateError(msg)
     return data, plugin["fuel"], plugin["memory_kb"]
--- a/heronlug/lifecycle/zone_commands.py
+++ b/heronlug/lifecycle/zone_commands.py
@@ -42,17 +42,21 @@
     name = request["hall"]
     seconds = request.get("for_s")
     if name not in zones:
-        raise StateError(f"hall {name!r}: none is called so; there are {', '.join(zones)}")
+        msg = f"hall {name!r}: none is called so; there are {', '.join(zones)}"
+        raise StateError(msg)
     if what not in (*ORDERED_PHASES, RELEASE):
-        raise StateError(f"{what!r} is no order for a hall")
+        msg = f"{what!r} is no order for a hall"
+        raise StateError(msg)
     if seconds is not None and not 0 < float(seconds) <= MAX_ORDER_S:
-        raise StateError(f"--for {seconds}: more than 0 and at most {MAX_ORDER_S:g} seconds")
+        msg = f"--for {seconds}: more than 0 and at most {MAX_ORDER_S:g} seconds"
+        raise StateError(msg)
     now = core.deadlines.clock()
     until = now + 1000.0 * float(seconds) if seconds is not None else float("inf")
     try:
         core.dispatcher.rules.zone_failover.order(zones.index(name), ORDERED_PHASES.get(what), until, now)
     except ZoneOrderError as error:
-        raise StateError(f"hall {name}: {error}") from error
+        msg = f"hall {name}: {error}"
+        raise StateError(msg) from error
     return view(core, zones)
 
 
@@ -62,4 +66,5 @@
 
 def _check_enabled(core: Core) -> None:
     if not core.settings.zone_failover:
-        raise StateError("halls are not left as one here: [site] leave_halls is false")
+        msg = "halls are not left as one here: [site] leave_halls is false"
+        raise StateError(msg)
--- a/heronlug/loadgen/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -97,7 +97,8 @@
             while not await asyncio.to_thread(self._healthy, port):
                 if time.monotonic() > end or self.programs[number].poll() is not None:
                     log = (self.folder / f"d{number}.log").read_text()
-                    raise RuntimeError(f"d{number} does not serve: {log[-800:]}")
+                    msg = f"d{number} does not serve: {log[-800:]}"
+                    raise RuntimeError(msg)
                 await asyncio.sleep(0.05)
 
     @staticmethod
--- a/heronlug/loadgen/faktory.py
+++ b/heronlug/loadgen/faktory.py
@@ -39,7 +39,8 @@
         client = cls(*await asyncio.open_connection(*address))
         greeting = await client._reply()
         if greeting is None or not greeting.startswith(b"HI "):
-            raise FaktoryError(f"{greeting!r} is no greeting")
+            msg = f"{greeting!r} is no greeting"
+            raise FaktoryError(msg)
         await client.call(b"HELLO " + orjson.dumps({"v": 2, **hello}))
         return client
 
--- a/heronlug/loadgen/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -41,5 +41,6 @@
     except ValueError:
         ours = False
     if not ours:
-        raise ValueError(f"{address}: load goes to loopback addresses alone")
+        msg = f"{address}: load goes to loopback addresses alone"
+        raise ValueError(msg)
     return host, port
--- a/heronlug/net/http.py
+++ b/heronlug/net/http.py
@@ -68,7 +68,8 @@
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is no address of the form host:port")
+        msg = f"{text!r} is no address of the form host:port"
+        raise ValueError(msg)
     return host.strip("[]"), int(port)
 
 
@@ -88,7 +89,8 @@
         """
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_LINE:
-            raise ValueError("line too long")
+            msg = "line too long"
+            raise ValueError(msg)
         return [line for line in lines if line.strip()]
 
     @property
--- a/heronlug/net/listener.py
+++ b/heronlug/net/listener.py
@@ -39,7 +39,8 @@
         """
         self.socket = socket.socket(fileno=os.dup(fd))
         if not self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(f"descriptor {fd} is not a listening socket")
+            msg = f"descriptor {fd} is not a listening socket"
+            raise OSError(msg)
 
     def bind(self, address: tuple[str, int], backlog: int = DEFAULT_BACKLOG) -> None:
         """Bind a new socket, which refuses connections until :meth:`accept`.
--- a/heronlug/plugins/host.py
+++ b/heronlug/plugins/host.py
@@ -35,7 +35,8 @@
         try:
             module = wasmtime.Module(engine, data)
             if module.imports:
-                raise PluginError(f"plugin {name}: it imports something, and nothing is given")
+                msg = f"plugin {name}: it imports something, and nothing is given"
+                raise PluginError(msg)
             self._store = wasmtime.Store(engine)
             self._store.set_limits(
                 memory_size=int(memory_kb) * 1024, table_elements=10_000, instances=1, memories=1, tables=4
@@ -43,23 +44,28 @@
             self._store.set_fuel(self.fuel)
             exports = wasmtime.Instance(self._store, module, []).exports(self._store)
         except wasmtime.WasmtimeError as error:
-            raise PluginError(f"plugin {name}: {str(error).splitlines()[0]}") from None
+            msg = f"plugin {name}: {str(error).splitlines()[0]}"
+            raise PluginError(msg) from None
         except wasmtime.Trap as error:
-            raise PluginError(f"plugin {name}: its start traps: {str(error).splitlines()[0]}") from None
+            msg = f"plugin {name}: its start traps: {str(error).splitlines()[0]}"
+            raise PluginError(msg) from None
         self.admit = self._hook(exports, "admit", ADMIT_SIGNATURE)
         self.observe = self._hook(exports, "observe", OBSERVE_SIGNATURE)
         if self.admit is None and self.observe is None:
-            raise PluginError(f"plugin {name}: it exports neither admit nor observe")
+            msg = f"plugin {name}: it exports neither admit nor observe"
+            raise PluginError(msg)
 
     def _hook(self, exports: Any, key: str, form: tuple[list[str], list[str]]) -> Callable[..., Any] | None:
         export = exports.get(key)
         if export is None:
             return None
         if not isinstance(export, wasmtime.Func):
-            raise PluginError(f"plugin {self.name}: {key} is no function")
+            msg = f"plugin {self.name}: {key} is no function"
+            raise PluginError(msg)
         kind = export.type(self._store)
         if ([str(p) for p in kind.params], [str(r) for r in kind.results]) != form:
-            raise PluginError(f"plugin {self.name}: {key} has other parameters than the hook")
+            msg = f"plugin {self.name}: {key} has other parameters than the hook"
+            raise PluginError(msg)
 
         def call(*values: float) -> Any:
             self._store.set_fuel(self.fuel)
--- a/heronlug/requests/slots.py
+++ b/heronlug/requests/slots.py
@@ -37,7 +37,8 @@
         else:
             slot = len(self._items)
             if slot > SLOT_MASK:
-                raise OverflowError("the table of slots is full")
+                msg = "the table of slots is full"
+                raise OverflowError(msg)
             self._items.append(item)
             self._uses.append(0)
         self._uses[slot] += 1
--- a/heronlug/scheduling/chains.py
+++ b/heronlug/scheduling/chains.py
@@ -113,7 +113,8 @@
         if given is None:
             return []
         if not isinstance(given, list) or len(given) > MAX_PARENTS:
-            raise ValueError(f"after is no list of at most {MAX_PARENTS} jids")
+            msg = f"after is no list of at most {MAX_PARENTS} jids"
+            raise ValueError(msg)
         edges = []
         for each in given:
             if isinstance(each, str):
@@ -121,9 +122,11 @@
             elif isinstance(each, dict) and isinstance(each.get("jid"), str):
                 edges.append(Edge(each["jid"], OnFailure(each.get("on_failure", kind))))
             else:
-                raise ValueError("after holds something that is no jid")
+                msg = "after holds something that is no jid"
+                raise ValueError(msg)
         return edges
     except ValueError as error:
         if "OnFailure" in str(error):
-            raise ValueError('on_failure is neither "fail" nor "release"') from None
+            msg = 'on_failure is neither "fail" nor "release"'
+            raise ValueError(msg) from None
         raise
--- a/heronlug/storage/sqlite.py
+++ b/heronlug/storage/sqlite.py
@@ -92,17 +92,20 @@
 def connect(path: Path, create: bool = True) -> sqlite3.Connection:
     """Open a store and check it; raises :class:`StoreError`."""
     if not create and not path.is_file():
-        raise StoreError(f"{path}: there is no such store")
+        msg = f"{path}: there is no such store"
+        raise StoreError(msg)
     try:
         connection = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False)
     except sqlite3.Error as error:
-        raise StoreError(f"{path}: {error}") from error
+        msg = f"{path}: {error}"
+        raise StoreError(msg) from error
     try:
         _prepare(connection, path)
     except sqlite3.Error as error:
         connection.close()
         locked = "locked" in str(error)
-        raise StoreError(f"{path}: {'another process has it' if locked else error}") from error
+        msg = f"{path}: {'another process has it' if locked else error}"
+        raise StoreError(msg) from error
     except StoreError:
         connection.close()
         raise
@@ -116,10 +119,12 @@
     connection.execute("pragma synchronous = full")
     version = connection.execute("pragma user_version").fetchone()[0]
     if version not in (0, FORMAT_VERSION):
-        raise StoreError(f"{path}: a store of format {version}, this program has {FORMAT_VERSION}")
+        msg = f"{path}: a store of format {version}, this program has {FORMAT_VERSION}"
+        raise StoreError(msg)
     problems = connection.execute("pragma quick_check(5)").fetchall()
     if problems != [("ok",)]:
-        raise StoreError(f"{path}: damaged: {'; '.join(str(row[0]) for row in problems)}")
+        msg = f"{path}: damaged: {'; '.join(str(row[0]) for row in problems)}"
+        raise StoreError(msg)
     connection.execute("begin immediate")  # from here on no other process may write
     connection.execute(SCHEMA)
     connection.execute(f"pragma user_version = {FORMAT_VERSION}")
@@ -287,6 +292,7 @@
         connection.execute("pragma wal_checkpoint(truncate)")
         return FileSizes(before, path.stat().st_size)
     except sqlite3.Error as error:
-        raise StoreError(f"{path}: {error}") from error
+        msg = f"{path}: {error}"
+        raise StoreError(msg) from error
     finally:
         connection.close()
--- a/tests/adapter/test_frames.py
+++ b/tests/adapter/test_frames.py
@@ -101,7 +101,8 @@
     assert ended.report == pytest.approx((140.0, 3.0, 0.4))
     assert note == AttemptProgress(0x7D1245D3A91C4, 0, 0x03124A07, ProgressKind.STARTED, 0.5)
     assert peer == PeerMessage(2, b"hi 7")
-    assert probed.server == 0x2C9011F2 and probed.latency == pytest.approx(1.4)
+    assert probed.server == 0x2C9011F2
+    assert probed.latency == pytest.approx(1.4)
     assert begun == AnswerStarted(0x7D1245D3A91C4, 0, 0x03124A07, 9.25)
 
 
@@ -145,7 +146,9 @@
     data = reply.encode()
     records = [data[8 + i * 32 : 40 + i * 32] for i in range(5)]
     assert [record[0] for record in records] == [2, 3, 4, 8, 11]
-    assert records[2][13] == 2 and records[3][5:9] == b"\xff" * 4 and records[4][5] == 1
+    assert records[2][13] == 2
+    assert records[3][5:9] == b"\xff" * 4
+    assert records[4][5] == 1
     assert data.endswith(b"hi")
 
 
@@ -159,8 +162,12 @@
         -1,
     )
     assert (keyed.key_scope, keyed.repeat_window, keyed.server_kind) == (KeyScope.CELL, 75.0, 1)
-    assert got.report_fields == ("tps", "x0") and got.quotas == (8.0,) and got.reports_start
-    assert not got.list_pushed and got.instances == 2 and got.max_attempts == 4
+    assert got.report_fields == ("tps", "x0")
+    assert got.quotas == (8.0,)
+    assert got.reports_start
+    assert not got.list_pushed
+    assert got.instances == 2
+    assert got.max_attempts == 4
     assert got.worst_class_weight == pytest.approx(0.25)
 
 
@@ -202,7 +209,8 @@
 def test_exchange_with_the_process() -> None:
     empty = frame([])
     done = talk(empty + start() + frame([REQUEST]) + frame(["05 00000003"]) + frame([REQUEST]))
-    assert done.returncode == 0 and done.stderr == b""
+    assert done.returncode == 0
+    assert done.stderr == b""
     out, codes = done.stdout, []
     while out:
         count, length = struct.unpack(">II", out[:8])
@@ -224,7 +232,8 @@
 def test_malformed_input_ends_in_one_line_and_no_half_frame(data: bytes, text: bytes) -> None:
     done = talk(frame([]) + data)
     assert done.returncode == 1
-    assert text in done.stderr and done.stderr.count(b"\n") == 1
+    assert text in done.stderr
+    assert done.stderr.count(b"\n") == 1
     assert done.stdout == b"\0" * 8
 
 
@@ -236,7 +245,8 @@
     host._instances[3]._handlers = {RequestArrived: lambda event, now: 1 / 0}  # type: ignore[dict-item]
     request = frame([REQUEST])
     reply = host.answer(1, now, request[16:])
-    assert reply[8] == 10 and reply.endswith(b"ZeroDivisionError: division by zero")
+    assert reply[8] == 10
+    assert reply.endswith(b"ZeroDivisionError: division by zero")
     assert "Traceback" in capfd.readouterr().err
 
 
@@ -248,7 +258,10 @@
         for _, event in decode_events(header[0], body):
             assert not isinstance(event, Spawn) or event.settings.classes
     except (WireError, ValueError) as error:
-        assert str(error)
+        message = str(error)
+    else:
+        return
+    assert message
 
 
 def test_one_process_or_several_give_the_same_actions() -> None:
--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -140,7 +140,9 @@
     patient, older, newer = host.job(2), host.job(0), host.job(0)
     host.until(host.now + 5)
     host.end(running[0], 0, Outcome.SERVED, (0.0,))
-    assert newer in host.sent and older not in host.sent and patient not in host.sent
+    assert newer in host.sent
+    assert older not in host.sent
+    assert patient not in host.sent
 
 
 def test_once_work_is_late_the_rest_goes_by_worth() -> None:
@@ -151,13 +153,16 @@
     running = [host.job(0) for _ in range(4)]
     first = host.job(1), host.job(0)
     host.end(running[0], 0, Outcome.SERVED, (0.0,))
-    assert first[1] in host.sent and first[0] not in host.sent  # all can be in time: the patient waits
+    assert first[1] in host.sent
+    assert first[0] not in host.sent
     late = host.job(0)
     host.until(host.now + 600)
     newer = host.job(0)
     assert late not in host.sent  # it is late now: there is not enough for all
     host.end(running[1], 0, Outcome.SERVED, (0.0,))
-    assert first[0] in host.sent and newer not in host.sent and late not in host.sent
+    assert first[0] in host.sent
+    assert newer not in host.sent
+    assert late not in host.sent
 
 
 def test_worst_class_counts_for_what_it_weighs_in_the_goal() -> None:
@@ -172,7 +177,8 @@
         host.until(host.now + 600)  # it is late now: there is not enough for all
         starved, dearer = host.job(1), host.job(0)
         host.end(running[0], 0, Outcome.SERVED, (0.0,))
-        assert (starved in host.sent) is (weight > 0) and (dearer in host.sent) is (weight == 0)
+        assert (starved in host.sent) is (weight > 0)
+        assert (dearer in host.sent) is (weight == 0)
 
 
 def test_worthless_class_does_no_harm() -> None:
@@ -196,7 +202,8 @@
         host.job(2)
     job = host.job(0, give_up_at=host.now + 900)
     host.until(host.now + 500)
-    assert host.answered[job] == "refused" and job not in host.sent
+    assert host.answered[job] == "refused"
+    assert job not in host.sent
 
 
 def test_wide_job_needs_one_free_slot_to_be_sent() -> None:
@@ -206,7 +213,8 @@
     for _ in range(3):
         host.job(0)
     wide, wide_in_memory = host.job(2, slots=4.0), host.job(2, memory=4.0)
-    assert wide in host.sent and wide_in_memory not in host.sent
+    assert wide in host.sent
+    assert wide_in_memory not in host.sent
 
 
 def test_unstarted_job_gets_a_copy_and_the_loser_is_cancelled() -> None:
@@ -214,7 +222,8 @@
     host = Host(with_settings(reports_start=True, report_fields=("x0",)), workers=2)
     job = host.job(0)
     host.until(host.now + SETTINGS.dial_timeout + 60)
-    assert len(host.sent[job]) == 2 and host.sent[job][0] != host.sent[job][1]
+    assert len(host.sent[job]) == 2
+    assert host.sent[job][0] != host.sent[job][1]
     actions = host.give(AttemptProgress(job, 1, host.sent[job][1], ProgressKind.STARTED))
     assert CancelAttempt(job, 0) in actions
 
@@ -275,12 +284,14 @@
         to_bad = [job for job in jobs if job in host.sent and host.sent[job][0] == bad]
         worker = host.dispatcher.state.servers.by_id[bad]
         if worker.outlier.trials_left:
-            assert len(to_bad) <= 1 and jobs[0] not in to_bad
+            assert len(to_bad) <= 1
+            assert jobs[0] not in to_bad
             trials += len(to_bad)
         host.until(host.now + 100)
         for key in host.open_attempts():
             host.end(*key)
-    assert trials == 4 and not host.dispatcher.state.servers.by_id[bad].outlier.trials_left
+    assert trials == 4
+    assert not host.dispatcher.state.servers.by_id[bad].outlier.trials_left
 
 
 def test_panic_when_nearly_all_are_ejected() -> None:
@@ -318,7 +329,8 @@
             host.now = min(host.timers) - early
             host.timers.remove(min(host.timers))
             host.give(TimerFired(0))
-    assert job in host.answered and host.now < host.jobs[job].give_up_at
+    assert job in host.answered
+    assert host.now < host.jobs[job].give_up_at
 
 
 def test_tenant_over_its_share_of_our_jobs_goes_last() -> None:
@@ -330,7 +342,9 @@
     greedy, modest = [host.job(0, tenant=1) for _ in range(3)], host.job(0)
     newest = host.job(0, tenant=1)
     host.end(running[0], 0, Outcome.SERVED, (0.0,))
-    assert modest in host.sent and newest not in host.sent and not set(greedy) & set(host.sent)
+    assert modest in host.sent
+    assert newest not in host.sent
+    assert not set(greedy) & set(host.sent)
 
 
 def test_peers_tell_counts_and_count_as_queue() -> None:
@@ -355,7 +369,8 @@
     host.give(PeerMessage(1, PeerLoad.STAMP.pack(PeerLoad.COUNTS, 1.0) + PeerLoad.PAIR.pack(worker.id, 4)))
     job = host.job(2)
     host.until(host.now + 200)
-    assert job not in host.sent and worker.load.peer_slots == 4  # it may well be alive
+    assert job not in host.sent
+    assert worker.load.peer_slots == 4
     host.until(host.now + 400)
     host.listed(ListKind.CHANGES, ())
     assert worker.load.peer_slots == 0
@@ -386,7 +401,8 @@
     tight, loose = CapacityEstimate(), CapacityEstimate()
     for _ in range(12):
         tight.record_free_slots(1.0)
-    assert tight.slots == 2 and loose.slots == 1
+    assert tight.slots == 2
+    assert loose.slots == 1
     for _ in range(20):
         loose.record_free_slots(2.1)
     assert loose.slots == 3
@@ -458,7 +474,8 @@
     host.until(host.now + 100)
     for job in running[1:]:
         host.end(job, 0, Outcome.SERVED, (4.0,))
-    assert len(host.sent[running[0]]) == 1 and behind in host.sent
+    assert len(host.sent[running[0]]) == 1
+    assert behind in host.sent
 
 
 def test_slots_are_learned_from_starts_and_waits_where_none_are_reported() -> None:
@@ -487,9 +504,11 @@
     warm_up(host)
     job = host.job(0)
     host.end(job, 0, Outcome.REJECTED_BY_SERVER)
-    assert job not in host.answered and host.sent[job][1] != host.sent[job][0]
+    assert job not in host.answered
+    assert host.sent[job][1] != host.sent[job][0]
     host.end(job, 1, Outcome.REJECTED_BY_SERVER)
-    assert host.answered[job] == "failed" and len(host.sent[job]) == 2  # a refusal would have it asked again
+    assert host.answered[job] == "failed"
+    assert len(host.sent[job]) == 2
     assert not any(w.outlier.ejections for w in host.dispatcher.rules.ranking.servers)
     once = host.job(2)
     host.end(once, 0, Outcome.REJECTED_BY_SERVER)
@@ -534,7 +553,8 @@
     host.until(host.now + 200)
     assert len(host.sent[job]) >= 2
     host.end(job, 1, Outcome.SERVED)
-    assert host.answered[job] == "served" and CancelAttempt(job, 0) in host.actions
+    assert host.answered[job] == "served"
+    assert CancelAttempt(job, 0) in host.actions
 
 
 def test_worker_that_stands_still_gets_nothing_that_must_not_repeat() -> None:
@@ -546,7 +566,8 @@
     held = host.job(2)
     assert held not in host.sent
     trial, second = host.job(0), host.job(0)
-    assert trial in host.sent and second not in host.sent  # one at a time tries it
+    assert trial in host.sent
+    assert second not in host.sent
     for job in (trial, second):
         tell(host, job, 0, ProgressKind.STARTED)
     host.until(host.now + 100)
--- a/tests/balancer/test_load_reports.py
+++ b/tests/balancer/test_load_reports.py
@@ -57,7 +57,8 @@
         host = crowd(position, classes=classes)
         host.until(host.now + 600)
         first, second, *_ = [tell.content for tell in told(host)]
-        assert first == PeerLoad.SUMMARY and len(second) == 6 + 2
+        assert first == PeerLoad.SUMMARY
+        assert len(second) == 6 + 2
     host = crowd(2, classes=classes)
     host.until(host.now + 600)
     assert not told(host)
@@ -70,7 +71,8 @@
     other = Host(with_settings(instances=40, gossip=True), workers=6)
     for content in (*sums(other, [8] * 6), b"s", b"s\x00", b"x", b""):
         host.give(PeerMessage(0, content))
-    assert host.job(0) in host.sent and host.job(0) in host.sent
+    assert host.job(0) in host.sent
+    assert host.job(0) in host.sent
     host.give(PeerMessage(0, before[0]))  # a relay behind with its list is understood
     assert host.job(0) not in host.sent
 
@@ -80,7 +82,9 @@
     gap = host.dispatcher.state.derived.summary_interval
     host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
     first, *rest = [tell.content for tell in told(host)]
-    assert first == PeerLoad.SUMMARY and rest and all(len(content) == 6 + 2 for content in rest)
+    assert first == PeerLoad.SUMMARY
+    assert rest
+    assert all(len(content) == 6 + 2 for content in rest)
     host = crowd(2)
     for _ in range(30):
         host.until(host.now + gap)
@@ -162,7 +166,8 @@
             for job in jobs:
                 host.end(job, 0, Outcome.SERVED)
         tried.append(len(senders))
-    assert max(tried) == 1 and sum(tried) >= 18  # but for the two windows of the relays
+    assert max(tried) == 1
+    assert sum(tried) >= 18
 
 
 def test_relay_marks_no_more_than_the_others_can_do_without() -> None:
@@ -218,7 +223,8 @@
         host.give(ClientGone(0))
     tells = [tell.content[PeerLoad.STAMP.size :] for tell in told(host)]
     ids = {worker for pairs in tells for worker, _ in PeerLoad.PAIR.iter_unpack(pairs)}
-    assert len(ids) == COUNTS_IN_MESSAGE + 20 and all(len(tell.content) <= 256 for tell in told(host))
+    assert len(ids) == COUNTS_IN_MESSAGE + 20
+    assert all(len(tell.content) <= 256 for tell in told(host))
 
 
 def test_own_sends_and_ends_since_the_sums_are_known_first() -> None:
@@ -264,6 +270,7 @@
         host.give(PeerMessage(7, count(1, 1, host.now)))
     assert looks == looked  # nothing has freed
     host.give(PeerMessage(0, content))
-    assert looks == looked + 1 and seen == 0
+    assert looks == looked + 1
+    assert seen == 0
     host.give(PeerMessage(0, sums(host, [8] * 199 + [0])[0]))
     assert job in host.sent
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -36,7 +36,5 @@
     figures = world.run()
     assert world.checker.violations == []
     assert figures.service > 0.27
-    assert (
-        sum(lane.request_count for lane in figures.classes) == world.clients.ended_requests
-        and world.clients.open_requests == 0
-    )
+    assert sum(lane.request_count for lane in figures.classes) == world.clients.ended_requests
+    assert world.clients.open_requests == 0
--- a/tests/balancer/test_reservations.py
+++ b/tests/balancer/test_reservations.py
@@ -101,12 +101,15 @@
 def test_a_turn_is_told_once_and_holds_until_it_is_used_or_over() -> None:
     dispatchers = fleet(20)
     tickets, there = next(pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, BORN))
-    assert tickets.turns(BORN) == [there] and tickets.turns(BORN + CHECK_MS) == []
+    assert tickets.turns(BORN) == [there]
+    assert tickets.turns(BORN + CHECK_MS) == []
     assert tickets.may_send(there, USUAL, BORN + CHECK_MS)
     passed = next(at for at in range(int(BORN), int(BORN + WHOLE), 10) if jobs_given(at) >= OPEN_AT_A_TIME)
-    assert tickets.may_send(there, USUAL, passed - 20.0) and not tickets.may_send(there, USUAL, passed + 10.0)
+    assert tickets.may_send(there, USUAL, passed - 20.0)
+    assert not tickets.may_send(there, USUAL, passed + 10.0)
     again = next(at for at in range(int(passed), int(BORN + WHOLE), 10) if tickets.may_send(there, USUAL, at))
-    assert jobs_given(again) >= 20 and tickets.turns(again) == [there]
+    assert jobs_given(again) >= 20
+    assert tickets.turns(again) == [there]
 
 
 def test_a_new_process_has_tickets_of_its_own_and_a_warm_or_draining_one_has_none() -> None:
@@ -117,11 +120,13 @@
     tickets.add_warming(there, USUAL)
     assert tickets.may_send(there, USUAL, BORN + 100.0)
     there.state = ServerState.DRAINING
-    assert tickets.turns(BORN + 100.0) == [] and not tickets.may_send(there, USUAL, BORN + 100.0)
+    assert tickets.turns(BORN + 100.0) == []
+    assert not tickets.may_send(there, USUAL, BORN + 100.0)
     there.state = ServerState.READY
     tickets.add_warming(there, USUAL)
     there.slow_start.work_budget = inf
-    assert tickets.turns(BORN + 200.0) == [] and not tickets.may_send(there, USUAL, BORN + 200.0)
+    assert tickets.turns(BORN + 200.0) == []
+    assert not tickets.may_send(there, USUAL, BORN + 200.0)
 
 
 def test_a_wide_job_takes_as_many_tickets_of_its_sender_and_one_too_wide_none() -> None:
@@ -129,7 +134,8 @@
         return greedy([next(pair for pair in fleet(20) if pair[0].may_send(pair[1], USUAL, BORN))], work)
 
     one, three = sends(USUAL), sends(3 * USUAL)
-    assert three == one[::3] and len(one) > 3
+    assert three == one[::3]
+    assert len(one) > 3
     assert sends(WIDEST_REQUEST * USUAL + 1) == []
 
 
--- a/tests/balancer/test_safety_rules.py
+++ b/tests/balancer/test_safety_rules.py
@@ -53,12 +53,14 @@
     sends = [a for a in actions if isinstance(a, StartAttempt)]
     may_have_run = outcome not in NEVER_RAN
     if lane.effect is Effect.NON_IDEMPOTENT and may_have_run:
-        assert not sends and Fail(job, GiveUpReason.MAY_HAVE_RUN) in actions
+        assert not sends
+        assert Fail(job, GiveUpReason.MAY_HAVE_RUN) in actions
     elif lane.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run and wait > last:
         assert not sends  # and what can never be sent again is not held
         assert host.answered[job] == ("refused" if lane.key_scope is KeyScope.ALL else "failed")
     else:
-        assert len(sends) == 1 and sends[0].server != first.server
+        assert len(sends) == 1
+        assert sends[0].server != first.server
         second = host.entry[sends[0].server]
         if lane.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run:
             assert lane.key_scope is KeyScope.ALL or second.zone == first.zone
--- a/tests/balancer/test_zone_failover.py
+++ b/tests/balancer/test_zone_failover.py
@@ -128,7 +128,8 @@
     assert halls.overview(now)[1]["state"] == "left"
     other = offers.ZoneFailover(one.state, one.rules.exploration, one.rules.rerank)
     other.restore(halls.snapshot())
-    assert other.zones[1].phase is ZonePhase.EXCLUDED and other.zones[1].since == halls.zones[1].since
+    assert other.zones[1].phase is ZonePhase.EXCLUDED
+    assert other.zones[1].since == halls.zones[1].since
     with pytest.raises(ValueError, match="lost"):
         other.restore([[0, "lost", 0.0, 0, 0, 0.0]])
     halls.order(0, ZonePhase.EXCLUDED, now + 1000.0, now)
--- a/tests/balancer/test_zone_state.py
+++ b/tests/balancer/test_zone_state.py
@@ -31,7 +31,8 @@
             return now
         now += 100.0
         hall.step(view, now)
-    raise AssertionError(f"never {phase}")
+    msg = f"never {phase}"
+    raise AssertionError(msg)
 
 
 def test_every_state_that_can_be_reached_has_a_way_back_and_none_skips_a_stage() -> None:
@@ -49,15 +50,21 @@
             failed = 1000.0 + step if view.last_failed_at else 0.0
             hall.step(replace(view, last_failed_at=failed), 1000.0 + step)
             if hall.phase is ZonePhase.EXCLUDED and phase is not ZonePhase.EXCLUDED:
-                assert view.failed_servers >= LEAST_SERVED_PROBES and view.log_ratio > 0
+                assert view.failed_servers >= LEAST_SERVED_PROBES
+                assert view.log_ratio > 0
                 assert phase is ZonePhase.RETURNING or (
                     view.failed_servers >= LEAST_FAILED_SERVERS and view.log_ratio >= FAILED_RATIO and view.may_exclude
                 )
             if phase is ZonePhase.EXCLUDED and hall.phase is not ZonePhase.EXCLUDED:
-                assert hall.phase is ZonePhase.RETURNING and hall.stage == 0
-                assert view.served_servers >= LEAST_SERVED_PROBES and not failed and step >= hall.least_exclusion
+                assert hall.phase is ZonePhase.RETURNING
+                assert hall.stage == 0
+                assert view.served_servers >= LEAST_SERVED_PROBES
+                assert not failed
+                assert step >= hall.least_exclusion
             if hall.phase is ZonePhase.RETURNING and phase is ZonePhase.RETURNING and hall.stage != stage:
-                assert hall.stage == stage + 1 and step >= STAGE_MS and view.served_servers
+                assert hall.stage == stage + 1
+                assert step >= STAGE_MS
+                assert view.served_servers
             if hall.phase is ZonePhase.HEALTHY and phase is ZonePhase.RETURNING:
                 assert stage == len(STAGES) - 1
             after = (hall.phase, hall.stage if hall.phase is ZonePhase.RETURNING else 0, min(hall.relapses, 3))
@@ -85,7 +92,8 @@
         now = until(hall, ZonePhase.RETURNING, SOUND, now)
         waits.append(now - began)
     assert waits == sorted(waits)
-    assert waits[-1] <= LONGEST_EXCLUSION_MS + 200.0 and waits[-1] > 10 * waits[0]
+    assert waits[-1] <= LONGEST_EXCLUSION_MS + 200.0
+    assert waits[-1] > 10 * waits[0]
     now = until(hall, ZonePhase.HEALTHY, SOUND, now)
     hall.step(SOUND, now + RELAPSE_MEMORY_MS + 1)
     assert hall.relapses == 0
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -40,15 +40,18 @@
     for data in sender.pack(parts):
         assert len(data) <= MAX_DATAGRAM_SIZE
         opened = receiver.unpack(data)
-        assert opened is not None and opened[0] == 1
+        assert opened is not None
+        assert opened[0] == 1
         got += opened[1]
-    assert got == parts and not receiver.dropped
+    assert got == parts
+    assert not receiver.dropped
 
 
 @given(st.binary(max_size=300))
 def test_no_bytes_raise(data: bytes) -> None:
     receiver = DatagramCodec(2, {1: b"a" * 32}, 0)
-    assert receiver.unpack(data) is None and receiver.dropped.total() == 1
+    assert receiver.unpack(data) is None
+    assert receiver.dropped.total() == 1
     with suppress(ValueError):
         decode_parts(data)
 
@@ -60,11 +63,13 @@
         broken = bytearray(data)
         broken[place] ^= 1
         assert receiver.unpack(bytes(broken)) is None
-    assert receiver.dropped["forged"] == len(data) - 3 and receiver.dropped["version"] == 1
+    assert receiver.dropped["forged"] == len(data) - 3
+    assert receiver.dropped["version"] == 1
     for length in range(len(data)):
         assert receiver.unpack(data[:length]) is None
     assert receiver.unpack(data) is not None
-    assert receiver.unpack(data) is None and receiver.dropped["replayed"] == 1
+    assert receiver.unpack(data) is None
+    assert receiver.dropped["replayed"] == 1
 
 
 def test_reordered_datagrams_come_in_once_and_old_ones_do_not() -> None:
--- a/tests/cluster/test_lease_states.py
+++ b/tests/cluster/test_lease_states.py
@@ -187,7 +187,8 @@
 def test_no_state_has_two_holders() -> None:
     states, broken = visit(STATES)
     print(f"{states} states visited")
-    assert states >= STATES and not broken
+    assert states >= STATES
+    assert not broken
 
 
 def test_a_vote_granted_twice_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -218,4 +219,5 @@
 
     monkeypatch.setattr(LeaseVote, "decide", bind)
     _, broken = visit(STATES)
-    assert broken and broken[0].endswith("too soon")
+    assert broken
+    assert broken[0].endswith("too soon")
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -130,7 +130,8 @@
                 return found
             await asyncio.sleep(0.05)
         logs = "\n".join(f"{path.name}: {path.read_text()[-1500:]}" for path in self.folder.glob("*.log"))
-        raise AssertionError(f"{told} has not come\n{logs}")
+        msg = f"{told} has not come\n{logs}"
+        raise AssertionError(msg)
 
     def reader(self) -> str | None:
         """Who reads for all, once the others go by what it says."""
@@ -166,7 +167,8 @@
     fleet = asyncio.run(run())
     for name in NAMES:
         text = (folder / f"{name}.log").read_text()
-        assert '"exception"' not in text and "Traceback" not in text, text[-2000:]
+        assert '"exception"' not in text, text[-2000:]
+        assert "Traceback" not in text, text[-2000:]
     return fleet
 
 
@@ -251,7 +253,9 @@
 
     async def steps(fleet: Fleet) -> None:
         await fleet.until(lambda: not old.exists(), "the sweep")
-        assert new.exists() and other.exists() and (shared / "link.plan").is_symlink()
+        assert new.exists()
+        assert other.exists()
+        assert (shared / "link.plan").is_symlink()
 
     more = '[[cluster.duty]]\nname = "sweep"\nevery_s = 1\nlongest_s = 0.9\n'
     more += 'sweep = {folder = "shared", pattern = "*.plan", keep_s = 3600}\n'
@@ -283,7 +287,8 @@
     _, _, faults = gather(path, lambda: None)
     assert len(faults) == 1, faults
     assert faults[0].line == len(head.splitlines()) + line, faults
-    assert faults[0].key.startswith(key) and wrong in str(faults[0])
+    assert faults[0].key.startswith(key)
+    assert wrong in str(faults[0])
 
 
 def test_a_position_past_the_dispatchers_is_told(tmp_path: Path) -> None:
--- a/tests/cluster/test_replicated_tables.py
+++ b/tests/cluster/test_replicated_tables.py
@@ -121,7 +121,8 @@
         assert min(ages) > 1000, f"seed {seed}: nobody publishes, and the sheet is taken for fresh"
         net.run(4000)
         successor = net.owner(TOPIC)
-        assert successor is not None and successor != owner
+        assert successor is not None
+        assert successor != owner
         assert net.publish(successor, TOPIC, {b"h1": b"new"})
         net.run(2500)
         assert not behind(net, {**rows, b"h1": b"new"})
@@ -132,7 +133,9 @@
     net.pause(owner, 9000)
     net.run(7000)
     successor = net.owner(TOPIC)
-    assert successor is not None and successor != owner and net.publish(successor, TOPIC, {b"h1": b"new"})
+    assert successor is not None
+    assert successor != owner
+    assert net.publish(successor, TOPIC, {b"h1": b"new"})
     net.run(2500)  # the one before is back, with a lease that has run out
     assert not net.publish(owner, TOPIC, {b"h1": b"old"})
     net.run(2500)
@@ -153,7 +156,8 @@
     net.cut.clear()
     net.run(9000)
     sides = {process.tables[TOPIC][b"side"] for process in net.processes.values()}
-    assert len(net.owners(TOPIC)) == 1 and len(sides) == 1
+    assert len(net.owners(TOPIC)) == 1
+    assert len(sides) == 1
 
 
 def test_a_late_joiner_gets_the_complete_table() -> None:
--- a/tests/cluster/test_server_view.py
+++ b/tests/cluster/test_server_view.py
@@ -27,7 +27,8 @@
     view.apply_shared_update(6, servers("a"), [])
     view.apply_shared_update(7, servers("b"), [])
     assert view.select_source(own=False) is not None or view.source is ListSource.SHARED
-    assert view.source is ListSource.SHARED and not view.watching
+    assert view.source is ListSource.SHARED
+    assert not view.watching
 
 
 def test_a_change_of_source_reports_only_differences() -> None:
@@ -45,7 +46,8 @@
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a"))
     assert view.apply_own_update(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
-    assert states(view) == {"a": READY} and not view.watching
+    assert states(view) == {"a": READY}
+    assert not view.watching
 
 
 def test_a_newer_shared_list_only_takes_servers_away() -> None:
@@ -76,9 +78,11 @@
     view.apply_health_results("probe-1", ["a", "b"], [])
     assert sum(state is DRAINING for state in states(view).values()) == 2
     view.apply_health_results("probe-1", ["c"], [])
-    assert view.panic and set(states(view).values()) == {READY}
+    assert view.panic
+    assert set(states(view).values()) == {READY}
     view.apply_health_results("probe-1", [], ["c"])
-    assert not view.panic and states(view)["a"] is DRAINING
+    assert not view.panic
+    assert states(view)["a"] is DRAINING
     assert view.withdraw("probe-1") == servers("a", "b")
 
 
@@ -142,12 +146,15 @@
     schedule = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
     schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
     first = schedule.start_due(1000.0)
-    assert len(first) == 4 and not schedule.start_due(1000.0) and schedule.next_wake() == float("inf")
+    assert len(first) == 4
+    assert not schedule.start_due(1000.0)
+    assert schedule.next_wake() == float("inf")
     schedule.use({"h0": "127.0.0.1:9000"}, [], 1000.0)
     assert schedule.in_flight == sum(name == "h0" for name, _ in first)
     assert all(schedule.ended(name, address, False) is None for name, address in first if name != "h0")
     schedule.use({"h0": "127.0.0.1:9999"}, ["h0"], 1000.0)
-    assert not schedule.servers["h0"].down and schedule.in_flight == 0  # another process at another address
+    assert not schedule.servers["h0"].down
+    assert schedule.in_flight == 0
 
 
 def test_a_new_shard_owner_starts_with_the_servers_that_are_down() -> None:
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -143,8 +143,10 @@
 def test_four_dispatchers_and_a_lossy_network(tmp_path: Path, kills: int) -> None:
     """Risk: what holds in virtual time does not on sockets: addresses, timers, real clocks, kill -9."""
     took, runs, codes, logs = asyncio.run(_play(tmp_path, kills))
-    assert len(took) == kills and codes == [0] * 4
-    assert '"exception"' not in logs and "Traceback" not in logs
+    assert len(took) == kills
+    assert codes == [0] * 4
+    assert '"exception"' not in logs
+    assert "Traceback" not in logs
     for duty, fences in runs.items():
         assert len(fences) > 10, duty
         numbers = [int(fence.split(".")[0]) for fence in fences]
--- a/tests/cluster/test_virtual_network.py
+++ b/tests/cluster/test_virtual_network.py
@@ -109,7 +109,8 @@
     assert owner is not None
     net.leave(owner)
     net.run(600)
-    assert net.owner(lease) not in (None, owner) and net.longest_idle < 300
+    assert net.owner(lease) not in (None, owner)
+    assert net.longest_idle < 300
     net.run(1500)
     assert net.processes[owner].node.left
     others = [process.node.membership.members[owner].health for name, process in net.processes.items() if name != owner]
@@ -175,7 +176,8 @@
         net.run(15_000)
         for lease in net.leases:
             owners = net.owners(lease)
-            assert len(owners) == 2 and len({"ab".find(owner) >= 0 for owner in owners}) == 2, f"seed {seed}"
+            assert len(owners) == 2, f"seed {seed}"
+            assert len({"ab".find(owner) >= 0 for owner in owners}) == 2, f"seed {seed}"
         net.cut.clear()
         net.run(6000)
         net.overlap, net.since = 0.0, {}
@@ -223,4 +225,5 @@
             net.run(4000 + 100 * turn)
         events = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
         gained = [action.token for action in events if action.lease == net.leases[0]]
-        assert len(gained) >= 4 and gained == sorted(gained)
+        assert len(gained) >= 4
+        assert gained == sorted(gained)
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -349,7 +349,8 @@
         for descriptor in descriptors:
             os.close(descriptor)
         return Packet(data.decode(), len(descriptors))
-    raise TimeoutError("no packet came")
+    msg = "no packet came"
+    raise TimeoutError(msg)
 
 
 async def restart_packets(folder: Path) -> list[Packet]:
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -202,7 +202,8 @@
         if condition():
             return
         await asyncio.sleep(0.01)
-    raise TimeoutError("the present code did not take up what it was told")
+    msg = "the present code did not take up what it was told"
+    raise TimeoutError(msg)
 
 
 def hands_on(process: Process) -> Any:
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -72,7 +72,8 @@
     data, line, says = RAW[name]
     path = tmp_path / "x.toml"
     faults = told(path, data)
-    assert len(faults) == 1 and says in faults[0]
+    assert len(faults) == 1
+    assert says in faults[0]
     assert faults[0].startswith(f"{path}:{line}: " if line else f"{path}: ")
 
 
@@ -85,7 +86,8 @@
     """Each rule has a text of its own, so that none hides behind another."""
     from heronlug.config.limits import rules
 
-    assert {rule.__name__ for rule in rules.RULES} == COVERED and len(rules.RULES) == len(COVERED)
+    assert {rule.__name__ for rule in rules.RULES} == COVERED
+    assert len(rules.RULES) == len(COVERED)
     assert len({wrong.says for wrong in RULES}) >= len(COVERED)
 
 
@@ -187,12 +189,14 @@
     path.write_text(GOOD)
     run = CliRunner().invoke
     done = run(group, ["check", str(path)], standalone_mode=False)
-    assert done.return_value == 0 and done.output.endswith("x.toml: good\n")
+    assert done.return_value == 0
+    assert done.output.endswith("x.toml: good\n")
     assert "note: class.invite.attempts: further ones are made only when all before provably never ran" in done.output
     path.write_text(put(RULES[0]))
     done = run(group, ["check", str(path), "--json"], standalone_mode=False)
     answer = json.loads(done.output)
-    assert done.return_value == 1 and not answer["ok"]
+    assert done.return_value == 1
+    assert not answer["ok"]
     assert [(fault["line"], fault["key"]) for fault in answer["faults"]] == [(38, "class.rsvp.attempts")]
     path.write_text(GOOD)
     rows = json.loads(run(group, ["limits", "show", str(path), "--json"], standalone_mode=False).output)
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -144,13 +144,16 @@
     quick = [sent for sent in answers if sent.txn.startswith("quick")]
     silent = [sent for sent in answers if not sent.txn.startswith("quick")]
     assert {sent.status for sent in quick} == {200}
-    assert {sent.status for sent in silent} == {503} and len(silent) >= 5
+    assert {sent.status for sent in silent} == {503}
+    assert len(silent) >= 5
     tried = {sent.txn: sum(host.begun[sent.txn] for host in load.hosts) for sent in silent}
     for sent in silent:
         assert tried[sent.txn] in {SETS[name][0] for name in sent.sets}, (sent, tried[sent.txn])
     assert len({tried[sent.txn] for sent in silent}) == 3  # under three sets, and each kept to
     log = load.log.read_text()
-    assert log.count('"reloaded"') == len(ORDER) - 1 and "reload_failed" not in log and "overdue" not in log
+    assert log.count('"reloaded"') == len(ORDER) - 1
+    assert "reload_failed" not in log
+    assert "overdue" not in log
     assert max(sum(host.begun[sent.txn] for host in load.hosts) for sent in quick) == 1
 
 
@@ -180,4 +183,5 @@
     """Risk: jobs of the class that run are lost, or the numbers of the classes after it shift under their jobs."""
     statuses, log = asyncio.run(_class_removed(tmp_path))
     assert statuses == [200, 500, 200]
-    assert '"needs_restart":["settings"]' in log and "exception" not in log
+    assert '"needs_restart":["settings"]' in log
+    assert "exception" not in log
--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -136,7 +136,8 @@
     host.until(host.now + 299)
     assert host.open_attempts() == [(job, 0)]
     host.until(host.now + 2)
-    assert host.outcome[job, 0] == Outcome.CANCELLED and len(host.sent[job]) == 2
+    assert host.outcome[job, 0] == Outcome.CANCELLED
+    assert len(host.sent[job]) == 2
     host.end(job, 1)
     assert host.answered[job] == "served"
 
@@ -145,7 +146,8 @@
     host = Limited(site(attempt_timeout=300.0, retry_after_timeout=False, hedge=False))
     job = host.job(0)
     host.until(host.now + 301)
-    assert host.answered[job] == "refused" and len(host.sent[job]) == 1  # harmless: the class is repeatable
+    assert host.answered[job] == "refused"
+    assert len(host.sent[job]) == 1
 
 
 def test_a_timeout_of_what_must_not_repeat_is_its_failure() -> None:
@@ -153,7 +155,8 @@
     host = Limited(site(ONCE, attempt_timeout=300.0, max_attempts=4))
     job = host.job(2)
     host.until(host.now + 301)
-    assert host.answered[job] == "failed" and len(host.sent[job]) == 1
+    assert host.answered[job] == "failed"
+    assert len(host.sent[job]) == 1
 
 
 def test_what_never_ran_is_tried_again_under_its_waits() -> None:
@@ -201,7 +204,8 @@
     first = host.job(0)
     second = host.job(0, policy=strict)
     host.end(second, 0, Outcome.ERROR)
-    assert host.answered[second] == "refused" and len(host.sent[second]) == 1
+    assert host.answered[second] == "refused"
+    assert len(host.sent[second]) == 1
     host.dispatcher.settings = replace(host.settings, classes=(strict, KEYED, ONCE))
     host.end(first, 0, Outcome.ERROR)
     assert len(host.sent[first]) == 2
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -46,11 +46,13 @@
     for number, line in enumerate(text.splitlines(), 1):
         fields = [field.strip() for field in line.split(" | ")]
         if line.strip() and (len(fields) != 3 or not all(fields)):
-            raise pytest.UsageError(f"KNOWN-RED.txt:{number}: not 'test | cause | issue'")
+            msg = f"KNOWN-RED.txt:{number}: not 'test | cause | issue'"
+            raise pytest.UsageError(msg)
         if line.strip():
             found.append(KnownRed(*fields))
     if len(found) > MOST_KNOWN:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(found)} tests, more than {MOST_KNOWN}")
+        msg = f"KNOWN-RED.txt: {len(found)} tests, more than {MOST_KNOWN}"
+        raise pytest.UsageError(msg)
     return found
 
 
@@ -70,7 +72,8 @@
     files = {test.partition("::")[0] for test in found}
     collected = {test for test in known if test.partition("::")[0] in files or not _exists(test)}
     if missing := collected - found:
-        raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(sorted(missing))}")
+        msg = f"KNOWN-RED.txt names no test: {', '.join(sorted(missing))}"
+        raise pytest.UsageError(msg)
     for item in items:
         if (line := known.get(item.nodeid)) is not None:
             item.add_marker(pytest.mark.xfail(reason=f"known red, {line.issue}: {line.cause}", strict=False))
--- a/tests/discovery/test_cache.py
+++ b/tests/discovery/test_cache.py
@@ -19,7 +19,8 @@
 
 def test_written_cache_is_read() -> None:
     cached = read(DATA, "10.0.0.1:8500", 1_000_500.0, 1000.0)
-    assert cached.table == TABLE and cached.written_at == 1_000_000.0
+    assert cached.table == TABLE
+    assert cached.written_at == 1_000_000.0
 
 
 @pytest.mark.parametrize(
@@ -88,7 +89,8 @@
             return CacheFile(str(path), 1e9, lambda: "r", lambda: TABLE, deadlines, log)
 
         good = cache_file(tmp_path / "list")
-        assert good.load() is None and not logged  # there is none yet
+        assert good.load() is None
+        assert not logged
         good.on_change()
         await good.close()
         assert good.load() == TABLE
--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -127,6 +127,7 @@
 def test_retry_pause_fits_into_the_grace() -> None:
     for grace in (300.0, 1_200.0, 2_500.0):
         pause = Freshness(True, 10_000, grace).retry_pause
-        assert pause is not None and pause <= grace / 3
+        assert pause is not None
+        assert pause <= grace / 3
     assert Freshness(False, 10_000, GRACE).retry_pause is None
     assert Freshness(True, 10_000, 0.0).retry_pause == 50.0
--- a/tests/discovery/test_poll_pacing.py
+++ b/tests/discovery/test_poll_pacing.py
@@ -51,7 +51,8 @@
     while heap and len(done) < many:
         now, _, number = heapq.heappop(heap)
         if now > 3_600_000:
-            raise AssertionError("somebody starves")
+            msg = "somebody starves"
+            raise AssertionError(msg)
         if number in failed_at:
             gaps.append(now - failed_at.pop(number))
         if now < down_until:
@@ -131,7 +132,8 @@
 
 def test_after_an_outage_everybody_comes_once() -> None:
     played = play(200, 20.0, listed=True, down_until=30_000.0, starts=2000.0)
-    assert len(played.calls) <= 1.15 * 200 and played.turned <= 10
+    assert len(played.calls) <= 1.15 * 200
+    assert played.turned <= 10
 
 
 def test_the_register_says_when_to_come_again() -> None:
--- a/tests/discovery/test_reader_election.py
+++ b/tests/discovery/test_reader_election.py
@@ -179,7 +179,8 @@
     assert not cluster.members_without_list()
     cluster.partitions = {}
     cluster.run(8000)
-    assert sum(m.watching for m in cluster.up()) == 1 and not cluster.members_without_list()
+    assert sum(m.watching for m in cluster.up()) == 1
+    assert not cluster.members_without_list()
 
 
 def test_paused_reader_is_replaced_and_yields_when_it_resumes() -> None:
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -107,7 +107,8 @@
         return self.settings.classes[self.jobs[job].request_class]
 
     def _check_send(self, send: StartAttempt) -> None:
-        assert send.request in self.jobs and send.request not in self.answered, "send after the end"
+        assert send.request in self.jobs, "send after the end"
+        assert send.request not in self.answered, "send after the end"
         assert self.now < self.jobs[send.request].give_up_at
         assert send.server not in self.told_off, "send to a worker told draining or gone"
         assert send.server in self.entry
--- a/tests/emulator/test_checker.py
+++ b/tests/emulator/test_checker.py
@@ -74,5 +74,6 @@
 )
 def test_each_way_to_break_a_rule_is_found(events: list[Event], rule: int, what: str) -> None:
     violations = found(*events)
-    assert [each for each, _ in violations] == [rule] * len(violations) and violations
+    assert [each for each, _ in violations] == [rule] * len(violations)
+    assert violations
     assert what in violations[0][1]
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -49,7 +49,8 @@
     file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     name, jobs = experiment.read(file)[0].name, experiment.read(file)[1]
-    assert len(jobs) == 16 and len({job.key for job in jobs}) == 16
+    assert len(jobs) == 16
+    assert len({job.key for job in jobs}) == 16
     store = file.with_suffix(".sqlite")
     with Store(store) as kept:
         done = []
@@ -73,14 +74,17 @@
         assert fresh.figures == pytest.approx(again.figures, nan_ok=True)
     assert call("experiment", "compare", store, "policy=heronlug", "policy=random", "--figure", "service") == 0
     out = capsys.readouterr().out
-    assert "service" in out and " 8 " in out  # pairs: four seeds, two numbers of dispatchers
+    assert "service" in out
+    assert " 8 " in out
     assert call("experiment", "report", store) == 0
     text = store.with_suffix(".html").read_text()
     assert text.count("<svg") == 2 + 3
-    assert 'src="' not in text and 'href="http' not in text  # nothing from outside
+    assert 'src="' not in text
+    assert 'href="http' not in text
     closing = Balanced()
     closing.feed(text.split("<svg")[0])
-    assert "crash" in text and "dispatchers.count 1, policy random" in text
+    assert "crash" in text
+    assert "dispatchers.count 1, policy random" in text
 
 
 class Balanced(HTMLParser):
@@ -168,11 +172,15 @@
     better = [kept("b", n, level + 0.01 + rng.normal(0, 0.004)) for n, level in enumerate(levels)]
     alike = [kept("c", n, level + rng.normal(0, 0.02)) for n, level in enumerate(levels)]
     (one,) = compare.compare(compare.pairs([*runs, *better], {"policy": "a"}, {"policy": "b"}))
-    assert not one.noise and one.low > 0 and one.change == pytest.approx(0.01, abs=0.003) and one.pairs == 20
+    assert not one.noise
+    assert one.low > 0
+    assert one.change == pytest.approx(0.01, abs=0.003)
+    assert one.pairs == 20
     (other,) = compare.compare(compare.pairs([*runs, *alike], {"policy": "a"}, {"policy": "c"}))
     assert other.noise
     (same,) = compare.compare(compare.pairs([*runs, *runs], {"policy": "a"}, {"policy": "a"}))
-    assert same.noise and same.change == 0
+    assert same.noise
+    assert same.change == 0
 
 
 def test_intervals_hold_as_often_as_they_say() -> None:
@@ -211,7 +219,9 @@
 def test_distributions_are_fitted_and_the_right_one_is_first() -> None:
     rng = stream(3, "fit")
     best = fit(rng.lognormal(5.0, 0.7, 4000))[0]
-    assert best.name == "lognorm" and best.params["s"] == pytest.approx(0.7, rel=0.05) and best.ks < 0.03
+    assert best.name == "lognorm"
+    assert best.params["s"] == pytest.approx(0.7, rel=0.05)
+    assert best.ks < 0.03
     assert fit(rng.gamma(3.0, 40.0, 4000))[0].name == "gamma"
     with pytest.raises(ValueError, match="above 0"):
         fit(np.zeros(100))
--- a/tests/emulator/test_maths.py
+++ b/tests/emulator/test_maths.py
@@ -37,7 +37,8 @@
 
     arrive(JOBS)
     line.run(1e12)
-    assert len(found) == JOBS + 1 and host.occupied_slots == 0
+    assert len(found) == JOBS + 1
+    assert host.occupied_slots == 0
     return np.array(found[JOBS // 10 :])
 
 
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -37,7 +37,8 @@
 @pytest.mark.parametrize("policy", ["heronlug", *POLICIES])
 def test_the_same_seed_is_the_same_run(policy: str) -> None:
     one, other = (World(scenario(fault_tables("crash"), span_s=7, policy=policy), 4).run() for _ in range(2))
-    assert same(one, other) and one.classes[0].request_count > 600
+    assert same(one, other)
+    assert one.classes[0].request_count > 600
     assert not same(one, World(scenario(fault_tables("crash"), span_s=7, policy=policy), 5).run())
 
 
@@ -60,12 +61,11 @@
     assert world.checker.violations == []
     assert figures.service > 0.6
     ended = sum(each.request_count for each in figures.classes)
-    assert ended == world.clients.ended_requests and world.clients.open_requests == 0  # every request has ended
+    assert ended == world.clients.ended_requests
+    assert world.clients.open_requests == 0
     if name == "crash":
-        assert (
-            sum(server.overload_crashes for server in figures.servers) == 0
-            and min(server.mean_load for server in figures.servers) < 0.5
-        )
+        assert sum(server.overload_crashes for server in figures.servers) == 0
+        assert min(server.mean_load for server in figures.servers) < 0.5
     if name == "deploy":
         assert sum("+" in server.name for server in figures.servers) == 13
         assert max(server.warmup_peak_load for server in figures.servers) > 0
@@ -133,7 +133,8 @@
         scenario(fault_tables(fault)), 2, decision_module=decision_module_of(policy), checks_before_write=False
     )
     figures = world.run()
-    assert figures.violations.get(rule, 0) > 0 and set(figures.violations) <= {rule, 4}  # none of them minds the cold
+    assert figures.violations.get(rule, 0) > 0
+    assert set(figures.violations) <= {rule, 4}
     first = next(each for each in world.checker.violations if each.rule == rule)
     assert all(any(isinstance(event, kind) for event in first.trail) for kind in kinds)
 
--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -184,7 +184,8 @@
         if true():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError(f"never: {what}")
+    msg = f"never: {what}"
+    raise AssertionError(msg)
 
 
 class DispatcherHarness:
@@ -310,7 +311,7 @@
             await standin.listen()
         folder = os.environ.pop("TMPDIR", None)
         try:
-            with mock.patch("heronlug.lifecycle.deadline_loop.Clock", lambda: self.clock):
+            with mock.patch("heronlug.lifecycle.deadline_loop.Clock", return_value=self.clock):
                 self.application = Application(self.load()[0], cast(Files, self), cast(Log, self))
         finally:
             if folder is not None:
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -40,7 +40,8 @@
                 if request := end.take_request():
                     end.send(done(request_id_of(request)))
         await harness.settle()
-    assert all(map(served, clients)) and all(server.connections for server in harness.servers.values())
+    assert all(map(served, clients))
+    assert all(server.connections for server in harness.servers.values())
 
 
 def nothing_sent(harness: DispatcherHarness) -> bool:
@@ -76,14 +77,16 @@
             client.send(request_bytes("t1", "safe", 4000))
             await harness.settle()
             queued = len(harness.application.core.requests) - len(running)
-            assert queued >= 1 and not harness.servers["h1"].requests
+            assert queued >= 1
+            assert not harness.servers["h1"].requests
             for end, request_id in running:
                 end.send_now(done(request_id))  # first in the queue of what is to be read
             client.leave(ending)
             harness.stall(LONG)
             await harness.settle()
             received = b"".join(end.received for end in harness.servers["h1"].connections)
-            assert received.count(b"POST ") == queued - 1 and b"x-txn: t1\r" not in received
+            assert received.count(b"POST ") == queued - 1
+            assert b"x-txn: t1\r" not in received
 
     run_async(test)
 
@@ -174,7 +177,8 @@
             harness.application.backend.on_connected = late  # type: ignore[method-assign]
             await harness.settle()
             harness.application.backend.on_connected = on_connected  # type: ignore[method-assign]
-            assert harness.application.backend.dials == 1 and nothing_sent(harness)
+            assert harness.application.backend.dials == 1
+            assert nothing_sent(harness)
             assert await expect_still_serving(harness)
 
     run_async(test)
@@ -190,12 +194,14 @@
             client.send(request_bytes("t1", "once", 4000))
             await harness.settle()
             [end] = harness.servers["h1"].connections
-            assert end.received and not end.take_request()
+            assert end.received
+            assert not end.take_request()
             client.leave(ending)
             harness.stall(LONG)
             harness.application.turn()
             await harness.settle()
-            assert not end.take_request() and not len(harness.application.core.requests)
+            assert not end.take_request()
+            assert not len(harness.application.core.requests)
 
     run_async(test)
 
--- a/tests/end_to_end/test_closed_connections.py
+++ b/tests/end_to_end/test_closed_connections.py
@@ -66,9 +66,9 @@
             end.send(done("t2", "t2-ok"))
             await harness.settle()
             received = client.received()
-            assert (
-                received.count(b"-ok") == 2 and received.count(b"Connection: close") == 1 and client.received() == b""
-            )
+            assert received.count(b"-ok") == 2
+            assert received.count(b"Connection: close") == 1
+            assert client.received() == b""
 
     run_async(test)
 
--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -126,7 +126,8 @@
     harness = DispatcherHarness(1)
     with pytest.raises(ConfigError) as error:
         parse({**harness.raw, "settings": {**harness.raw["settings"], **wrong}}, "config.json")
-    assert "config.json: settings: " in str(error.value) and reported in str(error.value)
+    assert "config.json: settings: " in str(error.value)
+    assert reported in str(error.value)
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -142,7 +143,8 @@
             end, _ = await harness.servers["h1"].request()
             end.send(done("t1"))
             await harness.settle()
-            assert served(client) and not harness.other_discovery.connections
+            assert served(client)
+            assert not harness.other_discovery.connections
 
     run_async(test)
 
--- a/tests/end_to_end/test_faktory.py
+++ b/tests/end_to_end/test_faktory.py
@@ -78,7 +78,8 @@
             gone.leave(ending)
             assert (await producer.reported()).endswith(b"+OK\r\n")
             other, received = await next_worker(address, harness)
-            assert b"job-00001" in received and not harness.logged("job_reset")
+            assert b"job-00001" in received
+            assert not harness.logged("job_reset")
             other.send(b'ACK {"jid":"job-00001"}\r\n')
             assert (await other.reported()).endswith(b"+OK\r\n")
             assert [progress_chunk["final"] for progress_chunk in harness.logged("job_answered")] == ["served"]
@@ -106,6 +107,7 @@
                 producer.send(push_command("job-00002"))
                 await harness.settle()
             _, received = await next_worker(address, harness)
-            assert b"job-00002" in received and not harness.logged("job_reset")
+            assert b"job-00002" in received
+            assert not harness.logged("job_reset")
 
     run_async(test)
--- a/tests/end_to_end/test_graceful_shutdown.py
+++ b/tests/end_to_end/test_graceful_shutdown.py
@@ -68,7 +68,8 @@
                 end, request = await harness.servers["h1"].request()
                 end.send(done("t1" if b"x-txn: t1\r" in request else "t2"))
                 await harness.settle()
-            assert served(half) and served(rests)
+            assert served(half)
+            assert served(rests)
 
     run_async(test)
 
@@ -94,7 +95,8 @@
             begun = harness.clock.at
             os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
             await harness.pass_time(kill - 200)
-            assert hangs.received.startswith(REFUSED) and b"Connection: close" in hangs.received
+            assert hangs.received.startswith(REFUSED)
+            assert b"Connection: close" in hangs.received
             late.send(request_bytes("t2", "safe", 60_000))
             await harness.settle()
             assert late.received.startswith((REFUSED, FAILED)) or late.ended
@@ -102,7 +104,8 @@
             late.close()
             await harness.settle()
             await harness.pass_time(100)
-            assert harness.ended and harness.clock.at - begun < kill
+            assert harness.ended
+            assert harness.clock.at - begun < kill
 
     run_async(test)
 
@@ -126,7 +129,8 @@
                 await harness.settle()
                 if received.endswith(b"x") and len(received) > len(result):
                     break
-            assert received.startswith(b"HTTP/1.1 200 ") and received.endswith(result.encode())
+            assert received.startswith(b"HTTP/1.1 200 ")
+            assert received.endswith(result.encode())
 
     run_async(test)
 
--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -70,11 +70,11 @@
         async with overloaded_harness().open() as harness:
             client, _ = await queue_third_request(harness)
             await harness.pass_time(300 - RUN / 2)
-            assert not client.received and not await received_requests(harness)
+            assert not client.received
+            assert not await received_requests(harness)
             await harness.pass_time(RUN)
-            assert (
-                client.received.startswith(b"HTTP/1.1 503 ") and b"retry-after" in client.received.lower()
-            ), client.received
+            assert client.received.startswith(b"HTTP/1.1 503 "), client.received
+            assert b"retry-after" in client.received.lower(), client.received
             await harness.pass_time(5000)
             assert not await received_requests(harness)
 
--- a/tests/end_to_end/test_servers.py
+++ b/tests/end_to_end/test_servers.py
@@ -64,7 +64,8 @@
             again, _ = await server.request()
             again.send(done("t1"))
             await harness.settle()
-            assert again is not end and served(client)
+            assert again is not end
+            assert served(client)
 
     run_async(test)
 
@@ -111,7 +112,8 @@
             end, _ = await server.request()
             end.send(done("t2"))
             await harness.settle()
-            assert end is not warm and served(client)
+            assert end is not warm
+            assert served(client)
 
     run_async(test)
 
@@ -150,7 +152,8 @@
                 if more and not end.ended:
                     end.send(more)
                 await harness.pass_time(100)
-            assert end.ended and len(harness.application.backend.connections) == 0
+            assert end.ended
+            assert len(harness.application.backend.connections) == 0
 
     run_async(test)
 
@@ -168,9 +171,11 @@
                 if not end.ended:
                     end.send(progress_chunk("t1", "running"))
                 await harness.pass_time(100)
-            assert client.received.startswith(FAILED) and end.ended
+            assert client.received.startswith(FAILED)
+            assert end.ended
             assert not any(server.requests for server in harness.servers.values())
-            assert not len(harness.application.core.requests) and not len(harness.application.core.attempts)
+            assert not len(harness.application.core.requests)
+            assert not len(harness.application.core.attempts)
 
     run_async(test)
 
@@ -190,7 +195,8 @@
             again, _ = await server.request()
             again.send(done("t2"))
             await harness.settle()
-            assert again is not warm and served(client)
+            assert again is not warm
+            assert served(client)
 
     run_async(test)
 
@@ -204,13 +210,16 @@
             server, warm = await serve_one(harness, "t1", "once")
             client, _, end = await send_first(harness, "t2", "once")
             await harness.pass_time(HOLD_BACK_MS)
-            assert end is warm and end.take_request()
+            assert end is warm
+            assert end.take_request()
             both = done("t1", "stale") + done("t2")
             for part in (both[:cut], both[cut:]):
                 end.send(part)
                 await harness.settle()
-            assert served(client) and b"stale" not in client.received
-            assert (await serve_one(harness, "t3"))[1] is warm and not server.requests
+            assert served(client)
+            assert b"stale" not in client.received
+            assert (await serve_one(harness, "t3"))[1] is warm
+            assert not server.requests
 
     run_async(test)
 
@@ -230,7 +239,8 @@
             end.reset()
             await harness.settle()
             await harness.pass_time(1_000)
-            assert client.received.startswith(FAILED) and not server.requests
+            assert client.received.startswith(FAILED)
+            assert not server.requests
 
     run_async(test)
 
@@ -255,13 +265,15 @@
             ].outlier.trials_left = 0  # not avoided for it
             following, server, other = await send_first(harness, "t2", class_name)
             await harness.pass_time(HOLD_BACK_MS)
-            assert other is not end and other.take_request()
+            assert other is not end
+            assert other.take_request()
             if not end.ended:
                 end.send(answer)
             await harness.settle()
             other.send(done("t2"))
             await harness.settle()
-            assert served(following) and not server.requests
+            assert served(following)
+            assert not server.requests
 
     run_async(test)
 
@@ -293,7 +305,8 @@
             end, _ = await harness.servers["h2"].request()
             end.send(done("t1"))
             await harness.settle()
-            assert served(client) and not before.requests
+            assert served(client)
+            assert not before.requests
 
     run_async(test)
 
@@ -359,7 +372,8 @@
                 await harness.pass_time(310)
                 assert harness.servers["h1"].connections[0].ended
                 await harness.pass_time(900)
-            assert client.received.startswith(REFUSED) and not harness.servers["h1"].requests
+            assert client.received.startswith(REFUSED)
+            assert not harness.servers["h1"].requests
             for connection in late:
                 harness.application.backend.on_connected(connection)
             await harness.settle()
@@ -389,7 +403,8 @@
                 await harness.pass_time(510)
                 [other] = [each for each in harness.servers.values() if each is not server]
                 again, _ = await other.request()
-                assert again.ended is False and ended == [True]
+                assert again.ended is False
+                assert ended == [True]
                 again.send(done("t1"))
                 await harness.settle()
                 assert served(client)
@@ -409,10 +424,13 @@
             [other] = [each for each in harness.servers.values() if each is not server]
             refused = await harness.post("t2", "safe", 300)
             await harness.pass_time(400)
-            assert refused.received.startswith(REFUSED) and harness.logged("too_many_connections") and not end.ended
+            assert refused.received.startswith(REFUSED)
+            assert harness.logged("too_many_connections")
+            assert not end.ended
             end.send(done("t1"))
             await harness.settle()
-            assert served(running) and not end.ended
+            assert served(running)
+            assert not end.ended
             server.sock.close()
             harness.application.core.update_servers(
                 ListKind.CHANGES,
@@ -428,7 +446,8 @@
             end, _ = await other.request()
             end.send(done("t3"))
             await harness.settle()
-            assert served(following) and len(harness.application.backend.connections) == 1
+            assert served(following)
+            assert len(harness.application.backend.connections) == 1
 
     run_async(test)
 
@@ -445,9 +464,11 @@
             await harness.pass_time(3_440)
             assert not client.received
             await harness.pass_time(20)
-            assert client.received.startswith(FAILED) and b"Connection: close" in client.received
+            assert client.received.startswith(FAILED)
+            assert b"Connection: close" in client.received
             client.close()
             await harness.pass_time(100)
-            assert harness.ended and not any(server.requests for server in harness.servers.values())
+            assert harness.ended
+            assert not any(server.requests for server in harness.servers.values())
 
     run_async(test)
--- a/tests/end_to_end/test_signals_at_start.py
+++ b/tests/end_to_end/test_signals_at_start.py
@@ -35,7 +35,8 @@
                 (progress_chunk for progress_chunk in map(json.loads, lines) if progress_chunk["event"] == "reloaded"),
                 None,
             )
-            assert reloaded is not None and reloaded["discovery"] == moved
+            assert reloaded is not None
+            assert reloaded["discovery"] == moved
             process.send_signal(signal.SIGTERM)
             process.stdout.read()
             assert process.wait(TIMEOUT_S) == 0
--- a/tests/end_to_end/test_stale_list.py
+++ b/tests/end_to_end/test_stale_list.py
@@ -69,7 +69,8 @@
             if there + waiting >= len(self.clients):
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"never: each request placed or waiting: {there} placed, {waiting} wait")
+        msg = f"never: each request placed or waiting: {there} placed, {waiting} wait"
+        raise AssertionError(msg)
 
     async def served(self, names: tuple[str, ...]) -> None:
         """All requests come to these servers, and are answered."""
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -46,7 +46,8 @@
             await expect_sent(harness, "t1", "h1")
             await harness.until_time(20_600)
             second, call = await harness.discovery.request()
-            assert second is not first and first.ended  # the silent connection is given up
+            assert second is not first
+            assert first.ended
             assert b"?after=3&wait_ms=0 " in call  # asked at once for what was missed, with no pause
             await harness.until_time(22_000 + GRACE - 200)
             await expect_sent(harness, "t2", "h1")  # the rule allows it up to here
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -153,7 +153,8 @@
             try:
                 chunk = sock.recv(65536)
             except TimeoutError:
-                raise AssertionError(f"only {received!r} came") from None
+                msg = f"only {received!r} came"
+                raise AssertionError(msg) from None
             assert chunk, f"the program closed after {received!r}"
             received += chunk
         compared = _without_variable_parts(received)
@@ -324,7 +325,8 @@
         }
         step = steps.get(name) or endings.get(rest.strip())
         if step is None:
-            raise AssertionError("no such step")
+            msg = "no such step"
+            raise AssertionError(msg)
         step()
 
     def _dial(self, prefix: str, count: str) -> None:
@@ -481,7 +483,8 @@
                     return
             except OSError as error:
                 if time.monotonic() > end or self.program.poll() is not None:
-                    raise AssertionError(f"not ready, status {self.program.poll()}: {error}\n{self.logged()}") from None
+                    msg = f"not ready, status {self.program.poll()}: {error}\n{self.logged()}"
+                    raise AssertionError(msg) from None
             time.sleep(0.02)
 
     def _confirm(self) -> None:
--- a/tests/frontends/test_eviction.py
+++ b/tests/frontends/test_eviction.py
@@ -55,6 +55,7 @@
 def test_closing_connection_has_no_rank_but_rejected() -> None:
     connection = Connection(1, closing=True)
     order = order_of(0.0, (connection, EvictionRank.SERVED))
-    assert connection.rank is None and order.first() is None
+    assert connection.rank is None
+    assert order.first() is None
     order.move(connection, EvictionRank.REJECTED)
     assert order.first() is connection
--- a/tests/frontends/test_faktory.py
+++ b/tests/frontends/test_faktory.py
@@ -67,7 +67,7 @@
                         digest = hashlib.sha256(digest).digest()
                     lines.write(b'HELLO {"v":2,"pwdhash":"%s"}\r\n' % digest.hex().encode())
                     lines.flush()
-                    self.assertEqual(lines.readline().strip(), answer)
+                    assert lines.readline().strip() == answer
         finally:
             player.close()
 
@@ -83,8 +83,8 @@
             with open(player.log.name) as log:
                 log_lines = [json.loads(line) for line in log]
             answered = Counter(line["jid"] for line in log_lines if line["event"] == "job_answered")
-            self.assertEqual(set(answered.values()), {1})
-            self.assertEqual(len(answered), NON_IDEMPOTENT_JOBS + IDEMPOTENT_JOBS)
+            assert set(answered.values()) == {1}
+            assert len(answered) == NON_IDEMPOTENT_JOBS + IDEMPOTENT_JOBS
         finally:
             player.close()
 
@@ -133,11 +133,11 @@
         twice = [jid for jid, count in runs.items() if count > 1 and int(jid[4:]) < NON_IDEMPOTENT_JOBS]
         kills = sum(lost.values())
         print(f"kills {kills}, acks {acks}, runs {sum(runs.values())}, {counts}, once run twice: {len(twice)}")
-        self.assertEqual(kills, KILLS)
-        self.assertEqual(counts["resets"], KILLS)
-        self.assertEqual(twice, [])
-        self.assertEqual(counts["served"] + counts["refused"] + counts["failed"], len(jobs))
-        self.assertEqual(counts["served"], acks)
+        assert kills == KILLS
+        assert counts["resets"] == KILLS
+        assert twice == []
+        assert counts["served"] + counts["refused"] + counts["failed"] == len(jobs)
+        assert counts["served"] == acks
 
 
 if __name__ == "__main__":
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -7,12 +7,14 @@
 import unittest
 from typing import Any, cast
 
+import pytest
 from drive import Host, entries, with_settings
 
 from heronlug import ListKind, Outcome, PeerMessage, RequestArrived, RequestClass, ServerEntry, StartAttempt
 from heronlug.backends.connection import ServerConnection
 from heronlug.backends.pool import ConnectionPool
 from heronlug.balancer.actions import Reject
+from heronlug.balancer.errors import SnapshotError
 from heronlug.balancer.events import AttemptEnded, AttemptSnapshot, PeerGone, RequestAdopted, RequestHandedOver
 from heronlug.balancer.settings import Effect
 from heronlug.frontends.http.request import HttpRequest
@@ -49,16 +51,16 @@
         new.dispatcher.resume(table(old), new.now)
         here, there = new.dispatcher, old.dispatcher
         there.rules.rerank(old.now)
-        self.assertEqual([w.id for w in here.rules.ranking.servers], [w.id for w in there.rules.ranking.servers])
-        self.assertEqual(here.avoided_servers(new.now), there.avoided_servers(old.now))
-        self.assertTrue(there.avoided_servers(old.now))
-        self.assertEqual(here.rules.retry_budget.level, there.rules.retry_budget.level)
+        assert [w.id for w in here.rules.ranking.servers] == [w.id for w in there.rules.ranking.servers]
+        assert here.avoided_servers(new.now) == there.avoided_servers(old.now)
+        assert there.avoided_servers(old.now)
+        assert here.rules.retry_budget.level == there.rules.retry_budget.level
         worker = old.sent[job][0]
-        self.assertEqual(here.state.servers.by_id[worker].load.peer_slots, 1)  # what is out there is out here too
+        assert here.state.servers.by_id[worker].load.peer_slots == 1  # what is out there is out here too
         work = [host.dispatcher.state.servers.by_id[worker].slow_start.recent_work.total(0) for host in (old, new)]
-        self.assertEqual(work[0], work[1])
+        assert work[0] == work[1]
         new.give(PeerGone(SETTINGS.position))
-        self.assertEqual(here.state.servers.by_id[worker].load.peer_slots, 0)
+        assert here.state.servers.by_id[worker].load.peer_slots == 0
 
     def test_table_that_makes_no_sense_changes_nothing(self) -> None:
         whole = table(self.busy())
@@ -69,9 +71,9 @@
         wrong += [{**whole, "workers": [[1, 0.0, 1, [], *["x"] * 8]]}, {**whole, "kinds": [[0, 1.0]]}]
         wrong += [{**whole, "halls": [[0, phase, 1.0, stage, 0, 0.0]]} for phase, stage in (("lost", 0), ("left", 9))]
         for each in wrong:
-            with self.assertRaises(ValueError):
+            with pytest.raises(SnapshotError):
                 new.dispatcher.resume(each, new.now)
-        self.assertEqual(table(new), before)
+        assert table(new) == before
 
 
 class Adopted(unittest.TestCase):
@@ -81,25 +83,26 @@
             old, new = Host(SETTINGS, workers=3), Host(SETTINGS, seed=2, workers=3)
             job = old.job(lane)
             passed = old.dispatcher.attempt_snapshots(job)
-            assert passed is not None and len(passed) == 1
+            assert passed is not None
+            assert len(passed) == 1
             n = {w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()}
             old.give(RequestHandedOver(job))
-            self.assertEqual([w.load.own_slots for w in old.dispatcher.state.servers.by_id.values()], [0, 0, 0])
-            self.assertEqual({w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()}, n)
+            assert [w.load.own_slots for w in old.dispatcher.state.servers.by_id.values()] == [0, 0, 0]
+            assert {w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()} == n
             old.until(old.now + 9000)
-            self.assertFalse(old.answered)
+            assert not old.answered
             arrived = RequestArrived(7, lane, new.now + 4000)
             out = new.dispatcher.handle(new.now, RequestAdopted(arrived, new.now - 100, passed))
-            self.assertFalse([action for action in out if isinstance(action, StartAttempt)])
-            self.assertEqual(new.dispatcher.state.servers.by_id[passed[0].server].load.own_slots, 1)
+            assert not [action for action in out if isinstance(action, StartAttempt)]
+            assert new.dispatcher.state.servers.by_id[passed[0].server].load.own_slots == 1
             ended = AttemptEnded(7, 0, passed[0].server, Outcome.RESET, 100.0, False)
             out = new.dispatcher.handle(new.now, ended)
-            self.assertEqual(any(isinstance(action, StartAttempt) for action in out), again, effect)
+            assert any(isinstance(action, StartAttempt) for action in out) == again, effect
 
     def test_job_without_an_attempt_is_placed(self) -> None:
         new = Host(SETTINGS, workers=3)
         out = new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 2, new.now + 4000), new.now - 100, ()))
-        self.assertTrue([action for action in out if isinstance(action, StartAttempt | Reject)])
+        assert [action for action in out if isinstance(action, StartAttempt | Reject)]
 
     def test_request_comes_out_as_it_went_in(self) -> None:
         request = HttpRequest()
@@ -108,7 +111,7 @@
         request.workload, request.keep_alive = Workload(slots=2.0, retry=True), False
         other = read_request(json.loads(json.dumps(write_request(request))))
         for name in ("method", "target", "body", "headers", "request_id", "class_index", "workload", "keep_alive"):
-            self.assertEqual(getattr(other, name), getattr(request, name))
+            assert getattr(other, name) == getattr(request, name)
 
 
 class Transport:
@@ -188,10 +191,10 @@
                 _, answers, second, relay = self.connection()
                 second.resume(relay, cut > 0, False)
                 second.data_received(data[cut:])
-                self.assertEqual(answers, [b"served ok"], cut)
+                assert answers == [b"served ok"], cut
             head = data.index(b"\r\n\r\n") + 4
-            self.assertEqual(passed[:2], [0, head])
-            self.assertEqual(len(passed), 4)  # before it, after the head, and after two lines; with the third it ends
+            assert passed[:2] == [0, head]
+            assert len(passed) == 4  # before it, after the head, and after two lines; with the third it ends
 
 
 class Parted(unittest.IsolatedAsyncioTestCase):
@@ -215,8 +218,8 @@
             theirs.close()
             if sends:
                 partner.send({"news": 2})
-            self.assertEqual(await asyncio.wait_for(ended, 10), "closed")
-            self.assertEqual(got, [({"n": number}, 1) for number in range(3)])
+            assert await asyncio.wait_for(ended, 10) == "closed"
+            assert got == [({"n": number}, 1) for number in range(3)]
 
 
 class Peering(unittest.TestCase):
@@ -224,16 +227,16 @@
         """What it tells counts as told by ourselves, for no peer has our position."""
         new = Host(SETTINGS, workers=2)
         new.dispatcher.state.peer_load.set_counts(0, {1: 3}, new.dispatcher.state.servers.by_id, new.now)
-        self.assertEqual(new.dispatcher.state.servers.by_id[1].load.peer_slots, 3)
+        assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 3
         content = new.dispatcher.state.peer_load.STAMP.pack(b"c", new.now) + new.dispatcher.state.peer_load.PAIR.pack(
             1, 1
         )
         new.give(PeerMessage(0, content))
-        self.assertEqual(new.dispatcher.state.servers.by_id[1].load.peer_slots, 1)
+        assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 1
 
     def test_attempt_at_a_worker_that_is_listed_no_more(self) -> None:
         new = Host(SETTINGS, workers=2)
         new.listed(ListKind.CHANGES, (ServerEntry(9), *entries(2)))
         passed = (AttemptSnapshot(9, new.now, True, True, True, new.now),)
         new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 0, new.now + 4000), new.now, passed))
-        self.assertEqual(new.dispatcher.state.servers.by_id[9].load.own_attempts, 1)
+        assert new.dispatcher.state.servers.by_id[9].load.own_attempts == 1
--- a/tests/lifecycle/test_plan_and_apply.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -8,6 +8,7 @@
 import unittest
 from pathlib import Path
 
+import pytest
 import wasmtime
 from exchange import FOLDER, ExchangePlayer
 
@@ -36,26 +37,28 @@
 class Hooks(unittest.TestCase):
     def test_admit_decides_by_class(self) -> None:
         host, logged = load(REFUSE_ONCE)
-        self.assertEqual([host.admit(lane, 500.0, 10) for lane in (0, 1, 2)], [True, False, True])
+        assert [host.admit(lane, 500.0, 10) for lane in (0, 1, 2)] == [True, False, True]
         host.observe(0, FinalAnswer.SERVED, 1.0)
-        self.assertEqual(logged, [])
+        assert logged == []
 
     def test_trap_and_spent_fuel_disable_the_plugin_and_admit(self) -> None:
         for text in (TRAP, SPIN):
             host, logged = load(text)
-            self.assertTrue(host.admit(1, 500.0, 10))
+            assert host.admit(1, 500.0, 10)
             host.observe(1, FinalAnswer.FAILED, 3.0)
-            self.assertTrue(host.admit(1, 500.0, 10))
-            self.assertEqual(logged, ["hook_disabled"])
+            assert host.admit(1, 500.0, 10)
+            assert logged == ["hook_disabled"]
 
     def test_memory_is_bounded(self) -> None:
         host, _ = load(GREEDY)
-        self.assertTrue(host.admit(1, 500.0, 10))  # growing fails with -1, which is not 0
-        self.assertRaises(PluginError, load, BIG)
+        assert host.admit(1, 500.0, 10)  # growing fails with -1, which is not 0
+        with pytest.raises(PluginError):
+            load(BIG)
 
     def test_what_cannot_be_used_is_not_loaded(self) -> None:
         for text in (IMPORTS, OTHER, "(module)"):
-            self.assertRaises(PluginError, load, text)
+            with pytest.raises(PluginError):
+                load(text)
 
 
 class PlanAndApply(unittest.TestCase):
@@ -85,38 +88,37 @@
     def test_plan_then_apply_then_nothing_to_do(self) -> None:
         plan = self.folder / "plan.json"
         status, out, _ = self.call("plan", self.file, "--save", plan)
-        self.assertEqual(status, 0)
-        self.assertEqual(
-            out,
-            "~ log_level: info -> debug\n+ faktory listener\n+ plugin p\n"
-            "Plan: 2 to add, 1 to change, 0 to remove.\n",
+        assert status == 0
+        assert (
+            out == "~ log_level: info -> debug\n+ faktory listener\n+ plugin p\n"
+            "Plan: 2 to add, 1 to change, 0 to remove.\n"
         )
-        self.assertIn("Applied.", self.call("apply", plan)[1])
-        self.assertEqual(self.call("apply", plan)[:2], (0, "Nothing to do.\n"))
-        self.assertEqual(self.call("plan", self.file)[1], "Nothing to do.\n")
+        assert "Applied." in self.call("apply", plan)[1]
+        assert self.call("apply", plan)[:2] == (0, "Nothing to do.\n")
+        assert self.call("plan", self.file)[1] == "Nothing to do.\n"
         self.player.faktory_address = f"127.0.0.1:{self.port}"
         self.player.play(
             WORDS + 'f1 < {hi}\nf1 > HELLO {"v":2}\\r\\n{push job-0001 once}\n'
             "f1 < +OK\\r\\n-ERR refused, come back later\\r\\n\n"  # the plug-in has it refused, on both fronts
             "c1 > {post t1 once 4000}\nc1 < {refused}\n"
         )
-        self.assertEqual(self.call("apply", self.write("b.toml", free_port()))[0], 0)
+        assert self.call("apply", self.write("b.toml", free_port()))[0] == 0
         status, out, error = self.call("apply", plan)
-        self.assertEqual((status, out), (1, ""))
-        self.assertEqual(error, "heronlug: the plan is stale: the running state has changed since it was made\n")
+        assert (status, out) == (1, "")
+        assert error == "heronlug: the plan is stale: the running state has changed since it was made\n"
 
     def test_all_or_nothing(self) -> None:
         taken = self.player.standins.listeners["h1"].getsockname()[1]
         status, _, error = self.call("apply", self.write("b.toml", taken))
-        self.assertEqual((status, error.count("\n")), (1, 1))
+        assert (status, error.count("\n")) == (1, 1)
         out = self.call("plan", self.file)[1]
-        self.assertIn("Plan: 2 to add, 1 to change, 0 to remove.", out)  # nothing of it has been done
+        assert "Plan: 2 to add, 1 to change, 0 to remove." in out  # nothing of it has been done
 
     def test_changed_module_makes_the_plan_stale(self) -> None:
         plan = self.folder / "plan.json"
         self.call("plan", self.file, "--save", plan)
         (self.folder / "p.wasm").write_bytes(wasmtime.wat2wasm(TRAP))
-        self.assertIn("plugin p: the plan is stale", self.call("apply", plan)[2])
+        assert "plugin p: the plan is stale" in self.call("apply", plan)[2]
 
     def test_bad_file_names_file_and_key(self) -> None:
         for rest, line, key in (
@@ -130,14 +132,14 @@
         ):
             path = self.write("bad.toml", self.port, rest)
             status, _, error = self.call("plan", path)
-            self.assertEqual((status, error.count("\n")), (1, 1))
-            self.assertIn(f"{path}:{line}: {key}", error)
+            assert (status, error.count("\n")) == (1, 1)
+            assert f"{path}:{line}: {key}" in error
         plan = self.folder / "plan.json"
         plan.write_text(json.dumps({"base": 1}))
-        self.assertEqual(self.call("apply", plan)[0], 1)
+        assert self.call("apply", plan)[0] == 1
 
     def test_only_our_user_may_open_the_control_socket(self) -> None:
-        self.assertEqual(Path(self.player.control_path).stat().st_mode & 0o077, 0)
+        assert Path(self.player.control_path).stat().st_mode & 63 == 0
 
 
 if __name__ == "__main__":
--- a/tests/loadgen/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -39,7 +39,8 @@
     world.clients._submit = record_and_submit  # type: ignore[method-assign]
     world.run()
     due = [(each.due_at, made.classes.index(each.request_class), each.work_ms) for each in plan(made, 7)]
-    assert sorted(due) == sorted(come) and len(due) > 600
+    assert sorted(due) == sorted(come)
+    assert len(due) > 600
 
 
 @pytest.mark.parametrize("address", ["192.0.2.1:80", "example.org:80", "10.0.0.1:80", "127.0.0.1"])
@@ -111,7 +112,8 @@
     tallies = asyncio.run(on_sockets(made, 4))
     assert sum(tally.request_count for tally in tallies) == sum(1 for _ in plan(made, 4))
     lost = sum(tally.outcomes["failed"] for tally in tallies if tally.request_class.effect == "once")
-    assert all(tally.outcomes["lost"] == 0 for tally in tallies) and lost > 0  # what ran once and was lost has failed
+    assert all(tally.outcomes["lost"] == 0 for tally in tallies)
+    assert lost > 0
 
 
 def test_load_over_faktory_from_the_command_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -144,7 +146,8 @@
                 assert (group.main(words, standalone_mode=False) or 0) == 0
                 break
             except Exception:
-                assert time.monotonic() < end and program.poll() is None, (tmp_path / "log").read_text()
+                assert time.monotonic() < end, (tmp_path / "log").read_text()
+                assert program.poll() is None, (tmp_path / "log").read_text()
                 time.sleep(0.1)
         found = json.loads(capsys.readouterr().out)
         assert all(each["finals"]["failed"] == each["finals"]["lost"] == 0 for each in found.values())
@@ -164,4 +167,5 @@
         check=True,
         text=True,
     )
-    assert done.stdout.startswith("register 127.0.0.1:") and "16 hosts" in done.stdout
+    assert done.stdout.startswith("register 127.0.0.1:")
+    assert "16 hosts" in done.stdout
--- a/tests/peers/test_goodbye.py
+++ b/tests/peers/test_goodbye.py
@@ -128,18 +128,24 @@
 def test_what_is_told_while_parting_carries_the_mark_and_a_drain_taken_back_ends_it() -> None:
     one, other = Gossip(2), Gossip(2)
     other.receive(0, one.tell(b"c1", ALL, 0.0), 0.0)
-    assert one.leave(10.0) == [ALL] and one.leave(30.0) == [] and one.leave(60.0) == [ALL]
+    assert one.leave(10.0) == [ALL]
+    assert one.leave(30.0) == []
+    assert one.leave(60.0) == [ALL]
     marked = one.tell(b"c2", ALL, 100.0)
-    assert marked == LEAVING + b"c2" and other.receive(0, marked, 100.0) == b"c2"
+    assert marked == LEAVING + b"c2"
+    assert other.receive(0, marked, 100.0) == b"c2"
     assert not other.serving(100.0)
     assert one.tell(b"c" * MAX_CONTENT, ALL, 110.0) == b"c" * MAX_CONTENT  # no room for the mark, and never too long
     assert one.tell(b"c" * (MAX_CONTENT + 1), ALL, 110.0) == b""
     one.stay()
-    assert one.tell(b"c3", ALL, 700.0) == b"c3" and other.receive(0, b"c3", 700.0) == b"c3"
-    assert other.serving(700.0) and not other.serving(700.0 + HEARD)
+    assert one.tell(b"c3", ALL, 700.0) == b"c3"
+    assert other.receive(0, b"c3", 700.0) == b"c3"
+    assert other.serving(700.0)
+    assert not other.serving(700.0 + HEARD)
 
 
 def test_who_has_told_nothing_lately_tells_no_farewell() -> None:
     telling = Gossip(200)
     telling.tell(b"c", 0, 0.0)
-    assert telling.leave(HEARD) == [] and not telling.sent["farewells"]
+    assert telling.leave(HEARD) == []
+    assert not telling.sent["farewells"]
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -103,10 +103,10 @@
     def test_message_that_the_module_forgets_is_failed_at_its_give_up_time(self) -> None:
         message, relay = self.sent()
         self.later(1000)
-        self.assertEqual(self.front.answers, [("m", FinalAnswer.FAILED, b"")])
-        self.assertEqual(self.front.cancelled, [relay])  # a Send has no time-out of its own
-        self.assertEqual(self.module.events[-1].outcome, Outcome.TIMEOUT)
-        self.assertEqual((len(self.core.requests), len(self.core.attempts), len(self.deadlines)), (0, 0, 0))
+        assert self.front.answers == [("m", FinalAnswer.FAILED, b"")]
+        assert self.front.cancelled == [relay]  # a Send has no time-out of its own
+        assert self.module.events[-1].outcome == Outcome.TIMEOUT
+        assert (len(self.core.requests), len(self.core.attempts), len(self.deadlines)) == (0, 0, 0)
 
     def test_one_final_answer_whatever_comes_after(self) -> None:
         message, relay = self.sent()
@@ -114,15 +114,15 @@
         self.core.attempt_ended(relay, Outcome.RESET)
         self.core.client_left(message)
         self.later(2000)
-        self.assertEqual(self.front.answers, [("m", FinalAnswer.SERVED, b"r")])
+        assert self.front.answers == [("m", FinalAnswer.SERVED, b"r")]
 
     def test_send_for_what_is_over_is_moot_and_never_sent(self) -> None:
         message, _ = self.sent()
         self.core.client_left(message)
         self.module.actions = [StartAttempt(message.handle, self.host), CancelAttempt(message.handle, 7)]
         self.core.peer_message(0, b"")
-        self.assertEqual(len(self.front.sent), 1)
-        self.assertEqual(self.module.events[-1].outcome, Outcome.CANCELLED_BEFORE_START)
+        assert len(self.front.sent) == 1
+        assert self.module.events[-1].outcome == Outcome.CANCELLED_BEFORE_START
 
     def test_relay_still_dialling_when_its_host_drains_is_not_written(self) -> None:
         pool = ConnectionPool(
@@ -139,9 +139,9 @@
             if told_off:
                 self.core.update_servers(ListKind.CHANGES, [ListedServer("h", "127.0.0.1:9", ServerState.DRAINING)])
             pool.on_connected(connection)
-            self.assertEqual(bool(cast(Any, connection.transport).written), not told_off)
+            assert bool(cast(Any, connection.transport).written) == (not told_off)
             cast(Any, connection.transport).close()
-        self.assertEqual(self.module.events[-1].outcome, Outcome.CONNECT_FAILED)
+        assert self.module.events[-1].outcome == Outcome.CONNECT_FAILED
 
     def test_break_is_never_ran_only_while_a_byte_is_unwritten(self) -> None:
         """The last byte of send-invites waits for 10 ms: a connection that breaks at its next request costs nothing."""
@@ -168,9 +168,9 @@
             self.later(wait)
             if stuck:
                 connection.pause_writing()
-            self.assertEqual(cast(Any, connection.transport).written.endswith(b"ab"), whole)
+            assert cast(Any, connection.transport).written.endswith(b"ab") == whole
             connection.connection_lost(ConnectionResetError())
-            self.assertEqual(self.module.events[-1].outcome, outcome)
+            assert self.module.events[-1].outcome == outcome
             cast(Any, connection.transport).close()
 
 
@@ -183,7 +183,7 @@
         )
         for port, size in ((1001, 9), (1002, 9), (1003, 9), (1002, 257), (1002, 256)):
             peers.datagram_received(b"c" * size, ("127.0.0.1", port))
-        self.assertEqual(heard, [(1, b"c" * 9), (1, b"c" * 256)])
+        assert heard == [(1, b"c" * 9), (1, b"c" * 256)]
 
 
 class Handover(unittest.TestCase):
@@ -199,16 +199,16 @@
             if data:
                 peers.datagram_received(data, ("127.0.0.1", 1002))
             seen.append(peers.serving())
-        self.assertEqual(seen, [False, True, False, True, False, False, True])
+        assert seen == [False, True, False, True, False, False, True]
 
 
 class Tables(unittest.TestCase):
     def test_old_ticket_finds_nothing_in_a_slot_used_again(self) -> None:
         slots: SlotTable[str] = SlotTable()
         first = slots.add("a")
-        self.assertEqual(slots.remove(first), "a")
+        assert slots.remove(first) == "a"
         second = slots.add("b")
-        self.assertEqual((slots.get(first), slots.get(second), len(slots)), (None, "b", 1))
+        assert (slots.get(first), slots.get(second), len(slots)) == (None, "b", 1)
 
     def test_deadlines_in_order_and_what_is_added_meanwhile_later(self) -> None:
         now, seen = [0.0], list[int]()
@@ -216,12 +216,12 @@
         deadlines.call_at(2.0, seen.append, 2)
         deadlines.call_at(1.0, lambda: deadlines.call_at(0.0, seen.append, 0))
         deadlines.cancel(deadlines.call_at(1.5, seen.append, 1))
-        self.assertEqual((deadlines.run_due(), deadlines.next_due()), (0, 1.0))
+        assert (deadlines.run_due(), deadlines.next_due()) == (0, 1.0)
         now[0] = 3.0
         deadlines.run_due()
-        self.assertEqual(seen, [2])
+        assert seen == [2]
         deadlines.run_due()
-        self.assertEqual(seen, [2, 0])
+        assert seen == [2, 0]
 
 
 class Logging(unittest.TestCase):
@@ -230,7 +230,7 @@
         log = Log(writer)
         for number in range(3 * MAX_BUFFERED_LINES):  # it would hang here if a line were written on this thread
             log("started", number=number, text="x" * 50)
-        self.assertGreater(log.dropped, 0)
+        assert log.dropped > 0
         os.close(reader)
         log.close()
         os.close(writer)
--- a/tests/scheduling/test_chains.py
+++ b/tests/scheduling/test_chains.py
@@ -76,7 +76,8 @@
     assert chains.request_ended("top", True).released == ["left", "right"]
     assert chains.request_ended("right", False) == ([], [])
     assert chains.parents("bottom") == ["left"]
-    assert chains.request_ended("left", True).released == ["bottom"] and not len(chains)
+    assert chains.request_ended("left", True).released == ["bottom"]
+    assert not len(chains)
 
 
 def test_a_chain_a_thousand_deep_fails_at_once_and_one_that_is_cancelled_fails_what_follows() -> None:
--- a/tests/storage/test_kills.py
+++ b/tests/storage/test_kills.py
@@ -161,7 +161,8 @@
     assert sum(job.final_state == "served" for job in kept.values()) > JOBS / 2
     assert sum(bool(play.parent(jid)) for jid in play.accepted) > JOBS / 8
     text = (play.folder / "log").read_text()
-    assert '"exception"' not in text and "Traceback" not in text, text[-3000:]
+    assert '"exception"' not in text, text[-3000:]
+    assert "Traceback" not in text, text[-3000:]
 
 
 FAULTS = [
@@ -176,7 +177,8 @@
         play, rng = Play(tmp_path), Random(1)
         for number, fault in enumerate(FAULTS):
             await play.turn(number, rng, fault, 15.0)
-            assert play.program is not None and play.program.returncode in (137, -9)
+            assert play.program is not None
+            assert play.program.returncode in (137, -9)
         await play.finish(len(FAULTS))
         check(play)
 
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -94,9 +94,11 @@
     one.store.close()
     two = OpenedStore(path)
     jobs = {job.jid: job for job in two.store.load()}
-    assert len(jobs) == 499 and jobs["jid-00000"] == NEW._replace(jid="jid-00000")
+    assert len(jobs) == 499
+    assert jobs["jid-00000"] == NEW._replace(jid="jid-00000")
     assert jobs["jid-00001"].first_delivered_at == 5.0
-    assert jobs["jid-00002"][-2:] == ("served", 7.0) and jobs["jid-00002"].job == b""
+    assert jobs["jid-00002"][-2:] == ("served", 7.0)
+    assert jobs["jid-00002"].job == b""
     two.store.close()
 
 
@@ -116,9 +118,11 @@
     pages = one.store._connection.execute("pragma page_count").fetchone()[0]
     one.store._connection.execute(f"pragma max_page_count = {pages}")
     told = one.accept(*(f"jid-{n:05}" for n in range(100, 400)))
-    assert any("full" in why for why in told) and "store_failed" in one.events
+    assert any("full" in why for why in told)
+    assert "store_failed" in one.events
     one.store._connection.execute("pragma max_page_count = 100000")
-    assert one.accept("jid-90000") == [""] and "store_well" in one.events
+    assert one.accept("jid-90000") == [""]
+    assert "store_well" in one.events
     one.store.close()
     kept = {job.jid for job in OpenedStore(path).store.load()}
     good = {f"jid-{n:05}" for n, why in zip(range(100, 400), told, strict=True) if not why}
@@ -169,7 +173,8 @@
         firsts = sorted(jid[2:] for jid in jids if jid.startswith("a"))
         assert firsts == [f"{n:06}" for n in range(len(firsts))]
         seen.add(len(jids))
-    assert max(seen) >= 22 and len(seen) > 5
+    assert max(seen) >= 22
+    assert len(seen) > 5
     one.store.close()
 
 
@@ -185,5 +190,6 @@
         assert not group.main(["store", *words], standalone_mode=False)
         return capsys.readouterr().out
 
-    assert "waiting  1" in call("check", str(path)) and '"jid":"jid-00002"' in call("dump", str(path))
+    assert "waiting  1" in call("check", str(path))
+    assert '"jid":"jid-00002"' in call("dump", str(path))
     assert "bytes before" in call("compact", str(path))
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -21,8 +21,8 @@
             for line in WORDS.splitlines():
                 player.step(line)
             player.play(text)
-            self.assertNotIn('"exception"', player.logged())
-            self.assertEqual(player.program.poll() or 0, 0)
+            assert '"exception"' not in player.logged()
+            assert (player.program.poll() or 0) == 0
         finally:
             player.close()
 
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -30,4 +30,5 @@
     call = [sys.executable, "-c", "import sys; from heronlug.__main__ import main; sys.exit(main())"]
     for words, says in ((["--version"], "heronlug, version"), (["check", str(file)], "local.toml: good")):
         done = subprocess.run([*call, *words], cwd=target, capture_output=True, text=True)
-        assert done.returncode == 0 and says in done.stdout, done.stderr
+        assert done.returncode == 0, done.stderr
+        assert says in done.stdout, done.stderr
