--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -57,7 +57,7 @@
     cpu_s: float
 
 
-def _config(folder: Path, listen: str, discovery: str, servers: list[int]) -> Path:
+def _config(folder: Path, listen: str, discovery: str) -> Path:
     settings = {
         "instances": 1,
         "position": 0,
@@ -120,7 +120,7 @@
         register.put(f"s{number}", hostPort=f"127.0.0.1:{port}", zone="a", machineType="m1")
     listen, ends, tasks = f"127.0.0.1:{free_port()}", Counter[str](), set[asyncio.Task[None]]()
     with tempfile.TemporaryDirectory(prefix="heronlug-calls-") as folder:
-        path = _config(Path(folder), listen, f"127.0.0.1:{await register.open()}", ports)
+        path = _config(Path(folder), listen, f"127.0.0.1:{await register.open()}")
         env = {**os.environ, "RELAY_CONFIG": str(path), "LD_PRELOAD": str(shim), "FAIL_CALLS": rule}
         command = [sys.executable, "-m", "heronlug"]
         with subprocess.Popen(command, env=env, stdout=subprocess.DEVNULL, cwd=source) as process:
--- a/heronlug/cluster/errors.py
+++ b/heronlug/cluster/errors.py
@@ -25,12 +25,3 @@
         """State the size of the row's key and value together, and what it may be, in bytes."""
         super().__init__(f"a row of {size} bytes: {max_size} at most")
         self.size = size
-
-
-class KeyFileError(ClusterError, ValueError):
-    """A file whose key cannot be used."""
-
-    def __init__(self, path: str, reason: str) -> None:
-        """State what is wrong with the key of the file at ``path``."""
-        super().__init__(f"{path}: {reason}")
-        self.path = path
--- a/heronlug/discovery/shared_client.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -2,7 +2,7 @@
 
 :class:`heronlug.discovery.reader_election.ReaderElection` decides who polls, and
 :class:`heronlug.cluster.server_view.ServerView` which endpoint list is used. There are two tables of the same form
-(:mod:`heronlug.discovery.server_rows`). One is written by the lease holder while its watch is open. The interim table
+(:mod:`heronlug.cluster.server_rows`). One is written by the lease holder while its watch is open. The interim table
 is written by whichever member polls before there is a lease holder, or in place of one that cannot; the latest claim to
 it counts.
 """
@@ -17,10 +17,7 @@
 from heronlug.cluster import merkle_trie
 from heronlug.cluster.model import FencingToken
 from heronlug.cluster.node import Node
-from heronlug.cluster.server_view import ListSource, ServerView
-from heronlug.discovery.client import DiscoveryClient
-from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
-from heronlug.discovery.server_rows import (
+from heronlug.cluster.server_rows import (
     UNWATCHED,
     UNWATCHED_KEY,
     VERSION_KEY,
@@ -29,7 +26,10 @@
     ServerTable,
     server_key,
 )
-from heronlug.discovery.table_writer import TableWriter
+from heronlug.cluster.server_view import ListSource, ServerView
+from heronlug.cluster.table_writer import TableWriter
+from heronlug.discovery.client import DiscoveryClient
+from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.interfaces import EventLog
 from heronlug.requests.model import ListedServer
--- a/heronlug/cluster/status.py
+++ b/heronlug/cluster/status.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from heronlug.backends.health_checker import HealthChecker
+from heronlug.cluster.health_checker import HealthChecker
 from heronlug.cluster.lease_state import LeaseState
 from heronlug.cluster.node import Node
 from heronlug.cluster.periodic_tasks import TaskState
-from heronlug.discovery.shared_client import SharedDiscovery
+from heronlug.cluster.shared_discovery import SharedDiscovery
 
 
 class _Figure(NamedTuple):
--- a/heronlug/cluster/task_runner.py
+++ b/heronlug/cluster/task_runner.py
@@ -109,7 +109,7 @@
         """Create a runner that holds no lease yet.
 
         Args:
-            tables: ``[[cluster.duty]]`` as :mod:`heronlug.cluster.schema` reads it.
+            tables: ``[[cluster.duty]]`` as :mod:`heronlug.config.cluster_section` reads it.
             may_act: The token under which this member may run a task at a time.
             deadlines: The timers of this process.
             log: Writes a log event with its fields.
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any, cast
 
-from heronlug.backends.health_checker import HealthChecker
+from heronlug.cluster.health_checker import HealthChecker
 from heronlug.cluster.member import LocalMember
 from heronlug.cluster.model import (
     Action,
@@ -18,10 +18,10 @@
     WakeAt,
 )
 from heronlug.cluster.node import Node
-from heronlug.cluster.schema import read_keys
+from heronlug.cluster.shared_discovery import INTERIM_TABLE, LEASE_TABLE, SharedDiscovery
 from heronlug.cluster.status import ClusterStatus
 from heronlug.cluster.task_runner import TaskRunner
-from heronlug.discovery.shared_client import INTERIM_TABLE, LEASE_TABLE, SharedDiscovery
+from heronlug.config.cluster_section import read_keys
 from heronlug.net.http import split_address
 from heronlug.requests.deadlines import Deadlines, Key
 
@@ -55,7 +55,7 @@
         discovery: SharedDiscovery | None = None,
         health_checker: HealthChecker | None = None,
     ) -> None:
-        """Create a member that has not joined; ``table`` is as :mod:`heronlug.cluster.schema` reads ``[cluster]``.
+        """Create a member that has not joined; ``table`` is what :mod:`heronlug.config.cluster_section` reads.
 
         Raises:
             OSError: A key file cannot be read.
--- a/heronlug/cluster/schema.py
+++ b/heronlug/config/cluster_section.py
@@ -9,7 +9,7 @@
 
 from msgspec import Meta, Struct, field, structs
 
-from heronlug.cluster.errors import KeyFileError
+from heronlug.config.errors import KeyFileError
 from heronlug.config.strict_toml import ConfigProblem, Source
 from heronlug.config.strict_toml.decode import decode
 from heronlug.config.strict_toml.value_types import Text
--- a/heronlug/config/desired_state.py
+++ b/heronlug/config/desired_state.py
@@ -27,9 +27,10 @@
 import orjson
 
 from heronlug.balancer.settings import Settings
+from heronlug.config.errors import ConfigurationError
+from heronlug.config.log_levels import LEVELS
 from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
 from heronlug.config.strict_toml.source import Keys
-from heronlug.lifecycle.log import LEVELS
 from heronlug.net.http import split_address
 
 State = dict[str, Any]
@@ -50,7 +51,7 @@
 MAX_MODULE = 1024 * 1024
 
 
-class StateError(ValueError):
+class StateError(ConfigurationError, ValueError):
     """A file or a change that cannot be had; the text has a line for each problem, with file, line and key."""
 
 
@@ -102,15 +103,15 @@
         problems += [*wrong, *(load.problems(source, load.check(site, classes)) if site is not None else ())]
     cluster: State = {}
     if "cluster" in table:
-        from heronlug.cluster import schema
+        from heronlug.config import cluster_section
 
-        cluster, wrong = schema.read(source)
+        cluster, wrong = cluster_section.read(source)
         problems += wrong
     register: State = {}
     if "register" in table:
-        from heronlug.discovery import schema as arrival
+        from heronlug.config import discovery_section
 
-        register, wrong = arrival.read(source)
+        register, wrong = discovery_section.read(source)
         problems += wrong
     if problems:
         raise ConfigProblems(problems)
--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -10,11 +10,12 @@
 import orjson
 
 from heronlug.balancer.settings import Settings
+from heronlug.config.errors import ConfigurationError
 from heronlug.config.settings_json import parse_settings
 from heronlug.net.http import split_address
 
 
-class ConfigError(ValueError):
+class ConfigError(ConfigurationError, ValueError):
     """A setting that cannot be used; the text names file and key."""
 
 
--- a/heronlug/config/strict_toml/errors.py
+++ b/heronlug/config/strict_toml/errors.py
@@ -3,6 +3,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from heronlug.config.errors import ConfigurationError
+
 
 class ConfigProblem(NamedTuple):
     """One thing that is wrong with a file.
@@ -36,7 +38,7 @@
     return f"perhaps {close[0]}" if close else "one of " + ", ".join(words)
 
 
-class ConfigProblems(ValueError):
+class ConfigProblems(ConfigurationError, ValueError):
     """All problems of a file, one line each, in the order of their lines.
 
     Attributes:
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -7,16 +7,16 @@
 from random import Random
 from typing import Any
 
-from heronlug.backends.health_checker import HealthChecker
 from heronlug.balancer.events import ListKind, ServerState
-from heronlug.cluster import schema
+from heronlug.cluster.health_checker import HealthChecker
+from heronlug.cluster.server_rows import ServerRowCodec
 from heronlug.cluster.server_view import ServerView
+from heronlug.cluster.shared_discovery import SharedDiscovery
 from heronlug.cluster.transport import ClusterTransport
+from heronlug.config import cluster_section
 from heronlug.config.platform import Config
 from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 from heronlug.discovery.reader_election import ReaderElection
-from heronlug.discovery.server_rows import ServerRowCodec
-from heronlug.discovery.shared_client import SharedDiscovery
 from heronlug.lifecycle.discovery_service import DiscoveryService
 from heronlug.lifecycle.log import Log
 from heronlug.requests.core import Core
@@ -103,7 +103,7 @@
 
     def read_keys(self) -> dict[int, bytes]:
         """The keys as their files have them now; raises ``OSError`` or ``ValueError``."""
-        return schema.read_keys(self._key_files)
+        return cluster_section.read_keys(self._key_files)
 
     def _set_pace(self, sharing: dict[str, Any], core: Core) -> None:
         """Pace the polls: a single reader polls alone; where all members read, each has its place."""
--- a/heronlug/lifecycle/log.py
+++ b/heronlug/lifecycle/log.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-LEVELS = {"debug": 0, "info": 1, "warning": 2}
-"""The levels by name; an event is logged from its level on."""
+from heronlug.config.log_levels import LEVELS
+
 DEFAULT_LEVEL = LEVELS["info"]
 """Level of the events that :data:`EVENT_LEVELS` doesn't name."""
 EVENT_LEVELS = {
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -52,9 +52,9 @@
     TransferOffer,
 )
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
+from heronlug.cluster.server_rows import ServerRowCodec
 from heronlug.discovery.cache import write
 from heronlug.discovery.endpoint_list import read_list, write_list
-from heronlug.discovery.server_rows import ServerRowCodec
 from heronlug.frontends.http.request import HttpRequest
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 from heronlug.lifecycle.peer_messages import PeerMessages
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -46,11 +46,11 @@
 from heronlug.cluster.codec import decode_parts
 from heronlug.cluster.datagrams import DatagramCodec
 from heronlug.cluster.ownership import tag
+from heronlug.cluster.server_rows import UNWATCHED_KEY, VERSION_KEY, VERSIONS_RESTARTED_KEY, ServerRowCodec
+from heronlug.cluster.shared_discovery import INTERIM_TABLE, LEASE_TABLE
 from heronlug.discovery.cache import read
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.discovery.endpoint_list import read_list, write_list
-from heronlug.discovery.server_rows import UNWATCHED_KEY, VERSION_KEY, VERSIONS_RESTARTED_KEY, ServerRowCodec
-from heronlug.discovery.shared_client import INTERIM_TABLE, LEASE_TABLE
 from heronlug.lifecycle.hot_restart.channel import listen, socket_path
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.deadlines import Deadlines
--- a/tests/discovery/test_cache.py
+++ b/tests/discovery/test_cache.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.discovery.cache import MAX_CLOCK_STEP_MS, WriteSchedule, read, write
+from heronlug.discovery.cache import MAX_CLOCK_STEP_MS, CacheError, WriteSchedule, read, write
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.requests.deadlines import Deadlines
 
@@ -44,7 +44,7 @@
 def test_changed_byte_is_detected(place: int, change: int) -> None:
     data = bytearray(DATA)
     data[place] ^= change
-    with pytest.raises(ValueError):
+    with pytest.raises(CacheError):
         read(bytes(data), "10.0.0.1:8500", 1_000_500.0, 1000.0)
 
 
--- a/tests/faults/test_mutants.py
+++ b/tests/faults/test_mutants.py
@@ -22,7 +22,7 @@
         "failed relays",
     ),
     "shared-silent": (
-        "discovery/shared_client.py",
+        "cluster/shared_discovery.py",
         "if claims and scout.fence is None:",
         "if claims and works:",
         "calls",
