--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -119,15 +119,15 @@
             if case.settle_s:
                 await asyncio.sleep(case.settle_s)
             if case.down_s:
-                rig.down(True)
+                rig.set_discovery_down(True)
                 await asyncio.sleep(case.down_s)
                 rig.checker.statistics.reset_calls()
-                rig.down(False)
+                rig.set_discovery_down(False)
                 wanted = 1 if case.cluster else case.count
                 after = await until(lambda: len(set(rig.reading())) >= wanted)
                 await asyncio.sleep(20.0 if case.cluster else 0.0)
             statistics = rig.checker.statistics
-            memory = [_memory(p.program.pid) for p in rig.processes.values() if p.runs and p.program is not None]
+            memory = [_memory(p.child.pid) for p in rig.processes.values() if p.running and p.child is not None]
             least = 1 if case.cluster else case.count * (1 if case.down_s else 2)
             return {
                 "all there s": round(after, 1),
@@ -192,9 +192,9 @@
     total = resource.getrusage(resource.RUSAGE_CHILDREN)
     spent = total.ru_utime + total.ru_stime
     for process in rig.processes.values():
-        if process.program is not None and process.runs:
+        if process.child is not None and process.running:
             try:
-                fields = Path(f"/proc/{process.program.pid}/stat").read_text().rpartition(")")[2].split()
+                fields = Path(f"/proc/{process.child.pid}/stat").read_text().rpartition(")")[2].split()
             except OSError:
                 continue
             spent += (int(fields[11]) + int(fields[12])) / 100
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -27,7 +27,7 @@
     WatchOver,
 )
 from heronlug.faults.history import History
-from heronlug.faults.network import FaultyNetwork, NetworkPath
+from heronlug.faults.network import Direction, FaultyNetwork, NetworkPath
 from heronlug.faults.ordering import OrderedEnds
 from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Step, TestPlan, choose
 from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
@@ -56,36 +56,36 @@
         self, rig: "FaultHarness", addresses: list[tuple[str, int]], tallies: dict[str, Tally], seconds: float
     ) -> None:
         super().__init__(addresses, tallies, seconds)
-        self.rig = rig
+        self.harness = rig
         self.at: dict[str, str] = {}  # who has a job
         self.lives: dict[str, int] = {}  # which of its processes that was
 
     def takes(self, door: int) -> bool:
         """The platform's front sends no new connections to who is told to end, a moment after that."""
-        told = self.rig.processes[f"d{door}"].told_at
+        told = self.harness.processes[f"d{door}"].stop_requested_at_s
         return told is None or time.monotonic() - told < FRONT_NOTICES
 
     def handed(self, job: SentRequest, door: int) -> None:
         """A job goes to a dispatcher."""
-        now, name, lane = self.rig.history.now(), f"d{door}", job.due.request_class
-        self.at[job.txn], self.lives[job.txn] = name, self.rig.processes[name].starts
+        now, name, lane = self.harness.history.now(), f"d{door}", job.due.request_class
+        self.at[job.txn], self.lives[job.txn] = name, self.harness.processes[name].incarnation
         left = max(1.0, lane.deadline_ms - (self.now() - job.due.due_at))
-        self.rig.history.see(Taken(now, name, job.txn, lane.name, lane.effect == "once", now + left))
+        self.harness.history.see(Taken(now, name, job.txn, lane.name, lane.effect == "once", now + left))
 
     def ended(self, job: SentRequest, how: str) -> None:
         """A job is over."""
         super().ended(job, how)
-        name, history = self.at.get(job.txn), self.rig.history
+        name, history = self.at.get(job.txn), self.harness.history
         if name is None:
             return
-        process = self.rig.processes[name]
+        process = self.harness.processes[name]
         if how != "lost":
             # one on its way when its dispatcher was killed: the history has the job as over with that
-            if process.killed < self.lives[job.txn]:
-                self.rig.end(Answered(history.now(), name, job.txn, how))
-        elif not process.wanted or not process.runs:
-            self.rig.end(Ended(history.now(), name, job.txn))  # lost with its dispatcher
-            self.rig.lost_with += 1
+            if process.last_ended_incarnation < self.lives[job.txn]:
+                self.harness.report_end(Answered(history.now(), name, job.txn, how))
+        elif not process.should_run or not process.running:
+            self.harness.report_end(Ended(history.now(), name, job.txn))  # lost with its dispatcher
+            self.harness.lost_with += 1
 
 
 class FaultHarness:
@@ -99,28 +99,28 @@
         source: Path | None = None,
     ) -> None:
         """``source`` is the folder of another version of the program, in place of this one."""
-        self.script, self.folder, self._source = script, folder, source
-        self.rng = Random(script.seed)
+        self.plan, self.folder, self._source = script, folder, source
+        self.random = Random(script.seed)
         self.checker = Checker(slack=script.slack_ms, drain_grace=2500.0 + script.slack_ms)
         self.history = History(self.checker, events)
-        self.paths = FaultyNetwork(script.seed)
-        self.behind = OrderedEnds(self.paths)
+        self.network = FaultyNetwork(script.seed)
+        self.ordered_ends = OrderedEnds(self.network)
         table = script.register
-        self.register = StandInDiscovery(table.call_ms, table.wait_most_ms, table.turned_ms, script.seed)
-        self.register.retry_after = table.retry_after_ms
-        self.register.told, self.register.wrote = self._called, self._wrote
-        self.register.unwatched, self.register.changed = self._unwatched, self._listed_as
+        self.discovery = StandInDiscovery(table.call_ms, table.wait_most_ms, table.turned_ms, script.seed)
+        self.discovery.retry_after = table.retry_after_ms
+        self.discovery.told, self.discovery.wrote = self._called, self._wrote
+        self.discovery.unwatched, self.discovery.changed = self._unwatched, self._listed_as
         self._unreachable: set[str] = set()  # dispatchers that discovery is out of reach of, as the judge has it
-        self.register.address_of = self._address_of
-        self.runners = StandInServers(
-            script, self.register, self.history, lambda txn: self.clients.at.get(txn, ""), self.paths.gone
+        self.discovery.address_of = self._address_of
+        self.servers = StandInServers(
+            script, self.discovery, self.history, lambda txn: self.clients.at.get(txn, ""), self.network.set_target_gone
         )
         self.processes: dict[str, Process] = {}
         self.clients: ObservedLoad
         self.lost_with = 0  # jobs that ended with their dispatcher
         self.listed_after: dict[str, float] = {}  # s from the beginning until a dispatcher had its list
         self.watched_after: dict[str, float] = {}  # and until its first watch waited for news
-        self.register.watched = self._watched
+        self.discovery.watched = self._watched
         self._doors: dict[str, int] = {}
         self._down = False
         self._written: dict[str, tuple[int, dict[str, dict[str, Any]]]] = {}  # by dispatcher: its list as last written
@@ -134,21 +134,21 @@
         try:
             await self._open()
             load = self._begin(self._load())
-            if self.script.begin == "listed":
-                await self.until(self._all_listed, LISTED_WITHIN)
+            if self.plan.begin == "listed":
+                await self.wait_until(self._all_listed, LISTED_WITHIN)
                 self.history.began = self.history.now()
-            for step in self.script.step:
+            for step in self.plan.step:
                 self._begin(self._do(step))
             self._begin(self._watch_processes())
             self._begin(self._watch_lists())
-            await asyncio.sleep(self.script.span_s)
+            await asyncio.sleep(self.plan.span_s)
             await asyncio.wait_for(load, self._longest() + 5)
             reading = self.reading()
             listed = await self._lists()
-            await self.behind.caught_up()
+            await self.ordered_ends.caught_up()
             return judge(
                 FinishedRun(
-                    self.script,
+                    self.plan,
                     self.history,
                     self.processes,
                     self.clients.tallies.values(),
@@ -156,7 +156,7 @@
                     listed,
                     self.listed_after,
                     self.lost_with,
-                    self.register.wrote_bytes,
+                    self.discovery.wrote_bytes,
                     self._failed,
                 )
             )
@@ -165,9 +165,9 @@
 
     def reading(self) -> list[str]:
         """The dispatchers that watch the register now, as it sees them."""
-        return self.register.watching()
+        return self.discovery.watching()
 
-    async def until(self, what: Callable[[], Awaitable[bool]], seconds: float) -> bool:
+    async def wait_until(self, what: Callable[[], Awaitable[bool]], seconds: float) -> bool:
         """Whether something has come to be within this time."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -180,7 +180,7 @@
     # -- start and end
 
     async def _open(self) -> None:
-        script, count = self.script, self.script.dispatchers.count
+        script, count = self.plan, self.plan.dispatchers.count
         (self.folder / "key").write_text("a key that is long enough")
         names = [f"d{number}" for number in range(count)]
         ports = free_ports(4 * count)
@@ -188,16 +188,18 @@
         self._doors = dict(zip(names, ports[:count], strict=True))
         peers = dict(zip(names, ports[2 * count : 3 * count], strict=True))
         members = dict(zip(names, ports[3 * count :], strict=True))
-        await self.behind.open()
-        await self.runners.open()
+        await self.ordered_ends.open()
+        await self.servers.open()
         relayed = "peers" in script.relays
-        seen_peers = await self.paths.udp(peers) if relayed and script.dispatchers.peers else peers
-        seen_members = await self.paths.udp(members) if relayed and script.dispatchers.cluster else members
+        seen_peers = await self.network.proxy_datagrams(peers) if relayed and script.dispatchers.peers else peers
+        seen_members = (
+            await self.network.proxy_datagrams(members) if relayed and script.dispatchers.cluster else members
+        )
         for number, name in enumerate(names):
-            discovery = await self.register.open(port=free_port(), caller=name)
+            discovery = await self.discovery.open(port=free_port(), caller=name)
             where = f"127.0.0.1:{discovery}"
             if "register" in script.relays:
-                where = self.paths.tcp(name, "register", lambda real=where: real)  # type: ignore[misc]
+                where = self.network.proxy_connections(name, "register", lambda real=where: real)  # type: ignore[misc]
             process = self.processes[name] = Process(name, self.folder, operators[name], self._source)
             told = [f"127.0.0.1:{peers[o] if o == name else seen_peers[o]}" for o in names]
             seeds = [seen_members[o] for o in names[: script.dispatchers.seeds] if o != name]
@@ -212,13 +214,13 @@
                 seeds=seeds,
             )
             if script.dispatchers.platform:
-                listed = list(self.register.instances.values())
-                write_platform_files(process, self.register.table(name, self.register.version, listed, True))
-                self._written[name] = self.register.version, {i["instanceId"]: dict(i) for i in listed}
+                listed = list(self.discovery.instances.values())
+                write_platform_files(process, self.discovery.table(name, self.discovery.version, listed, True))
+                self._written[name] = self.discovery.version, {i["instanceId"]: dict(i) for i in listed}
             if number % 20 == 19:
                 await asyncio.sleep(0)
         if script.register.down:
-            self.down(True)
+            self.set_discovery_down(True)
         later = set(choose(script.dispatchers.later, script, Random(script.seed)))
         self.history.began = self.history.now()
         for name in names:
@@ -227,14 +229,14 @@
                 await asyncio.sleep(0)
 
     async def _load(self) -> None:
-        lanes, rng, span = load_classes_of(self.script), Random(self.script.seed), self.script.span_s * 1000
+        lanes, rng, span = load_classes_of(self.plan), Random(self.plan.seed), self.plan.span_s * 1000
         tallies = {name: Tally(lane) for name, lane in lanes.items()}
         addresses = [("127.0.0.1", port) for port in self._doors.values()]
-        self.clients = ObservedLoad(self, addresses, tallies, self.script.span_s + 60)
-        if self.script.begin == "listed":
-            await self.until(self._all_listed, LISTED_WITHIN)
+        self.clients = ObservedLoad(self, addresses, tallies, self.plan.span_s + 60)
+        if self.plan.begin == "listed":
+            await self.wait_until(self._all_listed, LISTED_WITHIN)
         due = []
-        for lane in self.script.classes:
+        for lane in self.plan.classes:
             at = 0.0
             while (at := at + rng.expovariate(lane.rate / 1000)) < span - lane.deadline_ms:
                 due.append(PlannedRequest(at, lanes[lane.name], lane.work_ms * rng.uniform(0.5, 1.5)))
@@ -244,13 +246,13 @@
         for task in self._tasks:
             task.cancel()
         for process in self.processes.values():
-            if process.runs:
+            if process.running:
                 process.signal(signal.SIGCONT)
                 process.signal(signal.SIGKILL)
-        self.behind.close()
-        self.paths.close()
-        self.register.close()
-        self.runners.close()
+        self.ordered_ends.close()
+        self.network.close()
+        self.discovery.close()
+        self.servers.close()
         self.history.close()
         await asyncio.sleep(0)
 
@@ -265,24 +267,24 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             self._failed.append(f"the rig: {error!r}")
 
-    def end(self, event: Event) -> None:
+    def report_end(self, event: Event) -> None:
         """Something has ended: told behind what had come before it and is not read yet."""
-        self.behind.tell(lambda: self.history.see(event))
+        self.ordered_ends.report(lambda: self.history.see(event))
 
     def _start(self, name: str) -> None:
         self.history.see(Started(self.history.now(), name))
         self.processes[name].start()
 
     async def _start_again(self, name: str) -> None:
-        await self.behind.caught_up()  # with the end of the process before
+        await self.ordered_ends.caught_up()  # with the end of the process before
         if name in self._written:
             version, instances = self._written[name]
-            known = self.register.table(name, version, list(instances.values()), True)
+            known = self.discovery.table(name, version, list(instances.values()), True)
             write_known(self.processes[name], known)  # the platform gives the list as it was last held
         self._start(name)
 
     def _longest(self) -> float:
-        return max((lane.deadline_ms for lane in self.script.classes), default=0.0) / 1000
+        return max((lane.deadline_ms for lane in self.plan.classes), default=0.0) / 1000
 
     # -- what is seen
 
@@ -302,7 +304,7 @@
     def _note_reach(self, names: Iterable[str]) -> None:
         """Something has befallen discovery, or the paths of these dispatchers to it."""
         for name in names:
-            cut = "register" in self.script.relays and self.paths.of(name, "register").blocked
+            cut = "register" in self.plan.relays and self.network.path_between(name, "register").blocked
             reachable = not self._down and not cut
             if reachable is (name in self._unreachable):
                 (self._unreachable.discard if reachable else self._unreachable.add)(name)
@@ -311,10 +313,10 @@
     def _wrote(self, caller: str, instances: list[dict[str, Any]], whole: bool) -> None:
         """The register has told a dispatcher; who goes by another's list counts as told somewhat later."""
         now = self.history.now()
-        if self.script.dispatchers.platform:
+        if self.plan.dispatchers.platform:
             _, before = self._written.get(caller, (0, {}))
             listed = {} if whole else before
-            self._written[caller] = self.register.version, listed | {i["instanceId"]: dict(i) for i in instances}
+            self._written[caller] = self.discovery.version, listed | {i["instanceId"]: dict(i) for i in instances}
         for instance in instances:
             self.history.see(Listed(now, caller, instance["instanceId"], STATES[instance["lifecycle"]]))
 
@@ -323,27 +325,29 @@
             for process in self.processes:
                 self.history.see(Listed(self.history.now(), process, name, STATES[state]))
 
-        if self.script.dispatchers.cluster:
-            asyncio.get_running_loop().call_later(self.script.told_after_ms / 1000, told)
+        if self.plan.dispatchers.cluster:
+            asyncio.get_running_loop().call_later(self.plan.told_after_ms / 1000, told)
 
     def _address_of(self, caller: str, name: str, address: str) -> str:
-        if "runners" not in self.script.relays or name not in self.runners.servers:
+        if "runners" not in self.plan.relays or name not in self.servers.endpoints:
             return address
-        self.paths.of(caller, name).ear = lambda: RequestListener(lambda txn: self.runners.sent(name, txn))
-        return self.paths.tcp(caller, name, lambda: self.runners.address(name))
+        self.network.path_between(caller, name).make_connection_listener = lambda: RequestListener(
+            lambda txn: self.servers.request_sent(name, txn)
+        )
+        return self.network.proxy_connections(caller, name, lambda: self.servers.address(name))
 
     async def _watch_processes(self) -> None:
         while True:
             for name, process in self.processes.items():
-                if (status := process.look()) is not None:
+                if (status := process.unexpected_exit_status()) is not None:
                     self._failed.append(f"{name} ended by itself with status {status}")
-                    self.end(Stopped(self.history.now(), name, True))
+                    self.report_end(Stopped(self.history.now(), name, True))
             await asyncio.sleep(LOOK)
 
     async def _watch_lists(self) -> None:
         """When each has its list, read off its figures until it has."""
         while len(self.listed_after) < len(self.processes):
-            waiting = [p for n, p in self.processes.items() if n not in self.listed_after and p.runs]
+            waiting = [p for n, p in self.processes.items() if n not in self.listed_after and p.running]
             for at in range(0, len(waiting), LOOKED_AT):
                 some = waiting[at : at + LOOKED_AT]
                 for process, has in zip(some, await asyncio.gather(*map(self._has_list, some)), strict=True):
@@ -352,16 +356,16 @@
             await asyncio.sleep(LISTED_LOOK)
 
     async def _has_list(self, process: Process) -> bool:
-        wanted = sum(i["lifecycle"] != "left" for i in self.register.instances.values())
+        wanted = sum(i["lifecycle"] != "left" for i in self.discovery.instances.values())
         return bool((await process.figures()).get("svc_targets") == wanted)
 
     async def _lists(self) -> dict[str, bool]:
         """Of all that run, whether they have the whole list."""
-        running = [process for process in self.processes.values() if process.wanted and process.runs]
+        running = [process for process in self.processes.values() if process.should_run and process.running]
         return {process.name: await self._has_list(process) for process in running}
 
     async def _all_listed(self) -> bool:
-        running = [process for process in self.processes.values() if process.runs]
+        running = [process for process in self.processes.values() if process.running]
         return bool(running) and all([await self._has_list(process) for process in running])
 
     # -- steps
@@ -369,7 +373,7 @@
     async def _do(self, step: Step) -> None:
         began = self.history.began
         await asyncio.sleep(max(0.0, step.at_s - (self.history.now() - began) / 1000))
-        who = choose(step.who, self.script, self.rng, self.reading())
+        who = choose(step.who, self.plan, self.random, self.reading())
         for number, name in enumerate(who or [""]):
             if number and step.every_s:
                 await asyncio.sleep(step.every_s)
@@ -402,15 +406,15 @@
         elif step.do == "replace":
             await self._replace(process)
         elif step.do == "kill":
-            process.killed_lives.add(process.starts)
+            process.killed_incarnations.add(process.incarnation)
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
-            self.end(Stopped(self.history.now(), name, True))
+            self.report_end(Stopped(self.history.now(), name, True))
         elif step.do == "term":
             process.signal(signal.SIGTERM)
             await asyncio.to_thread(_wait, process)
-            await self.behind.caught_up()  # its last answers are read and told
-            self.end(Stopped(self.history.now(), name, False))
+            await self.ordered_ends.caught_up()  # its last answers are read and told
+            self.report_end(Stopped(self.history.now(), name, False))
         else:
             process.signal({"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}[step.do])
         if step.do == "kill":
@@ -419,36 +423,36 @@
 
     async def _replace(self, process: Process) -> None:
         """A planned restart whose kill comes as early as it may; one that comes meanwhile is a second signal alone."""
-        life, first = process.starts, process.wanted
+        life, first = process.incarnation, process.should_run
         process.signal(signal.SIGTERM)
         if not first:
             return
         await asyncio.sleep(min(self._longest(), KILL_COUNTS) + KILL_AFTER)
-        if process.starts != life:
+        if process.incarnation != life:
             return
         process.signal(signal.SIGKILL)
-        await self.behind.caught_up()
-        self.end(Stopped(self.history.now(), process.name, False))
+        await self.ordered_ends.caught_up()
+        self.report_end(Stopped(self.history.now(), process.name, False))
         await self._start_again(process.name)
 
     async def _runner(self, step: Step, name: str) -> Callable[[], Any]:
         if step.do == "die":
-            self.runners.die(name)
-            return lambda: self.runners.back(name, step.cold)
+            self.servers.stop(name)
+            return lambda: self.servers.restart(name, step.cold)
         if step.do == "back":
-            await self.runners.back(name, step.cold)
+            await self.servers.restart(name, step.cold)
         elif step.do == "slow":
-            self.runners.hosts[name].slowdown = step.factor
+            self.servers.emulated_servers[name].slowdown = step.factor
         elif step.do == "list":
-            self.runners.list_as(name, step.state)
+            self.servers.list_as(name, step.state)
             self._changed(name, step.state)
-        return lambda: setattr(self.runners.hosts[name], "slowdown", 1.0)
+        return lambda: setattr(self.servers.emulated_servers[name], "slowdown", 1.0)
 
     def _register(self, step: Step) -> Callable[[], Any]:
-        register = self.register
+        register = self.discovery
         if step.do in ("down", "up"):
-            self.down(step.do == "down")
-            return lambda: self.down(False)
+            self.set_discovery_down(step.do == "down")
+            return lambda: self.set_discovery_down(False)
         if step.do in ("hang", "speak"):
             register.silent = step.do == "hang"
             return lambda: setattr(register, "silent", False)
@@ -460,25 +464,25 @@
             register.turn_share = step.share
         return lambda: setattr(register, "turn_share", 0.0)
 
-    def down(self, down: bool) -> None:
+    def set_discovery_down(self, down: bool) -> None:
         """The register's process ends, or is there again; dials are refused meanwhile."""
         self._down = down
         self._note_reach(self.processes)
         if down:
-            self.register.close()
-            self.paths.gone("register", True)
+            self.discovery.close()
+            self.network.set_target_gone("register", True)
         else:
             self._begin(self._up())
 
     async def _up(self) -> None:
         for name in self.processes:
-            await self.register.open(caller=name)
-        self.paths.gone("register", False)
+            await self.discovery.open(caller=name)
+        self.network.set_target_gone("register", False)
 
     def _between(self, step: Step) -> Callable[[], Any]:
-        sources = choose(step.source, self.script, self.rng, self.reading())
-        targets = choose(step.target, self.script, self.rng, self.reading())
-        chosen = self.paths.choose(sources, targets)
+        sources = choose(step.source, self.plan, self.random, self.reading())
+        targets = choose(step.target, self.plan, self.random, self.reading())
+        chosen = self.network.paths_between(sources, targets)
         for path, forward in chosen:
             self._fault(step, path, forward, True)
 
@@ -489,17 +493,17 @@
         return back
 
     def _fault(self, step: Step, path: NetworkPath, forward: bool, on: bool) -> None:
-        ways = [path.out, path.back] if step.both else [path.out if forward else path.back]
+        ways = [path.forward, path.backward] if step.both else [path.forward if forward else path.backward]
         if step.do == "heal":
-            path.refusing = path.full = path.silent = False
-            for way in (path.out, path.back):
+            path.refusing = path.queue_full = path.silent = False
+            for way in (path.forward, path.backward):
                 way.heal()
         elif step.do == "refuse":
             path.refusing = on
         elif step.do == "full":
-            path.full = on
+            path.queue_full = on
         elif step.do == "reset":
-            for link in list(path.links):
+            for link in list(path.connections):
                 link.reset()
         for way in ways:
             if step.do in ("cut", "silent"):
@@ -509,10 +513,10 @@
             elif step.do == "loss":
                 way.loss = step.share if on else 0.0
         if step.do in ("trickle", "half"):  # of what the target answers
-            setattr(path.back if forward else path.out, step.do, step.bytes if on else 0)
+            _limit_answers(path.backward if forward else path.forward, step, on)
         if step.do == "silent":
             path.silent = on
-        path.changed()
+        path.apply_faults()
         if path.name[1] == "register":
             self._note_reach([path.name[0]])
 
@@ -537,9 +541,18 @@
 
 
 def _wait(process: Process) -> None:
-    if process.program is not None:
+    if process.child is not None:
         try:
-            process.program.wait(STOP_WITHIN)
+            process.child.wait(STOP_WITHIN)
         except subprocess.TimeoutExpired:
-            process.program.kill()
-            process.program.wait()
+            process.child.kill()
+            process.child.wait()
+
+
+def _limit_answers(direction: Direction, step: Step, on: bool) -> None:
+    """Bound what the target answers: by its rate, or by the bytes of each connection after which it is reset."""
+    limit = step.bytes if on else 0
+    if step.do == "trickle":
+        direction.bytes_per_second = limit
+    else:
+        direction.reset_after_bytes = limit
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -32,19 +32,19 @@
 
     held: bool = False
     delay_ms: float = 0.0
-    trickle: int = 0  # bytes a second, 0 for no bound
-    half: int = 0  # so many bytes of each connection come through, then it is reset; 0 for all
+    bytes_per_second: int = 0  # bytes a second, 0 for no bound
+    reset_after_bytes: int = 0  # so many bytes of each connection come through, then it is reset; 0 for all
     loss: float = 0.0  # of datagrams
 
     def heal(self) -> None:
         """Nothing befalls them any more."""
-        self.held, self.delay_ms, self.trickle, self.half, self.loss = False, 0.0, 0, 0, 0.0
+        self.held, self.delay_ms, self.bytes_per_second, self.reset_after_bytes, self.loss = False, 0.0, 0, 0, 0.0
 
 
 class ConnectionListener(Protocol):
     """Whoever hears bytes of one connection."""
 
-    def hear(self, data: bytes) -> None:
+    def bytes_written(self, data: bytes) -> None:
         """They have been written, whenever they come through."""
 
 
@@ -53,33 +53,33 @@
 
     def __init__(self, name: PathName) -> None:
         self.name = name
-        self.out, self.back = Direction(), Direction()
-        self.refusing = self.full = self.silent = False  # silent: dials come up, and then nothing comes through
-        self.gone = False  # the target's process has ended
-        self.dials = 0
-        self.links: set[ProxiedConnection] = set()
-        self.door: ListeningProxy | None = None
-        self.ear: Callable[[], ConnectionListener] | None = (
+        self.forward, self.backward = Direction(), Direction()
+        self.refusing = self.queue_full = self.silent = False  # silent: dials come up, and then nothing comes through
+        self.target_gone = False  # the target's process has ended
+        self.dial_count = 0
+        self.connections: set[ProxiedConnection] = set()
+        self.listener: ListeningProxy | None = None
+        self.make_connection_listener: Callable[[], ConnectionListener] | None = (
             None  # hears what is written into each connection, when it is written
         )
 
     @property
     def blocked(self) -> bool:
         """Whether nothing gets through to the target, or nothing back."""
-        return self.refusing or self.full or self.silent or self.out.held or self.back.held
+        return self.refusing or self.queue_full or self.silent or self.forward.held or self.backward.held
 
-    def open_to_dials(self) -> str:
+    def dial_outcome(self) -> str:
         """What becomes of a dial: taken, refused, or nothing at all."""
-        if self.refusing or self.gone:
+        if self.refusing or self.target_gone:
             return "refused"
-        cut = (self.out.held or self.back.held) and not self.silent
-        return "unanswered" if self.full or cut else "taken"
+        cut = (self.forward.held or self.backward.held) and not self.silent
+        return "unanswered" if self.queue_full or cut else "taken"
 
-    def changed(self) -> None:
+    def apply_faults(self) -> None:
         """Its faults are others now."""
-        if self.door is not None:
-            self.door.set(self.open_to_dials())
-        for link in list(self.links):
+        if self.listener is not None:
+            self.listener.set_dial_outcome(self.dial_outcome())
+        for link in list(self.connections):
             link.pump()
 
 
@@ -94,9 +94,9 @@
         self._how = "refused"
         self._tasks: set[asyncio.Task[None]] = set()
         self.port = free_port()  # it is closed for a while, and has to be had again
-        self.set("taken")
+        self.set_dial_outcome("taken")
 
-    def set(self, how: str) -> None:
+    def set_dial_outcome(self, how: str) -> None:
         """Take, refuse or leave unanswered what is dialled from now on."""
         if how == self._how:
             return
@@ -122,7 +122,7 @@
 
     def close(self) -> None:
         """Nothing is listened for any more."""
-        self.set("refused")
+        self.set_dial_outcome("refused")
         for task in self._tasks:
             task.cancel()
 
@@ -153,7 +153,7 @@
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._path.dials += 1
+            self._path.dial_count += 1
             task = asyncio.get_running_loop().create_task(self._link(sock))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -161,14 +161,14 @@
     async def _link(self, sock: socket.socket) -> None:
         loop, link = asyncio.get_running_loop(), ProxiedConnection(self._path)
         try:
-            await loop.create_connection(lambda: link.far, *split_address(self._target()))
+            await loop.create_connection(lambda: link.target_end, *split_address(self._target()))
         except OSError:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             return
-        self._path.links.add(link)
+        self._path.connections.add(link)
         try:
-            await loop.connect_accepted_socket(lambda: link.near, sock)
+            await loop.connect_accepted_socket(lambda: link.source_end, sock)
         except OSError:
             link.reset()
 
@@ -177,11 +177,11 @@
     """One end of a link."""
 
     def __init__(self, link: "ProxiedConnection", way: Direction) -> None:
-        self.link, self.way = link, way  # the way of what is read here
+        self.connection, self.direction = link, way  # the way of what is read here
         self.transport: asyncio.Transport | None = None
         self.other: ConnectionEnd
-        self.queue: deque[tuple[float, bytes]] = deque()  # when it may go on, and what; empty bytes are the end
-        self.size = self.passed = 0
+        self.pending: deque[tuple[float, bytes]] = deque()  # when it may go on, and what; empty bytes are the end
+        self.pending_bytes = self.passed_bytes = 0
         self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -190,12 +190,12 @@
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        self.link.pump()
+        self.connection.pump()
 
     def data_received(self, data: bytes) -> None:
         """Bytes to pass on."""
-        if self is self.link.near and self.link.ear is not None:
-            self.link.ear.hear(data)
+        if self is self.connection.source_end and self.connection.listener is not None:
+            self.connection.listener.bytes_written(data)
         self._put(data)
 
     def eof_received(self) -> bool:
@@ -208,16 +208,16 @@
         self.transport = None
         if not self.ended:
             self._put(b"")
-        self.link.lost(self)
+        self.connection.end_lost(self)
 
     def _put(self, data: bytes) -> None:
         self.ended = self.ended or not data
-        when = asyncio.get_running_loop().time() + self.way.delay_ms / 1000
-        self.queue.append((when, data))
-        self.size += len(data)
-        if self.size > MAX_HELD_BYTES and self.transport is not None:
+        when = asyncio.get_running_loop().time() + self.direction.delay_ms / 1000
+        self.pending.append((when, data))
+        self.pending_bytes += len(data)
+        if self.pending_bytes > MAX_HELD_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self.link.pump()
+        self.connection.pump()
 
 
 class ProxiedConnection:
@@ -225,9 +225,9 @@
 
     def __init__(self, path: NetworkPath) -> None:
         self.path = path
-        self.ear = path.ear() if path.ear is not None else None
-        self.near, self.far = ConnectionEnd(self, path.out), ConnectionEnd(self, path.back)
-        self.near.other, self.far.other = self.far, self.near
+        self.listener = path.make_connection_listener() if path.make_connection_listener is not None else None
+        self.source_end, self.target_end = ConnectionEnd(self, path.forward), ConnectionEnd(self, path.backward)
+        self.source_end.other, self.target_end.other = self.target_end, self.source_end
         self._timer: asyncio.TimerHandle | None = None
 
     def pump(self) -> None:
@@ -235,36 +235,36 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        waits = [wait for wait in (self._pass(self.near), self._pass(self.far)) if wait is not None]
+        waits = [wait for wait in (self._pass(self.source_end), self._pass(self.target_end)) if wait is not None]
         if waits:
             self._timer = asyncio.get_running_loop().call_later(max(0.001, min(waits)), self.pump)
 
     def reset(self) -> None:
         """End both sides at once."""
-        self.path.links.discard(self)
-        for side in (self.near, self.far):
-            side.queue.clear()
+        self.path.connections.discard(self)
+        for side in (self.source_end, self.target_end):
+            side.pending.clear()
             side.ended = True
             if side.transport is not None:
                 side.transport.abort()
 
-    def lost(self, side: ConnectionEnd) -> None:
+    def end_lost(self, side: ConnectionEnd) -> None:
         """A side has gone; the other one hears of it as soon as its bytes have come through."""
         if side.other.transport is None:
-            self.path.links.discard(self)
-        elif not side.queue and not side.way.held:
+            self.path.connections.discard(self)
+        elif not side.pending and not side.direction.held:
             side.other.transport.abort()
         self.pump()
 
     def _pass(self, side: ConnectionEnd) -> float | None:
         """Pass on what was read at a side; seconds until there may be more, None for no more by itself."""
-        way, to, loop = side.way, side.other.transport, asyncio.get_running_loop()
-        while side.queue and not way.held and to is not None:
-            when, data = side.queue[0]
+        way, to, loop = side.direction, side.other.transport, asyncio.get_running_loop()
+        while side.pending and not way.held and to is not None:
+            when, data = side.pending[0]
             if (wait := when - loop.time()) > 0:
                 return wait
             if not data:
-                side.queue.popleft()
+                side.pending.popleft()
                 if side.transport is None:
                     to.abort()  # the sender has gone altogether
                 elif to.can_write_eof():
@@ -272,27 +272,27 @@
                         to.write_eof()
                 continue
             room = len(data)
-            if way.trickle:
-                room = min(room, max(1, round(way.trickle * TRICKLE_INTERVAL_S)))
-            if way.half:
-                room = min(room, max(0, way.half - side.passed))
+            if way.bytes_per_second:
+                room = min(room, max(1, round(way.bytes_per_second * TRICKLE_INTERVAL_S)))
+            if way.reset_after_bytes:
+                room = min(room, max(0, way.reset_after_bytes - side.passed_bytes))
                 if not room:
                     self.reset()
                     return None
             to.write(data[:room])
-            side.passed += room
-            side.size -= room
+            side.passed_bytes += room
+            side.pending_bytes -= room
             if room < len(data):
-                side.queue[0] = when, data[room:]
+                side.pending[0] = when, data[room:]
             else:
-                side.queue.popleft()
-            if side.transport is not None and side.size <= MAX_HELD_BYTES // 2:
+                side.pending.popleft()
+            if side.transport is not None and side.pending_bytes <= MAX_HELD_BYTES // 2:
                 side.transport.resume_reading()
-            if way.half and side.passed >= way.half:
+            if way.reset_after_bytes and side.passed_bytes >= way.reset_after_bytes:
                 self.reset()
                 return None
-            if way.trickle:
-                return max(TRICKLE_INTERVAL_S, 1 / way.trickle)
+            if way.bytes_per_second:
+                return max(TRICKLE_INTERVAL_S, 1 / way.bytes_per_second)
         return None
 
 
@@ -304,18 +304,18 @@
         self._paths: dict[PathName, NetworkPath] = {}
         self._boxes: list[DatagramProxy] = []
 
-    def of(self, source: str, target: str) -> NetworkPath:
+    def path_between(self, source: str, target: str) -> NetworkPath:
         """The path from one to another."""
         return self._paths.setdefault((source, target), NetworkPath((source, target)))
 
-    def tcp(self, source: str, target: str, address: Callable[[], str]) -> str:
+    def proxy_connections(self, source: str, target: str, address: Callable[[], str]) -> str:
         """The address at which the source finds the target; ``address`` is where it really is."""
-        path = self.of(source, target)
-        if path.door is None:
-            path.door = ListeningProxy(path, address)
-        return f"127.0.0.1:{path.door.port}"
+        path = self.path_between(source, target)
+        if path.listener is None:
+            path.listener = ListeningProxy(path, address)
+        return f"127.0.0.1:{path.listener.port}"
 
-    async def udp(self, real: dict[str, int]) -> dict[str, int]:
+    async def proxy_datagrams(self, real: dict[str, int]) -> dict[str, int]:
         """A relay for each of these parties; the ports at which the others find them.
 
         What comes in at the relay of X is sent on to X from the relay of whoever sent it, so answers take the same way.
@@ -328,11 +328,11 @@
             self._boxes.append(box)
         return {name: box.port for name, box in boxes.items()}
 
-    def lost(self, way: Direction) -> bool:
+    def drops_datagram(self, way: Direction) -> bool:
         """Whether a datagram does not come through."""
         return way.held or (way.loss > 0 and self._rng.random() < way.loss)
 
-    def choose(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[NetworkPath, bool]]:
+    def paths_between(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[NetworkPath, bool]]:
         """The paths between these, each with whether it goes from a source to a target or back."""
         froms, tos = set(sources), set(targets)
         chosen = []
@@ -343,22 +343,22 @@
                 chosen.append((path, False))
         return chosen
 
-    def gone(self, target: str, gone: bool) -> None:
+    def set_target_gone(self, target: str, gone: bool) -> None:
         """A target's process has ended, or is there again: its connections are reset, and dials refused."""
         for (_, name), path in self._paths.items():
             if name == target:
-                path.gone = gone
+                path.target_gone = gone
                 if gone:
-                    for link in list(path.links):
+                    for link in list(path.connections):
                         link.reset()
-                path.changed()
+                path.apply_faults()
 
     def close(self) -> None:
         """End everything."""
         for path in self._paths.values():
-            if path.door is not None:
-                path.door.close()
-            for link in list(path.links):
+            if path.listener is not None:
+                path.listener.close()
+            for link in list(path.connections):
                 link.reset()
         for box in self._boxes:
             box.transport.close()
@@ -384,8 +384,8 @@
         sender = self._names.get(addr[1])
         if sender is None:
             return
-        way = self._paths.of(sender, self._owner).out
-        if self._paths.lost(way):
+        way = self._paths.path_between(sender, self._owner).forward
+        if self._paths.drops_datagram(way):
             return
         if way.delay_ms:
             asyncio.get_running_loop().call_later(way.delay_ms / 1000, self._pass, sender, data)
--- a/heronlug/faults/ordering.py
+++ b/heronlug/faults/ordering.py
@@ -43,9 +43,11 @@
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Mark(self._come), "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
-        self._address = split_address(self._paths.tcp(MARK_PARTY, MARK_PARTY, lambda: f"127.0.0.1:{port}"))
+        self._address = split_address(
+            self._paths.proxy_connections(MARK_PARTY, MARK_PARTY, lambda: f"127.0.0.1:{port}")
+        )
 
-    def tell(self, end: Callable[[], None]) -> None:
+    def report(self, end: Callable[[], None]) -> None:
         """Call this when all that has come by now has been read, and after all that was handed in before."""
         self._waiting.append(end)
         self._send()
@@ -53,7 +55,7 @@
     async def caught_up(self) -> None:
         """Until all that has come by now has been read and told."""
         told = asyncio.Event()
-        self.tell(told.set)
+        self.report(told.set)
         await told.wait()
 
     def close(self) -> None:
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -77,31 +77,31 @@
 
     def __init__(self, name: str, folder: Path, operators: int, source: Path | None = None) -> None:
         """``source`` is the folder of another version of the program, in place of this one."""
-        self.name, self.folder, self.operators, self.source = name, folder, operators, source
-        self.program: subprocess.Popen[bytes] | None = None
-        self.wanted = False  # it should run
-        self.told_at: float | None = None  # when it was told to end, on the monotonic clock
-        self.starts = 0
-        self.killed_lives: set[int] = set()  # those of its starts that a step killed outright
-        self.killed = 0  # how often it had been started when it was last killed, or ended by itself
+        self.name, self.folder, self.admin_port, self.source = name, folder, operators, source
+        self.child: subprocess.Popen[bytes] | None = None
+        self.should_run = False  # it should run
+        self.stop_requested_at_s: float | None = None  # when it was told to end, on the monotonic clock
+        self.incarnation = 0
+        self.killed_incarnations: set[int] = set()  # those of its starts that a step killed outright
+        self.last_ended_incarnation = 0  # how often it had been started when it was last killed, or ended by itself
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         """Whether there is a process."""
-        return self.program is not None and self.program.poll() is None
+        return self.child is not None and self.child.poll() is None
 
     def start(self) -> None:
         """Start it."""
-        if self.runs:
+        if self.running:
             return
-        self.wanted, self.told_at = True, None
-        self.starts += 1
-        private = self.folder / f"{self.name}.tmp{self.starts}"
+        self.should_run, self.stop_requested_at_s = True, None
+        self.incarnation += 1
+        private = self.folder / f"{self.name}.tmp{self.incarnation}"
         private.mkdir()
         with (self.folder / f"{self.name}.log").open("ab") as log, starting:
             file, platform = str(self.folder / f"{self.name}.toml"), self.folder / f"{self.name}.json"
             told = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
-            self.program = subprocess.Popen(
+            self.child = subprocess.Popen(
                 [*HOLD_OFF, sys.executable, "-m", "heronlug", *(() if told else ("serve", file))],
                 stdout=log,
                 stderr=log,
@@ -112,29 +112,29 @@
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal; after SIGKILL and SIGTERM it is not wanted any more."""
-        if self.program is None or not self.runs:
+        if self.child is None or not self.running:
             return
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self.wanted = False
-        if number is signal.SIGTERM and self.told_at is None:
-            self.told_at = time.monotonic()
-        self.program.send_signal(number)
+            self.should_run = False
+        if number is signal.SIGTERM and self.stop_requested_at_s is None:
+            self.stop_requested_at_s = time.monotonic()
+        self.child.send_signal(number)
         if number is signal.SIGKILL:
-            self.killed = self.starts
-            self.program.wait()
+            self.last_ended_incarnation = self.incarnation
+            self.child.wait()
 
-    def look(self) -> int | None:
+    def unexpected_exit_status(self) -> int | None:
         """Its status if it has ended though it should run, which is told once."""
-        if not self.wanted or self.program is None or self.program.poll() is None:
+        if not self.should_run or self.child is None or self.child.poll() is None:
             return None
-        self.wanted, self.killed = False, self.starts
-        return self.program.returncode
+        self.should_run, self.last_ended_incarnation = False, self.incarnation
+        return self.child.returncode
 
     async def figures(self) -> dict[str, float]:
         """What an operator reads; nothing where it does not answer."""
         try:
             async with asyncio.timeout(2):
-                reader, writer = await asyncio.open_connection("127.0.0.1", self.operators)
+                reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
                 writer.write(b"GET /stats HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n")
                 text = (await reader.read()).decode()
                 writer.close()
@@ -146,27 +146,27 @@
 
     def usage(self) -> Usage:
         """What it has used so far; nothing where it does not run."""
-        if self.program is None or not self.runs:
+        if self.child is None or not self.running:
             return Usage()
-        proc = Path(f"/proc/{self.program.pid}")
+        proc = Path(f"/proc/{self.child.pid}")
         fields = (proc / "stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[UTIME]) + int(fields[UTIME + 1])
         peak = next(line for line in (proc / "status").read_text().splitlines() if line.startswith("VmHWM:"))
         descriptors = len(list((proc / "fd").iterdir()))
         return Usage(ticks / os.sysconf("SC_CLK_TCK"), int(peak.split()[1]) / 1024, descriptors)
 
-    def lines(self, event: str) -> list[dict[str, Any]]:
+    def logged_events(self, event: str) -> list[dict[str, Any]]:
         """The lines of its log that tell of such an event."""
-        text = (self.folder / f"{self.name}.log").read_bytes() if self.starts else b""
+        text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
         told = [orjson.loads(line) for line in text.splitlines() if f'"event":"{event}"'.encode() in line]
         return [line for line in told if line["event"] == event]
 
-    def unanswered(self) -> list[str]:
+    def unanswered_requests(self) -> list[str]:
         """What it has taken and neither answered nor seen its client leave, but in lives that were killed outright.
 
         A log's last lines may be lost with the process, so what it took just before them is not counted.
         """
-        text = (self.folder / f"{self.name}.log").read_bytes() if self.starts else b""
+        text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
         lives: list[list[dict[str, Any]]] = []
         for line in (orjson.loads(line) for line in text.splitlines() if line.startswith(b"{") and line.endswith(b"}")):
             if line["event"] == "started":
@@ -174,16 +174,16 @@
             elif line["event"] in ("taken", "answer", "client_gone") and lives:
                 lives[-1].append(line)
         found = []
-        for life in (life for number, life in enumerate(lives, 1) if life and number not in self.killed_lives):
+        for life in (life for number, life in enumerate(lives, 1) if life and number not in self.killed_incarnations):
             over = {line["id"] for line in life if line["event"] != "taken"}
             sure = life[-1]["at"] - LOG_LOST
             taken = [line["id"] for line in life if line["event"] == "taken" and line["at"] < sure]
             found += [name for name in taken if name not in over]
         return found
 
-    def faults(self) -> list[str]:
+    def log_errors(self) -> list[str]:
         """What no log may hold."""
-        text = (self.folder / f"{self.name}.log").read_text(errors="replace") if self.starts else ""
+        text = (self.folder / f"{self.name}.log").read_text(errors="replace") if self.incarnation else ""
         return [line for line in text.splitlines() if '"exception"' in line or "Traceback" in line]
 
 
@@ -205,7 +205,7 @@
         s=script,
         name=process.name,
         door=door,
-        operators=process.operators,
+        operators=process.admin_port,
         position=position,
         discovery=discovery,
         peers=peers,
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -41,7 +41,7 @@
         self._written, self._txn = written, ""
         self._parser: Any = httptools.HttpRequestParser(self)
 
-    def hear(self, data: bytes) -> None:
+    def bytes_written(self, data: bytes) -> None:
         """Bytes of requests; what is no HTTP is heard no further."""
         try:
             if self._parser is not None:
@@ -75,8 +75,8 @@
         self.lanes = load_classes_of(script)
         self.works: dict[str, Draws] = {}  # each job brings its own
         self.line = LiveLine()
-        self.hosts: dict[str, EmulatedServer] = {}
-        self.servers: dict[str, Server] = {}
+        self.emulated_servers: dict[str, EmulatedServer] = {}
+        self.endpoints: dict[str, Server] = {}
         self._sender, self._gone = sender, gone
         table = script.runners
         self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
@@ -87,24 +87,24 @@
         for number in range(table.count):
             name = f"r{number}"
             kind = ServerKind(MACHINE_TYPE, table.slots, 1.0, table.queue)
-            host = self.hosts[name] = EmulatedServer(
+            host = self.emulated_servers[name] = EmulatedServer(
                 name, kind, number % len(self.script.halls), self.line, self._warmth
             )
             host.on_overload, host.on_execution_start = self._tipped, self._began
             if table.cold:
                 host.start()
-            self.servers[name] = Server(self, host)
-            self.servers[name].port = free_port()
-            await self.servers[name].open()
+            self.endpoints[name] = Server(self, host)
+            self.endpoints[name].port = free_port()
+            await self.endpoints[name].open()
             self.list_as(name, "active")
 
     def address(self, name: str) -> str:
         """Where it really is."""
-        return f"127.0.0.1:{self.servers[name].port}"
+        return f"127.0.0.1:{self.endpoints[name].port}"
 
     def list_as(self, name: str, state: str) -> None:
         """The register has it so."""
-        host = self.hosts[name]
+        host = self.emulated_servers[name]
         started = round(self._unix(host.started_at)) if host.started_at else 0
         self.register.put(
             name,
@@ -115,26 +115,26 @@
             startedAtMs=started,
         )
 
-    def die(self, name: str) -> None:
+    def stop(self, name: str) -> None:
         """Its process ends."""
-        self.hosts[name].stop()
-        self.servers[name].close()
+        self.emulated_servers[name].stop()
+        self.endpoints[name].close()
         self._gone(name, True)
 
-    async def back(self, name: str, cold: bool) -> None:
+    async def restart(self, name: str, cold: bool) -> None:
         """A new process at the same address."""
-        host = self.hosts[name]
+        host = self.emulated_servers[name]
         if cold:
             host.start()
         else:
             host.up = True
         self._gone(name, False)
-        await self.servers[name].open()
+        await self.endpoints[name].open()
         self.list_as(name, "active")
 
     def close(self) -> None:
         """End all."""
-        for server in self.servers.values():
+        for server in self.endpoints.values():
             server.close()
 
     # -- what the sockets tell
@@ -146,9 +146,9 @@
     def came(self, host: EmulatedServer, txn: str) -> None:
         """A whole request has come; where a relay stands before the runner, it was sent when that heard it."""
         if "runners" not in self.script.relays:
-            self.sent(host.name, txn)
+            self.request_sent(host.name, txn)
 
-    def sent(self, name: str, txn: str) -> None:
+    def request_sent(self, name: str, txn: str) -> None:
         """A dispatcher has written a whole request."""
         self.history.see(Sent(self.history.now(), self._sender(txn), txn, name))
 
@@ -164,4 +164,4 @@
     def _tipped(self, host: EmulatedServer) -> None:
         stands = self._warmth.overload_multiple * host.capacity()
         self.history.see(Load(self.history.now(), host.name, host.occupied_slots / stands, host.warming_up))
-        self.die(host.name)
+        self.stop(host.name)
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -59,8 +59,10 @@
     verdict.faults += _failed_relays(run, verdict.figures)
     for process in run.processes.values():
         if run.script.dispatchers.log_taken:
-            verdict.faults += [f"{process.name} took {name} and never answered" for name in process.unanswered()]
-        verdict.faults += [f"{process.name}: {line[:400]}" for line in process.faults()]
+            verdict.faults += [
+                f"{process.name} took {name} and never answered" for name in process.unanswered_requests()
+            ]
+        verdict.faults += [f"{process.name}: {line[:400]}" for line in process.log_errors()]
     return verdict
 
 
@@ -68,7 +70,7 @@
     checker, tallies = run.history.checker, list(run.tallies)
     dials = {host: rush.most for host, rush in checker.statistics.dial_peaks.items()}
     after = sorted(run.listed_after.values())
-    used = [process.usage() for process in run.processes.values() if process.runs]
+    used = [process.usage() for process in run.processes.values() if process.running]
     return {
         "calls": checker.statistics.calls,
         "calls for the whole list": checker.statistics.list_calls,
@@ -135,7 +137,7 @@
 def _failures(run: FinishedRun, process: Process, table: FailedTable) -> int:
     """How many attempts a dispatcher began into a zone between two times that it says have failed."""
     count = 0
-    for line in process.lines("relay_ended"):
+    for line in process.logged_events("relay_ended"):
         at = (line["at"] * 1000 - line["ms"] - run.history.began) / 1000
         there = run.script.hall(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
         count += there and table.from_s <= at < table.to_s
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -56,10 +56,10 @@
 
     async def open(self) -> None:
         """Every member sees every other at the address of its relay."""
-        self.seen = await self.paths.udp(self.real)
+        self.seen = await self.paths.proxy_datagrams(self.real)
         for source in NAMES:
             for target in NAMES:
-                self.paths.of(source, target).out.loss = self.loss
+                self.paths.path_between(source, target).forward.loss = self.loss
 
     def start(self, name: str) -> None:
         seeds = json.dumps([f"127.0.0.1:{self.seen[other]}" for other in NAMES if other != name])
--- a/tests/faults/test_harness.py
+++ b/tests/faults/test_harness.py
@@ -47,7 +47,7 @@
             await asyncio.sleep(0.05)
         socks = []
         for number in range(8):
-            sock = socket.create_connection(("127.0.0.1", rig.runners.servers["r0"].port))
+            sock = socket.create_connection(("127.0.0.1", rig.servers.endpoints["r0"].port))
             sock.sendall(b"POST /job HTTP/1.1\r\nX-Txn: t%d\r\nX-Lane: job\r\nContent-Length: 4\r\n\r\n9000" % number)
             socks.append(sock)
         verdict = await playing
--- a/tests/faults/test_network.py
+++ b/tests/faults/test_network.py
@@ -34,9 +34,9 @@
         echo, paths = Echo(), FaultyNetwork(1)
         server = await asyncio.start_server(echo.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        address = paths.tcp("a", "b", lambda: f"127.0.0.1:{port}")
+        address = paths.proxy_connections("a", "b", lambda: f"127.0.0.1:{port}")
         try:
-            await steps(paths.of("a", "b"), address, echo)
+            await steps(paths.path_between("a", "b"), address, echo)
         finally:
             paths.close()
             server.close()
@@ -52,15 +52,15 @@
     async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         reader, writer = await dial(address)
         assert await say(reader, writer, b"one") == b"one"
-        path.out.held = path.back.held = True
-        path.changed()
+        path.forward.held = path.backward.held = True
+        path.apply_faults()
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(3), SHORT)
         with pytest.raises(TimeoutError):  # a dial through a cut neither comes up nor is refused
             await asyncio.wait_for(asyncio.shield(asyncio.ensure_future(dial(address))), SHORT)
-        path.out.held = path.back.held = False
-        path.changed()
+        path.forward.held = path.backward.held = False
+        path.apply_faults()
         assert await asyncio.wait_for(reader.readexactly(3), 10) == b"two"
         assert echo.taken == 1
         new, newer = await asyncio.wait_for(dial(address), 10)
@@ -73,13 +73,13 @@
     async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
         reader, writer = await dial(address)
         await say(reader, writer, b"x")
-        path.back.held = True
-        path.changed()
+        path.backward.held = True
+        path.apply_faults()
         writer.write(b"one")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(3), SHORT)
-        (link,) = path.links
-        assert [data for _, data in link.far.queue] == [b"one"]  # the echo has answered
+        (link,) = path.connections
+        assert [data for _, data in link.target_end.pending] == [b"one"]  # the echo has answered
 
     play(steps)
 
@@ -89,16 +89,16 @@
         reader, writer = await dial(address)
         await say(reader, writer, b"x")
         path.refusing = True
-        path.changed()
+        path.apply_faults()
         with pytest.raises(ConnectionRefusedError):
             await dial(address)
         assert await say(reader, writer, b"y") == b"y"  # what is open stays
-        for link in list(path.links):
+        for link in list(path.connections):
             link.reset()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await asyncio.wait_for(reader.readexactly(1), 10)
         path.refusing = False
-        path.changed()
+        path.apply_faults()
         assert await say(*await dial(address), b"z") == b"z"
 
     play(steps)
@@ -106,13 +106,13 @@
 
 def test_half_of_an_answer_then_a_reset_and_a_trickle_brings_all() -> None:
     async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
-        path.back.half = 4
+        path.backward.reset_after_bytes = 4
         reader, writer = await dial(address)
         writer.write(b"12345678")
         assert await asyncio.wait_for(reader.readexactly(4), 10) == b"1234"
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await asyncio.wait_for(reader.readexactly(1), 10)
-        path.back.half, path.back.trickle = 0, 40
+        path.backward.reset_after_bytes, path.backward.bytes_per_second = 0, 40
         began = asyncio.get_running_loop().time()
         assert await say(*await dial(address), b"12345678") == b"12345678"
         assert asyncio.get_running_loop().time() - began > 0.1  # never sooner
@@ -122,8 +122,8 @@
 
 def test_a_path_that_is_silent_takes_dials_and_gives_nothing() -> None:
     async def steps(path: NetworkPath, address: str, echo: Echo) -> None:
-        path.silent = path.out.held = path.back.held = True
-        path.changed()
+        path.silent = path.forward.held = path.backward.held = True
+        path.apply_faults()
         reader, writer = await asyncio.wait_for(dial(address), 10)
         writer.write(b"x")
         with pytest.raises(TimeoutError):
@@ -138,8 +138,8 @@
         await say(reader, writer, b"x")
         writer.write_eof()
         assert await asyncio.wait_for(reader.read(), 10) == b""  # the echo closes, and so is this closed
-        path.gone = True
-        path.changed()
+        path.target_gone = True
+        path.apply_faults()
         with pytest.raises(ConnectionRefusedError):
             await dial(address)
 
@@ -154,11 +154,11 @@
             sock.setblocking(False)
         real = dict(zip("ab", (sock.getsockname()[1] for sock in socks), strict=True))
         paths, loop = FaultyNetwork(1), asyncio.get_running_loop()
-        seen = await paths.udp(real)
+        seen = await paths.proxy_datagrams(real)
         await loop.sock_sendto(socks[0], b"to b", ("127.0.0.1", seen["b"]))
         data, sender = await asyncio.wait_for(loop.sock_recvfrom(socks[1], 100), 10)
         assert (data, sender[1]) == (b"to b", seen["a"])
-        paths.of("a", "b").out.held = True
+        paths.path_between("a", "b").forward.held = True
         await loop.sock_sendto(socks[0], b"lost", ("127.0.0.1", seen["b"]))
         await loop.sock_sendto(socks[1], b"to a", ("127.0.0.1", seen["a"]))
         data, sender = await asyncio.wait_for(loop.sock_recvfrom(socks[0], 100), 10)
@@ -176,21 +176,21 @@
     async def run() -> None:
         paths, target = FaultyNetwork(1), socket.create_server(("127.0.0.1", 0))
         port = target.getsockname()[1]
-        _, writer = await dial(paths.tcp("a", "b", lambda: f"127.0.0.1:{port}"))
-        path = paths.of("a", "b")
+        _, writer = await dial(paths.proxy_connections("a", "b", lambda: f"127.0.0.1:{port}"))
+        path = paths.path_between("a", "b")
         async with asyncio.timeout(10):
-            while not path.links:
+            while not path.connections:
                 await asyncio.sleep(0)
-            path.out.held = True
+            path.forward.held = True
             writer.write_eof()
-            (link,) = path.links
-            while not link.near.ended:
+            (link,) = path.connections
+            while not link.source_end.ended:
                 await asyncio.sleep(0)
         there, _ = target.accept()
         there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         there.close()  # its reset lies unread while the end goes on
-        path.out.held = False
-        path.changed()
+        path.forward.held = False
+        path.apply_faults()
         target.close()
         paths.close()
         writer.close()
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -22,7 +22,7 @@
         if self.behind is None:
             self.told.append(self.what)
         else:
-            self.behind.tell(lambda: self.told.append(self.what))
+            self.behind.report(lambda: self.told.append(self.what))
 
 
 async def listening(told: list[str], what: str, behind: OrderedEnds | None = None) -> int:
@@ -42,8 +42,8 @@
         answers = socket.create_connection(("127.0.0.1", await listening(told, "answered", behind)))
         runner = await listening(told, "sent")
         if relayed:
-            paths.of("d0", "r0").ear = lambda: Ear(told)
-            runner = int(paths.tcp("d0", "r0", lambda: f"127.0.0.1:{unheard}").rpartition(":")[2])
+            paths.path_between("d0", "r0").make_connection_listener = lambda: RecordingListener(told)
+            runner = int(paths.proxy_connections("d0", "r0", lambda: f"127.0.0.1:{unheard}").rpartition(":")[2])
             unheard = await listening([], "come")
         await asyncio.sleep(0.05)  # the connection of the answers has been accepted, which the order hangs on nowhere
         request = socket.create_connection(("127.0.0.1", runner))
@@ -65,13 +65,13 @@
     return asyncio.run(run())
 
 
-class Ear:
-    """As the rig hears what goes through a relay."""
+class RecordingListener:
+    """Records that bytes were written into a connection."""
 
     def __init__(self, told: list[str]) -> None:
         self.told = told
 
-    def hear(self, data: bytes) -> None:
+    def bytes_written(self, data: bytes) -> None:
         """A request has been written."""
         self.told.append("sent")
 
@@ -88,11 +88,11 @@
         behind = OrderedEnds(paths)
         await behind.open()
         for number in range(5):
-            behind.tell(lambda number=number: told.append(number))  # type: ignore[misc]
+            behind.report(lambda number=number: told.append(number))  # type: ignore[misc]
         assert not told
         await asyncio.wait_for(behind.caught_up(), 10)
         assert told == [0, 1, 2, 3, 4]
-        behind.tell(lambda: told.append(5))
+        behind.report(lambda: told.append(5))
         behind.close()
         paths.close()
         return told
@@ -125,7 +125,7 @@
             await asyncio.sleep(0.02)
             over = rig.checker._answered_requests.get("d0", set())
         txn = min(over)
-        with socket.create_connection(("127.0.0.1", rig.runners.servers["r0"].port)) as sock:
+        with socket.create_connection(("127.0.0.1", rig.servers.endpoints["r0"].port)) as sock:
             head = f"POST /job HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: job\r\nContent-Length: 2\r\n\r\n20"
             sock.send(head.encode())
             verdict = await playing
