--- /dev/null
+++ b/heronlug/faults/dispatchers.py
@@ -0,0 +1,214 @@
+"""The dispatchers of a run: their files, and the starts and ends of their processes."""
+
+import asyncio
+import signal
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from random import Random
+
+from heronlug.conformance import Event, Started, Stopped
+from heronlug.faults.history import History
+from heronlug.faults.network import FaultyNetwork
+from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
+from heronlug.faults.ordering import OrderedEnds
+from heronlug.faults.plan import Step, TestPlan, choose
+from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
+from heronlug.standins.ports import free_port, free_ports
+
+MAX_GRACE_S = 3.0
+"""So much of the longest deadline counts, in seconds, for the kill of a planned restart."""
+KILL_AFTER_S = 0.7
+"""Seconds by which that kill comes later."""
+WATCH_INTERVAL_S = 0.02
+"""Seconds between two looks at the processes."""
+LIST_POLL_BATCH = 16
+"""Processes whose figures are read at once."""
+FILES_BEFORE_YIELD = 20
+"""Dispatchers whose files are written before the event loop has its turn."""
+SIGNALS = {"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}
+"""The signal of each step that does no more than send one."""
+
+
+class Dispatchers:
+    """All dispatchers of a run.
+
+    Attributes:
+        processes: by name.
+        frontend_ports: by name, where clients connect.
+        listed_after: by name, seconds from the beginning until the dispatcher had its list.
+    """
+
+    def __init__(
+        self,
+        plan: TestPlan,
+        folder: Path,
+        history: History,
+        network: FaultyNetwork,
+        ordered_ends: OrderedEnds,
+        discovery: ObservedDiscovery,
+    ) -> None:
+        self.processes: dict[str, Process] = {}
+        self.frontend_ports: dict[str, int] = {}
+        self.listed_after: dict[str, float] = {}
+        self._plan = plan
+        self._folder = folder
+        self._history = history
+        self._network = network
+        self._ordered_ends = ordered_ends
+        self._discovery = discovery
+
+    # -- files
+
+    async def open(self, source: Path | None) -> None:
+        """Write all files, and listen for the calls of each; ``source`` is the folder of another version to run.
+
+        Raises:
+            OSError: a file cannot be written, or a port not be had.
+        """
+        plan, count = self._plan, self._plan.dispatchers.count
+        (self._folder / "key").write_text("a key that is long enough")
+        names = [f"d{number}" for number in range(count)]
+        ports = free_ports(4 * count)
+        self.frontend_ports = dict(zip(names, ports[:count], strict=True))
+        admin_ports = dict(zip(names, ports[count : 2 * count], strict=True))
+        peers = dict(zip(names, ports[2 * count : 3 * count], strict=True))
+        members = dict(zip(names, ports[3 * count :], strict=True))
+        relayed = "peers" in plan.relays
+        seen_peers = await self._network.proxy_datagrams(peers) if relayed and plan.dispatchers.peers else peers
+        proxy_members = relayed and plan.dispatchers.cluster
+        seen_members = await self._network.proxy_datagrams(members) if proxy_members else members
+        self._discovery.dispatcher_names = names
+        for number, name in enumerate(names):
+            process = self.processes[name] = Process(name, self._folder, admin_ports[name], source)
+            addresses = [f"127.0.0.1:{peers[each] if each == name else seen_peers[each]}" for each in names]
+            write_file(
+                process,
+                plan,
+                door=self.frontend_ports[name],
+                discovery=await self._discovery_address(name),
+                member=members[name],
+                peers=addresses if plan.dispatchers.peers and count > 1 else [],
+                advertised=seen_members[name],
+                seeds=[seen_members[each] for each in names[: plan.dispatchers.seeds] if each != name],
+            )
+            if plan.dispatchers.platform:
+                write_platform_files(process, self._discovery.initial_list(name))
+            if number % FILES_BEFORE_YIELD == FILES_BEFORE_YIELD - 1:
+                await asyncio.sleep(0)
+
+    async def _discovery_address(self, name: str) -> str:
+        port = await self._discovery.stand_in.open(port=free_port(), caller=name)
+        address = f"127.0.0.1:{port}"
+        if PARTY in self._plan.relays:
+            return self._network.proxy_connections(name, PARTY, lambda: address)
+        return address
+
+    # -- starts and ends
+
+    async def start_all(self) -> None:
+        """Start all but those that a step starts."""
+        later = set(choose(self._plan.dispatchers.later, self._plan, Random(self._plan.seed)))
+        for name in self.processes:
+            if name not in later:
+                self._start(name)
+                await asyncio.sleep(0)
+
+    async def apply(self, step: Step, name: str) -> Callable[[], Awaitable[None] | None]:
+        """Carry out a step on one dispatcher; returns what takes it back."""
+        process = self.processes[name]
+        if step.do == "start":
+            await self._restart(name)
+        elif step.do == "replace":
+            await self._replace(process)
+        elif step.do == "kill":
+            self._kill(process)
+            return lambda: self._restart(name)
+        elif step.do == "term":
+            await self._terminate(process)
+        else:
+            process.signal(SIGNALS[step.do])
+        return lambda: process.signal(signal.SIGCONT)
+
+    def report_end(self, event: Event) -> None:
+        """Record an end after all that was written before it and is still unread."""
+        self._ordered_ends.report(lambda: self._history.see(event))
+
+    def close(self) -> None:
+        """Kill all that run."""
+        for process in self.processes.values():
+            if process.running:
+                process.signal(signal.SIGCONT)
+                process.signal(signal.SIGKILL)
+
+    def _start(self, name: str) -> None:
+        self._history.see(Started(self._history.now(), name))
+        self.processes[name].start()
+
+    async def _restart(self, name: str) -> None:
+        await self._ordered_ends.caught_up()  # with the end of the process before
+        known = self._discovery.last_written_list(name)
+        if known is not None:
+            write_known(self.processes[name], known)
+        self._start(name)
+
+    def _kill(self, process: Process) -> None:
+        process.killed_incarnations.add(process.incarnation)
+        process.signal(signal.SIGCONT)
+        process.signal(signal.SIGKILL)
+        self.report_end(Stopped(self._history.now(), process.name, True))
+
+    async def _terminate(self, process: Process) -> None:
+        process.signal(signal.SIGTERM)
+        await asyncio.to_thread(process.wait_or_kill)
+        await self._ordered_ends.caught_up()  # its last answers have been read
+        self.report_end(Stopped(self._history.now(), process.name, False))
+
+    async def _replace(self, process: Process) -> None:
+        """A planned restart whose kill comes as early as it may; one that comes meanwhile is a second signal alone."""
+        incarnation, first = process.incarnation, process.should_run
+        process.signal(signal.SIGTERM)
+        if not first:
+            return
+        await asyncio.sleep(min(self._plan.longest_deadline_s, MAX_GRACE_S) + KILL_AFTER_S)
+        if process.incarnation != incarnation:
+            return
+        process.signal(signal.SIGKILL)
+        await self._ordered_ends.caught_up()
+        self.report_end(Stopped(self._history.now(), process.name, False))
+        await self._restart(process.name)
+
+    # -- what is seen of them
+
+    async def watch_processes(self, failures: list[str]) -> None:
+        """Add a line to ``failures`` for each process that ends by itself."""
+        while True:
+            for name, process in self.processes.items():
+                if (status := process.unexpected_exit_status()) is not None:
+                    failures.append(f"{name} ended by itself with status {status}")
+                    self.report_end(Stopped(self._history.now(), name, True))
+            await asyncio.sleep(WATCH_INTERVAL_S)
+
+    async def watch_lists(self, interval_s: float) -> None:
+        """Note when each dispatcher has its list, read off its figures."""
+        while len(self.listed_after) < len(self.processes):
+            processes = self.processes.items()
+            waiting = [process for name, process in processes if name not in self.listed_after and process.running]
+            for start in range(0, len(waiting), LIST_POLL_BATCH):
+                batch = waiting[start : start + LIST_POLL_BATCH]
+                for process, has in zip(batch, await asyncio.gather(*map(self._has_list, batch)), strict=True):
+                    if has:
+                        self.listed_after[process.name] = self._history.elapsed_s()
+            await asyncio.sleep(interval_s)
+
+    async def lists(self) -> dict[str, bool]:
+        """Of all that run, whether they have the complete list."""
+        running = [process for process in self.processes.values() if process.should_run and process.running]
+        return {process.name: await self._has_list(process) for process in running}
+
+    async def all_listed(self) -> bool:
+        """Whether some run, and all of these have the complete list."""
+        running = [process for process in self.processes.values() if process.running]
+        return bool(running) and all([await self._has_list(process) for process in running])
+
+    async def _has_list(self, process: Process) -> bool:
+        return bool((await process.figures()).get("svc_targets") == self._discovery.listed_count())
--- a/heronlug/faults/history.py
+++ b/heronlug/faults/history.py
@@ -20,6 +20,10 @@
         """Unix milliseconds that only go forward."""
         return (time.monotonic_ns() + self._offset) / 1e6
 
+    def elapsed_s(self) -> float:
+        """Seconds since the run began."""
+        return (self.now() - self.began) / 1000
+
     def see(self, event: Event) -> None:
         """One event."""
         self.checker.see(event)
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -75,6 +75,17 @@
         cut = (self.forward.held or self.backward.held) and not self.silent
         return "unanswered" if self.queue_full or cut else "taken"
 
+    def heal(self) -> None:
+        """End all faults."""
+        self.refusing = self.queue_full = self.silent = False
+        self.forward.heal()
+        self.backward.heal()
+
+    def reset_connections(self) -> None:
+        """Reset all connections through it."""
+        for connection in list(self.connections):
+            connection.reset()
+
     def apply_faults(self) -> None:
         """Its faults are others now."""
         if self.listener is not None:
--- /dev/null
+++ b/heronlug/faults/observed_discovery.py
@@ -0,0 +1,136 @@
+"""Service discovery of a run: a stand-in whose calls, watches and lists are recorded in the history."""
+
+import asyncio
+from collections.abc import Iterable
+from typing import Any, NamedTuple
+
+from heronlug.conformance import Called, Changed, Listed, Reachable, Watching, WatchOver
+from heronlug.faults.history import History
+from heronlug.faults.network import FaultyNetwork
+from heronlug.faults.plan import TestPlan
+from heronlug.faults.tasks import BackgroundTasks
+from heronlug.standins.discovery import Call, StandInDiscovery
+
+PARTY = "register"
+"""The name of service discovery in a test plan."""
+STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
+"""The checker's word for each lifecycle of the endpoint list."""
+
+
+class WrittenList(NamedTuple):
+    """An endpoint list as it was last written to a dispatcher.
+
+    Attributes:
+        version: of the list.
+        instances: by instance id, in the protocol's form.
+    """
+
+    version: int
+    instances: dict[str, dict[str, Any]]
+
+
+class ObservedDiscovery:
+    """The stand-in discovery of a run.
+
+    Attributes:
+        stand_in: the service itself.
+        watched_after: by dispatcher, seconds from the beginning until its first watch waited for an update.
+        dispatcher_names: all dispatchers of the run, once they are known.
+    """
+
+    def __init__(self, plan: TestPlan, history: History, network: FaultyNetwork, tasks: BackgroundTasks) -> None:
+        table = plan.register
+        self.stand_in = StandInDiscovery(table.call_ms, table.wait_most_ms, table.turned_ms, plan.seed)
+        self.stand_in.retry_after = table.retry_after_ms
+        self.stand_in.told = self._record_call
+        self.stand_in.wrote = self._record_list
+        self.stand_in.watched = self._record_watch
+        self.stand_in.unwatched = self._record_watch_end
+        self.stand_in.changed = self._record_change
+        self.watched_after: dict[str, float] = {}
+        self.dispatcher_names: list[str] = []
+        self._plan = plan
+        self._history = history
+        self._network = network
+        self._tasks = tasks
+        self._down = False
+        self._unreachable: set[str] = set()
+        self._written: dict[str, WrittenList] = {}
+
+    def set_down(self, down: bool) -> None:
+        """End the service's process, or start it again; connections are refused meanwhile."""
+        self._down = down
+        self.record_reachability(self.dispatcher_names)
+        if down:
+            self.stand_in.close()
+            self._network.set_target_gone(PARTY, True)
+        else:
+            self._tasks.spawn(self._reopen())
+
+    def record_reachability(self, names: Iterable[str]) -> None:
+        """Record for which of these dispatchers discovery has become reachable, or is no longer."""
+        for name in names:
+            cut = PARTY in self._plan.relays and self._network.path_between(name, PARTY).blocked
+            reachable = not self._down and not cut
+            if reachable is (name not in self._unreachable):
+                continue
+            if reachable:
+                self._unreachable.discard(name)
+            else:
+                self._unreachable.add(name)
+            self._history.see(Reachable(self._history.now(), name, reachable))
+
+    def record_shared_change(self, server: str, state: str) -> None:
+        """Count a change as notified to all members of a cluster, also to those that do not poll, after a while."""
+
+        def record() -> None:
+            for name in self.dispatcher_names:
+                self._history.see(Listed(self._history.now(), name, server, STATES[state]))
+
+        if self._plan.dispatchers.cluster:
+            asyncio.get_running_loop().call_later(self._plan.told_after_ms / 1000, record)
+
+    def initial_list(self, name: str) -> dict[str, Any]:
+        """The whole list, as the platform gives it to a dispatcher before its first start."""
+        instances = list(self.stand_in.instances.values())
+        version = self.stand_in.version
+        self._written[name] = WrittenList(version, {each["instanceId"]: dict(each) for each in instances})
+        return self.stand_in.table(name, version, instances, True)
+
+    def last_written_list(self, name: str) -> dict[str, Any] | None:
+        """The list as a dispatcher last held it; None where the platform does not give it one."""
+        if name not in self._written:
+            return None
+        version, instances = self._written[name]
+        return self.stand_in.table(name, version, list(instances.values()), True)
+
+    def listed_count(self) -> int:
+        """How many servers the list has that have not left."""
+        return sum(each["lifecycle"] != "left" for each in self.stand_in.instances.values())
+
+    async def _reopen(self) -> None:
+        for name in self.dispatcher_names:
+            await self.stand_in.open(caller=name)
+        self._network.set_target_gone(PARTY, False)
+
+    def _record_call(self, call: Call) -> None:
+        self._history.see(Called(self._history.now(), call.caller, call.whole, call.turned, call.waited))
+
+    def _record_watch(self, caller: str, call: int, wait_ms: float) -> None:
+        self._history.see(Watching(self._history.now(), caller, call, wait_ms))
+        self.watched_after.setdefault(caller, self._history.elapsed_s())
+
+    def _record_watch_end(self, caller: str, call: int) -> None:
+        self._history.see(WatchOver(self._history.now(), caller, call))
+
+    def _record_change(self, name: str, lifecycle: str) -> None:
+        self._history.see(Changed(self._history.now(), name, STATES[lifecycle]))
+
+    def _record_list(self, caller: str, instances: list[dict[str, Any]], complete: bool) -> None:
+        now = self._history.now()
+        if self._plan.dispatchers.platform:
+            before = {} if complete or caller not in self._written else self._written[caller].instances
+            update = {each["instanceId"]: dict(each) for each in instances}
+            self._written[caller] = WrittenList(self.stand_in.version, before | update)
+        for instance in instances:
+            self._history.see(Listed(now, caller, instance["instanceId"], STATES[instance["lifecycle"]]))
--- /dev/null
+++ b/heronlug/faults/observed_load.py
@@ -0,0 +1,60 @@
+"""Clients of a run: load over HTTP whose requests and answers are recorded in the history."""
+
+import time
+
+from heronlug.conformance import Answered, Ended, Taken
+from heronlug.faults.dispatchers import Dispatchers
+from heronlug.faults.history import History
+from heronlug.loadgen.http import HttpLoad, SentRequest
+from heronlug.loadgen.tally import Tally
+
+FRONT_NOTICES_AFTER_S = 0.4
+"""Seconds after SIGTERM in which the platform's front still opens new connections to a dispatcher."""
+
+
+class ObservedLoad(HttpLoad):
+    """Load on all dispatchers of a run.
+
+    Attributes:
+        dispatcher_of: by request, the dispatcher that it was handed to.
+        incarnation_of: by request, which of that dispatcher's processes it was handed to.
+        lost_count: requests that ended with their dispatcher.
+    """
+
+    def __init__(self, dispatchers: Dispatchers, history: History, tallies: dict[str, Tally], seconds: float) -> None:
+        addresses = [("127.0.0.1", port) for port in dispatchers.frontend_ports.values()]
+        super().__init__(addresses, tallies, seconds)
+        self.dispatcher_of: dict[str, str] = {}
+        self.incarnation_of: dict[str, int] = {}
+        self.lost_count = 0
+        self._dispatchers = dispatchers
+        self._history = history
+
+    def takes(self, door: int) -> bool:
+        """Whether new connections go to a dispatcher: not to one that was told to stop, as soon as that is noticed."""
+        requested_at_s = self._dispatchers.processes[f"d{door}"].stop_requested_at_s
+        return requested_at_s is None or time.monotonic() - requested_at_s < FRONT_NOTICES_AFTER_S
+
+    def handed(self, job: SentRequest, door: int) -> None:
+        """A request goes to a dispatcher."""
+        now, name, request_class = self._history.now(), f"d{door}", job.due.request_class
+        self.dispatcher_of[job.txn] = name
+        self.incarnation_of[job.txn] = self._dispatchers.processes[name].incarnation
+        remaining_ms = max(1.0, request_class.deadline_ms - (self.now() - job.due.due_at))
+        once = request_class.effect == "once"
+        self._history.see(Taken(now, name, job.txn, request_class.name, once, now + remaining_ms))
+
+    def ended(self, job: SentRequest, how: str) -> None:
+        """A request is over."""
+        super().ended(job, how)
+        name = self.dispatcher_of.get(job.txn)
+        if name is None:
+            return
+        process = self._dispatchers.processes[name]
+        if how != "lost":
+            # an answer on its way when its dispatcher was killed: the history has the request as over with that
+            if process.last_ended_incarnation < self.incarnation_of[job.txn]:
+                self._dispatchers.report_end(Answered(self._history.now(), name, job.txn, how))
+        elif not process.should_run or not process.running:
+            self._dispatchers.report_end(Ended(self._history.now(), name, job.txn))
+            self.lost_count += 1
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -162,6 +162,11 @@
     classes: list[Any] = field(default_factory=list)
     step: list[Any] = field(default_factory=list)
 
+    @property
+    def longest_deadline_s(self) -> float:
+        """The longest deadline of all classes, in seconds."""
+        return max((table.deadline_ms for table in self.classes), default=0.0) / 1000
+
     @property
     def parties(self) -> list[str]:
         """All that selectors may name."""
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -19,6 +19,8 @@
 
 HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
 UTIME = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
+STOP_WITHIN_S = 15.0
+"""Seconds within which a process ends after SIGTERM; then it is killed."""
 LOG_LOST = 0.2  # s before the end of a log that is cut off, in which lines may be missing
 
 FILE = Template("""\
@@ -123,6 +125,16 @@
             self.last_ended_incarnation = self.incarnation
             self.child.wait()
 
+    def wait_or_kill(self) -> None:
+        """Wait for its end, which a stop has been requested for; one that takes too long is killed."""
+        if self.child is None:
+            return
+        try:
+            self.child.wait(STOP_WITHIN_S)
+        except subprocess.TimeoutExpired:
+            self.child.kill()
+            self.child.wait()
+
     def unexpected_exit_status(self) -> int | None:
         """Its status if it has ended though it should run, which is told once."""
         if not self.should_run or self.child is None or self.child.poll() is None:
--- /dev/null
+++ b/heronlug/faults/steps.py
@@ -0,0 +1,151 @@
+"""Carries out the steps of a test plan, and takes back those that last for a time."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from random import Random
+
+from heronlug.faults.dispatchers import Dispatchers
+from heronlug.faults.history import History
+from heronlug.faults.network import Direction, FaultyNetwork, NetworkPath
+from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
+from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Step, TestPlan, choose
+from heronlug.faults.servers import StandInServers
+from heronlug.faults.tasks import BackgroundTasks
+
+Undo = Callable[[], Awaitable[None] | None]
+"""Takes a step back."""
+
+
+class StepRunner:
+    """Carries out steps on the dispatchers, servers, discovery and network of a run."""
+
+    def __init__(
+        self,
+        plan: TestPlan,
+        history: History,
+        dispatchers: Dispatchers,
+        servers: StandInServers,
+        discovery: ObservedDiscovery,
+        network: FaultyNetwork,
+        tasks: BackgroundTasks,
+    ) -> None:
+        self._plan = plan
+        self._history = history
+        self._dispatchers = dispatchers
+        self._servers = servers
+        self._discovery = discovery
+        self._network = network
+        self._tasks = tasks
+        self._random = Random(plan.seed)
+
+    async def run(self, step: Step) -> None:
+        """Wait until a step is due, and carry it out on each party that it names."""
+        await asyncio.sleep(max(0.0, step.at_s - self._history.elapsed_s()))
+        parties = self._choose(step.who)
+        for number, name in enumerate(parties or [""]):
+            if number and step.every_s:
+                await asyncio.sleep(step.every_s)
+            self._history.step(f"{step.do} {name}".strip())
+            undo = await self._apply(step, name)
+            if step.for_s is not None and step.do in LASTING:
+                self._tasks.spawn(self._undo_later(step.for_s, f"end of {step.do} {name}".strip(), undo))
+
+    def _choose(self, selectors: list[str]) -> list[str]:
+        return choose(selectors, self._plan, self._random, self._discovery.stand_in.watching())
+
+    async def _undo_later(self, seconds: float, title: str, undo: Undo) -> None:
+        await asyncio.sleep(seconds)
+        self._history.step(title)
+        done = undo()
+        if done is not None:
+            await done
+
+    async def _apply(self, step: Step, name: str) -> Undo:
+        if step.do in PROCESS:
+            return await self._dispatchers.apply(step, name)
+        if step.do in HOSTS:
+            return await self._apply_to_server(step, name)
+        if step.do in REGISTER:
+            return self._apply_to_discovery(step)
+        return self._apply_to_paths(step)
+
+    async def _apply_to_server(self, step: Step, name: str) -> Undo:
+        if step.do == "die":
+            self._servers.stop(name)
+            return lambda: self._servers.restart(name, step.cold)
+        if step.do == "back":
+            await self._servers.restart(name, step.cold)
+        elif step.do == "slow":
+            self._servers.emulated_servers[name].slowdown = step.factor
+        elif step.do == "list":
+            self._servers.list_as(name, step.state)
+            self._discovery.record_shared_change(name, step.state)
+        return lambda: setattr(self._servers.emulated_servers[name], "slowdown", 1.0)
+
+    def _apply_to_discovery(self, step: Step) -> Undo:
+        stand_in = self._discovery.stand_in
+        if step.do in ("down", "up"):
+            self._discovery.set_down(step.do == "down")
+            return lambda: self._discovery.set_down(False)
+        if step.do in ("hang", "speak"):
+            stand_in.silent = step.do == "hang"
+            return lambda: setattr(stand_in, "silent", False)
+        if step.do == "anew":
+            stand_in.anew()
+        elif step.do == "costs":
+            stand_in.call_ms = step.ms
+        else:
+            stand_in.turn_share = step.share
+        return lambda: setattr(stand_in, "turn_share", 0.0)
+
+    def _apply_to_paths(self, step: Step) -> Undo:
+        sources = self._choose(step.source)
+        targets = self._choose(step.target)
+        chosen = self._network.paths_between(sources, targets)
+
+        def set_faults(active: bool) -> None:
+            for path, forward in chosen:
+                _set_fault(step, path, forward, active)
+                if path.name[1] == PARTY:
+                    self._discovery.record_reachability([path.name[0]])
+
+        set_faults(True)
+        return lambda: set_faults(False)
+
+
+def _set_fault(step: Step, path: NetworkPath, forward: bool, active: bool) -> None:
+    """Begin or end the fault of a step on one path; ``forward`` tells that the path has the step's direction."""
+    if step.do == "heal":
+        path.heal()
+    elif step.do == "refuse":
+        path.refusing = active
+    elif step.do == "full":
+        path.queue_full = active
+    elif step.do == "reset":
+        path.reset_connections()
+    elif step.do in ("trickle", "half"):
+        _limit_answers(path.backward if forward else path.forward, step, active)
+    elif step.do == "silent":
+        path.silent = active
+    one_way = path.forward if forward else path.backward
+    for direction in (path.forward, path.backward) if step.both else (one_way,):
+        _set_direction_fault(step, direction, active)
+    path.apply_faults()
+
+
+def _set_direction_fault(step: Step, direction: Direction, active: bool) -> None:
+    if step.do in ("cut", "silent"):
+        direction.held = active
+    elif step.do == "delay":
+        direction.delay_ms = step.ms if active else 0.0
+    elif step.do == "loss":
+        direction.loss = step.share if active else 0.0
+
+
+def _limit_answers(direction: Direction, step: Step, active: bool) -> None:
+    """Bound what the target answers: by its rate, or by the bytes of each connection after which it is reset."""
+    limit = step.bytes if active else 0
+    if step.do == "trickle":
+        direction.bytes_per_second = limit
+    else:
+        direction.reset_after_bytes = limit
