--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -84,7 +84,7 @@
         if self.shared_discovery is not None and self.shared_discovery.view.share != "none":
             leases.append(LEASE_TABLE)
         if self.health_checker is not None:
-            leases += self.health_checker.names
+            leases += self.health_checker.lease_names
         local = LocalMember(table["name"], table["advertise"] or table["listen"], int(self._deadlines.clock()))
         return Node(local, table["seeds"], leases, read_keys(table["key_files"]), Random())
 
@@ -220,18 +220,18 @@
                 self.shared_discovery.on_lease_lost()
         elif self.health_checker is not None:
             if gained:
-                self.health_checker.gained(action.lease, action.token)
+                self.health_checker.on_lease_gained(action.lease, action.token)
             else:
-                self.health_checker.lost(action.lease)
+                self.health_checker.on_lease_lost(action.lease)
 
     def _table_changed(self, change: TableChanged) -> None:
         if change.table in (LEASE_TABLE, INTERIM_TABLE) and self.shared_discovery is not None:
             self.shared_discovery.on_table_change(change.table, change.changes)
         elif self.health_checker is not None:
-            self.health_checker.sheet(change.table, change.changes)
+            self.health_checker.on_table_change(change.table, change.changes)
 
     def _check_stale(self) -> None:
         """Withdraw results of health checks whose owner is silent."""
         self._stale_check = self._deadlines.call_after(STALE_CHECK_INTERVAL, self._check_stale)
         if self.health_checker is not None:
-            self.health_checker.stale(HEALTH_CHECK_RESULT_TTL)
+            self.health_checker.withdraw_stale(HEALTH_CHECK_RESULT_TTL)
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -117,4 +117,4 @@
     def _update(self, kind: ListKind, entries: list[ListedServer]) -> None:
         self._discovery.update(kind, entries)
         if self._checker is not None:
-            self._checker.use_list()
+            self._checker.use_servers()
