--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -124,9 +124,9 @@
         hooks = ShutdownHooks(
             open_work=self._open_work,
             last_client_at=lambda: self.frontend.last_client_at,
-            others_serve=self.peers.serving,
+            others_serve=self.peers.others_serve,
             leave_peers=self.peers.leave,
-            rejoin_peers=self.peers.stay,
+            rejoin_peers=self.peers.rejoin,
             give_up_requests=self.core.give_up_all,
             close_idle=self.frontend.close_idle,
             stopped=self.stopped.set,
--- a/heronlug/lifecycle/hot_restart/inherited_sockets.py
+++ b/heronlug/lifecycle/hot_restart/inherited_sockets.py
@@ -78,7 +78,7 @@
         """Open the peers' socket, again and again while another process holds its address and ``wanted`` is true."""
         fd = self._inherited.pop(PEERS, None)
         address = self._config.peer_listen
-        if address is None or not self._config.settings.gossip or self._peers.open or not wanted():
+        if address is None or not self._config.settings.gossip or self._peers.is_open or not wanted():
             if fd is not None:
                 os.close(fd)
             return
--- a/heronlug/lifecycle/peer_messages.py
+++ b/heronlug/lifecycle/peer_messages.py
@@ -33,7 +33,7 @@
         if self.hot_restart.handed_over:
             self.hot_restart.send_news(slot_counts(content))
         else:
-            self.socket.tell(content, peer)
+            self.socket.send(content, peer)
 
     def _receive(self, peer: int, content: bytes) -> None:
         self.core.peer_message(peer, content)
--- a/heronlug/peers/__init__.py
+++ b/heronlug/peers/__init__.py
@@ -1,6 +1,6 @@
-"""What dispatchers tell each other beside what the module says: who parts, who is at work, and what that costs."""
+"""Gossip between dispatchers: who serves, who is leaving, and how few datagrams it takes to say so."""
 
-from heronlug.peers.goodbye import ALL, Goodbye
+from heronlug.peers.goodbye import ALL_PEERS, GoodbyeSchedule
 from heronlug.peers.gossip import Gossip
 
-__all__ = ["ALL", "Goodbye", "Gossip"]
+__all__ = ["ALL_PEERS", "GoodbyeSchedule", "Gossip"]
--- a/heronlug/peers/datagrams.py
+++ b/heronlug/peers/datagrams.py
@@ -1,83 +1,108 @@
-"""Datagrams between dispatchers: small, unordered, and perhaps lost."""
+"""The socket of the gossip between dispatchers: its datagrams are small, unordered, and may be lost."""
 
 import asyncio
 from collections.abc import Callable
 from typing import cast
 
 from heronlug.net import http
-from heronlug.peers.gossip import LEAVING, MAX_CONTENT, Gossip
+from heronlug.peers.goodbye import ALL_PEERS
+from heronlug.peers.gossip import LEAVING, MAX_DATAGRAM_BYTES, Gossip
+from heronlug.requests.interfaces import EventLog
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """The socket on which dispatchers tell each other."""
+    """Sends and receives the gossip of one dispatcher.
+
+    Attributes:
+        gossip: Which peers serve, and what they were sent.
+    """
 
     def __init__(
         self,
         peers: list[str],
-        everyone: str | None,
+        broadcast: str | None,
         position: int,
-        heard: Callable[[int, bytes], None],
-        log: Callable[..., None],
+        receive: Callable[[int, bytes], None],
+        log: EventLog,
         turn: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        self._clock = clock
-        self.telling = Gossip(len(peers))
+        """Create a protocol that has no socket yet.
+
+        Args:
+            peers: The addresses of all dispatchers by position, this one included.
+            broadcast: An address that reaches all of them, or None.
+            position: The position of this dispatcher.
+            receive: Is given each message with the position of the peer that sent it.
+            log: Where events are logged.
+            turn: Is called after each message, to handle what follows from it.
+            clock: The time in ms.
+        """
+        self.gossip = Gossip(len(peers))
         self._addresses = [http.split_address(peer) for peer in peers]
-        self._numbers = {address: number for number, address in enumerate(self._addresses)}
-        self._everyone = http.split_address(everyone) if everyone else None
-        self._position, self._heard, self._log, self._turn = position, heard, log, turn
+        self._positions = {address: number for number, address in enumerate(self._addresses)}
+        self._broadcast = http.split_address(broadcast) if broadcast else None
+        self._position = position
+        self._receive = receive
+        self._log = log
+        self._turn = turn
+        self._clock = clock
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Use the socket, which is open now."""
         self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass, and keeps to it
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram counts only from a peer's address; what we told everyone comes back to us too."""
-        number = self._numbers.get(addr[:2])
-        if number is None or number == self._position or len(data) > MAX_CONTENT:
+        """Handle a datagram of a peer; others are dropped, such as this dispatcher's own broadcasts."""
+        peer = self._positions.get(addr[:2])
+        if peer is None or peer == self._position or len(data) > MAX_DATAGRAM_BYTES:
             return
-        data = self.telling.receive(number, data, self._clock())
-        if not data:
+        message = self.gossip.receive(peer, data, self._clock())
+        if not message:
             return
         try:
-            self._heard(number, data)
-        except Exception as error:  # a peer's bytes must not end us
+            self._receive(peer, message)
+        except Exception as error:  # what a peer sends must not end this process
             self._log("exception", where="peers", error=repr(error))
         self._turn()
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is down answers so; nothing is owed."""
+        """Ignore that a peer is down: gossip may be lost."""
 
-    def serving(self) -> bool:
-        """Whether another dispatcher has lately been heard at work that is not leaving."""
-        return self.telling.serving(self._clock())
+    def others_serve(self) -> bool:
+        """Whether a peer was heard lately that is not leaving."""
+        return self.gossip.others_serve(self._clock())
 
     def leave(self) -> None:
-        """We part: those that hear us are told that our clients will come to them."""
-        for peer in self.telling.leave(self._clock()):
-            self._send(LEAVING, peer)
+        """Send the goodbyes that are due: this dispatcher's clients will come to the peers.
 
-    def stay(self) -> None:
-        """We do not part after all."""
-        self.telling.stay()
+        To be called again and again until the process ends.
+        """
+        for recipient in self.gossip.leave(self._clock()):
+            self._send_datagram(LEAVING, recipient)
 
-    def tell(self, content: bytes, peer: int) -> None:
-        """Send to one peer, or to all with -1; a longer datagram than allowed is never sent."""
-        self._send(self.telling.tell(content, peer, self._clock()), peer)
+    def rejoin(self) -> None:
+        """Serve on: this dispatcher does not leave after all."""
+        self.gossip.rejoin()
 
-    def _send(self, content: bytes, peer: int) -> None:
-        if self._transport is None or not content:
+    def send(self, message: bytes, recipient: int) -> None:
+        """Send a message to a peer or ``ALL_PEERS``; one that is too long for a datagram is dropped."""
+        self._send_datagram(self.gossip.datagram(message, recipient, self._clock()), recipient)
+
+    def _send_datagram(self, datagram: bytes, recipient: int) -> None:
+        if self._transport is None or not datagram:
             return
-        if peer >= 0:
-            to = self._addresses[peer : peer + 1]
-        elif self._everyone is not None:
-            to = [self._everyone]
-        else:
-            to = [a for number, a in enumerate(self._addresses) if number != self._position]
-        for address in to:
-            self._transport.sendto(content, address)
+        for address in self._addresses_of(recipient):
+            self._transport.sendto(datagram, address)
+
+    def _addresses_of(self, recipient: int) -> list[tuple[str, int]]:
+        """Where a datagram is sent; none for a position that no dispatcher has."""
+        if recipient != ALL_PEERS:
+            return self._addresses[recipient : recipient + 1]
+        if self._broadcast is not None:
+            return [self._broadcast]
+        return [address for position, address in enumerate(self._addresses) if position != self._position]
 
     def close(self) -> None:
         """Close the socket."""
@@ -86,10 +111,10 @@
             self._transport = None
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether there is a socket."""
         return self._transport is not None
 
     def fileno(self) -> int:
-        """The socket's descriptor, -1 for none."""
+        """The descriptor of the socket, -1 if there is none."""
         return int(self._transport.get_extra_info("socket").fileno()) if self._transport is not None else -1
--- a/heronlug/peers/goodbye.py
+++ b/heronlug/peers/goodbye.py
@@ -1,69 +1,96 @@
-"""Who is told that we part, and when.  No I/O, no clock.
+"""Which peers are told that this dispatcher leaves, and when.  No I/O and no clock.
 
-A dispatcher that stops keeps its clients for as long as it hears nobody else at work.  So who parts matters only to
-those that hear us at work: whom we have told something within ``HEARD``, before we parted.  All others take us for
-silent by now.  What we tell anyway carries the mark of who parts, and costs nothing more; beside it the mark goes out
-alone at gaps that double, 0, 50, 150, 350 and 750 ms from the start, and never later than ``HEARD`` after the last
-datagram without it.  With 30% lost, one in 37 does not know after 150 ms and one in 412 not at the end; it waits
-until it takes us for silent.
+A dispatcher that stops keeps its clients for as long as it hears of no other dispatcher that serves. So a leave matters
+only to peers that believe this dispatcher to be serving: those that it has sent something within ``SERVING_TIMEOUT_MS``
+before it left. All others have not heard it for so long that they believe it to be down.
 
-So a stop costs at most ``MOST`` datagrams for each whom we tell anyway: two relays where there are many dispatchers,
-all where there are few, and all for the few who are relays.  Over a fleet that grows with its size, not its square.
+Messages that are sent anyway carry a mark that says that their sender is leaving; that costs no datagram. Besides, the
+mark is sent alone, as a goodbye, at intervals that double: 0, 50, 150, 350 and 750 ms after the leave began, and never
+later than ``SERVING_TIMEOUT_MS`` after the last datagram without the mark. If 30% of the datagrams are lost, one peer
+in 37 does not know after 150 ms, and one in 412 not at the end; such a peer believes that this dispatcher serves until
+``SERVING_TIMEOUT_MS`` have passed.
+
+So a stop costs at most ``MAX_GOODBYES`` datagrams for each peer that gossip is sent to: the two aggregators where there
+are many dispatchers, all peers where there are few, and all peers if the one that leaves is an aggregator. Over a
+rolling restart the cost grows with the number of dispatchers, not with its square.
 """
 
 from typing import NamedTuple
 
-HEARD = 1000.0  # ms: who has work tells of it more often than this; who is silent for longer is not at work
-FIRST = 50.0  # ms from the first time to the second
-MOST = 5  # times that one of them is told it alone: the sixth would come after ``HEARD``
-ALL = -1
+SERVING_TIMEOUT_MS = 1000.0
+"""A dispatcher that was not heard for this long, in ms, does not serve; one that serves sends more often."""
+
+FIRST_INTERVAL_MS = 50.0
+"""Between the first goodbye and the second, in ms; each later interval is twice as long."""
+
+MAX_GOODBYES = 5
+"""Goodbyes to one recipient; a sixth would come after ``SERVING_TIMEOUT_MS``."""
+
+ALL_PEERS = -1
+"""Stands for all peers where the position of one is expected."""
+
+
+class SentGoodbyes(NamedTuple):
+    """What a recipient was told of the leave.
 
+    Attributes:
+        last_at: When it was last sent a goodbye or a message with the mark, in ms.
+        goodbyes: Goodbyes that it was sent.
+    """
 
-class Said(NamedTuple):
-    """When one of them was last told that we part, and how often it was told so alone."""
+    last_at: float
+    goodbyes: int
 
-    at: float
-    times: int
 
+class GoodbyeSchedule:
+    """The goodbyes of one dispatcher; a recipient is a peer's position or ``ALL_PEERS``.
 
-class Goodbye:
-    """One dispatcher's farewells."""
+    Attributes:
+        leaving: Whether the dispatcher is leaving.
+    """
 
-    __slots__ = ("_said", "_told", "parting")
+    __slots__ = ("_last_unmarked", "_sent", "leaving")
 
     def __init__(self) -> None:
-        self.parting = False
-        self._told: dict[int, float] = {}  # when we last told a peer anything without the mark; ALL for all of them
-        self._said: dict[int, Said] = {}
+        self.leaving = False
+        self._last_unmarked: dict[int, float] = {}  # when each recipient was last sent a message without the mark
+        self._sent: dict[int, SentGoodbyes] = {}
 
     def begin(self) -> None:
-        """We part; a second call changes nothing."""
-        self.parting = True
-
-    def over(self) -> None:
-        """We stay after all."""
-        self.parting = False
-        self._said.clear()
-
-    def told(self, peer: int, now: float) -> bool:
-        """Something goes out to a peer, or to ``ALL``; returns whether it has to carry the mark."""
-        if not self.parting:
-            self._told[peer] = now
-        elif peer in self._said:
-            self._said[peer] = Said(now, self._said[peer].times)
-        return self.parting
-
-    def due(self, now: float) -> list[int]:
-        """Whom to tell the mark alone now; ``ALL`` stands for everybody."""
-        if not self.parting:
+        """Begin to leave; a second call changes nothing."""
+        self.leaving = True
+
+    def cancel(self) -> None:
+        """Serve on: the dispatcher does not leave after all."""
+        self.leaving = False
+        self._sent.clear()
+
+    def record_message(self, recipient: int, now: float) -> bool:
+        """Note that a message is sent now; returns whether it has to carry the mark."""
+        if not self.leaving:
+            self._last_unmarked[recipient] = now
+        elif recipient in self._sent:
+            self._sent[recipient] = SentGoodbyes(now, self._sent[recipient].goodbyes)
+        return self.leaving
+
+    def take_due(self, now: float) -> list[int]:
+        """The recipients of a goodbye that is due now, which counts as sent."""
+        if not self.leaving:
             return []
-        misled = [peer for peer, at in self._told.items() if now - at < HEARD]
-        if ALL in misled:
-            misled = [ALL]
-        due = []
-        for peer in misled:
-            at, times = self._said.get(peer, (now, 0))
-            if not times or (times < MOST and now - at >= FIRST * 2 ** (times - 1)):
-                self._said[peer] = Said(now, times + 1)
-                due.append(peer)
+        due = [recipient for recipient in self._unaware(now) if self._is_due(recipient, now)]
+        for recipient in due:
+            sent = self._sent.get(recipient)
+            self._sent[recipient] = SentGoodbyes(now, 1 if sent is None else sent.goodbyes + 1)
         return due
+
+    def _unaware(self, now: float) -> list[int]:
+        """Those that may believe that this dispatcher serves."""
+        recipients = [recipient for recipient, at in self._last_unmarked.items() if now - at < SERVING_TIMEOUT_MS]
+        return [ALL_PEERS] if ALL_PEERS in recipients else recipients
+
+    def _is_due(self, recipient: int, now: float) -> bool:
+        sent = self._sent.get(recipient)
+        if sent is None:
+            return True
+        interval = FIRST_INTERVAL_MS * 2 ** (sent.goodbyes - 1)
+        return sent.goodbyes < MAX_GOODBYES and now - sent.last_at >= interval
--- a/heronlug/peers/gossip.py
+++ b/heronlug/peers/gossip.py
@@ -1,67 +1,98 @@
-"""One side of what dispatchers tell each other.  No I/O, no clock: the socket and the emulator use it alike.
+"""What one dispatcher sends its peers and knows of them.  No I/O and no clock.
 
-A datagram is what the module says, or begins with ``LEAVING`` and goes on with it, or is ``LEAVING`` alone.
+A datagram holds a message of the balancer, or :data:`LEAVING` and then a message, or ``LEAVING`` alone, which is a
+goodbye.
 """
 
-from collections import Counter
+from dataclasses import dataclass
 
-from heronlug.peers.goodbye import ALL, HEARD, Goodbye
+from heronlug.peers.goodbye import ALL_PEERS, SERVING_TIMEOUT_MS, GoodbyeSchedule
 
-MAX_CONTENT = 256  # bytes of a datagram
-LEAVING = b"l"  # the module's own begin otherwise
-SILENCE = 500.0  # ms: who said that it parts and speaks without that so long after is a new process
+MAX_DATAGRAM_BYTES = 256
+"""Size of the largest datagram that is sent or accepted, in bytes."""
+
+LEAVING = b"l"
+"""The mark at the start of a datagram whose sender is leaving; no message of the balancer begins so."""
+
+LEAVING_TIMEOUT_MS = 500.0
+"""A peer that sends without the mark so long after its last mark, in ms, is a new process that serves."""
+
+
+@dataclass(slots=True)
+class DatagramCounts:
+    """Datagrams that were sent, one for each peer that they go to.
+
+    Attributes:
+        to_all: Messages to all peers.
+        to_one: Messages to one peer.
+        goodbyes: The mark alone.
+    """
+
+    to_all: int = 0
+    to_one: int = 0
+    goodbyes: int = 0
 
 
 class Gossip:
-    """Who is at work, and whether those that hear us know that we part."""
-
-    def __init__(self, count: int) -> None:
-        """One of ``count`` dispatchers."""
-        self._others = count - 1
-        self.farewell = Goodbye()
-        self.sent: Counter[str] = Counter()  # datagrams by kind, one for each that it goes to
-        self._heard_at: dict[int, float] = {}
-        self._leaving: dict[int, float] = {}  # when they last said so
-
-    # -- in
-
-    def receive(self, peer: int, data: bytes, now: float) -> bytes:
-        """A datagram of a peer; returns what of it is for the module, perhaps nothing."""
-        if data.startswith(LEAVING):
-            self._leaving[peer], data = now, data[len(LEAVING) :]
-            if not data:
+    """Which peers serve, and whether the peers know that this dispatcher leaves.  Times are in ms.
+
+    Attributes:
+        sent: Datagrams that were sent.
+    """
+
+    def __init__(self, dispatchers: int) -> None:
+        """Begin with no peer heard; ``dispatchers`` is the number of all, this one included."""
+        self.sent = DatagramCounts()
+        self._peer_count = dispatchers - 1
+        self._goodbyes = GoodbyeSchedule()
+        self._last_message: dict[int, float] = {}  # when each peer last sent a message
+        self._last_mark: dict[int, float] = {}  # when each leaving peer last said that it leaves
+
+    # -- received
+
+    def receive(self, peer: int, datagram: bytes, now: float) -> bytes:
+        """Take in a datagram of a peer; returns the message that it holds, which is empty for a goodbye."""
+        message = datagram.removeprefix(LEAVING)
+        if datagram.startswith(LEAVING):
+            self._last_mark[peer] = now
+            if not message:
                 return b""
-        self._heard_at[peer] = now
-        if now - self._leaving.get(peer, now) >= SILENCE:
-            del self._leaving[peer]
-        return data
-
-    def serving(self, now: float) -> bool:
-        """Whether another dispatcher has lately been heard at work that does not part."""
-        return any(now - at < HEARD and peer not in self._leaving for peer, at in self._heard_at.items())
-
-    # -- out
-
-    def tell(self, content: bytes, peer: int, now: float) -> bytes:
-        """What goes out for what the module tells a peer, or ``ALL``; nothing where it is too long."""
-        if self.farewell.told(peer, now) and len(content) < MAX_CONTENT:
-            content = LEAVING + content
-        if len(content) > MAX_CONTENT:
+        self._last_message[peer] = now
+        if now - self._last_mark.get(peer, now) >= LEAVING_TIMEOUT_MS:
+            del self._last_mark[peer]
+        return message
+
+    def others_serve(self, now: float) -> bool:
+        """Whether a peer was heard within ``SERVING_TIMEOUT_MS`` that is not leaving."""
+        return any(
+            now - last_message < SERVING_TIMEOUT_MS and peer not in self._last_mark
+            for peer, last_message in self._last_message.items()
+        )
+
+    # -- sent
+
+    def datagram(self, message: bytes, recipient: int, now: float) -> bytes:
+        """The datagram for a message to a peer or ``ALL_PEERS``, which counts as sent; empty if it is too long."""
+        if self._goodbyes.record_message(recipient, now) and len(message) < MAX_DATAGRAM_BYTES:
+            message = LEAVING + message
+        if len(message) > MAX_DATAGRAM_BYTES:
             return b""
-        self.sent["sums" if peer == ALL else "counts"] += self._receivers(peer)
-        return content
+        if recipient == ALL_PEERS:
+            self.sent.to_all += self._peer_count
+        else:
+            self.sent.to_one += 1
+        return message
 
     def leave(self, now: float) -> list[int]:
-        """We part: whom to tell ``LEAVING`` now.  To be asked again and again, until the process ends."""
-        self.farewell.begin()
-        due = self.farewell.due(now)
-        self.sent["farewells"] += sum(map(self._receivers, due))
-        return due
+        """Begin or go on to leave; returns who is to be sent a goodbye now.
 
-    def stay(self) -> None:
-        """We do not part after all."""
-        self.farewell.over()
+        To be called again and again until the process ends.
+        """
+        self._goodbyes.begin()
+        due = self._goodbyes.take_due(now)
+        self.sent.goodbyes += sum(self._peer_count if recipient == ALL_PEERS else 1 for recipient in due)
+        return due
 
-    def _receivers(self, peer: int) -> int:
-        """How many a datagram goes to."""
-        return self._others if peer == ALL else 1
+    def rejoin(self) -> None:
+        """Serve on: the dispatcher does not leave after all."""
+        self._goodbyes.cancel()
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -234,9 +234,9 @@
         ["127.0.0.1:7001", "127.0.0.1:7002"], None, 0, MagicMock(), MagicMock(), MagicMock(), lambda: NOW
     )
     peers.connection_made(transport)
-    peers.tell(b"cat", -1)
+    peers.send(b"cat", -1)
     peers.leave()
-    peers.tell(b"cat", 1)
+    peers.send(b"cat", 1)
     return as_lines({str(number): call.args[0] for number, call in enumerate(transport.sendto.call_args_list)})
 
 
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -293,7 +293,7 @@
     serving = []
     for data in from_lines(recorded("gossip.txt")).values():
         peers.datagram_received(data, ("127.0.0.1", 7001))
-        serving.append(peers.serving())
+        serving.append(peers.others_serve())
     assert heard == [(0, b"cat"), (0, b"cat")]
     assert serving == [True, False, False]
 
--- a/tests/peers/test_goodbye.py
+++ b/tests/peers/test_goodbye.py
@@ -1,4 +1,4 @@
-"""What a planned stop costs in datagrams, counted, and that who relies on it hears of it."""
+"""How many datagrams a planned stop costs, and that the peers that rely on the dispatcher hear of it."""
 
 from random import Random
 
@@ -7,25 +7,25 @@
 from hypothesis import strategies as st
 
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown, ShutdownHooks
-from heronlug.peers import ALL, Gossip
-from heronlug.peers.goodbye import HEARD, MOST
-from heronlug.peers.gossip import LEAVING, MAX_CONTENT
+from heronlug.peers import ALL_PEERS, Gossip
+from heronlug.peers.goodbye import MAX_GOODBYES, SERVING_TIMEOUT_MS
+from heronlug.peers.gossip import LEAVING, MAX_DATAGRAM_BYTES
 from heronlug.requests.deadlines import Deadlines
 
-GAP = 250.0  # ms between two sums of a relay
+INTERVAL_MS = 250.0  # between two load summaries of an aggregator
 
 
 class Fleet:
-    """Dispatchers that tell as the module does: relays sums to all, the others counts to the relays."""
+    """Dispatchers that gossip like real ones: aggregators send summaries to all, the others counts to aggregators."""
 
     def __init__(self, count: int, loss: float = 0.0, seed: int = 1) -> None:
         self.now, self.loss, self.rng = 1000.0, loss, Random(seed)
-        self.relays = range(min(2, count)) if count > 9 else range(0)
-        self.tellings = [Gossip(count) for _ in range(count)]
+        self.aggregators = range(min(2, count)) if count > 9 else range(0)
+        self.gossips = [Gossip(count) for _ in range(count)]
         self.deadlines = Deadlines(lambda: self.now)
         self.left: set[int] = set()
         for number in range(count):
-            self.deadlines.call_at(self.now + self.rng.uniform(0, GAP), self.work, number)
+            self.deadlines.call_at(self.now + self.rng.uniform(0, INTERVAL_MS), self.work, number)
 
     def run(self, span: float) -> None:
         end = self.now + span
@@ -35,28 +35,28 @@
         self.now = end
 
     def work(self, number: int) -> None:
-        """It has something to tell every ``GAP``."""
+        """Send a message every ``INTERVAL_MS``."""
         if number in self.left:
             return
-        to = [ALL] if number in self.relays or not self.relays else list(self.relays)
+        to = [ALL_PEERS] if number in self.aggregators or not self.aggregators else list(self.aggregators)
         for peer in to:
-            self.send(number, self.tellings[number].tell(b"c" * 20, peer, self.now), peer)
-        self.deadlines.call_after(GAP, self.work, number)
+            self.send(number, self.gossips[number].datagram(b"c" * 20, peer, self.now), peer)
+        self.deadlines.call_after(INTERVAL_MS, self.work, number)
 
     def send(self, number: int, data: bytes, peer: int) -> None:
-        for other in range(len(self.tellings)) if peer == ALL else [peer]:
+        for other in range(len(self.gossips)) if peer == ALL_PEERS else [peer]:
             if other != number and other not in self.left and self.rng.random() >= self.loss:
-                self.tellings[other].receive(number, data, self.now)
+                self.gossips[other].receive(number, data, self.now)
 
     def stop(self, number: int) -> None:
-        """SIGTERM; a job that runs on keeps it there to the last."""
-        telling = self.tellings[number]
+        """Stop it, with a request that stays open until the last answer."""
+        gossip = self.gossips[number]
         hooks = ShutdownHooks(
             open_work=lambda: int(self.deadlines.clock() < shutdown.answer_by),
             last_client_at=lambda: 0.0,
-            others_serve=lambda: telling.serving(self.now),
+            others_serve=lambda: gossip.others_serve(self.now),
             leave_peers=lambda: self.leave(number),
-            rejoin_peers=telling.stay,
+            rejoin_peers=gossip.rejoin,
             give_up_requests=lambda: None,
             close_idle=lambda: None,
             stopped=lambda: self.left.add(number),
@@ -65,26 +65,26 @@
         shutdown.stop()
 
     def leave(self, number: int) -> None:
-        for peer in self.tellings[number].leave(self.now):
+        for peer in self.gossips[number].leave(self.now):
             self.send(number, LEAVING, peer)
 
-    def farewells(self) -> int:
-        return sum(telling.sent["farewells"] for telling in self.tellings)
+    def goodbyes(self) -> int:
+        return sum(gossip.sent.goodbyes for gossip in self.gossips)
 
 
 @pytest.mark.parametrize("count", [4, 50, 200, 1000])
-def test_a_stop_costs_a_bounded_number_of_farewells_whatever_the_fleet(count: int) -> None:
-    """Risk: told to all at each look, a rolling restart of 184 dispatchers cost 27% of all worth in datagrams."""
+def test_a_stop_costs_a_bounded_number_of_goodbyes_whatever_the_fleet(count: int) -> None:
+    """Risk: sent to all at each check, the goodbyes of a rolling restart of 184 dispatchers cost 27% of the payoff."""
     fleet = Fleet(count)
     fleet.run(1000)
     fleet.stop(count - 1)
     fleet.run(5000)
-    told = 2 if fleet.relays else count - 1
+    recipients = 2 if fleet.aggregators else count - 1
     assert fleet.left == {count - 1}
-    assert 0 < fleet.farewells() <= told * MOST
+    assert 0 < fleet.goodbyes() <= recipients * MAX_GOODBYES
     fleet.stop(0)
     fleet.run(5000)
-    assert fleet.farewells() <= (told + count - 1) * MOST
+    assert fleet.goodbyes() <= (recipients + count - 1) * MAX_GOODBYES
 
 
 @given(
@@ -108,44 +108,45 @@
         fleet.run(gap)
     fleet.run(6000)
     assert fleet.left == set(order)  # each has come to its end: nobody waits for somebody who is gone
-    relays = len(fleet.relays) or count
-    assert fleet.farewells() <= MOST * (count * relays + len(fleet.relays) * count)
+    recipients = len(fleet.aggregators) or count
+    assert fleet.goodbyes() <= MAX_GOODBYES * (count * recipients + len(fleet.aggregators) * count)
 
 
-def test_who_hears_us_knows_at_once_and_others_are_not_bothered() -> None:
+def test_peers_that_hear_a_dispatcher_learn_at_once_that_it_leaves_and_others_are_sent_nothing() -> None:
     fleet = Fleet(40)
     fleet.run(1000)
-    assert all(telling.serving(fleet.now) for telling in fleet.tellings)
-    for relay in fleet.relays:
-        fleet.stop(relay)
-    assert not any(fleet.tellings[n].serving(fleet.now) for n in range(2, 40))  # all that they hear parts
-    before = fleet.farewells()
+    assert all(gossip.others_serve(fleet.now) for gossip in fleet.gossips)
+    for aggregator in fleet.aggregators:
+        fleet.stop(aggregator)
+    assert not any(fleet.gossips[n].others_serve(fleet.now) for n in range(2, 40))  # all that they hear are leaving
+    before = fleet.goodbyes()
     for number in range(2, 40):
         fleet.stop(number)
-    assert fleet.farewells() - before == 2 * 38
+    assert fleet.goodbyes() - before == 2 * 38
 
 
-def test_what_is_told_while_parting_carries_the_mark_and_a_drain_taken_back_ends_it() -> None:
+def test_messages_of_a_leaving_dispatcher_carry_the_mark_until_it_rejoins() -> None:
     one, other = Gossip(2), Gossip(2)
-    other.receive(0, one.tell(b"c1", ALL, 0.0), 0.0)
-    assert one.leave(10.0) == [ALL]
+    other.receive(0, one.datagram(b"c1", ALL_PEERS, 0.0), 0.0)
+    assert one.leave(10.0) == [ALL_PEERS]
     assert one.leave(30.0) == []
-    assert one.leave(60.0) == [ALL]
-    marked = one.tell(b"c2", ALL, 100.0)
+    assert one.leave(60.0) == [ALL_PEERS]
+    marked = one.datagram(b"c2", ALL_PEERS, 100.0)
     assert marked == LEAVING + b"c2"
     assert other.receive(0, marked, 100.0) == b"c2"
-    assert not other.serving(100.0)
-    assert one.tell(b"c" * MAX_CONTENT, ALL, 110.0) == b"c" * MAX_CONTENT  # no room for the mark, and never too long
-    assert one.tell(b"c" * (MAX_CONTENT + 1), ALL, 110.0) == b""
-    one.stay()
-    assert one.tell(b"c3", ALL, 700.0) == b"c3"
+    assert not other.others_serve(100.0)
+    longest = b"c" * MAX_DATAGRAM_BYTES  # has no room for the mark
+    assert one.datagram(longest, ALL_PEERS, 110.0) == longest
+    assert one.datagram(b"c" * (MAX_DATAGRAM_BYTES + 1), ALL_PEERS, 110.0) == b""
+    one.rejoin()
+    assert one.datagram(b"c3", ALL_PEERS, 700.0) == b"c3"
     assert other.receive(0, b"c3", 700.0) == b"c3"
-    assert other.serving(700.0)
-    assert not other.serving(700.0 + HEARD)
+    assert other.others_serve(700.0)
+    assert not other.others_serve(700.0 + SERVING_TIMEOUT_MS)
 
 
-def test_who_has_told_nothing_lately_tells_no_farewell() -> None:
-    telling = Gossip(200)
-    telling.tell(b"c", 0, 0.0)
-    assert telling.leave(HEARD) == []
-    assert not telling.sent["farewells"]
+def test_a_dispatcher_that_has_sent_nothing_lately_sends_no_goodbye() -> None:
+    gossip = Gossip(200)
+    gossip.datagram(b"c", 0, 0.0)
+    assert gossip.leave(SERVING_TIMEOUT_MS) == []
+    assert not gossip.sent.goodbyes
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -198,7 +198,7 @@
             now[0] = at
             if data:
                 peers.datagram_received(data, ("127.0.0.1", 1002))
-            seen.append(peers.serving())
+            seen.append(peers.others_serve())
         assert seen == [False, True, False, True, False, False, True]
 
 
