--- a/heronlug/cluster/lease_state.py
+++ b/heronlug/cluster/lease_state.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import NamedTuple
 
-from heronlug.cluster.messages import LeaseDenial, LeaseGrant, LeaseRequest
+from heronlug.cluster.messages import LeaseDenial, LeaseGrant, LeaseRequest, without_owner
 from heronlug.cluster.model import NO_TOKEN, FencingToken
 from heronlug.cluster.ownership import tag
 
@@ -21,7 +21,10 @@
 
 
 class LeaseStage(Enum):
-    """The stage of a lease at one member.  The values appear in the output of ``cluster duties``."""
+    """The stage of a lease at one member.
+
+    The values are what the operators' command ``cluster duties`` shows; the command calls a lease a duty.
+    """
 
     IDLE = "idle"
     """Another member holds the lease, or nobody does."""
@@ -94,13 +97,11 @@
     """Whether it asks for a promise rather than for a vote."""
 
 
-def without_owner(token: FencingToken) -> FencingToken:
-    """The value of ``LeaseRequest.released`` by which a request asks for a promise only."""
-    return FencingToken(token.number, 0)
-
-
 def secured_until(grants: dict[int, float], members: Iterable[int]) -> float:
-    """Until when all these members have given what ``grants`` records, their promise or their vote."""
+    """Until when all these members have given their votes, or promises, as ``grants`` records them by their tags.
+
+    A lease needs all its quorum members, so the first vote to expire decides.
+    """
     return min(grants.get(member, -inf) for member in members)
 
 
@@ -134,14 +135,14 @@
             renewals_only: Whether the votes of the process before this one may still be bound.  They are not known
                 here, so only an owner that states that it holds the lease already may go on.
         """
-        if renewals_only and request.released != request.token:
+        if renewals_only and not request.is_renewal:
             return LeaseDenial(request.lease, self.highest, request.request_id)
         if request.token != self.token:
             if not self._available_to(request, now) or request.token <= self.highest:
                 return LeaseDenial(request.lease, self.highest, request.request_id)
             if now < self.promised_until and request.token < self.promised:
                 return LeaseDenial(request.lease, self.promised, request.request_id)
-        if request.released == without_owner(request.token):
+        if request.asks_for_promise:
             self.promised = request.token
             self.promised_until = now + lease_duration * PROMISE_FRACTION
         else:
@@ -185,8 +186,8 @@
         token: The fencing token that this member requests or holds the lease under.
         highest_seen: The highest token that other members have reported.
         valid_until: Until when this member may act.
-        granted_until: Until when each quorum member has granted its vote.
-        promised_until: Until when each quorum member has promised its vote.
+        granted_until: Until when each quorum member has granted its vote, by the member's tag.
+        promised_until: Until when each quorum member has promised its vote, by the member's tag.
         requests: Requests that may still be answered, by their number.
         collecting_votes: Whether all promises have come, so that votes are requested.
         released: The token of a predecessor that has handed the lease to this member.
@@ -195,7 +196,8 @@
         pending_releases: Tokens whose release is sent again.
         retry_at: When this member may request the lease again.
         next_action_at: When something has to be sent again.
-        tries: Denials while requesting, messages sent while transferring.
+        was_denied: Whether a request was denied since this member began to request the lease.
+        transfer_messages: Offers, later completions, that the successor was sent in this transfer.
         times_gained: How often this member has become the owner.
     """
 
@@ -215,7 +217,8 @@
     pending_releases: list[FencingToken] = field(default_factory=list)
     retry_at: float = -inf
     next_action_at: float = -inf
-    tries: int = 0
+    was_denied: bool = False
+    transfer_messages: int = 0
     times_gained: int = 0
 
     @property
@@ -248,7 +251,7 @@
         """The next request; answers to the oldest ones are not accepted any more."""
         for_promise = self.collecting_promises
         if self.stage is not LeaseStage.REQUESTING and now < self.valid_until:
-            released = self.token  # states that this member holds the lease already
+            released = self.token  # makes it a renewal
         else:
             released = without_owner(self.token) if for_promise else self.released
         self.requests[request_id] = OpenRequest(now, for_promise)
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -1,11 +1,17 @@
 """Leases: which member may act, under which fencing token, and how a lease is handed over.
 
-A lease is granted by its owner and by its quorum members: the first in the lease's rendezvous ranking of all members
-that the owner does not hold dead. A quorum member grants a lease to one owner at a time, until its own clock has run
-``lease_duration`` past the grant. The owner counts from when it sent the request and stops ``2 * max_clock_drift``
-earlier, so it never acts after a grant has expired. Two members can act at once only if their quorums are disjoint:
-each holds the other, and everybody who voted for it, dead. That is a partition. Both act under different tokens, and
-after the first datagram between them the one with the lower token stops.
+A lease has quorum members, and all of them must grant it: unlike in Raft or Paxos, a majority is not enough. They are
+the member that requests the lease and the first ``max_quorum_members`` others (fewer where there are fewer) in the
+lease's rendezvous ranking of the members that the requester does not hold dead. So two members may see different
+quorums, and a member that dies leaves the quorum instead of blocking it.
+
+A quorum member grants a lease to one owner at a time, until its own clock has run ``lease_duration`` past the grant.
+The owner counts the grant from when it sent the request, and only for ``1 - 2 * max_clock_drift`` of the duration, so
+that it never acts after the grant has expired. With the defaults that is 1920 ms of 2000 ms.
+
+Two members can act at once only if their quorums are disjoint: each holds the other, and every member that voted for
+it, dead. That is a partition. Both act under different tokens, and after the first datagram between them the one with
+the lower token stops.
 
 No vote is bound before all quorum members are known to give theirs. As in Paxos (Lamport 1998), a round of promises
 comes first, unless a predecessor has released the lease. A promise is short and gives way to a higher token; a vote
@@ -41,8 +47,8 @@
 from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, LeaseGained, LeaseLost
 from heronlug.cluster.ownership import preferred_owner, tag
 
-MAX_TRANSFER_TRIES = 12
-"""Offers, or completions, that are sent before the lease is given up without an answer."""
+MAX_TRANSFER_MESSAGES = 12
+"""Offers after which a leaving member drops the lease, and completions after which a member sends no more."""
 
 RELEASE_REPEATS = 3
 """How often a release is sent again after the first time, as it may be lost."""
@@ -50,6 +56,21 @@
 REQUEST_ID_MASK = 0xFFFFFFFF
 """Request numbers have 32 bits."""
 
+CAUSE_EXPIRED = "lease over"
+"""Logged when a lease is lost: it could not be renewed in time."""
+
+CAUSE_HIGHER_TOKEN = "higher fence seen"
+"""Logged when a lease is lost: another member has a higher fencing token."""
+
+CAUSE_NO_SUCCESSOR = "left without an heir"
+"""Logged when a lease is lost: this member leaves the cluster, and its successor has not accepted the lease."""
+
+CAUSE_HANDED_OVER = "handed over"
+"""Logged by both members when a lease is transferred."""
+
+CAUSE_TAKEN_OVER = "taken over"
+"""Logged when a lease is gained that no predecessor has handed over."""
+
 RETRY_DELAY_MIN = 0.4
 """The shortest time before a released lease is requested again, as a fraction of the lease duration."""
 
@@ -97,7 +118,7 @@
         self.tag = tag(name)
         self.timing = timing
         self.callbacks = callbacks
-        # names this process, so that a restarted one never repeats a token
+        # Names this process, so that a restarted one never repeats a token.
         self.process_tag = tag(f"{name}\0{incarnation}")
         self.leases = {state.key: state for state in map(LeaseState, lease_names)}
         self.leaving = False
@@ -136,7 +157,7 @@
 
     def _expire(self, state: LeaseState, now: float) -> None:
         if state.stage.holds and now >= state.valid_until:
-            self._lose(state, "lease over")
+            self._lose(state, CAUSE_EXPIRED)
 
     def _step(self, state: LeaseState, candidates: list[str], now: float) -> None:
         """Update the stage for the present candidates, then send what the stage calls for."""
@@ -159,14 +180,14 @@
         wanted = not self.leaving and (preferred == self.name or handed_over)
         if state.stage is LeaseStage.IDLE and wanted and (now >= state.retry_at or handed_over):
             state.advance(LeaseEvent.REQUESTED)
-            state.tries = 0
+            state.was_denied = False
             state.begin_request(self._new_token(state))
         elif state.stage is LeaseStage.REQUESTING and not wanted:
             self._withdraw(state, now)
         elif state.stage is LeaseStage.HELD and not wanted and preferred:
             state.advance(LeaseEvent.SUCCESSOR_FOUND)
             state.successor = tag(preferred)
-            state.tries = 0
+            state.transfer_messages = 0
         elif state.stage is LeaseStage.TRANSFERRING and (wanted or tag(preferred) != state.successor):
             state.advance(LeaseEvent.TRANSFER_CANCELLED)
 
@@ -224,7 +245,7 @@
             return
         state.valid_until = max(state.valid_until, until)
         if state.stage is LeaseStage.REQUESTING:
-            cause = "handed over" if state.released != NO_TOKEN else "taken over"
+            cause = CAUSE_HANDED_OVER if state.released != NO_TOKEN else CAUSE_TAKEN_OVER
             state.advance(LeaseEvent.SECURED)
             state.released = NO_TOKEN
             state.offered_until = -inf
@@ -295,9 +316,9 @@
         if state.stage.holds:
             self.conflicts += 1
             self._release(state, now)
-            self._lose(state, "higher fence seen")
-        elif state.stage is LeaseStage.REQUESTING and not state.tries:
-            state.tries = 1
+            self._lose(state, CAUSE_HIGHER_TOKEN)
+        elif state.stage is LeaseStage.REQUESTING and not state.was_denied:
+            state.was_denied = True
             if state.collecting_votes:
                 self._send_release(state, state.token, now)
             state.begin_request(self._new_token(state))
@@ -307,10 +328,10 @@
     # -- transfer to a successor
 
     def _offer(self, state: LeaseState) -> None:
-        state.tries += 1
+        state.transfer_messages += 1
         self.callbacks.send(state.successor, TransferOffer(state.key, state.token))
-        if self.leaving and state.tries > MAX_TRANSFER_TRIES:
-            self._lose(state, "left without an heir")
+        if self.leaving and state.transfer_messages > MAX_TRANSFER_MESSAGES:
+            self._lose(state, CAUSE_NO_SUCCESSOR)
 
     def _on_acceptance(self, state: LeaseState, sender: int, acceptance: TransferAcceptance, now: float) -> None:
         """The successor has accepted: stop acting, then tell it so."""
@@ -319,15 +340,15 @@
         if acceptance.token != state.token or sender != state.successor:
             return
         self._release(state, now)
-        state.tries = 0
+        state.transfer_messages = 0
         state.next_action_at = now
         state.advance(LeaseEvent.TRANSFER_ACCEPTED)
-        self.callbacks.notify(LeaseLost(state.name, state.token, "handed over"))
+        self.callbacks.notify(LeaseLost(state.name, state.token, CAUSE_HANDED_OVER))
         self.callbacks.send(state.successor, TransferCompletion(state.key, state.token))
 
     def _repeat_completion(self, state: LeaseState, now: float) -> None:
-        state.tries += 1
-        if state.tries > MAX_TRANSFER_TRIES or now >= state.valid_until:
+        state.transfer_messages += 1
+        if state.transfer_messages > MAX_TRANSFER_MESSAGES or now >= state.valid_until:
             state.advance(LeaseEvent.TRANSFER_FINISHED)
         else:
             self.callbacks.send(state.successor, TransferCompletion(state.key, state.token))
--- a/heronlug/cluster/messages.py
+++ b/heronlug/cluster/messages.py
@@ -41,18 +41,35 @@
     """The sender has joined: the receiver tells it of all members and tables."""
 
 
+def without_owner(token: FencingToken) -> FencingToken:
+    """The value of ``LeaseRequest.released`` by which a request under ``token`` asks for a promise."""
+    return FencingToken(token.number, 0)
+
+
 class LeaseRequest(NamedTuple):
-    """The sender requests a lease, or renews it."""
+    """The sender requests a lease, or renews it.
+
+    There are three kinds of request, which differ only in ``released``, since the datagram has no other field for it:
+
+    * a renewal (:attr:`is_renewal`): ``token`` itself, for the sender holds the lease already;
+    * a request for a promise (:attr:`asks_for_promise`): the number of ``token`` with owner 0;
+    * a request for a vote: the token of the predecessor that has handed the lease over, or ``NO_TOKEN`` for none.
+    """
 
     lease: int
     token: FencingToken
     request_id: int
     released: FencingToken
-    """The token of a predecessor that has released the lease.
 
-    ``token`` itself states that the sender holds the lease already; the number of ``token`` with owner 0 asks for a
-    promise only.
-    """
+    @property
+    def is_renewal(self) -> bool:
+        """Whether the sender states that it holds the lease already."""
+        return self.released == self.token
+
+    @property
+    def asks_for_promise(self) -> bool:
+        """Whether the sender asks for a promise of a vote, not for the vote."""
+        return self.released == without_owner(self.token)
 
 
 class LeaseGrant(NamedTuple):
--- a/heronlug/cluster/shared_discovery.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -35,10 +35,10 @@
 from heronlug.requests.model import ListedServer
 
 LEASE_TABLE = "register"
-"""The table of the lease holder, and the lease's name."""
+"""The name of the lease for polling, and of the table that its holder writes; members of all versions exchange it."""
 
 INTERIM_TABLE = "register-scout"
-"""The table of a member that polls without the lease."""
+"""The name of the table that a member writes while it polls without the lease; exchanged like the other one."""
 
 TABLES = (LEASE_TABLE, INTERIM_TABLE)
 
@@ -46,13 +46,13 @@
 """Time between two decisions on who polls."""
 
 SILENCE_TO_PULL_MS = 600.0
-"""After so much silence of all writers other members are asked for the tables: one and a half heartbeats."""
+"""After so much silence of all writers other members are asked for the tables: one and a half heartbeat intervals."""
 
 LONG_SILENCE_MS = 5000.0
-"""After so much silence they are asked less often."""
+"""After so much silence other members are asked for the tables less often."""
 
 LONG_SILENCE_INTERVALS = 10
-"""So many decisions apart."""
+"""After a long silence they are asked with every tenth decision on who polls, not with each."""
 
 
 class TablePreference(NamedTuple):
