--- a/heronlug/balancer/actions.py
+++ b/heronlug/balancer/actions.py
@@ -43,7 +43,7 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: nothing has run, and a retry by the client is harmless."""
+    """Final answer: the client may send the request again, as nothing has run or a second run does no harm."""
 
     request: int
     reason: GiveUpReason = GiveUpReason.NO_TIME
--- a/heronlug/balancer/admission.py
+++ b/heronlug/balancer/admission.py
@@ -1,8 +1,9 @@
-"""Admission: what is accepted, and with which class, quota and times.
+"""Admission: with which class, quota and times a request is taken on.
 
 Inputs: the arrival with its class and tenant, and the expected run time.  A request is due after the latency objective
 of its class, which may grow with its work; it is overdue from the moment at which it could no longer end by then.  A
-tenant beyond its quota is not rejected: its requests are served as if they were overdue.
+tenant beyond its quota is not rejected: its requests are served as if they were overdue. What is not taken on at all is
+decided in :mod:`heronlug.requests.core`.
 """
 
 from heronlug.balancer.estimates import ClassValues, TokenBucket
--- a/heronlug/balancer/derived_settings.py
+++ b/heronlug/balancer/derived_settings.py
@@ -5,7 +5,10 @@
 from heronlug.balancer.settings import Effect, Settings
 
 CHECKS_PER_OBJECTIVE = 16
-"""Waiting requests are looked at again this often within the shortest latency objective."""
+"""Check intervals within the shortest latency objective."""
+
+CHECKS_PER_RECHECK = 2
+"""Check intervals between two looks at a request that waits."""
 
 REPORTS_PER_REQUEST = 16
 """Load reports that a dispatcher can read for each request of its own; with more, aggregators sum them up."""
@@ -23,7 +26,7 @@
 """Connection time-outs that pass at most between a decision and the first byte at a server."""
 
 FREE_SLOTS_FIELD = "x0"
-"""The field of a server's load report that gives its free slots."""
+"""The field of a server's load report that gives its free slots; the platform names it so."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +34,8 @@
     """Figures and switches that follow from :class:`Settings`.
 
     Attributes:
-        check_interval: ms between two looks at waiting requests.
+        check_interval: ms between two looks at whether the ranking is to be updated.
+        recheck_interval: ms between two looks at a request that waits, or could not be hedged.
         dial_allowance: ms that an attempt may take until its first byte is written.
         gossips: dispatchers exchange load reports.
         aggregated: they are so many that aggregators sum the reports up.
@@ -47,6 +51,7 @@
     """
 
     check_interval: float
+    recheck_interval: float
     dial_allowance: float
     gossips: bool
     aggregated: bool
@@ -72,6 +77,7 @@
     free_slots_index = fields.index(FREE_SLOTS_FIELD) if FREE_SLOTS_FIELD in fields else -1
     return DerivedSettings(
         check_interval=check_interval,
+        recheck_interval=CHECKS_PER_RECHECK * check_interval,
         dial_allowance=DIALS_PER_ATTEMPT * settings.dial_timeout,
         gossips=gossips,
         aggregated=aggregated,
--- a/heronlug/balancer/estimates.py
+++ b/heronlug/balancer/estimates.py
@@ -13,7 +13,7 @@
 
     @property
     def level(self) -> float:
-        """The tokens that there were when it was last asked."""
+        """The tokens that there were at the last call."""
         return self._level
 
     def has(self, at: float) -> bool:
@@ -28,7 +28,7 @@
         self._level -= taken
         return taken
 
-    def refill(self, level: float, at: float) -> None:
+    def set_level(self, level: float, at: float) -> None:
         """Set the tokens that there are at that time."""
         self._level, self._at = min(self._burst, level), at
 
--- a/heronlug/balancer/events.py
+++ b/heronlug/balancer/events.py
@@ -1,5 +1,8 @@
 """Events that a dispatcher is told of, in the order in which they happened.
 
+The numbers of the enumerations stand on the wire of the platform's simulator (:mod:`heronlug.adapter`), which plays all
+but a few of these events.
+
 All times and spans are milliseconds on one clock that only goes forward; ids are integers chosen by the caller.
 """
 
@@ -37,7 +40,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended; the numbers stand on the simulator's wire."""
+    """How an attempt ended."""
 
     SERVED = 1
     ERROR = 2
@@ -161,7 +164,7 @@
 
 
 class AnswerStarted(NamedTuple):
-    """A streamed answer has begun; the attempt belongs to the client now."""
+    """A streamed answer has begun; the dispatcher ignores it."""
 
     request: int
     attempt: int
@@ -237,7 +240,7 @@
 
 
 class ProbeResult(NamedTuple):
-    """The result of a health check."""
+    """The result of a health check; the dispatcher ignores it."""
 
     server: int
     outcome: int
--- a/heronlug/balancer/hedging.py
+++ b/heronlug/balancer/hedging.py
@@ -17,9 +17,6 @@
 from heronlug.balancer.selection import Selection
 from heronlug.balancer.state import BalancerState
 
-CHECK_INTERVALS = 2
-"""Check intervals until a request that could not be hedged is looked at again."""
-
 
 class Hedging:
     """Watches attempts in flight, and starts copies of their requests."""
@@ -46,7 +43,7 @@
         queue: RequestQueue,
     ) -> None:
         self._settings, self._can_hedge = state.settings, state.derived.can_hedge
-        self._recheck_after = CHECK_INTERVALS * state.derived.check_interval
+        self._recheck_after = state.derived.recheck_interval
         self._timers, self._open_requests, self._run_times = state.timers, state.open_requests, state.run_times
         self._starts, self._selection, self._starter, self._queue = starts, selection, starter, queue
 
@@ -62,15 +59,16 @@
             self._timers.call_at(now + delay + self._recheck_after, self._on_still_unstarted, attempt)
 
     def hedge_silent(self, attempt: Attempt, now: float) -> None:
-        """Start a copy of a request whose attempts are all silent, unless others wait for a server."""
+        """Start a copy of a request whose attempts are all silent, unless requests that may be in time are queued."""
         request, policy = attempt.request, attempt.request.policy
         if not self._open_requests.is_open(request):
             return
-        all_silent = all(other.silent or not other.in_flight for other in request.attempts)
-        too_early = not policy.hedge or now < attempt.sent_at + policy.hedge_after
-        if not all_silent or not self._can_hedge or self._queue.in_time or request.non_idempotent or too_early:
+        allowed = self._can_hedge and policy.hedge and not request.non_idempotent
+        if not allowed or now < attempt.sent_at + policy.hedge_after:
             return
-        self._start_copy(request, now)
+        all_silent = all(other.silent or not other.in_flight for other in request.attempts)
+        if all_silent and not self._queue.in_time:
+            self._start_copy(request, now)
 
     def _on_still_in_flight(self, attempt: Attempt, now: float) -> None:
         """The time that its class sets is over."""
@@ -88,6 +86,7 @@
             return
         self._starts.record_wait(attempt)
         other_slots = max(1.0, server.capacity.slots - 1)
+        # Of so many runs with independent, exponential times, the first ends about this soon.
         until_one_ends = self._run_times.overall * log(1 + 1 / other_slots)
         server.outlier.saturated_until = now + until_one_ends
         if any(other.in_flight and not other.unstarted for other in request.attempts):
--- a/heronlug/balancer/learning.py
+++ b/heronlug/balancer/learning.py
@@ -2,7 +2,7 @@
 
 from heronlug.balancer.events import AttemptEnded, Outcome
 from heronlug.balancer.model import Attempt
-from heronlug.balancer.outlier_detection import FAILURES, OutlierDetection
+from heronlug.balancer.outlier_detection import REPORTED_AS_FAILURE, OutlierDetection
 from heronlug.balancer.overload import OverloadDetector
 from heronlug.balancer.payoffs import PayoffGrading
 from heronlug.balancer.state import BalancerState
@@ -40,7 +40,7 @@
         if payoff is None:
             return False
         server.payoff.add(payoff)
-        failed = outcome in FAILURES
+        failed = outcome in REPORTED_AS_FAILURE
         self._state.peer_load.record_outcome(server, failed)
         server.outlier.record_end(failed, now)
         self._outliers.record_outcome(server, outcome, now)
--- a/heronlug/balancer/model.py
+++ b/heronlug/balancer/model.py
@@ -26,7 +26,11 @@
         self._total = 0.0
 
     def add(self, at: float, amount: float) -> None:
-        """Add an amount at a time that is never before the last one."""
+        """Add an amount at a time.
+
+        The time of a loan to others is when it ends, later than that of work which is added next; :meth:`total` keeps
+        such work as long as the loan, so that more counts than has been sent, never less.
+        """
         self._items.append((at, amount))
         self._total += amount
 
@@ -84,7 +88,7 @@
     """Learned payoff of a server, owned by :mod:`heronlug.balancer.ranking`.
 
     Attributes:
-        count: number of outcomes, aged: N in the paper.
+        count: number of outcomes, aged: N of UCB.
         mean: mean payoff of those outcomes.
         score: the upper confidence bound by which the server is ranked.
     """
--- a/heronlug/balancer/open_requests.py
+++ b/heronlug/balancer/open_requests.py
@@ -66,7 +66,8 @@
     def finish(self, request: Request, reason: GiveUpReason) -> None:
         """Give a request up: the one place of final answers that no server gave.
 
-        It is rejected, with a promise that nothing ran, only where a retry by the client is harmless.
+        It is rejected where a retry by the client is harmless, because no attempt may have run or a second run does no
+        harm; otherwise it is failed. A request that servers have found fault with gains nothing from a retry.
         """
         same_for_any_retry = request.retry_is_harmless and not request.rejected_by
         harmless = same_for_any_retry or not any(attempt.may_have_run for attempt in request.attempts)
--- a/heronlug/balancer/outlier_detection.py
+++ b/heronlug/balancer/outlier_detection.py
@@ -1,9 +1,10 @@
 """Outlier detection: what ejects a server, and what takes it back.
 
-A failed attempt ejects its server for ``EJECTION_DIALS`` connection time-outs, and twice as long with each failure in a
-row, ``MAX_DOUBLINGS`` times at most: fast errors look like free slots, so one failure is enough.  An ejected server is
-half-open afterwards: it gets one idempotent request at a time until ``HALF_OPEN_TRIALS`` have been served in a row.
-While more than ``PANIC_SHARE`` of the ready servers are ejected the fault lies elsewhere, and none is spared.
+A failed attempt ejects its server for ``EJECTION_DIALS`` connection time-outs, and twice as long with each failure in
+a row, ``MAX_DOUBLINGS`` times at most: fast errors look like free slots, so one failure is enough. An ejected server
+is half-open afterwards: it gets one idempotent request at a time until ``HALF_OPEN_TRIALS`` have been served in a
+row. While more than ``PANIC_SHARE`` of the ready servers are ejected or half-open, the fault lies elsewhere, and
+ejections are ignored.
 
 An unresponsive server, which has reported nothing for some periods (:mod:`heronlug.balancer.silence`), gets one
 idempotent request at a time as well.
@@ -32,13 +33,16 @@
 """Successes in a row that take a server back: one that fails four in ten passes them one time in eight."""
 
 PANIC_SHARE = 0.7
-"""With more than this share of the ready servers ejected, the fault lies elsewhere."""
+"""With more than this share of the ready servers ejected or half-open, ejections are ignored."""
 
-BAD_OUTCOMES = frozenset({Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET})
-"""Outcomes that eject a server."""
+EJECTING_OUTCOMES = frozenset({Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET})
+"""Outcomes that eject a server: it fails, or it is full, and others may have room.
 
-FAILURES = BAD_OUTCOMES - {Outcome.FULL}
-"""Outcomes that are reported to other dispatchers as failures: a full server is busy, not failing."""
+A time-out does not: a request may need longer than its client waits.
+"""
+
+REPORTED_AS_FAILURE = EJECTING_OUTCOMES - {Outcome.FULL}
+"""Outcomes that other dispatchers are told of as failures: a full server is busy, which its load report shows."""
 
 
 class OutlierDetection:
@@ -61,14 +65,17 @@
     def record_outcome(self, server: Server, outcome: Outcome | int, now: float) -> None:
         """Eject the server after a failure; count a success of one that is half-open."""
         state = server.outlier
-        if outcome in BAD_OUTCOMES:
+        if outcome in EJECTING_OUTCOMES:
             if now >= state.ejected_until:
                 self._eject(server, Outcome(outcome), now)
             self._ejected_count += not state.trials_left
             state.trials_left = HALF_OPEN_TRIALS
         elif state.trials_left and outcome == Outcome.SERVED and now >= state.ejected_until:
             state.trials_left -= 1
-            state.ejections -= not state.trials_left  # the next failure soon after counts as a repeat
+            if not state.trials_left:
+                state.ejections -= (
+                    1  # only one is forgotten: after several in a row the next failure counts as a repeat
+                )
 
     def allows(self, request: Request, server: Server, now: float) -> bool:
         """Whether the request may go to the server, as far as its outcomes and its silence say."""
--- a/heronlug/balancer/placement.py
+++ b/heronlug/balancer/placement.py
@@ -49,7 +49,8 @@
         elif (server := self._selection.choose(request, now)) is not None:
             self._starter.start(request, server, now)
         elif request.rejected_by:
-            self._open_requests.finish(request, GiveUpReason.FAULTY)  # no wait for a second server's opinion
+            # Most likely it is at fault itself: it does not wait until a second server has room to confirm that.
+            self._open_requests.finish(request, GiveUpReason.FAULTY)
         else:
             self._queue.add(request, now)
 
--- a/heronlug/balancer/queue.py
+++ b/heronlug/balancer/queue.py
@@ -25,8 +25,6 @@
 from heronlug.balancer.state import BalancerState
 
 NO_CLASS = -1
-RECHECK_INTERVALS = 2
-"""Check intervals between two looks at the queue, where no load summaries give the rhythm."""
 
 
 class QueuedRequest(NamedTuple):
@@ -61,7 +59,7 @@
 
     def update(self, overdue: Sequence[QueuedRequest]) -> bool:
         """Find the class that is served worst, while there is not enough for all; returns whether that has changed."""
-        not_enough_for_all = len(overdue) > 0 and overdue[0].priority < 0.0
+        not_enough_for_all = len(overdue) > 0 and overdue[0].priority < 0.0  # a late answer is worth something
         worst = self._class_values.worst_class() if not_enough_for_all else NO_CLASS
         changed = worst != self._worst_class
         self._worst_class = worst
@@ -120,8 +118,7 @@
         """
         derived = state.derived
         self._dial_allowance, self._aggregated = derived.dial_allowance, derived.aggregated
-        check_interval = RECHECK_INTERVALS * derived.check_interval
-        self._recheck_interval = derived.summary_interval if derived.aggregated else check_interval
+        self._recheck_interval = derived.summary_interval if derived.aggregated else derived.recheck_interval
         self._timers, self._open_requests, self._peer_load = state.timers, state.open_requests, state.peer_load
         self._order, self._selection, self._overload, self._budget = order, selection, overload, budget
         self._starter, self._loans = starter, loans
@@ -197,7 +194,10 @@
         return room
 
     def _is_hopeless(self, request: Request, now: float, *, overdue: bool) -> bool:
-        """Whether it could not end in time: it is rejected now, while its client can still do something else."""
+        """Whether no attempt can help any more: its repeat window is over, or an answer would come too late.
+
+        It is given up now, while its client can still do something else.
+        """
         if request.repeat_window_over_by(now + self._dial_allowance):
             return True
         return overdue and self._overload.is_hopeless(request, now)
--- a/heronlug/balancer/ranking.py
+++ b/heronlug/balancer/ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of the servers: upper confidence bounds on their payoffs (UCB, Algorithm 2 of the paper).
+"""The ranking of the servers: upper confidence bounds on their payoffs (UCB; Fu and Modiano, Algorithm 2).
 
 Inputs: the outcomes of our attempts, the settings of slow start, and the time.  The score of a server is
 
@@ -6,7 +6,7 @@
 
 with N its aged count of outcomes and T the aged count of all attempts sent, plus ``INITIAL_SENDS``.  A server with no
 outcome yet takes the mean of the others' scores.  The score of a server that warms up is multiplied by the fraction of
-its capacity that it has at least.
+its capacity that it has at least, and it gets the work budget that goes with that fraction (slow start).
 
 The queue limit K = ``QUEUE_LIMIT_FACTOR`` ln T, in slots of a server, says how far a server is filled before the next.
 """
@@ -27,7 +27,7 @@
 """T is this many plus the remembered sends."""
 
 QUEUE_LIMIT_FACTOR = 0.3
-"""C1 in K = C1 log T, in slots that a server has."""
+"""C1 in K = C1 log T of Algorithm 2: requests for each slot of a server."""
 
 MEMORY_RUN_TIMES = 20.0
 """Counts age by a factor of e over this many mean run times."""
--- a/heronlug/balancer/retries.py
+++ b/heronlug/balancer/retries.py
@@ -14,7 +14,7 @@
 from heronlug.balancer.settings import Effect, Settings
 
 MAX_REJECTIONS = 2
-"""Servers that find fault with a request before it is held to be at fault itself."""
+"""Servers that find fault with a request before it is given up; with one, it is if no other server has room now."""
 
 
 class ArrivalCount:
@@ -37,15 +37,18 @@
 
     @property
     def level(self) -> float:
-        """The tokens that there were when it was last asked."""
+        """The tokens that there were at the last call."""
         return self._tokens.level
 
-    def refill(self, level: float) -> None:
+    def set_level(self, level: float) -> None:
         """Set the tokens that there are now."""
-        self._tokens.refill(level, self._arrivals.value)
+        self._tokens.set_level(level, self._arrivals.value)
 
     def allows(self, request: Request) -> bool:
-        """Whether the request may have an attempt now; copies of attempts that have not started are no load."""
+        """Whether there is a token for the next attempt of a request, or it needs none.
+
+        The first attempt needs none, nor does a copy of attempts that have not started: together they are one run.
+        """
         return _is_free(request) or self._tokens.has(self._arrivals.value)
 
     def is_spent(self) -> bool:
--- a/heronlug/balancer/selection.py
+++ b/heronlug/balancer/selection.py
@@ -1,4 +1,4 @@
-"""Selection: which server an attempt may go to (Upper-Confidence Priority-K, Algorithm 2 of the paper).
+"""Selection: which server an attempt may go to (Upper-Confidence Priority-K; Fu and Modiano, Algorithm 2).
 
 A request goes to the next server of the exploration round, else to the best in rank whose queue leaves room below K
 slots for each of its slots.  Every attempt, first, retry or hedge, passes one gate, :meth:`Selection._may_send`.
@@ -74,7 +74,9 @@
         self.freed: list[Server] = []
 
     def choose(self, request: Request, now: float, *, overdue: bool = False) -> Server | None:
-        """The server that the next attempt of a request goes to now; None if it has to wait.
+        """Choose the server that the next attempt of a request goes to now; None if it has to wait.
+
+        This takes what is due of the exploration round and of the reservations, whether or not a server is found.
 
         Args:
             request: the request, with the attempts that it has had.
@@ -85,20 +87,36 @@
             return None  # before any server is looked at, so that it takes no turn of the exploration round
         waits_for_freed = self._derived.can_hedge and request.non_idempotent
         first = self.freed if waits_for_freed else self._exploration.pending
-        if self._derived.aggregated and not overdue and not request.non_idempotent:
-            self._exploration.take_turn(now)
-        self._exploration.visit(self._shares.reservation_turns(now))
+        self._plan_exploration(request, now, overdue=overdue)
         overloaded = self._overload.would_wait_too_long(request, now)
-        while first and not overdue and not (overloaded and first[-1].slow_start.work_budget == inf):
-            server = first.pop()
-            observed_already = server.load.own_attempts and not waits_for_freed
-            if not observed_already and self._fits(request, server, now):
+        if not overdue:
+            server = self._explore(request, first, now, overloaded=overloaded, only_unobserved=not waits_for_freed)
+            if server is not None:
                 return server
         still_patient = waits_for_freed and not (overdue or self._derived.learns_from_starts)
         if overloaded or (still_patient and now < request.patient_until):
             return None
         return self._first_that_fits(request, now, overdue)
 
+    def _plan_exploration(self, request: Request, now: float, *, overdue: bool) -> None:
+        """Add the server that is ours to probe, and those at which a reservation of ours has opened."""
+        if self._derived.aggregated and not overdue and not request.non_idempotent:
+            self._exploration.take_turn(now)
+        self._exploration.visit(self._shares.reservation_turns(now))
+
+    def _explore(
+        self, request: Request, servers: list[Server], now: float, *, overloaded: bool, only_unobserved: bool
+    ) -> Server | None:
+        """Take servers off the list until one fits; during an overload only those that warm up, which stand idle."""
+        while servers:
+            if overloaded and servers[-1].slow_start.work_budget == inf:
+                return None
+            server = servers.pop()
+            is_observed = only_unobserved and server.load.own_attempts > 0
+            if not is_observed and self._fits(request, server, now):
+                return server
+        return None
+
     def _first_that_fits(self, request: Request, now: float, overdue: bool) -> Server | None:
         """The first candidate by rank; not one that had an attempt, as what failed there may fail there again."""
         tried: list[Server] = []
--- a/heronlug/balancer/settings.py
+++ b/heronlug/balancer/settings.py
@@ -50,7 +50,7 @@
         retry_after_timeout: a retry may follow a cancelled attempt, where the effect allows it.
         retry_backoff: waits before the 2nd, 3rd ... attempt; the last holds for all further ones.
         hedge: a copy may go out beside an attempt, where the settings and the effect allow it.
-        hedge_after: time in flight after which that happens, 0 for when the attempt seems not to start.
+        hedge_after: time in flight after which that happens; 0 for no fixed time: it happens when a start is overdue.
         give_up_after: the longest that a request is waited for, 0 for its deadline.
 
     Raises:
@@ -101,12 +101,12 @@
         position: which of them this one is, from 0.
         zone: the zone of this dispatcher.
         tenants: names of the tenants, in the order of their quotas.
-        quotas: requests a second that each tenant may have, over all instances.
+        quotas: requests a second of each tenant over all instances; only their ratios are used.
         report_fields: names of the values in a server's load report.
         list_pushed: changes of the endpoint list come without a poll.
         poll_interval: without a subscription the list is polled at least this often.
         max_attempts: attempts of a request at most.
-        hedging: two attempts of a request may be in flight at once.
+        hedging: two attempts of a request may be in flight at once; each class may forbid it for itself.
         may_cancel: attempts may be cancelled.
         gossip: dispatchers may send each other short messages.
         dial_timeout: longest time for a connection to a server.
@@ -117,13 +117,13 @@
         drain_grace: time in which a server that is notified as draining may still get requests.
         warmup_capacity: share of its capacity that a fresh server has at least.
         warmup_time: it has all of it after this time at most.
-        overload_multiple: a server fails under more than this times its present capacity ...
-        overload_window: ... for this long.
-        cross_zone_price: price of an attempt in another zone, in payoff.
+        overload_multiple: a server that warms up fails under more work than this times its present capacity.
+        overload_window: the time over which that work is added up.
+        cross_zone_price: what is taken off the payoff, from 0 to 1, of an attempt in another zone.
         worst_class_weight: weight of the worst-served class in the goal; all of the goal weighs 1.
         cpu_per_request: CPU time that a request with its outcomes may take, in microseconds; 0 for no limit.
-        retry_share: retries may be this share of the requests ...
-        retry_burst: ... and so many at once.
+        retry_share: retries may be this share of the requests admitted.
+        retry_burst: retries beyond that share that may come at once.
         zone_failover: traffic leaves a zone that fails as one, and returns in stages.
         lends_capacity: dispatchers lend each other their shares of servers that warm up.
         waste_price: price of work that served no answer, in weight of that work.
--- a/heronlug/balancer/silence.py
+++ b/heronlug/balancer/silence.py
@@ -35,8 +35,9 @@
         silent = [a for a in attempts if not a.unstarted and now - a.last_progress_at >= self._silence]
         for attempt in silent:
             server = attempt.server
-            server.load.silent_attempts += not attempt.silent
-            attempt.silent = True
+            if not attempt.silent:
+                attempt.silent = True
+                server.load.silent_attempts += 1
             if now - server.outlier.last_progress_at >= self._silence:
                 server.outlier.unresponsive = True
             self._hedging.hedge_silent(attempt, now)
--- a/heronlug/balancer/slow_start.py
+++ b/heronlug/balancer/slow_start.py
@@ -31,7 +31,7 @@
 """Share of a server's budget that is used: request sizes and server speeds are only estimated."""
 
 LOAN_MS = 400.0
-"""How long a loan may be used, from the moment it was given."""
+"""How long a loan may be used, from the moment it was asked for."""
 
 ASK_AGAIN_MS = 120.0
 """Time until a share of the same server is asked for again."""
--- a/heronlug/balancer/snapshot.py
+++ b/heronlug/balancer/snapshot.py
@@ -97,7 +97,7 @@
     state.run_times.by_class.update(by_class)
     state.run_times.usual_latencies.update(usual_latencies)
     learned.arrivals.value = int(arrivals)
-    learned.retry_budget.refill(level)
+    learned.retry_budget.set_level(level)
     for kind in kinds:
         capacity = state.servers.capacities[kind.kind]
         capacity.peak_slots, capacity.reported_slots, capacity.slots = kind[1:]
--- a/heronlug/balancer/zone_failover/zone_state.py
+++ b/heronlug/balancer/zone_failover/zone_state.py
@@ -44,6 +44,9 @@
 RELAPSE_MEMORY_MS = 60_000.0
 """Time without a failure after which relapses are forgotten."""
 
+LEAST_RELAPSED_SERVERS = 2
+"""Servers that have to fail during a return for a relapse."""
+
 LEAST_SERVED_PROBES = 2
 """Servers that have to have served probes before traffic returns."""
 
@@ -164,7 +167,7 @@
         return False
 
     def _step_returning(self, seen: ZoneObservation, now: float) -> bool:
-        if seen.log_ratio >= RELAPSE_RATIO and seen.failed_servers >= LEAST_SERVED_PROBES:
+        if seen.log_ratio >= RELAPSE_RATIO and seen.failed_servers >= LEAST_RELAPSED_SERVERS:
             self.relapses += 1
             cause = f"{seen.failed_servers} hosts fail on its return, time {self.relapses}"
             return self._enter(ZonePhase.EXCLUDED, now, cause)
--- a/heronlug/lifecycle/faktory_service.py
+++ b/heronlug/lifecycle/faktory_service.py
@@ -2,12 +2,9 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from heronlug.config.platform import Config
-from heronlug.frontends.faktory.config import FaktoryConfig
-from heronlug.frontends.faktory.frontend import FaktoryFrontend
-from heronlug.frontends.faktory.recovery import open_store
 from heronlug.lifecycle.log import Log
 from heronlug.net.acceptor import Acceptor
 from heronlug.net.http import split_address
@@ -15,6 +12,10 @@
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines
 
+if TYPE_CHECKING:  # loaded when it is first opened: a platform dispatcher runs without it, in little memory
+    from heronlug.frontends.faktory.config import FaktoryConfig
+    from heronlug.frontends.faktory.frontend import FaktoryFrontend
+
 LISTEN_BACKLOG = 128
 """Connections that may wait to be accepted."""
 RETRY_SHARE = 1e3
@@ -27,7 +28,7 @@
 class OpenedListener:
     """A bound listener, and the configuration that it was bound for."""
 
-    config: FaktoryConfig
+    config: "FaktoryConfig"
     listener: Listener
 
 
@@ -108,8 +109,11 @@
             self.use(None)
             self.frontend.close()
 
-    def _make_frontend(self, faktory_config: FaktoryConfig) -> FaktoryFrontend:
+    def _make_frontend(self, faktory_config: "FaktoryConfig") -> "FaktoryFrontend":
         """Make the frontend with a core of its own: its workers cannot run HTTP requests, nor servers its jobs."""
+        from heronlug.frontends.faktory.frontend import FaktoryFrontend
+        from heronlug.frontends.faktory.recovery import open_store
+
         store = open_store(faktory_config.store, self._log, self._turn)
         frontend = FaktoryFrontend(faktory_config, self._deadlines, self._log, self._turn, store)
         settings = replace(
@@ -136,7 +140,9 @@
         return frontend
 
 
-def _read_config(table: dict[str, Any]) -> FaktoryConfig:
+def _read_config(table: dict[str, Any]) -> "FaktoryConfig":
+    from heronlug.frontends.faktory.config import FaktoryConfig
+
     return FaktoryConfig(
         listen=split_address(table["listen"]),
         password=table["password"],
--- a/heronlug/requests/core.py
+++ b/heronlug/requests/core.py
@@ -42,7 +42,7 @@
 from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.event_queue import EventQueue
 from heronlug.requests.interfaces import EventLog, Plugins, Transport, log_nothing
-from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request, Workload
+from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, RejectReason, Request, Workload
 from heronlug.requests.request_table import RequestTable
 from heronlug.requests.server_directory import ServerDirectory
 from heronlug.requests.slots import SlotTable
@@ -161,21 +161,21 @@
             "taken", message=request.handle, id=request_id, lane=policy.name, left=round(request.give_up_at - now)
         )
         reason = self._reason_to_reject(request, now, remaining, size)
-        if reason:
-            self._close(request, FinalAnswer.REFUSED, b"", self._retry_after, reason)
+        if reason is not None:
+            self._close(request, FinalAnswer.REFUSED, b"", self._retry_after, reason.value)
         else:
             self.events.handle(_arrival(request, workload))
         return request
 
-    def _reason_to_reject(self, request: Request, now: float, remaining: float, size: int) -> str:
-        """Why a request is not taken to the balancer at all; empty if it is."""
+    def _reason_to_reject(self, request: Request, now: float, remaining: float, size: int) -> RejectReason | None:
+        """Why a request is not taken to the balancer at all; None if it is."""
         if request.give_up_at <= now:
-            return "expired"
+            return RejectReason.EXPIRED
         if len(self.requests) > self.max_open:
-            return "too_many_open"
+            return RejectReason.TOO_MANY_OPEN
         if self.plugins is not None and not self.plugins.admit(request.class_index, remaining, size):
-            return "not_admitted"
-        return ""
+            return RejectReason.NOT_ADMITTED
+        return None
 
     def adopt(
         self,
@@ -342,6 +342,7 @@
     def peer_process_ended(self) -> None:
         """Note that there is no other process of this dispatcher any more."""
         self.requests.peer_process_ids.clear()
+        # What the other process had in flight counts as reported by a peer of our own position: no other peer has that.
         self.events.handle(PeerGone(self.settings.position))
 
     def server_counts(self) -> tuple[int, int]:
--- a/heronlug/requests/model.py
+++ b/heronlug/requests/model.py
@@ -14,12 +14,25 @@
 
     SERVED = "served"
     REFUSED = "refused"
-    """Nothing has run, and the client may send the request again."""
+    """The client may send the request again: nothing has run, or a second run does no harm."""
 
     FAILED = "failed"
     """Nothing is promised."""
 
 
+class RejectReason(Enum):
+    """Why a request is rejected without asking the balancer; the values stand in the log."""
+
+    EXPIRED = "expired"
+    """No time was left when it came."""
+
+    TOO_MANY_OPEN = "too_many_open"
+    """The limit of open requests is reached."""
+
+    NOT_ADMITTED = "not_admitted"
+    """A plug-in does not admit it."""
+
+
 class ListedServer(NamedTuple):
     """One entry of the endpoint list, by the server's name.
 
