--- a/heronlug/frontends/http/errors.py
+++ b/heronlug/frontends/http/errors.py
@@ -1,4 +1,8 @@
-"""Requests that break the protocol, each error with its status and the text that goes out with it."""
+"""Requests that break the protocol, each error with its status and the text that is sent with it.
+
+The texts go over the wire and keep their words: a message there is a request here, and a figure a number. ``X-Txn`` is
+the request's id and ``X-Lane`` its class; :mod:`heronlug.frontends.http.request_policy` explains all headers.
+"""
 
 from typing import ClassVar
 
@@ -8,7 +12,7 @@
 
     Attributes:
         status: the status of the response.
-        text: the line that makes up its body, and stands in the log.
+        text: the line that is the body of the response, and is logged.
     """
 
     status: ClassVar[int] = 400
@@ -49,7 +53,7 @@
 
 
 class InvalidRequestIdError(BadRequestError):
-    """X-Txn is missing, too long, or not printable ASCII."""
+    """The request's id (X-Txn) is missing, too long, or not printable ASCII."""
 
     text = "X-Txn is missing or no ASCII"
 
@@ -61,25 +65,25 @@
 
 
 class UnknownClassError(BadRequestError):
-    """The path and X-Lane do not name one and the same known class."""
+    """The path names no known class, or X-Lane names another class than the path."""
 
     text = "X-Txn, X-Lane or path names nothing known"
 
 
 class InvalidNumberError(BadRequestError):
-    """X-Remaining-Ms or a label is not a number."""
+    """The remaining time (X-Remaining-Ms) or a label (X-Labels) is not a number."""
 
     text = "X-Remaining-Ms or X-Labels is no figure"
 
 
 class NonFiniteNumberError(BadRequestError):
-    """A label is infinite or not a number."""
+    """A label (X-Labels) is infinite or not a number; the text names X-Remaining-Ms too, which cannot be either."""
 
     text = "X-Remaining-Ms or X-Labels is no finite figure"
 
 
 class MethodNotAllowedError(BadRequestError):
-    """A request for a server that does not use POST."""
+    """A request for a server with a method other than POST."""
 
     status = 405
     text = "only POST hands in a message"
@@ -93,7 +97,7 @@
 
 
 class DuplicateRequestIdError(BadRequestError):
-    """Another request with the same id is open."""
+    """Another request with the same id (X-Txn) is open."""
 
     status = 409
     text = "a message of this X-Txn is open"
--- a/heronlug/frontends/http/request_policy.py
+++ b/heronlug/frontends/http/request_policy.py
@@ -1,4 +1,17 @@
-"""What the headers of a request say: its id, class, remaining time and workload."""
+"""What the headers of a request say: its id, class, remaining time and workload.
+
+================ ================================================================================================
+header           meaning
+================ ================================================================================================
+X-Txn            the request's id
+X-Lane           its class; the first segment of the path by default, and never another
+X-Remaining-Ms   the time left until the client gives up, in ms; the deadline of the class by default
+X-Labels         its workload, as ``slots=2,memory=0.5``: the slots and the memory that it takes of a server
+X-Org            its tenant
+X-Resent         ``1`` if the client has sent the request before
+Idempotency-Key  forwarded to the server, not read here
+================ ================================================================================================
+"""
 
 import math
 
