--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -60,7 +60,8 @@
         inherited_fd: the clients' listening socket, which other processes hold too; None where it is bound.
         admin: address of the admin endpoint; None for none.
         pushed: updates of the list count as notified at once, whether or not they are polled.
-        paced: polls keep to a pace of their own; on the platform the balancer alone decides when to poll.
+        paced: the operators run service discovery: polls are paced, and the last list is used whatever its age. On the
+            platform the balancer alone decides when to poll.
     """
 
     name: str
--- a/heronlug/discovery/freshness.py
+++ b/heronlug/discovery/freshness.py
@@ -1,18 +1,27 @@
-"""Until when the endpoint list may be used: the time at which a change that has not arrived counts as notified.
+"""Until when the endpoint list may be used while service discovery does not answer.
 
-Whatever happens to the polls of service discovery, a change that it has made counts as notified some time later. Past
-that time and the grace for drains, a server that has left may get no new work. So a list may be used until the earliest
-moment at which a change that is missing here could have come to that point; then nothing but an answer renews it.
+Service discovery notifies dispatchers of a change by answering their polls. From the moment at which a change counts as
+notified the grace runs: a server that has left may still get new work until it is over, and none afterwards. A change
+counts as notified some time after it was made, even if the answer never arrived here. So whenever an answer is
+overdue, the list may lack a change, and it becomes stale at the earliest moment at which the grace after such a change
+could be over. From then on only an answer makes it usable again.
+
+Example: lists are pushed, and of a grace of 1000 ms 850 are left after the margin. An answer arrives at 8 s; the list
+is usable without a limit. The next poll is sent at 9 s and waits 20 s for a change. Its connection may have died
+without a sign, and what it misses counts as notified 22 s after it was sent at the latest: the list is usable until
+9 + 22 + 0.85 = 31.85 s. At 10 s the connection is reset. What changes from now on counts as notified at once: the list
+is usable until 10.85 s. (Where lists are not pushed but polled every 2 s, until 12.85 s.) An answer at 10.5 s ends the
+limit.
 
 Only :class:`Freshness` changes the state, by the two tables below; the module does no I/O and has no clock.
 
 =========== ====================================================================================================
 state       what may have been notified and is missing here
 =========== ====================================================================================================
-UNCONFIRMED anything: the list was given at the start of the process, and its age is unknown
+UNCONFIRMED anything: the list was given at the start of the process, and its age is unknown; it is not usable
 WATCHED     what the poll in flight has missed, if its connection has died without a sign
 UNWATCHED   what has changed since the watch ended
-MISSED      what a silent watch did not bring; its clock runs from its last poll, whatever is polled later
+MISSED      what a poll that timed out did not bring; the limit set when it was sent stays, whatever is polled later
 =========== ====================================================================================================
 
 Times are in milliseconds on one clock.
@@ -22,27 +31,28 @@
 from math import inf
 
 SILENT_NOTIFIED_AFTER_MS = 6_000.0
-"""A change counts as notified so long after it was made, if discovery could be reached or a silent poll missed it."""
+"""A change counts as notified so long after it was made at the latest, in ms, even if its answer did not arrive."""
 
 NOTIFIED_AFTER_WAIT_MS = 2_000.0
-"""What a silent poll missed counts as notified so long after the end of its wait, if that is later."""
+"""What a poll without an answer missed counts as notified so long after its wait, in ms, if that is later."""
 
 HANDOVER_NOTIFIED_AFTER_MS = 2_000.0
-"""A change counts as notified so long after a hot restart."""
+"""What another process has missed counts as notified at most so long after it handed its list over, in ms."""
 
 MOVE_NOTIFIED_AFTER_MS = 4_000.0
-"""A change counts as notified so long after a new configuration, as the protocol has it for pushed lists."""
+"""A change counts as notified so long after discovery's address was changed, in ms, as the protocol has it."""
 
 GRACE_MARGIN_MS = 150.0
-"""Reserved from the grace, because a process may be delayed between its clock and its write."""
+"""Taken off the grace, in ms, because a process may be delayed between reading the clock and its write."""
 
 GRACE_MARGIN_SHARE = 1 / 4
-"""The margin is at most this share of the grace."""
+"""The margin is at most this fraction of the grace."""
 
 RETRIES_IN_GRACE = 6
 """Where lists are pushed, a broken watch is opened again so often within the grace."""
 
 SHORTEST_RETRY_PAUSE_MS = 50.0
+"""The shortest pause before a broken watch is opened again, in ms."""
 
 
 class FreshnessState(Enum):
@@ -104,12 +114,15 @@
 
 
 class Freshness:
-    """The clock of one list, from the start of a process on.
+    """Until when one endpoint list may be used, from the start of a process on.
+
+    The limit is enforced where the platform gives the configuration. With a service discovery of the operators' own
+    (``Config.paced``) the last list is used until another comes, and only the state matters.
 
     Attributes:
         pushed: Whether the platform pushes lists, so that a change counts at once where no watch is open.
         state: What is known of the list.
-        usable_until: When the list becomes stale, in ms.
+        usable_until: When the list becomes stale, in ms; infinite if no change can be missing.
     """
 
     def __init__(self, pushed: bool, poll_interval: float, grace: float) -> None:
--- a/heronlug/discovery/poll_pacing.py
+++ b/heronlug/discovery/poll_pacing.py
@@ -5,7 +5,11 @@
 time is cut into rounds, the same for all since all read Unix time, and in each round a dispatcher has the slot that its
 position gives it. A round is as long as service discovery needs for the polls of all, by the estimated cost of a poll.
 Where the operators' file does not give that cost, it is a guess, which doubles with every third rejection in a row and
-never exceeds the time that an answer took. Figures: ``docs/design/coldstart.md``.
+never exceeds the time that an answer took.
+
+The usual way, in which each dispatcher doubles a random backoff for itself, needed more polls than this one wherever
+the two were compared: dispatchers that know nothing of each other go on colliding. ``docs/design/coldstart.md`` has the
+figures.
 
 Times are in milliseconds of Unix time, as far as the dispatchers' clocks agree.
 """
@@ -40,12 +44,13 @@
 """The longest round that a growing backoff leads to."""
 
 MAX_BACKOFF_DOUBLINGS = 8
+"""The backoff is not doubled more often; ``MAX_UNAVAILABLE_ROUND_MS`` limits it before."""
 
-POLL_WAIT_MS = 20_000.0
-"""How long a poll waits for a change, at the least."""
+MIN_POLL_WAIT_MS = 20_000.0
+"""The shortest time that a poll waits for a change, in ms."""
 
 MAX_POLL_WAIT_MS = 60_000.0
-"""How long a poll waits for a change, at the longest; the protocol allows no more."""
+"""The longest time that a poll waits for a change, in ms; the protocol allows no more."""
 
 RENEWAL_SHARE = 0.25
 """Share of service discovery's capacity that may go into polls that end without a change."""
@@ -92,7 +97,7 @@
     @property
     def poll_wait(self) -> float:
         """How long, in ms, a poll waits for a change: the longer, the more dispatchers there are."""
-        return max(POLL_WAIT_MS, min(MAX_POLL_WAIT_MS, self.terms.dispatchers * self.cost_ms / RENEWAL_SHARE))
+        return max(MIN_POLL_WAIT_MS, min(MAX_POLL_WAIT_MS, self.terms.dispatchers * self.cost_ms / RENEWAL_SHARE))
 
     def first_poll_at(self, now: float, has_list: bool) -> float:
         """When the first poll may be sent: in this dispatcher's slot if the cost is known, else at once."""
--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -7,7 +7,7 @@
 from heronlug.balancer.settings import Effect, Settings
 from heronlug.conformance import Answered, Listed, Started, Stopped, Taken
 from heronlug.discovery.poll_failure import PollFailure
-from heronlug.discovery.poll_pacing import POLL_WAIT_MS, PollPacer, PollTerms
+from heronlug.discovery.poll_pacing import MIN_POLL_WAIT_MS, PollPacer, PollTerms
 from heronlug.emulator.backend import EmulatedBackend
 from heronlug.emulator.clients import ClientRequest
 from heronlug.emulator.policies import BUILT_IN_POLICY, POLICIES, ServerTruth
@@ -149,7 +149,7 @@
     @property
     def watch_timeout_ms(self) -> float:
         """How long its watch waits for an event."""
-        return self._pacer.poll_wait if self._pacer is not None else POLL_WAIT_MS
+        return self._pacer.poll_wait if self._pacer is not None else MIN_POLL_WAIT_MS
 
     def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
         """An endpoint list or watch event has come."""
--- a/heronlug/frontends/http/frontend.py
+++ b/heronlug/frontends/http/frontend.py
@@ -31,7 +31,7 @@
     def log(self) -> EventLog:
         """Where events are logged."""
 
-    def is_draining(self) -> bool:
+    def sends_clients_away(self) -> bool:
         """Whether connections end with their next answer."""
 
     def ready(self) -> bool:
@@ -209,7 +209,7 @@
 
     def _keeps_alive(self, request: HttpRequest, connection: AnswerableConnection) -> bool:
         """Whether a connection stays open after this answer; in a drain, until all that has come is answered."""
-        return request.keep_alive and not (self._owner.is_draining() and not connection.has_unanswered_input)
+        return request.keep_alive and not (self._owner.sends_clients_away() and not connection.has_unanswered_input)
 
 
 def _initial_rank(connection: ClientConnection) -> EvictionRank:
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -102,7 +102,9 @@
         self.backend.core = self.core
         self.discovery.core = self.core
         self.peer_messages.core = self.core
-        if not config.paced:  # a paced client uses the list that it has for longer
+        # The limit on a list's age is the platform's. Where the operators run service discovery themselves (`paced`),
+        # the last list is used until it is replaced, whatever its age.
+        if not config.paced:
             self.discovery.client.staleness.on_usable_change = self.core.set_list_usable
 
     def _make_frontend(self) -> None:
@@ -211,7 +213,9 @@
         """Begin a planned stop."""
         if self.shutdown.stop():
             self.log("stopping", messages=len(self.core.requests))
-            if not self.hot_restart.handed_over:  # else longer requests are handed over
+            # Without a successor, requests that come from now on end in time. With one, requests that would last
+            # longer are handed over to it. What is left in either case is given up at answer_by by the shutdown.
+            if not self.hot_restart.handed_over:
                 self.core.answer_by = self.shutdown.answer_by
         self.faktory.stop()
         self.turn()
@@ -224,6 +228,7 @@
         self.log("stopped", **{final.value: count for final, count in self.core.counts.items()})
 
     def _close(self) -> None:
+        """Close all sockets; until here the listener still accepts clients that come late."""
         self.hot_restart.close()
         self.listener.close()
         self.admin_listener.close()
--- a/heronlug/lifecycle/graceful_shutdown.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -8,20 +8,27 @@
 QUIET_MS = 700.0
 """No client may have come for this long before idle connections are closed, in ms.
 
-Clients still come for 0.2 to 0.4 s after the signal, until the platform's front has noticed.
+Clients still come for 0.2 to 0.4 s after the signal, until the platform's load balancer sends them elsewhere.
 """
+
 MAX_WAIT_FOR_QUIET_MS = 2000.0
-"""After this time, in ms, clients that still come hold up no stop: they do not come by way of the front."""
+"""After this time, in ms, clients that still come delay the stop no more: the load balancer does not send them."""
+
 KILL_GRACE_MS = 700.0
-"""The platform kills the process this long after the longest deadline, in ms."""
+"""The platform kills the process this long after the longest deadline has passed since SIGTERM, in ms."""
+
 MAX_COUNTED_DEADLINE_MS = 3000.0
-"""So much of the longest deadline counts for the kill at most, in ms."""
+"""A longest deadline above this counts as this one for the time of the kill, in ms."""
+
 ANSWER_MARGIN_MS = 250.0
 """All answers are sent this long before the kill, in ms."""
+
 LAST_ACCEPTED_MS = 1000.0
-"""Requests that come later than this before the last answer could hardly be served, in ms: clients go elsewhere."""
+"""In the last such time before the last answer, in ms, clients are sent elsewhere: a request could hardly be served."""
+
 CHECK_INTERVAL_MS = 50.0
 """Between two checks of a drain or stop, in ms."""
+
 HANDOVER_INTERVAL_MS = 10.0
 """Between two checks while clients are handed over, in ms."""
 
@@ -31,14 +38,14 @@
     """What a shutdown asks of the other parts of a dispatcher, and what it makes them do.
 
     Attributes:
-        open_work: requests and connections that a stop waits for.
-        last_client_at: when the last client came, in ms.
-        others_serve: whether another dispatcher serves.
-        leave_peers: tell the peers that this dispatcher leaves; called again and again.
-        rejoin_peers: tell them that it stays.
-        give_up_requests: answer all open requests, for the time is over.
-        close_idle: close the clients' connections that wait for nothing.
-        stopped: the process may end.
+        open_work: Returns the number of requests and connections that a stop waits for.
+        last_client_at: Returns when the last client came, in ms.
+        others_serve: Returns whether another dispatcher serves.
+        leave_peers: Tells the peers that this dispatcher leaves; called again and again.
+        rejoin_peers: Tells the peers that it serves on.
+        give_up_requests: Answers all open requests, because the time is over.
+        close_idle: Closes the clients' connections that have no open request.
+        stopped: Called when the process may end.
     """
 
     open_work: Callable[[], int]
@@ -54,11 +61,14 @@
 class GracefulShutdown:
     """Whether clients are accepted, whether those connected are sent elsewhere, and when the process may end.
 
-    In a drain the operators have seen to it that others serve: clients' connections end with their next answer, and
-    idle ones once no new clients come. At a stop no new clients come either, but connected ones may stay for as long
-    as their connections do: where another dispatcher serves they are sent there; where none does (restarts in turn may
-    overlap), they are served to the last. In a hot restart another process serves in place of this one, and clients'
-    connections are handed over to it as they are.
+    There are three cases:
+
+    * A drain, which operators order and may take back. Other dispatchers serve, so clients are sent to them: each
+      connection is closed after its next answer, and idle ones once no new clients come.
+    * A planned stop. Clients are sent elsewhere as in a drain while another dispatcher serves. While none does, as when
+      the restarts of two dispatchers overlap, connected clients are served until shortly before the last answer.
+    * A hot restart: a successor serves in place of this process. Clients' connections are handed over to it and stay
+      open.
     """
 
     def __init__(self, deadlines: Deadlines, max_deadline_ms: float, hooks: ShutdownHooks) -> None:
@@ -72,8 +82,8 @@
         self._checking = False
 
     @property
-    def wanted(self) -> bool:
-        """Whether new clients are accepted."""
+    def accepts_clients(self) -> bool:
+        """Whether new clients are welcome: neither a drain nor a stop is under way."""
         return self._drained_at is None and self._stopped_at is None
 
     @property
@@ -86,8 +96,12 @@
         """When the last answer must be sent, in ms; infinite until a stop has begun."""
         return float("inf") if self._stopped_at is None else self._stopped_at + self._time_to_answer_ms
 
-    def is_draining(self) -> bool:
-        """Whether clients' connections end with their next answer."""
+    def sends_clients_away(self) -> bool:
+        """Whether clients are sent elsewhere: each connection is closed after its next answer.
+
+        True in a drain; in a stop while another dispatcher serves, and shortly before the last answer; never while
+        clients are handed over to a successor.
+        """
         if self._hand_over is not None:
             return False
         if self._drained_at is not None:
@@ -98,7 +112,7 @@
 
     def drain(self) -> bool:
         """Begin a drain, on an operator's order; False when a drain or stop is under way."""
-        if not self.wanted:
+        if not self.accepts_clients:
             return False
         self._drained_at = self._deadlines.clock()
         self._begin_checks()
@@ -108,7 +122,7 @@
         """End a drain; False when there was none.  A stop goes on."""
         drained = self._drained_at is not None
         self._drained_at = None
-        if drained and self.wanted:
+        if drained and self.accepts_clients:
             self._hooks.rejoin_peers()
         return drained
 
@@ -134,7 +148,7 @@
     def _check(self) -> None:
         """Do what is due by now, and check again later while a drain, handover or stop is under way."""
         hand_over = self._hand_over
-        self._checking = not self.wanted or hand_over is not None
+        self._checking = not self.accepts_clients or hand_over is not None
         if not self._checking:
             return
         if hand_over is not None:
@@ -142,7 +156,7 @@
         else:
             self._hooks.leave_peers()
         quiet = hand_over is not None or self._is_quiet()
-        if quiet and self.is_draining():
+        if quiet and self.sends_clients_away():
             self._hooks.close_idle()
         if quiet and self.stopping and not self._hooks.open_work():
             self._hooks.stopped()
--- a/heronlug/lifecycle/readiness.py
+++ b/heronlug/lifecycle/readiness.py
@@ -33,16 +33,16 @@
 
     def ready(self) -> bool:
         """Whether requests can be served, here or by the process that has taken over."""
-        wanted = self.shutdown.wanted or self.hot_restart.handed_over
-        return wanted and (self.core.directory.can_serve or self._serves_unconfirmed())
+        accepts_clients = self.shutdown.accepts_clients or self.hot_restart.handed_over
+        return accepts_clients and (self.core.directory.can_serve or self._serves_unconfirmed())
 
     def accepts_clients(self) -> bool:
         """Whether this process itself takes new clients."""
         return self.ready() and not self.hot_restart.handed_over
 
-    def is_draining(self) -> bool:
-        """Whether clients' connections end with their next answer."""
-        return self.shutdown.is_draining()
+    def sends_clients_away(self) -> bool:
+        """Whether each client's connection is closed after its next answer."""
+        return self.shutdown.sends_clients_away()
 
     def _serves_unconfirmed(self) -> bool:
         """Whether clients are taken although the list is not confirmed: their requests wait for the confirmation."""
--- a/tests/discovery/test_poll_pacing.py
+++ b/tests/discovery/test_poll_pacing.py
@@ -153,7 +153,7 @@
 
 
 def test_watches_of_many_begin_anew_less_often() -> None:
-    assert PollPacer(PollTerms(), lambda: 0.5).poll_wait == poll_pacing.POLL_WAIT_MS
+    assert PollPacer(PollTerms(), lambda: 0.5).poll_wait == poll_pacing.MIN_POLL_WAIT_MS
     assert PollPacer(PollTerms(300, 0, 50.0), lambda: 0.5).poll_wait == poll_pacing.MAX_POLL_WAIT_MS
     many = PollPacer(PollTerms(500, 0, 20.0), lambda: 0.5)
     assert 500 / (many.poll_wait / 1000) * 20.0 <= 1000 * poll_pacing.RENEWAL_SHARE
