--- a/heronlug/cluster/lease_state.py
+++ b/heronlug/cluster/lease_state.py
@@ -142,7 +142,7 @@
                 return LeaseDenial(request.lease, self.highest, request.request_id)
             if now < self.promised_until and request.token < self.promised:
                 return LeaseDenial(request.lease, self.promised, request.request_id)
-        if request.asks_for_promise:
+        if request.requests_promise:
             self.promised = request.token
             self.promised_until = now + lease_duration * PROMISE_FRACTION
         else:
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -44,7 +44,7 @@
     TransferCompletion,
     TransferOffer,
 )
-from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, LeaseGained, LeaseLost
+from heronlug.cluster.model import NO_TOKEN, ClusterTiming, FencingToken, LeaseCause, LeaseGained, LeaseLost
 from heronlug.cluster.ownership import preferred_owner, tag
 
 MAX_TRANSFER_MESSAGES = 12
@@ -56,21 +56,6 @@
 REQUEST_ID_MASK = 0xFFFFFFFF
 """Request numbers have 32 bits."""
 
-CAUSE_EXPIRED = "lease over"
-"""Logged when a lease is lost: it could not be renewed in time."""
-
-CAUSE_HIGHER_TOKEN = "higher fence seen"
-"""Logged when a lease is lost: another member has a higher fencing token."""
-
-CAUSE_NO_SUCCESSOR = "left without an heir"
-"""Logged when a lease is lost: this member leaves the cluster, and its successor has not accepted the lease."""
-
-CAUSE_HANDED_OVER = "handed over"
-"""Logged by both members when a lease is transferred."""
-
-CAUSE_TAKEN_OVER = "taken over"
-"""Logged when a lease is gained that no predecessor has handed over."""
-
 RETRY_DELAY_MIN = 0.4
 """The shortest time before a released lease is requested again, as a fraction of the lease duration."""
 
@@ -157,7 +142,7 @@
 
     def _expire(self, state: LeaseState, now: float) -> None:
         if state.stage.holds and now >= state.valid_until:
-            self._lose(state, CAUSE_EXPIRED)
+            self._lose(state, LeaseCause.EXPIRED)
 
     def _step(self, state: LeaseState, candidates: list[str], now: float) -> None:
         """Update the stage for the present candidates, then send what the stage calls for."""
@@ -245,7 +230,7 @@
             return
         state.valid_until = max(state.valid_until, until)
         if state.stage is LeaseStage.REQUESTING:
-            cause = CAUSE_HANDED_OVER if state.released != NO_TOKEN else CAUSE_TAKEN_OVER
+            cause = LeaseCause.HANDED_OVER if state.released != NO_TOKEN else LeaseCause.TAKEN_OVER
             state.advance(LeaseEvent.SECURED)
             state.released = NO_TOKEN
             state.offered_until = -inf
@@ -316,7 +301,7 @@
         if state.stage.holds:
             self.conflicts += 1
             self._release(state, now)
-            self._lose(state, CAUSE_HIGHER_TOKEN)
+            self._lose(state, LeaseCause.HIGHER_TOKEN)
         elif state.stage is LeaseStage.REQUESTING and not state.was_denied:
             state.was_denied = True
             if state.collecting_votes:
@@ -331,7 +316,7 @@
         state.transfer_messages += 1
         self.callbacks.send(state.successor, TransferOffer(state.key, state.token))
         if self.leaving and state.transfer_messages > MAX_TRANSFER_MESSAGES:
-            self._lose(state, CAUSE_NO_SUCCESSOR)
+            self._lose(state, LeaseCause.NO_SUCCESSOR)
 
     def _on_acceptance(self, state: LeaseState, sender: int, acceptance: TransferAcceptance, now: float) -> None:
         """The successor has accepted: stop acting, then tell it so."""
@@ -343,7 +328,7 @@
         state.transfer_messages = 0
         state.next_action_at = now
         state.advance(LeaseEvent.TRANSFER_ACCEPTED)
-        self.callbacks.notify(LeaseLost(state.name, state.token, CAUSE_HANDED_OVER))
+        self.callbacks.notify(LeaseLost(state.name, state.token, LeaseCause.HANDED_OVER))
         self.callbacks.send(state.successor, TransferCompletion(state.key, state.token))
 
     def _repeat_completion(self, state: LeaseState, now: float) -> None:
@@ -368,7 +353,7 @@
         self._release(state, now)
         state.advance(LeaseEvent.WITHDRAWN)
 
-    def _lose(self, state: LeaseState, cause: str) -> None:
+    def _lose(self, state: LeaseState, cause: LeaseCause) -> None:
         state.advance(LeaseEvent.LOST)
         state.valid_until = -inf
         state.granted_until.clear()
--- a/heronlug/cluster/messages.py
+++ b/heronlug/cluster/messages.py
@@ -52,7 +52,7 @@
     There are three kinds of request, which differ only in ``released``, since the datagram has no other field for it:
 
     * a renewal (:attr:`is_renewal`): ``token`` itself, for the sender holds the lease already;
-    * a request for a promise (:attr:`asks_for_promise`): the number of ``token`` with owner 0;
+    * a request for a promise (:attr:`requests_promise`): the number of ``token`` with owner 0;
     * a request for a vote: the token of the predecessor that has handed the lease over, or ``NO_TOKEN`` for none.
     """
 
@@ -67,7 +67,7 @@
         return self.released == self.token
 
     @property
-    def asks_for_promise(self) -> bool:
+    def requests_promise(self) -> bool:
         """Whether the sender asks for a promise of a vote, not for the vote."""
         return self.released == without_owner(self.token)
 
--- a/heronlug/cluster/model.py
+++ b/heronlug/cluster/model.py
@@ -4,7 +4,7 @@
 """
 
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 
@@ -109,12 +109,31 @@
     cause: str
 
 
+class LeaseCause(StrEnum):
+    """Why a member has gained or lost a lease; the values are logged."""
+
+    HANDED_OVER = "handed over"
+    """The lease was transferred: gained by the successor, lost by the predecessor."""
+
+    TAKEN_OVER = "taken over"
+    """Gained without a transfer: nobody holds the lease, or its holder is gone."""
+
+    EXPIRED = "lease over"
+    """Lost: it was not renewed in time."""
+
+    HIGHER_TOKEN = "higher fence seen"
+    """Lost: another member has a higher fencing token."""
+
+    NO_SUCCESSOR = "left without an heir"
+    """Lost: this member leaves the cluster, and its successor has not accepted the lease."""
+
+
 class LeaseGained(NamedTuple):
     """This member holds a lease; each step of the work is allowed only while ``Node.may_act`` says so."""
 
     lease: str
     token: FencingToken
-    cause: str
+    cause: LeaseCause
 
 
 class LeaseLost(NamedTuple):
@@ -122,7 +141,7 @@
 
     lease: str
     token: FencingToken
-    cause: str
+    cause: LeaseCause
 
 
 class TableChanged(NamedTuple):
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -228,7 +228,7 @@
         self.log("stopped", **{final.value: count for final, count in self.core.counts.items()})
 
     def _close(self) -> None:
-        """Close all sockets; until here the listener still accepts clients that come late."""
+        """Close all sockets.  Until now the listener accepted clients that came late, unless a successor did."""
         self.hot_restart.close()
         self.listener.close()
         self.admin_listener.close()
