--- a/heronlug/faults/__init__.py
+++ b/heronlug/faults/__init__.py
@@ -1,6 +1,6 @@
-"""Many processes of the program with faults between them: one rig for tests, benchmarks and ``heronlug fleet``.
+"""The fault-injection harness: many processes of the program with faults between them, played by a test plan.
 
-Its parts stand apart: what is started (:mod:`processes`, :mod:`runners`), the faults (:mod:`paths`, by a
-:mod:`script`), the history of what happened (:mod:`history`), and the checker that judges it and knows nothing of the
-program (:mod:`heronlug.conformance`).
+It serves tests, benchmarks and ``heronlug fleet``. What is started (:mod:`dispatchers`, :mod:`servers`), the faults
+(:mod:`network`, :mod:`steps`) and the history of what happened (:mod:`history`) stand apart from the checker that
+judges the history and knows nothing of the program (:mod:`heronlug.conformance`).
 """
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -1,8 +1,9 @@
-"""Relays between any two parties, over TCP and UDP on loopback, and the faults on them.
+"""Proxies between any two parties, over TCP and UDP on loopback, and the faults on them.
 
-A path has a source and a target.  What goes from the source to the target is ``out``, what comes back is ``back``.
-Bytes that a cut holds are kept, as a sender's machine would send them again, and go on when it is over; datagrams are
-lost.  A new connection through a cut never comes up: the listening socket's queue is filled and nobody takes from it.
+A path has a source and a target. What goes from the source to the target is ``forward``, what comes back is
+``backward``. Bytes that a cut holds are kept, as a sender's machine would send them again, and go on when it is over;
+datagrams are lost. A new connection through a cut never comes up: the listening socket's queue is filled and nothing is
+accepted from it.
 """
 
 import asyncio
@@ -11,69 +12,69 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from contextlib import suppress
-from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol, cast
+from typing import cast
 
+from heronlug.faults.datagram_proxy import DatagramPorts, DatagramProxy
+from heronlug.faults.direction import ConnectionListener, DialOutcome, Direction
 from heronlug.net.http import split_address
 from heronlug.standins.ports import free_port
 
 LISTEN_BACKLOG = 512
-FILLER_COUNT = 3  # connections that fill the queue of a socket with a backlog of 0
-TRICKLE_INTERVAL_S = 0.05  # s between two sips of a trickle
-MAX_HELD_BYTES = 1 << 20  # bytes that a way holds before its sender is made to wait
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a close sends a reset
+"""Connections that may wait to be accepted."""
+FILLER_COUNT = 3
+"""Connections that fill the queue of a socket with a backlog of 0."""
+TRICKLE_INTERVAL_S = 0.05
+"""Seconds between two writes where the rate is bounded."""
+MAX_HELD_BYTES = 1 << 20
+"""Bytes that are held in one direction of a connection before its sender is made to wait."""
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""The value of ``SO_LINGER`` with which a close sends a reset."""
 PathName = tuple[str, str]
-
-
-@dataclass(slots=True)
-class Direction:
-    """What befalls bytes one way."""
-
-    held: bool = False
-    delay_ms: float = 0.0
-    bytes_per_second: int = 0  # bytes a second, 0 for no bound
-    reset_after_bytes: int = 0  # so many bytes of each connection come through, then it is reset; 0 for all
-    loss: float = 0.0  # of datagrams
-
-    def heal(self) -> None:
-        """Nothing befalls them any more."""
-        self.held, self.delay_ms, self.bytes_per_second, self.reset_after_bytes, self.loss = False, 0.0, 0, 0, 0.0
-
-
-class ConnectionListener(Protocol):
-    """Whoever hears bytes of one connection."""
-
-    def bytes_written(self, data: bytes) -> None:
-        """They have been written, whenever they come through."""
+"""The source and the target of a path."""
 
 
 class NetworkPath:
-    """One path, with its faults and all that goes through it."""
+    """The path from a source to a target, with its faults and all that goes through it.
+
+    Attributes:
+        name: the source and the target.
+        forward: the faults on what goes to the target.
+        backward: the faults on what comes back.
+        refusing: new connections are refused.
+        queue_full: new connections are left unanswered.
+        silent: new connections are accepted, and then nothing comes through.
+        target_gone: the target's process has ended.
+        dial_count: new connections so far.
+        connections: all that are open.
+        listener: accepts new connections, if any go through here.
+        make_connection_listener: makes the listener of each new connection, if one is wanted.
+    """
 
     def __init__(self, name: PathName) -> None:
         self.name = name
-        self.forward, self.backward = Direction(), Direction()
-        self.refusing = self.queue_full = self.silent = False  # silent: dials come up, and then nothing comes through
-        self.target_gone = False  # the target's process has ended
+        self.forward = Direction()
+        self.backward = Direction()
+        self.refusing = False
+        self.queue_full = False
+        self.silent = False
+        self.target_gone = False
         self.dial_count = 0
         self.connections: set[ProxiedConnection] = set()
         self.listener: ListeningProxy | None = None
-        self.make_connection_listener: Callable[[], ConnectionListener] | None = (
-            None  # hears what is written into each connection, when it is written
-        )
+        self.make_connection_listener: Callable[[], ConnectionListener] | None = None
 
     @property
     def blocked(self) -> bool:
         """Whether nothing gets through to the target, or nothing back."""
         return self.refusing or self.queue_full or self.silent or self.forward.held or self.backward.held
 
-    def dial_outcome(self) -> str:
-        """What becomes of a dial: taken, refused, or nothing at all."""
+    def dial_outcome(self) -> DialOutcome:
+        """What becomes of a new connection."""
         if self.refusing or self.target_gone:
-            return "refused"
+            return DialOutcome.REFUSED
         cut = (self.forward.held or self.backward.held) and not self.silent
-        return "unanswered" if self.queue_full or cut else "taken"
+        return DialOutcome.UNANSWERED if self.queue_full or cut else DialOutcome.ACCEPTED
 
     def heal(self) -> None:
         """End all faults."""
@@ -87,56 +88,59 @@
             connection.reset()
 
     def apply_faults(self) -> None:
-        """Its faults are others now."""
+        """Apply faults that have changed to the listening socket and to open connections."""
         if self.listener is not None:
             self.listener.set_dial_outcome(self.dial_outcome())
-        for link in list(self.connections):
-            link.pump()
+        for connection in list(self.connections):
+            connection.pump()
 
 
 class ListeningProxy:
-    """A listening socket whose dials are taken, refused or left unanswered."""
+    """A listening socket whose new connections are accepted, refused or left unanswered."""
 
     def __init__(self, path: NetworkPath, target: Callable[[], str]) -> None:
         self._path, self._target = path, target
         self._socket: socket.socket | None = None
         self._fillers: list[socket.socket] = []
-        self._own: set[int] = set()  # ports that fillers had
-        self._how = "refused"
+        self._filler_ports: set[int] = set()
+        self._outcome = DialOutcome.REFUSED
         self._tasks: set[asyncio.Task[None]] = set()
         self.port = free_port()  # it is closed for a while, and has to be had again
-        self.set_dial_outcome("taken")
+        self.set_dial_outcome(DialOutcome.ACCEPTED)
 
-    def set_dial_outcome(self, how: str) -> None:
-        """Take, refuse or leave unanswered what is dialled from now on."""
-        if how == self._how:
+    def set_dial_outcome(self, outcome: DialOutcome) -> None:
+        """Accept, refuse or leave unanswered all new connections from now on."""
+        if outcome is self._outcome:
             return
-        loop = asyncio.get_running_loop()
-        if self._how == "taken" and self._socket is not None:
-            loop.remove_reader(self._socket)
-        for filler in self._fillers:
-            filler.close()
-        self._fillers.clear()
-        if how == "refused":
+        self._stop_accepting()
+        self._outcome = outcome
+        if outcome is DialOutcome.REFUSED:
             if self._socket is not None:
                 self._socket.close()
             self._socket = None
+            return
+        if self._socket is None:
+            self._socket = self._bind()
+        if outcome is DialOutcome.ACCEPTED:
+            self._socket.listen(LISTEN_BACKLOG)
+            asyncio.get_running_loop().add_reader(self._socket, self._accept)
         else:
-            if self._socket is None:
-                self._socket = self._bind()
-            self._socket.listen(LISTEN_BACKLOG if how == "taken" else 0)
-            if how == "taken":
-                loop.add_reader(self._socket, self._accept)
-            else:
-                self._fill()
-        self._how = how
+            self._socket.listen(0)
+            self._fill()
 
     def close(self) -> None:
-        """Nothing is listened for any more."""
-        self.set_dial_outcome("refused")
+        """Listen no more."""
+        self.set_dial_outcome(DialOutcome.REFUSED)
         for task in self._tasks:
             task.cancel()
 
+    def _stop_accepting(self) -> None:
+        if self._outcome is DialOutcome.ACCEPTED and self._socket is not None:
+            asyncio.get_running_loop().remove_reader(self._socket)
+        for filler in self._fillers:
+            filler.close()
+        self._fillers.clear()
+
     def _bind(self) -> socket.socket:
         sock = socket.socket()
         sock.setblocking(False)
@@ -150,7 +154,7 @@
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
             self._fillers.append(filler)
-            self._own.add(filler.getsockname()[1])
+            self._filler_ports.add(filler.getsockname()[1])
 
     def _accept(self) -> None:
         while self._socket is not None:
@@ -158,37 +162,38 @@
                 sock, (_, sender) = self._socket.accept()
             except OSError:
                 return
-            if sender in self._own:  # it filled the queue, and is no dial
-                self._own.discard(sender)
+            if sender in self._filler_ports:  # it filled the queue, and is no dial
+                self._filler_ports.discard(sender)
                 sock.close()
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._path.dial_count += 1
-            task = asyncio.get_running_loop().create_task(self._link(sock))
+            task = asyncio.get_running_loop().create_task(self._connect(sock))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _link(self, sock: socket.socket) -> None:
-        loop, link = asyncio.get_running_loop(), ProxiedConnection(self._path)
+    async def _connect(self, sock: socket.socket) -> None:
+        loop, connection = asyncio.get_running_loop(), ProxiedConnection(self._path)
         try:
-            await loop.create_connection(lambda: link.target_end, *split_address(self._target()))
+            await loop.create_connection(lambda: connection.target_end, *split_address(self._target()))
         except OSError:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             return
-        self._path.connections.add(link)
+        self._path.connections.add(connection)
         try:
-            await loop.connect_accepted_socket(lambda: link.source_end, sock)
+            await loop.connect_accepted_socket(lambda: connection.source_end, sock)
         except OSError:
-            link.reset()
+            connection.reset()
 
 
 class ConnectionEnd(asyncio.Protocol):
-    """One end of a link."""
+    """One end of a connection."""
 
-    def __init__(self, link: "ProxiedConnection", way: Direction) -> None:
-        self.connection, self.direction = link, way  # the way of what is read here
+    def __init__(self, connection: "ProxiedConnection", direction: Direction) -> None:
+        self.connection = connection
+        self.direction = direction  # of what is read here
         self.transport: asyncio.Transport | None = None
         self.other: ConnectionEnd
         self.pending: deque[tuple[float, bytes]] = deque()  # when it may go on, and what; empty bytes are the end
@@ -221,6 +226,16 @@
             self._put(b"")
         self.connection.end_lost(self)
 
+    def take(self, size: int) -> None:
+        """Remove bytes that have been forwarded, and read on where there is room again."""
+        due_at, data = self.pending.popleft()
+        if size < len(data):
+            self.pending.appendleft((due_at, data[size:]))
+        self.passed_bytes += size
+        self.pending_bytes -= size
+        if self.transport is not None and self.pending_bytes <= MAX_HELD_BYTES // 2:
+            self.transport.resume_reading()
+
     def _put(self, data: bytes) -> None:
         self.ended = self.ended or not data
         when = asyncio.get_running_loop().time() + self.direction.delay_ms / 1000
@@ -246,7 +261,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        waits = [wait for wait in (self._pass(self.source_end), self._pass(self.target_end)) if wait is not None]
+        waits = [wait for wait in (self._forward(self.source_end), self._forward(self.target_end)) if wait is not None]
         if waits:
             self._timer = asyncio.get_running_loop().call_later(max(0.001, min(waits)), self.pump)
 
@@ -267,53 +282,54 @@
             side.other.transport.abort()
         self.pump()
 
-    def _pass(self, side: ConnectionEnd) -> float | None:
-        """Pass on what was read at a side; seconds until there may be more, None for no more by itself."""
-        way, to, loop = side.direction, side.other.transport, asyncio.get_running_loop()
-        while side.pending and not way.held and to is not None:
-            when, data = side.pending[0]
-            if (wait := when - loop.time()) > 0:
+    def _forward(self, end: ConnectionEnd) -> float | None:
+        """Forward what was read at an end; seconds until more may be forwarded, None for no more by itself."""
+        direction, loop = end.direction, asyncio.get_running_loop()
+        while end.pending and not direction.held and end.other.transport is not None:
+            due_at, data = end.pending[0]
+            if (wait := due_at - loop.time()) > 0:
                 return wait
             if not data:
-                side.pending.popleft()
-                if side.transport is None:
-                    to.abort()  # the sender has gone altogether
-                elif to.can_write_eof():
-                    with suppress(OSError):  # it has been reset, and we are about to hear of it
-                        to.write_eof()
+                end.pending.popleft()
+                self._forward_end(end, end.other.transport)
                 continue
-            room = len(data)
-            if way.bytes_per_second:
-                room = min(room, max(1, round(way.bytes_per_second * TRICKLE_INTERVAL_S)))
-            if way.reset_after_bytes:
-                room = min(room, max(0, way.reset_after_bytes - side.passed_bytes))
-                if not room:
-                    self.reset()
-                    return None
-            to.write(data[:room])
-            side.passed_bytes += room
-            side.pending_bytes -= room
-            if room < len(data):
-                side.pending[0] = when, data[room:]
-            else:
-                side.pending.popleft()
-            if side.transport is not None and side.pending_bytes <= MAX_HELD_BYTES // 2:
-                side.transport.resume_reading()
-            if way.reset_after_bytes and side.passed_bytes >= way.reset_after_bytes:
+            size = self._allowed_bytes(end, len(data))
+            if size:
+                end.other.transport.write(data[:size])
+                end.take(size)
+            if direction.reset_after_bytes and end.passed_bytes >= direction.reset_after_bytes:
                 self.reset()
                 return None
-            if way.bytes_per_second:
-                return max(TRICKLE_INTERVAL_S, 1 / way.bytes_per_second)
+            if direction.bytes_per_second:
+                return max(TRICKLE_INTERVAL_S, 1 / direction.bytes_per_second)
         return None
 
+    @staticmethod
+    def _allowed_bytes(end: ConnectionEnd, size: int) -> int:
+        """How many of the next bytes may be forwarded at once."""
+        direction = end.direction
+        if direction.bytes_per_second:
+            size = min(size, max(1, round(direction.bytes_per_second * TRICKLE_INTERVAL_S)))
+        if direction.reset_after_bytes:
+            size = min(size, max(0, direction.reset_after_bytes - end.passed_bytes))
+        return size
+
+    @staticmethod
+    def _forward_end(end: ConnectionEnd, target: asyncio.Transport) -> None:
+        if end.transport is None:
+            target.abort()  # the sender's connection is closed altogether
+        elif target.can_write_eof():
+            with suppress(OSError):  # the target has reset it, and its end is about to be told so
+                target.write_eof()
+
 
 class FaultyNetwork:
-    """All paths of a rig."""
+    """All paths between the parties of a run."""
 
     def __init__(self, seed: int) -> None:
-        self._rng = Random(seed)
+        self._random = Random(seed)
         self._paths: dict[PathName, NetworkPath] = {}
-        self._boxes: list[DatagramProxy] = []
+        self._datagram_proxies: list[DatagramProxy] = []
 
     def path_between(self, source: str, target: str) -> NetworkPath:
         """The path from one to another."""
@@ -331,17 +347,21 @@
 
         What comes in at the relay of X is sent on to X from the relay of whoever sent it, so answers take the same way.
         """
-        names, boxes = {port: name for name, port in real.items()}, dict[str, DatagramProxy]()
+        ports = DatagramPorts({port: name for name, port in real.items()}, real)
+        proxies: dict[str, DatagramProxy] = {}
         for name in real:
-            box = DatagramProxy(self, name, names, real, boxes)
-            await asyncio.get_running_loop().create_datagram_endpoint(lambda box=box: box, ("127.0.0.1", 0))  # type: ignore[misc]
-            boxes[name] = box
-            self._boxes.append(box)
-        return {name: box.port for name, box in boxes.items()}
-
-    def drops_datagram(self, way: Direction) -> bool:
-        """Whether a datagram does not come through."""
-        return way.held or (way.loss > 0 and self._rng.random() < way.loss)
+            proxy = DatagramProxy(name, ports, proxies, self)
+            await asyncio.get_running_loop().create_datagram_endpoint(lambda proxy=proxy: proxy, ("127.0.0.1", 0))  # type: ignore[misc]
+            proxies[name] = proxy
+            self._datagram_proxies.append(proxy)
+        return {name: proxy.port for name, proxy in proxies.items()}
+
+    def datagram_delay_ms(self, source: str, target: str) -> float | None:
+        """By how much a datagram comes later; None where it is lost."""
+        direction = self.path_between(source, target).forward
+        if direction.held or (direction.loss > 0 and self._random.random() < direction.loss):
+            return None
+        return direction.delay_ms
 
     def paths_between(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[NetworkPath, bool]]:
         """The paths between these, each with whether it goes from a source to a target or back."""
@@ -360,8 +380,8 @@
             if name == target:
                 path.target_gone = gone
                 if gone:
-                    for link in list(path.connections):
-                        link.reset()
+                    for connection in list(path.connections):
+                        connection.reset()
                 path.apply_faults()
 
     def close(self) -> None:
@@ -369,44 +389,7 @@
         for path in self._paths.values():
             if path.listener is not None:
                 path.listener.close()
-            for link in list(path.connections):
-                link.reset()
-        for box in self._boxes:
-            box.transport.close()
-
-
-class DatagramProxy(asyncio.DatagramProtocol):
-    """The relay of one party's datagrams."""
-
-    def __init__(
-        self, paths: FaultyNetwork, owner: str, names: dict[int, str], real: dict[str, int], boxes: dict[str, Any]
-    ) -> None:
-        self._paths, self._owner, self._names, self._real, self._boxes = paths, owner, names, real, boxes
-        self.transport: asyncio.DatagramTransport
-        self.port = 0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
-        self.transport = cast(asyncio.DatagramTransport, transport)
-        self.port = transport.get_extra_info("sockname")[1]
-
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """One to our owner."""
-        sender = self._names.get(addr[1])
-        if sender is None:
-            return
-        way = self._paths.path_between(sender, self._owner).forward
-        if self._paths.drops_datagram(way):
-            return
-        if way.delay_ms:
-            asyncio.get_running_loop().call_later(way.delay_ms / 1000, self._pass, sender, data)
-        else:
-            self._pass(sender, data)
-
-    def _pass(self, sender: str, data: bytes) -> None:
-        transport = self._boxes[sender].transport
-        if not transport.is_closing():
-            transport.sendto(data, ("127.0.0.1", self._real[self._owner]))
-
-    def error_received(self, exc: Exception) -> None:
-        """The party is not there."""
+            for connection in list(path.connections):
+                connection.reset()
+        for proxy in self._datagram_proxies:
+            proxy.transport.close()
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -201,7 +201,7 @@
 
 def write_file(
     process: Process,
-    script: TestPlan,
+    plan: TestPlan,
     *,
     door: int,
     discovery: str,
@@ -212,9 +212,9 @@
 ) -> None:
     """The operators' file of a dispatcher."""
     position = int(process.name[1:])
-    more = script.dispatchers.more.replace("{name}", process.name).replace("{folder}", str(process.folder))
+    more = plan.dispatchers.more.replace("{name}", process.name).replace("{folder}", str(process.folder))
     text = FILE.render(
-        s=script,
+        s=plan,
         name=process.name,
         door=door,
         operators=process.admin_port,
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -19,7 +19,7 @@
 MACHINE_TYPE = "m1"
 
 
-def load_classes_of(script: TestPlan) -> dict[str, ClassTable]:
+def load_classes_of(plan: TestPlan) -> dict[str, ClassTable]:
     """The script's classes as the stand-ins know them."""
     return {
         lane.name: ClassTable(
@@ -30,7 +30,7 @@
             {"dist": "uniform"},
             lane.worth,
         )
-        for lane in script.classes
+        for lane in plan.classes
     }
 
 
@@ -64,31 +64,31 @@
 
     def __init__(
         self,
-        script: TestPlan,
+        plan: TestPlan,
         register: StandInDiscovery,
         history: History,
         sender: Callable[[str], str],
         gone: Callable[[str, bool], None],
     ) -> None:
         """``sender`` knows the dispatcher that a request was handed to; ``gone`` hears of processes that end."""
-        self.script, self.register, self.history = script, register, history
-        self.lanes = load_classes_of(script)
+        self.plan, self.register, self.history = plan, register, history
+        self.lanes = load_classes_of(plan)
         self.works: dict[str, Draws] = {}  # each job brings its own
         self.line = LiveLine()
         self.emulated_servers: dict[str, EmulatedServer] = {}
         self.endpoints: dict[str, Server] = {}
         self._sender, self._gone = sender, gone
-        table = script.runners
+        table = plan.runners
         self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
 
     async def open(self) -> None:
         """Start and list all of them, each at a port of its own; raises ``OSError``."""
-        table = self.script.runners
+        table = self.plan.runners
         for number in range(table.count):
             name = f"r{number}"
             kind = ServerKind(MACHINE_TYPE, table.slots, 1.0, table.queue)
             host = self.emulated_servers[name] = EmulatedServer(
-                name, kind, number % len(self.script.halls), self.line, self._warmth
+                name, kind, number % len(self.plan.halls), self.line, self._warmth
             )
             host.on_overload, host.on_execution_start = self._tipped, self._began
             if table.cold:
@@ -109,7 +109,7 @@
         self.register.put(
             name,
             hostPort=self.address(name),
-            zone=self.script.halls[host.zone],
+            zone=self.plan.halls[host.zone],
             machineType=MACHINE_TYPE,
             lifecycle=state,
             startedAtMs=started,
@@ -145,7 +145,7 @@
 
     def came(self, host: EmulatedServer, txn: str) -> None:
         """A whole request has come; where a relay stands before the runner, it was sent when that heard it."""
-        if "runners" not in self.script.relays:
+        if "runners" not in self.plan.relays:
             self.request_sent(host.name, txn)
 
     def request_sent(self, name: str, txn: str) -> None:
--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -1,4 +1,4 @@
-"""Random scripts from a seed: fleets, classes and faults, to find what no script that somebody wrote has.
+"""Random scripts from a seed: fleets, classes and faults, to find what no plan that somebody wrote has.
 
 Faults come one upon the other: processes are killed, replaced with the earliest kill, held up, away while servers
 leave; service discovery is down, slow, silent, refuses, or answers in half; paths are cut, silent, slow or reset;
@@ -27,10 +27,10 @@
 
 
 def draw(seed: int) -> TestPlan:
-    """The script of a seed."""
+    """The plan of a seed."""
     rng = Random(seed)
     dispatchers, runners = rng.randint(2, 4), rng.randint(3, 8)
-    script = TestPlan(
+    plan = TestPlan(
         name=f"soak-{seed}",
         span_s=SPAN,
         seed=seed,
@@ -44,15 +44,9 @@
         expect=ExpectTable(),
     )
     for _ in range(rng.randint(3, 7)):
-        script.step += rng.choice(FAULTS)(rng, rng.uniform(FIRST, LAST), script)
-    script.step.sort(key=lambda step: step.at_s)
-    return script
-
-
-def describe(script: TestPlan) -> str:
-    """One line for a report."""
-    steps = ", ".join(f"{step.at_s:.1f} {step.do} {' '.join(step.who or step.target)}" for step in script.step)
-    return f"{script.dispatchers.count} dispatchers, {script.runners.count} runners: {steps}"
+        plan.step += rng.choice(FAULTS)(rng, rng.uniform(FIRST, LAST), plan)
+    plan.step.sort(key=lambda step: step.at_s)
+    return plan
 
 
 def _class(rng: Random, number: int) -> ClassTable:
@@ -67,122 +61,122 @@
     )
 
 
-def _dispatcher(rng: Random, script: TestPlan) -> list[str]:
-    return [f"d{rng.randrange(script.dispatchers.count)}"]
+def _dispatcher(rng: Random, plan: TestPlan) -> list[str]:
+    return [f"d{rng.randrange(plan.dispatchers.count)}"]
 
 
-def _some_runners(rng: Random, script: TestPlan) -> list[str]:
-    count = rng.randint(1, max(1, script.runners.count // 2))
-    return [f"r{number}" for number in rng.sample(range(script.runners.count), count)]
+def _some_runners(rng: Random, plan: TestPlan) -> list[str]:
+    count = rng.randint(1, max(1, plan.runners.count // 2))
+    return [f"r{number}" for number in rng.sample(range(plan.runners.count), count)]
 
 
-def _killed(rng: Random, at: float, script: TestPlan) -> list[Step]:
-    return [Step(at_s=at, do="kill", who=_dispatcher(rng, script), for_s=rng.uniform(0.1, 2))]
+def _killed(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+    return [Step(at_s=at, do="kill", who=_dispatcher(rng, plan), for_s=rng.uniform(0.1, 2))]
 
 
-def _replaced(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _replaced(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     """One after the other, and signals in series: a second SIGTERM changes nothing."""
-    who = [f"d{number}" for number in range(script.dispatchers.count)][: rng.randint(1, 2)]
+    who = [f"d{number}" for number in range(plan.dispatchers.count)][: rng.randint(1, 2)]
     return [Step(at_s=at + 2.0 * number, do="replace", who=[name]) for number, name in enumerate(who)]
 
 
-def _held_up(rng: Random, at: float, script: TestPlan) -> list[Step]:
-    return [Step(at_s=at, do="stop", who=_dispatcher(rng, script), for_s=rng.choice([0.1, 0.15]))]
+def _held_up(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+    return [Step(at_s=at, do="stop", who=_dispatcher(rng, plan), for_s=rng.choice([0.1, 0.15]))]
 
 
-def _reloaded(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _reloaded(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [Step(at_s=at + 0.3 * number, do="hup", who=["d*"]) for number in range(rng.randint(1, 3))]
 
 
-def _register_down(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_down(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [Step(at_s=at, do="down", for_s=rng.uniform(0.5, 5))]
 
 
-def _register_silent(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_silent(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     what, span = rng.choice(["silent", "cut"]), rng.uniform(1, 4)
     return [Step(at_s=at, do=what, source=["d*"], target=["register"], for_s=span)]
 
 
-def _register_slow(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_slow(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [Step(at_s=at, do="delay", source=["d*"], target=["register"], ms=rng.uniform(20, 400), for_s=3.0)]
 
 
-def _register_reset(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_reset(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [Step(at_s=at, do="reset", source=["d*"], target=["register"])]
 
 
-def _register_refuses(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_refuses(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     """It is at hand and turns calls away, while watches break and servers drain."""
     refused = Step(at_s=at, do="turn", share=rng.choice([0.7, 1.0]), for_s=rng.uniform(2, 12))
-    return [refused, *_register_reset(rng, at + 0.1, script), *_runners_drain(rng, at + 0.3, script)]
+    return [refused, *_register_reset(rng, at + 0.1, plan), *_runners_drain(rng, at + 0.3, plan)]
 
 
-def _register_hangs(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_hangs(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     """It takes calls and says nothing, while watches break and servers drain."""
     hung = Step(at_s=at, do="hang", for_s=rng.uniform(2, 12))
-    return [hung, *_register_reset(rng, at + 0.1, script), *_runners_drain(rng, at + 0.3, script)]
+    return [hung, *_register_reset(rng, at + 0.1, plan), *_runners_drain(rng, at + 0.3, plan)]
 
 
-def _register_in_half(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _register_in_half(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     """Answers stop half-way, or drip."""
     what, size = rng.choice([("half", 120), ("trickle", 400)])
     return [Step(at_s=at, do=what, source=["d*"], target=["register"], bytes=size, for_s=rng.uniform(1, 5))]
 
 
-def _away(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _away(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     """Dispatchers are away while servers leave, and come back with the list of before."""
-    who, since = _dispatcher(rng, script), min(at, 4.0)
-    gone = Step(at_s=since + 0.4, do="list", who=_some_runners(rng, script), state="left")
+    who, since = _dispatcher(rng, plan), min(at, 4.0)
+    gone = Step(at_s=since + 0.4, do="list", who=_some_runners(rng, plan), state="left")
     return [Step(at_s=since, do="kill", who=who, for_s=rng.uniform(7, 10)), gone]
 
 
-def _runners_reset(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _runners_reset(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [
-        Step(at_s=at + 0.2 * number, do="reset", source=["d*"], target=_some_runners(rng, script))
+        Step(at_s=at + 0.2 * number, do="reset", source=["d*"], target=_some_runners(rng, plan))
         for number in range(rng.randint(1, 4))
     ]
 
 
-def _runners_cut(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _runners_cut(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [
         Step(
             at_s=at,
             do=rng.choice(["cut", "silent", "refuse"]),
             source=["d*"],
-            target=_some_runners(rng, script),
+            target=_some_runners(rng, plan),
             for_s=rng.uniform(0.5, 3),
         )
     ]
 
 
-def _runners_late(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _runners_late(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     return [
         Step(
             at_s=at,
             do="delay",
             source=["d*"],
-            target=_some_runners(rng, script),
+            target=_some_runners(rng, plan),
             ms=rng.uniform(20, 700),
             for_s=rng.uniform(0.5, 3),
         )
     ]
 
 
-def _runners_die(rng: Random, at: float, script: TestPlan) -> list[Step]:
-    return [Step(at_s=at, do="die", who=_some_runners(rng, script), for_s=rng.uniform(0.5, 4))]
+def _runners_die(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+    return [Step(at_s=at, do="die", who=_some_runners(rng, plan), for_s=rng.uniform(0.5, 4))]
 
 
-def _runners_drain(rng: Random, at: float, script: TestPlan) -> list[Step]:
+def _runners_drain(rng: Random, at: float, plan: TestPlan) -> list[Step]:
     """They begin to drain, and have left later."""
-    who = _some_runners(rng, script)
+    who = _some_runners(rng, plan)
     return [
         Step(at_s=at, do="list", who=who, state="leaving"),
         Step(at_s=at + rng.uniform(0.2, 4), do="list", who=who, state=rng.choice(["left", "active"])),
     ]
 
 
-def _runners_slow(rng: Random, at: float, script: TestPlan) -> list[Step]:
-    return [Step(at_s=at, do="slow", who=_some_runners(rng, script), factor=rng.uniform(2, 20), for_s=3.0)]
+def _runners_slow(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+    return [Step(at_s=at, do="slow", who=_some_runners(rng, plan), factor=rng.uniform(2, 20), for_s=3.0)]
 
 
 FAULTS: tuple[Any, ...] = (
--- a/heronlug/faults/steps.py
+++ b/heronlug/faults/steps.py
@@ -4,9 +4,10 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
+from heronlug.faults.direction import Direction
 from heronlug.faults.dispatchers import Dispatchers
 from heronlug.faults.history import History
-from heronlug.faults.network import Direction, FaultyNetwork, NetworkPath
+from heronlug.faults.network import FaultyNetwork, NetworkPath
 from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
 from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Step, TestPlan, choose
 from heronlug.faults.servers import StandInServers
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -38,7 +38,7 @@
 class FinishedRun(NamedTuple):
     """A run that is over, as the rig saw it."""
 
-    script: TestPlan
+    plan: TestPlan
     history: History
     processes: Mapping[str, Process]
     tallies: Iterable[Tally]
@@ -53,12 +53,12 @@
 def judge(run: FinishedRun) -> Verdict:
     """The verdict of a run."""
     checker = run.history.checker
-    verdict = Verdict(run.script.name, checker.finish(run.history.now()), list(run.failures))
+    verdict = Verdict(run.plan.name, checker.finish(run.history.now()), list(run.failures))
     verdict.steps, verdict.figures = run.history.steps, _figures(run)
     verdict.faults += _missed(run, verdict.figures)
     verdict.faults += _failed_relays(run, verdict.figures)
     for process in run.processes.values():
-        if run.script.dispatchers.log_taken:
+        if run.plan.dispatchers.log_taken:
             verdict.faults += [
                 f"{process.name} took {name} and never answered" for name in process.unanswered_requests()
             ]
@@ -106,7 +106,7 @@
 
 def _missed(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
     """What was expected of the figures and is not so."""
-    expect, faults = run.script.expect, []
+    expect, faults = run.plan.expect, []
     for name, most in _bounds(expect).items():
         if most is not None and figures[name] > most:
             faults.append(f"{name}: {figures[name]}, at most {most:g} expected")
@@ -125,7 +125,7 @@
 def _failed_relays(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
     """The bounds on attempts into a zone that fail; their counts go into the figures."""
     faults = []
-    for table in run.script.expect.failed:
+    for table in run.plan.expect.failed:
         count = sum(_failures(run, process, table) for process in run.processes.values())
         name = f"failed relays into {table.hall}, {table.from_s:g} to {table.to_s:g} s"
         figures[name] = count
@@ -139,6 +139,6 @@
     count = 0
     for line in process.logged_events("relay_ended"):
         at = (line["at"] * 1000 - line["ms"] - run.history.began) / 1000
-        there = run.script.hall(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
+        there = run.plan.hall(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
         count += there and table.from_s <= at < table.to_s
     return count
