--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -162,7 +162,7 @@
             listed,
             self.listed_after,
             self.clients.lost_count,
-            self.discovery.wrote_bytes,
+            self.discovery.written_bytes,
             self._tasks.failures,
         )
 
--- a/heronlug/faults/observed_discovery.py
+++ b/heronlug/faults/observed_discovery.py
@@ -41,12 +41,12 @@
     def __init__(self, plan: TestPlan, history: History, network: FaultyNetwork, tasks: BackgroundTasks) -> None:
         table = plan.register
         self.stand_in = StandInDiscovery(table.call_ms, table.wait_most_ms, table.turned_ms, plan.seed)
-        self.stand_in.retry_after = table.retry_after_ms
-        self.stand_in.told = self._record_call
-        self.stand_in.wrote = self._record_list
-        self.stand_in.watched = self._record_watch
-        self.stand_in.unwatched = self._record_watch_end
-        self.stand_in.changed = self._record_change
+        self.stand_in.retry_after_ms = table.retry_after_ms
+        self.stand_in.on_poll = self._record_call
+        self.stand_in.on_list_written = self._record_list
+        self.stand_in.on_watch = self._record_watch
+        self.stand_in.on_watch_end = self._record_watch_end
+        self.stand_in.on_change = self._record_change
         self.watched_after: dict[str, float] = {}
         self.dispatcher_names: list[str] = []
         self._plan = plan
@@ -114,7 +114,7 @@
         self._network.set_target_gone(PARTY, False)
 
     def _record_call(self, call: Call) -> None:
-        self._history.see(Called(self._history.now(), call.caller, call.whole, call.turned, call.waited))
+        self._history.see(Called(self._history.now(), call.caller, call.complete, call.rejected, call.waited_ms))
 
     def _record_watch(self, caller: str, call: int, wait_ms: float) -> None:
         self._history.see(Watching(self._history.now(), caller, call, wait_ms))
--- a/heronlug/faults/steps.py
+++ b/heronlug/faults/steps.py
@@ -92,12 +92,12 @@
             stand_in.silent = step.do == "hang"
             return lambda: setattr(stand_in, "silent", False)
         if step.do == "anew":
-            stand_in.anew()
+            stand_in.restart_versions()
         elif step.do == "costs":
             stand_in.call_ms = step.ms
         else:
-            stand_in.turn_share = step.share
-        return lambda: setattr(stand_in, "turn_share", 0.0)
+            stand_in.reject_share = step.share
+        return lambda: setattr(stand_in, "reject_share", 0.0)
 
     def _apply_to_paths(self, step: Step) -> Undo:
         sources = self._choose(step.source)
--- a/heronlug/standins/discovery.py
+++ b/heronlug/standins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of the node register: the whole list, and watches that wait for something new.
+"""A stand-in of service discovery: the whole list, and watches that wait for something new.
 
 PROTOCOL, *Dispatchers to the register*: ``GET /registry/instances``, with ``after`` and ``wait_ms`` for a watch. It is
 one service for all and works through calls one after another: with a cost a call there is a queue, and what would wait
@@ -17,42 +17,76 @@
 
 from heronlug.net import http
 
-WAIT_MOST = 60_000.0  # ms
-KEPT = 4096  # changes that a watch may ask for; from further back it gets the whole list
-
-TRIES, TRY_AGAIN = 20, 0.05  # and s, for a port that listened before
+MAX_WATCH_MS = 60_000.0
+"""Milliseconds for which a watch waits at most."""
+MAX_CHANGES = 4096
+"""Changes that a watch may ask for; from further back it gets the whole list."""
+BIND_RETRIES = 20
+"""Further attempts to listen on a port that listened before."""
+BIND_RETRY_S = 0.05
+"""Seconds between two of these attempts."""
 
 
 class Call(NamedTuple):
-    """A call that was worked through, or turned away."""
+    """A call that was worked through, or rejected.
+
+    Attributes:
+        caller: the dispatcher.
+        complete: it asks for the whole list.
+        rejected: it was not worked through.
+        waited_ms: milliseconds in the queue and in work.
+    """
 
     caller: str
-    whole: bool  # for the whole list
-    turned: bool
-    waited: float  # ms in the queue
+    complete: bool
+    rejected: bool
+    waited_ms: float
 
 
 class StandInDiscovery:
-    """Instances by name, and a version that each change raises by one."""
-
-    def __init__(self, call_ms: float = 0.0, wait_most: float = 1000.0, turned_ms: float = 0.0, seed: int = 1) -> None:
-        """A call costs ``call_ms``; what would wait longer than ``wait_most`` is turned away, for ``turned_ms``."""
+    """Instances by name, and a version that each change raises by one.
+
+    Attributes:
+        instances: by name, in the protocol's form.
+        version: of the list.
+        answered_polls: calls that have been answered.
+        written_bytes: of all responses.
+        silent: calls are read and not answered.
+        call_ms: milliseconds that a call costs.
+        max_wait_ms: a call that would wait longer is rejected.
+        reject_cost_ms: milliseconds that a rejected call costs.
+        retry_after_ms: of the response to a rejected call; 0 for none.
+        reject_share: of all calls, rejected whatever the load.
+        connections: all that are open.
+        on_poll: called for each call.
+        on_list_written: called with the caller, the instances and whether they are the whole list.
+        on_watch: called with the caller, the number of the call and the milliseconds that it waits.
+        on_watch_end: called with the caller and the number of a call that is answered, or whose connection is closed.
+        on_change: called with the name and the lifecycle of an instance that has changed.
+        address_of: the address at which a caller finds an instance, from the caller, its name and its own address.
+    """
+
+    def __init__(
+        self, call_ms: float = 0.0, max_wait_ms: float = 1000.0, reject_cost_ms: float = 0.0, seed: int = 1
+    ) -> None:
         self.instances: dict[str, dict[str, Any]] = {}
         self.version = 0
-        self.calls = 0  # answered
-        self.wrote_bytes = 0
-        self.silent = False  # calls are read and not answered
-        self.call_ms, self.wait_most, self.turned_ms = call_ms, wait_most, turned_ms
-        self.retry_after = 0.0  # ms, told to whom is turned away
-        self.turn_share = 0.0  # of all calls are turned away whatever there is to do
+        self.answered_polls = 0
+        self.written_bytes = 0
+        self.silent = False
+        self.call_ms = call_ms
+        self.max_wait_ms = max_wait_ms
+        self.reject_cost_ms = reject_cost_ms
+        self.retry_after_ms = 0.0
+        self.reject_share = 0.0
         self.connections: set[Connection] = set()
-        self.told: Callable[[Call], None] = lambda call: None
-        self.wrote: Callable[[str, list[dict[str, Any]], bool], None] = lambda caller, instances, whole: None
-        self.watched: Callable[[str, int, float], None] = lambda caller, call, wait: None  # waits so many ms
-        self.unwatched: Callable[[str, int], None] = lambda caller, call: None  # it is answered, or its connection over
-        self.changed: Callable[[str, str], None] = lambda name, lifecycle: None
+        self.on_poll: Callable[[Call], None] = lambda call: None
+        self.on_list_written: Callable[[str, list[dict[str, Any]], bool], None] = lambda caller, instances, whole: None
+        self.on_watch: Callable[[str, int, float], None] = lambda caller, call, wait_ms: None
+        self.on_watch_end: Callable[[str, int], None] = lambda caller, call: None
+        self.on_change: Callable[[str, str], None] = lambda name, lifecycle: None
         self.address_of: Callable[[str, str, str], str] = lambda caller, name, address: address
-        self._rng = Random(seed)
+        self._random = Random(seed)
         self._free_at = 0.0
         self._watches = 0
         self._changed: list[tuple[int, str]] = []
@@ -64,14 +98,14 @@
         if caller in self._servers:
             return self._ports[caller]  # it is up already
         loop, wanted = asyncio.get_running_loop(), port or self._ports.get(caller, 0)
-        for again in range(TRIES, -1, -1):
+        for retries_left in range(BIND_RETRIES, -1, -1):
             try:
                 server = await loop.create_server(lambda: Connection(self, caller), host, wanted, backlog=512)
                 break
             except OSError:  # somebody tries whether the port is free, for an instant
-                if not again:
+                if not retries_left:
                     raise
-                await asyncio.sleep(TRY_AGAIN)
+                await asyncio.sleep(BIND_RETRY_S)
         self._servers[caller] = server
         self._ports[caller] = int(server.sockets[0].getsockname()[1])
         return self._ports[caller]
@@ -90,24 +124,24 @@
         given = {"instanceId": name, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0, "cell": 0}
         self.instances[name] = {**given, **self.instances.get(name, {}), **fields}
         self.version += 1
-        self.changed(name, self.instances[name]["lifecycle"])
+        self.on_change(name, self.instances[name]["lifecycle"])
         self._changed.append((self.version, name))
-        del self._changed[:-KEPT]
+        del self._changed[:-MAX_CHANGES]
         for connection in list(self.connections):
-            connection.look()
+            connection.update_available()
 
-    def watch(self, connection: "Connection") -> None:
+    def begin_watch(self, connection: "Connection") -> None:
         """A call begins to wait."""
         self._watches += 1
         connection.call = self._watches
-        self.watched(connection.caller, connection.call, connection.wait)
+        self.on_watch(connection.caller, connection.call, connection.wait)
 
-    def anew(self) -> None:
+    def restart_versions(self) -> None:
         """Versions begin again, as after a restart that lost them."""
         self.version = 1
         self._changed = [(1, name) for name in self.instances]
 
-    def answer(self, after: int | None, caller: str = "") -> bytes:
+    def list_after(self, after: int | None, caller: str = "") -> bytes:
         """What is newer than a version, or all."""
         kept = not self._changed or after is None or self._changed[0][0] <= after + 1
         if after is None or after > self.version or not kept:
@@ -115,7 +149,7 @@
         else:
             names = dict.fromkeys(name for version, name in self._changed if version > after)
             instances, whole = [self.instances[name] for name in names], False
-        self.wrote(caller, instances, whole)
+        self.on_list_written(caller, instances, whole)
         return orjson.dumps(self.table(caller, self.version, instances, whole))
 
     def table(self, caller: str, version: int, instances: list[dict[str, Any]], whole: bool) -> dict[str, Any]:
@@ -125,14 +159,14 @@
 
     def watching(self) -> list[str]:
         """The callers whose watch waits for news now."""
-        return sorted(connection.caller for connection in self.connections if connection.parked)
+        return sorted(connection.caller for connection in self.connections if connection.watching)
 
-    def queue(self) -> float | None:
+    def enqueue_poll(self) -> float | None:
         """A call has come: ms until it has been worked through, or None where it is turned away."""
         now = time.monotonic() * 1000
         wait = max(0.0, self._free_at - now)
-        if wait > self.wait_most or (self.turn_share and self._rng.random() < self.turn_share):
-            self._free_at = max(now, self._free_at) + self.turned_ms
+        if wait > self.max_wait_ms or (self.reject_share and self._random.random() < self.reject_share):
+            self._free_at = max(now, self._free_at) + self.reject_cost_ms
             return None
         self._free_at = now + wait + self.call_ms
         return wait + self.call_ms
@@ -141,28 +175,28 @@
 class Connection(asyncio.Protocol):
     """One dispatcher's connection."""
 
-    def __init__(self, register: StandInDiscovery, caller: str = "") -> None:
-        self._register, self.caller = register, caller
+    def __init__(self, discovery: StandInDiscovery, caller: str = "") -> None:
+        self._discovery, self.caller = discovery, caller
         self._parser: Any = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._target = b""
         self._after: int | None = None
         self.wait = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._owed = False  # a call is not answered yet
-        self.parked = False  # it waits for something new
+        self._unanswered = False  # a call waits for its answer
+        self.watching = False  # it waits for something new
         self.call = 0  # the number of the call that waits for an answer; 0 for none
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A dispatcher has connected."""
         self._transport = cast(asyncio.Transport, transport)
-        self._register.connections.add(self)
+        self._discovery.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """It has gone."""
-        self._register.connections.discard(self)
+        self._discovery.connections.discard(self)
         self._end_call()
-        self.parked = self._owed = False
+        self.watching = self._unanswered = False
         if self._timer is not None:
             self._timer.cancel()
 
@@ -190,51 +224,51 @@
             self._write(http.response(404))
             return
         self._after = int(query["after"]) if "after" in query else None
-        self.wait = min(WAIT_MOST, float(query.get("wait_ms", 0)))
-        self._owed = True
-        wait = self._register.queue()
-        whole = not self._after or self._after > self._register.version
-        self._register.told(Call(self.caller, whole, wait is None, wait or 0.0))
+        self.wait = min(MAX_WATCH_MS, float(query.get("wait_ms", 0)))
+        self._unanswered = True
+        wait = self._discovery.enqueue_poll()
+        whole = not self._after or self._after > self._discovery.version
+        self._discovery.on_poll(Call(self.caller, whole, wait is None, wait or 0.0))
         if wait is None:
-            self._owed = False
-            self._write(http.response(503, retry_after=self._register.retry_after))
+            self._unanswered = False
+            self._write(http.response(503, retry_after=self._discovery.retry_after_ms))
         elif wait > 0:
             self._timer = asyncio.get_running_loop().call_later(wait / 1000, self._work)
         else:
             self._work()
 
-    def look(self) -> None:
+    def update_available(self) -> None:
         """Something is new."""
-        if self.parked:
-            self._say()
+        if self.watching:
+            self._answer()
 
     def _work(self) -> None:
         """Its turn has come: answered at once, or it waits for something new."""
         self._timer = None
-        if self._after is None or self.wait <= 0 or self._register.version != self._after:
-            self._say()
-        elif self._owed:
-            self.parked = True
-            self._register.watch(self)
-            self._timer = asyncio.get_running_loop().call_later(self.wait / 1000, self._say)
-
-    def _say(self) -> None:
+        if self._after is None or self.wait <= 0 or self._discovery.version != self._after:
+            self._answer()
+        elif self._unanswered:
+            self.watching = True
+            self._discovery.begin_watch(self)
+            self._timer = asyncio.get_running_loop().call_later(self.wait / 1000, self._answer)
+
+    def _answer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer, self.parked = None, False  # who is silent now has fallen silent for good
-        if self._owed and not self._register.silent:
-            self._owed = False
-            self._register.calls += 1
-            self._write(http.response(200, self._register.answer(self._after, self.caller)))
+        self._timer, self.watching = None, False  # who is silent now has fallen silent for good
+        if self._unanswered and not self._discovery.silent:
+            self._unanswered = False
+            self._discovery.answered_polls += 1
+            self._write(http.response(200, self._discovery.list_after(self._after, self.caller)))
             self._end_call()
 
     def _end_call(self) -> None:
         """The call that waited is answered, or can be no more."""
         if self.call:
-            self._register.unwatched(self.caller, self.call)
+            self._discovery.on_watch_end(self.caller, self.call)
             self.call = 0
 
     def _write(self, data: bytes) -> None:
-        self._register.wrote_bytes += len(data)
+        self._discovery.written_bytes += len(data)
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
--- a/heronlug/standins/server.py
+++ b/heronlug/standins/server.py
@@ -1,4 +1,4 @@
-"""A stand-in host of the platform's protocol: it runs what it is sent for a while, and keeps a ledger of that.
+"""A stand-in server of the platform's protocol: it runs what it is sent for a while, and keeps a ledger of that.
 
 PROTOCOL, *Dispatchers to runners*: a request begins when its last byte has come; the answer is 200 in chunks with one
 JSON object a line, or a 503 with ``X-Turned-Away``.
@@ -36,7 +36,7 @@
     def __init__(self, behave: Callable[[Begun], Behaviour] = lambda begun: Behaviour()) -> None:
         self.behave = behave
         self.begun: Counter[str] = Counter()  # by X-Txn
-        self.running = self.most = 0
+        self.running = self.max_running = 0
         self.connections: set[Connection] = set()
         self._server: asyncio.AbstractServer | None = None
 
@@ -58,8 +58,8 @@
 class Connection(asyncio.Protocol):
     """One connection of a dispatcher: one request at a time."""
 
-    def __init__(self, host: StandInServer) -> None:
-        self.host = host
+    def __init__(self, server: StandInServer) -> None:
+        self.server = server
         self.transport: asyncio.Transport | None = None
         self._parser: Any = httptools.HttpRequestParser(self)
         self._headers: dict[bytes, bytes] = {}
@@ -68,7 +68,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A dispatcher has dialled."""
         self.transport = cast(asyncio.Transport, transport)
-        self.host.connections.add(self)
+        self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of a request; what is no HTTP ends the connection."""
@@ -80,11 +80,11 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Gone: what ran here is cancelled."""
-        self.host.connections.discard(self)
+        self.server.connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            self.host.running -= 1
+            self.server.running -= 1
 
     def on_message_begin(self) -> None:
         """A request begins."""
@@ -98,14 +98,14 @@
         """The last byte: the job begins."""
         txn = self._headers.get(b"x-txn", b"").decode()
         lane = self._headers.get(b"x-lane", b"").decode()
-        self.host.begun[txn] += 1
-        how = self.host.behave(Begun(txn, lane, self.host.begun[txn]))
+        self.server.begun[txn] += 1
+        how = self.server.behave(Begun(txn, lane, self.server.begun[txn]))
         if how.end == "turned_away":
-            self.host.begun[txn] -= 1  # it never ran
+            self.server.begun[txn] -= 1  # it never ran
             self._write(b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
             return
-        self.host.running += 1
-        self.host.most = max(self.host.most, self.host.running)
+        self.server.running += 1
+        self.server.max_running = max(self.server.max_running, self.server.running)
         self._write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._line({"id": txn, "from": NAME, "state": "started"})
         if how.end == "silent":
@@ -115,14 +115,14 @@
 
     def _end(self, txn: str, how: Behaviour) -> None:
         self._timer = None
-        self.host.running -= 1
+        self.server.running -= 1
         if how.end == "reset":
             if self.transport is not None:
                 self.transport.abort()
             return
         if how.end == "returned":
-            self.host.begun[txn] -= 1
-        result = {"result": f"run {self.host.begun[txn]} of {txn}"} if how.end == "done" else {}
+            self.server.begun[txn] -= 1
+        result = {"result": f"run {self.server.begun[txn]} of {txn}"} if how.end == "done" else {}
         self._line({"id": txn, "from": NAME, "state": how.end, **result})
         self._write(b"0\r\n\r\n")
 
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -176,12 +176,12 @@
     async def steps(fleet: Fleet) -> None:
         owner = await fleet.until(fleet.reader, "one that reads for all")
         others = [name for name in NAMES if name != owner]
-        calls, read = fleet.register.calls, {name: len(fleet.logged(name, "register_own")) for name in others}
+        calls, read = fleet.register.answered_polls, {name: len(fleet.logged(name, "register_own")) for name in others}
         fleet.register.put("s0", lifecycle="leaving")
         fleet.register.put("s1", lifecycle="left")
         for name in NAMES:
             await fleet.until(partial(fleet.has, name, "svc_targets", 4), f"{name} to know who has gone")
-        assert fleet.register.calls - calls <= 4  # of the owner, for two changes: the others do not ask
+        assert fleet.register.answered_polls - calls <= 4  # of the owner, for two changes: the others do not ask
         for name in others:
             assert len(fleet.logged(name, "register_own")) == read[name]
         fleet.programs[owner].kill()
