--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -179,8 +179,8 @@
         str(count),
         way,
         str(least),
-        str(figures.calls),
-        str(figures.turned),
+        str(figures.discovery_calls),
+        str(figures.rejected_discovery_calls),
         f"{figures.last_watch_ms / 1000:.1f}"
         + (f" ({figures.dispatchers_without_watch} never)" if figures.dispatchers_without_watch else ""),
         f"{least * 0.02:.1f}",
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -15,10 +15,10 @@
     ClassTable,
     DispatchersTable,
     ExpectTable,
+    FaultPlan,
     RegisterTable,
     RunnersTable,
     Step,
-    TestPlan,
 )
 from heronlug.faults.verdict import Verdict
 
@@ -49,10 +49,10 @@
 )
 
 
-def day(servers: int, span: float, peers: bool) -> TestPlan:
+def day(servers: int, span: float, peers: bool) -> FaultPlan:
     """A release under steady traffic, and an outage of discovery in it."""
     share = servers * 6 // 10 // STEPS
-    script = TestPlan(
+    script = FaultPlan(
         name=f"{servers} servers",
         span_s=span,
         begin="listed",
--- a/heronlug/adapter/frames.py
+++ b/heronlug/adapter/frames.py
@@ -39,8 +39,6 @@
 """Of a reply: the number of records, and the length of the body in bytes."""
 EVENT_SIZE = 56
 """Bytes of an event's record."""
-ACTION_SIZE = 32
-"""Bytes of an action's record."""
 ENTRY_SIZE = 22
 """Bytes of a server's entry in a list."""
 
--- a/heronlug/cli/change.py
+++ b/heronlug/cli/change.py
@@ -57,10 +57,12 @@
     try:
         saved = orjson.loads(data)
         if saved["heronlug_plan"] != 1:
-            raise ValueError("not of this version")
+            msg = "not of this version"
+            raise ValueError(msg)
         return str(saved["base"]), saved["desired"]
     except (ValueError, KeyError, TypeError) as error:
-        raise StateError(f"{path}: heronlug_plan: no saved plan: {error!r}") from None
+        msg = f"{path}: heronlug_plan: no saved plan: {error!r}"
+        raise StateError(msg) from None
 
 
 @click.command()
@@ -72,7 +74,8 @@
         with file.open("rb") as opened:
             data = opened.read(8 * 1024 * 1024)
     except OSError as error:
-        raise StateError(f"{file}: {error.strerror}") from None
+        msg = f"{file}: {error.strerror}"
+        raise StateError(msg) from None
     if data.lstrip().startswith(b"{"):
         base, desired = _saved(file, data)
     else:
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -26,7 +26,8 @@
     for text in changes:
         key, equals, value = text.partition("=")
         if not equals:
-            raise click.BadParameter(f"{text!r} is no KEY=VALUE", param_hint="--set")
+            msg = f"{text!r} is no KEY=VALUE"
+            raise click.BadParameter(msg, param_hint="--set")
         found[key] = _value(value)
     return found
 
@@ -89,7 +90,8 @@
                 checker.see(event)
                 last = event.at
     except (OSError, ValueError) as error:
-        raise click.ClickException(f"{file}: {error}") from None
+        msg = f"{file}: {error}"
+        raise click.ClickException(msg) from None
     for violation in checker.finish(last):
         print(f"rule {violation.rule} broken at {violation.at:.0f} ms: {violation.what}")
         for event in violation.trail:
@@ -181,7 +183,8 @@
         with Store(store, create=False) as kept:
             names = [each for each, _, _ in kept.experiments()]
             if not name and len(set(names)) > 1:
-                raise ValueError(f"{store}: --experiment names one of {', '.join(sorted(set(names)))}")
+                msg = f"{store}: --experiment names one of {', '.join(sorted(set(names)))}"
+                raise ValueError(msg)
             text = page(name or (names[0] if names else str(store)), kept.runs(name))
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
--- a/heronlug/cli/inspect.py
+++ b/heronlug/cli/inspect.py
@@ -62,7 +62,8 @@
     if faults or state is None:
         raise StateError("\n".join(map(str, faults)))
     if site is None:
-        raise ConfigError(f"{file}: no [site] in it, and no --config")
+        msg = f"{file}: no [site] in it, and no --config"
+        raise ConfigError(msg)
     table = list(rows(site, state["classes"], str(file)))
     if as_json:
         print_json([row._asdict() for row in table])
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -49,7 +49,8 @@
 
     scenario = _scenario(file, changes)
     if bool(doors) is bool(faktory):
-        raise click.UsageError("either --http or --faktory says where")
+        msg = "either --http or --faktory says where"
+        raise click.UsageError(msg)
     tallies = {lane.name: tallying.Tally(lane) for lane in scenario.classes}
     due = plan(scenario, scenario.seed if seed is None else seed)
     try:
--- a/heronlug/faults/dispatchers.py
+++ b/heronlug/faults/dispatchers.py
@@ -11,7 +11,7 @@
 from heronlug.faults.network import FaultyNetwork
 from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
 from heronlug.faults.ordering import OrderedEnds
-from heronlug.faults.plan import Step, TestPlan, choose
+from heronlug.faults.plan import FaultPlan, Step, choose
 from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
 from heronlug.standins.ports import free_port, free_ports
 
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        plan: TestPlan,
+        plan: FaultPlan,
         folder: Path,
         history: History,
         network: FaultyNetwork,
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -14,7 +14,7 @@
 from heronlug.faults.observed_discovery import ObservedDiscovery
 from heronlug.faults.observed_load import ObservedLoad
 from heronlug.faults.ordering import OrderedEnds
-from heronlug.faults.plan import TestPlan
+from heronlug.faults.plan import FaultPlan
 from heronlug.faults.processes import Process
 from heronlug.faults.servers import RequestListener, StandInServers, load_classes_of
 from heronlug.faults.steps import StepRunner
@@ -49,7 +49,7 @@
         clients: the load, once it has begun.
     """
 
-    def __init__(self, plan: TestPlan, folder: Path, events: Path | None = None, source: Path | None = None) -> None:
+    def __init__(self, plan: FaultPlan, folder: Path, events: Path | None = None, source: Path | None = None) -> None:
         """Wire the parts of a run.
 
         Args:
@@ -188,7 +188,9 @@
         return self.network.proxy_connections(caller, name, lambda: self.servers.address(name))
 
 
-def play(plan: TestPlan, folder: Path | None = None, events: Path | None = None, source: Path | None = None) -> Verdict:
+def play(
+    plan: FaultPlan, folder: Path | None = None, events: Path | None = None, source: Path | None = None
+) -> Verdict:
     """Play a plan in a folder, or in one that is deleted afterwards; raises ``OSError``."""
     where = folder or Path(tempfile.mkdtemp(prefix="heronlug-rig-"))
     try:
@@ -198,7 +200,7 @@
             shutil.rmtree(where, ignore_errors=True)
 
 
-async def _play(plan: TestPlan, folder: Path, events: Path | None, source: Path | None) -> Verdict:
+async def _play(plan: FaultPlan, folder: Path, events: Path | None, source: Path | None) -> Verdict:
     return await FaultHarness(plan, folder, events, source).play()
 
 
--- a/heronlug/faults/observed_discovery.py
+++ b/heronlug/faults/observed_discovery.py
@@ -7,7 +7,7 @@
 from heronlug.conformance import Called, Changed, Listed, Reachable, Watching, WatchOver
 from heronlug.faults.history import History
 from heronlug.faults.network import FaultyNetwork
-from heronlug.faults.plan import TestPlan
+from heronlug.faults.plan import FaultPlan
 from heronlug.faults.tasks import BackgroundTasks
 from heronlug.standins.discovery import Call, StandInDiscovery
 
@@ -38,7 +38,7 @@
         dispatcher_names: all dispatchers of the run, once they are known.
     """
 
-    def __init__(self, plan: TestPlan, history: History, network: FaultyNetwork, tasks: BackgroundTasks) -> None:
+    def __init__(self, plan: FaultPlan, history: History, network: FaultyNetwork, tasks: BackgroundTasks) -> None:
         table = plan.register
         self.stand_in = StandInDiscovery(table.call_ms, table.wait_most_ms, table.turned_ms, plan.seed)
         self.stand_in.retry_after_ms = table.retry_after_ms
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -142,7 +142,7 @@
     alive: Flag = True  # nobody ended that no step ended
 
 
-class TestPlan(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
+class FaultPlan(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
     """A whole script.  The lists hold the forms above once it has been read."""
 
     name: Text
@@ -195,14 +195,14 @@
 LISTS: dict[str, type[Struct]] = {"class": ClassTable, "step": Step}
 
 
-def load(path: Path) -> TestPlan:
+def load(path: Path) -> FaultPlan:
     """Read a file; raises :class:`ConfigProblems` with all that is wrong."""
     return parse(Source.read(path))
 
 
-def parse(source: Source) -> TestPlan:
+def parse(source: Source) -> FaultPlan:
     """The script of a file; raises :class:`ConfigProblems`."""
-    script, faults = decode(TestPlan, source.table, source, ())
+    script, faults = decode(FaultPlan, source.table, source, ())
     if script is None:
         raise ConfigProblems(faults)
     for key, kind in TABLES.items():
@@ -224,36 +224,43 @@
     return script
 
 
-def _wrong(script: TestPlan, source: Source) -> list[ConfigProblem]:
+def _wrong(plan: FaultPlan, source: Source) -> list[ConfigProblem]:
     """What is wrong among the tables."""
-    faults = []
-    for number, step in enumerate(script.step):
-        at = ("step", number)
-        if step.at_s >= script.span_s:
-            faults.append(source.problem((*at, "at_s"), "after the end", f"less than {script.span_s:g}"))
-        if step.do in (*PROCESS, *HOSTS) and not step.who:
-            faults.append(source.problem((*at, "who"), "nobody", 'such as ["d0"]'))
-        if step.for_s is not None and step.do not in LASTING:
-            right = "no for_s; it can be taken back of " + ", ".join(sorted(LASTING))
-            faults.append(source.problem((*at, "for_s"), f"{step.do!r} is over at once", right))
-        for key, selectors in (("who", step.who), ("from", step.source), ("to", step.target)):
-            for place, selector in enumerate(selectors):
-                if selector != "reading" and not choose([selector], script, Random(1), ["d0"]):
-                    wrong = f"{selector!r} names nobody"
-                    faults.append(source.problem((*at, key, place), wrong, "a party of the script"))
-    for place, selector in enumerate(script.dispatchers.later):
-        if not choose([selector], script, Random(1)):
-            faults.append(source.problem(("dispatchers", "later", place), f"{selector!r} names nobody", "such as d3"))
-    least_most = script.expect.reading
-    if least_most is not None and (len(least_most) != 2 or least_most[0] > least_most[1]):
-        faults.append(source.problem(("expect", "reading"), f"{least_most} is no span", "such as [1, 2]"))
-    if script.dispatchers.cluster and "runners" in script.relays and script.runners.count:
+    problems: list[ConfigProblem] = []
+    for number, step in enumerate(plan.step):
+        problems += _step_problems(step, number, plan, source)
+    for place, selector in enumerate(plan.dispatchers.later):
+        if not choose([selector], plan, Random(1)):
+            problems.append(source.problem(("dispatchers", "later", place), f"{selector!r} names nobody", "such as d3"))
+    bounds = plan.expect.reading
+    if bounds is not None and (len(bounds) != 2 or bounds[0] > bounds[1]):
+        problems.append(source.problem(("expect", "reading"), f"{bounds} is no span", "such as [1, 2]"))
+    if plan.dispatchers.cluster and "runners" in plan.relays and plan.runners.count:
         wrong = "with [dispatchers] cluster one list serves all, and so does one address of each runner"
-        faults.append(source.problem(("relays",), wrong, '["register", "peers"]'))
-    return faults
-
-
-def choose(selectors: list[str], script: TestPlan, rng: Random, reading: list[str] | None = None) -> list[str]:
+        problems.append(source.problem(("relays",), wrong, '["register", "peers"]'))
+    return problems
+
+
+def _step_problems(step: Step, number: int, plan: FaultPlan, source: Source) -> list[ConfigProblem]:
+    """What is wrong with one step, which is the ``number``-th of the file."""
+    problems = []
+    at = ("step", number)
+    if step.at_s >= plan.span_s:
+        problems.append(source.problem((*at, "at_s"), "after the end", f"less than {plan.span_s:g}"))
+    if step.do in (*PROCESS, *HOSTS) and not step.who:
+        problems.append(source.problem((*at, "who"), "nobody", 'such as ["d0"]'))
+    if step.for_s is not None and step.do not in LASTING:
+        right = "no for_s; it can be taken back of " + ", ".join(sorted(LASTING))
+        problems.append(source.problem((*at, "for_s"), f"{step.do!r} is over at once", right))
+    for key, selectors in (("who", step.who), ("from", step.source), ("to", step.target)):
+        for place, selector in enumerate(selectors):
+            if selector != "reading" and not choose([selector], plan, Random(1), ["d0"]):
+                wrong = f"{selector!r} names nobody"
+                problems.append(source.problem((*at, key, place), wrong, "a party of the script"))
+    return problems
+
+
+def choose(selectors: list[str], script: FaultPlan, rng: Random, reading: list[str] | None = None) -> list[str]:
     """The parties that selectors name, each once, in order."""
     chosen: dict[str, None] = {}
     for selector in selectors:
@@ -261,7 +268,7 @@
     return list(chosen)
 
 
-def _chosen(selector: str, script: TestPlan, rng: Random, reading: list[str]) -> list[str]:
+def _chosen(selector: str, script: FaultPlan, rng: Random, reading: list[str]) -> list[str]:
     if selector == "reading":
         return reading
     if script.names(selector):
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -14,7 +14,7 @@
 
 from heronlug.config.site import read_object
 from heronlug.config.strict_toml import ConfigProblems, Source
-from heronlug.faults.plan import TestPlan
+from heronlug.faults.plan import FaultPlan
 from heronlug.standins.ports import starting
 
 HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
@@ -201,7 +201,7 @@
 
 def write_file(
     process: Process,
-    plan: TestPlan,
+    plan: FaultPlan,
     *,
     door: int,
     discovery: str,
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -10,7 +10,7 @@
 from heronlug.emulator.scenario import ClassTable
 from heronlug.emulator.servers import EmulatedServer, Execution, ServerKind, WarmupModel
 from heronlug.faults.history import History
-from heronlug.faults.plan import TestPlan
+from heronlug.faults.plan import FaultPlan
 from heronlug.standins.discovery import StandInDiscovery
 from heronlug.standins.fleet import Server
 from heronlug.standins.live import LiveLine
@@ -19,7 +19,7 @@
 MACHINE_TYPE = "m1"
 
 
-def load_classes_of(plan: TestPlan) -> dict[str, ClassTable]:
+def load_classes_of(plan: FaultPlan) -> dict[str, ClassTable]:
     """The script's classes as the stand-ins know them."""
     return {
         lane.name: ClassTable(
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        plan: TestPlan,
+        plan: FaultPlan,
         register: StandInDiscovery,
         history: History,
         sender: Callable[[str], str],
--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -14,10 +14,10 @@
     ClassTable,
     DispatchersTable,
     ExpectTable,
+    FaultPlan,
     RegisterTable,
     RunnersTable,
     Step,
-    TestPlan,
 )
 
 SPAN = 18.0  # s
@@ -26,11 +26,11 @@
 EFFECTS: tuple[Literal["repeatable", "by_key", "once"], ...] = ("repeatable", "by_key", "once")
 
 
-def draw(seed: int) -> TestPlan:
+def draw(seed: int) -> FaultPlan:
     """The plan of a seed."""
     rng = Random(seed)
     dispatchers, runners = rng.randint(2, 4), rng.randint(3, 8)
-    plan = TestPlan(
+    plan = FaultPlan(
         name=f"soak-{seed}",
         span_s=SPAN,
         seed=seed,
@@ -61,83 +61,83 @@
     )
 
 
-def _dispatcher(rng: Random, plan: TestPlan) -> list[str]:
+def _dispatcher(rng: Random, plan: FaultPlan) -> list[str]:
     return [f"d{rng.randrange(plan.dispatchers.count)}"]
 
 
-def _some_runners(rng: Random, plan: TestPlan) -> list[str]:
+def _some_runners(rng: Random, plan: FaultPlan) -> list[str]:
     count = rng.randint(1, max(1, plan.runners.count // 2))
     return [f"r{number}" for number in rng.sample(range(plan.runners.count), count)]
 
 
-def _killed(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _killed(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="kill", who=_dispatcher(rng, plan), for_s=rng.uniform(0.1, 2))]
 
 
-def _replaced(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _replaced(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """One after the other, and signals in series: a second SIGTERM changes nothing."""
     who = [f"d{number}" for number in range(plan.dispatchers.count)][: rng.randint(1, 2)]
     return [Step(at_s=at + 2.0 * number, do="replace", who=[name]) for number, name in enumerate(who)]
 
 
-def _held_up(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _held_up(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="stop", who=_dispatcher(rng, plan), for_s=rng.choice([0.1, 0.15]))]
 
 
-def _reloaded(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _reloaded(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at + 0.3 * number, do="hup", who=["d*"]) for number in range(rng.randint(1, 3))]
 
 
-def _register_down(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_down(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="down", for_s=rng.uniform(0.5, 5))]
 
 
-def _register_silent(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_silent(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     what, span = rng.choice(["silent", "cut"]), rng.uniform(1, 4)
     return [Step(at_s=at, do=what, source=["d*"], target=["register"], for_s=span)]
 
 
-def _register_slow(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_slow(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="delay", source=["d*"], target=["register"], ms=rng.uniform(20, 400), for_s=3.0)]
 
 
-def _register_reset(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_reset(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="reset", source=["d*"], target=["register"])]
 
 
-def _register_refuses(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_refuses(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """It is at hand and turns calls away, while watches break and servers drain."""
     refused = Step(at_s=at, do="turn", share=rng.choice([0.7, 1.0]), for_s=rng.uniform(2, 12))
     return [refused, *_register_reset(rng, at + 0.1, plan), *_runners_drain(rng, at + 0.3, plan)]
 
 
-def _register_hangs(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_hangs(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """It takes calls and says nothing, while watches break and servers drain."""
     hung = Step(at_s=at, do="hang", for_s=rng.uniform(2, 12))
     return [hung, *_register_reset(rng, at + 0.1, plan), *_runners_drain(rng, at + 0.3, plan)]
 
 
-def _register_in_half(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _register_in_half(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """Answers stop half-way, or drip."""
     what, size = rng.choice([("half", 120), ("trickle", 400)])
     return [Step(at_s=at, do=what, source=["d*"], target=["register"], bytes=size, for_s=rng.uniform(1, 5))]
 
 
-def _away(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _away(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """Dispatchers are away while servers leave, and come back with the list of before."""
     who, since = _dispatcher(rng, plan), min(at, 4.0)
     gone = Step(at_s=since + 0.4, do="list", who=_some_runners(rng, plan), state="left")
     return [Step(at_s=since, do="kill", who=who, for_s=rng.uniform(7, 10)), gone]
 
 
-def _runners_reset(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _runners_reset(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [
         Step(at_s=at + 0.2 * number, do="reset", source=["d*"], target=_some_runners(rng, plan))
         for number in range(rng.randint(1, 4))
     ]
 
 
-def _runners_cut(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _runners_cut(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [
         Step(
             at_s=at,
@@ -149,7 +149,7 @@
     ]
 
 
-def _runners_late(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _runners_late(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [
         Step(
             at_s=at,
@@ -162,11 +162,11 @@
     ]
 
 
-def _runners_die(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _runners_die(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="die", who=_some_runners(rng, plan), for_s=rng.uniform(0.5, 4))]
 
 
-def _runners_drain(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _runners_drain(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """They begin to drain, and have left later."""
     who = _some_runners(rng, plan)
     return [
@@ -175,7 +175,7 @@
     ]
 
 
-def _runners_slow(rng: Random, at: float, plan: TestPlan) -> list[Step]:
+def _runners_slow(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="slow", who=_some_runners(rng, plan), factor=rng.uniform(2, 20), for_s=3.0)]
 
 
--- a/heronlug/faults/steps.py
+++ b/heronlug/faults/steps.py
@@ -9,7 +9,7 @@
 from heronlug.faults.history import History
 from heronlug.faults.network import FaultyNetwork, NetworkPath
 from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
-from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, Step, TestPlan, choose
+from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, FaultPlan, Step, choose
 from heronlug.faults.servers import StandInServers
 from heronlug.faults.tasks import BackgroundTasks
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        plan: TestPlan,
+        plan: FaultPlan,
         history: History,
         dispatchers: Dispatchers,
         servers: StandInServers,
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -6,7 +6,7 @@
 
 from heronlug.conformance import Violation
 from heronlug.faults.history import History
-from heronlug.faults.plan import ExpectTable, FailedTable, TestPlan
+from heronlug.faults.plan import ExpectTable, FailedTable, FaultPlan
 from heronlug.faults.processes import Process
 from heronlug.loadgen.tally import Tally
 
@@ -38,7 +38,7 @@
 class FinishedRun(NamedTuple):
     """A run that is over, as the rig saw it."""
 
-    plan: TestPlan
+    plan: FaultPlan
     history: History
     processes: Mapping[str, Process]
     tallies: Iterable[Tally]
--- a/heronlug/lifecycle/configuration_changes.py
+++ b/heronlug/lifecycle/configuration_changes.py
@@ -11,6 +11,7 @@
 from heronlug.lifecycle.discovery_service import DiscoveryService
 from heronlug.lifecycle.faktory_service import FaktoryService, OpenedListener
 from heronlug.lifecycle.log import Log
+from heronlug.lifecycle.running_state import BrokenLimit
 from heronlug.requests.core import Core
 
 if TYPE_CHECKING:
@@ -65,12 +66,12 @@
         """The members or the periodic tasks of the cluster; raises :class:`StateError` where there is none."""
         return self._cluster.view(what)
 
-    def halls(self, asked: dict[str, Any]) -> list[dict[str, Any]]:
+    def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """The zones, after an operator's order for one of them if that was asked; raises :class:`StateError`."""
-        if asked["ask"] != "hall":
+        if request["ask"] != "hall":
             return zone_commands.view(self._core, self._config.zones)
-        rows = zone_commands.order(self._core, self._config.zones, asked)
-        self.log("hall_ordered", hall=asked["hall"], do=asked["do"], for_s=asked.get("for_s"))
+        rows = zone_commands.order(self._core, self._config.zones, request)
+        self.log("hall_ordered", hall=request["hall"], do=request["do"], for_s=request.get("for_s"))
         return rows
 
     def load_plugins(self, plugins: dict[str, tuple[bytes, int, int]]) -> "list[Plugin]":
@@ -94,11 +95,14 @@
         """Log from this level on."""
         self.log.level = level
 
-    def broken_limits(self, classes: State) -> list[tuple[str, str, str, str]]:
+    def broken_limits(self, classes: State) -> list[BrokenLimit]:
         """The rules that limits break here; the checker is imported only where there are limits to check."""
         from heronlug.config.limits.load import check
 
-        return [(b.name, b.key, b.wrong, b.right) for b in check(self._config.settings, classes)]
+        return [
+            BrokenLimit(broken.name, broken.key, broken.wrong, broken.right)
+            for broken in check(self._config.settings, classes)
+        ]
 
     def resolved_limits(self, classes: State) -> tuple[RequestClass, ...]:
         """All classes under limits that break no rule."""
--- a/heronlug/lifecycle/control.py
+++ b/heronlug/lifecycle/control.py
@@ -67,7 +67,7 @@
             case "halls" | "hall":
                 return {"halls": self._running.zones(request)}
             case "check":
-                return {"broken": await self._running.broken_limits(request["classes"])}
+                return {"broken": [tuple(rule) for rule in await self._running.broken_limits(request["classes"])]}
             case "apply":
                 return {"changes": await self._running.apply(request["base"], request["desired"])}
             case _:
--- a/heronlug/lifecycle/running_state.py
+++ b/heronlug/lifecycle/running_state.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 from heronlug.balancer.settings import RequestClass
 from heronlug.config.desired_state import EMPTY, State, StateError, changed_limits, difference, digest
@@ -15,12 +15,19 @@
 if TYPE_CHECKING:
     from heronlug.plugins.host import Plugin
 
-BrokenLimit = tuple[str, str, str, str]
-"""A rule that limits break, as commands get it: class, key, what is wrong, what would be right."""
 PluginModule = tuple[bytes, int, int]
 """A plug-in's WebAssembly module, its fuel, and its memory in KB."""
 
 
+class BrokenLimit(NamedTuple):
+    """A rule that the limits of a request class break, in the order in which commands get the fields."""
+
+    class_name: str
+    key: str
+    wrong: str
+    right: str
+
+
 class ConfigurableParts(Protocol):
     """What of a dispatcher can be changed while it runs."""
 
@@ -43,7 +50,7 @@
     def cluster_view(self, what: str) -> list[dict[str, Any]]:
         """The members, or the periodic tasks; raises :class:`StateError` where there is no cluster."""
 
-    def halls(self, asked: dict[str, Any]) -> list[dict[str, Any]]:
+    def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """The zones, after an order for one of them; raises :class:`StateError`."""
 
     def use_register(self, terms: State) -> None:
@@ -133,7 +140,7 @@
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """The zones, after an operator's order for one of them if that was asked."""
-        return self._parts.halls(request)
+        return self._parts.zones(request)
 
     async def broken_limits(self, classes: State) -> list[BrokenLimit]:
         """The rules that limits would break."""
@@ -154,7 +161,8 @@
     async def _resolve_limits(self, classes: State) -> tuple[RequestClass, ...]:
         """All classes under limits, checked here: a file may have been checked against another site."""
         if broken := await self.broken_limits(classes):
-            raise StateError("\n".join(f"class.{name}.{key}: {wrong}, {right}" for name, key, wrong, right in broken))
+            lines = [f"class.{rule.class_name}.{rule.key}: {rule.wrong}, {rule.right}" for rule in broken]
+            raise StateError("\n".join(lines))
         return await run_in_background(self._parts.resolved_limits, classes)
 
     async def _prepare(self, desired: State) -> _Prepared:
--- a/heronlug/standins/ports.py
+++ b/heronlug/standins/ports.py
@@ -27,7 +27,8 @@
             continue
         _claims.append(claim)
         return iter(range(FIRST + block * BLOCK, FIRST + (block + 1) * BLOCK))
-    raise OSError("all blocks of ports are claimed")
+    msg = "all blocks of ports are claimed"
+    raise OSError(msg)
 
 
 def _ports() -> Iterator[int]:
@@ -62,7 +63,8 @@
                 stream.bind(("127.0.0.1", port))
                 datagrams.bind(("127.0.0.1", port))
                 return port
-    raise OSError("no port is free")
+    msg = "no port is free"
+    raise OSError(msg)
 
 
 def free_ports(count: int) -> list[int]:
