--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,7 @@
-"""The page of the architecture names files and packages that exist, and every package."""
+"""The page of the architecture and the deploy file name files and packages that exist, and all of them."""
 
 import re
+import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
@@ -37,3 +38,10 @@
                 if level.get(imported, number) < number:
                     upwards.append(f"{path.relative_to(ROOT)} imports {imported}")
     assert not upwards
+
+
+def test_the_deploy_file_lists_the_decision_modules() -> None:
+    terms = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
+    balancer = {path.relative_to(ROOT).as_posix() for path in (ROOT / "heronlug/balancer").rglob("*.py")}
+    assert set(terms["policy"]) == balancer
+    assert not [path for path in terms["node"] if not (ROOT / path).exists()]
