--- a/heronlug/balancer/admission.py
+++ b/heronlug/balancer/admission.py
@@ -19,7 +19,7 @@
 QUOTA_BURST = 4.0
 """Requests beyond that which a tenant may have at once."""
 
-PATIENCE_SHARE = 1 / 4
+SLOT_WAIT_SHARE = 1 / 4
 """Share of the time until its latest start in which a request may wait for a slot that is seen to become free."""
 
 
@@ -47,7 +47,7 @@
         work = request.work_hint or run_time
         request.due_at = min(now + policy.latency_objective + policy.latency_factor * work, request.give_up_at)
         request.latest_start = request.due_at - run_time
-        request.patient_until = now + (request.latest_start - now) * PATIENCE_SHARE
+        request.wait_for_slot_until = now + (request.latest_start - now) * SLOT_WAIT_SHARE
         request.work = work * request.slots
         request.value = policy.priority_weight * run_time * request.slots
         self._class_values.record_requested(request.class_index, request.value)
--- a/heronlug/balancer/attempt_starts.py
+++ b/heronlug/balancer/attempt_starts.py
@@ -24,11 +24,11 @@
 
     def record_start(self, attempt: Attempt, now: float) -> None:
         """Record that an attempt has started."""
-        server, took = attempt.server, now - attempt.sent_at
+        server, delay = attempt.server, now - attempt.sent_at
         attempt.unstarted, attempt.started_at = False, now
         server.load.unstarted_attempts -= 1
-        self.delays[server.zone].record(took)
-        self._shares.record_start(server, took)
+        self.delays[server.zone].record(delay)
+        self._shares.record_start(server, delay)
         if self._learns_from_starts:
             server.capacity.record_start(_busy_slots(server))
 
--- a/heronlug/balancer/capacity.py
+++ b/heronlug/balancer/capacity.py
@@ -23,22 +23,22 @@
         self.reported_slots = 1.0
         self.slots = slots
 
-    def record_free_slots(self, free: float) -> None:
+    def record_free_slots(self, free_slots: float) -> None:
         """Learn from a report: a server that is never idle never shows all, but the attempt that ended had one too."""
-        self.peak_slots = max(self.peak_slots, round(free))
-        if round(free) > 0:
-            step = REPORT_STEP * (free + 1 - self.reported_slots)
-            self.reported_slots = min(free + 1, self.reported_slots + step)
+        self.peak_slots = max(self.peak_slots, round(free_slots))
+        if round(free_slots) > 0:
+            step = REPORT_STEP * (free_slots + 1 - self.reported_slots)
+            self.reported_slots = min(free_slots + 1, self.reported_slots + step)
         self.slots = float(max(self.peak_slots, round(self.reported_slots)))
 
-    def record_start(self, busy: float) -> None:
+    def record_start(self, busy_slots: float) -> None:
         """Learn from an attempt that started: with it, so many slots are in use."""
-        self.slots += START_STEP * max(0.0, busy - self.slots)
+        self.slots += START_STEP * max(0.0, busy_slots - self.slots)
 
-    def record_wait(self, busy: float) -> None:
+    def record_wait(self, busy_slots: float) -> None:
         """Learn from an attempt that has not started beside so many slots in use.
 
         With fewer than half of the slots in use the server is unresponsive, which says nothing of its slots.
         """
-        if busy >= self.slots / 2:
-            self.slots -= START_STEP * max(0.0, self.slots - busy)
+        if busy_slots >= self.slots / 2:
+            self.slots -= START_STEP * max(0.0, self.slots - busy_slots)
--- a/heronlug/balancer/derived_settings.py
+++ b/heronlug/balancer/derived_settings.py
@@ -4,10 +4,10 @@
 
 from heronlug.balancer.settings import Effect, Settings
 
-CHECKS_PER_OBJECTIVE = 16
+CHECK_INTERVALS_PER_OBJECTIVE = 16
 """Check intervals within the shortest latency objective."""
 
-CHECKS_PER_RECHECK = 2
+CHECK_INTERVALS_PER_RECHECK = 2
 """Check intervals between two looks at a request that waits."""
 
 REPORTS_PER_REQUEST = 16
@@ -22,7 +22,7 @@
 SCORES_PER_CPU_US = 3.2
 """Servers that are scored for each microsecond of CPU that a request may use: a sixth of that time."""
 
-DIALS_PER_ATTEMPT = 2
+DIAL_TIMEOUTS_PER_ATTEMPT = 2
 """Connection time-outs that pass at most between a decision and the first byte at a server."""
 
 FREE_SLOTS_FIELD = "x0"
@@ -69,7 +69,7 @@
 def derive(settings: Settings) -> DerivedSettings:
     """Work out what follows from the settings."""
     objectives = sorted(request_class.latency_objective for request_class in settings.classes)
-    check_interval = objectives[0] / CHECKS_PER_OBJECTIVE
+    check_interval = objectives[0] / CHECK_INTERVALS_PER_OBJECTIVE
     gossips = settings.gossip and settings.instances > 1
     aggregated = gossips and 2 * (settings.instances - 1) > REPORTS_PER_REQUEST
     summary_objective = objectives[len(objectives) // 2 if aggregated else -1]
@@ -77,8 +77,8 @@
     free_slots_index = fields.index(FREE_SLOTS_FIELD) if FREE_SLOTS_FIELD in fields else -1
     return DerivedSettings(
         check_interval=check_interval,
-        recheck_interval=CHECKS_PER_RECHECK * check_interval,
-        dial_allowance=DIALS_PER_ATTEMPT * settings.dial_timeout,
+        recheck_interval=CHECK_INTERVALS_PER_RECHECK * check_interval,
+        dial_allowance=DIAL_TIMEOUTS_PER_ATTEMPT * settings.dial_timeout,
         gossips=gossips,
         aggregated=aggregated,
         report_interval=0.0 if aggregated else check_interval * settings.instances / 2,
--- a/heronlug/balancer/dispatcher.py
+++ b/heronlug/balancer/dispatcher.py
@@ -164,7 +164,7 @@
     def _admit(self, arrival: RequestArrived, now: float) -> Request:
         request = self.rules.admission.admit(arrival, now)
         self.state.open_requests.by_id[request.id] = request
-        self.rules.placement.give_up_in_time(request)
+        self.rules.placement.schedule_give_up(request)
         return request
 
     # -- attempts
@@ -188,10 +188,10 @@
         served = event.outcome == Outcome.SERVED
         self.rules.selection.freed = [attempt.server] if served else []
         if self.state.open_requests.is_open(attempt.request):
-            self.rules.learning.judge_rejections(attempt, event.outcome, now)
-            self._go_on_after(attempt, event, now)
+            self.rules.learning.attribute_rejections(attempt, event.outcome, now)
+            self._continue_after_attempt(attempt, event, now)
 
-    def _go_on_after(self, attempt: Attempt, event: AttemptEnded, now: float) -> None:
+    def _continue_after_attempt(self, attempt: Attempt, event: AttemptEnded, now: float) -> None:
         request = attempt.request
         if event.final:
             value = request.value if now <= request.due_at else request.value * request.policy.late_value
@@ -207,9 +207,9 @@
 
     def _on_server_list(self, event: ServerListUpdate, now: float) -> None:
         if event.kind == ListKind.FAILED:
-            self.rules.subscription.failed(now)
+            self.rules.subscription.record_failure(now)
             return
-        self.rules.subscription.received(event.kind, now)
+        self.rules.subscription.record_list(event.kind, now)
         ready = self.state.servers.apply_list(event, now)
         ready.sort(key=lambda server: (server.zone != self.settings.zone, self._rng.random()))  # own zone first
         self.rules.ranking.use_ready(ready)
--- a/heronlug/balancer/estimates.py
+++ b/heronlug/balancer/estimates.py
@@ -4,12 +4,12 @@
 class TokenBucket:
     """A token bucket that fills at an even rate, up to its burst."""
 
-    __slots__ = ("_at", "_burst", "_level", "_rate")
+    __slots__ = ("_as_of", "_burst", "_level", "_rate")
 
     def __init__(self, burst: float, rate: float) -> None:
         self._burst = self._level = burst
         self._rate = rate
-        self._at = 0.0
+        self._as_of = 0.0
 
     @property
     def level(self) -> float:
@@ -18,8 +18,8 @@
 
     def has(self, at: float) -> bool:
         """Whether there is a token at that time."""
-        self._level = min(self._burst, self._level + (at - self._at) * self._rate)
-        self._at = at
+        self._level = min(self._burst, self._level + (at - self._as_of) * self._rate)
+        self._as_of = at
         return self._level >= 1
 
     def take(self, at: float) -> bool:
@@ -30,7 +30,7 @@
 
     def set_level(self, level: float, at: float) -> None:
         """Set the tokens that there are at that time."""
-        self._level, self._at = min(self._burst, level), at
+        self._level, self._as_of = min(self._burst, level), at
 
 
 class StartDelay:
@@ -44,17 +44,17 @@
     def __init__(self) -> None:
         self._mean = self._deviation = -1.0  # nothing is known
 
-    def record(self, took: float) -> None:
+    def record(self, delay: float) -> None:
         """Record that a report took so long, in ms."""
         if self._mean < 0:
-            self._mean, self._deviation = took, took / 2
+            self._mean, self._deviation = delay, delay / 2
         else:
-            self._deviation += (abs(took - self._mean) - self._deviation) / 4
-            self._mean += (took - self._mean) / 8
+            self._deviation += (abs(delay - self._mean) - self._deviation) / 4
+            self._mean += (delay - self._mean) / 8
 
-    def usual_at_most(self, most: float) -> float:
+    def upper_bound(self, limit: float) -> float:
         """A time that reports rarely exceed, in ms; ``most`` at most, and while nothing is known."""
-        return most if self._mean < 0 else min(most, self._mean + 4 * self._deviation)
+        return limit if self._mean < 0 else min(limit, self._mean + 4 * self._deviation)
 
 
 class ClassValues:
--- a/heronlug/balancer/exploration.py
+++ b/heronlug/balancer/exploration.py
@@ -23,11 +23,11 @@
         changed: servers that have become or ceased to be ours to probe, until somebody takes note of them.
     """
 
-    __slots__ = ("_peer_load", "_settings", "_turn", "changed", "pending", "probe_server", "zone_probes")
+    __slots__ = ("_peer_load", "_settings", "_term", "changed", "pending", "probe_server", "zone_probes")
 
     def __init__(self, settings: Settings, peer_load: PeerLoad) -> None:
         self._settings, self._peer_load = settings, peer_load
-        self._turn = 0
+        self._term = 0
         self.pending: list[Server] = []
         self.probe_server: Server | None = None
         self.zone_probes: list[Server] = []
@@ -41,15 +41,15 @@
         """Visit these servers first, the last one before all others."""
         self.pending += servers
 
-    def take_turn(self, now: float) -> None:
+    def rotate_probe_server(self, now: float) -> None:
         """Choose the server that is ours to probe, once in each term of the rotation."""
-        turn = int(now / (EJECTION_DIALS * self._settings.dial_timeout))
-        if turn == self._turn:
+        term = int(now / (EJECTION_DIALS * self._settings.dial_timeout))
+        if term == self._term:
             return
-        self._turn = turn
+        self._term = term
         instances = self._settings.instances
-        ours = self._peer_load.servers_in_order[(self._settings.position - turn) % instances :: instances]
-        self.set_probe_server(self._next_failing([*self.zone_probes, *ours]))
+        own_servers = self._peer_load.servers_in_order[(self._settings.position - term) % instances :: instances]
+        self.set_probe_server(self._next_failing([*self.zone_probes, *own_servers]))
         if self.probe_server is not None:
             self.pending.append(self.probe_server)
 
--- a/heronlug/balancer/hedging.py
+++ b/heronlug/balancer/hedging.py
@@ -53,10 +53,10 @@
         if not policy.hedge or request.non_idempotent:
             return
         if policy.hedge_after:
-            self._timers.call_at(attempt.sent_at + policy.hedge_after, self._on_still_in_flight, attempt)
+            self._timers.call_at(attempt.sent_at + policy.hedge_after, self._on_hedge_delay_elapsed, attempt)
         elif self._can_hedge and attempt.unstarted:
-            delay = self._starts.delays[attempt.server.zone].usual_at_most(self._settings.dial_timeout)
-            self._timers.call_at(now + delay + self._recheck_after, self._on_still_unstarted, attempt)
+            delay = self._starts.delays[attempt.server.zone].upper_bound(self._settings.dial_timeout)
+            self._timers.call_at(now + delay + self._recheck_after, self._on_start_overdue, attempt)
 
     def hedge_silent(self, attempt: Attempt, now: float) -> None:
         """Start a copy of a request whose attempts are all silent, unless requests that may be in time are queued."""
@@ -70,16 +70,16 @@
         if all_silent and not self._queue.in_time:
             self._start_copy(request, now)
 
-    def _on_still_in_flight(self, attempt: Attempt, now: float) -> None:
+    def _on_hedge_delay_elapsed(self, attempt: Attempt, now: float) -> None:
         """The time that its class sets is over."""
         request = attempt.request
         in_flight = [other for other in request.attempts if other.in_flight]
         if not self._open_requests.is_open(request) or in_flight != [attempt]:
             return
         if not self._start_copy(request, now) and len(request.attempts) < request.max_attempts:
-            self._timers.call_at(now + self._recheck_after, self._on_still_in_flight, attempt)
+            self._timers.call_at(now + self._recheck_after, self._on_hedge_delay_elapsed, attempt)
 
-    def _on_still_unstarted(self, attempt: Attempt, now: float) -> None:
+    def _on_start_overdue(self, attempt: Attempt, now: float) -> None:
         """A start is overdue: its server has no free slot for a while, and the request may go elsewhere as well."""
         request, server = attempt.request, attempt.server
         if not attempt.unstarted or not self._open_requests.is_open(request):
@@ -87,12 +87,12 @@
         self._starts.record_wait(attempt)
         other_slots = max(1.0, server.capacity.slots - 1)
         # Of so many runs with independent, exponential times, the first ends about this soon.
-        until_one_ends = self._run_times.overall * log(1 + 1 / other_slots)
-        server.outlier.saturated_until = now + until_one_ends
+        expected_wait = self._run_times.overall * log(1 + 1 / other_slots)
+        server.outlier.saturated_until = now + expected_wait
         if any(other.in_flight and not other.unstarted for other in request.attempts):
             return
         if not self._start_copy(request, now) and len(request.attempts) < request.max_attempts:
-            self._timers.call_at(now + self._recheck_after, self._on_still_unstarted, attempt)
+            self._timers.call_at(now + self._recheck_after, self._on_start_overdue, attempt)
 
     def _start_copy(self, request: Request, now: float) -> bool:
         server = self._selection.choose(request, now)
--- a/heronlug/balancer/learning.py
+++ b/heronlug/balancer/learning.py
@@ -46,7 +46,7 @@
         self._outliers.record_outcome(server, outcome, now)
         return True
 
-    def judge_rejections(self, attempt: Attempt, outcome: Outcome | int, now: float) -> None:
+    def attribute_rejections(self, attempt: Attempt, outcome: Outcome | int, now: float) -> None:
         """Hold a rejection against its server once another one has served the request."""
         request = attempt.request
         if outcome == Outcome.REJECTED_BY_SERVER:
--- a/heronlug/balancer/list_subscription.py
+++ b/heronlug/balancer/list_subscription.py
@@ -8,13 +8,13 @@
 from heronlug.balancer.settings import Settings
 from heronlug.balancer.timers import TimerQueue
 
-MAX_FAILURES = 4
+MAX_COUNTED_FAILURES = 4
 """Failures after which the backoff grows no more."""
 
 FIRST_BACKOFF_SHARE = 1 / 32
 """Of the poll interval; it doubles with each failure."""
 
-BACKOFF_SPREAD = (0.5, 1.0)
+BACKOFF_JITTER = (0.5, 1.0)
 """A backoff is shortened by a random factor: all dispatchers poll one slow service."""
 
 
@@ -29,20 +29,20 @@
         self._subscribed = settings.list_pushed
         self._failures = 0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """A poll failed or a subscription broke: ask again after a backoff."""
         self._subscribed = self._settings.list_pushed
-        self._failures = min(self._failures + 1, MAX_FAILURES)
+        self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
         first_backoff = self._settings.poll_interval * FIRST_BACKOFF_SHARE
-        backoff = first_backoff * 2**self._failures * self._rng.uniform(*BACKOFF_SPREAD)
-        self._timers.call_at(now + backoff, self._ask, None)
+        backoff = first_backoff * 2**self._failures * self._rng.uniform(*BACKOFF_JITTER)
+        self._timers.call_at(now + backoff, self._subscribe_if_needed, None)
 
-    def received(self, kind: ListKind, now: float) -> None:
+    def record_list(self, kind: ListKind, now: float) -> None:
         """A list came; one from a cache may be stale, so that a current one is asked for."""
         self._subscribed = self._settings.list_pushed or kind != ListKind.CACHED
         self._failures = 0
-        self._ask(None, now)
+        self._subscribe_if_needed(None, now)
 
-    def _ask(self, _: None, now: float) -> None:
+    def _subscribe_if_needed(self, _: None, now: float) -> None:
         if not self._subscribed:
             self._outbox.add(Subscribe())
--- a/heronlug/balancer/load_reports.py
+++ b/heronlug/balancer/load_reports.py
@@ -1,7 +1,7 @@
 """Load reports: when a dispatcher reports its load to the others, and how aggregators sum the reports up.
 
 A few dispatchers report to each other directly. Where that would be too much to read, each reports to the aggregators
-alone: the first ``AGGREGATORS`` by position, of which one may fail. They send summaries in turn; others take their
+alone: the first ``AGGREGATOR_COUNT`` by position, of which one may fail. They send summaries in turn; others take their
 place while too few of them are heard.
 """
 
@@ -13,19 +13,19 @@
 from heronlug.balancer.ranking import LEVELS_PER_SLOT
 from heronlug.balancer.state import BalancerState
 
-AGGREGATORS = 2
+AGGREGATOR_COUNT = 2
 """Dispatchers that sum reports up at a time."""
 
-MISSED_SUMMARIES = 4
+MAX_MISSED_SUMMARIES = 4
 """An aggregator that misses so many summaries has failed; counts that were not repeated for as long are void."""
 
-FAILING_SHARE = 0.2
+MAX_FAILING_SHARE = 0.2
 """At most this share of the servers, or what can be spared, is reported as failing."""
 
-UNHEALTHY = 0.6
+UNHEALTHY_BELOW = 0.6
 """Health below which a server is reported as failing: after two bad ends."""
 
-HEALTHY = 0.8
+HEALTHY_FROM = 0.8
 """Health from which it is no longer reported as failing."""
 
 EVERY_PEER = -1
@@ -48,7 +48,7 @@
 
     def expire(self, now: float) -> None:
         """Void counts that have not been repeated for too long."""
-        before = now - MISSED_SUMMARIES * self._derived.summary_interval
+        before = now - MAX_MISSED_SUMMARIES * self._derived.summary_interval
         self._peer_load.expire(before, self._servers.by_id, self._derived.aggregated)
 
     def report_if_due(self, now: float) -> None:
@@ -60,7 +60,7 @@
             return
         receivers = [EVERY_PEER]
         if self._derived.aggregated:
-            receivers = peer_load.aggregators_since(now - MISSED_SUMMARIES * self._derived.summary_interval)
+            receivers = peer_load.aggregators_since(now - MAX_MISSED_SUMMARIES * self._derived.summary_interval)
         if receivers:
             peer_load.last_report_at = now
             report = peer_load.report(now)
@@ -80,19 +80,19 @@
         self._timers.call_at(self._next_heartbeat(now), self._on_heartbeat, None)
 
     def _is_aggregator(self, now: float) -> bool:
-        heard_at = self._peer_load.aggregators_heard_at(self._position, AGGREGATORS, now)
-        if self._position < AGGREGATORS:
+        heard_at = self._peer_load.aggregators_heard_at(self._position, AGGREGATOR_COUNT, now)
+        if self._position < AGGREGATOR_COUNT:
             return True
-        return now - heard_at > (2 * MISSED_SUMMARIES + self._position) * self._derived.summary_interval
+        return now - heard_at > (2 * MAX_MISSED_SUMMARIES + self._position) * self._derived.summary_interval
 
     def _next_heartbeat(self, now: float) -> float:
         """The next one of a round of all aggregators; their turns follow from the clock and their positions."""
         interval = self._derived.summary_interval
-        round_time = AGGREGATORS * interval
+        round_time = AGGREGATOR_COUNT * interval
         if not self._peer_load.aggregating:
             return now + round_time
         soonest = now + interval / 2
-        return soonest + round_time - (soonest - self._position % AGGREGATORS * interval) % round_time
+        return soonest + round_time - (soonest - self._position % AGGREGATOR_COUNT * interval) % round_time
 
     def _send_summary(self) -> None:
         for content in self._peer_load.summary(self._levels()):
@@ -102,18 +102,18 @@
     def _levels(self) -> list[int]:
         """The load level of each ready server, ``LEVEL_FAILING`` for those that seem to fail."""
         servers = self._peer_load.servers_in_order
-        loads = [_load_by_slot(server) for server in servers]
-        spare_share = max(FAILING_SHARE, 1 - sum(loads) / max(1, len(loads)))
-        unhealthy = sorted((s for s in servers if s.outlier.health < HEALTHY), key=attrgetter("outlier.health"))
+        loads = [_load_per_slot(server) for server in servers]
+        spare_share = max(MAX_FAILING_SHARE, 1 - sum(loads) / max(1, len(loads)))
+        unhealthy = sorted((s for s in servers if s.outlier.health < HEALTHY_FROM), key=attrgetter("outlier.health"))
         worst = unhealthy[: int(spare_share * len(servers))]
-        failing = {s for s in worst if s.load.level == LEVEL_FAILING or s.outlier.health < UNHEALTHY}
+        failing = {s for s in worst if s.load.level == LEVEL_FAILING or s.outlier.health < UNHEALTHY_BELOW}
         return [
             LEVEL_FAILING if server.zone_standing.reported_excluded or server in failing else _level(load)
             for server, load in zip(servers, loads, strict=True)
         ]
 
 
-def _load_by_slot(server: Server) -> float:
+def _load_per_slot(server: Server) -> float:
     slots = server.load.peer_slots + server.load.own_slots
     return slots / server.capacity.slots if slots > 0 else 0.0
 
--- a/heronlug/balancer/model.py
+++ b/heronlug/balancer/model.py
@@ -276,13 +276,13 @@
         "non_idempotent",
         "not_before",
         "over_quota",
-        "patient_until",
         "policy",
         "rejected_by",
         "retry_is_harmless",
         "slots",
         "starting_slots",
         "value",
+        "wait_for_slot_until",
         "work",
         "work_hint",
     )
@@ -297,8 +297,8 @@
         self.max_attempts = 0
         self.not_before = 0.0
         self.non_idempotent = policy.effect is Effect.NON_IDEMPOTENT
-        dropped_everywhere = policy.effect is Effect.IDEMPOTENT_BY_KEY and policy.key_scope is KeyScope.ALL
-        self.retry_is_harmless = dropped_everywhere or policy.effect is Effect.IDEMPOTENT
+        repeats_dropped_everywhere = policy.effect is Effect.IDEMPOTENT_BY_KEY and policy.key_scope is KeyScope.ALL
+        self.retry_is_harmless = repeats_dropped_everywhere or policy.effect is Effect.IDEMPOTENT
         self.attempts: list[Attempt] = []
         self.rejected_by: list[Server] = []
         self.over_quota = False
@@ -306,7 +306,7 @@
         self.value = 0.0
         self.due_at = 0.0
         self.latest_start = 0.0
-        self.patient_until = 0.0
+        self.wait_for_slot_until = 0.0
 
     @property
     def in_flight(self) -> bool:
@@ -320,9 +320,9 @@
 
     def repeat_window_over_by(self, by: float) -> bool:
         """Whether servers no longer drop a repeat by that time, though an attempt may have run."""
-        last = by - self.policy.repeat_window
+        earliest_send = by - self.policy.repeat_window
         return self.policy.effect is Effect.IDEMPOTENT_BY_KEY and any(
-            attempt.may_have_run and attempt.sent_at < last for attempt in self.attempts
+            attempt.may_have_run and attempt.sent_at < earliest_send for attempt in self.attempts
         )
 
     def attempts_spent_by(self, by: float) -> bool:
--- a/heronlug/balancer/placement.py
+++ b/heronlug/balancer/placement.py
@@ -24,9 +24,9 @@
         self._timers, self._open_requests = state.timers, state.open_requests
         self._selection, self._queue, self._starter = selection, queue, starter
 
-    def give_up_in_time(self, request: Request) -> None:
+    def schedule_give_up(self, request: Request) -> None:
         """Set the timer that gives a request up one tick before its client's time is over."""
-        self._timers.call_at(request.give_up_at - self._tick, self._on_time_over, request)
+        self._timers.call_at(request.give_up_at - self._tick, self._on_give_up_time, request)
 
     def place_after_backoff(self, request: Request, backoff_ends: float, now: float) -> None:
         """Place a request when its backoff is over; if its time is over by then, it is given up now."""
@@ -54,5 +54,5 @@
         else:
             self._queue.add(request, now)
 
-    def _on_time_over(self, request: Request, _: float) -> None:
+    def _on_give_up_time(self, request: Request, _: float) -> None:
         self._open_requests.finish(request, GiveUpReason.NO_TIME)
--- a/heronlug/balancer/selection.py
+++ b/heronlug/balancer/selection.py
@@ -24,13 +24,13 @@
 from heronlug.balancer.slow_start import CapacityShares
 from heronlug.balancer.state import BalancerState
 
-LEAST_SLOTS_FACTOR = 0.8
+SLOTS_DECREASE_FACTOR = 0.8
 """The candidates hold while no capacity estimate falls below this part of what it was."""
 
-EXTRA_SLOTS = 0.5
+SLOTS_INCREASE = 0.5
 """The candidates hold while no capacity estimate grows by more slots than this over K."""
 
-IDLE_SLOTS = 0.5
+IDLE_QUEUE_SLOTS = 0.5
 """A server with less than this in its queue has room for any request."""
 
 
@@ -86,22 +86,24 @@
         if request.attempts and not self._retries.allow_attempt(request, now):
             return None  # before any server is looked at, so that it takes no turn of the exploration round
         waits_for_freed = self._derived.can_hedge and request.non_idempotent
-        first = self.freed if waits_for_freed else self._exploration.pending
+        preferred_servers = self.freed if waits_for_freed else self._exploration.pending
         self._plan_exploration(request, now, overdue=overdue)
         overloaded = self._overload.would_wait_too_long(request, now)
         if not overdue:
-            server = self._explore(request, first, now, overloaded=overloaded, only_unobserved=not waits_for_freed)
+            server = self._explore(
+                request, preferred_servers, now, overloaded=overloaded, only_unobserved=not waits_for_freed
+            )
             if server is not None:
                 return server
-        still_patient = waits_for_freed and not (overdue or self._derived.learns_from_starts)
-        if overloaded or (still_patient and now < request.patient_until):
+        may_wait_for_slot = waits_for_freed and not (overdue or self._derived.learns_from_starts)
+        if overloaded or (may_wait_for_slot and now < request.wait_for_slot_until):
             return None
-        return self._first_that_fits(request, now, overdue)
+        return self._first_fitting_candidate(request, now, overdue)
 
     def _plan_exploration(self, request: Request, now: float, *, overdue: bool) -> None:
         """Add the server that is ours to probe, and those at which a reservation of ours has opened."""
         if self._derived.aggregated and not overdue and not request.non_idempotent:
-            self._exploration.take_turn(now)
+            self._exploration.rotate_probe_server(now)
         self._exploration.visit(self._shares.reservation_turns(now))
 
     def _explore(
@@ -117,13 +119,13 @@
                 return server
         return None
 
-    def _first_that_fits(self, request: Request, now: float, overdue: bool) -> Server | None:
+    def _first_fitting_candidate(self, request: Request, now: float, overdue: bool) -> Server | None:
         """The first candidate by rank; not one that had an attempt, as what failed there may fail there again."""
-        tried: list[Server] = []
+        tried_servers: list[Server] = []
         if len(request.attempts) < len(self._ranking.servers):
-            tried = [attempt.server for attempt in request.attempts]
+            tried_servers = [attempt.server for attempt in request.attempts]
         for server in self.ranked_candidates(request, overdue, now):
-            if server not in tried and self._fits(request, server, now):
+            if server not in tried_servers and self._fits(request, server, now):
                 return server
         return None
 
@@ -153,16 +155,16 @@
         load, capacity = server.load, server.capacity
         bounds = self._slot_bounds.get(capacity)
         if bounds is None:
-            most = capacity.slots + EXTRA_SLOTS / self._ranking.queue_limit
-            bounds = self._slot_bounds[capacity] = LEAST_SLOTS_FACTOR * capacity.slots, most
+            upper_bound = capacity.slots + SLOTS_INCREASE / self._ranking.queue_limit
+            bounds = self._slot_bounds[capacity] = SLOTS_DECREASE_FACTOR * capacity.slots, upper_bound
         if not self._derived.aggregated:
             queue = load.own_slots + load.peer_slots
         elif load.reported_failing:
             return server is self._exploration.probe_server
         else:
-            by_summary = load.level * capacity.slots / LEVELS_PER_SLOT
-            queue = max(load.own_slots, by_summary + min(0.0, load.slots_since_summary))
-        return queue + 1.0 <= self._ranking.queue_limit * bounds[1] or LEAST_SLOTS_FACTOR * queue < IDLE_SLOTS
+            reported_queue = load.level * capacity.slots / LEVELS_PER_SLOT
+            queue = max(load.own_slots, reported_queue + min(0.0, load.slots_since_summary))
+        return queue + 1.0 <= self._ranking.queue_limit * bounds[1] or SLOTS_DECREASE_FACTOR * queue < IDLE_QUEUE_SLOTS
 
     # -- the exact conditions
 
@@ -176,17 +178,17 @@
             queue = load.own_slots + load.peer_slots
         else:
             # The summary counts our own slots too, but for what has changed since.
-            current = load.summary_number == self._peer_load.summaries_read
-            change = load.slots_since_summary if current else 0.0
-            if change >= 0 and self._ranking.full_level <= load.level < LEVEL_FAILING:
+            is_summary_current = load.summary_number == self._peer_load.summaries_read
+            own_slots_change = load.slots_since_summary if is_summary_current else 0.0
+            if own_slots_change >= 0 and self._ranking.full_level <= load.level < LEVEL_FAILING:
                 return False
             queue = load.own_slots
             if not load.reported_failing:
-                queue = max(load.own_slots, load.level * slots / LEVELS_PER_SLOT + change)
+                queue = max(load.own_slots, load.level * slots / LEVELS_PER_SLOT + own_slots_change)
         # An attempt of ours that has not started, now or just before, shows that no slot is free.
         if load.unstarted_attempts or now < server.outlier.saturated_until:
             return False
-        return queue + request.starting_slots <= self._ranking.queue_limit * slots or queue < IDLE_SLOTS
+        return queue + request.starting_slots <= self._ranking.queue_limit * slots or queue < IDLE_QUEUE_SLOTS
 
     def _may_send(self, request: Request, server: Server, now: float) -> bool:
         """The one gate that every attempt passes."""
@@ -200,7 +202,7 @@
             return False
         if server.zone_standing.excluded:
             return False
-        probe = server is self._exploration.probe_server and not request.non_idempotent
-        if server.load.reported_failing and not probe:
+        is_probe = server is self._exploration.probe_server and not request.non_idempotent
+        if server.load.reported_failing and not is_probe:
             return False
         return self._shares.may_send(server, request.work, now)
--- a/tests/balancer/test_load_reports.py
+++ b/tests/balancer/test_load_reports.py
@@ -7,7 +7,7 @@
 
 from heronlug import ClientGone, Dispatcher, ListKind, Outcome, PeerMessage, SendPeerMessage
 from heronlug.balancer.derived_settings import SCORES_PER_CPU_US
-from heronlug.balancer.load_reports import MISSED_SUMMARIES, UNHEALTHY
+from heronlug.balancer.load_reports import MAX_MISSED_SUMMARIES, UNHEALTHY_BELOW
 from heronlug.balancer.model import Request, Server
 from heronlug.balancer.outlier_detection import EJECTION_DIALS
 from heronlug.balancer.peer_load import COUNTS_IN_MESSAGE, ENDED_BADLY, ENDED_WELL, PeerLoad
@@ -80,7 +80,7 @@
 def test_first_by_position_relay_and_others_step_in_when_they_are_silent() -> None:
     host = crowd(1)
     gap = host.dispatcher.state.derived.summary_interval
-    host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
+    host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * gap)
     first, *rest = [tell.content for tell in told(host)]
     assert first == PeerLoad.SUMMARY
     assert rest
@@ -91,9 +91,9 @@
         for relay in (0, 1):
             host.give(PeerMessage(relay, PeerLoad.SUMMARY))
     assert not told(host)
-    host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)  # both died
+    host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * gap)  # both died
     assert told(host)
-    for _ in range(2 * MISSED_SUMMARIES):
+    for _ in range(2 * MAX_MISSED_SUMMARIES):
         host.until(host.now + gap)
         for relay in (0, 1):
             host.give(PeerMessage(relay, PeerLoad.SUMMARY))
@@ -132,11 +132,11 @@
     """Risk: each of 150 dispatchers pays for its own first failure at each bad worker (28% of attempts)."""
     host = crowd(0, workers=10)
     gap = host.dispatcher.state.derived.summary_interval
-    host.until(host.now + (2 * MISSED_SUMMARIES + 4) * gap)
+    host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * gap)
     assert host.dispatcher.state.peer_load.aggregating
     bad = host.dispatcher.state.peer_load.servers_in_order[3]
     host.give(PeerMessage(7, count(bad.id, ENDED_BADLY)))
-    assert bad.outlier.health > UNHEALTHY  # one failure may be chance
+    assert bad.outlier.health > UNHEALTHY_BELOW  # one failure may be chance
     host.give(PeerMessage(8, count(bad.id, ENDED_BADLY)))
     host.until(host.now + 2 * gap)
     assert told(host)[-1].content[PeerLoad.HEAD.size :].hex() == "000f000000"
@@ -175,7 +175,7 @@
     marks = []
     for used in (0, 1):
         host = crowd(0, workers=10)
-        host.until(host.now + (2 * MISSED_SUMMARIES + 4) * host.dispatcher.state.derived.summary_interval)
+        host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * host.dispatcher.state.derived.summary_interval)
         for at, worker in enumerate(host.dispatcher.state.peer_load.servers_in_order):
             for peer in (7, 8, 9):
                 code = ENDED_BADLY if at < 6 else 0
@@ -207,7 +207,7 @@
     worker = host.sent[job][0]
     for _ in range(8):
         before = len(told(host))
-        for _ in range(MISSED_SUMMARIES):
+        for _ in range(MAX_MISSED_SUMMARIES):
             host.give(PeerMessage(0, PeerLoad.SUMMARY))
             host.until(host.now + host.dispatcher.state.derived.summary_interval)
         pairs = [tell.content[PeerLoad.STAMP.size :] for tell in told(host)[before:]]
