--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -6,13 +6,13 @@
 from heronlug.emulator.scenario import Scenario
 from heronlug.emulator.world import World
 
-DEPLOY = '[[trouble]]\nwhat = "deploy"\nat_s = 3\nshare = 0.8\nover_s = 6\n'
+DEPLOYMENT = '[[trouble]]\nwhat = "deploy"\nat_s = 3\nshare = 0.8\nover_s = 6\n'
 
 
-def blind() -> Scenario:
+def scenario_without_gossip() -> Scenario:
     """Sixty dispatchers, one job a second each, half of what hosts do while warm; late jobs earn nothing."""
     return scenario(
-        DEPLOY,
+        DEPLOYMENT,
         span_s=24,
         dispatchers__count=60,
         dispatchers__may_tell=False,
@@ -30,11 +30,11 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_no_cold_host_is_pushed_over_and_the_fleet_does_not_stay_in_a_jam(seed: int) -> None:
+def test_no_warming_server_is_overloaded_and_the_fleet_recovers(seed: int) -> None:
     """Without tickets and holding 19 to 22 hosts are pushed over, and 0.21 to 0.23 is served."""
-    world = World(blind(), seed)
+    world = World(scenario_without_gossip(), seed)
     figures = world.run()
     assert world.checker.violations == []
     assert figures.service > 0.27
-    assert sum(lane.request_count for lane in figures.classes) == world.clients.ended_requests
+    assert sum(class_figures.request_count for class_figures in figures.classes) == world.clients.ended_requests
     assert world.clients.open_requests == 0
--- a/tests/balancer/test_recorded_streams.py
+++ b/tests/balancer/test_recorded_streams.py
@@ -7,10 +7,10 @@
 
 
 @pytest.mark.parametrize("name", record.SITES)
-def test_decisions_of_a_recorded_stream(name: str) -> None:
-    head, events = record.read(name)
+def test_actions_match_the_recorded_stream(name: str) -> None:
+    header, events = record.read(name)
     dispatcher = Dispatcher(record.settings(name), 7)
-    answers = [list(dispatcher.handle(now, event)) for now, event in events]
-    kinds = [record.ACTIONS[type(action)] for actions in answers for action in actions]
-    assert {kind: kinds.count(kind) for kind in sorted(set(kinds))} == head["actions"]
-    assert record.digest(answers) == head["digest"]
+    action_lists = [list(dispatcher.handle(now, event)) for now, event in events]
+    action_names = [record.ACTIONS[type(action)] for actions in action_lists for action in actions]
+    assert {kind: action_names.count(kind) for kind in sorted(set(action_names))} == header["actions"]
+    assert record.digest(action_lists) == header["digest"]
