--- a/heronlug/__init__.py
+++ b/heronlug/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a dispatcher that forwards requests to servers."""
+"""Exports the public interface of the balancer, which decides how a dispatcher forwards requests to servers."""
 
 from heronlug.balancer.actions import (
     Action,
--- a/heronlug/balancer/actions.py
+++ b/heronlug/balancer/actions.py
@@ -1,6 +1,6 @@
-"""Actions that a dispatcher returns for its host to carry out, in order.
+"""Defines the actions that a dispatcher returns and its host carries out in order.
 
-All times and spans are milliseconds on one clock that only goes forward; ids are integers chosen by the caller.
+All times and durations are milliseconds on one monotonic clock; ids are integers chosen by the caller.
 """
 
 from enum import Enum
@@ -8,81 +8,81 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start the request's next attempt; attempts are numbered 0, 1, 2 ... in this order."""
+    """Start the next attempt of a request; attempts are numbered from 0 in the order of these actions."""
 
     request: int
     server: int
 
 
 class GiveUpReason(Enum):
-    """Why a request is given up; the values stand in the log, and nothing follows from them."""
+    """Reason for giving up a request; the value is written to the log and has no other effect."""
 
     NO_TIME = "no_time"
-    """Its client's time is over, or there is none left for an attempt."""
+    """The deadline of the client has passed, or too little time is left for an attempt."""
 
     NO_ATTEMPT = "no_attempt"
-    """It may have no further attempt: their number or its repeat window is spent."""
+    """No further attempt is allowed: the maximum number of attempts is reached or the repeat window is over."""
 
     MAY_HAVE_RUN = "may_have_run"
-    """An attempt ended unknown, and it must not run twice."""
+    """An attempt ended with an unknown result, and the request must not run twice."""
 
     FAULTY = "faulty"
-    """Servers find fault with the request itself."""
+    """Servers rejected the request as invalid."""
 
     HOPELESS = "hopeless"
-    """Its answer would come too late, or be worth nothing."""
+    """The answer would come too late or would have no value."""
 
     CANCELLED_BEFORE_START = "moot"
-    """Its attempt could not begin any more."""
+    """The attempt could no longer start."""
 
     OVERRUN = "overrun"
-    """A limit of its class had the attempt cancelled, and allows no other."""
+    """The attempt reached the time limit of its class, which allows no further attempt."""
 
     SHUTDOWN = "shutdown"
-    """The process ends."""
+    """The process shuts down."""
 
 
 class Reject(NamedTuple):
-    """Final answer: the client may send the request again, as nothing has run or a second run does no harm."""
+    """Final answer: the client may safely retry, as no attempt has run or a second run is harmless."""
 
     request: int
     reason: GiveUpReason = GiveUpReason.NO_TIME
 
 
 class Fail(NamedTuple):
-    """Final answer: nothing is promised."""
+    """Final answer: the request failed, without a promise that a retry by the client is safe."""
 
     request: int
     reason: GiveUpReason = GiveUpReason.NO_TIME
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt that is in flight."""
 
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for :class:`heronlug.balancer.events.TimerFired` after ``delay`` ms."""
+    """Send :class:`heronlug.balancer.events.TimerFired` with this token after ``delay`` ms."""
 
     delay: float
     token: int
 
 
 class Subscribe(NamedTuple):
-    """Ask service discovery for changes of the endpoint list from now on."""
+    """Request the endpoint list and its future changes from service discovery."""
 
 
 class SendPeerMessage(NamedTuple):
-    """Send at most 256 bytes to another dispatcher, or with ``peer`` -1 to every other one."""
+    """Send a message of at most 256 bytes to one peer, or to every peer if ``peer`` is -1."""
 
     content: bytes
     peer: int = -1
 
 
 class LogLine(NamedTuple):
-    """A line for the people on call."""
+    """Write a line to the log for operators."""
 
     text: str
 
--- a/heronlug/balancer/admission.py
+++ b/heronlug/balancer/admission.py
@@ -1,9 +1,9 @@
-"""Admission: with which class, quota and times a request is taken on.
+"""Admits requests and assigns their class, due time, value and quota status.
 
-Inputs: the arrival with its class and tenant, and the expected run time.  A request is due after the latency objective
-of its class, which may grow with its work; it is overdue from the moment at which it could no longer end by then.  A
-tenant beyond its quota is not rejected: its requests are served as if they were overdue. What is not taken on at all is
-decided in :mod:`heronlug.requests.core`.
+A request is due after the latency objective of its class, which may grow with the work of the request.  A request is
+overdue once an attempt that starts now is expected to end after the due time.  Requests of a tenant beyond its quota
+are not rejected but served as if overdue.  :mod:`heronlug.requests.core` decides which requests are rejected on
+arrival.
 """
 
 from heronlug.balancer.estimates import ClassValues, TokenBucket
@@ -14,17 +14,17 @@
 from heronlug.balancer.settings import Settings
 
 QUOTA_SLACK = 1.2
-"""A tenant may have this many times its share of our requests."""
+"""A tenant may send this many times its quota share of the requests of this dispatcher."""
 
 QUOTA_BURST = 4.0
-"""Requests beyond that which a tenant may have at once."""
+"""Number of requests beyond that share that a tenant may send in a burst."""
 
 SLOT_WAIT_SHARE = 1 / 4
-"""Share of the time until its latest start in which a request may wait for a slot that is seen to become free."""
+"""Share of the time until its latest start for which a request may wait for a slot to be observed as free."""
 
 
 class Admission:
-    """Accepts requests."""
+    """Creates the record of each admitted request."""
 
     __slots__ = ("_arrivals", "_class_values", "_quotas", "_run_times", "_settings")
 
@@ -37,7 +37,7 @@
         self._quotas = [TokenBucket(QUOTA_BURST, QUOTA_SLACK * quota / total) for quota in settings.quotas]
 
     def admit(self, arrival: RequestArrived, now: float) -> Request:
-        """Accept a request that arrives, or arrived, at this time."""
+        """Returns a new request that was accepted at time ``now``, which may be in the past after a handover."""
         policy = arrival.policy or self._settings.classes[arrival.request_class]
         request = Request(arrival, policy)
         request.max_attempts = self._settings.max_attempts_of(policy)
@@ -54,5 +54,5 @@
         return request
 
     def _is_over_quota(self, tenant: int) -> bool:
-        """Whether a tenant has had its share of our requests; all traffic is not seen from here."""
+        """Returns whether a tenant has used up its quota, measured against the requests of this dispatcher alone."""
         return tenant < len(self._quotas) and not self._quotas[tenant].take(self._arrivals.value)
--- a/heronlug/balancer/attempt_starts.py
+++ b/heronlug/balancer/attempt_starts.py
@@ -1,4 +1,4 @@
-"""What the start of an attempt teaches, where servers report starts: slots in use, and how long a report takes."""
+"""Learns slots in use and start delays from attempt starts, where servers report starts."""
 
 from collections import defaultdict
 
@@ -9,10 +9,10 @@
 
 
 class AttemptStarts:
-    """Records starts, and attempts that wait for one.
+    """Records starts of attempts and overdue starts.
 
     Attributes:
-        delays: by zone, how long the report of a start takes where nothing holds it up.
+        delays: by zone, the estimated delay of the report of a start at a server with a free slot.
     """
 
     __slots__ = ("_learns_from_starts", "_shares", "delays")
@@ -23,7 +23,7 @@
         self.delays: defaultdict[int, StartDelay] = defaultdict(StartDelay)
 
     def record_start(self, attempt: Attempt, now: float) -> None:
-        """Record that an attempt has started."""
+        """Records that an attempt has started."""
         server, delay = attempt.server, now - attempt.sent_at
         attempt.unstarted, attempt.started_at = False, now
         server.load.unstarted_attempts -= 1
@@ -33,12 +33,12 @@
             server.capacity.record_start(_busy_slots(server))
 
     def record_wait(self, attempt: Attempt) -> None:
-        """Record that an attempt has not started in the time in which a start is usually reported."""
+        """Records that the start of an attempt is overdue: not reported within the usual delay."""
         if self._learns_from_starts:
             attempt.server.capacity.record_wait(_busy_slots(attempt.server))
 
 
 def _busy_slots(server: Server) -> float:
-    """Slots in use, as far as they are known."""
+    """Returns the known number of slots in use at a server."""
     load = server.load
     return load.own_slots - load.unstarted_attempts + load.peer_slots
--- a/heronlug/balancer/attempt_timeouts.py
+++ b/heronlug/balancer/attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""Attempt timeouts: the limit of a class on the time that one attempt may take."""
+"""Cancels attempts that exceed the attempt timeout of their request class."""
 
 from heronlug.balancer.actions import CancelAttempt
 from heronlug.balancer.model import Attempt
@@ -8,7 +8,7 @@
 
 
 class AttemptTimeouts:
-    """Cancels attempts that take longer than their class allows."""
+    """Sets and handles the timers for attempt timeouts."""
 
     __slots__ = ("_open_requests", "_outbox", "_timers")
 
@@ -16,13 +16,13 @@
         self._timers, self._open_requests, self._outbox = timers, open_requests, outbox
 
     def watch(self, attempt: Attempt, now: float) -> None:
-        """Set the timer of an attempt, if its class limits its time."""
+        """Sets the timer of an attempt if its class has an attempt timeout."""
         timeout = attempt.request.policy.attempt_timeout
         if timeout:
             self._timers.call_at(attempt.sent_at + timeout, self._on_timeout, attempt)
 
     def _on_timeout(self, attempt: Attempt, _: float) -> None:
-        """Cancel the attempt; as it may have run, its end decides what may follow."""
+        """Cancels the attempt; whether a retry may follow is decided when the attempt ends, as it may have run."""
         request = attempt.request
         if attempt.in_flight and self._open_requests.is_open(request):
             attempt.timed_out = True
--- a/heronlug/balancer/attempts.py
+++ b/heronlug/balancer/attempts.py
@@ -1,4 +1,4 @@
-"""Starting an attempt: what is booked for it, and who watches it from then on."""
+"""Starts attempts, records them in the load accounting and hands them to the watchers."""
 
 from typing import Protocol
 
@@ -11,17 +11,17 @@
 
 
 class AttemptWatcher(Protocol):
-    """Plans what is to be done about an attempt that does not end."""
+    """Sets timers for an attempt that does not end in time."""
 
     def watch(self, attempt: Attempt, now: float) -> None:
-        """Plan when to look at an attempt that is in flight from now on."""
+        """Sets the timer, if any, for an attempt that is in flight from now on."""
 
 
 class AttemptStarter:
-    """Starts attempts at servers that have been selected.
+    """Starts attempts at selected servers.
 
     Attributes:
-        watchers: are told of each attempt in flight, in this order.
+        watchers: notified of each attempt in flight, in this order.
     """
 
     __slots__ = ("_budget", "_ranking", "_shares", "_state", "watchers")
@@ -31,7 +31,7 @@
         self.watchers: list[AttemptWatcher] = []
 
     def start(self, request: Request, server: Server, now: float) -> None:
-        """Start the next attempt of a request."""
+        """Starts the next attempt of a request."""
         self._budget.spend(request)
         attempt = Attempt(request, server, now, self._state.settings.reports_start)
         self._state.open_requests.begin_attempt(attempt)
@@ -41,6 +41,6 @@
         self._state.outbox.add(StartAttempt(request.id, server.id))
 
     def watch(self, attempt: Attempt, now: float) -> None:
-        """Have an attempt in flight watched."""
+        """Passes an attempt in flight to all watchers."""
         for watcher in self.watchers:
             watcher.watch(attempt, now)
--- a/heronlug/balancer/candidates.py
+++ b/heronlug/balancer/candidates.py
@@ -1,12 +1,12 @@
-"""Candidates: an index of the servers that may have room, in the order of their rank.
+"""Indexes the servers that may have room by their rank.
 
-A server is looked for whenever a request comes, whenever an attempt ends, and again and again while requests wait.
-With thousands of servers, most of which are full, or warm up without a share of ours, a scan of the whole ranking
-that ends with nothing would cost as much as the list is long each time.
+A server is selected whenever a request arrives, whenever an attempt ends, and repeatedly while requests wait.  With
+thousands of servers, most of them full or warming up without a capacity share for this dispatcher, an unsuccessful
+scan of the whole ranking would take time proportional to its length each time.
 
-The index holds the ranks of the servers that pass a *necessary* condition. Whoever is left out would have been
-rejected by the exact conditions, which are checked on the rest alone, so the choice is that of a scan. A server is
-checked again after :meth:`Candidates.touch`, and all of them after a new ranking.
+The index holds the ranks of the servers that satisfy a *necessary* condition.  The exact conditions, which would reject
+every other server, are checked for the indexed servers alone, so the result equals that of a full scan.  A server is
+checked again after :meth:`Candidates.touch`, and every server after a new ranking.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -18,46 +18,50 @@
 from heronlug.balancer.settings import KeyScope
 
 ANY_KIND = -1
-"""The kind of a request that any server can run."""
+"""The server kind of requests that any server can run."""
 
 
 class Candidates:
-    """Ranks of the servers that may have room: of all, by kind, and by deduplication group."""
+    """Ranks of the servers that may have room: in total, by kind and by deduplication group."""
 
     __slots__ = ("_by_group", "_by_kind", "_may_have_room", "_ranking", "_stale", "_touched")
 
     def __init__(self, may_have_room: Callable[[Server], bool]) -> None:
-        """Make an empty index; the condition is false only for a server that no request could go to now."""
+        """Creates an empty index.
+
+        Args:
+            may_have_room: the necessary condition, False only for a server that can accept no request at this time.
+        """
         self._may_have_room = may_have_room
         self._ranking: Sequence[Server] = ()
         self._by_kind: dict[int, SortedList[int]] = {}
-        self._by_group: dict[DeduplicationGroup, SortedList[int]] | None = None  # made when first needed
+        self._by_group: dict[DeduplicationGroup, SortedList[int]] | None = None  # built on first use
         self._touched: dict[int, Server] = {}
         self._stale = False
 
     def rank(self, ranking: Sequence[Server]) -> None:
-        """Use a new ranking, best first."""
+        """Replaces the ranking, given best first, and assigns each server its rank."""
         self._ranking, self._stale = ranking, True
         for rank, server in enumerate(ranking):
             server.rank = rank
 
     def expire(self) -> None:
-        """Have all servers checked again."""
+        """Schedules a new check of all servers."""
         self._stale = True
 
     def touch(self, server: Server) -> None:
-        """Have a server checked again."""
+        """Schedules a new check of a server."""
         self._touched[server.id] = server
 
     def ranked(
         self, kind: int = ANY_KIND, group: DeduplicationGroup | None = None, worst_first: bool = False
     ) -> Iterator[Server]:
-        """The servers that may have room, best first.
+        """Returns the servers that may have room, best-ranked first.
 
         Args:
-            kind: the kind of server, or ``ANY_KIND``.
-            group: if given, only servers of this group, of all kinds.
-            worst_first: return the worst first.
+            kind: the required kind of server, or ``ANY_KIND``.
+            group: if given, restricts the result to servers of this group, of any kind.
+            worst_first: whether to return the worst-ranked server first.
         """
         self._refresh()
         ranks: Sequence[int] = self._by_kind.get(kind, ()) if group is None else self._ranks_of_group(group)
@@ -92,10 +96,10 @@
         self._by_group, self._stale = None, False
 
     def _check(self, server: Server) -> None:
-        """Bring the lists up to date that a server belongs to."""
+        """Updates the rank lists that a server belongs to."""
         rank = server.rank
         if not 0 <= rank < len(self._ranking) or self._ranking[rank] is not server:
-            return  # it is not in the ranking
+            return  # the server is not in the ranking
         fits, all_ranks = self._may_have_room(server), self._by_kind[ANY_KIND]
         if fits == (rank in all_ranks):
             return
--- a/heronlug/balancer/deduplication.py
+++ b/heronlug/balancer/deduplication.py
@@ -1,4 +1,4 @@
-"""Where a repeat of a request may go: servers of one group drop repeats of what has run at another of them."""
+"""Determines which servers may receive a repeat of a request that is idempotent by key."""
 
 from typing import NamedTuple
 
@@ -9,19 +9,24 @@
 
 
 class DeduplicationGroup(NamedTuple):
-    """Servers of which each drops a repeat of what has run at another: those of a zone, or of one cell of it."""
+    """Servers that drop repeats of requests that have run at any server of the group.
+
+    Attributes:
+        zone: the number of the zone.
+        cell: the number of the cell within the zone, or ``WHOLE_ZONE``.
+    """
 
     zone: int
     cell: int = WHOLE_ZONE
 
     @classmethod
     def of(cls, scope: KeyScope, server: Server) -> "DeduplicationGroup":
-        """The group of a server within this scope."""
+        """Returns the deduplication group of a server for this scope."""
         return cls(server.zone, server.cell if scope is KeyScope.CELL else WHOLE_ZONE)
 
 
 def required_group(request: Request) -> DeduplicationGroup | None:
-    """The only group that a request may go to after what may have run; None where any server may have it."""
+    """Returns the group that a request is restricted to after an attempt that may have run; None if any server fits."""
     scope = request.policy.key_scope
     if request.policy.effect is not Effect.IDEMPOTENT_BY_KEY or scope is KeyScope.ALL:
         return None
@@ -30,7 +35,7 @@
 
 
 def drops_repeats(request: Request, server: Server) -> bool:
-    """Whether a server drops repeats of all attempts of a request that may have run elsewhere."""
+    """Returns whether a server drops repeats of every attempt of a request that may have run at another server."""
     scope = request.policy.key_scope
     if request.policy.effect is not Effect.IDEMPOTENT_BY_KEY or scope is KeyScope.ALL:
         return True
--- a/heronlug/balancer/derived_settings.py
+++ b/heronlug/balancer/derived_settings.py
@@ -1,53 +1,53 @@
-"""What follows from the settings once and for all: intervals, and which mechanisms there is a use for."""
+"""Derives constant intervals and feature switches from the settings."""
 
 from dataclasses import dataclass
 
 from heronlug.balancer.settings import Effect, Settings
 
 CHECK_INTERVALS_PER_OBJECTIVE = 16
-"""Check intervals within the shortest latency objective."""
+"""Number of check intervals in the shortest latency objective."""
 
 CHECK_INTERVALS_PER_RECHECK = 2
-"""Check intervals between two looks at a request that waits."""
+"""Number of check intervals between two checks of a request that waits."""
 
 REPORTS_PER_REQUEST = 16
-"""Load reports that a dispatcher can read for each request of its own; with more, aggregators sum them up."""
+"""Number of load reports that a dispatcher can read per request of its own; beyond it, aggregators sum reports up."""
 
 SUMMARIES_PER_OBJECTIVE = 4
-"""Load summaries are sent this often within the median latency objective."""
+"""Number of load summaries sent within the median latency objective."""
 
 SCORES_PER_OUTCOME = 128
-"""Servers that are scored for each outcome, at most, where the settings limit no CPU time."""
+"""Maximum number of servers scored per outcome if the settings do not limit the CPU time."""
 
 SCORES_PER_CPU_US = 3.2
-"""Servers that are scored for each microsecond of CPU that a request may use: a sixth of that time."""
+"""Servers scored per microsecond of CPU time that a request may use; scoring takes a sixth of that time."""
 
 DIAL_TIMEOUTS_PER_ATTEMPT = 2
-"""Connection time-outs that pass at most between a decision and the first byte at a server."""
+"""Maximum number of dial timeouts that elapse between a decision and the first byte sent to the server."""
 
 FREE_SLOTS_FIELD = "x0"
-"""The field of a server's load report that gives its free slots; the platform names it so."""
+"""Field of a server's load report with the number of free slots, as named by the platform."""
 
 
 @dataclass(frozen=True, slots=True)
 class DerivedSettings:
-    """Figures and switches that follow from :class:`Settings`.
+    """Intervals and feature switches derived from :class:`Settings`.
 
     Attributes:
-        check_interval: ms between two looks at whether the ranking is to be updated.
-        recheck_interval: ms between two looks at a request that waits, or could not be hedged.
-        dial_allowance: ms that an attempt may take until its first byte is written.
-        gossips: dispatchers exchange load reports.
-        aggregated: they are so many that aggregators sum the reports up.
-        report_interval: ms between two load reports of this dispatcher.
-        summary_interval: ms between two load summaries.
-        latency_objectives: those of all classes, ascending.
-        scores_per_outcome: servers that may be scored for each outcome.
-        can_hedge: attempts that have not started can be hedged.
-        can_retry: some class may have a second attempt after one that may have run.
-        free_slots_index: index of the free slots in a load report, -1 if it has none.
-        learns_from_starts: capacity is learned from starts and waits, as no report gives it.
-        silence_is_known: servers report starts and progress, so silence means something.
+        check_interval: time in ms between two checks whether to update the ranking.
+        recheck_interval: time in ms between two checks of a request that waits or could not be hedged.
+        dial_allowance: time in ms that an attempt may take until its first byte is written.
+        gossips: whether dispatchers exchange load reports.
+        aggregated: whether the number of dispatchers requires aggregators to sum up the load reports.
+        report_interval: time in ms between two load reports of this dispatcher.
+        summary_interval: time in ms between two load summaries.
+        latency_objectives: the latency objectives of all classes in ms, ascending.
+        scores_per_outcome: number of servers that may be scored per outcome.
+        can_hedge: whether attempts that have not started can be hedged.
+        can_retry: whether some class allows another attempt after one that may have run.
+        free_slots_index: index of the free slots in a load report, -1 if the report has no such field.
+        learns_from_starts: whether capacity is learned from starts and overdue starts, as no load report contains it.
+        silence_is_known: whether silent attempts can be detected, as servers report starts and progress.
     """
 
     check_interval: float
@@ -67,7 +67,7 @@
 
 
 def derive(settings: Settings) -> DerivedSettings:
-    """Work out what follows from the settings."""
+    """Returns the derived settings."""
     objectives = sorted(request_class.latency_objective for request_class in settings.classes)
     check_interval = objectives[0] / CHECK_INTERVALS_PER_OBJECTIVE
     gossips = settings.gossip and settings.instances > 1
--- a/heronlug/balancer/dispatcher.py
+++ b/heronlug/balancer/dispatcher.py
@@ -1,20 +1,21 @@
-"""The dispatcher: one handler for each event, nothing is decided here.
+"""Maps each event to calls on the rules of a dispatcher and returns the resulting actions.
 
-``Dispatcher.handle(now, event)`` returns the actions to carry out.  Each handler is a list of calls on the rules:
+``Dispatcher.handle(now, event)`` has one handler for each type of event. The handlers take no decisions themselves; the
+rules do:
 
 =========================================== ==========================================================
-what is accepted, with which times          :mod:`heronlug.balancer.admission`
-the order of the servers                    :mod:`heronlug.balancer.ranking`, ``payoffs``
-which server an attempt may go to           :mod:`heronlug.balancer.selection`, ``candidates``
-servers visited beside the ranking          :mod:`heronlug.balancer.exploration`
-what is sent, queued or given up            :mod:`heronlug.balancer.placement`, ``queue``, ``overload``
-what follows an attempt                     :mod:`heronlug.balancer.retries`, ``deduplication``, ``learning``
-copies beside an attempt                    :mod:`heronlug.balancer.hedging`, ``silence``
-servers that fail                           :mod:`heronlug.balancer.outlier_detection`
-servers that warm up                        :mod:`heronlug.balancer.slow_start`, ``reservations``
-zones that fail as one                      :mod:`heronlug.balancer.zone_failover`
-what other dispatchers report               :mod:`heronlug.balancer.peer_load`, ``load_reports``
-what another process goes on with           :mod:`heronlug.balancer.snapshot`
+admission and deadlines of requests         :mod:`heronlug.balancer.admission`
+ranking of the servers                      :mod:`heronlug.balancer.ranking`, ``payoffs``
+selection of a server for an attempt        :mod:`heronlug.balancer.selection`, ``candidates``
+exploration and probe requests              :mod:`heronlug.balancer.exploration`
+sending, queueing and giving up             :mod:`heronlug.balancer.placement`, ``queue``, ``overload``
+retries and learning after an attempt       :mod:`heronlug.balancer.retries`, ``deduplication``, ``learning``
+hedging and silent attempts                 :mod:`heronlug.balancer.hedging`, ``silence``
+ejection of failing servers                 :mod:`heronlug.balancer.outlier_detection`
+slow start of servers that warm up          :mod:`heronlug.balancer.slow_start`, ``reservations``
+failover between zones                      :mod:`heronlug.balancer.zone_failover`
+load reports of other dispatchers           :mod:`heronlug.balancer.peer_load`, ``load_reports``
+state for another process                   :mod:`heronlug.balancer.snapshot`
 =========================================== ==========================================================
 """
 
@@ -48,20 +49,20 @@
 
 
 class Dispatcher:
-    """Decides for one dispatcher: events in, actions out.
+    """Turns the events of one dispatcher into actions.
 
     Attributes:
-        settings: what it was configured with.
-        state: servers, requests, reports: what the rules share.
-        rules: what decides.
+        settings: the settings of this dispatcher.
+        state: servers, requests and load reports, shared by the rules.
+        rules: the rules that take the decisions.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Make a dispatcher that knows no server yet.
+        """Creates a dispatcher with an empty list of servers.
 
         Args:
-            settings: of this dispatcher.
-            seed: of its random draws: dispatchers and processes with the same seed draw the same.
+            settings: the settings of this dispatcher.
+            seed: seed of the random number generator; the same seed gives the same sequence in every process.
         """
         self.settings = settings
         self._rng = Random(seed)
@@ -82,11 +83,13 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """The actions that follow from an event, in order; an event of unknown type or id is ignored.
+        """Returns the actions that follow from an event, in order.
+
+        An event of an unknown type, or for an unknown request or attempt, is ignored.
 
         Args:
-            now: the time, never before that of the last event.
-            event: what has happened.
+            now: the current time in ms, not earlier than that of the previous event.
+            event: the event to handle.
         """
         state = self.state
         state.outbox.begin()
@@ -103,30 +106,34 @@
 
     @property
     def queue_length(self) -> int:
-        """Requests that wait for a server."""
+        """Number of requests that wait in the queue for a server."""
         return len(self.rules.queue)
 
     def avoided_servers(self, now: float) -> set[int]:
-        """The servers that get no ordinary request now."""
+        """Returns the numbers of the servers that receive no ordinary requests at this time."""
         return self.state.servers.avoided(now)
 
     def attempt_snapshots(self, request_id: int) -> tuple[AttemptSnapshot, ...] | None:
-        """The attempts of a request, for another process to go on with; None if it is over."""
+        """Returns the attempts of a request for a handover to another process; None if the request is not open."""
         return self.state.open_requests.attempt_snapshots(request_id)
 
     def not_before(self, request_id: int) -> float:
-        """When the backoff of a request ends; 0 if there is none."""
+        """Returns the time at which the backoff of a request ends, 0 if the request has none."""
         return self.state.open_requests.not_before(request_id)
 
     def snapshot(self) -> dict[str, Any]:
-        """What has been learned, for another process of this dispatcher."""
+        """Returns the learned state as a table for another process of this dispatcher."""
         return take_snapshot(self._learned_parts())
 
     def resume(self, table: object, now: float) -> None:
-        """Go on with what another process has learned.
+        """Restores the learned state of another process of this dispatcher and updates the ranking.
+
+        Args:
+            table: the result of :meth:`snapshot` in the other process.
+            now: the current time in ms.
 
         Raises:
-            SnapshotError: the table makes no sense.
+            SnapshotError: if the table is malformed.
         """
         restore_snapshot(self._learned_parts(), table, now)
         self.rules.rerank(now)
@@ -138,7 +145,7 @@
             self.rules.placement.place(self._admit(event, now), now)
 
     def _on_request_adopted(self, event: RequestAdopted, now: float) -> None:
-        """Another process accepted it: what is in flight goes on, and nothing is sent twice."""
+        """Takes over a request of another process; attempts in flight continue and are not sent again."""
         request = self._admit(event.arrival, event.accepted_at)
         servers = self.state.servers.by_id
         request.attempts = [Attempt.restore(request, servers[s.server], s) for s in event.attempts]
@@ -176,7 +183,7 @@
         attempt.record_progress(now)
         if attempt.unstarted:
             self.rules.starts.record_start(attempt, now)
-            if self.settings.may_cancel:  # its copies that have not started elsewhere have lost
+            if self.settings.may_cancel:  # the other attempts are hedges, needed only until one has started
                 self.state.open_requests.cancel_attempts(attempt.request, unstarted_only=True)
 
     def _on_attempt_ended(self, event: AttemptEnded, now: float) -> None:
--- a/heronlug/balancer/errors.py
+++ b/heronlug/balancer/errors.py
@@ -1,12 +1,17 @@
-"""Errors of the balancer."""
+"""Defines the errors that the balancer raises."""
 
 
 class BalancerError(Exception):
-    """Base of all errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class SettingsError(BalancerError, ValueError):
-    """A setting has a value that cannot be used."""
+    """A setting has a value outside its accepted range.
+
+    Attributes:
+        key: the name of the setting.
+        value: the value that is out of range.
+    """
 
     def __init__(self, key: str, value: object) -> None:
         super().__init__(f"{key}: {value!r} is out of range")
@@ -14,8 +19,8 @@
 
 
 class SnapshotError(BalancerError, ValueError):
-    """A snapshot of another process makes no sense; nothing of it was taken up."""
+    """A snapshot of another process is malformed; no part of the snapshot was restored."""
 
 
 class ZoneOrderError(BalancerError, ValueError):
-    """An operator's order for a zone that cannot be carried out; nothing has changed."""
+    """An operator's order for a zone cannot be carried out; the zone is unchanged."""
--- a/heronlug/balancer/estimates.py
+++ b/heronlug/balancer/estimates.py
@@ -1,8 +1,11 @@
-"""Small running figures: token buckets, delays and values by class, each on a clock that its owner counts."""
+"""Maintains running estimates: token buckets, start delays and the value served per request class."""
 
 
 class TokenBucket:
-    """A token bucket that fills at an even rate, up to its burst."""
+    """A token bucket that fills at a constant rate up to its burst size.
+
+    The caller defines the clock: ``at`` may be a time or a count of requests, and the rate is in tokens per unit of it.
+    """
 
     __slots__ = ("_as_of", "_burst", "_level", "_rate")
 
@@ -13,39 +16,39 @@
 
     @property
     def level(self) -> float:
-        """The tokens that there were at the last call."""
+        """Number of tokens at the last update."""
         return self._level
 
     def has(self, at: float) -> bool:
-        """Whether there is a token at that time."""
+        """Returns whether a token is available at that time."""
         self._level = min(self._burst, self._level + (at - self._as_of) * self._rate)
         self._as_of = at
         return self._level >= 1
 
     def take(self, at: float) -> bool:
-        """Take a token; returns False if there is none."""
+        """Takes a token and returns True; returns False if no token is available."""
         taken = self.has(at)
         self._level -= taken
         return taken
 
     def set_level(self, level: float, at: float) -> None:
-        """Set the tokens that there are at that time."""
+        """Sets the number of tokens at that time, limited to the burst size."""
         self._level, self._as_of = min(self._burst, level), at
 
 
 class StartDelay:
-    """How long the report of a start takes where nothing holds it up, estimated as RFC 6298 does round trips.
+    """Estimated delay of the report of a start at a server with a free slot, smoothed like round trips in RFC 6298.
 
-    What has to wait in a queue takes longer than the network and a handshake; how long those take is not known.
+    The delay of the network and of a handshake is not known in advance; an attempt that waits in a queue takes longer.
     """
 
     __slots__ = ("_deviation", "_mean")
 
     def __init__(self) -> None:
-        self._mean = self._deviation = -1.0  # nothing is known
+        self._mean = self._deviation = -1.0  # no report yet
 
     def record(self, delay: float) -> None:
-        """Record that a report took so long, in ms."""
+        """Updates the estimate with the delay of one report, in ms."""
         if self._mean < 0:
             self._mean, self._deviation = delay, delay / 2
         else:
@@ -53,37 +56,37 @@
             self._mean += (delay - self._mean) / 8
 
     def upper_bound(self, limit: float) -> float:
-        """A time that reports rarely exceed, in ms; ``most`` at most, and while nothing is known."""
+        """Returns a delay in ms that reports rarely exceed, at most ``limit``; ``limit`` before the first report."""
         return limit if self._mean < 0 else min(limit, self._mean + 4 * self._deviation)
 
 
 class ClassValues:
-    """Value requested and served in each class, remembered over about a thousand requests."""
+    """Value requested and served in each class, averaged over about the last thousand requests."""
 
     __slots__ = ("_requested", "_served")
 
-    REMAINING = 1 - 1 / 1024  # of every value, after each request
+    REMAINING = 1 - 1 / 1024  # decay factor of every value per request
 
     def __init__(self, classes: int) -> None:
         self._requested = [0.0] * classes
         self._served = [0.0] * classes
 
     def record_requested(self, class_index: int, value: float) -> None:
-        """Record that a request of that value came."""
+        """Records the value of an admitted request."""
         self._requested = [self.REMAINING * requested for requested in self._requested]
         self._served = [self.REMAINING * served for served in self._served]
         self._requested[class_index] += value
 
     def record_served(self, class_index: int, value: float) -> None:
-        """Record that so much of the value was served."""
+        """Records the value of a served request."""
         self._served[class_index] += value
 
     def share(self, class_index: int) -> float:
-        """The share of a class in the value requested, above 0; 1 while its requests have no value."""
+        """Returns the share of a class in the value requested, above 0; 1 while the class has no value requested."""
         return self._requested[class_index] / (sum(self._requested) or 1.0) or 1.0
 
     def worst_class(self) -> int:
-        """The class of which the smallest part has been served."""
+        """Returns the index of the class with the smallest share of its value served."""
         pairs = zip(self._served, self._requested, strict=True)
         served_shares = [served / requested if requested else 1.0 for served, requested in pairs]
         return served_shares.index(min(served_shares))
--- a/heronlug/balancer/events.py
+++ b/heronlug/balancer/events.py
@@ -1,9 +1,9 @@
-"""Events that a dispatcher is told of, in the order in which they happened.
+"""Defines the events that a host passes to a dispatcher, in the order in which they occurred.
 
-The numbers of the enumerations stand on the wire of the platform's simulator (:mod:`heronlug.adapter`), which plays all
-but a few of these events.
+The platform's simulator sends most of these events and uses the numbers of the enumerations on the wire
+(:mod:`heronlug.adapter`).
 
-All times and spans are milliseconds on one clock that only goes forward; ids are integers chosen by the caller.
+All times and durations are milliseconds on one monotonic clock; ids are integers chosen by the caller.
 """
 
 from enum import IntEnum
@@ -12,11 +12,11 @@
 from heronlug.balancer.settings import RequestClass
 
 FORGET_AFTER = 120_000.0
-"""Milliseconds after which a server that was removed is forgotten: listed again later, it is a new one."""
+"""Time in ms after which the state of a removed server is discarded; if listed again later, the server is a new one."""
 
 
 class ServerState(IntEnum):
-    """What the endpoint list says of a server."""
+    """State of a server in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -24,23 +24,23 @@
 
 
 class ListKind(IntEnum):
-    """What a :class:`ServerListUpdate` holds."""
+    """Content of a :class:`ServerListUpdate`."""
 
     CACHED = 0
-    """The whole list as last held before a restart, perhaps stale."""
+    """The whole list as cached before a restart; the list may be stale."""
 
     CHANGES = 1
-    """Entries that have changed."""
+    """Only the entries that have changed."""
 
     FULL = 2
-    """The whole list: a server that is missing is removed."""
+    """The whole list; a server that is missing from the list is removed."""
 
     FAILED = 3
-    """Nothing: a poll failed or a subscription broke, and the list held so far stays."""
+    """No entries: a poll failed or a watch ended with an error, and the current list stays in use."""
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """Result of an attempt."""
 
     SERVED = 1
     ERROR = 2
@@ -50,25 +50,28 @@
     RESET = 6
     CANCELLED = 7
     CANCELLED_BEFORE_START = 8
-    """Nothing was sent; the protocol calls it moot."""
+    """The attempt ended before anything was sent; the protocol calls this outcome ``moot``."""
 
     REJECTED_BY_SERVER = 9
-    """The server finds fault with the request itself; the simulator has no such outcome."""
+    """The server rejected the request as invalid; the simulator has no such outcome."""
 
     @property
     def log_name(self) -> str:
-        """Its name in the log, as the pages for people on call give it."""
+        """Name of the outcome in the log, as the operator documentation lists it."""
         return _LOG_NAMES.get(self, self.name.lower())
 
 
 _LOG_NAMES = {Outcome.CANCELLED_BEFORE_START: "moot", Outcome.REJECTED_BY_SERVER: "unusable"}
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START})
-"""Outcomes that prove that the attempt did not run; all others, and none yet, mean that it may have."""
+"""Outcomes that prove that the attempt did not run.
+
+With any other outcome, or while the attempt has no outcome yet, the attempt may have run.
+"""
 
 
 class ProgressKind(IntEnum):
-    """What a server reports of an attempt in flight."""
+    """Report of a server about an attempt in flight."""
 
     STARTED = 1
     PROGRESS = 2
@@ -78,13 +81,14 @@
     """One server in the endpoint list.
 
     Attributes:
-        server: its number.
-        state: what the list says of it.
-        zone: the number of its zone.
-        kind: the number of its machine type.
-        cell: the number of its cell within the zone.
-        weight: its weight.
-        started_at: when its process started, 0 for long past; a new time means a fresh process that warms up.
+        server: the number of the server.
+        state: whether the server is ready, draining or removed.
+        zone: the number of the server's zone.
+        kind: the number of the server's machine type.
+        cell: the number of the server's cell within the zone.
+        weight: the server's weight.
+        started_at: start time of the server's process in ms, 0 if long past; a new time means a new process that has to
+            warm up.
     """
 
     server: int
@@ -97,26 +101,31 @@
 
 
 class ServerListUpdate(NamedTuple):
-    """An update of the endpoint list."""
+    """An update of the endpoint list.
+
+    Attributes:
+        kind: what the entries are.
+        entries: the listed servers.
+    """
 
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
 
 
 class RequestArrived(NamedTuple):
-    """A client's request; it is owed exactly one final answer by ``give_up_at``.
+    """A request of a client has arrived; exactly one final answer is due by ``give_up_at``.
 
     Attributes:
-        request: its id.
-        request_class: the index of its class.
-        give_up_at: the latest time for its final answer.
-        slots: slots that it takes at a server.
-        memory: units of memory that it takes; a server has one for each slot.
-        work_hint: estimated work at speed 1, 0 for unknown.
-        tenant: the index of its tenant.
-        key: a hash of its idempotency key.
-        retry: the client has sent it before.
-        policy: its class as it was accepted; None for as the settings say now.
+        request: the id of the request.
+        request_class: the index of the request class in the settings.
+        give_up_at: the latest time in ms for the final answer.
+        slots: slots that the request occupies at a server.
+        memory: units of memory that the request occupies; a server has one unit for each slot.
+        work_hint: estimated work in ms at speed 1, 0 if unknown.
+        tenant: the index of the tenant.
+        key: a hash of the idempotency key.
+        retry: whether the client has sent this request before.
+        policy: the request class at the time of admission; None for the class in the current settings.
     """
 
     request: int
@@ -132,15 +141,15 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The one end of an attempt.
+    """An attempt has ended; each attempt ends exactly once.
 
     Attributes:
-        request: the request's id.
-        attempt: the attempt's number, from 0.
-        server: the server's number.
-        outcome: how it ended.
-        latency: ms from its start to its end.
-        final: the request has its final answer, by this end or earlier.
+        request: the id of the request.
+        attempt: the number of the attempt, from 0.
+        server: the number of the server.
+        outcome: the result of the attempt, an :class:`Outcome`.
+        latency: time in ms from the start of the attempt to its end.
+        final: whether the request has its final answer, from this attempt or from an earlier one.
         report: the server's load report, in the order of ``Settings.report_fields``.
     """
 
@@ -154,7 +163,15 @@
 
 
 class AttemptProgress(NamedTuple):
-    """An attempt in flight has started, or has done a share of its work."""
+    """An attempt in flight has started, or has completed a share of its work.
+
+    Attributes:
+        request: the id of the request.
+        attempt: the number of the attempt, from 0.
+        server: the number of the server.
+        kind: whether the attempt started or progressed, a :class:`ProgressKind`.
+        work_done: completed share of the work, from 0 to 1.
+    """
 
     request: int
     attempt: int
@@ -164,7 +181,7 @@
 
 
 class AnswerStarted(NamedTuple):
-    """A streamed answer has begun; the dispatcher ignores it."""
+    """The first part of a streamed answer has arrived; the dispatcher ignores this event."""
 
     request: int
     attempt: int
@@ -173,27 +190,27 @@
 
 
 class ClientGone(NamedTuple):
-    """The client has left; nothing is owed for the request any more."""
+    """The client has disconnected; the request needs no final answer."""
 
     request: int
 
 
 class FinalAnswerDue(NamedTuple):
-    """The host can wait no longer for the request: it wants the final answer now.  The simulator never sends it."""
+    """The host requires the final answer of the request now.  The simulator never sends this event."""
 
     request: int
 
 
 class AttemptSnapshot(NamedTuple):
-    """An attempt of a request that goes over to another process; all of them go, in their order.
+    """State of an attempt in a handover to another process, which receives all attempts of a request in their order.
 
     Attributes:
-        server: the server's number.
-        sent_at: when it was sent.
-        in_flight: it has not ended.
-        unstarted: it has not reported a start, where servers report starts.
-        may_have_run: nothing proves that it never ran.
-        last_progress_at: when it last reported its start or progress.
+        server: the number of the server.
+        sent_at: time in ms at which the attempt was sent.
+        in_flight: whether the attempt has not ended.
+        unstarted: whether the server has yet to report the start of the attempt; False if servers report no starts.
+        may_have_run: whether the attempt may have run, as no outcome proves the opposite.
+        last_progress_at: time in ms of the last report of a start or of progress.
     """
 
     server: int
@@ -205,13 +222,15 @@
 
 
 class RequestAdopted(NamedTuple):
-    """A request that another process accepted, with its attempts: they go on.  The simulator never sends it.
+    """This process takes over a request that another process accepted; attempts in flight continue.
+
+    The simulator never sends this event.
 
     Attributes:
-        arrival: the request.
-        accepted_at: when it was accepted.
-        attempts: its attempts.
-        not_before: when its backoff before the next attempt ends.
+        arrival: the request as it arrived.
+        accepted_at: time in ms at which the other process accepted the request.
+        attempts: all attempts so far, in their order.
+        not_before: end in ms of the backoff before the next attempt, 0 for no backoff.
     """
 
     arrival: RequestArrived
@@ -221,26 +240,26 @@
 
 
 class RequestHandedOver(NamedTuple):
-    """Another process goes on with the request: nothing is owed.  The simulator never sends it."""
+    """Another process has taken over the request and gives its final answer.  The simulator never sends this event."""
 
     request: int
 
 
 class PeerGone(NamedTuple):
-    """What a peer has reported of its attempts holds no more.  The simulator never sends it."""
+    """The load reports of a peer are no longer valid.  The simulator never sends this event."""
 
     peer: int
 
 
 class PeerMessage(NamedTuple):
-    """Bytes from another dispatcher."""
+    """A message from another dispatcher."""
 
     peer: int
     content: bytes
 
 
 class ProbeResult(NamedTuple):
-    """The result of a health check; the dispatcher ignores it."""
+    """A health check has ended; the dispatcher ignores this event."""
 
     server: int
     outcome: int
@@ -249,7 +268,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer of :class:`heronlug.balancer.actions.SetTimer` has come due."""
+    """A timer set by :class:`heronlug.balancer.actions.SetTimer` has expired."""
 
     token: int
 
--- a/heronlug/balancer/exploration.py
+++ b/heronlug/balancer/exploration.py
@@ -1,8 +1,9 @@
-"""Exploration: the round that follows a change of the ranking, and probe requests to servers reported as failing.
+"""Schedules exploration rounds and probe requests to servers reported as failing.
 
-After a change of the ranking each ready server gets one request, the best first, so that also a server whose score has
-fallen is observed again.  A server that load summaries report as failing gets no ordinary request; instead it
-belongs to one dispatcher after the other, by the clock, which may send it a single probe request.
+After a change of the ranking each ready server receives one request, the best-ranked server first, so that a server
+whose score has fallen is observed again.  A server that load summaries report as failing receives no ordinary
+requests.  Instead, the dispatchers take turns by the clock, and the dispatcher whose turn it is may send the server a
+single probe request.
 """
 
 from collections.abc import Sequence
@@ -14,13 +15,14 @@
 
 
 class Exploration:
-    """Servers that are to be visited beside the ranking.
+    """Servers that receive a request independently of the ranking.
 
     Attributes:
-        pending: servers that the round has still to visit, the next one last.
-        probe_server: the server reported as failing that is ours to probe.
-        zone_probes: servers of an excluded zone that are ours to probe; they come first.
-        changed: servers that have become or ceased to be ours to probe, until somebody takes note of them.
+        pending: servers that remain in the exploration round, the next server last.
+        probe_server: the server reported as failing that this dispatcher may probe; None if there is none.
+        zone_probes: servers of an excluded zone that this dispatcher probes, before other failing servers.
+        changed: servers that have become or ceased to be ``probe_server`` since :class:`Selection` last cleared the
+            list.
     """
 
     __slots__ = ("_peer_load", "_settings", "_term", "changed", "pending", "probe_server", "zone_probes")
@@ -34,15 +36,15 @@
         self.changed: list[Server] = []
 
     def begin_round(self, ranking: Sequence[Server]) -> None:
-        """Visit each server of the ranking once, the best first."""
+        """Starts a round that visits each server of the ranking once, the best-ranked server first."""
         self.pending = list(ranking[::-1])
 
     def visit(self, servers: Sequence[Server]) -> None:
-        """Visit these servers first, the last one before all others."""
+        """Puts these servers at the front of the round; the last of them is visited first."""
         self.pending += servers
 
     def rotate_probe_server(self, now: float) -> None:
-        """Choose the server that is ours to probe, once in each term of the rotation."""
+        """Chooses the server that this dispatcher may probe, once per term of the rotation."""
         term = int(now / (EJECTION_DIALS * self._settings.dial_timeout))
         if term == self._term:
             return
@@ -54,7 +56,7 @@
             self.pending.append(self.probe_server)
 
     def set_probe_server(self, server: Server | None) -> None:
-        """Probe this server from now on, in place of the one before."""
+        """Replaces the server to probe."""
         self.changed += [changed for changed in (self.probe_server, server) if changed is not None]
         self.probe_server = server
 
--- a/heronlug/balancer/hedging.py
+++ b/heronlug/balancer/hedging.py
@@ -1,11 +1,14 @@
-"""Hedging: when a copy of a request goes out beside an attempt in flight.
+"""Starts hedges: second attempts of a request while an earlier attempt is in flight.
 
-* After the time that its class sets, beside the only attempt in flight.
-* Where servers report starts and the settings allow it, when a start is overdue: the attempt waits behind others.
-* When all its attempts in flight are silent.
+A request is hedged in these cases:
 
-A copy goes only to a server that :mod:`heronlug.balancer.selection` finds room at, and never of a non-idempotent
-request.
+* The only attempt in flight has been in flight for the ``hedge_after`` time of the class.
+* The start of an attempt is overdue, so that the attempt waits behind others, where servers report starts and the
+  settings allow hedging.
+* All attempts in flight are silent.
+
+A hedge is sent only to a server that :mod:`heronlug.balancer.selection` finds to have room.  A non-idempotent request
+is never hedged.
 """
 
 from math import log
@@ -19,7 +22,7 @@
 
 
 class Hedging:
-    """Watches attempts in flight, and starts copies of their requests."""
+    """Watches attempts in flight and hedges their requests."""
 
     __slots__ = (
         "_can_hedge",
@@ -48,7 +51,7 @@
         self._starts, self._selection, self._starter, self._queue = starts, selection, starter, queue
 
     def watch(self, attempt: Attempt, now: float) -> None:
-        """Plan when to look at an attempt that has just started to be in flight here."""
+        """Sets the timer after which an attempt in flight may be hedged."""
         request, policy = attempt.request, attempt.request.policy
         if not policy.hedge or request.non_idempotent:
             return
@@ -59,7 +62,7 @@
             self._timers.call_at(now + delay + self._recheck_after, self._on_start_overdue, attempt)
 
     def hedge_silent(self, attempt: Attempt, now: float) -> None:
-        """Start a copy of a request whose attempts are all silent, unless requests that may be in time are queued."""
+        """Hedges a request if all its attempts are silent and no request that can still be in time is queued."""
         request, policy = attempt.request, attempt.request.policy
         if not self._open_requests.is_open(request):
             return
@@ -71,7 +74,7 @@
             self._start_copy(request, now)
 
     def _on_hedge_delay_elapsed(self, attempt: Attempt, now: float) -> None:
-        """The time that its class sets is over."""
+        """Hedges a request if the attempt is still its only attempt in flight after ``hedge_after``."""
         request = attempt.request
         in_flight = [other for other in request.attempts if other.in_flight]
         if not self._open_requests.is_open(request) or in_flight != [attempt]:
@@ -80,13 +83,13 @@
             self._timers.call_at(now + self._recheck_after, self._on_hedge_delay_elapsed, attempt)
 
     def _on_start_overdue(self, attempt: Attempt, now: float) -> None:
-        """A start is overdue: its server has no free slot for a while, and the request may go elsewhere as well."""
+        """Marks the server of an overdue start as saturated, and hedges the request."""
         request, server = attempt.request, attempt.server
         if not attempt.unstarted or not self._open_requests.is_open(request):
             return
         self._starts.record_wait(attempt)
         other_slots = max(1.0, server.capacity.slots - 1)
-        # Of so many runs with independent, exponential times, the first ends about this soon.
+        # Estimated time until the first of this many runs ends, if run times are independent and exponential.
         expected_wait = self._run_times.overall * log(1 + 1 / other_slots)
         server.outlier.saturated_until = now + expected_wait
         if any(other.in_flight and not other.unstarted for other in request.attempts):
--- a/heronlug/balancer/learning.py
+++ b/heronlug/balancer/learning.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: slots and payoff of its server, its health, and whether it is an outlier."""
+"""Updates slots, payoff, health and outlier state of a server from the end of an attempt."""
 
 from heronlug.balancer.events import AttemptEnded, Outcome
 from heronlug.balancer.model import Attempt
@@ -9,7 +9,7 @@
 
 
 class OutcomeLearning:
-    """Learns from the ends of this dispatcher's attempts."""
+    """Learns from the outcomes of this dispatcher's attempts."""
 
     __slots__ = ("_grading", "_outliers", "_overload", "_state")
 
@@ -19,7 +19,7 @@
         self._state, self._grading, self._overload, self._outliers = state, grading, overload, outliers
 
     def record_end(self, attempt: Attempt, event: AttemptEnded, now: float) -> bool:
-        """Record how an attempt has ended; returns whether that may change the ranking."""
+        """Records the outcome of an attempt and returns whether the outcome may change the ranking."""
         server, outcome = attempt.server, event.outcome
         free_slots_index = self._state.derived.free_slots_index
         if 0 <= free_slots_index < len(event.report):
@@ -30,7 +30,7 @@
         attempt.record_end(outcome)
         was_cancelled = outcome == Outcome.CANCELLED
         if was_cancelled and not (had_started and self._state.settings.reports_start):
-            return False  # it may have waited for others all the time, which says nothing of the server
+            return False  # the attempt may only have waited in the queue, which indicates nothing about the server
         return self._learn(attempt, event, now)
 
     def _learn(self, attempt: Attempt, event: AttemptEnded, now: float) -> bool:
@@ -47,7 +47,7 @@
         return True
 
     def attribute_rejections(self, attempt: Attempt, outcome: Outcome | int, now: float) -> None:
-        """Hold a rejection against its server once another one has served the request."""
+        """Counts a rejection as an error of its server once another server has served the request."""
         request = attempt.request
         if outcome == Outcome.REJECTED_BY_SERVER:
             request.rejected_by.append(attempt.server)
--- a/heronlug/balancer/list_subscription.py
+++ b/heronlug/balancer/list_subscription.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is asked for: at once while it may be stale, and with a backoff after a failure."""
+"""Requests the endpoint list: at once while the list may be stale, and after a backoff if a request failed."""
 
 from random import Random
 
@@ -9,17 +9,17 @@
 from heronlug.balancer.timers import TimerQueue
 
 MAX_COUNTED_FAILURES = 4
-"""Failures after which the backoff grows no more."""
+"""Number of failures in a row after which the backoff stops growing."""
 
 FIRST_BACKOFF_SHARE = 1 / 32
-"""Of the poll interval; it doubles with each failure."""
+"""Base of the backoff as a share of the poll interval; doubled for each failure in a row."""
 
 BACKOFF_JITTER = (0.5, 1.0)
-"""A backoff is shortened by a random factor: all dispatchers poll one slow service."""
+"""Range of the random factor of a backoff, which spreads the polls of all dispatchers to one slow service."""
 
 
 class ListSubscription:
-    """Whether this dispatcher is told of changes of the endpoint list, and when it asks to be."""
+    """Tracks whether this dispatcher receives changes of the endpoint list, and subscribes when it does not."""
 
     __slots__ = ("_failures", "_outbox", "_rng", "_settings", "_subscribed", "_timers")
 
@@ -30,7 +30,7 @@
         self._failures = 0
 
     def record_failure(self, now: float) -> None:
-        """A poll failed or a subscription broke: ask again after a backoff."""
+        """Schedules a new request after a backoff, as a poll or a subscription has failed."""
         self._subscribed = self._settings.list_pushed
         self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
         first_backoff = self._settings.poll_interval * FIRST_BACKOFF_SHARE
@@ -38,7 +38,7 @@
         self._timers.call_at(now + backoff, self._subscribe_if_needed, None)
 
     def record_list(self, kind: ListKind, now: float) -> None:
-        """A list came; one from a cache may be stale, so that a current one is asked for."""
+        """Records the receipt of a list, and requests a current list if the received list is from a cache."""
         self._subscribed = self._settings.list_pushed or kind != ListKind.CACHED
         self._failures = 0
         self._subscribe_if_needed(None, now)
--- a/heronlug/balancer/load_reports.py
+++ b/heronlug/balancer/load_reports.py
@@ -1,8 +1,9 @@
-"""Load reports: when a dispatcher reports its load to the others, and how aggregators sum the reports up.
+"""Sends the load reports of a dispatcher and, on aggregators, the load summaries.
 
-A few dispatchers report to each other directly. Where that would be too much to read, each reports to the aggregators
-alone: the first ``AGGREGATOR_COUNT`` by position, of which one may fail. They send summaries in turn; others take their
-place while too few of them are heard.
+In a small group, each dispatcher reports to all others directly. Where these reports would be too many to read, each
+dispatcher reports to the aggregators only: the first ``AGGREGATOR_COUNT`` dispatchers by position, of which one may
+fail. The aggregators take turns in sending summaries. While too few aggregators send summaries, other dispatchers
+replace the missing ones.
 """
 
 from operator import attrgetter
@@ -14,25 +15,26 @@
 from heronlug.balancer.state import BalancerState
 
 AGGREGATOR_COUNT = 2
-"""Dispatchers that sum reports up at a time."""
+"""Number of dispatchers that sum up reports at the same time."""
 
 MAX_MISSED_SUMMARIES = 4
-"""An aggregator that misses so many summaries has failed; counts that were not repeated for as long are void."""
+"""Missed summaries after which an aggregator counts as failed; counts not repeated for the same time expire."""
 
 MAX_FAILING_SHARE = 0.2
-"""At most this share of the servers, or what can be spared, is reported as failing."""
+"""Largest share of the servers reported as failing, unless more capacity is unused and can be spared."""
 
 UNHEALTHY_BELOW = 0.6
-"""Health below which a server is reported as failing: after two bad ends."""
+"""Health below which a server is reported as failing: two failed attempts in a row."""
 
 HEALTHY_FROM = 0.8
-"""Health from which it is no longer reported as failing."""
+"""Health from which a server is no longer reported as failing."""
 
 EVERY_PEER = -1
+"""Peer number that addresses every other dispatcher."""
 
 
 class LoadReports:
-    """Sends this dispatcher's load reports, and load summaries while it is an aggregator."""
+    """Sends this dispatcher's load reports, and load summaries while this dispatcher is an aggregator."""
 
     __slots__ = ("_derived", "_open_requests", "_outbox", "_peer_load", "_position", "_servers", "_timers")
 
@@ -42,17 +44,17 @@
         self._servers, self._open_requests, self._peer_load = state.servers, state.open_requests, state.peer_load
 
     def begin(self) -> None:
-        """Plan the first summary, where reports are aggregated."""
+        """Schedules the first heartbeat if reports are aggregated."""
         if self._derived.aggregated:
             self._timers.call_at(0.0, self._on_heartbeat, None)
 
     def expire(self, now: float) -> None:
-        """Void counts that have not been repeated for too long."""
+        """Discards counts that peers have not repeated within ``MAX_MISSED_SUMMARIES`` summary intervals."""
         before = now - MAX_MISSED_SUMMARIES * self._derived.summary_interval
         self._peer_load.expire(before, self._servers.by_id, self._derived.aggregated)
 
     def report_if_due(self, now: float) -> None:
-        """Report what has changed, if there is something and it is time."""
+        """Sends a load report if counts have changed and the report interval has elapsed."""
         peer_load = self._peer_load
         if not self._derived.gossips or not peer_load.unreported:
             return
@@ -67,8 +69,8 @@
             self._outbox.extend(SendPeerMessage(report, peer) for peer in receivers)
 
     def _on_heartbeat(self, _: None, now: float) -> None:
-        """Send a summary if this dispatcher is an aggregator, or takes the place of one that has failed."""
-        # Messages get lost, and a new aggregator knows nothing: counts are repeated until they are void.
+        """Repeats the counts, and sends a summary if this dispatcher is, or replaces, an aggregator."""
+        # Messages can be lost and a new aggregator has no counts, so counts are repeated before they expire.
         self._peer_load.repeat_counts(attempt.server for attempt in self._open_requests.attempts.values())
         if not self._is_aggregator(now):
             self._peer_load.aggregating = False
@@ -86,7 +88,7 @@
         return now - heard_at > (2 * MAX_MISSED_SUMMARIES + self._position) * self._derived.summary_interval
 
     def _next_heartbeat(self, now: float) -> float:
-        """The next one of a round of all aggregators; their turns follow from the clock and their positions."""
+        """Returns the time of the next heartbeat; the clock and the positions define the turns of the aggregators."""
         interval = self._derived.summary_interval
         round_time = AGGREGATOR_COUNT * interval
         if not self._peer_load.aggregating:
@@ -100,7 +102,7 @@
             self._peer_load.read_summary(content, self._servers.by_id)
 
     def _levels(self) -> list[int]:
-        """The load level of each ready server, ``LEVEL_FAILING`` for those that seem to fail."""
+        """Returns the load level of each ready server, ``LEVEL_FAILING`` for servers to report as failing."""
         servers = self._peer_load.servers_in_order
         loads = [_load_per_slot(server) for server in servers]
         spare_share = max(MAX_FAILING_SHARE, 1 - sum(loads) / max(1, len(loads)))
--- a/heronlug/balancer/loan_requests.py
+++ b/heronlug/balancer/loan_requests.py
@@ -1,4 +1,4 @@
-"""Asks other dispatchers for capacity at servers that warm up, for requests that wait."""
+"""Requests capacity loans from other dispatchers for queued requests, at servers that warm up."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 class LoanRequests:
-    """Sends the messages that ask for loans."""
+    """Sends the messages that request capacity loans."""
 
     __slots__ = ("_outbox", "_ranking", "_shares")
 
@@ -17,5 +17,5 @@
         self._outbox, self._ranking, self._shares = outbox, ranking, shares
 
     def ask(self, requests: Sequence[Request], now: float) -> None:
-        """Ask for a loan for each of the first few requests."""
+        """Requests a capacity loan for each of the first few requests."""
         self._outbox.extend(self._shares.request_loans(requests, self._ranking.warming, now))
--- a/heronlug/balancer/model.py
+++ b/heronlug/balancer/model.py
@@ -1,6 +1,6 @@
-"""What a dispatcher keeps of servers, requests and attempts.  Nothing is decided here.
+"""Holds the state of servers, requests and attempts of a dispatcher, without any decisions.
 
-All times are milliseconds on the dispatcher's clock; loads are slots, work is milliseconds of one slot.
+All times are milliseconds on the dispatcher's clock; loads are in slots, work is in milliseconds of one slot.
 """
 
 from collections import deque
@@ -10,14 +10,14 @@
 from heronlug.balancer.settings import Effect, KeyScope, RequestClass
 
 LEVEL_FAILING = 15
-"""The load level, in a load summary, of a server that fails or whose zone is excluded."""
+"""Load level in a load summary of a server that fails or whose zone is excluded."""
 
 HEALTH_STEP = 1 / 4
-"""How far one end moves the health of a server towards 0 (it ended badly) or 1."""
+"""Step size by which one ended attempt moves the health of a server towards 0 (failure) or 1 (success)."""
 
 
 class RecentWork:
-    """Amounts of work with the times at which they were sent."""
+    """Amounts of work with the times at which the work was sent."""
 
     __slots__ = ("_items", "_total")
 
@@ -26,38 +26,39 @@
         self._total = 0.0
 
     def add(self, at: float, amount: float) -> None:
-        """Add an amount at a time.
+        """Adds an amount of work with its time.
 
-        The time of a loan to others is when it ends, later than that of work which is added next; :meth:`total` keeps
-        such work as long as the loan, so that more counts than has been sent, never less.
+        A capacity loan to another dispatcher is added with the time at which the loan ends, which may be later than the
+        time of work added afterwards.  :meth:`total` counts such work for as long as the loan, so that the total may
+        exceed the work sent but never falls below it.
         """
         self._items.append((at, amount))
         self._total += amount
 
     def items(self) -> list[tuple[float, float]]:
-        """All times and amounts that are remembered, oldest first."""
+        """Returns all recorded times and amounts in the order in which they were added."""
         return list(self._items)
 
     def total(self, since: float) -> float:
-        """The sum of the amounts since a time; older ones are forgotten."""
+        """Returns the sum of the amounts since a time, and discards older amounts."""
         while self._items and self._items[0][0] < since:
             self._total -= self._items.popleft()[1]
         return self._total if self._items else 0.0
 
 
 class ServerLoad:
-    """Work in flight at a server: our own attempts, and the slots that other dispatchers report.
+    """Load in flight at a server, from this dispatcher and as reported by other dispatchers.
 
     Attributes:
-        own_slots: slots of our attempts in flight.
-        own_attempts: our attempts in flight.
-        unstarted_attempts: those of them that have not reported a start, where servers report starts.
-        silent_attempts: those that have started and not reported progress for some periods.
-        peer_slots: slots in flight of other dispatchers, by their load reports.
-        level: load level in the last load summary, 0 where that does not list the server.
-        reported_failing: that level is ``LEVEL_FAILING``.
+        own_slots: slots of this dispatcher's attempts in flight.
+        own_attempts: number of this dispatcher's attempts in flight.
+        unstarted_attempts: number of those attempts without a reported start; 0 if servers report no starts.
+        silent_attempts: number of those attempts that have started but reported no progress for some intervals.
+        peer_slots: slots in flight from other dispatchers, by their load reports.
+        level: load level in the last load summary, 0 if the summary does not list the server.
+        reported_failing: whether ``level`` is ``LEVEL_FAILING``.
         slots_since_summary: change of ``own_slots`` since summary ``summary_number`` was read.
-        summary_number: the count of summaries read when ``slots_since_summary`` began.
+        summary_number: the number of summaries read when ``slots_since_summary`` was last reset.
     """
 
     __slots__ = (
@@ -88,9 +89,9 @@
     """Learned payoff of a server, owned by :mod:`heronlug.balancer.ranking`.
 
     Attributes:
-        count: number of outcomes, aged: N of UCB.
-        mean: mean payoff of those outcomes.
-        score: the upper confidence bound by which the server is ranked.
+        count: number of outcomes, discounted by age (N in the UCB formula).
+        mean: mean payoff of the counted outcomes.
+        score: UCB score by which the server is ranked.
     """
 
     __slots__ = ("count", "mean", "score")
@@ -99,24 +100,25 @@
         self.count = self.mean = self.score = 0.0
 
     def add(self, payoff: float) -> None:
-        """Take one more payoff into the mean."""
+        """Adds one payoff to the mean."""
         self.mean = (self.mean * self.count + payoff) / (self.count + 1)
         self.count += 1
 
 
 class OutlierState:
-    """What speaks against a server, owned by :mod:`heronlug.balancer.outlier_detection`.
+    """Ejection, silence and health of a server, owned by :mod:`heronlug.balancer.outlier_detection`.
 
     Attributes:
-        ejected_until: no ordinary request goes there before this time.
-        ejections: ejections in a row.
-        trials_left: half-open successes still required before it is taken back.
-        unresponsive: it has reported nothing for some periods although an attempt of ours had started there.
-        saturated_until: until then an attempt of ours would wait there for others to end.
-        last_progress_at: when it last reported a start or progress, or served a request.
-        health: running mean of how attempts of all dispatchers ended there, 1 for well.
-        last_ended_badly: how the last reported attempt of any dispatcher ended.
-        last_ended_at: when that was.
+        ejected_until: time in ms before which the server receives no ordinary requests.
+        ejections: number of ejections in a row.
+        trials_left: number of successful half-open trials still required before the server is returned to service.
+        unresponsive: whether the server has reported nothing for some progress intervals although an attempt of this
+            dispatcher has started there.
+        saturated_until: time in ms until which a new attempt is expected to wait for others at the server to end.
+        last_progress_at: time in ms of the last reported start, reported progress or served request.
+        health: running mean of the outcomes of all dispatchers' attempts, from 0 (all failed) to 1 (all succeeded).
+        last_ended_badly: whether the last reported attempt of any dispatcher failed.
+        last_ended_at: time in ms at which that attempt ended.
     """
 
     __slots__ = (
@@ -143,7 +145,10 @@
         self.last_ended_at = 0.0
 
     def record_end(self, badly: bool, now: float) -> None:
-        """Record how an attempt of any dispatcher ended, so that not each has to see a first failure itself."""
+        """Records the end of an attempt of any dispatcher.
+
+        Ends reported by other dispatchers count too, so that not each dispatcher has to observe a failure itself.
+        """
         self.last_ended_badly, self.last_ended_at = badly, now
         self.health += ((not badly) - self.health) * HEALTH_STEP
 
@@ -152,10 +157,11 @@
     """Limits of a server that warms up, owned by :mod:`heronlug.balancer.slow_start`.
 
     Attributes:
-        work_budget: work that may be sent there within the overload window; infinite once it is warm.
-        recent_work: work sent there while it warmed up.
-        share_count: capacity shares that the whole budget is divided into.
-        known_before_restart: an earlier process of this dispatcher knew it, and may have sent it something.
+        work_budget: work that may be sent to the server within the overload window; infinite for a warm server.
+        recent_work: work sent to the server during its warm-up.
+        share_count: number of capacity shares into which the whole budget is divided.
+        known_before_restart: whether the cached list of an earlier process of this dispatcher contained the server, so
+            that the earlier process may have sent it work.
     """
 
     __slots__ = ("known_before_restart", "recent_work", "share_count", "work_budget")
@@ -168,13 +174,14 @@
 
 
 class ZoneStanding:
-    """What zone failover says of a server, owned by :mod:`heronlug.balancer.zone_failover`.
+    """State of a server in zone failover, owned by :mod:`heronlug.balancer.zone_failover`.
 
     Attributes:
-        excluded: its zone has failed or is not wholly back, and it gets no ordinary request.
-        reported_excluded: it is reported as excluded in load summaries.
-        probing: it is this dispatcher's to probe for a while.
-        recovery_began_at: when traffic returned to its zone; it counts as warming up from then on.
+        excluded: whether the server receives no ordinary requests, as its zone has failed or is only partly restored.
+        reported_excluded: whether load summaries report the server as excluded.
+        probing: whether this dispatcher currently probes the server.
+        recovery_began_at: time in ms at which traffic returned to the server's zone; the server counts as warming up
+            from that time.
     """
 
     __slots__ = ("excluded", "probing", "recovery_began_at", "reported_excluded")
@@ -187,18 +194,23 @@
 
 
 class Server:
-    """What one dispatcher knows of a server.
+    """State of a server at one dispatcher.
 
     Attributes:
-        id: its number, the same at every dispatcher.
-        state: what the endpoint list says of it.
-        zone: the number of its zone.
-        kind: the number of its machine type.
-        cell: the number of its cell within the zone.
-        capacity: estimate of the slots that servers of its kind have.
-        started_at: when its process started; 0 for long past.
-        rank: its index in the ranking, -1 while it has none.
-        in_ranking: whether it is in the ranking.
+        id: the number of the server, the same at every dispatcher.
+        state: state of the server in the endpoint list.
+        zone: the number of the server's zone.
+        kind: the number of the server's machine type.
+        cell: the number of the server's cell within the zone.
+        capacity: estimated slots of the servers of this kind.
+        started_at: start time of the server's process in ms; 0 if long past.
+        rank: index of the server in the ranking; -1 before the first ranking.
+        in_ranking: whether the server is in the ranking.
+        load: load in flight at the server.
+        payoff: learned payoff of the server.
+        outlier: ejection, silence and health of the server.
+        slow_start: limits of the server while it warms up.
+        zone_standing: state of the server in zone failover.
     """
 
     __slots__ = (
@@ -229,11 +241,11 @@
 
     @property
     def warming_since(self) -> float:
-        """When it began to warm up; 0 if it is not known to have been cold."""
+        """Time in ms at which the server began to warm up; 0 if no cold start is known."""
         return max(self.started_at, self.zone_standing.recovery_began_at)
 
     def process_restarted(self, started_at: float) -> None:
-        """Forget what was learned of the old process: none of it holds for a new one."""
+        """Discards the learned state of the server's previous process, which does not apply to a new process."""
         self.started_at = started_at
         self.payoff = PayoffEstimate()
         self.outlier = OutlierState()
@@ -244,25 +256,25 @@
     """An accepted request that has no final answer yet.
 
     Attributes:
-        id: the caller's number for it.
-        class_index: the index of its class in the settings.
-        policy: its class, as it was when the request was accepted.
-        give_up_at: the latest time for its final answer.
-        slots: slots that it takes at a server.
-        starting_slots: slots that have to be free for it to start.
-        work_hint: estimated work at speed 1; 0 if unknown.
-        max_attempts: attempts that it may have.
-        not_before: its backoff before the next attempt ends then.
-        non_idempotent: it must not run twice.
-        retry_is_harmless: its client may send it again, whatever ran.
+        id: the id that the caller chose for the request.
+        class_index: the index of the request class in the settings.
+        policy: the request class at the time of admission.
+        give_up_at: the latest time in ms for the final answer.
+        slots: slots that the request occupies at a server.
+        starting_slots: slots that have to be free for an attempt to start.
+        work_hint: estimated work in ms at speed 1; 0 if unknown.
+        max_attempts: maximum number of attempts.
+        not_before: time in ms at which the backoff before the next attempt ends; 0 if there is none.
+        non_idempotent: whether the request must not run twice.
+        retry_is_harmless: whether the client may safely retry even if an attempt has run.
         attempts: all attempts, in the order of their numbers.
-        rejected_by: servers that found fault with the request itself.
-        over_quota: it is beyond the quota of its tenant.
-        work: expected work over all its slots.
-        value: its weight by its expected work.
-        due_at: answered later, it is late.
-        latest_start: started later, it is expected to be late.
-        patient_until: until then it may wait for a slot that is seen to become free.
+        rejected_by: servers that rejected the request as invalid.
+        over_quota: whether the request is beyond the quota of its tenant.
+        work: expected work over all slots of the request.
+        value: priority weight times the expected work.
+        due_at: time in ms after which an answer is late.
+        latest_start: time in ms after which an attempt that starts is expected to end late.
+        wait_for_slot_until: time in ms until which the request may wait for a slot to be observed as free.
     """
 
     __slots__ = (
@@ -292,7 +304,9 @@
         self.give_up_at = event.give_up_at
         self.policy = policy
         self.slots = max(event.slots, event.memory, 1.0)  # a server has one unit of memory for each slot
-        self.starting_slots = max(event.memory, 1.0)  # waiting for all its slots at once, a wide request would starve
+        self.starting_slots = max(
+            event.memory, 1.0
+        )  # a request of several slots would starve if all had to be free at once
         self.work_hint = event.work_hint
         self.max_attempts = 0
         self.not_before = 0.0
@@ -310,23 +324,23 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether an attempt of it is in flight."""
+        """Whether an attempt of the request is in flight."""
         return any(attempt.in_flight for attempt in self.attempts)
 
     @property
     def late_weight(self) -> float:
-        """What an answer after the latency objective is worth, for each unit of work."""
+        """Weight of an answer after the latency objective, per unit of work."""
         return 0.0 if self.over_quota else self.policy.priority_weight * self.policy.late_value
 
     def repeat_window_over_by(self, by: float) -> bool:
-        """Whether servers no longer drop a repeat by that time, though an attempt may have run."""
+        """Returns whether an attempt may have run and servers no longer drop a repeat at time ``by``."""
         earliest_send = by - self.policy.repeat_window
         return self.policy.effect is Effect.IDEMPOTENT_BY_KEY and any(
             attempt.may_have_run and attempt.sent_at < earliest_send for attempt in self.attempts
         )
 
     def attempts_spent_by(self, by: float) -> bool:
-        """Whether it can have no further attempt by that time, whatever becomes free."""
+        """Returns whether no further attempt is allowed at time ``by``, even if a server has room."""
         return len(self.attempts) >= self.max_attempts or self.repeat_window_over_by(by)
 
 
@@ -334,14 +348,16 @@
     """One attempt of a request at a server.
 
     Attributes:
-        sent_at: when it was sent.
-        in_flight: it has not ended.
-        may_have_run: nothing proves that it never ran; true while it is in flight.
-        unstarted: it has not reported a start, where servers report starts.
-        started_at: when it started to run, as far as that is known.
-        last_progress_at: when it last reported its start or progress.
-        silent: it has started and not reported progress for some periods.
-        timed_out: the time limit of its class had it cancelled.
+        request: the request of the attempt.
+        server: the server to which the attempt was sent.
+        sent_at: time in ms at which the attempt was sent.
+        in_flight: whether the attempt has not ended.
+        may_have_run: whether the attempt may have run; True while in flight and unless the outcome proves the opposite.
+        unstarted: whether the start of the attempt has yet to be reported; False if servers report no starts.
+        started_at: time in ms of the reported start; ``sent_at`` without a report.
+        last_progress_at: time in ms of the last report of a start or of progress.
+        silent: whether the attempt has started but reported no progress for some intervals.
+        timed_out: whether the attempt was cancelled by the attempt timeout of its class.
     """
 
     __slots__ = (
@@ -370,7 +386,7 @@
 
     @classmethod
     def restore(cls, request: Request, server: Server, snapshot: AttemptSnapshot) -> "Attempt":
-        """The same attempt, as another process of this dispatcher has seen it."""
+        """Returns an attempt restored from the snapshot of another process of this dispatcher."""
         attempt = cls(request, server, snapshot.sent_at, snapshot.in_flight and snapshot.unstarted)
         attempt.in_flight = snapshot.in_flight
         attempt.may_have_run = snapshot.may_have_run
@@ -378,18 +394,18 @@
         return attempt
 
     def snapshot(self) -> AttemptSnapshot:
-        """The attempt as a record for another process to go on with."""
+        """Returns a snapshot of the attempt for another process."""
         return AttemptSnapshot(
             self.server.id, self.sent_at, self.in_flight, self.unstarted, self.may_have_run, self.last_progress_at
         )
 
     def record_end(self, outcome: Outcome | int) -> None:
-        """Record that it has ended so."""
+        """Records the outcome of the attempt."""
         self.in_flight = self.unstarted = self.silent = False
         self.may_have_run = outcome not in NEVER_RAN
 
     def record_progress(self, now: float) -> None:
-        """Record that its server has reported its start or progress."""
+        """Records that the server has reported a start or progress of the attempt."""
         self.server.load.silent_attempts -= self.silent
         self.silent = False
         self.server.outlier.unresponsive = False
--- a/heronlug/balancer/placement.py
+++ b/heronlug/balancer/placement.py
@@ -1,4 +1,4 @@
-"""Placement: what becomes of a request that is to have its next attempt: sent, queued, or given up."""
+"""Sends, queues or gives up a request that is due for its next attempt."""
 
 from heronlug.balancer.actions import GiveUpReason
 from heronlug.balancer.attempts import AttemptStarter
@@ -9,7 +9,7 @@
 
 
 class Placement:
-    """Places requests, at once or when their backoff is over."""
+    """Places requests immediately or after their backoff."""
 
     __slots__ = ("_dial_allowance", "_open_requests", "_queue", "_selection", "_starter", "_tick", "_timers")
 
@@ -25,11 +25,11 @@
         self._selection, self._queue, self._starter = selection, queue, starter
 
     def schedule_give_up(self, request: Request) -> None:
-        """Set the timer that gives a request up one tick before its client's time is over."""
+        """Sets the timer that gives a request up one tick before its ``give_up_at`` time."""
         self._timers.call_at(request.give_up_at - self._tick, self._on_give_up_time, request)
 
     def place_after_backoff(self, request: Request, backoff_ends: float, now: float) -> None:
-        """Place a request when its backoff is over; if its time is over by then, it is given up now."""
+        """Places a request when its backoff ends, or gives it up now if no attempt can follow the backoff."""
         request.not_before = backoff_ends
         if now >= backoff_ends:
             self.place(request, now)
@@ -41,7 +41,7 @@
             self._open_requests.finish(request, GiveUpReason.NO_TIME)
 
     def place(self, request: Request, now: float) -> None:
-        """Send the next attempt of a request, queue it, or give it up."""
+        """Sends the next attempt of a request, queues the request, or gives it up."""
         if request.give_up_at - self._tick <= now:
             self._open_requests.finish(request, GiveUpReason.NO_TIME)
         elif request.attempts_spent_by(now + self._dial_allowance):
@@ -49,7 +49,7 @@
         elif (server := self._selection.choose(request, now)) is not None:
             self._starter.start(request, server, now)
         elif request.rejected_by:
-            # Most likely it is at fault itself: it does not wait until a second server has room to confirm that.
+            # The request itself is most likely invalid, so it does not wait for a second server to have room.
             self._open_requests.finish(request, GiveUpReason.FAULTY)
         else:
             self._queue.add(request, now)
--- a/heronlug/balancer/selection.py
+++ b/heronlug/balancer/selection.py
@@ -1,11 +1,11 @@
-"""Selection: which server an attempt may go to (Upper-Confidence Priority-K; Fu and Modiano, Algorithm 2).
+"""Selects the server for each attempt by Upper-Confidence Priority-K (Fu and Modiano, Algorithm 2).
 
-A request goes to the next server of the exploration round, else to the best in rank whose queue leaves room below K
-slots for each of its slots.  Every attempt, first, retry or hedge, passes one gate, :meth:`Selection._may_send`.
+A request goes to the next server of the exploration round, or else to the best-ranked server whose queue holds less
+than K requests per slot.  Every attempt (first, retry or hedge) has to pass :meth:`Selection._may_send`.
 
-Exceptions to Priority-K: an overdue request goes to the worst in rank that has room, so that it does not take the best
-ones from requests that may be in time.  A non-idempotent request has no second try where others can be hedged: it is
-not used to explore, and waits a while for a slot that is seen to become free.
+There are two exceptions to Priority-K.  An overdue request goes to the worst-ranked server that has room, so that the
+best servers remain for requests that can still be in time.  Where hedging is enabled, a non-idempotent request, which
+cannot be hedged, is not used for exploration and waits a while for a slot to be observed as free.
 """
 
 from collections.abc import Iterable
@@ -25,20 +25,20 @@
 from heronlug.balancer.state import BalancerState
 
 SLOTS_DECREASE_FACTOR = 0.8
-"""The candidates hold while no capacity estimate falls below this part of what it was."""
+"""The candidates stay valid while no capacity estimate falls below this fraction of its earlier value."""
 
 SLOTS_INCREASE = 0.5
-"""The candidates hold while no capacity estimate grows by more slots than this over K."""
+"""The candidates stay valid while no capacity estimate grows by more than this number of slots divided by K."""
 
 IDLE_QUEUE_SLOTS = 0.5
-"""A server with less than this in its queue has room for any request."""
+"""A server with fewer slots than this in its queue has room for any request."""
 
 
 class Selection:
     """Chooses servers for attempts.
 
     Attributes:
-        freed: the server at which an attempt of ours has just been served, if any.
+        freed: the server at which an attempt of this dispatcher has just been served; empty if there is none.
     """
 
     __slots__ = (
@@ -74,17 +74,18 @@
         self.freed: list[Server] = []
 
     def choose(self, request: Request, now: float, *, overdue: bool = False) -> Server | None:
-        """Choose the server that the next attempt of a request goes to now; None if it has to wait.
+        """Returns the server for the next attempt of a request; None if the request has to wait.
 
-        This takes what is due of the exploration round and of the reservations, whether or not a server is found.
+        Whether or not a server is found, the probe and the reservations that are due are added to the exploration
+        round, and the servers tried from the round are removed from it.
 
         Args:
-            request: the request, with the attempts that it has had.
-            now: the time.
-            overdue: it is late already, or beyond the quota of its tenant.
+            request: the request with its attempts so far.
+            now: the current time in ms.
+            overdue: whether the request is overdue or beyond the quota of its tenant.
         """
         if request.attempts and not self._retries.allow_attempt(request, now):
-            return None  # before any server is looked at, so that it takes no turn of the exploration round
+            return None  # checked first, so that no server of the exploration round is used up
         waits_for_freed = self._derived.can_hedge and request.non_idempotent
         preferred_servers = self.freed if waits_for_freed else self._exploration.pending
         self._plan_exploration(request, now, overdue=overdue)
@@ -101,7 +102,7 @@
         return self._first_fitting_candidate(request, now, overdue)
 
     def _plan_exploration(self, request: Request, now: float, *, overdue: bool) -> None:
-        """Add the server that is ours to probe, and those at which a reservation of ours has opened."""
+        """Adds this dispatcher's server to probe and the servers at which one of its reservations has begun."""
         if self._derived.aggregated and not overdue and not request.non_idempotent:
             self._exploration.rotate_probe_server(now)
         self._exploration.visit(self._shares.reservation_turns(now))
@@ -109,7 +110,10 @@
     def _explore(
         self, request: Request, servers: list[Server], now: float, *, overloaded: bool, only_unobserved: bool
     ) -> Server | None:
-        """Take servers off the list until one fits; during an overload only those that warm up, which stand idle."""
+        """Removes servers from the list until one fits and returns that server.
+
+        During an overload the search ends at the first warm server, as only servers that warm up are idle then.
+        """
         while servers:
             if overloaded and servers[-1].slow_start.work_budget == inf:
                 return None
@@ -120,7 +124,7 @@
         return None
 
     def _first_fitting_candidate(self, request: Request, now: float, overdue: bool) -> Server | None:
-        """The first candidate by rank; not one that had an attempt, as what failed there may fail there again."""
+        """Returns the first candidate that fits and had no attempt of this request, as a retry there may fail again."""
         tried_servers: list[Server] = []
         if len(request.attempts) < len(self._ranking.servers):
             tried_servers = [attempt.server for attempt in request.attempts]
@@ -130,7 +134,7 @@
         return None
 
     def ranked_candidates(self, request: Request, overdue: bool, now: float) -> Iterable[Server]:
-        """The servers that may have room, best in rank first; worst first for an overdue request."""
+        """Returns the servers that may have room, best-ranked first, or worst-ranked first for an overdue request."""
         for server in [*self._shares.changed_servers(now), *self._exploration.changed]:
             self._candidates.touch(server)
         self._exploration.changed.clear()
@@ -140,16 +144,16 @@
         return self._candidates.ranked(request.policy.server_kind, required_group(request), overdue)
 
     def server_changed(self, server: Server) -> None:
-        """Note that the load of a server has changed, or what may be sent there."""
+        """Schedules a new check of a server whose load or sending limits have changed."""
         self._candidates.touch(server)
 
     def ranking_changed(self) -> None:
-        """Note that the ranking has been updated, and with it K."""
+        """Rebuilds the candidates after an update of the ranking and of K."""
         self._slot_bounds.clear()
         self._candidates.rank(self._ranking.servers)
 
     def may_have_room(self, server: Server) -> bool:
-        """Whether any request could go there: false only where :meth:`_fits` is, whatever the request."""
+        """Returns whether some request could go to a server; False only if :meth:`_fits` is False for every request."""
         if not self._shares.may_accept_any(server):
             return False
         load, capacity = server.load, server.capacity
@@ -172,12 +176,12 @@
         return self._has_room(request, server, now) and self._may_send(request, server, now)
 
     def _has_room(self, request: Request, server: Server, now: float) -> bool:
-        """Whether the server's queue leaves room below K times its slots."""
+        """Returns whether the server's queue leaves room for the request below K times the server's slots."""
         load, slots = server.load, server.capacity.slots
         if not self._derived.aggregated:
             queue = load.own_slots + load.peer_slots
         else:
-            # The summary counts our own slots too, but for what has changed since.
+            # The summary includes the slots of this dispatcher, except for changes since the summary.
             is_summary_current = load.summary_number == self._peer_load.summaries_read
             own_slots_change = load.slots_since_summary if is_summary_current else 0.0
             if own_slots_change >= 0 and self._ranking.full_level <= load.level < LEVEL_FAILING:
@@ -185,15 +189,15 @@
             queue = load.own_slots
             if not load.reported_failing:
                 queue = max(load.own_slots, load.level * slots / LEVELS_PER_SLOT + own_slots_change)
-        # An attempt of ours that has not started, now or just before, shows that no slot is free.
+        # An attempt of this dispatcher that is unstarted, or recently was, shows that no slot is free.
         if load.unstarted_attempts or now < server.outlier.saturated_until:
             return False
         return queue + request.starting_slots <= self._ranking.queue_limit * slots or queue < IDLE_QUEUE_SLOTS
 
     def _may_send(self, request: Request, server: Server, now: float) -> bool:
-        """The one gate that every attempt passes."""
+        """Returns whether every rule permits an attempt of the request at the server; applies to all attempts."""
         if server.state is not ServerState.READY:
-            return False  # nothing new to a server that is notified as draining or removed
+            return False  # a draining or removed server receives no new attempts
         if request.policy.server_kind not in (ANY_KIND, server.kind):
             return False
         if request.attempts and not drops_repeats(request, server):
--- a/heronlug/balancer/settings.py
+++ b/heronlug/balancer/settings.py
@@ -1,6 +1,6 @@
-"""What a dispatcher is configured with: the request classes, and the settings that all of them share.
+"""Defines the settings of a dispatcher: the request classes and the settings shared by all classes.
 
-All times and spans are milliseconds on one clock that only goes forward; ids are integers chosen by the caller.
+All times and durations are milliseconds on one monotonic clock; ids are integers chosen by the caller.
 """
 
 from dataclasses import dataclass
@@ -10,20 +10,20 @@
 
 
 class Effect(Enum):
-    """What may be done with a request once it may have run; the values stand in the platform's settings."""
+    """Whether a request may be repeated once an attempt may have run; the values appear in the platform's settings."""
 
     IDEMPOTENT = "repeatable"
-    """It may be sent again at any time."""
+    """The request may be repeated at any time."""
 
     IDEMPOTENT_BY_KEY = "by_key"
-    """It may be sent again for a while, to servers that drop repeats by its idempotency key."""
+    """The request may be repeated within its repeat window, at servers that drop repeats by its idempotency key."""
 
     NON_IDEMPOTENT = "once"
-    """It is never sent again, unless every earlier attempt provably never ran."""
+    """The request may be repeated only if every earlier attempt provably did not run."""
 
 
 class KeyScope(Enum):
-    """The group of servers that drops repeats of a request that is idempotent by key."""
+    """Deduplication group: the servers that drop repeats of a request that is idempotent by key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,29 +32,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: what an answer is worth, and what its effect and its limits allow.
+    """One request class: the value of an answer, the effect of a request and the limits on its attempts.
 
     Attributes:
-        latency_objective: an answer within this time earns its full weight.
-        deadline: the client waits this long.
-        effect: whether it may run twice.
-        latency_factor: the latency objective grows by this many times the work of the request.
-        priority_weight: weight of an answer in time, for each unit of work.
+        latency_objective: time in ms within which an answer earns its full weight; above 0.
+        deadline: time in ms that the client waits; above 0.
+        effect: whether a request may run twice.
+        latency_factor: the latency objective grows by this factor times the work of the request.
+        priority_weight: weight of an answer within the latency objective, per unit of work.
         late_value: share of that weight for an answer after the latency objective.
-        key_scope: servers that drop repeats, where it is idempotent by key.
-        repeat_window: how long they do so.
-        server_kind: the kind of server that it needs, -1 for any.
-        name: for people.
-        max_attempts: attempts at most, 0 for as many as the settings allow.
-        attempt_timeout: an attempt is cancelled after this time, 0 for never.
-        retry_after_timeout: a retry may follow a cancelled attempt, where the effect allows it.
-        retry_backoff: waits before the 2nd, 3rd ... attempt; the last holds for all further ones.
-        hedge: a copy may go out beside an attempt, where the settings and the effect allow it.
-        hedge_after: time in flight after which that happens; 0 for no fixed time: it happens when a start is overdue.
-        give_up_after: the longest that a request is waited for, 0 for its deadline.
+        key_scope: the servers that drop repeats of a request that is idempotent by key.
+        repeat_window: time in ms for which those servers drop repeats.
+        server_kind: the machine type that the class requires, -1 for any.
+        name: a display name.
+        max_attempts: maximum number of attempts, 0 for the maximum of the settings.
+        attempt_timeout: time in ms after which an attempt is cancelled, 0 for never.
+        retry_after_timeout: whether a retry may follow an attempt that timed out, if the effect allows one.
+        retry_backoff: delays in ms before the 2nd, 3rd ... attempt; the last delay applies to all further attempts.
+        hedge: whether a request may be hedged, if the settings and the effect allow a hedge.
+        hedge_after: time in flight in ms after which a request is hedged; 0 for no fixed time, in which case a request
+            is hedged when the start of an attempt is overdue.
+        give_up_after: longest time in ms before a request is given up, 0 for the deadline.
 
     Raises:
-        SettingsError: a value is out of range.
+        SettingsError: if a value is out of range.
     """
 
     latency_objective: float
@@ -85,7 +86,7 @@
         _require(all(wait >= 0 for wait in self.retry_backoff), "retry_backoff", self.retry_backoff)
 
     def backoff_before(self, number: int) -> float:
-        """The wait before an attempt, counted from 0; there is none before the first."""
+        """Returns the delay in ms before an attempt; ``number`` counts from 0, and the first attempt has no delay."""
         if not self.retry_backoff or not number:
             return 0.0
         return self.retry_backoff[min(number, len(self.retry_backoff)) - 1]
@@ -93,43 +94,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a dispatcher is told when it starts.
+    """Settings of a dispatcher.
 
     Attributes:
-        classes: the request classes, by index.
-        instances: dispatchers that share the servers, this one included.
-        position: which of them this one is, from 0.
-        zone: the zone of this dispatcher.
+        classes: the request classes, by index; at least one.
+        instances: number of dispatchers that share the servers, including this dispatcher.
+        position: position of this dispatcher among the instances, from 0.
+        zone: the number of the zone of this dispatcher.
         tenants: names of the tenants, in the order of their quotas.
-        quotas: requests a second of each tenant over all instances; only their ratios are used.
+        quotas: requests per second of each tenant over all instances; only the ratios of the quotas are used.
         report_fields: names of the values in a server's load report.
-        list_pushed: changes of the endpoint list come without a poll.
-        poll_interval: without a subscription the list is polled at least this often.
-        max_attempts: attempts of a request at most.
-        hedging: two attempts of a request may be in flight at once; each class may forbid it for itself.
-        may_cancel: attempts may be cancelled.
-        gossip: dispatchers may send each other short messages.
-        dial_timeout: longest time for a connection to a server.
-        tick: the host's step of time.
-        answer_slack: time that an answer takes on its way to the client.
-        progress_interval: time between two progress reports of an attempt, 0 for none.
-        reports_start: servers report the start of an attempt.
-        drain_grace: time in which a server that is notified as draining may still get requests.
-        warmup_capacity: share of its capacity that a fresh server has at least.
-        warmup_time: it has all of it after this time at most.
-        overload_multiple: a server that warms up fails under more work than this times its present capacity.
-        overload_window: the time over which that work is added up.
-        cross_zone_price: what is taken off the payoff, from 0 to 1, of an attempt in another zone.
-        worst_class_weight: weight of the worst-served class in the goal; all of the goal weighs 1.
-        cpu_per_request: CPU time that a request with its outcomes may take, in microseconds; 0 for no limit.
-        retry_share: retries may be this share of the requests admitted.
-        retry_burst: retries beyond that share that may come at once.
-        zone_failover: traffic leaves a zone that fails as one, and returns in stages.
-        lends_capacity: dispatchers lend each other their shares of servers that warm up.
-        waste_price: price of work that served no answer, in weight of that work.
+        list_pushed: whether changes of the endpoint list arrive without a poll.
+        poll_interval: longest time in ms between two polls of the endpoint list without a subscription.
+        max_attempts: maximum number of attempts of a request.
+        hedging: whether two attempts of a request may be in flight at once; a class may forbid hedging for itself.
+        may_cancel: whether attempts may be cancelled.
+        gossip: whether dispatchers may send each other short messages.
+        dial_timeout: longest time in ms to open a connection to a server.
+        tick: time step of the host in ms.
+        answer_slack: time in ms that an answer needs to reach the client.
+        progress_interval: time in ms between two progress reports of an attempt, 0 for no progress reports.
+        reports_start: whether servers report the start of an attempt.
+        drain_grace: time in ms for which a server that is notified as draining may still receive requests.
+        warmup_capacity: smallest share of its capacity that a newly started server has.
+        warmup_time: time in ms after which a newly started server has its full capacity.
+        overload_multiple: a server that warms up fails under more work than its current capacity times this factor.
+        overload_window: time in ms over which that work is summed.
+        cross_zone_price: deduction from the payoff (from 0 to 1) of an attempt in another zone.
+        worst_class_weight: weight of the worst-served class in the goal, from 0 to 1; the whole goal has weight 1.
+        cpu_per_request: limit on the CPU time in microseconds for a request and its outcomes; 0 for no limit.
+        retry_share: number of retries allowed per admitted request.
+        retry_burst: number of retries beyond that share that may be sent in a burst.
+        zone_failover: whether traffic leaves a zone that fails as a whole and returns in stages.
+        lends_capacity: whether dispatchers lend each other their capacity shares of servers that warm up.
+        waste_price: price of work that served no answer, relative to the weight of that work.
 
     Raises:
-        SettingsError: a value is out of range.
+        SettingsError: if a value is out of range.
     """
 
     classes: tuple[RequestClass, ...]
@@ -176,7 +177,7 @@
         _require(0 < self.warmup_capacity <= 1, "warmup_capacity", self.warmup_capacity)
 
     def max_attempts_of(self, request_class: RequestClass) -> int:
-        """The most attempts that a request of a class may have."""
+        """Returns the maximum number of attempts of a request of this class."""
         return min(request_class.max_attempts or self.max_attempts, self.max_attempts)
 
 
