--- a/heronlug/balancer/model.py
+++ b/heronlug/balancer/model.py
@@ -25,14 +25,14 @@
         self._items: deque[tuple[float, float]] = deque()
         self._total = 0.0
 
-    def add(self, at: float, amount: float) -> None:
+    def add(self, time: float, amount: float) -> None:
         """Adds an amount of work with its time.
 
         A capacity loan to another dispatcher is added with the time at which the loan ends, which may be later than the
         time of work added afterwards.  :meth:`total` counts such work for as long as the loan, so that the total may
         exceed the work sent but never falls below it.
         """
-        self._items.append((at, amount))
+        self._items.append((time, amount))
         self._total += amount
 
     def items(self) -> list[tuple[float, float]]:
@@ -332,16 +332,16 @@
         """Weight of an answer after the latency objective, per unit of work."""
         return 0.0 if self.over_quota else self.policy.priority_weight * self.policy.late_value
 
-    def repeat_window_over_by(self, by: float) -> bool:
-        """Returns whether an attempt may have run and servers no longer drop a repeat at time ``by``."""
-        earliest_send = by - self.policy.repeat_window
+    def repeat_window_over_by(self, time: float) -> bool:
+        """Returns whether an attempt may have run and servers no longer drop a repeat at the given time."""
+        earliest_send = time - self.policy.repeat_window
         return self.policy.effect is Effect.IDEMPOTENT_BY_KEY and any(
             attempt.may_have_run and attempt.sent_at < earliest_send for attempt in self.attempts
         )
 
-    def attempts_spent_by(self, by: float) -> bool:
-        """Returns whether no further attempt is allowed at time ``by``, even if a server has room."""
-        return len(self.attempts) >= self.max_attempts or self.repeat_window_over_by(by)
+    def attempts_spent_by(self, time: float) -> bool:
+        """Returns whether no further attempt is allowed at the given time, even if a server has room."""
+        return len(self.attempts) >= self.max_attempts or self.repeat_window_over_by(time)
 
 
 class Attempt:
--- a/heronlug/balancer/settings.py
+++ b/heronlug/balancer/settings.py
@@ -181,6 +181,6 @@
         return min(request_class.max_attempts or self.max_attempts, self.max_attempts)
 
 
-def _require(ok: bool, key: str, value: object) -> None:
-    if not ok:
+def _require(is_valid: bool, key: str, value: object) -> None:
+    if not is_valid:
         raise SettingsError(key, value)
