--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -1,4 +1,7 @@
-"""How workers are chosen, and one test for each failure that the bench has shown."""
+"""Tests server selection, with one test for each failure of the dispatcher observed in benchmark runs.
+
+A docstring that begins with *Failure* describes the failure that the test guards against.
+"""
 
 from dataclasses import replace
 
@@ -26,11 +29,11 @@
 
 
 def serve_on_every_server(host: Host, slots: float = 4.0, rounds: int = 3, latency: float = 100.0) -> None:
-    """Serve a few jobs on every worker, so that slots and payoffs are known."""
+    """Serves a few requests on every server, so that slots and payoffs are known."""
     for _ in range(rounds):
         requests = []
         for server in host.dispatcher.rules.ranking.servers:
-            server.load.own_slots += 99  # looks busy, so that the next job goes to another
+            server.load.own_slots += 99  # the server looks busy, so that the next request goes to another server
         for server in list(host.dispatcher.rules.ranking.servers):
             server.load.own_slots -= 99
             requests.append(host.job(0))
@@ -49,7 +52,8 @@
     order = [server.id for server in host.dispatcher.rules.ranking.servers]
     sent = [host.sent[host.job(0)][0] for _ in range(12)]
     assert sent == [order[0]] * 4 + [order[1]] * 4 + [order[2]] * 4
-    assert host.job(0) not in host.sent  # all are K full: held, not queued
+    # Every server holds K requests per slot, so the next request waits at the dispatcher.
+    assert host.job(0) not in host.sent
 
 
 def test_slow_server_falls_in_rank_and_a_new_ranking_starts_one_exploration_round() -> None:
@@ -68,38 +72,38 @@
     assert host.dispatcher.rules.ranking.servers[-1] is first
     host.dispatcher.rules.exploration.pending = host.dispatcher.rules.ranking.servers[::-1]
     visited = [host.sent[host.job(0)][0] for _ in range(3)]
-    assert sorted(visited) == [1, 2, 3]  # one job each, best first
+    assert sorted(visited) == [1, 2, 3]  # one request per server, best-ranked server first
     assert host.dispatcher.rules.exploration.pending == []
 
 
 def test_ranking_changed_during_an_exploration_round_is_used_after_the_round() -> None:
-    """Algorithm 2 looks at the order again once the sweep has ended; its news must not be lost."""
+    """Algorithm 2 updates the ranking only after the exploration round; outcomes during the round must not be lost."""
     host = Host(workers=3)
     serve_on_every_server(host)
     dispatcher = host.dispatcher
     before = dispatcher.rules.ranking.servers[:]
     dispatcher.rules.exploration.pending = dispatcher.rules.ranking.servers[::-1]
+    # The payoff is that of a server after a series of failures.
     dispatcher.rules.ranking.servers[0].payoff.mean, dispatcher.rules.ranking.servers[0].payoff.count = (
         0.0,
         50.0,
-    )  # as after a run of failures
+    )
     dispatcher.rules.rerank(host.now + 1)
     assert dispatcher.rules.ranking.servers == before
     dispatcher.rules.exploration.pending = []
     dispatcher.rules.rerank(host.now + 2)
     assert dispatcher.rules.ranking.servers[-1] is before[0]
-    assert (
-        dispatcher.rules.exploration.pending == dispatcher.rules.ranking.servers[::-1]
-    )  # and a reorder starts a sweep
+    # The new ranking starts an exploration round.
+    assert dispatcher.rules.exploration.pending == dispatcher.rules.ranking.servers[::-1]
 
 
 def test_exploration_skips_non_idempotent_requests_if_others_can_be_hedged() -> None:
-    """Risk: a large job tried on a slow worker in a sweep cannot be taken back, and is stuck there."""
+    """Failure: a large non-idempotent request sent to a slow server for exploration cannot be hedged."""
     for hedging_enabled in (False, True):
         host = Host(with_settings(reports_start=True, hedging=hedging_enabled), workers=3)
         serve_on_every_server(host)
-        host.now += 2000  # what was seen while warming up has faded
-        host.dispatcher.rules.ranking.ranked_at = host.now + 1e6  # the order stands
+        host.now += 2000  # the outcomes of the first requests have aged
+        host.dispatcher.rules.ranking.ranked_at = host.now + 1e6  # no update of the ranking
         first, last = host.dispatcher.rules.ranking.servers[0], host.dispatcher.rules.ranking.servers[-1]
         host.dispatcher.rules.exploration.pending = [last]
         assert host.sent[host.job(2)] == [first.id if hedging_enabled else last.id]
@@ -108,7 +112,10 @@
 
 
 def test_non_idempotent_request_waits_for_a_slot_that_becomes_free() -> None:
-    """Risk: sent blind it stands behind others' jobs, and no copy helps (`burn-in` 0.90, `preview` 0.99)."""
+    """Failure: a request sent at once may queue behind other dispatchers' requests, and no hedge is allowed.
+
+    The result was 0.90 in `burn-in` and 0.99 in `preview`.
+    """
     host = Host(with_settings(reports_start=True), workers=6)
     running_request = host.job(0)
     non_idempotent_request = host.job(2)
@@ -117,7 +124,7 @@
     host.until(host.now + 5)
     host.end(running_request, 0, Outcome.SERVED, (4.0,))
     assert host.sent[non_idempotent_request] == [server_id]
-    later_request = host.job(2)  # nothing of ours ends: it goes by rank before its slack is gone
+    later_request = host.job(2)  # no attempt ends: the request is sent by rank while it can still be in time
     host.until(host.now + 400)
     assert later_request in host.sent
 
@@ -146,7 +153,9 @@
 
 
 def test_requests_are_ordered_by_priority_weight_once_some_are_late() -> None:
-    """Risk: under overload the least patient class takes every slot, and dearer work dies waiting."""
+    """Failure: in an overload the class with the shortest objective takes every slot, and requests of a higher weight
+    expire.
+    """
     low_weight, high_weight = replace(SAFE, late_value=0.5), replace(SAFE, latency_objective=900.0, priority_weight=5.0)
     host = Host(with_settings(classes=(low_weight, high_weight)), workers=1)
     serve_on_every_server(host)
@@ -158,7 +167,7 @@
     late_request = host.job(0)
     host.until(host.now + 600)
     newer = host.job(0)
-    assert late_request not in host.sent  # it is late now: there is not enough for all
+    assert late_request not in host.sent  # the request is late, so capacity is insufficient
     host.end(running[1], 0, Outcome.SERVED, (0.0,))
     assert first[0] in host.sent
     assert newer not in host.sent
@@ -166,7 +175,7 @@
 
 
 def test_worst_served_class_gets_its_weight_in_the_goal() -> None:
-    """Risk: by worth alone the cheapest class starves for as long as there is not enough for all."""
+    """Failure: ordered by priority weight alone, the class of the lowest weight starves in an overload."""
     low_weight = replace(SAFE, latency_objective=900.0, late_value=0.5)
     high_weight = replace(SAFE, late_value=0.5, priority_weight=5.0)
     for weight in (0.0, 0.9):
@@ -174,7 +183,7 @@
         serve_on_every_server(host)
         running = [host.job(0) for _ in range(4)]
         host.job(0)
-        host.until(host.now + 600)  # it is late now: there is not enough for all
+        host.until(host.now + 600)  # the queued request is late now, so capacity is insufficient
         low_weight_request, high_weight_request = host.job(1), host.job(0)
         host.end(running[0], 0, Outcome.SERVED, (0.0,))
         assert (low_weight_request in host.sent) is (weight > 0)
@@ -207,7 +216,7 @@
 
 
 def test_request_of_several_slots_is_sent_to_a_server_with_one_free_slot() -> None:
-    """Risk: asking for all its slots at once, a wide job is starved by narrow ones."""
+    """Failure: a request that needs all its slots free at once is starved by requests of one slot."""
     host = Host(workers=1)
     serve_on_every_server(host)
     for _ in range(3):
@@ -218,7 +227,7 @@
 
 
 def test_unstarted_attempt_is_hedged_and_cancelled_when_the_copy_starts() -> None:
-    """Risk: short jobs wait unseen behind other dispatchers' work."""
+    """Failure: short requests wait unnoticed behind other dispatchers' requests."""
     host = Host(with_settings(reports_start=True, report_fields=("x0",)), workers=2)
     request = host.job(0)
     host.until(host.now + SETTINGS.dial_timeout + 60)
@@ -229,7 +238,9 @@
 
 
 def test_hedge_delay_follows_the_start_delays_observed_in_the_zone() -> None:
-    """Risk: told of a start 135 to 173 ms after the write on a new connection, 40 of 100 jobs got a copy at 62 ms."""
+    """Failure: with starts reported 135 to 173 ms after the write on a new connection, 40 of 100 requests were hedged
+    after 62 ms.
+    """
     copy_delays = {}
     for zone, one_way_delay in ((0, 2.0), (1, 150.0)):
         host = Host(with_settings(reports_start=True), workers=0)
@@ -241,7 +252,7 @@
             if round_number == 11:
                 copy_delays[zone] = host.now - began_at
                 break
-            host.until(host.now + one_way_delay)  # as long as the way takes, and no copy meanwhile
+            host.until(host.now + one_way_delay)  # the start is reported after the one-way delay; no hedge before
             assert len(host.sent[request]) == 1
             host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
             host.end(request, 0, Outcome.SERVED)
@@ -250,7 +261,7 @@
 
 
 def test_servers_of_the_own_zone_come_first_while_they_have_room() -> None:
-    """Risk: each attempt in another zone costs a fiftieth of a job, and nine in twelve went there."""
+    """Failure: nine of twelve attempts went to another zone, at a price of a fiftieth of a request each."""
     for seed in range(4):
         host = Host(with_settings(reports_start=True, cross_zone_price=0.02, zone=1), seed=seed, workers=0)
         host.listed(ListKind.CACHED, tuple(ServerEntry(i, zone=i % 4) for i in range(40)))
@@ -266,7 +277,7 @@
 
 
 def test_error_ejects_a_server_and_half_open_trials_return_it() -> None:
-    """Risk: fast errors look like free slots and attract the traffic."""
+    """Failure: a server that returns errors quickly seems to have free slots and attracts the traffic."""
     host = Host(workers=4)
     serve_on_every_server(host)
     request = host.job(2)
@@ -302,15 +313,14 @@
     for _ in range(4):
         request = host.job(2)
         host.end(request, 0, Outcome.ERROR)
-    assert (
-        sum(server.outlier.trials_left > 0 for server in host.dispatcher.rules.ranking.servers) >= 3
-    )  # above the panic threshold
+    # The number of ejected servers is above the panic threshold.
+    assert sum(server.outlier.trials_left > 0 for server in host.dispatcher.rules.ranking.servers) >= 3
     running = [host.job(2) for _ in range(9)]
     assert all(request in host.sent for request in running)
 
 
 def test_number_of_timers_does_not_grow_with_the_queue() -> None:
-    """Risk: every hold and every fired timer started another chain of timers."""
+    """Failure: every queued request and every expired timer started another chain of timers."""
     host = Host(workers=1)
     serve_on_every_server(host)
     for _ in range(60):
@@ -323,7 +333,9 @@
 
 
 def test_timer_that_fires_slightly_early_loses_no_request() -> None:
-    """Risk: a timer thought to be still out hides all later ones, and jobs are lost."""
+    """Failure: after a timer fires slightly early, the dispatcher regards it as pending, sets no later timer and loses
+    requests.
+    """
     host = Host(workers=1)
     request = host.job(2)
     for early in (0.0004, 0.0, 0.0, 0.0):
@@ -364,7 +376,7 @@
 
 
 def test_counts_of_a_failed_peer_expire() -> None:
-    """Risk: what a killed dispatcher told last keeps workers 'full' for everyone else for ever."""
+    """Failure: the last counts of a killed dispatcher make servers look full to all other dispatchers forever."""
     host = Host(with_settings(instances=2, gossip=True), workers=1)
     serve_on_every_server(host)
     server = host.dispatcher.rules.ranking.servers[0]
@@ -381,7 +393,7 @@
 
 
 def test_server_that_warms_up_is_ranked_last() -> None:
-    """Risk: a fresh worker takes the others' mean score and draws the traffic while it is slow."""
+    """Failure: a newly started server gets the mean score of the others and attracts traffic while still slow."""
     host = Host(workers=3)
     serve_on_every_server(host)
     host.dispatcher.rules.exploration.pending = []
@@ -390,16 +402,16 @@
 
 
 def test_server_that_warms_up_keeps_all_its_slots() -> None:
-    """Risk: in a release half the slots stand idle, each cold worker holding a job or two."""
+    """Failure: during a release half of the slots are idle, as each cold server receives only one or two requests."""
     host = Host(with_settings(warmup_capacity=0.25, warmup_time=10_000.0), workers=1)
     serve_on_every_server(host)
     host.listed(ListKind.CHANGES, (ServerEntry(2, started_at=host.now),))
     sent = [host.sent.get(host.job(0)) for _ in range(8)]
-    assert sent.count([2]) == 4  # as many as it has slots, well inside the cold budget
+    assert sent.count([2]) == 4  # as many as the server has slots, well within its work budget
 
 
 def test_slots_of_a_server_that_is_never_idle_are_learned() -> None:
-    """Risk: two slots, one always taken, are reported as one free for ever; half the fleet stands idle."""
+    """Failure: servers with two slots, one always busy, always report one free slot, and half of the fleet is idle."""
     always_busy, often_idle = CapacityEstimate(), CapacityEstimate()
     for _ in range(12):
         always_busy.record_free_slots(1.0)
@@ -408,7 +420,7 @@
     for _ in range(20):
         often_idle.record_free_slots(2.1)
     assert often_idle.slots == 3
-    often_idle.record_free_slots(0.9)  # takes the guess back, not what was seen free
+    often_idle.record_free_slots(0.9)  # lowers the running mean, but not below the peak of the reported free slots
     assert often_idle.slots == 2
 
 
@@ -453,26 +465,26 @@
 
 
 def test_server_with_an_overdue_start_counts_as_saturated_for_a_while() -> None:
-    """Risk: once its copy runs elsewhere, the next job waits at the same full worker."""
+    """Failure: while the hedge of a request runs elsewhere, the next request is sent to the same full server."""
     host = Host(with_settings(reports_start=True), workers=2)
     serve_on_every_server(host)
     host.until(host.now + 500)
     unstarted_request = host.job(0)
     server_id = host.sent[unstarted_request][0]
     host.until(host.now + SETTINGS.dial_timeout + 30)
-    assert len(host.sent[unstarted_request]) == 2  # a copy
+    assert len(host.sent[unstarted_request]) == 2  # hedged
     host.give(AttemptProgress(unstarted_request, 1, host.sent[unstarted_request][1], ProgressKind.STARTED))
     host.end(unstarted_request, 0, Outcome.CANCELLED)
     assert host.sent[host.job(0)][0] != server_id
 
 
 def test_queued_retry_without_budget_does_not_block_the_queue() -> None:
-    """Risk: a job whose retry the budget does not allow stood first among the held, and all behind it waited."""
+    """Failure: a request without budget for its retry was first in the queue, and all requests behind it waited."""
     host = Host(with_settings(retry_burst=0.0, retry_share=0.0, classes=(SAFE, KEYED, ONCE)), workers=1)
     serve_on_every_server(host)
     running = [host.job(0) for _ in range(4)]
     queued_behind = host.job(2)
-    host.end(running[0], 0, Outcome.ERROR)  # held from here on: it may not be tried again
+    host.end(running[0], 0, Outcome.ERROR)  # queued from here on: the budget allows no retry
     host.until(host.now + 100)
     for request in running[1:]:
         host.end(request, 0, Outcome.SERVED, (4.0,))
@@ -481,7 +493,7 @@
 
 
 def test_slots_are_learned_from_starts_and_waits_without_load_reports() -> None:
-    """Seen on alvstad-inbjudan: with no reports a worker of five cores was held to have one slot for ever."""
+    """Failure: without load reports, a server of five cores was estimated at one slot forever (`alvstad-inbjudan`)."""
     estimate = CapacityEstimate(4.0)
     for _ in range(40):
         estimate.record_start(6.0)
@@ -489,7 +501,7 @@
     for _ in range(40):
         estimate.record_wait(5.0)
     assert 5.0 <= estimate.slots < 5.1
-    estimate.record_wait(1.0)  # it stands still: that tells nothing of its slots
+    estimate.record_wait(1.0)  # the server is unresponsive, which indicates nothing about its slots
     assert estimate.slots >= 5.0
     host = Host(with_settings(reports_start=True, report_fields=(), hedging=False), workers=1)
     requests = [host.job(0)]
@@ -501,7 +513,7 @@
 
 
 def test_request_rejected_by_two_servers_fails_and_ejects_neither() -> None:
-    """A client with unusable requests had all workers ejected, each request six of them."""
+    """Failure: invalid requests of one client ejected all servers, each request six of them."""
     host = Host()
     serve_on_every_server(host)
     request = host.job(0)
@@ -529,7 +541,7 @@
 
 
 def test_rejected_request_fails_at_once_if_no_other_server_has_room() -> None:
-    """The client is owed its error soon; held for room, it would have it at its deadline."""
+    """Failure: while the request waits for room at a second server, the client gets no error until the deadline."""
     host = Host(workers=2)
     serve_on_every_server(host)
     request = host.job(0)
@@ -544,12 +556,12 @@
 
 
 def test_silent_attempt_is_hedged() -> None:
-    """Connections went silent under running jobs, which then waited for their deadlines, 10 to 25 s."""
+    """Failure: connections became silent during attempts, and requests waited for their deadlines of 10 to 25 s."""
     host = Host(with_settings(reports_start=True, progress_interval=500.0, report_fields=()), workers=3)
     request, progressing, non_idempotent_request = host.job(0), host.job(0), host.job(2)
     for each in (request, progressing, non_idempotent_request):
         report_progress(host, each, 0, ProgressKind.STARTED)
-    for _ in range(4):  # 3.2 periods: after longer a short job is late whatever is done
+    for _ in range(4):  # 3.2 progress intervals: later, a short request is late in any case
         host.until(host.now + 400)
         report_progress(host, progressing, 0)
     assert [len(host.sent[each]) for each in (request, progressing, non_idempotent_request)] == [2, 1, 1]
@@ -566,7 +578,7 @@
     stalled_request = host.job(2)
     report_progress(host, stalled_request, 0, ProgressKind.STARTED)
     host.until(host.now + 2000)
-    host.give(PeerMessage(1, b""))  # any event will do
+    host.give(PeerMessage(1, b""))  # any event triggers the check
     queued = host.job(2)
     assert queued not in host.sent
     trial, second = host.job(0), host.job(0)
@@ -575,11 +587,11 @@
     for request in (trial, second):
         report_progress(host, request, 0, ProgressKind.STARTED)
     host.until(host.now + 100)
-    assert queued in host.sent  # it moves again
+    assert queued in host.sent  # the server responds again
 
 
 def test_server_with_one_progressing_attempt_is_not_unresponsive() -> None:
-    """One silent connection is not yet a worker that stands still."""
+    """Failure: one silent connection makes a server count as unresponsive although another attempt there progresses."""
     host = Host(with_settings(reports_start=True, progress_interval=500.0, report_fields=()), workers=1)
     stalled_request, progressing = host.job(2), host.job(0)
     for request in (stalled_request, progressing):
@@ -591,9 +603,11 @@
 
 
 def test_slow_attempt_cancelled_by_its_client_lowers_the_payoff() -> None:
-    """Clients left jobs on workers at a quarter of the usual speed, so that nothing was ever learned of those."""
+    """Failure: clients disconnected before servers at a quarter of the usual speed answered, so that no payoff of these
+    servers was learned.
+    """
     host = Host(with_settings(reports_start=True, progress_interval=500.0, report_fields=()), workers=2)
-    for wait, is_learned in ((50, 0), (400, 1)):  # sooner than usual it tells nothing
+    for wait, is_learned in ((50, 0), (400, 1)):  # cancelled before the usual time, an attempt gives no payoff
         first = host.job(0)
         report_progress(host, first, 0, ProgressKind.STARTED)
         host.until(host.now + 100)
@@ -611,7 +625,9 @@
 
 
 def test_fleet_of_servers_that_warm_up_is_used_and_not_overloaded() -> None:
-    """Risk: in a black start each one's part of a cold worker's budget holds no job, and nobody ever sends one."""
+    """Failure: when all servers start cold, each dispatcher's share of a server's work budget is below one request, and
+    no dispatcher ever sends a request.
+    """
     for dispatcher_count in (4, 16, 100):
         settings = with_settings(instances=dispatcher_count, warmup_capacity=0.15, report_fields=(), reports_start=True)
         work_sent: dict[int, float] = {}
@@ -625,5 +641,5 @@
                         work_sent.get(server_id, 0.0) + settings.classes[class_index].latency_objective
                     )
         work_limit = settings.overload_multiple * 0.16 * 4.0 * settings.overload_window
-        assert len(work_sent) >= 6, (dispatcher_count, work_sent)  # of 12 workers
+        assert len(work_sent) >= 6, (dispatcher_count, work_sent)  # of 12 servers
         assert max(work_sent.values()) <= work_limit, (dispatcher_count, work_sent, work_limit)
--- a/tests/balancer/test_load_reports.py
+++ b/tests/balancer/test_load_reports.py
@@ -1,4 +1,7 @@
-"""Relays: where too many dispatchers would have to read each other, two sum up and tell the sums."""
+"""Tests load reports and the summaries of the two aggregators that sum reports up in large groups of dispatchers.
+
+A docstring that begins with *Failure* describes the failure that the test guards against.
+"""
 
 from dataclasses import replace
 from typing import Any
@@ -16,7 +19,7 @@
 
 
 def make_host_in_fleet(position: int, servers: int = 4, **changes: Any) -> Host:
-    """One of forty dispatchers."""
+    """Returns the host of one of forty dispatchers."""
     return Host(with_settings(instances=40, position=position, gossip=True, **changes), workers=servers)
 
 
@@ -25,24 +28,23 @@
 
 
 def make_summary(host: Host, levels: list[int]) -> list[bytes]:
-    """What a relay with the same list would tell."""
+    """Returns the summary messages of an aggregator with the same endpoint list."""
     return host.dispatcher.state.peer_load.summary(levels)
 
 
 def test_counts_go_to_aggregators_only_and_summaries_count_as_queue() -> None:
-    """Risk: with all telling all, 200 dispatchers are cut off for CPU and pay a tenth in messages."""
+    """Failure: if all of 200 dispatchers report to all others, they exceed their CPU limit and pay a tenth for
+    messages.
+    """
     host = make_host_in_fleet(9)
     host.job(0)
-    assert not sent_messages(host)  # nobody to tell yet
+    assert not sent_messages(host)  # no aggregator is known yet
     for aggregator in (0, 1):
         host.give(PeerMessage(aggregator, PeerLoad.SUMMARY))
-    assert [message.peer for message in sent_messages(host)] == [0]  # the first relay
+    assert [message.peer for message in sent_messages(host)] == [0]  # the first aggregator
     host.until(host.now + 3 * host.dispatcher.state.derived.summary_interval)
-    assert [message.peer for message in sent_messages(host)] == [
-        0,
-        0,
-        1,
-    ]  # who begins hears of what runs at the next beat
+    # A new aggregator receives the current counts at the next heartbeat.
+    assert [message.peer for message in sent_messages(host)] == [0, 0, 1]
     host.dispatcher.rules.exploration.pending = []
     free_server = host.dispatcher.rules.ranking.servers[2]
     for content in make_summary(
@@ -53,7 +55,9 @@
 
 
 def test_first_aggregators_send_summaries_soon_after_the_start() -> None:
-    """Risk: after a start of all at once, or a restart of the relays, jobs were sent blind for four seconds."""
+    """Failure: after a simultaneous start of all dispatchers, or a restart of the aggregators, requests were sent
+    without load information for four seconds.
+    """
     classes = (
         replace(SAFE, latency_objective=500),
         replace(KEYED, latency_objective=4000),
@@ -79,7 +83,7 @@
         host.give(PeerMessage(0, content))
     assert host.job(0) in host.sent
     assert host.job(0) in host.sent
-    host.give(PeerMessage(0, before[0]))  # a relay behind with its list is understood
+    host.give(PeerMessage(0, before[0]))  # a summary for the previous endpoint list is understood
     assert host.job(0) not in host.sent
 
 
@@ -97,7 +101,7 @@
         for aggregator in (0, 1):
             host.give(PeerMessage(aggregator, PeerLoad.SUMMARY))
     assert not sent_messages(host)
-    host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * summary_interval)  # both died
+    host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * summary_interval)  # both aggregators have failed
     assert sent_messages(host)
     for _ in range(2 * MAX_MISSED_SUMMARIES):
         host.until(host.now + summary_interval)
@@ -107,7 +111,7 @@
 
 
 def test_servers_scored_per_outcome_do_not_grow_with_the_fleet() -> None:
-    """Risk: ranking 200 workers at every outcome needs more CPU than a dispatcher has."""
+    """Failure: ranking 200 servers at every outcome exceeds the CPU limit of a dispatcher."""
     scored_servers = 0
 
     class Counting(Ranking):
@@ -135,14 +139,14 @@
 
 
 def test_aggregator_reports_a_server_as_failing_and_as_healthy_again() -> None:
-    """Risk: each of 150 dispatchers pays for its own first failure at each bad worker (28% of attempts)."""
+    """Failure: each of 150 dispatchers has to observe a failure of each failing server itself (28% of attempts)."""
     host = make_host_in_fleet(0, servers=10)
     summary_interval = host.dispatcher.state.derived.summary_interval
     host.until(host.now + (2 * MAX_MISSED_SUMMARIES + 4) * summary_interval)
     assert host.dispatcher.state.peer_load.aggregating
     failing = host.dispatcher.state.peer_load.servers_in_order[3]
     host.give(PeerMessage(7, count_message(failing.id, ENDED_BADLY)))
-    assert failing.outlier.health > UNHEALTHY_BELOW  # one failure may be chance
+    assert failing.outlier.health > UNHEALTHY_BELOW  # one failure is not enough evidence
     host.give(PeerMessage(8, count_message(failing.id, ENDED_BADLY)))
     host.until(host.now + 2 * summary_interval)
     assert sent_messages(host)[-1].content[PeerLoad.HEAD.size :].hex() == "000f000000"
@@ -153,7 +157,9 @@
 
 
 def test_failing_server_is_probed_by_one_dispatcher_with_an_idempotent_request() -> None:
-    """Risk: tried by lot, marked workers were never seen well again: 64 of 280 stood idle to the end."""
+    """Failure: with probes at random, servers reported as failing were never observed as healthy again, and 64 of 280
+    remained idle until the end.
+    """
     hosts = [make_host_in_fleet(position) for position in range(2, 40)]
     failing = hosts[0].dispatcher.state.peer_load.servers_in_order[1]
     probe_term = EJECTION_DIALS * hosts[0].settings.dial_timeout
@@ -167,7 +173,8 @@
                 host.give(PeerMessage(1, PeerLoad.SUMMARY))
             requests = [host.job(class_index) for class_index in (2, 0, 0, 2)]
             sent_to_failing = [request for request in requests if host.sent.get(request) == [failing.id]]
-            assert not set(sent_to_failing) & {requests[0], requests[3]}, term  # what fails there must not repeat
+            # A probe may fail, so it must be an idempotent request.
+            assert not set(sent_to_failing) & {requests[0], requests[3]}, term
             senders |= {position} if sent_to_failing else set()
             for request in requests:
                 host.end(request, 0, Outcome.SERVED)
@@ -177,7 +184,9 @@
 
 
 def test_aggregator_reports_no_more_failing_servers_than_can_be_spared() -> None:
-    """Risk: with a third failing and a release, marks took what capacity was left (G 0.858 to 0.806)."""
+    """Failure: with a third of the servers failing during a release, servers reported as failing included the remaining
+    capacity, and the goal fell from 0.858 to 0.806.
+    """
     failing_counts = []
     for slots_per_peer in (0, 1):
         host = make_host_in_fleet(0, servers=10)
@@ -192,9 +201,11 @@
 
 
 def test_count_that_arrives_out_of_order_is_ignored() -> None:
-    """Risk: a job told to run and at once told 'full' arrives the other way round, and stays for ever.
+    """Failure: if the reports of the start and of the immediate end of an attempt arrive in reverse order, its slot
+    counts forever.
 
-    At 459 dispatchers relays believed 6 slots a worker that were not there."""
+    With 459 dispatchers, aggregators counted 6 slots per server that were not in use.
+    """
     host = make_host_in_fleet(0)
     server = host.dispatcher.state.peer_load.servers_in_order[0]
     host.give(PeerMessage(7, count_message(server.id, 0, clock=12.0)))
@@ -205,7 +216,7 @@
 
 
 def test_valid_counts_are_repeated() -> None:
-    """Risk: a lost message makes a worker look busy, or free, until its sender happens to go there again."""
+    """Failure: after a lost message a server looks busy or free until the sender has another attempt there."""
     host = make_host_in_fleet(9)
     for aggregator in (0, 1):
         host.give(PeerMessage(aggregator, PeerLoad.SUMMARY))
@@ -234,21 +245,24 @@
 
 
 def test_own_attempts_since_the_last_summary_are_counted() -> None:
-    """Risk: whose job ends leaves the slot to a crowd that hears of it together, and waits (51% 'full')."""
+    """Failure: a dispatcher whose attempt ends learns of the free slot only with the summary, when all dispatchers send
+    requests to it, and has to wait (51% outcome `FULL`).
+    """
     host = make_host_in_fleet(9, servers=1)
     host.give(PeerMessage(0, make_summary(host, [0])[0]))
     request = host.job(0)
     assert request in host.sent
-    host.give(PeerMessage(0, make_summary(host, [8])[0]))  # told full, ours among them
+    # The summary reports a full server and includes the request of this dispatcher.
+    host.give(PeerMessage(0, make_summary(host, [8])[0]))
     waiting = host.job(0)
     assert waiting not in host.sent
     host.end(request, 0, Outcome.SERVED, (0.0,))
     assert waiting in host.sent
-    assert host.job(0) not in host.sent  # and it is taken again
+    assert host.job(0) not in host.sent  # the slot is in use again
 
 
 def test_full_fleet_is_not_scanned_at_every_event() -> None:
-    """Risk: with jobs held, each of 40 events a second went through 370 workers: cut off for CPU."""
+    """Failure: with requests queued, each of 40 events per second checked 370 servers, which exceeded the CPU limit."""
     host = make_host_in_fleet(9, servers=200)
     content = make_summary(host, [8] * 200)[0]
     host.give(PeerMessage(0, content))
@@ -274,7 +288,7 @@
     calls_before = choose_calls
     for _ in range(100):
         host.give(PeerMessage(7, count_message(1, 1, host.now)))
-    assert choose_calls == calls_before  # nothing has freed
+    assert choose_calls == calls_before  # no slot has become free
     host.give(PeerMessage(0, content))
     assert choose_calls == calls_before + 1
     assert candidate_checks == 0
--- a/tests/balancer/test_overload.py
+++ b/tests/balancer/test_overload.py
@@ -1,4 +1,4 @@
-"""A fleet that sees nothing but the starts of its own jobs, while most of its hosts are replaced by cold ones."""
+"""Tests a deployment that replaces most servers in a fleet whose dispatchers observe only their own attempt starts."""
 
 import pytest
 from emulator.fleets import scenario
@@ -10,7 +10,10 @@
 
 
 def scenario_without_gossip() -> Scenario:
-    """Sixty dispatchers, one job a second each, half of what hosts do while warm; late jobs earn nothing."""
+    """Returns a scenario of sixty dispatchers without gossip, in which late answers have no value.
+
+    Each dispatcher receives one request per second, which in total is half the load that warm servers can handle.
+    """
     return scenario(
         DEPLOYMENT,
         span_s=24,
@@ -31,7 +34,9 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_no_warming_server_is_overloaded_and_the_fleet_recovers(seed: int) -> None:
-    """Without tickets and holding 19 to 22 hosts are pushed over, and 0.21 to 0.23 is served."""
+    """Failure: without reservations and queueing at the dispatcher, 19 to 22 servers are overloaded, and the served
+    share is 0.21 to 0.23.
+    """
     world = World(scenario_without_gossip(), seed)
     figures = world.run()
     assert world.checker.violations == []
--- a/tests/balancer/test_recorded_streams.py
+++ b/tests/balancer/test_recorded_streams.py
@@ -1,4 +1,4 @@
-"""With no limits set, the module decides as it did before there were any: recorded streams, action by action."""
+"""Tests that recorded event streams, made before limits existed, give the same actions if no limits are set."""
 
 import pytest
 from recorded import record
