--- a/heronlug/balancer/placement.py
+++ b/heronlug/balancer/placement.py
@@ -49,7 +49,7 @@
         elif (server := self._selection.choose(request, now)) is not None:
             self._starter.start(request, server, now)
         elif request.rejected_by:
-            # The request itself is most likely invalid, so it does not wait for a second server to have room.
+            # The request itself is most likely invalid, so it does not wait until a second server can confirm that.
             self._open_requests.finish(request, GiveUpReason.FAULTY)
         else:
             self._queue.add(request, now)
