--- a/heronlug/conformance/checker.py
+++ b/heronlug/conformance/checker.py
@@ -107,7 +107,7 @@
         self.short_call_peak.reset()
         self.long_call_peak.reset()
 
-    def called(self, event: Called) -> None:
+    def count_call(self, event: Called) -> None:
         """Count a call of service discovery."""
         self.calls += 1
         self.list_calls += event.whole
@@ -115,7 +115,7 @@
         self.short_call_peak.add(event.at)
         self.long_call_peak.add(event.at)
 
-    def dialled(self, event: Dialled) -> None:
+    def count_dial(self, event: Dialled) -> None:
         """Count a connection to a server."""
         self.dials[event.host] += 1
         self.dial_peaks.setdefault(event.host, PeakRate(LONG_WINDOW_MS)).add(event.at)
@@ -139,28 +139,28 @@
         self.counts: Counter[int] = Counter()
         self.seen = 0
         self.statistics = Statistics()
-        self._open: dict[RequestKey, OpenRequest] = {}
+        self._open_requests: dict[RequestKey, OpenRequest] = {}
         self._answered_requests: dict[str, set[str]] = {}  # by dispatcher
         self._non_idempotent: set[str] = set()
         self._executed: dict[str, Began] = {}  # non-idempotent requests that have been executed
         self._notifications = NotificationHistory()
         self._server_trails: dict[str, deque[Event]] = {}
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
-            Started: self._started,
-            Stopped: self._stopped,
-            Taken: self._taken,
-            Answered: self._answered,
-            Sent: self._sent,
-            Began: self._began,
-            Ended: self._ended,
-            Listed: self._listed,
-            Changed: self._changed,
-            Watching: self._watching,
-            WatchOver: self._watch_over,
-            Reachable: self._reachable,
-            Load: self._load,
-            Called: self.statistics.called,
-            Dialled: self.statistics.dialled,
+            Started: self._on_started,
+            Stopped: self._on_stopped,
+            Taken: self._on_taken,
+            Answered: self._on_answered,
+            Sent: self._on_sent,
+            Began: self._on_began,
+            Ended: self._on_ended,
+            Listed: self._on_listed,
+            Changed: self._on_changed,
+            Watching: self._on_watching,
+            WatchOver: self._on_watch_over,
+            Reachable: self._on_reachable,
+            Load: self._on_load,
+            Called: self.statistics.count_call,
+            Dialled: self.statistics.count_dial,
         }
 
     def see(self, event: Event) -> None:
@@ -170,7 +170,7 @@
 
     def finish(self, at: float) -> list[Violation]:
         """End the run: what is still open and past its deadline has had no answer."""
-        for request in self._open.values():
+        for request in self._open_requests.values():
             if request.taken.give_up_at + self.slack < at:
                 self._add_violation(1, at, f"{request.taken.job} has had no final answer", request.trail)
         return self.violations
@@ -185,13 +185,13 @@
 
     # -- dispatchers
 
-    def _started(self, event: Started) -> None:
+    def _on_started(self, event: Started) -> None:
         self._answered_requests[event.dispatcher] = set()
-        self._notifications.dispatcher(event.dispatcher)  # its clocks run on from process to process
+        self._notifications.notifications_of(event.dispatcher)  # its clocks run on from process to process
 
-    def _stopped(self, event: Stopped) -> None:
-        for key in [key for key in self._open if key.dispatcher == event.dispatcher]:
-            request = self._open.pop(key)
+    def _on_stopped(self, event: Stopped) -> None:
+        for key in [key for key in self._open_requests if key.dispatcher == event.dispatcher]:
+            request = self._open_requests.pop(key)
             if not event.killed:
                 what = f"{request.taken.job} has had no final answer when {event.dispatcher} ended"
                 self._add_violation(1, event.at, what, (*request.trail, event))
@@ -199,79 +199,79 @@
 
     # -- rules 1 and 2: requests
 
-    def _taken(self, event: Taken) -> None:
+    def _on_taken(self, event: Taken) -> None:
         key = RequestKey(event.dispatcher, event.job)
-        if key in self._open:
+        if key in self._open_requests:
             what = f"{event.job} was taken twice while it is open"
-            self._add_violation(1, event.at, what, (*self._open[key].trail, event))
-        self._open[key] = OpenRequest(event)
+            self._add_violation(1, event.at, what, (*self._open_requests[key].trail, event))
+        self._open_requests[key] = OpenRequest(event)
         self._answered_requests.setdefault(event.dispatcher, set()).discard(event.job)
         if event.once:
             self._non_idempotent.add(event.job)
 
-    def _answered(self, event: Answered) -> None:
-        request = self._open.pop(RequestKey(event.dispatcher, event.job), None)
+    def _on_answered(self, event: Answered) -> None:
+        request = self._open_requests.pop(RequestKey(event.dispatcher, event.job), None)
         answered = self._answered_requests.setdefault(event.dispatcher, set())
         if request is None:
             why = "has had a second answer" if event.job in answered else "was answered and never taken"
             self._add_violation(1, event.at, f"{event.job} {why}", (event,))
         elif event.at > request.taken.give_up_at + self.slack:
-            late = event.at - request.taken.give_up_at
-            what = f"{event.job} was answered {late:.0f} ms too late"
+            late_ms = event.at - request.taken.give_up_at
+            what = f"{event.job} was answered {late_ms:.0f} ms too late"
             self._add_violation(1, event.at, what, (*request.trail, event))
         answered.add(event.job)
 
-    def _ended(self, event: Ended) -> None:
-        if self._open.pop(RequestKey(event.dispatcher, event.job), None) is not None:
+    def _on_ended(self, event: Ended) -> None:
+        if self._open_requests.pop(RequestKey(event.dispatcher, event.job), None) is not None:
             self._answered_requests.setdefault(event.dispatcher, set()).add(event.job)
 
-    def _began(self, event: Began) -> None:
+    def _on_began(self, event: Began) -> None:
         if event.job not in self._non_idempotent:
             return
-        before = self._executed.get(event.job)
-        if before is not None:
-            what = f"{event.job} ran at {event.host} after it had at {before.host}"
-            trails = [request.trail for key, request in self._open.items() if key.request == event.job]
-            self._add_violation(2, event.at, what, (*(trails[0] if trails else ()), before, event))
+        earlier = self._executed.get(event.job)
+        if earlier is not None:
+            what = f"{event.job} ran at {event.host} after it had at {earlier.host}"
+            trails = [request.trail for key, request in self._open_requests.items() if key.request == event.job]
+            self._add_violation(2, event.at, what, (*(trails[0] if trails else ()), earlier, event))
         self._executed[event.job] = event
 
     # -- rule 3: draining servers
 
-    def _sent(self, event: Sent) -> None:
-        request = self._open.get(RequestKey(event.dispatcher, event.job))
+    def _on_sent(self, event: Sent) -> None:
+        request = self._open_requests.get(RequestKey(event.dispatcher, event.job))
         if request is not None:
             request.trail.append(event)
         else:
             self._add_violation(1, event.at, f"{event.job} was sent and is not open", (event,))
-        notified = self._notifications.notified(event.dispatcher, event.host)
+        notified = self._notifications.notified_since(event.dispatcher, event.host)
         if notified is not None and event.at - notified.at > self.drain_grace:
-            since = event.at - notified.at
+            elapsed_ms = event.at - notified.at
             what = (
-                f"{event.host} was sent {event.job} {since:.0f} ms after its change counted as notified, "
+                f"{event.host} was sent {event.job} {elapsed_ms:.0f} ms after its change counted as notified, "
                 f"which {notified.reason}"
             )
             self._add_violation(3, event.at, what, (*self._server_trail(event.host), event))
 
-    def _listed(self, event: Listed) -> None:
+    def _on_listed(self, event: Listed) -> None:
         self._server_trail(event.host).append(event)
-        self._notifications.written(event.at, event.dispatcher, event.host, event.state)
+        self._notifications.record_written(event.at, event.dispatcher, event.host, event.state)
 
-    def _changed(self, event: Changed) -> None:
+    def _on_changed(self, event: Changed) -> None:
         self._server_trail(event.host).append(event)
-        self._notifications.changed(event.at, event.host, event.state)
+        self._notifications.record_change(event.at, event.host, event.state)
 
-    def _watching(self, event: Watching) -> None:
-        self._notifications.watching(event.at, event.dispatcher, event.call, event.wait)
+    def _on_watching(self, event: Watching) -> None:
+        self._notifications.record_watch(event.at, event.dispatcher, event.call, event.wait)
 
-    def _watch_over(self, event: WatchOver) -> None:
-        self._notifications.watch_over(event.at, event.dispatcher, event.call)
+    def _on_watch_over(self, event: WatchOver) -> None:
+        self._notifications.record_watch_end(event.at, event.dispatcher, event.call)
 
-    def _reachable(self, event: Reachable) -> None:
-        self._notifications.reachable(event.at, event.dispatcher, event.reachable)
+    def _on_reachable(self, event: Reachable) -> None:
+        self._notifications.record_reachability(event.at, event.dispatcher, event.reachable)
 
     # -- rule 4: servers that warm up
 
-    def _load(self, event: Load) -> None:
+    def _on_load(self, event: Load) -> None:
         self.statistics.warmup_peak_load = max(self.statistics.warmup_peak_load, event.share)
         trail = self._server_trail(event.host)
         trail.append(event)
--- a/heronlug/conformance/notification.py
+++ b/heronlug/conformance/notification.py
@@ -41,18 +41,18 @@
 
     Attributes:
         call: its number.
-        since: when it came.
-        wait: how long it waits at most.
+        opened_at: when it came.
+        wait_ms: how long it waits at most.
     """
 
     call: int
-    since: float
-    wait: float
+    opened_at: float
+    wait_ms: float
 
     @property
     def missed_change_counts_at(self) -> float:
         """When a change that it does not bring counts at the latest, if it was made right after the call."""
-        return max(self.since + COUNTS_AFTER_MS, self.since + self.wait + COUNTS_AFTER_WAIT_MS)
+        return max(self.opened_at + COUNTS_AFTER_MS, self.opened_at + self.wait_ms + COUNTS_AFTER_WAIT_MS)
 
 
 class UnwrittenChange(NamedTuple):
@@ -61,26 +61,26 @@
     Attributes:
         at: when it was made.
         watch: that was open then.
-        reached_at: the first moment from then on at which discovery could be reached; None: not yet.
+        reachable_at: the first moment from then on at which discovery could be reached; None: not yet.
     """
 
     at: float
     watch: Watch | None
-    reached_at: float | None
+    reachable_at: float | None
 
     @property
     def counts_at(self) -> float:
         """When it counts as notified, whether or not it arrives."""
         if self.watch is not None:
             return max(self.at + COUNTS_AFTER_MS, self.watch.missed_change_counts_at)
-        return self.reached_at + COUNTS_AFTER_MS if self.reached_at is not None else inf
+        return self.reachable_at + COUNTS_AFTER_MS if self.reachable_at is not None else inf
 
     @property
     def reason(self) -> str:
         """Why it counts then."""
         if self.watch is not None:
             return "was missed by a watch"
-        return f"was made at {self.at:.0f}, and discovery could be reached at {self.reached_at:.0f}"
+        return f"was made at {self.at:.0f}, and discovery could be reached at {self.reachable_at:.0f}"
 
 
 class DispatcherNotifications:
@@ -121,11 +121,11 @@
     def __init__(self) -> None:
         self._dispatchers: dict[str, DispatcherNotifications] = {}
 
-    def dispatcher(self, name: str) -> DispatcherNotifications:
+    def notifications_of(self, name: str) -> DispatcherNotifications:
         """What is known of a dispatcher; one that is new starts here."""
         return self._dispatchers.setdefault(name, DispatcherNotifications())
 
-    def changed(self, at: float, server: str, state: str) -> None:
+    def record_change(self, at: float, server: str, state: str) -> None:
         """Discovery has another state of a server."""
         for dispatcher in self._dispatchers.values():
             if state == READY:
@@ -134,9 +134,9 @@
             elif server not in dispatcher.written and server not in dispatcher.unwritten:
                 dispatcher.add_unwritten(server, at, dispatcher.watch)
 
-    def written(self, at: float, dispatcher: str, server: str, state: str) -> None:
+    def record_written(self, at: float, dispatcher: str, server: str, state: str) -> None:
         """Discovery has written a state of a server to a dispatcher."""
-        notifications = self.dispatcher(dispatcher)
+        notifications = self.notifications_of(dispatcher)
         change = notifications.unwritten.pop(server, None)
         if state == READY:
             notifications.written.pop(server, None)
@@ -145,27 +145,27 @@
         else:
             notifications.written.setdefault(server, Notified(at, "was written"))
 
-    def watching(self, at: float, dispatcher: str, call: int, wait: float) -> None:
+    def record_watch(self, at: float, dispatcher: str, call: int, wait_ms: float) -> None:
         """A call of a dispatcher waits for an event."""
-        self.dispatcher(dispatcher).watch = Watch(call, at, wait)
+        self.notifications_of(dispatcher).watch = Watch(call, at, wait_ms)
 
-    def watch_over(self, at: float, dispatcher: str, call: int) -> None:
+    def record_watch_end(self, at: float, dispatcher: str, call: int) -> None:
         """That call was answered, or its connection has ended."""
-        self.dispatcher(dispatcher).end_watch(at, call)
+        self.notifications_of(dispatcher).end_watch(at, call)
 
-    def reachable(self, at: float, dispatcher: str, reachable: bool) -> None:
+    def record_reachability(self, at: float, dispatcher: str, reachable: bool) -> None:
         """Discovery can be reached by a dispatcher from now on, or not any more."""
-        notifications = self.dispatcher(dispatcher)
+        notifications = self.notifications_of(dispatcher)
         notifications.reachable = reachable
         if not reachable:
             return
         for server, change in notifications.unwritten.items():
-            if change.reached_at is None:
-                notifications.unwritten[server] = change._replace(reached_at=at)
+            if change.reachable_at is None:
+                notifications.unwritten[server] = change._replace(reachable_at=at)
 
-    def notified(self, dispatcher: str, server: str) -> Notified | None:
+    def notified_since(self, dispatcher: str, server: str) -> Notified | None:
         """Since when a server counts as draining or gone for a dispatcher; None: it does not, as far as is known."""
-        notifications = self.dispatcher(dispatcher)
+        notifications = self.notifications_of(dispatcher)
         if server in notifications.written:
             return notifications.written[server]
         change = notifications.unwritten.get(server)
--- a/heronlug/peers/datagrams.py
+++ b/heronlug/peers/datagrams.py
@@ -22,9 +22,9 @@
         peers: list[str],
         broadcast: str | None,
         position: int,
-        receive: Callable[[int, bytes], None],
+        on_message: Callable[[int, bytes], None],
         log: EventLog,
-        turn: Callable[[], None],
+        run_due: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
         """Create a protocol that has no socket yet.
@@ -33,9 +33,9 @@
             peers: The addresses of all dispatchers by position, this one included.
             broadcast: An address that reaches all of them, or None.
             position: The position of this dispatcher.
-            receive: Is given each message with the position of the peer that sent it.
+            on_message: Is given each message with the position of the peer that sent it.
             log: Where events are logged.
-            turn: Is called after each message, to handle what follows from it.
+            run_due: Is called after each message, to handle what follows from it.
             clock: The time in ms.
         """
         self.gossip = Gossip(len(peers))
@@ -43,9 +43,9 @@
         self._positions = {address: number for number, address in enumerate(self._addresses)}
         self._broadcast = http.split_address(broadcast) if broadcast else None
         self._position = position
-        self._receive = receive
+        self._on_message = on_message
         self._log = log
-        self._turn = turn
+        self._run_due = run_due
         self._clock = clock
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -62,10 +62,10 @@
         if not message:
             return
         try:
-            self._receive(peer, message)
+            self._on_message(peer, message)
         except Exception as error:  # what a peer sends must not end this process
             self._log("exception", where="peers", error=repr(error))
-        self._turn()
+        self._run_due()
 
     def error_received(self, exc: Exception) -> None:
         """Ignore that a peer is down: gossip may be lost."""
--- a/heronlug/peers/goodbye.py
+++ b/heronlug/peers/goodbye.py
@@ -77,18 +77,18 @@
         """The recipients of a goodbye that is due now, which counts as sent."""
         if not self.leaving:
             return []
-        due = [recipient for recipient in self._unaware(now) if self._is_due(recipient, now)]
+        due = [recipient for recipient in self._uninformed_recipients(now) if self._is_goodbye_due(recipient, now)]
         for recipient in due:
             sent = self._sent.get(recipient)
             self._sent[recipient] = SentGoodbyes(now, 1 if sent is None else sent.goodbyes + 1)
         return due
 
-    def _unaware(self, now: float) -> list[int]:
+    def _uninformed_recipients(self, now: float) -> list[int]:
         """Those that may believe that this dispatcher serves."""
         recipients = [recipient for recipient, at in self._last_unmarked.items() if now - at < SERVING_TIMEOUT_MS]
         return [ALL_PEERS] if ALL_PEERS in recipients else recipients
 
-    def _is_due(self, recipient: int, now: float) -> bool:
+    def _is_goodbye_due(self, recipient: int, now: float) -> bool:
         sent = self._sent.get(recipient)
         if sent is None:
             return True
--- a/heronlug/requests/core.py
+++ b/heronlug/requests/core.py
@@ -118,7 +118,7 @@
         self.postponed = 0
         self._log, self._subscribe, self._send_peer_message = log, subscribe, send_peer_message
         self._retry_after = max_retry_after / 2
-        self.events = EventQueue(Dispatcher(settings, seed), deadlines.clock, self._do, self._log_slow_event)
+        self.events = EventQueue(Dispatcher(settings, seed), deadlines.clock, self._execute, self._log_slow_event)
 
     @property
     def dispatcher(self) -> Dispatcher:
@@ -164,7 +164,7 @@
         if reason is not None:
             self._close(request, FinalAnswer.REFUSED, b"", self._retry_after, reason.value)
         else:
-            self.events.handle(_arrival(request, workload))
+            self.events.handle(_arrival_event(request, workload))
         return request
 
     def _reason_to_reject(self, request: Request, now: float, remaining: float, size: int) -> RejectReason | None:
@@ -180,7 +180,7 @@
     def adopt(
         self,
         request: Request,
-        passed: Sequence[tuple[ListedServer, AttemptSnapshot]],
+        handed_over: Sequence[tuple[ListedServer, AttemptSnapshot]],
         workload: Workload | None = None,
         not_before: float = 0.0,
     ) -> None:
@@ -188,13 +188,13 @@
 
         Args:
             request: the request, not in any table yet.
-            passed: its attempts, each with its server.
+            handed_over: its attempts, each with its server.
             workload: what the client told of its work.
             not_before: when its backoff ends.
         """
         self.requests.add(request, self._on_deadline)
         snapshots = []
-        for entry, snapshot in passed:
+        for entry, snapshot in handed_over:
             number = self.directory.number_of(entry.name)
             if number not in self.directory.by_number:
                 self.update_servers(ListKind.CHANGES, [entry])
@@ -205,7 +205,7 @@
             if attempt.in_flight:
                 attempt.handle = self.attempts.add(attempt)
             snapshots.append(snapshot._replace(server=number))
-        arrival = _arrival(request, workload)
+        arrival = _arrival_event(request, workload)
         self.events.handle(RequestAdopted(arrival, request.accepted_at, tuple(snapshots), not_before))
 
     def attempt_snapshots(self, request: Request) -> list[tuple[ListedServer, AttemptSnapshot]] | None:
@@ -223,7 +223,7 @@
     def hand_over(self, request: Request) -> None:
         """Forget a request that another process goes on with: nothing is owed here, and nothing has ended."""
         request.client_gone = True
-        self.requests.settle()
+        self.requests.count_closed()
         for attempt in request.attempts:
             if attempt.in_flight:
                 attempt.in_flight = False
@@ -242,7 +242,7 @@
         """Note that the client has left: nothing is owed any more."""
         if not request.closed:
             request.client_gone = True
-            self.requests.settle()
+            self.requests.count_closed()
             self._log("client_gone", message=request.handle, id=request.request_id)
             self.events.handle(ClientGone(request.handle))
             self.requests.forget(request)
@@ -280,7 +280,7 @@
         repeat_window_open = attempt.repeat_window_open(self.deadlines.clock())
         if self.directory.stale or not attempt.server.ready or not repeat_window_open:
             return False
-        return attempt.in_flight and not self._is_over(attempt.request)
+        return attempt.in_flight and not self._is_closed(attempt.request)
 
     def is_non_idempotent(self, attempt: Attempt) -> bool:
         """Whether it must not run twice, so that only proof that it never ran lets it go out again."""
@@ -305,8 +305,8 @@
         self.attempts.remove(attempt.handle)
         request, now = attempt.request, self.deadlines.clock()
         if outcome != Outcome.SERVED:
-            took = round(now - attempt.sent_at, 1)
-            self._log_attempt("relay_ended", attempt, outcome=outcome.log_name, ms=took)
+            elapsed = round(now - attempt.sent_at, 1)
+            self._log_attempt("relay_ended", attempt, outcome=outcome.log_name, ms=elapsed)
         elif not request.closed:
             self._close(request, FinalAnswer.SERVED, result)
         latency = max(0.0, now - attempt.sent_at)
@@ -315,11 +315,11 @@
         )
         self.requests.forget(request)
 
-    def postpone(self, act: Callable[[Attempt], None], attempt: Attempt) -> None:
+    def postpone(self, resume: Callable[[Attempt], None], attempt: Attempt) -> None:
         """Go on with an attempt in the next turn of the loop, as the endpoint list is read in this one."""
         self.postponed += 1
         self._log_attempt("attempt_postponed", attempt)
-        self.deadlines.call_after(0.0, act, attempt)
+        self.deadlines.call_after(0.0, resume, attempt)
 
     # -- servers and other dispatchers
 
@@ -353,29 +353,29 @@
 
     # -- events and actions
 
-    def _log_slow_event(self, event: Event, took: float) -> None:
+    def _log_slow_event(self, event: Event, elapsed: float) -> None:
         """Log an event that has held the loop up, or during which the process had no processor."""
         self._log(
             "slow_event",
             kind=type(event).__name__,
-            ms=round(took, 1),
+            ms=round(elapsed, 1),
             hosts=len(self.directory.by_number),
             open=self.requests.open_count,
             waiting=self.dispatcher.queue_length,
         )
 
-    def _do(self, action: Action, now: float) -> None:
+    def _execute(self, action: Action, now: float) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action, now)
             case SetTimer():
                 self.deadlines.call_at(now + action.delay, self.events.handle, TimerFired(action.token))
             case Reject() | Fail():
-                self._give_up(action)
+                self._close_unserved(action)
             case CancelAttempt():
                 request = self.requests.get(action.request)
                 if request is not None and action.attempt < len(request.attempts):
-                    self._end_early(request.attempts[action.attempt], Outcome.CANCELLED)
+                    self._cancel_attempt(request.attempts[action.attempt], Outcome.CANCELLED)
             case SendPeerMessage():
                 self._send_peer_message(action.content, action.peer)
             case Subscribe():
@@ -389,7 +389,7 @@
             never_began = AttemptEnded(
                 action.request, 0, server.number, Outcome.CANCELLED_BEFORE_START, latency=0.0, final=True
             )
-            self.events.put_behind(never_began)
+            self.events.append(never_began)
             return
         attempt = Attempt(request, len(request.attempts), server, now)
         request.attempts.append(attempt)
@@ -398,7 +398,7 @@
             hedged = any(other.in_flight for other in request.attempts[:-1])
             self._log_attempt("attempt_hedged" if hedged else "attempt_retried", attempt)
         beyond_cap = attempt.number >= self.settings.max_attempts_of(request.policy)
-        if now >= request.give_up_at or beyond_cap or self._is_over(request):
+        if now >= request.give_up_at or beyond_cap or self._is_closed(request):
             self.attempt_ended(attempt, Outcome.CANCELLED_BEFORE_START)
         elif self.has_unread_update():
             self.postpone(self._begin_postponed, attempt)
@@ -416,20 +416,20 @@
         else:
             self.attempt_ended(attempt, Outcome.CONNECT_FAILED)
 
-    def _end_early(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _cancel_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.in_flight:
             self.transport.cancel(attempt)
             self.attempt_ended(attempt, outcome)
 
     # -- ends
 
-    def _is_over(self, request: Request) -> bool:
+    def _is_closed(self, request: Request) -> bool:
         """Whether nothing is owed; a client may have left with nobody having read of it yet."""
         if not request.closed and not self.transport.client_waits(request):
             self.client_left(request)
         return request.closed
 
-    def _give_up(self, action: Reject | Fail) -> None:
+    def _close_unserved(self, action: Reject | Fail) -> None:
         request = self.requests.get(action.request)
         if request is not None and not request.closed:
             final = FinalAnswer.REFUSED if isinstance(action, Reject) else FinalAnswer.FAILED
@@ -439,7 +439,7 @@
     def _on_deadline(self, request: Request) -> None:
         """End what is in flight when the client's time is over, and fail what the balancer has not answered."""
         for attempt in request.attempts:
-            self._end_early(attempt, Outcome.TIMEOUT)
+            self._cancel_attempt(attempt, Outcome.TIMEOUT)
         if not request.closed:
             self._log("overdue", message=request.handle, id=request.request_id)
             self._close(request, FinalAnswer.FAILED, b"", reason="overdue")
@@ -450,9 +450,9 @@
     ) -> None:
         """Give the final answer: the one place where one goes out."""
         request.final_answer = final
-        self.requests.settle()
+        self.requests.count_closed()
         self.count_answer(request.class_index, final)
-        took = self.deadlines.clock() - request.accepted_at
+        elapsed = self.deadlines.clock() - request.accepted_at
         self._log(
             "answer",
             message=request.handle,
@@ -460,12 +460,12 @@
             lane=self.settings.classes[request.class_index].name,
             final=final.value,
             relays=len(request.attempts),
-            ms=round(took, 1),
+            ms=round(elapsed, 1),
             **({"why": reason} if reason else {}),
         )
         self.transport.answer(request, final, body, retry_after)
         if self.plugins is not None:
-            self.plugins.observe(request.class_index, final, took)
+            self.plugins.observe(request.class_index, final, elapsed)
         self.requests.forget(request)
 
     def _log_attempt(self, event: str, attempt: Attempt, **fields: object) -> None:
@@ -480,7 +480,7 @@
         )
 
 
-def _arrival(request: Request, workload: Workload | None) -> RequestArrived:
+def _arrival_event(request: Request, workload: Workload | None) -> RequestArrived:
     """A request as the balancer is told of it."""
     slots, memory, work_hint, tenant, key, retry = workload or Workload()
     return RequestArrived(
--- a/heronlug/requests/deadlines.py
+++ b/heronlug/requests/deadlines.py
@@ -33,44 +33,44 @@
 class Deadlines:
     """What is to be called, and when."""
 
-    __slots__ = ("_due", "_seq", "clock", "lateness")
+    __slots__ = ("_calls", "_seq", "clock", "lateness")
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self._due: SortedDict[Key, tuple[Callable[..., object], tuple[Any, ...]]] = SortedDict()
+        self._calls: SortedDict[Key, tuple[Callable[..., object], tuple[Any, ...]]] = SortedDict()
         self._seq = 0
         self.lateness = 0.0  # by how much the last sweep came after the first that it called
 
     def __len__(self) -> int:
-        return len(self._due)
+        return len(self._calls)
 
-    def call_at(self, when: float, what: Callable[..., object], *args: Any) -> Key:
+    def call_at(self, due_at: float, callback: Callable[..., object], *args: Any) -> Key:
         """Call it at that time; the key serves to drop it."""
         self._seq += 1
-        key = (when, self._seq)
-        self._due[key] = what, args
+        key = (due_at, self._seq)
+        self._calls[key] = callback, args
         return key
 
-    def call_after(self, delay: float, what: Callable[..., object], *args: Any) -> Key:
+    def call_after(self, delay: float, callback: Callable[..., object], *args: Any) -> Key:
         """Call it after that time."""
-        return self.call_at(self.clock() + delay, what, *args)
+        return self.call_at(self.clock() + delay, callback, *args)
 
     def cancel(self, key: Key | None) -> None:
         """Forget a deadline; one that has passed is no error."""
         if key is not None:
-            self._due.pop(key, None)
+            self._calls.pop(key, None)
 
     def next_due(self) -> float | None:
         """When the first is due."""
-        return float(self._due.peekitem(0)[0][0]) if self._due else None
+        return float(self._calls.peekitem(0)[0][0]) if self._calls else None
 
     def run_due(self) -> int:
         """Call all that is due by now, in order; what is added for now meanwhile waits for the next sweep."""
         called, now = 0, self.clock()
-        due = list(self._due.irange(maximum=(now, self._seq)))
+        due = list(self._calls.irange(maximum=(now, self._seq)))
         self.lateness = now - due[0][0] if due else 0.0
         for key in due:
-            entry = self._due.pop(key, None)
+            entry = self._calls.pop(key, None)
             if entry is not None:  # one that was due before it may have dropped it
                 called += 1
                 entry[0](*entry[1])
--- a/heronlug/requests/event_queue.py
+++ b/heronlug/requests/event_queue.py
@@ -19,30 +19,30 @@
         slow_events: events that took longer than ``SLOW_EVENT_MS``.
     """
 
-    __slots__ = ("_clock", "_do", "_events", "_handling", "_on_slow", "dispatcher", "slow_events")
+    __slots__ = ("_clock", "_events", "_execute", "_handling", "_on_slow_event", "dispatcher", "slow_events")
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         clock: Callable[[], float],
-        do: Callable[[Action, float], None],
-        on_slow: Callable[[Event, float], None],
+        execute: Callable[[Action, float], None],
+        on_slow_event: Callable[[Event, float], None],
     ) -> None:
         """Make an empty queue.
 
         Args:
             dispatcher: the decisions.
             clock: the time in ms.
-            do: carries out an action that was decided at a time.
-            on_slow: called with an event that was slow, and how long it took.
+            execute: carries out an action that was decided at a time.
+            on_slow_event: called with an event that was slow, and how long it took.
         """
         self.dispatcher = dispatcher
         self.slow_events = 0
-        self._clock, self._do, self._on_slow = clock, do, on_slow
+        self._clock, self._execute, self._on_slow_event = clock, execute, on_slow_event
         self._events: deque[Event] = deque()
         self._handling = False
 
-    def put_behind(self, event: Event) -> None:
+    def append(self, event: Event) -> None:
         """Add an event that an action has caused."""
         self._events.append(event)
 
@@ -61,8 +61,8 @@
     def _handle_first(self) -> None:
         now, event = self._clock(), self._events.popleft()
         for action in self.dispatcher.handle(now, event):
-            self._do(action, now)
-        took = self._clock() - now
-        if took >= SLOW_EVENT_MS:
+            self._execute(action, now)
+        elapsed = self._clock() - now
+        if elapsed >= SLOW_EVENT_MS:
             self.slow_events += 1
-            self._on_slow(event, took)
+            self._on_slow_event(event, elapsed)
--- a/heronlug/requests/request_table.py
+++ b/heronlug/requests/request_table.py
@@ -54,7 +54,7 @@
         if request.request_id and self.on_id_changed is not None:
             self.on_id_changed(request.request_id, True)
 
-    def settle(self) -> None:
+    def count_closed(self) -> None:
         """Count a request that is owed nothing any more."""
         self.open_count -= 1
 
--- a/heronlug/requests/server_directory.py
+++ b/heronlug/requests/server_directory.py
@@ -41,13 +41,13 @@
 
     def update(self, kind: ListKind, entries: Sequence[ListedServer], now: float) -> ServerListUpdate:
         """Apply an update of the endpoint list; returns it as the balancer takes it."""
-        lines = [self._apply(entry, now) for entry in entries]
+        server_entries = [self._apply(entry, now) for entry in entries]
         if kind in (ListKind.FULL, ListKind.CACHED):
-            self._remove_all_but({line.server for line in lines}, now)
+            self._remove_all_but({server_entry.server for server_entry in server_entries}, now)
         if self.stale and kind in (ListKind.FULL, ListKind.CHANGES):
             self.stale, kind = False, ListKind.FULL  # the balancer has no list at all
-            lines = self._as_entries()
-        return ServerListUpdate(kind, tuple(lines))
+            server_entries = self._listed_entries()
+        return ServerListUpdate(kind, tuple(server_entries))
 
     def set_usable(self, usable: bool) -> ServerListUpdate | None:
         """Set whether the list may be used; while it may not, the balancer has none, so no server gets new work.
@@ -58,7 +58,7 @@
         if usable is not self.stale:
             return None
         self.stale = not usable
-        return ServerListUpdate(ListKind.CACHED, tuple(self._as_entries()) if usable else ())
+        return ServerListUpdate(ListKind.CACHED, tuple(self._listed_entries()) if usable else ())
 
     def forget_removed(self, in_use: Iterable[int], now: float) -> None:
         """Forget servers that were removed long ago, unless attempts are in flight at them."""
@@ -71,7 +71,7 @@
                 del self._removed_at[number]
                 self._numbers.forget(self.by_number.pop(number).entry.name)
 
-    def _as_entries(self) -> list[ServerEntry]:
+    def _listed_entries(self) -> list[ServerEntry]:
         return [server.as_entry() for server in self.listed()]
 
     def _apply(self, entry: ListedServer, now: float) -> ServerEntry:
@@ -80,16 +80,16 @@
         if server is None:
             server = self.by_number[number] = Server(number, entry)
         server.entry = entry
-        self._note_state(server, now)
+        self._record_state(server, now)
         return server.as_entry()
 
     def _remove_all_but(self, listed: set[int], now: float) -> None:
         for number in self.by_number.keys() - listed:
             server = self.by_number[number]
             server.entry = server.entry._replace(state=ServerState.REMOVED)
-            self._note_state(server, now)
+            self._record_state(server, now)
 
-    def _note_state(self, server: Server, now: float) -> None:
+    def _record_state(self, server: Server, now: float) -> None:
         """Note since when a server may get nothing new, and since when it is removed."""
         state = server.entry.state
         if state is ServerState.READY:
--- a/heronlug/requests/server_numbers.py
+++ b/heronlug/requests/server_numbers.py
@@ -2,17 +2,17 @@
 
 from zlib import crc32
 
-MASK = 0xFFFFFFFF
+NUMBER_MASK = 0xFFFFFFFF
 
 
 class ServerNumbers:
     """The numbers that are in use; each call costs the same however many there are."""
 
-    __slots__ = ("_by_name", "_taken")
+    __slots__ = ("_by_name", "_used_numbers")
 
     def __init__(self) -> None:
         self._by_name: dict[str, int] = {}
-        self._taken: set[int] = set()
+        self._used_numbers: set[int] = set()
 
     def __len__(self) -> int:
         return len(self._by_name)
@@ -22,14 +22,14 @@
         number = self._by_name.get(name)
         if number is None:
             number = crc32(name.encode())
-            while number in self._taken:
-                number = (number + 1) & MASK
+            while number in self._used_numbers:
+                number = (number + 1) & NUMBER_MASK
             self._by_name[name] = number
-            self._taken.add(number)
+            self._used_numbers.add(number)
         return number
 
     def forget(self, name: str) -> None:
         """Nothing refers to that name any more."""
         number = self._by_name.pop(name, None)
         if number is not None:
-            self._taken.discard(number)
+            self._used_numbers.discard(number)
--- a/heronlug/requests/slots.py
+++ b/heronlug/requests/slots.py
@@ -16,11 +16,11 @@
 class SlotTable(Generic[Item]):
     """Items by ticket; slots are used again, tickets never."""
 
-    __slots__ = ("_free", "_items", "_uses")
+    __slots__ = ("_free", "_items", "_use_counts")
 
     def __init__(self) -> None:
         self._items: list[Item | None] = []
-        self._uses: list[int] = []
+        self._use_counts: list[int] = []
         self._free: list[int] = []
 
     def __len__(self) -> int:
@@ -40,22 +40,22 @@
                 msg = "the table of slots is full"
                 raise OverflowError(msg)
             self._items.append(item)
-            self._uses.append(0)
-        self._uses[slot] += 1
-        return self._uses[slot] << SLOT_BITS | slot
+            self._use_counts.append(0)
+        self._use_counts[slot] += 1
+        return self._use_counts[slot] << SLOT_BITS | slot
 
-    def get(self, ticket: int) -> Item | None:
+    def get(self, handle: int) -> Item | None:
         """The item of a ticket, or None once it has been taken out."""
-        slot = ticket & SLOT_MASK
-        if slot < len(self._items) and self._uses[slot] == ticket >> SLOT_BITS:
+        slot = handle & SLOT_MASK
+        if slot < len(self._items) and self._use_counts[slot] == handle >> SLOT_BITS:
             return self._items[slot]
         return None
 
-    def remove(self, ticket: int) -> Item | None:
+    def remove(self, handle: int) -> Item | None:
         """Take an item out, if it is still there."""
-        item = self.get(ticket)
+        item = self.get(handle)
         if item is not None:
-            slot = ticket & SLOT_MASK
+            slot = handle & SLOT_MASK
             self._items[slot] = None
             self._free.append(slot)
         return item
--- a/heronlug/scheduling/chains.py
+++ b/heronlug/scheduling/chains.py
@@ -47,27 +47,27 @@
     """All jobs that wait, and for what."""
 
     def __init__(self) -> None:
-        self._waits: dict[str, set[str]] = {}  # by job: parents that have not ended
+        self._open_parents: dict[str, set[str]] = {}  # by job: parents that have not ended
         self._children: dict[str, dict[str, OnFailure]] = {}  # by parent
 
     def __len__(self) -> int:
-        return len(self._waits)
+        return len(self._open_parents)
 
     def __contains__(self, jid: str) -> bool:
-        return jid in self._waits
+        return jid in self._open_parents
 
     def parents(self, jid: str) -> list[str]:
         """What a job still waits for."""
-        return sorted(self._waits.get(jid, ()))
+        return sorted(self._open_parents.get(jid, ()))
 
-    def add(self, jid: str, open_edges: Iterable[Edge], ended: Iterable[tuple[Edge, bool]]) -> ChainState:
+    def add(self, jid: str, open_edges: Iterable[Edge], ended_edges: Iterable[tuple[Edge, bool]]) -> ChainState:
         """A job with its edges: to parents that are open, and to those that have ended, each with whether served."""
-        if any(not served and edge.on_failure is OnFailure.FAIL for edge, served in ended):
+        if any(not served and edge.on_failure is OnFailure.FAIL for edge, served in ended_edges):
             return ChainState.FAILED
         edges = list(open_edges)
         if not edges:
             return ChainState.READY
-        self._waits[jid] = {edge.parent for edge in edges}
+        self._open_parents[jid] = {edge.parent for edge in edges}
         for edge in edges:
             children = self._children.setdefault(edge.parent, {})
             # of two edges to the same parent the stricter one holds
@@ -77,28 +77,28 @@
 
     def request_ended(self, jid: str, served: bool) -> ChainEnd:
         """A job has ended, one that others wait for or one that waits; what that releases and fails."""
-        found = ChainEnd([], [])
+        consequences = ChainEnd([], [])
         self._forget(jid)
-        ends = [(jid, served)]
-        while ends:
-            parent, well = ends.pop()
+        ended_jobs = [(jid, served)]
+        while ended_jobs:
+            parent, parent_served = ended_jobs.pop()
             for child, on_failure in self._children.pop(parent, {}).items():
-                waits = self._waits.get(child)
-                if waits is None:
+                open_parents = self._open_parents.get(child)
+                if open_parents is None:
                     continue
-                waits.discard(parent)
-                if not well and on_failure is OnFailure.FAIL:
+                open_parents.discard(parent)
+                if not parent_served and on_failure is OnFailure.FAIL:
                     self._forget(child)
-                    found.failed.append(child)
-                    ends.append((child, False))
-                elif not waits:
-                    del self._waits[child]
-                    found.released.append(child)
-        return found
+                    consequences.failed.append(child)
+                    ended_jobs.append((child, False))
+                elif not open_parents:
+                    del self._open_parents[child]
+                    consequences.released.append(child)
+        return consequences
 
     def _forget(self, jid: str) -> None:
         """It waits no more; its parents need not know of it."""
-        for parent in self._waits.pop(jid, ()):
+        for parent in self._open_parents.pop(jid, ()):
             children = self._children.get(parent)
             if children is not None:
                 children.pop(jid, None)
@@ -106,21 +106,21 @@
                     del self._children[parent]
 
 
-def parse_edges(given: object, default: object) -> list[Edge]:
+def parse_edges(raw_parents: object, default_on_failure: object) -> list[Edge]:
     """The edges that a job names: jids, or objects with ``jid`` and ``on_failure``; raises ``ValueError``."""
     try:
-        kind = OnFailure(default) if default is not None else OnFailure.FAIL
-        if given is None:
+        fallback = OnFailure(default_on_failure) if default_on_failure is not None else OnFailure.FAIL
+        if raw_parents is None:
             return []
-        if not isinstance(given, list) or len(given) > MAX_PARENTS:
+        if not isinstance(raw_parents, list) or len(raw_parents) > MAX_PARENTS:
             msg = f"after is no list of at most {MAX_PARENTS} jids"
             raise ValueError(msg)
         edges = []
-        for each in given:
-            if isinstance(each, str):
-                edges.append(Edge(each, kind))
-            elif isinstance(each, dict) and isinstance(each.get("jid"), str):
-                edges.append(Edge(each["jid"], OnFailure(each.get("on_failure", kind))))
+        for entry in raw_parents:
+            if isinstance(entry, str):
+                edges.append(Edge(entry, fallback))
+            elif isinstance(entry, dict) and isinstance(entry.get("jid"), str):
+                edges.append(Edge(entry["jid"], OnFailure(entry.get("on_failure", fallback))))
             else:
                 msg = "after holds something that is no jid"
                 raise ValueError(msg)
--- a/tests/peers/test_goodbye.py
+++ b/tests/peers/test_goodbye.py
@@ -23,29 +23,29 @@
         self.aggregators = range(min(2, count)) if count > 9 else range(0)
         self.gossips = [Gossip(count) for _ in range(count)]
         self.deadlines = Deadlines(lambda: self.now)
-        self.left: set[int] = set()
+        self.stopped: set[int] = set()
         for number in range(count):
-            self.deadlines.call_at(self.now + self.rng.uniform(0, INTERVAL_MS), self.work, number)
+            self.deadlines.call_at(self.now + self.rng.uniform(0, INTERVAL_MS), self.send_periodically, number)
 
-    def run(self, span: float) -> None:
-        end = self.now + span
-        while (head := self.deadlines.next_due()) is not None and head <= end:
-            self.now = max(self.now, head)
+    def run(self, duration_ms: float) -> None:
+        end = self.now + duration_ms
+        while (next_due := self.deadlines.next_due()) is not None and next_due <= end:
+            self.now = max(self.now, next_due)
             self.deadlines.run_due()
         self.now = end
 
-    def work(self, number: int) -> None:
+    def send_periodically(self, number: int) -> None:
         """Send a message every ``INTERVAL_MS``."""
-        if number in self.left:
+        if number in self.stopped:
             return
-        to = [ALL_PEERS] if number in self.aggregators or not self.aggregators else list(self.aggregators)
-        for peer in to:
+        recipients = [ALL_PEERS] if number in self.aggregators or not self.aggregators else list(self.aggregators)
+        for peer in recipients:
             self.send(number, self.gossips[number].datagram(b"c" * 20, peer, self.now), peer)
-        self.deadlines.call_after(INTERVAL_MS, self.work, number)
+        self.deadlines.call_after(INTERVAL_MS, self.send_periodically, number)
 
     def send(self, number: int, data: bytes, peer: int) -> None:
         for other in range(len(self.gossips)) if peer == ALL_PEERS else [peer]:
-            if other != number and other not in self.left and self.rng.random() >= self.loss:
+            if other != number and other not in self.stopped and self.rng.random() >= self.loss:
                 self.gossips[other].receive(number, data, self.now)
 
     def stop(self, number: int) -> None:
@@ -59,7 +59,7 @@
             rejoin_peers=gossip.rejoin,
             give_up_requests=lambda: None,
             close_idle=lambda: None,
-            stopped=lambda: self.left.add(number),
+            stopped=lambda: self.stopped.add(number),
         )
         shutdown = GracefulShutdown(self.deadlines, 20_000.0, hooks)
         shutdown.stop()
@@ -68,84 +68,86 @@
         for peer in self.gossips[number].leave(self.now):
             self.send(number, LEAVING, peer)
 
-    def goodbyes(self) -> int:
+    def sent_goodbyes(self) -> int:
         return sum(gossip.sent.goodbyes for gossip in self.gossips)
 
 
 @pytest.mark.parametrize("count", [4, 50, 200, 1000])
-def test_a_stop_costs_a_bounded_number_of_goodbyes_whatever_the_fleet(count: int) -> None:
+def test_goodbyes_of_a_stop_are_bounded_for_any_fleet_size(count: int) -> None:
     """Risk: sent to all at each check, the goodbyes of a rolling restart of 184 dispatchers cost 27% of the payoff."""
     fleet = Fleet(count)
     fleet.run(1000)
     fleet.stop(count - 1)
     fleet.run(5000)
     recipients = 2 if fleet.aggregators else count - 1
-    assert fleet.left == {count - 1}
-    assert 0 < fleet.goodbyes() <= recipients * MAX_GOODBYES
+    assert fleet.stopped == {count - 1}
+    assert 0 < fleet.sent_goodbyes() <= recipients * MAX_GOODBYES
     fleet.stop(0)
     fleet.run(5000)
-    assert fleet.goodbyes() <= (recipients + count - 1) * MAX_GOODBYES
+    assert fleet.sent_goodbyes() <= (recipients + count - 1) * MAX_GOODBYES
 
 
 @given(
     count=st.sampled_from([3, 9, 10, 40, 120]),
     loss=st.sampled_from([0.0, 0.3]),
     seed=st.integers(0, 2**32),
-    batch=st.integers(1, 12),
-    gap=st.floats(0, 3000),
+    batch_size=st.integers(1, 12),
+    interval_ms=st.floats(0, 3000),
 )
 @settings(max_examples=25, deadline=None, derandomize=True)
-def test_a_rolling_restart_stays_under_the_bound_and_lets_every_client_go(
-    count: int, loss: float, seed: int, batch: int, gap: float
+def test_rolling_restart_stays_within_the_goodbye_bound_and_every_dispatcher_stops(
+    count: int, loss: float, seed: int, batch_size: int, interval_ms: float
 ) -> None:
     fleet = Fleet(count, loss, seed)
     fleet.run(1000)
     order = [*range(count)]
     fleet.rng.shuffle(order)
-    for first in range(0, count, batch):
-        for number in order[first : first + batch]:
+    for first in range(0, count, batch_size):
+        for number in order[first : first + batch_size]:
             fleet.stop(number)
-        fleet.run(gap)
+        fleet.run(interval_ms)
     fleet.run(6000)
-    assert fleet.left == set(order)  # each has come to its end: nobody waits for somebody who is gone
+    assert fleet.stopped == set(order)  # each has come to its end: nobody waits for somebody who is gone
     recipients = len(fleet.aggregators) or count
-    assert fleet.goodbyes() <= MAX_GOODBYES * (count * recipients + len(fleet.aggregators) * count)
+    assert fleet.sent_goodbyes() <= MAX_GOODBYES * (count * recipients + len(fleet.aggregators) * count)
 
 
-def test_peers_that_hear_a_dispatcher_learn_at_once_that_it_leaves_and_others_are_sent_nothing() -> None:
+def test_goodbyes_go_only_to_peers_that_received_messages_and_arrive_at_once() -> None:
     fleet = Fleet(40)
     fleet.run(1000)
     assert all(gossip.others_serve(fleet.now) for gossip in fleet.gossips)
     for aggregator in fleet.aggregators:
         fleet.stop(aggregator)
-    assert not any(fleet.gossips[n].others_serve(fleet.now) for n in range(2, 40))  # all that they hear are leaving
-    before = fleet.goodbyes()
+    assert not any(
+        fleet.gossips[number].others_serve(fleet.now) for number in range(2, 40)
+    )  # all that they hear are leaving
+    before = fleet.sent_goodbyes()
     for number in range(2, 40):
         fleet.stop(number)
-    assert fleet.goodbyes() - before == 2 * 38
+    assert fleet.sent_goodbyes() - before == 2 * 38
 
 
 def test_messages_of_a_leaving_dispatcher_carry_the_mark_until_it_rejoins() -> None:
-    one, other = Gossip(2), Gossip(2)
-    other.receive(0, one.datagram(b"c1", ALL_PEERS, 0.0), 0.0)
-    assert one.leave(10.0) == [ALL_PEERS]
-    assert one.leave(30.0) == []
-    assert one.leave(60.0) == [ALL_PEERS]
-    marked = one.datagram(b"c2", ALL_PEERS, 100.0)
+    leaving, peer = Gossip(2), Gossip(2)
+    peer.receive(0, leaving.datagram(b"c1", ALL_PEERS, 0.0), 0.0)
+    assert leaving.leave(10.0) == [ALL_PEERS]
+    assert leaving.leave(30.0) == []
+    assert leaving.leave(60.0) == [ALL_PEERS]
+    marked = leaving.datagram(b"c2", ALL_PEERS, 100.0)
     assert marked == LEAVING + b"c2"
-    assert other.receive(0, marked, 100.0) == b"c2"
-    assert not other.others_serve(100.0)
+    assert peer.receive(0, marked, 100.0) == b"c2"
+    assert not peer.others_serve(100.0)
     longest = b"c" * MAX_DATAGRAM_BYTES  # has no room for the mark
-    assert one.datagram(longest, ALL_PEERS, 110.0) == longest
-    assert one.datagram(b"c" * (MAX_DATAGRAM_BYTES + 1), ALL_PEERS, 110.0) == b""
-    one.rejoin()
-    assert one.datagram(b"c3", ALL_PEERS, 700.0) == b"c3"
-    assert other.receive(0, b"c3", 700.0) == b"c3"
-    assert other.others_serve(700.0)
-    assert not other.others_serve(700.0 + SERVING_TIMEOUT_MS)
+    assert leaving.datagram(longest, ALL_PEERS, 110.0) == longest
+    assert leaving.datagram(b"c" * (MAX_DATAGRAM_BYTES + 1), ALL_PEERS, 110.0) == b""
+    leaving.rejoin()
+    assert leaving.datagram(b"c3", ALL_PEERS, 700.0) == b"c3"
+    assert peer.receive(0, b"c3", 700.0) == b"c3"
+    assert peer.others_serve(700.0)
+    assert not peer.others_serve(700.0 + SERVING_TIMEOUT_MS)
 
 
-def test_a_dispatcher_that_has_sent_nothing_lately_sends_no_goodbye() -> None:
+def test_dispatcher_without_recent_messages_sends_no_goodbye() -> None:
     gossip = Gossip(200)
     gossip.datagram(b"c", 0, 0.0)
     assert gossip.leave(SERVING_TIMEOUT_MS) == []
--- a/tests/scheduling/test_chains.py
+++ b/tests/scheduling/test_chains.py
@@ -12,62 +12,62 @@
 
 
 @given(GRAPH, st.lists(st.tuples(st.integers(0, 24), st.booleans()), max_size=60))
-def test_what_follows_from_ends_is_what_a_plain_look_at_the_graph_gives(
+def test_released_and_failed_jobs_match_the_reference_model(
     graph: list[list[tuple[int, OnFailure]]], ends: list[tuple[int, bool]]
 ) -> None:
     chains = RequestChains()
     edges: list[list[tuple[int, OnFailure]]] = []
     state: dict[int, str] = {}  # ready, waits, served, failed
 
-    def outcome(number: int) -> str:
+    def state_by_definition(number: int) -> str:
         """By the definition alone, from the states of its parents."""
-        for parent, how in edges[number]:
-            if state[parent] == "failed" and how is OnFailure.FAIL:
+        for parent, on_failure in edges[number]:
+            if state[parent] == "failed" and on_failure is OnFailure.FAIL:
                 return "failed"
-        met = all(state[parent] in ("served", "failed") for parent, _ in edges[number])
-        return "ready" if met else "waits"
+        all_ended = all(state[parent] in ("served", "failed") for parent, _ in edges[number])
+        return "ready" if all_ended else "waits"
 
-    def settle() -> None:
+    def update_states() -> None:
         changed = True
         while changed:
             changed = False
-            for number, was in list(state.items()):
-                if was == "waits" and outcome(number) != "waits":
-                    state[number] = outcome(number)
+            for number, previous in list(state.items()):
+                if previous == "waits" and state_by_definition(number) != "waits":
+                    state[number] = state_by_definition(number)
                     changed = True
 
     def end(number: int, served: bool) -> None:
-        before = dict(state)
+        states_before = dict(state)
         state[number] = "served" if served else "failed"
-        settle()
-        found = chains.request_ended(f"j{number}", served)
-        changed = {n: now for n, now in state.items() if now != before[n] and n != number}
-        assert sorted(found.released) == sorted(f"j{n}" for n, now in changed.items() if now == "ready")
-        assert sorted(found.failed) == sorted(f"j{n}" for n, now in changed.items() if now == "failed")
-
-    queue = list(ends)
-    for number, wanted in enumerate(graph):
-        edges.append([(parent % number, how) for parent, how in wanted] if number else [])
-        open_, over = [], []
-        for parent, how in edges[number]:
-            edge = Edge(f"j{parent}", how)
+        update_states()
+        consequences = chains.request_ended(f"j{number}", served)
+        changed = {n: current for n, current in state.items() if current != states_before[n] and n != number}
+        assert sorted(consequences.released) == sorted(f"j{n}" for n, current in changed.items() if current == "ready")
+        assert sorted(consequences.failed) == sorted(f"j{n}" for n, current in changed.items() if current == "failed")
+
+    pending_ends = list(ends)
+    for number, parents in enumerate(graph):
+        edges.append([(parent % number, on_failure) for parent, on_failure in parents] if number else [])
+        open_edges, ended_edges = [], []
+        for parent, on_failure in edges[number]:
+            edge = Edge(f"j{parent}", on_failure)
             if state[parent] in ("served", "failed"):
-                over.append((edge, state[parent] == "served"))
+                ended_edges.append((edge, state[parent] == "served"))
             else:
-                open_.append(edge)
-        state[number] = outcome(number)
-        start = chains.add(f"j{number}", open_, over)
-        assert start.value == state[number]
-        if queue and queue[0][0] <= number and state[queue[0][0]] in ("ready", "waits"):
-            end(*queue[0])
-        queue = queue[1:]
-    for number, served in queue:
+                open_edges.append(edge)
+        state[number] = state_by_definition(number)
+        added = chains.add(f"j{number}", open_edges, ended_edges)
+        assert added.value == state[number]
+        if pending_ends and pending_ends[0][0] <= number and state[pending_ends[0][0]] in ("ready", "waits"):
+            end(*pending_ends[0])
+        pending_ends = pending_ends[1:]
+    for number, served in pending_ends:
         if number in state and state[number] in ("ready", "waits"):
             end(number, served)
-    assert len(chains) == sum(now == "waits" for now in state.values())
+    assert len(chains) == sum(current == "waits" for current in state.values())
 
 
-def test_a_diamond() -> None:
+def test_diamond_releases_the_last_job_after_both_sides_end() -> None:
     chains = RequestChains()
     assert chains.add("top", [], []) is ChainState.READY
     for side in ("left", "right"):
@@ -80,7 +80,7 @@
     assert not len(chains)
 
 
-def test_a_chain_a_thousand_deep_fails_at_once_and_one_that_is_cancelled_fails_what_follows() -> None:
+def test_failure_fails_all_descendants_in_a_chain_of_a_thousand_jobs() -> None:
     chains = RequestChains()
     chains.add("j0", [], [])
     for number in range(1, 1000):
@@ -90,24 +90,24 @@
     assert not len(chains)
 
 
-def test_of_two_edges_to_one_parent_the_stricter_holds() -> None:
+def test_stricter_of_two_edges_to_one_parent_applies() -> None:
     for edges in ([Edge("p", OnFailure.RELEASE), Edge("p")], [Edge("p"), Edge("p", OnFailure.RELEASE)]):
         chains = RequestChains()
         chains.add("c", edges, [])
         assert chains.request_ended("p", False).failed == ["c"]
 
 
-def test_edges_as_they_are_given() -> None:
+def test_parse_edges_accepts_jids_and_objects_and_rejects_anything_else() -> None:
     assert parse_edges(None, None) == []
     assert parse_edges(["a", {"jid": "b", "on_failure": "release"}], None) == [Edge("a"), Edge("b", OnFailure.RELEASE)]
     assert parse_edges(["a", {"jid": "b"}], "release") == [Edge("a", OnFailure.RELEASE), Edge("b", OnFailure.RELEASE)]
-    broken: list[tuple[object, object, str]] = [
+    invalid: list[tuple[object, object, str]] = [
         ("a", None, "no list"),
         ([1], None, "no jid"),
         (["a"], "stop", "neither"),
         ([{"jid": "a", "on_failure": 1}], None, "neither"),
         (["a"] * 65, None, "64"),
     ]
-    for given_, default, why in broken:
-        with pytest.raises(ValueError, match=why):
-            parse_edges(given_, default)
+    for raw_parents, default_on_failure, message in invalid:
+        with pytest.raises(ValueError, match=message):
+            parse_edges(raw_parents, default_on_failure)
