--- a/heronlug/peers/__init__.py
+++ b/heronlug/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip between dispatchers: who serves, who is leaving, and how few datagrams it takes to say so."""
+"""Exchanges gossip between dispatchers, and tracks with few datagrams which peers serve and which are leaving."""
 
 from heronlug.peers.goodbye import ALL_PEERS, GoodbyeSchedule
 from heronlug.peers.gossip import Gossip
--- a/heronlug/peers/datagrams.py
+++ b/heronlug/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""The socket of the gossip between dispatchers: its datagrams are small, unordered, and may be lost."""
+"""Sends and receives the gossip between dispatchers over UDP; datagrams are small, unordered and may be lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
     """Sends and receives the gossip of one dispatcher.
 
     Attributes:
-        gossip: Which peers serve, and what they were sent.
+        gossip: State of the peers and of the messages sent to them.
     """
 
     def __init__(
@@ -27,16 +27,16 @@
         run_due: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        """Create a protocol that has no socket yet.
+        """Create a protocol without a socket; asyncio passes the socket to :meth:`connection_made`.
 
         Args:
-            peers: The addresses of all dispatchers by position, this one included.
-            broadcast: An address that reaches all of them, or None.
-            position: The position of this dispatcher.
-            on_message: Is given each message with the position of the peer that sent it.
-            log: Where events are logged.
-            run_due: Is called after each message, to handle what follows from it.
-            clock: The time in ms.
+            peers: Addresses of all dispatchers by position, including this dispatcher.
+            broadcast: Address that reaches all dispatchers; None to send to each peer separately.
+            position: Position of this dispatcher.
+            on_message: Called with the position of the sending peer and the message.
+            log: Receives the log events.
+            run_due: Called after each message, to run the deadlines that are due.
+            clock: Returns the current time in ms.
         """
         self.gossip = Gossip(len(peers))
         self._addresses = [http.split_address(peer) for peer in peers]
@@ -50,11 +50,16 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Use the socket, which is open now."""
-        self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass, and keeps to it
+        """Store the transport of the socket that asyncio has opened."""
+        self._transport = cast(
+            asyncio.DatagramTransport, transport
+        )  # uvloop's transport has this interface without being a subclass
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram of a peer; others are dropped, such as this dispatcher's own broadcasts."""
+        """Handle a datagram of a peer.
+
+        Drops datagrams from unknown senders, oversized datagrams, and the broadcasts of this dispatcher itself.
+        """
         peer = self._positions.get(addr[:2])
         if peer is None or peer == self._position or len(data) > MAX_DATAGRAM_BYTES:
             return
@@ -63,31 +68,31 @@
             return
         try:
             self._on_message(peer, message)
-        except Exception as error:  # what a peer sends must not end this process
+        except Exception as error:  # a peer's message must not end this process
             self._log("exception", where="peers", error=repr(error))
         self._run_due()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer is down: gossip may be lost."""
+        """Ignore the error, which occurs while a peer is down; gossip may be lost."""
 
     def others_serve(self) -> bool:
-        """Whether a peer was heard lately that is not leaving."""
+        """Returns whether a peer that is not leaving has sent a message recently."""
         return self.gossip.others_serve(self._clock())
 
     def leave(self) -> None:
-        """Send the goodbyes that are due: this dispatcher's clients will come to the peers.
+        """Send the goodbyes that are due, because the clients of this dispatcher move to the peers.
 
-        To be called again and again until the process ends.
+        Called repeatedly until the process ends.
         """
         for recipient in self.gossip.leave(self._clock()):
             self._send_datagram(LEAVING, recipient)
 
     def rejoin(self) -> None:
-        """Serve on: this dispatcher does not leave after all."""
+        """Cancel the leave; this dispatcher continues to serve."""
         self.gossip.rejoin()
 
     def send(self, message: bytes, recipient: int) -> None:
-        """Send a message to a peer or ``ALL_PEERS``; one that is too long for a datagram is dropped."""
+        """Send a message to a peer or to ``ALL_PEERS``; drops a message that is too long for a datagram."""
         self._send_datagram(self.gossip.datagram(message, recipient, self._clock()), recipient)
 
     def _send_datagram(self, datagram: bytes, recipient: int) -> None:
@@ -97,7 +102,7 @@
             self._transport.sendto(datagram, address)
 
     def _addresses_of(self, recipient: int) -> list[tuple[str, int]]:
-        """Where a datagram is sent; none for a position that no dispatcher has."""
+        """Returns the addresses of a recipient; an empty list if no dispatcher has that position."""
         if recipient != ALL_PEERS:
             return self._addresses[recipient : recipient + 1]
         if self._broadcast is not None:
@@ -112,9 +117,9 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether there is a socket."""
+        """Whether the socket is open."""
         return self._transport is not None
 
     def fileno(self) -> int:
-        """The descriptor of the socket, -1 if there is none."""
+        """Returns the file descriptor of the socket; -1 if the socket is not open."""
         return int(self._transport.get_extra_info("socket").fileno()) if self._transport is not None else -1
--- a/heronlug/peers/goodbye.py
+++ b/heronlug/peers/goodbye.py
@@ -1,41 +1,41 @@
-"""Which peers are told that this dispatcher leaves, and when.  No I/O and no clock.
+"""Schedules the goodbyes that notify peers when this dispatcher leaves.  Does no I/O and has no clock.
 
-A dispatcher that stops keeps its clients for as long as it hears of no other dispatcher that serves. So a leave matters
-only to peers that believe this dispatcher to be serving: those that it has sent something within ``SERVING_TIMEOUT_MS``
-before it left. All others have not heard it for so long that they believe it to be down.
+A dispatcher that stops keeps its clients until another dispatcher serves. A leave therefore matters only to the peers
+that regard this dispatcher as serving: the peers that were sent a message within ``SERVING_TIMEOUT_MS`` before the
+leave. The other peers regard this dispatcher as down already.
 
-Messages that are sent anyway carry a mark that says that their sender is leaving; that costs no datagram. Besides, the
-mark is sent alone, as a goodbye, at intervals that double: 0, 50, 150, 350 and 750 ms after the leave began, and never
-later than ``SERVING_TIMEOUT_MS`` after the last datagram without the mark. If 30% of the datagrams are lost, one peer
-in 37 does not know after 150 ms, and one in 412 not at the end; such a peer believes that this dispatcher serves until
+Regular messages of a leaving dispatcher carry a mark, which costs no extra datagram. In addition, the mark is sent
+alone, as a goodbye, at intervals that double: 0, 50, 150, 350 and 750 ms after the leave began, and never later than
+``SERVING_TIMEOUT_MS`` after the last datagram without the mark. If 30% of the datagrams are lost, one peer in 37 is not
+notified after 150 ms, and one in 412 is never notified; such a peer regards this dispatcher as serving until
 ``SERVING_TIMEOUT_MS`` have passed.
 
-So a stop costs at most ``MAX_GOODBYES`` datagrams for each peer that gossip is sent to: the two aggregators where there
-are many dispatchers, all peers where there are few, and all peers if the one that leaves is an aggregator. Over a
-rolling restart the cost grows with the number of dispatchers, not with its square.
+A stop thus costs at most ``MAX_GOODBYES`` datagrams for each peer that this dispatcher sends gossip to: the two
+aggregators if there are many dispatchers, all peers if there are few, and all peers if the leaving dispatcher is an
+aggregator. The cost of a rolling restart grows linearly with the number of dispatchers, not quadratically.
 """
 
 from typing import NamedTuple
 
 SERVING_TIMEOUT_MS = 1000.0
-"""A dispatcher that was not heard for this long, in ms, does not serve; one that serves sends more often."""
+"""Time without messages after which a peer counts as not serving, in ms; serving dispatchers send more often."""
 
 FIRST_INTERVAL_MS = 50.0
-"""Between the first goodbye and the second, in ms; each later interval is twice as long."""
+"""Interval between the first and the second goodbye, in ms; each later interval is twice as long."""
 
 MAX_GOODBYES = 5
-"""Goodbyes to one recipient; a sixth would come after ``SERVING_TIMEOUT_MS``."""
+"""Maximum number of goodbyes to one recipient; a sixth goodbye would follow after ``SERVING_TIMEOUT_MS``."""
 
 ALL_PEERS = -1
-"""Stands for all peers where the position of one is expected."""
+"""Recipient that represents all peers, in place of the position of a single peer."""
 
 
 class SentGoodbyes(NamedTuple):
-    """What a recipient was told of the leave.
+    """The goodbyes sent to one recipient.
 
     Attributes:
-        last_at: When it was last sent a goodbye or a message with the mark, in ms.
-        goodbyes: Goodbyes that it was sent.
+        last_at: Time of the last goodbye or message with the mark, in ms.
+        goodbyes: Number of goodbyes sent.
     """
 
     last_at: float
@@ -43,7 +43,7 @@
 
 
 class GoodbyeSchedule:
-    """The goodbyes of one dispatcher; a recipient is a peer's position or ``ALL_PEERS``.
+    """Schedules the goodbyes of one dispatcher; a recipient is the position of a peer or ``ALL_PEERS``.
 
     Attributes:
         leaving: Whether the dispatcher is leaving.
@@ -53,20 +53,20 @@
 
     def __init__(self) -> None:
         self.leaving = False
-        self._last_unmarked: dict[int, float] = {}  # when each recipient was last sent a message without the mark
+        self._last_unmarked: dict[int, float] = {}  # by recipient: time of the last message without the mark
         self._sent: dict[int, SentGoodbyes] = {}
 
     def begin(self) -> None:
-        """Begin to leave; a second call changes nothing."""
+        """Begin the leave; further calls have no effect."""
         self.leaving = True
 
     def cancel(self) -> None:
-        """Serve on: the dispatcher does not leave after all."""
+        """Cancel the leave; the dispatcher continues to serve."""
         self.leaving = False
         self._sent.clear()
 
     def record_message(self, recipient: int, now: float) -> bool:
-        """Note that a message is sent now; returns whether it has to carry the mark."""
+        """Record that a message is sent now, and return whether the message must carry the mark."""
         if not self.leaving:
             self._last_unmarked[recipient] = now
         elif recipient in self._sent:
@@ -74,7 +74,7 @@
         return self.leaving
 
     def take_due(self, now: float) -> list[int]:
-        """The recipients of a goodbye that is due now, which counts as sent."""
+        """Returns the recipients of the goodbyes that are due now, and records these goodbyes as sent."""
         if not self.leaving:
             return []
         due = [recipient for recipient in self._uninformed_recipients(now) if self._is_goodbye_due(recipient, now)]
@@ -84,7 +84,7 @@
         return due
 
     def _uninformed_recipients(self, now: float) -> list[int]:
-        """Those that may believe that this dispatcher serves."""
+        """Returns the recipients that may still regard this dispatcher as serving."""
         recipients = [recipient for recipient, at in self._last_unmarked.items() if now - at < SERVING_TIMEOUT_MS]
         return [ALL_PEERS] if ALL_PEERS in recipients else recipients
 
--- a/heronlug/peers/gossip.py
+++ b/heronlug/peers/gossip.py
@@ -1,7 +1,7 @@
-"""What one dispatcher sends its peers and knows of them.  No I/O and no clock.
+"""Encodes the datagrams to the peers and tracks which peers serve.  Does no I/O and has no clock.
 
-A datagram holds a message of the balancer, or :data:`LEAVING` and then a message, or ``LEAVING`` alone, which is a
-goodbye.
+A datagram contains a message of the balancer, or :data:`LEAVING` followed by a message, or ``LEAVING`` alone, which is
+a goodbye.
 """
 
 from dataclasses import dataclass
@@ -9,23 +9,23 @@
 from heronlug.peers.goodbye import ALL_PEERS, SERVING_TIMEOUT_MS, GoodbyeSchedule
 
 MAX_DATAGRAM_BYTES = 256
-"""Size of the largest datagram that is sent or accepted, in bytes."""
+"""Maximum size of a datagram that is sent or accepted, in bytes."""
 
 LEAVING = b"l"
-"""The mark at the start of a datagram whose sender is leaving; no message of the balancer begins so."""
+"""Mark at the start of a datagram whose sender is leaving; no message of the balancer starts with this byte."""
 
 LEAVING_TIMEOUT_MS = 500.0
-"""A peer that sends without the mark so long after its last mark, in ms, is a new process that serves."""
+"""Time after the last mark from which a message without the mark means that a new process serves, in ms."""
 
 
 @dataclass(slots=True)
 class DatagramCounts:
-    """Datagrams that were sent, one for each peer that they go to.
+    """Number of datagrams sent; a datagram to several peers counts once for each peer.
 
     Attributes:
-        to_all: Messages to all peers.
-        to_one: Messages to one peer.
-        goodbyes: The mark alone.
+        to_all: Datagrams with a message to all peers.
+        to_one: Datagrams with a message to a single peer.
+        goodbyes: Goodbyes, which contain only the mark.
     """
 
     to_all: int = 0
@@ -34,24 +34,28 @@
 
 
 class Gossip:
-    """Which peers serve, and whether the peers know that this dispatcher leaves.  Times are in ms.
+    """Tracks which peers serve, and which peers must be notified that this dispatcher leaves.  Times are in ms.
 
     Attributes:
-        sent: Datagrams that were sent.
+        sent: Counts of the datagrams sent.
     """
 
     def __init__(self, dispatchers: int) -> None:
-        """Begin with no peer heard; ``dispatchers`` is the number of all, this one included."""
+        """Create the gossip of a dispatcher that has received no message yet.
+
+        Args:
+            dispatchers: Number of dispatchers, including this dispatcher.
+        """
         self.sent = DatagramCounts()
         self._peer_count = dispatchers - 1
         self._goodbyes = GoodbyeSchedule()
-        self._last_message: dict[int, float] = {}  # when each peer last sent a message
-        self._last_mark: dict[int, float] = {}  # when each leaving peer last said that it leaves
+        self._last_message: dict[int, float] = {}  # by peer: time of the last message
+        self._last_mark: dict[int, float] = {}  # by leaving peer: time of the last mark
 
-    # -- received
+    # -- receiving
 
     def receive(self, peer: int, datagram: bytes, now: float) -> bytes:
-        """Take in a datagram of a peer; returns the message that it holds, which is empty for a goodbye."""
+        """Process a datagram of a peer and return the contained message, which is empty for a goodbye."""
         message = datagram.removeprefix(LEAVING)
         if datagram.startswith(LEAVING):
             self._last_mark[peer] = now
@@ -63,16 +67,19 @@
         return message
 
     def others_serve(self, now: float) -> bool:
-        """Whether a peer was heard within ``SERVING_TIMEOUT_MS`` that is not leaving."""
+        """Returns whether a peer that is not leaving has sent a message within ``SERVING_TIMEOUT_MS``."""
         return any(
             now - last_message < SERVING_TIMEOUT_MS and peer not in self._last_mark
             for peer, last_message in self._last_message.items()
         )
 
-    # -- sent
+    # -- sending
 
     def datagram(self, message: bytes, recipient: int, now: float) -> bytes:
-        """The datagram for a message to a peer or ``ALL_PEERS``, which counts as sent; empty if it is too long."""
+        """Returns the datagram for a message to a peer or to ``ALL_PEERS``, and counts the datagram as sent.
+
+        The datagram is empty and is not counted if the message is too long.
+        """
         if self._goodbyes.record_message(recipient, now) and len(message) < MAX_DATAGRAM_BYTES:
             message = LEAVING + message
         if len(message) > MAX_DATAGRAM_BYTES:
@@ -84,9 +91,9 @@
         return message
 
     def leave(self, now: float) -> list[int]:
-        """Begin or go on to leave; returns who is to be sent a goodbye now.
+        """Begin or continue the leave, and return the recipients of the goodbyes that are due now.
 
-        To be called again and again until the process ends.
+        Called repeatedly until the process ends.
         """
         self._goodbyes.begin()
         due = self._goodbyes.take_due(now)
@@ -94,5 +101,5 @@
         return due
 
     def rejoin(self) -> None:
-        """Serve on: the dispatcher does not leave after all."""
+        """Cancel the leave; the dispatcher continues to serve."""
         self._goodbyes.cancel()
--- a/heronlug/requests/__init__.py
+++ b/heronlug/requests/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory: numbered slots, deadlines, and the core that owns every message."""
+"""Owns the requests of a dispatcher in memory, together with their attempts, deadlines and servers."""
--- a/heronlug/requests/core.py
+++ b/heronlug/requests/core.py
@@ -1,7 +1,8 @@
-"""The core: owns each request until its one final answer, and carries out the balancer's actions.
+"""Owns each request until its one final answer, and executes the balancer's actions.
 
-Frontends hand in requests and backends report the ends of attempts by the methods of :class:`Core`; what has to be done
-goes out through a :class:`heronlug.requests.interfaces.Transport`.  No socket and no protocol is known here.
+Frontends pass requests to the methods of :class:`Core`, and backends report the ends of attempts to them.  The core
+sends attempts and answers through a :class:`heronlug.requests.interfaces.Transport` and is independent of sockets and
+protocols.
 """
 
 from collections.abc import Callable, Sequence
@@ -48,30 +49,33 @@
 from heronlug.requests.slots import SlotTable
 
 POSTPONED_MS = 5.0
-"""Time until the endpoint list is looked at again, for which an attempt waits."""
+"""Delay before a postponed attempt checks again whether the update of the endpoint list has been read, in ms."""
 
 MAX_OPEN = 20_000
-"""Open requests at most, unless the settings give another limit."""
+"""Default limit of open requests, for callers that pass no other limit."""
 
 
 class Core:
-    """Requests, attempts and servers of one protocol, and the dispatcher that decides about them.
+    """Manages the requests, attempts and servers of one protocol and executes the decisions of its dispatcher.
+
+    All times are in milliseconds on the clock of ``deadlines``.
 
     Attributes:
-        settings: of the dispatcher, with the limits of the classes that hold now.
-        transport: the frontend and backend.
-        deadlines: all deadlines of the process, and its clock.
-        plugins: may reject requests, and see each final answer; None for none.
-        directory: the servers of the endpoint list.
-        events: events that the balancer is given.
-        requests: the table of requests.
-        attempts: attempts in flight.
-        has_unread_update: whether an update of the endpoint list has come and is not read: no attempt begins then.
-        max_open: open requests at most; more are rejected.
-        answer_by: the last moment for any answer, once a planned stop has begun.
-        answer_counts: final answers by class and kind, since the start.
-        dispatches: attempts that were written whole.
-        postponed: attempts that have waited for the endpoint list.
+        settings: Settings of the dispatcher, with the limits of the request classes that apply to new requests.
+        transport: Frontend and backend that send answers and attempts.
+        deadlines: Deadlines of the whole process, and its clock.
+        plugins: Plug-ins that may reject requests and that observe final answers; None if there are no plug-ins.
+        directory: Servers of the endpoint list.
+        events: Queue of the events that the balancer handles.
+        requests: Table of requests.
+        attempts: Attempts in flight.
+        has_unread_update: Returns whether an update of the endpoint list has arrived that has not been read yet; no
+            attempt starts until the update has been read.
+        max_open: Limit of open requests; requests above the limit are rejected.
+        answer_by: Latest time for any final answer once a graceful shutdown has begun; infinite before.
+        answer_counts: Number of final answers since the start, by class index and kind.
+        dispatches: Number of attempts that were written completely.
+        postponed: Number of attempts that have waited until an update of the endpoint list was read.
     """
 
     def __init__(
@@ -89,20 +93,20 @@
         plugins: Plugins | None = None,
         has_unread_update: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Make a core that knows no server yet.
+        """Create a core without any servers.
 
         Args:
-            settings: of the dispatcher.
-            seed: of its random draws.
-            transport: the frontend and backend.
-            deadlines: all deadlines of the process, and its clock.
-            log: where events are logged.
-            subscribe: called when the balancer wants the endpoint list.
-            send_peer_message: called with a message and the peer that it is for, -1 for all.
-            max_open: open requests at most.
-            max_retry_after: the longest Retry-After of a rejection, in ms.
-            plugins: may reject requests, and see each final answer.
-            has_unread_update: whether an update of the endpoint list has come and is not read.
+            settings: Settings of the dispatcher.
+            seed: Seed of the dispatcher's random number generator.
+            transport: Frontend and backend that send answers and attempts.
+            deadlines: Deadlines of the whole process, and its clock.
+            log: Receives the log events.
+            subscribe: Called when the balancer requests the endpoint list.
+            send_peer_message: Called with a message and the position of the receiving peer, -1 for all peers.
+            max_open: Limit of open requests.
+            max_retry_after: Limit of the Retry-After of rejections, in ms; rejections carry half of the limit.
+            plugins: Plug-ins that may reject requests and that observe final answers.
+            has_unread_update: Returns whether an update of the endpoint list has arrived that has not been read yet.
         """
         self.settings, self.transport, self.deadlines = settings, transport, deadlines
         self.plugins = plugins
@@ -122,7 +126,7 @@
 
     @property
     def dispatcher(self) -> Dispatcher:
-        """The decisions."""
+        """The dispatcher, which makes all decisions about requests."""
         return self.events.dispatcher
 
     # -- requests
@@ -138,16 +142,16 @@
         policy: RequestClass | None = None,
         workload: Workload | None = None,
     ) -> Request:
-        """Accept a request; from here on it is owed one final answer, which may be given within this call.
+        """Accept a request, which gets exactly one final answer from now on, possibly within this call.
 
         Args:
-            payload: the frontend's own.
-            class_index: the index of its class.
-            remaining: ms until its client gives up.
-            request_id: the client's id for it.
-            size: bytes of its body.
-            policy: the class as it was accepted, where that was earlier.
-            workload: what the client tells of its work.
+            payload: Data of the frontend, passed through unchanged.
+            class_index: Index of the request class in the settings.
+            remaining: Time until the client gives up, in ms.
+            request_id: Id that the client gave the request; empty if there is none.
+            size: Size of the body in bytes.
+            policy: Request class with the limits of an earlier acceptance; None for the limits that apply now.
+            workload: Work of the request as stated by the client; None if the client states nothing.
         """
         now = self.deadlines.clock()
         policy = policy or self.settings.classes[class_index]
@@ -168,7 +172,7 @@
         return request
 
     def _reason_to_reject(self, request: Request, now: float, remaining: float, size: int) -> RejectReason | None:
-        """Why a request is not taken to the balancer at all; None if it is."""
+        """Returns the reason to reject a request without asking the balancer; None if the balancer decides."""
         if request.give_up_at <= now:
             return RejectReason.EXPIRED
         if len(self.requests) > self.max_open:
@@ -184,13 +188,15 @@
         workload: Workload | None = None,
         not_before: float = 0.0,
     ) -> None:
-        """Go on with a request that another process accepted; its attempts in flight need their connections.
+        """Continue a request that another process accepted.
+
+        The caller connects the attempts in flight to their connections.
 
         Args:
-            request: the request, not in any table yet.
-            handed_over: its attempts, each with its server.
-            workload: what the client told of its work.
-            not_before: when its backoff ends.
+            request: Request that is not in any table yet.
+            handed_over: Attempts of the request, each with its server.
+            workload: Work of the request as stated by the client.
+            not_before: Time at which the backoff of the request ends; 0 if there is none.
         """
         self.requests.add(request, self._on_deadline)
         snapshots = []
@@ -209,7 +215,7 @@
         self.events.handle(RequestAdopted(arrival, request.accepted_at, tuple(snapshots), not_before))
 
     def attempt_snapshots(self, request: Request) -> list[tuple[ListedServer, AttemptSnapshot]] | None:
-        """The attempts of a request, for another process to go on with; None if it is over."""
+        """Returns the attempts of a request for a handover to another process; None if the request is closed."""
         snapshots = None if request.closed else self.dispatcher.attempt_snapshots(request.handle)
         if snapshots is None or len(snapshots) != len(request.attempts):
             return None
@@ -217,11 +223,11 @@
         return [(attempt.server.entry, snapshot) for attempt, snapshot in pairs]
 
     def not_before(self, request: Request) -> float:
-        """When the backoff of a request ends; 0 if there is none."""
+        """Returns the time at which the backoff of a request ends; 0 if there is none."""
         return self.dispatcher.not_before(request.handle)
 
     def hand_over(self, request: Request) -> None:
-        """Forget a request that another process goes on with: nothing is owed here, and nothing has ended."""
+        """Forget a request that another process continues, without an answer and without ending its attempts."""
         request.client_gone = True
         self.requests.count_closed()
         for attempt in request.attempts:
@@ -232,14 +238,15 @@
         self.requests.forget(request)
 
     def use_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Use other limits from now on, in one step; what has been accepted keeps its own.
+        """Apply new limits to the requests that are accepted from now on.
 
-        The classes stay the same in number, order, effect and latency objective: the balancer has learned by them.
+        Requests that are already accepted keep their limits.  The number, order, effects and latency objectives of the
+        classes must stay the same, because the statistics of the balancer depend on them.
         """
         self.settings = replace(self.settings, classes=classes)
 
     def client_left(self, request: Request) -> None:
-        """Note that the client has left: nothing is owed any more."""
+        """Close a request whose client has disconnected, without a final answer."""
         if not request.closed:
             request.client_gone = True
             self.requests.count_closed()
@@ -248,34 +255,37 @@
             self.requests.forget(request)
 
     def count_answer(self, class_index: int, final: FinalAnswer) -> None:
-        """Count a final answer; a frontend counts here too what it answers without having it accepted."""
+        """Count a final answer; frontends also call this for requests that they answer without accepting them."""
         self.answer_counts[class_index][final] += 1
 
     def fail(self, request: Request) -> None:
-        """Fail a request for a reason outside the balancer, and cancel its attempts in flight."""
+        """Fail a request for a reason outside the balancer, and cancel its attempts in flight.
+
+        The logged reason is a rejected connection.
+        """
         if not request.closed:
             self._close(request, FinalAnswer.FAILED, b"", reason="connection_rejected")
             self.events.handle(ClientGone(request.handle))
             self.requests.forget(request)
 
     def give_up_all(self) -> None:
-        """Answer whatever is still owed now, as the balancer words it: the process ends."""
+        """Answer all open requests now with the final answers that the balancer chooses, because the process ends."""
         for request in list(self.requests):
             if not request.closed:
                 self.events.handle(FinalAnswerDue(request.handle))
 
     @property
     def counts(self) -> dict[FinalAnswer, int]:
-        """The final answers of all classes."""
+        """The number of final answers of all classes, by kind."""
         return {final: sum(counts[final] for counts in self.answer_counts) for final in FinalAnswer}
 
     # -- attempts
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether the first byte of an attempt may still be written.
+        """Returns whether the first byte of an attempt may still be written.
 
-        Guards the rules of draining and of repeats at the last moment: the decision was right when it was made, but the
-        server may drain, or the request be closed, while a connection was being made.
+        Enforces the rules of draining and of repeated requests at the last moment: since the balancer decided, the
+        server may have begun to drain, or the request may have been closed while the connection was established.
         """
         repeat_window_open = attempt.repeat_window_open(self.deadlines.clock())
         if self.directory.stale or not attempt.server.ready or not repeat_window_open:
@@ -283,22 +293,28 @@
         return attempt.in_flight and not self._is_closed(attempt.request)
 
     def is_non_idempotent(self, attempt: Attempt) -> bool:
-        """Whether it must not run twice, so that only proof that it never ran lets it go out again."""
+        """Returns whether the request of an attempt must not run twice.
+
+        Such a request is sent again only if the earlier attempt provably never ran.
+        """
         return self.settings.classes[attempt.request.class_index].effect is Effect.NON_IDEMPOTENT
 
     def attempt_written(self) -> None:
-        """Count an attempt whose last byte has gone out."""
+        """Count an attempt whose last byte has been written."""
         self.dispatches += 1
 
     def attempt_progressed(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
-        """Take in that a server reports the start of an attempt, or how much of it is done."""
+        """Process a server's report that an attempt has started, or which share of its work is done."""
         if attempt.in_flight:
             self.events.handle(
                 AttemptProgress(attempt.request.handle, attempt.number, attempt.server.number, kind, share)
             )
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
-        """Take in the one end of an attempt; further ones are ignored.  A first ``SERVED`` answers the request."""
+        """Process the end of an attempt; the first ``SERVED`` of an open request answers that request.
+
+        Further ends of the same attempt are ignored.
+        """
         if not attempt.in_flight:
             return
         attempt.in_flight, attempt.may_have_run = False, outcome not in NEVER_RAN
@@ -316,37 +332,37 @@
         self.requests.forget(request)
 
     def postpone(self, resume: Callable[[Attempt], None], attempt: Attempt) -> None:
-        """Go on with an attempt in the next turn of the loop, as the endpoint list is read in this one."""
+        """Resume an attempt in the next iteration of the event loop; this iteration reads the endpoint list."""
         self.postponed += 1
         self._log_attempt("attempt_postponed", attempt)
         self.deadlines.call_after(0.0, resume, attempt)
 
-    # -- servers and other dispatchers
+    # -- servers and peers
 
     def update_servers(self, kind: ListKind, entries: Sequence[ListedServer]) -> None:
-        """Take in an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         now = self.deadlines.clock()
         self.events.handle(self.directory.update(kind, entries, now))
         self.directory.forget_removed((attempt.server.number for attempt in self.attempts), now)
 
     def set_list_usable(self, usable: bool) -> None:
-        """Set whether the endpoint list may be used; while it may not, no server gets new work."""
+        """Set whether the endpoint list may be used; while the list is unusable, no server gets new requests."""
         update = self.directory.set_usable(usable)
         if update is not None:
             self.events.handle(update)
 
     def peer_message(self, peer: int, content: bytes) -> None:
-        """Take in a message from another dispatcher."""
+        """Process a message from a peer."""
         self.events.handle(PeerMessage(peer, content))
 
     def peer_process_ended(self) -> None:
-        """Note that there is no other process of this dispatcher any more."""
+        """Discard the state of the other process of this dispatcher, which has ended."""
         self.requests.peer_process_ids.clear()
-        # What the other process had in flight counts as reported by a peer of our own position: no other peer has that.
+        # The load of the other process is recorded under this dispatcher's own position, which no peer has.
         self.events.handle(PeerGone(self.settings.position))
 
     def server_counts(self) -> tuple[int, int]:
-        """How many servers the endpoint list holds, and how many of them the balancer avoids now."""
+        """Returns the number of servers in the endpoint list, and how many of these servers the balancer avoids now."""
         listed = [server.number for server in self.directory.listed()]
         avoided = self.dispatcher.avoided_servers(self.deadlines.clock())
         return len(listed), sum(1 for number in listed if number in avoided)
@@ -354,7 +370,7 @@
     # -- events and actions
 
     def _log_slow_event(self, event: Event, elapsed: float) -> None:
-        """Log an event that has held the loop up, or during which the process had no processor."""
+        """Log an event that blocked the event loop, or during which the process got no CPU time."""
         self._log(
             "slow_event",
             kind=type(event).__name__,
@@ -406,7 +422,7 @@
             self.transport.send(attempt)
 
     def _begin_postponed(self, attempt: Attempt) -> None:
-        """Begin an attempt that has waited for the endpoint list, if that still allows it."""
+        """Send an attempt that was postponed, unless its server or request may no longer be used."""
         if not attempt.in_flight:
             return
         if self.has_unread_update():
@@ -421,10 +437,13 @@
             self.transport.cancel(attempt)
             self.attempt_ended(attempt, outcome)
 
-    # -- ends
+    # -- final answers
 
     def _is_closed(self, request: Request) -> bool:
-        """Whether nothing is owed; a client may have left with nobody having read of it yet."""
+        """Returns whether a request is closed.
+
+        Closes the request first if the client has disconnected and the event loop has not processed that yet.
+        """
         if not request.closed and not self.transport.client_waits(request):
             self.client_left(request)
         return request.closed
@@ -437,7 +456,7 @@
             self.requests.forget(request)
 
     def _on_deadline(self, request: Request) -> None:
-        """End what is in flight when the client's time is over, and fail what the balancer has not answered."""
+        """Time out the attempts in flight at the deadline of a request, and fail the request if it is still open."""
         for attempt in request.attempts:
             self._cancel_attempt(attempt, Outcome.TIMEOUT)
         if not request.closed:
@@ -448,7 +467,7 @@
     def _close(
         self, request: Request, final: FinalAnswer, body: bytes, retry_after: float = 0.0, reason: str = ""
     ) -> None:
-        """Give the final answer: the one place where one goes out."""
+        """Give the final answer of a request; all final answers are sent from here."""
         request.final_answer = final
         self.requests.count_closed()
         self.count_answer(request.class_index, final)
@@ -481,7 +500,7 @@
 
 
 def _arrival_event(request: Request, workload: Workload | None) -> RequestArrived:
-    """A request as the balancer is told of it."""
+    """Returns the arrival event of a request for the balancer."""
     slots, memory, work_hint, tenant, key, retry = workload or Workload()
     return RequestArrived(
         request.handle,
--- a/heronlug/requests/deadlines.py
+++ b/heronlug/requests/deadlines.py
@@ -1,7 +1,7 @@
-"""One ordered structure for all deadlines, and the clock that they are on.
+"""Keeps all deadlines of a process in order of time, and provides their clock.
 
-The owner arms one timer for the head and calls :meth:`Deadlines.sweep` each turn.  A timer that comes early does
-no harm: the sweep finds nothing due and the timer is armed again.
+The event loop sets one timer for the earliest deadline and calls :meth:`Deadlines.run_due` in each iteration.  A timer
+that fires early is harmless: no deadline is due yet, and the timer is set again.
 """
 
 import time
@@ -14,10 +14,10 @@
 
 
 class Clock:
-    """Milliseconds that only go forward, set to Unix time once, at the start.
+    """A monotonic clock in milliseconds that is set to Unix time once, at the start of the process.
 
-    Guards against two faults of a bare monotonic clock: dispatchers on other machines would read another time, and
-    after a reboot ours would begin again below the stamps that the peers have seen.
+    A plain monotonic clock differs between the machines of dispatchers, and starts again after a reboot, below the
+    timestamps that peers have already received.
     """
 
     __slots__ = ("_offset",)
@@ -26,12 +26,17 @@
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> float:
-        """The time now."""
+        """Returns the current time in ms."""
         return (time.monotonic_ns() + self._offset) / 1e6
 
 
 class Deadlines:
-    """What is to be called, and when."""
+    """Calls functions at given times.
+
+    Attributes:
+        clock: Returns the current time in ms.
+        lateness: Delay of the last :meth:`run_due` after the earliest deadline that was due, in ms; 0 if none was due.
+    """
 
     __slots__ = ("_calls", "_seq", "clock", "lateness")
 
@@ -39,39 +44,42 @@
         self.clock = clock
         self._calls: SortedDict[Key, tuple[Callable[..., object], tuple[Any, ...]]] = SortedDict()
         self._seq = 0
-        self.lateness = 0.0  # by how much the last sweep came after the first that it called
+        self.lateness = 0.0
 
     def __len__(self) -> int:
         return len(self._calls)
 
     def call_at(self, due_at: float, callback: Callable[..., object], *args: Any) -> Key:
-        """Call it at that time; the key serves to drop it."""
+        """Call ``callback`` with ``args`` at a time in ms; returns the key for :meth:`cancel`."""
         self._seq += 1
         key = (due_at, self._seq)
         self._calls[key] = callback, args
         return key
 
     def call_after(self, delay: float, callback: Callable[..., object], *args: Any) -> Key:
-        """Call it after that time."""
+        """Call ``callback`` with ``args`` after a delay in ms; returns the key for :meth:`cancel`."""
         return self.call_at(self.clock() + delay, callback, *args)
 
     def cancel(self, key: Key | None) -> None:
-        """Forget a deadline; one that has passed is no error."""
+        """Cancel a deadline; has no effect if the deadline has passed or the key is None."""
         if key is not None:
             self._calls.pop(key, None)
 
     def next_due(self) -> float | None:
-        """When the first is due."""
+        """Returns the time of the earliest deadline; None if there is no deadline."""
         return float(self._calls.peekitem(0)[0][0]) if self._calls else None
 
     def run_due(self) -> int:
-        """Call all that is due by now, in order; what is added for now meanwhile waits for the next sweep."""
+        """Call all functions that are due, in order, and return how many were called.
+
+        A deadline that is added during this call waits for the next call, even if it is due already.
+        """
         called, now = 0, self.clock()
         due = list(self._calls.irange(maximum=(now, self._seq)))
         self.lateness = now - due[0][0] if due else 0.0
         for key in due:
             entry = self._calls.pop(key, None)
-            if entry is not None:  # one that was due before it may have dropped it
+            if entry is not None:  # an earlier callback may have cancelled this deadline
                 called += 1
                 entry[0](*entry[1])
         return called
--- a/heronlug/requests/event_queue.py
+++ b/heronlug/requests/event_queue.py
@@ -1,4 +1,4 @@
-"""Gives the balancer its events, one at a time, and has its actions carried out."""
+"""Passes events to the balancer one at a time and executes the resulting actions."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,15 +8,17 @@
 from heronlug.balancer.events import Event
 
 SLOW_EVENT_MS = 100.0
-"""Time for an event, with its actions, from which it is reported as slow."""
+"""Duration of an event and its actions from which the event is reported as slow, in ms."""
 
 
 class EventQueue:
-    """Events of one dispatcher; those that actions cause wait until all actions of the event before are done.
+    """Queues the events of one dispatcher.
+
+    An event that is caused by an action waits until all actions of the current event have been executed.
 
     Attributes:
-        dispatcher: the decisions.
-        slow_events: events that took longer than ``SLOW_EVENT_MS``.
+        dispatcher: Makes the decisions.
+        slow_events: Number of events that took ``SLOW_EVENT_MS`` or longer.
     """
 
     __slots__ = ("_clock", "_events", "_execute", "_handling", "_on_slow_event", "dispatcher", "slow_events")
@@ -28,13 +30,13 @@
         execute: Callable[[Action, float], None],
         on_slow_event: Callable[[Event, float], None],
     ) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
         Args:
-            dispatcher: the decisions.
-            clock: the time in ms.
-            execute: carries out an action that was decided at a time.
-            on_slow_event: called with an event that was slow, and how long it took.
+            dispatcher: Makes the decisions.
+            clock: Returns the current time in ms.
+            execute: Executes an action; called with the action and the time of the decision in ms.
+            on_slow_event: Called with a slow event and its duration in ms.
         """
         self.dispatcher = dispatcher
         self.slow_events = 0
@@ -43,11 +45,11 @@
         self._handling = False
 
     def append(self, event: Event) -> None:
-        """Add an event that an action has caused."""
+        """Append an event that an action has caused, to be handled after the current event."""
         self._events.append(event)
 
     def handle(self, event: Event) -> None:
-        """Handle an event now, or after those that are being handled."""
+        """Handle an event now, or after the queued events if this is called while another event is handled."""
         self._events.append(event)
         if self._handling:
             return
--- a/heronlug/requests/model.py
+++ b/heronlug/requests/model.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and servers as the owner of requests keeps them.  All times are milliseconds."""
+"""Defines requests, attempts and servers as the core stores them.  All times are milliseconds."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,41 +10,41 @@
 
 
 class FinalAnswer(Enum):
-    """The kinds of final answer; the values stand in the log and in figures."""
+    """The kinds of final answer; the values appear in logs and metrics."""
 
     SERVED = "served"
     REFUSED = "refused"
-    """The client may send the request again: nothing has run, or a second run does no harm."""
+    """The client may send the request again, because nothing has run or a second run is harmless."""
 
     FAILED = "failed"
-    """Nothing is promised."""
+    """The request may or may not have run; no guarantee is given."""
 
 
 class RejectReason(Enum):
-    """Why a request is rejected without asking the balancer; the values stand in the log."""
+    """The reasons to reject a request without asking the balancer; the values appear in logs."""
 
     EXPIRED = "expired"
-    """No time was left when it came."""
+    """The deadline of the request had passed on arrival."""
 
     TOO_MANY_OPEN = "too_many_open"
-    """The limit of open requests is reached."""
+    """The limit of open requests is exceeded."""
 
     NOT_ADMITTED = "not_admitted"
-    """A plug-in does not admit it."""
+    """A plug-in rejects the request."""
 
 
 class ListedServer(NamedTuple):
-    """One entry of the endpoint list, by the server's name.
+    """One entry of the endpoint list, which names a server.
 
     Attributes:
-        name: its name, the same at every dispatcher.
-        address: host and port.
-        state: what the list says of it.
-        zone: the number of its zone.
-        kind: the number of its machine type.
-        cell: the number of its cell within the zone.
-        weight: its weight.
-        started_at: when its process started; 0 for long past.
+        name: Name of the server, the same at every dispatcher.
+        address: Host and port.
+        state: State of the server according to the endpoint list.
+        zone: Number of the zone.
+        kind: Number of the machine type.
+        cell: Number of the cell within the zone.
+        weight: Weight of the server in the endpoint list.
+        started_at: Start time of the server process; 0 if the start was long ago.
     """
 
     name: str
@@ -59,12 +59,13 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server as the endpoint list last told of it.
+    """A server with the state from the last update of the endpoint list.
 
     Attributes:
-        number: its number, the same at every dispatcher.
-        entry: its entry in the list.
-        draining_since: when this dispatcher was notified that it drains or was removed.
+        number: Number of the server, the same at every dispatcher.
+        entry: Last entry of the server in the endpoint list.
+        draining_since: Time at which this dispatcher was notified that the server is draining or removed; None if the
+            server is ready.
     """
 
     number: int
@@ -73,36 +74,37 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it may be sent anything new."""
+        """Whether new attempts may be sent to the server."""
         return self.draining_since is None
 
     @property
     def listed(self) -> bool:
-        """Whether the endpoint list holds it."""
+        """Whether the endpoint list contains the server."""
         return self.entry.state is not ServerState.REMOVED
 
     def as_entry(self) -> ServerEntry:
-        """Its entry, as the balancer takes it."""
+        """Returns the entry of the server in the form that the balancer uses."""
         _, _, state, zone, kind, cell, weight, started_at = self.entry
         return ServerEntry(self.number, state, zone, kind, cell, weight, started_at)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request until its final answer has gone out and its last attempt has ended.
+    """A client's request until the final answer has been sent and the last attempt has ended.
 
     Attributes:
-        payload: the frontend's own: what to send, and whom to answer.
-        class_index: the index of its class in the settings.
-        policy: its class with the limits that it was accepted under, whatever is set later.
-        give_up_at: the latest time for its final answer.
-        accepted_at: when it was accepted.
-        request_id: the client's own id for it; no two open ones may have the same.
-        handle: its handle in the table of requests.
-        final_answer: the answer that was given, if any.
-        client_gone: the client has left, or another process goes on with it: nothing is owed.
-        attempts: its attempts, in the order of their numbers.
-        deadline_key: of the deadline at ``give_up_at``.
+        payload: Data of the frontend: what to send to servers, and which client to answer.
+        class_index: Index of the request class in the settings.
+        policy: Request class with the limits at acceptance; later changes of the limits do not apply.
+        give_up_at: Latest time for the final answer.
+        accepted_at: Time of acceptance.
+        request_id: Id that the client gave the request, unique among open requests; empty if there is none.
+        handle: Handle of the request in the table of requests.
+        final_answer: Final answer that was given; None if there is none yet.
+        client_gone: Whether the client has disconnected, or another process continues the request, so that this
+            process gives no final answer.
+        attempts: Attempts in the order of their numbers.
+        deadline_key: Key of the deadline at ``give_up_at``.
     """
 
     payload: Any
@@ -119,7 +121,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing is owed any more."""
+        """Whether the request needs no final answer from this process any longer."""
         return self.client_gone or self.final_answer is not None
 
 
@@ -128,14 +130,15 @@
     """One attempt of a request at a server.
 
     Attributes:
-        request: its request.
-        number: from 0, in the order of the request's attempts.
-        server: where it is sent.
-        sent_at: when it was sent.
-        handle: its handle in the table of attempts.
-        in_flight: it has not ended.
-        may_have_run: it may have run, or may yet, unless its end proves that it never did.
-        exchange: the backend's own: the connection that it is on.
+        request: Request of the attempt.
+        number: Index among the attempts of the request, from 0.
+        server: Server that the attempt is sent to.
+        sent_at: Time of sending.
+        handle: Handle of the attempt in the table of attempts.
+        in_flight: Whether the attempt has not ended.
+        may_have_run: Whether the attempt may have run or may still run; False only if its outcome proves that the
+            server never ran the attempt.
+        exchange: Data of the backend, such as the connection of the attempt.
     """
 
     request: Request
@@ -148,7 +151,11 @@
     exchange: Any = None
 
     def repeat_window_open(self, now: float) -> bool:
-        """Whether servers still drop a repeat, where they do so for a while only; a dial takes some of that time."""
+        """Returns whether servers still recognize this attempt as a repeat of the earlier ones.
+
+        Servers deduplicate requests that are idempotent by key only within the repeat window.  The window is checked
+        again before the write because dialling the server uses up part of the window.
+        """
         policy = self.request.policy
         if policy.effect is not Effect.IDEMPOTENT_BY_KEY:
             return True
@@ -157,15 +164,15 @@
 
 
 class Workload(NamedTuple):
-    """What a client tells of the work of a request.
+    """The work of a request as stated by the client.
 
     Attributes:
-        slots: slots that it takes at a server.
-        memory: units of memory that it takes; a server has one for each slot.
-        work_hint: estimated work at speed 1, 0 for unknown.
-        tenant: the index of its tenant.
-        key: a hash of its idempotency key, 0 for none.
-        retry: the client has sent it before.
+        slots: Number of slots that the request occupies at a server.
+        memory: Units of memory that the request occupies; a server has one unit for each slot.
+        work_hint: Estimated work at speed 1; 0 if unknown.
+        tenant: Index of the tenant.
+        key: Hash of the idempotency key; 0 if there is none.
+        retry: Whether the client has sent the request before.
     """
 
     slots: float = 1.0
--- a/heronlug/requests/request_table.py
+++ b/heronlug/requests/request_table.py
@@ -1,4 +1,4 @@
-"""The table of requests: by handle, and by the ids that clients give them."""
+"""Stores requests by handle, and tracks the ids that clients give requests."""
 
 from collections.abc import Callable, Iterator
 
@@ -8,13 +8,14 @@
 
 
 class RequestTable:
-    """Open requests, and answered ones with attempts in flight.
+    """Open requests, and closed requests with attempts in flight.
 
     Attributes:
-        open_count: requests that are owed a final answer.
-        ids: the clients' ids of the requests in the table.
-        peer_process_ids: ids of requests that another process of this dispatcher has.
-        on_id_changed: called with an id when its request is accepted (True), and when it is forgotten.
+        open_count: Number of requests that need a final answer.
+        ids: Client-given ids of the requests in the table.
+        peer_process_ids: Client-given ids of the requests of another process of this dispatcher.
+        on_id_changed: Called with an id and True when its request is accepted, and with the id and False when the
+            request is removed; None if there is no other process.
     """
 
     __slots__ = ("_deadlines", "_slots", "ids", "on_id_changed", "open_count", "peer_process_ids")
@@ -34,15 +35,18 @@
         return iter(self._slots)
 
     def get(self, handle: int) -> Request | None:
-        """The request of a handle; None once it is forgotten."""
+        """Returns the request with this handle; None if the request has been removed."""
         return self._slots.get(handle)
 
     def has_id(self, request_id: str) -> bool:
-        """Whether a request of that id is open, here or in another process: a server could not tell the two apart."""
+        """Returns whether a request with this id is in the table or in another process of this dispatcher.
+
+        Servers could not distinguish two requests with the same id.
+        """
         return request_id in self.ids or request_id in self.peer_process_ids
 
     def add(self, request: Request, on_deadline: Callable[[Request], None]) -> None:
-        """Add a request that is owed a final answer by its deadline."""
+        """Add an open request; ``on_deadline`` is called with the request at its deadline."""
         request.handle = self._slots.add(request)
         self.open_count += 1
         if request.request_id:
@@ -50,16 +54,16 @@
         request.deadline_key = self._deadlines.call_at(request.give_up_at, on_deadline, request)
 
     def announce(self, request: Request) -> None:
-        """Tell another process of this dispatcher that the request is open here."""
+        """Report the id of an accepted request to the other process of this dispatcher, if there is one."""
         if request.request_id and self.on_id_changed is not None:
             self.on_id_changed(request.request_id, True)
 
     def count_closed(self) -> None:
-        """Count a request that is owed nothing any more."""
+        """Count one open request less, after a request has been closed."""
         self.open_count -= 1
 
     def forget(self, request: Request) -> None:
-        """Free the slot of a request once nothing is owed and nothing is in flight."""
+        """Remove a request if it is closed and has no attempt in flight."""
         if not request.closed or any(attempt.in_flight for attempt in request.attempts):
             return
         self._deadlines.cancel(request.deadline_key)
--- a/heronlug/requests/server_directory.py
+++ b/heronlug/requests/server_directory.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list by number, and whether the list may be used."""
+"""Tracks the servers of the endpoint list by number, and whether the list may be used."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,52 +8,55 @@
 
 
 class ServerDirectory:
-    """Keeps the servers in step with the endpoint list, and words its updates for the balancer.
+    """Applies updates of the endpoint list to the servers and converts the updates for the balancer.
 
     Attributes:
-        by_number: every server that is listed, or was removed less than ``FORGET_AFTER`` ago.
-        stale: the list is older than the rules allow: any server may drain or be removed by now.
+        by_number: Servers that are listed, were removed less than ``FORGET_AFTER`` ms ago, or still have attempts in
+            flight.
+        stale: Whether the list is older than the rules allow, so that any server may be draining or removed.
     """
 
     def __init__(self) -> None:
         self.by_number: dict[int, Server] = {}
         self.stale = False
         self._numbers = ServerNumbers()
-        self._removed_at: dict[int, float] = {}  # when each removed server was notified so, oldest first
+        self._removed_at: dict[int, float] = {}  # by number: time of the removal, oldest first
 
     @property
     def can_serve(self) -> bool:
-        """Whether there is a server that may be sent something."""
+        """Whether the list is usable and contains a ready server."""
         return not self.stale and self.has_ready_server
 
     @property
     def has_ready_server(self) -> bool:
-        """Whether the list names a server that is ready, stale or not."""
+        """Whether the list contains a ready server, even if the list is stale."""
         return any(server.ready for server in self.by_number.values())
 
     def listed(self) -> list[Server]:
-        """The servers that have not been removed."""
+        """Returns the servers that have not been removed."""
         return [server for server in self.by_number.values() if server.listed]
 
     def number_of(self, name: str) -> int:
-        """The number of a server's name."""
+        """Returns the number of the server with this name."""
         return self._numbers.number_of(name)
 
     def update(self, kind: ListKind, entries: Sequence[ListedServer], now: float) -> ServerListUpdate:
-        """Apply an update of the endpoint list; returns it as the balancer takes it."""
+        """Apply an update of the endpoint list and return the update for the balancer."""
         server_entries = [self._apply(entry, now) for entry in entries]
         if kind in (ListKind.FULL, ListKind.CACHED):
             self._remove_all_but({server_entry.server for server_entry in server_entries}, now)
         if self.stale and kind in (ListKind.FULL, ListKind.CHANGES):
-            self.stale, kind = False, ListKind.FULL  # the balancer has no list at all
+            self.stale, kind = False, ListKind.FULL  # the balancer has had no list since the list became stale
             server_entries = self._listed_entries()
         return ServerListUpdate(kind, tuple(server_entries))
 
     def set_usable(self, usable: bool) -> ServerListUpdate | None:
-        """Set whether the list may be used; while it may not, the balancer has none, so no server gets new work.
+        """Set whether the list may be used.
+
+        While the list is unusable, the balancer has an empty list, so that no server gets new requests.
 
         Returns:
-            The update for the balancer; None if nothing changes.
+            The update for the balancer; None if the list was in that state already.
         """
         if usable is not self.stale:
             return None
@@ -61,7 +64,12 @@
         return ServerListUpdate(ListKind.CACHED, tuple(self._listed_entries()) if usable else ())
 
     def forget_removed(self, in_use: Iterable[int], now: float) -> None:
-        """Forget servers that were removed long ago, unless attempts are in flight at them."""
+        """Forget servers that were removed ``FORGET_AFTER`` ms ago or earlier.
+
+        Args:
+            in_use: Numbers of the servers with attempts in flight, which are not forgotten.
+            now: Current time in ms.
+        """
         due = [number for number, at in self._removed_at.items() if at <= now - FORGET_AFTER]
         if not due:
             return
@@ -90,7 +98,7 @@
             self._record_state(server, now)
 
     def _record_state(self, server: Server, now: float) -> None:
-        """Note since when a server may get nothing new, and since when it is removed."""
+        """Record since when a server has been draining or removed."""
         state = server.entry.state
         if state is ServerState.READY:
             server.draining_since = None
--- a/heronlug/requests/server_numbers.py
+++ b/heronlug/requests/server_numbers.py
@@ -1,4 +1,7 @@
-"""Numbers of servers by their names: the same at every dispatcher, since peers tell each other of servers by them."""
+"""Derives the numbers of servers from their names.
+
+The numbers are the same at every dispatcher, because peers identify servers by number in their messages.
+"""
 
 from zlib import crc32
 
@@ -6,7 +9,7 @@
 
 
 class ServerNumbers:
-    """The numbers that are in use; each call costs the same however many there are."""
+    """Maps the names of servers to numbers; each call takes constant time."""
 
     __slots__ = ("_by_name", "_used_numbers")
 
@@ -18,7 +21,7 @@
         return len(self._by_name)
 
     def number_of(self, name: str) -> int:
-        """The number of a name, the next free one where another name has it already."""
+        """Returns the number of a name: its CRC-32, or the next free number if another name uses that number."""
         number = self._by_name.get(name)
         if number is None:
             number = crc32(name.encode())
@@ -29,7 +32,7 @@
         return number
 
     def forget(self, name: str) -> None:
-        """Nothing refers to that name any more."""
+        """Free the number of a name that is no longer in use."""
         number = self._by_name.pop(name, None)
         if number is not None:
             self._used_numbers.discard(number)
--- a/heronlug/requests/slots.py
+++ b/heronlug/requests/slots.py
@@ -1,7 +1,7 @@
-"""Tables of numbered slots.
+"""Stores items in numbered slots that are addressed by handles.
 
-A ticket is a slot's number with the count of its uses above it, so that a ticket kept too long finds nothing
-instead of whatever has moved into the slot since.
+A handle combines the number of a slot, in the low bits, with the use count of the slot.  A handle of a removed item
+therefore finds nothing, even if the slot contains another item.
 """
 
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 class SlotTable(Generic[Item]):
-    """Items by ticket; slots are used again, tickets never."""
+    """Stores items by handle; slots are reused, handles are not."""
 
     __slots__ = ("_free", "_items", "_use_counts")
 
@@ -30,14 +30,18 @@
         return iter([item for item in self._items if item is not None])
 
     def add(self, item: Item) -> int:
-        """Put an item into a free slot; returns its ticket."""
+        """Store an item in a free slot and return its handle.
+
+        Raises:
+            OverflowError: All ``2**SLOT_BITS`` slots are in use.
+        """
         if self._free:
             slot = self._free.pop()
             self._items[slot] = item
         else:
             slot = len(self._items)
             if slot > SLOT_MASK:
-                msg = "the table of slots is full"
+                msg = f"slot table is full: at most {SLOT_MASK + 1} items are accepted"
                 raise OverflowError(msg)
             self._items.append(item)
             self._use_counts.append(0)
@@ -45,14 +49,14 @@
         return self._use_counts[slot] << SLOT_BITS | slot
 
     def get(self, handle: int) -> Item | None:
-        """The item of a ticket, or None once it has been taken out."""
+        """Returns the item of a handle; None if the item has been removed."""
         slot = handle & SLOT_MASK
         if slot < len(self._items) and self._use_counts[slot] == handle >> SLOT_BITS:
             return self._items[slot]
         return None
 
     def remove(self, handle: int) -> Item | None:
-        """Take an item out, if it is still there."""
+        """Remove and return the item of a handle; None if the item has been removed already."""
         item = self.get(handle)
         if item is not None:
             slot = handle & SLOT_MASK
--- a/heronlug/scheduling/__init__.py
+++ b/heronlug/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""When an accepted job may begin, beside its deadline: what it waits for.  No I/O and no clock."""
+"""Schedules accepted jobs that depend on other jobs.  Does no I/O and has no clock."""
--- a/heronlug/scheduling/chains.py
+++ b/heronlug/scheduling/chains.py
@@ -1,10 +1,12 @@
-"""Jobs that wait for others: a graph of what has not ended.
+"""Tracks the dependencies of jobs that wait for other jobs (their parents) to end.
 
-A job names its parents when it is accepted, and each has to be known by then, so no cycle can come about. A parent that
-has ended before counts as it ended. When a parent is served, its edge is met; when it ends otherwise, the edge fails
-what waits, or is met all the same, as the edge says. What fails so has ended too, for what waits for it in turn.
+A job names its parents when the job is accepted. Every parent must be known by then, so the graph has no cycles. A
+parent that has already ended counts with the outcome of that end. A served parent satisfies its edge. If a parent ends
+otherwise, the edge either fails the waiting job or is satisfied anyway, as its ``on_failure`` says. A job that fails
+this way has ended as well, which affects the jobs that wait for that job in turn.
 
-Every parent ends within its own time, so a job in a chain waits at most for the sum of the times of those before it.
+Every parent ends by its own deadline, so a job in a chain waits at most for the sum of the allowed times of the jobs
+before it.
 """
 
 from collections.abc import Iterable
@@ -15,21 +17,26 @@
 
 
 class OnFailure(str, Enum):
-    """What an edge does when its parent is not served."""
+    """Effect of a parent that ends without being served on the waiting job."""
 
     FAIL = "fail"
     RELEASE = "release"
 
 
 class Edge(NamedTuple):
-    """A parent, and what its failure means."""
+    """A dependency on a parent.
+
+    Attributes:
+        parent: Jid of the parent.
+        on_failure: Effect on the waiting job if the parent is not served.
+    """
 
     parent: str
     on_failure: OnFailure = OnFailure.FAIL
 
 
 class ChainState(Enum):
-    """What becomes of a job that has just been accepted."""
+    """State of a job right after its acceptance; FAILED if a parent has failed already."""
 
     READY = "ready"
     WAITS = "waits"
@@ -37,18 +44,23 @@
 
 
 class ChainEnd(NamedTuple):
-    """What follows from an end, in the order in which it does."""
+    """The jobs that an end releases and fails, in order.
+
+    Attributes:
+        released: Jids of the jobs that may start now.
+        failed: Jids of the jobs that have failed.
+    """
 
     released: list[str]
     failed: list[str]
 
 
 class RequestChains:
-    """All jobs that wait, and for what."""
+    """Stores the waiting jobs and their parents that have not ended."""
 
     def __init__(self) -> None:
-        self._open_parents: dict[str, set[str]] = {}  # by job: parents that have not ended
-        self._children: dict[str, dict[str, OnFailure]] = {}  # by parent
+        self._open_parents: dict[str, set[str]] = {}  # by waiting job: parents that have not ended
+        self._children: dict[str, dict[str, OnFailure]] = {}  # by parent that has not ended: waiting jobs
 
     def __len__(self) -> int:
         return len(self._open_parents)
@@ -57,11 +69,17 @@
         return jid in self._open_parents
 
     def parents(self, jid: str) -> list[str]:
-        """What a job still waits for."""
+        """Returns the jids of the parents that a job still waits for, sorted."""
         return sorted(self._open_parents.get(jid, ()))
 
     def add(self, jid: str, open_edges: Iterable[Edge], ended_edges: Iterable[tuple[Edge, bool]]) -> ChainState:
-        """A job with its edges: to parents that are open, and to those that have ended, each with whether served."""
+        """Add a job and return its state.
+
+        Args:
+            jid: Jid of the job.
+            open_edges: Edges to parents that have not ended.
+            ended_edges: Edges to parents that have ended, each with whether the parent was served.
+        """
         if any(not served and edge.on_failure is OnFailure.FAIL for edge, served in ended_edges):
             return ChainState.FAILED
         edges = list(open_edges)
@@ -70,13 +88,16 @@
         self._open_parents[jid] = {edge.parent for edge in edges}
         for edge in edges:
             children = self._children.setdefault(edge.parent, {})
-            # of two edges to the same parent the stricter one holds
+            # FAIL takes precedence over RELEASE if two edges lead to the same parent
             if children.get(jid) is not OnFailure.FAIL:
                 children[jid] = edge.on_failure
         return ChainState.WAITS
 
     def request_ended(self, jid: str, served: bool) -> ChainEnd:
-        """A job has ended, one that others wait for or one that waits; what that releases and fails."""
+        """Record the end of a job and return the jobs that this end releases and fails.
+
+        The ended job may be a parent, a waiting job, or neither.
+        """
         consequences = ChainEnd([], [])
         self._forget(jid)
         ended_jobs = [(jid, served)]
@@ -97,7 +118,7 @@
         return consequences
 
     def _forget(self, jid: str) -> None:
-        """It waits no more; its parents need not know of it."""
+        """Remove a waiting job, also from the children of its parents."""
         for parent in self._open_parents.pop(jid, ()):
             children = self._children.get(parent)
             if children is not None:
@@ -107,7 +128,15 @@
 
 
 def parse_edges(raw_parents: object, default_on_failure: object) -> list[Edge]:
-    """The edges that a job names: jids, or objects with ``jid`` and ``on_failure``; raises ``ValueError``."""
+    """Returns the edges that a job names as its parents.
+
+    Args:
+        raw_parents: List of jids or of objects with ``jid`` and optionally ``on_failure``; None for no parents.
+        default_on_failure: ``on_failure`` of the entries that give none; None for ``fail``.
+
+    Raises:
+        ValueError: The list, an entry or an ``on_failure`` is invalid.
+    """
     try:
         fallback = OnFailure(default_on_failure) if default_on_failure is not None else OnFailure.FAIL
         if raw_parents is None:
