--- a/heronlug/conformance/__init__.py
+++ b/heronlug/conformance/__init__.py
@@ -1,4 +1,4 @@
-"""The four rules as a checker of any run's events, emulated or from sockets: no I/O, nothing of the module's own."""
+"""Checks the four rules on the events of a run, emulated or on sockets, independently of the checked code."""
 
 from heronlug.conformance.checker import Checker, Violation
 from heronlug.conformance.events import (
--- a/heronlug/conformance/checker.py
+++ b/heronlug/conformance/checker.py
@@ -1,6 +1,6 @@
-"""Checks the four rules on the events of a run, emulated or from sockets.
+"""Checks the four rules on the events of a run, emulated or on sockets.
 
-A checker does no I/O and imports nothing of what it judges.
+The checker does no I/O and imports nothing of the checked code.
 """
 
 from collections import Counter, deque
@@ -30,23 +30,23 @@
 from heronlug.conformance.peak_rate import PeakRate
 
 TRAIL_LENGTH = 12
-"""Events kept for each open request and for each server."""
+"""Maximum number of recent events that are stored for each open request and for each server."""
 MAX_KEPT_VIOLATIONS = 200
-"""Violations kept with their events; all are counted."""
+"""Maximum number of violations that are stored with their events; further violations are only counted."""
 SHORT_WINDOW_MS = 100.0
-"""The shorter window in which calls of service discovery are counted."""
+"""Length of the shorter window for counting calls of service discovery, in ms."""
 LONG_WINDOW_MS = 1000.0
-"""The longer window in which calls of service discovery, and dials of a server, are counted."""
+"""Length of the longer window for counting calls of service discovery and dials of a server, in ms."""
 
 
 class Violation(NamedTuple):
-    """A rule was broken.
+    """A violation of one of the four rules.
 
     Attributes:
-        rule: its number.
-        at: when, in ms.
-        what: happened, as a sentence.
-        trail: the events that led there, the last one last.
+        rule: Number of the rule.
+        at: Time of the violation in ms.
+        what: Description of the violation, as a sentence.
+        trail: Events that led to the violation, in order of time.
     """
 
     rule: int
@@ -56,18 +56,18 @@
 
 
 class RequestKey(NamedTuple):
-    """A request at a dispatcher."""
+    """Identifies a request at a dispatcher."""
 
     dispatcher: str
     request: str
 
 
 class OpenRequest:
-    """A request that is owed a final answer.
+    """A request that needs a final answer.
 
     Attributes:
-        taken: its acceptance.
-        trail: its last events.
+        taken: Acceptance of the request.
+        trail: Last events of the request, at most ``TRAIL_LENGTH``.
     """
 
     __slots__ = ("taken", "trail")
@@ -79,17 +79,17 @@
 
 @dataclass(slots=True)
 class Statistics:
-    """What a run cost service discovery and servers.
+    """The load that a run put on service discovery and servers.
 
     Attributes:
-        warmup_peak_load: the highest load of a server that warmed up; 1 is where overload begins.
-        calls: of service discovery.
-        list_calls: those of them that were for the whole list.
-        rejected_calls: those of them that were rejected.
-        short_call_peak: most calls in the shorter window.
-        long_call_peak: most calls in the longer window.
-        dials: connections, by server.
-        dial_peaks: most connections in the longer window, by server.
+        warmup_peak_load: Highest load of a server that was warming up, as a share; overload begins at 1.
+        calls: Number of calls of service discovery.
+        list_calls: Number of calls for the whole list.
+        rejected_calls: Number of rejected calls.
+        short_call_peak: Highest number of calls in the shorter window.
+        long_call_peak: Highest number of calls in the longer window.
+        dials: Number of connections, by server.
+        dial_peaks: Highest number of connections in the longer window, by server.
     """
 
     warmup_peak_load: float = 0.0
@@ -102,7 +102,7 @@
     dial_peaks: dict[str, PeakRate] = field(default_factory=dict)
 
     def reset_calls(self) -> None:
-        """Count calls from here on."""
+        """Reset the counts and peaks of calls."""
         self.calls = self.list_calls = self.rejected_calls = 0
         self.short_call_peak.reset()
         self.long_call_peak.reset()
@@ -122,15 +122,17 @@
 
 
 class Checker:
-    """Is given all events of a run in their order by :meth:`see`, and at the end :meth:`finish`.
+    """Checks the four rules on all events of a run.
+
+    The caller passes each event to :meth:`see` in order of time and calls :meth:`finish` at the end of the run.
 
     Attributes:
-        drain_grace: how long after a notified change attempts may still be sent, in ms.
-        slack: granted to answers, in ms, for the clocks of several processes.
-        violations: the first ones, with their events.
-        counts: all violations, by rule.
-        seen: how many events there were.
-        statistics: what the run cost.
+        drain_grace: Time after a notified change within which attempts may still be sent, in ms.
+        slack: Tolerance for late answers in ms, because the clocks of several processes differ.
+        violations: First violations with their events, at most ``MAX_KEPT_VIOLATIONS``.
+        counts: Number of all violations, by rule.
+        seen: Number of events.
+        statistics: Load that the run put on service discovery and servers.
     """
 
     def __init__(self, drain_grace: float = 2500.0, slack: float = 0.0) -> None:
@@ -169,7 +171,13 @@
         self._handlers[type(event)](event)
 
     def finish(self, at: float) -> list[Violation]:
-        """End the run: what is still open and past its deadline has had no answer."""
+        """End the run and return the violations.
+
+        A request that is still open after its deadline violates rule 1.
+
+        Args:
+            at: End of the run in ms.
+        """
         for request in self._open_requests.values():
             if request.taken.give_up_at + self.slack < at:
                 self._add_violation(1, at, f"{request.taken.job} has had no final answer", request.trail)
@@ -187,7 +195,7 @@
 
     def _on_started(self, event: Started) -> None:
         self._answered_requests[event.dispatcher] = set()
-        self._notifications.notifications_of(event.dispatcher)  # its clocks run on from process to process
+        self._notifications.notifications_of(event.dispatcher)  # notifications outlast the processes of a dispatcher
 
     def _on_stopped(self, event: Stopped) -> None:
         for key in [key for key in self._open_requests if key.dispatcher == event.dispatcher]:
--- a/heronlug/conformance/events.py
+++ b/heronlug/conformance/events.py
@@ -1,6 +1,6 @@
-"""What a run tells the checker of, in the order in which it happened.  Times in milliseconds of one clock.
+"""Defines the events that a run records for the checker, in order of time.  Times are in milliseconds of one clock.
 
-As a line of a file an event is a JSON list: the kind's name, then its fields.
+In a file, each event is a line with a JSON list: the name of the event's class, then the fields of the event.
 """
 
 from collections.abc import Iterable, Iterator
@@ -17,7 +17,7 @@
 
 
 class Stopped(NamedTuple):
-    """It has ended; what it held is over without an answer only if it was ``killed``."""
+    """A dispatcher's process has ended; its requests may end without an answer only if the process was ``killed``."""
 
     at: float
     dispatcher: str
@@ -25,18 +25,18 @@
 
 
 class Taken(NamedTuple):
-    """A dispatcher has accepted a job: it is owed one final answer by ``give_up_at``."""
+    """A dispatcher has accepted a request, which must get one final answer by ``give_up_at``."""
 
     at: float
     dispatcher: str
-    job: str  # unique among all of a run
+    job: str  # unique within a run
     lane: str
-    once: bool  # it must not run twice
+    once: bool  # whether the request must not run twice
     give_up_at: float
 
 
 class Answered(NamedTuple):
-    """A final answer has gone out."""
+    """A dispatcher has sent a final answer."""
 
     at: float
     dispatcher: str
@@ -45,7 +45,7 @@
 
 
 class Sent(NamedTuple):
-    """The first byte of an attempt has been written."""
+    """A dispatcher has written the first byte of an attempt."""
 
     at: float
     dispatcher: str
@@ -54,7 +54,7 @@
 
 
 class Began(NamedTuple):
-    """A job begins to run at a host's process."""
+    """A server has started to run a request."""
 
     at: float
     host: str
@@ -62,7 +62,7 @@
 
 
 class Ended(NamedTuple):
-    """A client has gone: nothing is owed any more."""
+    """The client of a request has disconnected, so that the request needs no answer."""
 
     at: float
     dispatcher: str
@@ -70,7 +70,7 @@
 
 
 class Listed(NamedTuple):
-    """A dispatcher has been told of a host's state: ready, draining or gone."""
+    """A dispatcher has been notified of a server's state: ready, draining or gone."""
 
     at: float
     dispatcher: str
@@ -79,7 +79,7 @@
 
 
 class Changed(NamedTuple):
-    """Service discovery has another state of a server, whether or not anybody has been told."""
+    """Service discovery has changed the state of a server, whether or not any dispatcher has been notified."""
 
     at: float
     host: str
@@ -87,16 +87,16 @@
 
 
 class Watching(NamedTuple):
-    """A call of a dispatcher waits for news at service discovery."""
+    """A watch call of a dispatcher waits for changes at service discovery."""
 
     at: float
     dispatcher: str
-    call: int  # which, among all of a run
-    wait: float  # ms that it waits at most
+    call: int  # number of the call, unique within a run
+    wait: float  # longest time that the call waits, in ms
 
 
 class WatchOver(NamedTuple):
-    """That call was answered, or its connection has ended."""
+    """A watch call was answered, or the connection of the call has ended."""
 
     at: float
     dispatcher: str
@@ -104,7 +104,7 @@
 
 
 class Reachable(NamedTuple):
-    """A dispatcher can reach service discovery from now on, or not any more."""
+    """Service discovery has become reachable or unreachable for a dispatcher."""
 
     at: float
     dispatcher: str
@@ -112,7 +112,15 @@
 
 
 class Load(NamedTuple):
-    """What is in a cold host, in shares of what it stands: more than 1 for longer than it may, and it falls over."""
+    """The load of a server that is warming up.
+
+    Attributes:
+        at: Time of the measurement.
+        host: Name of the server.
+        share: Load as a share of the load that the server can handle; the server fails if the share stays above 1 for
+            too long.
+        fell: Whether the server has failed from overload.
+    """
 
     at: float
     host: str
@@ -121,17 +129,17 @@
 
 
 class Called(NamedTuple):
-    """The node register has been called by a dispatcher."""
+    """A dispatcher has called service discovery."""
 
     at: float
     dispatcher: str
-    whole: bool  # for the whole list
-    turned: bool  # away, since it had too many
-    waited: float  # ms until it was worked through
+    whole: bool  # whether the call was for the whole list
+    turned: bool  # whether service discovery rejected the call because of too many calls
+    waited: float  # time until the call was processed, in ms
 
 
 class Dialled(NamedTuple):
-    """A connection to a host has come up, and is paid for there."""
+    """A connection to a server has been established, which costs the server CPU time."""
 
     at: float
     host: str
@@ -158,12 +166,16 @@
 
 
 def write(event: Event) -> bytes:
-    """One line."""
+    """Returns the line of a file for an event."""
     return msgspec.json.encode([type(event).__name__, *event]) + b"\n"
 
 
 def read(lines: Iterable[bytes]) -> Iterator[Event]:
-    """Events of lines; raises ``ValueError`` with the line's number."""
+    """Yields the events of the lines of a file; blank lines are skipped.
+
+    Raises:
+        ValueError: A line is not a valid event; the message gives the number of the line.
+    """
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
--- a/heronlug/conformance/notification.py
+++ b/heronlug/conformance/notification.py
@@ -1,14 +1,16 @@
-"""When a change of the endpoint list counts as notified to a dispatcher, from the records of discovery alone.
+"""Determines when a change of the endpoint list counts as notified to a dispatcher, from discovery's records alone.
 
-This decides for rule 3 without what it judges: it imports nothing of that and takes no constant from it. A change that
-discovery has made and not written to a dispatcher counts, whether or not it ever arrives,
+Rule 3 is checked with these times. For independence, this module imports no code and no constant of the checked
+dispatcher. A change that discovery has not written to a dispatcher counts as notified even if the change never arrives:
 
-- 6 s after discovery had it and could be reached by that dispatcher, where that has no watch;
-- where a watch was open when the change was made: 6 s after it, or 2 s after the wait of that call is over, if that is
-  later; and where the watch has ended meanwhile, 6 s after that end, if that is sooner and discovery can be reached.
+- if the dispatcher has no open watch, 6 s after discovery has made the change and is reachable for the dispatcher;
+- if a watch was open at the time of the change, 6 s after the change or 2 s after the end of the watch's wait,
+  whichever is later; if that watch has ended in the meantime, 6 s after the end of the watch, if that is earlier and
+  discovery is reachable.
 
-What was written counts from its writing. All this holds for a dispatcher, whichever of its processes runs, or none.
-Where two sentences of the protocol give different times the earlier one counts, except for a watch that looks healthy.
+A change that discovery has written counts from the time of the write. These times apply to a dispatcher as a whole,
+whichever of its processes runs, even if none runs. If two sentences of the protocol give different times, the earlier
+time counts, except for a watch that appears healthy.
 
 Times are in milliseconds.
 """
@@ -17,19 +19,19 @@
 from typing import NamedTuple
 
 COUNTS_AFTER_MS = 6_000.0
-"""A change that has not arrived counts this long after it could have."""
+"""Time after which a change counts that could have arrived but has not, in ms."""
 COUNTS_AFTER_WAIT_MS = 2_000.0
-"""A change that a watch has missed counts this long after the wait of the watch is over, if that is later."""
+"""Time after the end of a watch's wait at which a change missed by the watch counts, if that is later, in ms."""
 READY = "ready"
-"""The state of a server that takes requests, in the records."""
+"""State of a server that accepts requests, as written in the records."""
 
 
 class Notified(NamedTuple):
-    """A server counts as draining or gone for a dispatcher.
+    """The time from which a server counts as draining or gone for a dispatcher.
 
     Attributes:
-        at: since when.
-        reason: why since then; completes "its change counted as notified, which".
+        at: Time from which the change counts as notified.
+        reason: Reason for this time, as a clause that completes "its change counted as notified, which".
     """
 
     at: float
@@ -37,12 +39,12 @@
 
 
 class Watch(NamedTuple):
-    """A call that waits for an event.
+    """A watch call that waits for a change at discovery.
 
     Attributes:
-        call: its number.
-        opened_at: when it came.
-        wait_ms: how long it waits at most.
+        call: Number of the call, unique within a run.
+        opened_at: Time at which discovery received the call.
+        wait_ms: Longest time that the call waits.
     """
 
     call: int
@@ -51,7 +53,7 @@
 
     @property
     def missed_change_counts_at(self) -> float:
-        """When a change that it does not bring counts at the latest, if it was made right after the call."""
+        """The latest time at which a change counts that was made right after the call and that the watch missed."""
         return max(self.opened_at + COUNTS_AFTER_MS, self.opened_at + self.wait_ms + COUNTS_AFTER_WAIT_MS)
 
 
@@ -59,9 +61,10 @@
     """A change that has not been written to a dispatcher.
 
     Attributes:
-        at: when it was made.
-        watch: that was open then.
-        reachable_at: the first moment from then on at which discovery could be reached; None: not yet.
+        at: Time of the change.
+        watch: Watch that was open at that time; None if there was none.
+        reachable_at: Earliest time from ``at`` on at which discovery was reachable; None if discovery has been
+            unreachable since.
     """
 
     at: float
@@ -70,27 +73,27 @@
 
     @property
     def counts_at(self) -> float:
-        """When it counts as notified, whether or not it arrives."""
+        """The time at which the change counts as notified, even if the change never arrives."""
         if self.watch is not None:
             return max(self.at + COUNTS_AFTER_MS, self.watch.missed_change_counts_at)
         return self.reachable_at + COUNTS_AFTER_MS if self.reachable_at is not None else inf
 
     @property
     def reason(self) -> str:
-        """Why it counts then."""
+        """The reason for ``counts_at``, as a clause for a violation message."""
         if self.watch is not None:
             return "was missed by a watch"
-        return f"was made at {self.at:.0f}, and discovery could be reached at {self.reachable_at:.0f}"
+        return f"was made at {self.at:.0f} ms, and discovery was reachable at {self.reachable_at:.0f} ms"
 
 
 class DispatcherNotifications:
-    """What one dispatcher counts as notified of.
+    """The changes that count as notified to one dispatcher, or that will.
 
     Attributes:
-        reachable: whether it can reach discovery now.
-        watch: that it has open.
-        unwritten: by server, the first change to draining or gone that was not written to it.
-        written: by server, the change to draining or gone that was written to it.
+        reachable: Whether discovery is reachable for the dispatcher now.
+        watch: Open watch of the dispatcher; None if there is none.
+        unwritten: First change to draining or gone that was not written to the dispatcher, by server.
+        written: Change to draining or gone that was written to the dispatcher, by server.
     """
 
     __slots__ = ("reachable", "unwritten", "watch", "written")
@@ -102,11 +105,20 @@
         self.written: dict[str, Notified] = {}
 
     def add_unwritten(self, server: str, at: float, watch: Watch | None) -> None:
-        """A change that was made at a time has not been written."""
+        """Add a change that has not been written to the dispatcher.
+
+        Args:
+            server: Name of the server.
+            at: Time of the change.
+            watch: Watch that was open at that time; None if there was none.
+        """
         self.unwritten[server] = UnwrittenChange(at, watch, at if self.reachable else None)
 
     def end_watch(self, at: float, call: int) -> None:
-        """A watch has ended: what it has missed counts as long after that as without a watch, if that is sooner."""
+        """End a watch.
+
+        A change that the watch missed now counts ``COUNTS_AFTER_MS`` after this end, if that is earlier.
+        """
         if self.watch is not None and self.watch.call == call:
             self.watch = None
         for server, change in self.unwritten.items():
@@ -116,17 +128,17 @@
 
 
 class NotificationHistory:
-    """The changes and calls of a run, by dispatcher."""
+    """Records the changes and watch calls of a run by dispatcher."""
 
     def __init__(self) -> None:
         self._dispatchers: dict[str, DispatcherNotifications] = {}
 
     def notifications_of(self, name: str) -> DispatcherNotifications:
-        """What is known of a dispatcher; one that is new starts here."""
+        """Returns the notifications of a dispatcher, which are created on first use."""
         return self._dispatchers.setdefault(name, DispatcherNotifications())
 
     def record_change(self, at: float, server: str, state: str) -> None:
-        """Discovery has another state of a server."""
+        """Record that discovery has changed the state of a server."""
         for dispatcher in self._dispatchers.values():
             if state == READY:
                 dispatcher.unwritten.pop(server, None)
@@ -135,7 +147,7 @@
                 dispatcher.add_unwritten(server, at, dispatcher.watch)
 
     def record_written(self, at: float, dispatcher: str, server: str, state: str) -> None:
-        """Discovery has written a state of a server to a dispatcher."""
+        """Record that discovery has written the state of a server to a dispatcher."""
         notifications = self.notifications_of(dispatcher)
         change = notifications.unwritten.pop(server, None)
         if state == READY:
@@ -146,15 +158,15 @@
             notifications.written.setdefault(server, Notified(at, "was written"))
 
     def record_watch(self, at: float, dispatcher: str, call: int, wait_ms: float) -> None:
-        """A call of a dispatcher waits for an event."""
+        """Record that a watch call of a dispatcher waits for a change."""
         self.notifications_of(dispatcher).watch = Watch(call, at, wait_ms)
 
     def record_watch_end(self, at: float, dispatcher: str, call: int) -> None:
-        """That call was answered, or its connection has ended."""
+        """Record that a watch call was answered, or that the connection of the call has ended."""
         self.notifications_of(dispatcher).end_watch(at, call)
 
     def record_reachability(self, at: float, dispatcher: str, reachable: bool) -> None:
-        """Discovery can be reached by a dispatcher from now on, or not any more."""
+        """Record that discovery has become reachable or unreachable for a dispatcher."""
         notifications = self.notifications_of(dispatcher)
         notifications.reachable = reachable
         if not reachable:
@@ -164,7 +176,7 @@
                 notifications.unwritten[server] = change._replace(reachable_at=at)
 
     def notified_since(self, dispatcher: str, server: str) -> Notified | None:
-        """Since when a server counts as draining or gone for a dispatcher; None: it does not, as far as is known."""
+        """Returns when and why a server started to count as draining or gone for a dispatcher; None if it does not."""
         notifications = self.notifications_of(dispatcher)
         if server in notifications.written:
             return notifications.written[server]
--- a/heronlug/conformance/peak_rate.py
+++ b/heronlug/conformance/peak_rate.py
@@ -1,14 +1,14 @@
-"""The most events of a kind within a window of time."""
+"""Measures the highest number of events within a time window."""
 
 from collections import deque
 
 
 class PeakRate:
-    """Counts events in a sliding window.
+    """Counts events in a sliding window and records the peak.
 
     Attributes:
-        window_ms: the length of the window.
-        most: the most events that any window had.
+        window_ms: Length of the window in ms.
+        most: Highest number of events in any window.
     """
 
     __slots__ = ("_recent", "most", "window_ms")
@@ -19,12 +19,12 @@
         self._recent: deque[float] = deque()
 
     def add(self, at: float) -> None:
-        """Count an event at a time in ms, which is not before the one before it."""
+        """Count an event at a time in ms, which must not be earlier than the previous event."""
         self._recent.append(at)
         while self._recent[0] <= at - self.window_ms:
             self._recent.popleft()
         self.most = max(self.most, len(self._recent))
 
     def reset(self) -> None:
-        """Forget the most; the window stays."""
+        """Reset the peak; the events of the current window stay counted."""
         self.most = 0
--- a/heronlug/requests/server_directory.py
+++ b/heronlug/requests/server_directory.py
@@ -98,7 +98,7 @@
             self._record_state(server, now)
 
     def _record_state(self, server: Server, now: float) -> None:
-        """Record since when a server has been draining or removed."""
+        """Record the times at which a server began to drain and was removed."""
         state = server.entry.state
         if state is ServerState.READY:
             server.draining_since = None
--- a/tests/peers/test_goodbye.py
+++ b/tests/peers/test_goodbye.py
@@ -1,4 +1,4 @@
-"""How many datagrams a planned stop costs, and that the peers that rely on the dispatcher hear of it."""
+"""Tests that goodbyes stay within their bound and reach the peers that regard the dispatcher as serving."""
 
 from random import Random
 
@@ -12,11 +12,15 @@
 from heronlug.peers.gossip import LEAVING, MAX_DATAGRAM_BYTES
 from heronlug.requests.deadlines import Deadlines
 
-INTERVAL_MS = 250.0  # between two load summaries of an aggregator
+INTERVAL_MS = 250.0  # interval between the load summaries of an aggregator
 
 
 class Fleet:
-    """Dispatchers that gossip like real ones: aggregators send summaries to all, the others counts to aggregators."""
+    """Simulates the gossip between dispatchers with a virtual clock and datagram loss.
+
+    In fleets of ten or more dispatchers, two aggregators send summaries to all peers, and the other dispatchers send
+    their counts to the aggregators. In smaller fleets, each dispatcher sends to all peers.
+    """
 
     def __init__(self, count: int, loss: float = 0.0, seed: int = 1) -> None:
         self.now, self.loss, self.rng = 1000.0, loss, Random(seed)
@@ -49,7 +53,7 @@
                 self.gossips[other].receive(number, data, self.now)
 
     def stop(self, number: int) -> None:
-        """Stop it, with a request that stays open until the last answer."""
+        """Stop a dispatcher that has a request open until the latest time for answers."""
         gossip = self.gossips[number]
         hooks = ShutdownHooks(
             open_work=lambda: int(self.deadlines.clock() < shutdown.answer_by),
@@ -74,7 +78,10 @@
 
 @pytest.mark.parametrize("count", [4, 50, 200, 1000])
 def test_goodbyes_of_a_stop_are_bounded_for_any_fleet_size(count: int) -> None:
-    """Risk: sent to all at each check, the goodbyes of a rolling restart of 184 dispatchers cost 27% of the payoff."""
+    """Failure: the cost of a stop grows with the number of peers and checks.
+
+    When goodbyes were sent to all peers at each check, a rolling restart of 184 dispatchers cost 27% of the payoff.
+    """
     fleet = Fleet(count)
     fleet.run(1000)
     fleet.stop(count - 1)
@@ -98,6 +105,7 @@
 def test_rolling_restart_stays_within_the_goodbye_bound_and_every_dispatcher_stops(
     count: int, loss: float, seed: int, batch_size: int, interval_ms: float
 ) -> None:
+    """Failure: lost goodbyes raise the number of datagrams, or a dispatcher waits for a peer that has stopped."""
     fleet = Fleet(count, loss, seed)
     fleet.run(1000)
     order = [*range(count)]
@@ -107,12 +115,13 @@
             fleet.stop(number)
         fleet.run(interval_ms)
     fleet.run(6000)
-    assert fleet.stopped == set(order)  # each has come to its end: nobody waits for somebody who is gone
+    assert fleet.stopped == set(order)  # no dispatcher waits for a peer that has stopped
     recipients = len(fleet.aggregators) or count
     assert fleet.sent_goodbyes() <= MAX_GOODBYES * (count * recipients + len(fleet.aggregators) * count)
 
 
 def test_goodbyes_go_only_to_peers_that_received_messages_and_arrive_at_once() -> None:
+    """Failure: peers count a leaving aggregator as serving, or goodbyes go to peers that need none."""
     fleet = Fleet(40)
     fleet.run(1000)
     assert all(gossip.others_serve(fleet.now) for gossip in fleet.gossips)
@@ -120,7 +129,7 @@
         fleet.stop(aggregator)
     assert not any(
         fleet.gossips[number].others_serve(fleet.now) for number in range(2, 40)
-    )  # all that they hear are leaving
+    )  # their only senders are leaving
     before = fleet.sent_goodbyes()
     for number in range(2, 40):
         fleet.stop(number)
@@ -128,6 +137,7 @@
 
 
 def test_messages_of_a_leaving_dispatcher_carry_the_mark_until_it_rejoins() -> None:
+    """Failure: a message without the mark makes a leaving dispatcher count as serving, or a rejoin goes unnoticed."""
     leaving, peer = Gossip(2), Gossip(2)
     peer.receive(0, leaving.datagram(b"c1", ALL_PEERS, 0.0), 0.0)
     assert leaving.leave(10.0) == [ALL_PEERS]
@@ -137,7 +147,7 @@
     assert marked == LEAVING + b"c2"
     assert peer.receive(0, marked, 100.0) == b"c2"
     assert not peer.others_serve(100.0)
-    longest = b"c" * MAX_DATAGRAM_BYTES  # has no room for the mark
+    longest = b"c" * MAX_DATAGRAM_BYTES  # no room for the mark
     assert leaving.datagram(longest, ALL_PEERS, 110.0) == longest
     assert leaving.datagram(b"c" * (MAX_DATAGRAM_BYTES + 1), ALL_PEERS, 110.0) == b""
     leaving.rejoin()
@@ -148,6 +158,7 @@
 
 
 def test_dispatcher_without_recent_messages_sends_no_goodbye() -> None:
+    """Failure: a goodbye goes to a peer that counts the dispatcher as down already."""
     gossip = Gossip(200)
     gossip.datagram(b"c", 0, 0.0)
     assert gossip.leave(SERVING_TIMEOUT_MS) == []
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -1,4 +1,4 @@
-"""What the core and the tables guard against, without a socket."""
+"""Tests of the core, its tables, the peer datagrams and the log, without network traffic."""
 
 import os
 import socket
@@ -19,7 +19,7 @@
 
 
 class RecordingTransport:
-    """Records what the core asks of it."""
+    """Records the calls of the core."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
@@ -40,7 +40,7 @@
 
 
 class StubDispatcher:
-    """A decision module that does only what it is told to."""
+    """Records events, and returns the actions that the test has set for the next event."""
 
     def __init__(self) -> None:
         self.actions: list[Any] = []
@@ -53,7 +53,7 @@
 
 
 class RecordingSocketTransport:
-    """Records what is written."""
+    """Records written data; has a connected socket pair, so that a test can close the server's end."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -101,14 +101,16 @@
         self.deadlines.run_due()
 
     def test_request_that_the_dispatcher_never_answers_fails_at_its_deadline(self) -> None:
+        """Failure: a request without any decision stays open for ever, and its attempt and deadline leak."""
         request, attempt = self.accept_and_send()
         self.advance(1000)
         assert self.transport.answers == [("m", FinalAnswer.FAILED, b"")]
-        assert self.transport.cancelled == [attempt]  # a Send has no time-out of its own
+        assert self.transport.cancelled == [attempt]  # attempts have no timeout of their own
         assert self.dispatcher.events[-1].outcome == Outcome.TIMEOUT
         assert (len(self.core.requests), len(self.core.attempts), len(self.deadlines)) == (0, 0, 0)
 
     def test_later_events_cause_no_second_final_answer(self) -> None:
+        """Failure: a reset, a disconnect or the deadline after the answer sends a second answer to the client."""
         request, attempt = self.accept_and_send()
         self.core.attempt_ended(attempt, Outcome.SERVED, b"r")
         self.core.attempt_ended(attempt, Outcome.RESET)
@@ -117,6 +119,7 @@
         assert self.transport.answers == [("m", FinalAnswer.SERVED, b"r")]
 
     def test_attempt_of_a_closed_request_is_cancelled_before_start(self) -> None:
+        """Failure: the dispatcher starts an attempt of a request whose client has left, and a server runs it."""
         request, _ = self.accept_and_send()
         self.core.client_left(request)
         self.dispatcher.actions = [StartAttempt(request.handle, self.server_number), CancelAttempt(request.handle, 7)]
@@ -125,6 +128,7 @@
         assert self.dispatcher.events[-1].outcome == Outcome.CANCELLED_BEFORE_START
 
     def test_attempt_is_not_written_if_its_server_drains_during_the_dial(self) -> None:
+        """Failure: a draining server gets a request because the attempt was decided before the dial ended."""
         pool = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
@@ -144,7 +148,11 @@
         assert self.dispatcher.events[-1].outcome == Outcome.CONNECT_FAILED
 
     def test_lost_connection_proves_no_execution_only_while_a_byte_is_unwritten(self) -> None:
-        """The last byte of send-invites waits for 10 ms: a connection that breaks at its next request costs nothing."""
+        """Failure: a lost connection is reported as possibly executed although the server never got the whole request.
+
+        The last byte of a non-idempotent request is withheld for 10 ms. A connection that is lost before that byte is
+        written proves that the request has not run.
+        """
         pool = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
@@ -154,7 +162,7 @@
             (0, False, False, False, never_ran),
             (11, False, False, True, may_have_run),
             (11, True, False, True, never_ran),
-            (11, False, True, False, never_ran),  # its end has come and waits to be read
+            (11, False, True, False, never_ran),  # the end of the stream is not read yet
         ):
             payload = type(
                 "Payload", (), {"method": b"POST", "target": b"/x", "headers": {}, "body": b"ab", "request_id": "t"}
@@ -176,6 +184,7 @@
 
 class PeerDatagramTest(unittest.TestCase):
     def test_own_broadcast_unknown_sender_and_oversized_datagram_are_dropped(self) -> None:
+        """Failure: the balancer processes datagrams that no peer has sent, or that exceed the size limit."""
         received: list[tuple[int, bytes]] = []
         addresses = ["127.0.0.1:1001", "127.0.0.1:1002"]
         peers = PeerSocket(
@@ -194,7 +203,7 @@
 
 class ServingPeersTest(unittest.TestCase):
     def test_silent_or_leaving_peer_does_not_count_as_serving(self) -> None:
-        """Clients sent away while nobody else served had no dispatcher at all."""
+        """Failure: a stopping dispatcher sends its clients away although no other dispatcher serves them."""
         now = [0.0]
         addresses = ["127.0.0.1:1001", "127.0.0.1:1002"]
         ignore: Any = lambda *a, **k: None  # noqa: E731
@@ -210,6 +219,7 @@
 
 class TableTest(unittest.TestCase):
     def test_old_handle_finds_nothing_in_a_reused_slot(self) -> None:
+        """Failure: a late event with an old handle affects the request that uses the slot now."""
         slots: SlotTable[str] = SlotTable()
         first = slots.add("a")
         assert slots.remove(first) == "a"
@@ -217,6 +227,7 @@
         assert (slots.get(first), slots.get(second), len(slots)) == (None, "b", 1)
 
     def test_due_deadlines_run_in_order_and_added_ones_in_the_next_run(self) -> None:
+        """Failure: a deadline that adds a due deadline keeps the run going, or a cancelled deadline is called."""
         now, called = [0.0], list[int]()
         deadlines = Deadlines(lambda: now[0])
         deadlines.call_at(2.0, called.append, 2)
@@ -232,9 +243,10 @@
 
 class LogTest(unittest.TestCase):
     def test_full_pipe_does_not_block_the_caller(self) -> None:
+        """Failure: nobody reads the log pipe, and the event loop blocks once the pipe is full."""
         reader, writer = os.pipe()
         log = Log(writer)
-        for number in range(3 * MAX_BUFFERED_LINES):  # it would hang here if a line were written on this thread
+        for number in range(3 * MAX_BUFFERED_LINES):  # blocks here if lines are written on this thread
             log("started", number=number, text="x" * 50)
         assert log.dropped > 0
         os.close(reader)
--- a/tests/scheduling/test_chains.py
+++ b/tests/scheduling/test_chains.py
@@ -1,4 +1,4 @@
-"""Chains against a plain model: what is released and failed, whatever the graph and the order of ends."""
+"""Tests which waiting jobs an end releases or fails, also against a reference model on random graphs."""
 
 import pytest
 from hypothesis import given
@@ -15,12 +15,13 @@
 def test_released_and_failed_jobs_match_the_reference_model(
     graph: list[list[tuple[int, OnFailure]]], ends: list[tuple[int, bool]]
 ) -> None:
+    """Failure: a job waits for ever, or starts although a required parent has failed, in some order of ends."""
     chains = RequestChains()
     edges: list[list[tuple[int, OnFailure]]] = []
-    state: dict[int, str] = {}  # ready, waits, served, failed
+    state: dict[int, str] = {}  # state by job: ready, waits, served or failed
 
     def state_by_definition(number: int) -> str:
-        """By the definition alone, from the states of its parents."""
+        """Returns the state of a job that has not started, derived from the states of its parents."""
         for parent, on_failure in edges[number]:
             if state[parent] == "failed" and on_failure is OnFailure.FAIL:
                 return "failed"
@@ -68,6 +69,7 @@
 
 
 def test_diamond_releases_the_last_job_after_both_sides_end() -> None:
+    """Failure: a job with two parents starts after the end of the first parent."""
     chains = RequestChains()
     assert chains.add("top", [], []) is ChainState.READY
     for side in ("left", "right"):
@@ -81,16 +83,18 @@
 
 
 def test_failure_fails_all_descendants_in_a_chain_of_a_thousand_jobs() -> None:
+    """Failure: a deep chain exceeds the recursion limit, or descendants of a cancelled job wait for ever."""
     chains = RequestChains()
     chains.add("j0", [], [])
     for number in range(1, 1000):
         chains.add(f"j{number}", [Edge(f"j{number - 1}")], [])
-    assert len(chains.request_ended("j500", False).failed) == 499  # cancelled while it waited
+    assert len(chains.request_ended("j500", False).failed) == 499  # j500 is cancelled while waiting
     assert chains.request_ended("j0", False).failed == [f"j{n}" for n in range(1, 500)]
     assert not len(chains)
 
 
 def test_stricter_of_two_edges_to_one_parent_applies() -> None:
+    """Failure: the order of two edges to the same parent decides whether the job fails with the parent."""
     for edges in ([Edge("p", OnFailure.RELEASE), Edge("p")], [Edge("p"), Edge("p", OnFailure.RELEASE)]):
         chains = RequestChains()
         chains.add("c", edges, [])
@@ -98,6 +102,7 @@
 
 
 def test_parse_edges_accepts_jids_and_objects_and_rejects_anything_else() -> None:
+    """Failure: an invalid dependency of a pushed job is accepted, or the error does not name the fault."""
     assert parse_edges(None, None) == []
     assert parse_edges(["a", {"jid": "b", "on_failure": "release"}], None) == [Edge("a"), Edge("b", OnFailure.RELEASE)]
     assert parse_edges(["a", {"jid": "b"}], "release") == [Edge("a", OnFailure.RELEASE), Edge("b", OnFailure.RELEASE)]
