--- a/heronlug/conformance/checker.py
+++ b/heronlug/conformance/checker.py
@@ -201,7 +201,7 @@
         for key in [key for key in self._open_requests if key.dispatcher == event.dispatcher]:
             request = self._open_requests.pop(key)
             if not event.killed:
-                what = f"{request.taken.job} has had no final answer when {event.dispatcher} ended"
+                what = f"{request.taken.job} had no final answer when {event.dispatcher} ended"
                 self._add_violation(1, event.at, what, (*request.trail, event))
         self._answered_requests.pop(event.dispatcher, None)
 
@@ -210,7 +210,7 @@
     def _on_taken(self, event: Taken) -> None:
         key = RequestKey(event.dispatcher, event.job)
         if key in self._open_requests:
-            what = f"{event.job} was taken twice while it is open"
+            what = f"{event.job} was accepted twice while the request was open"
             self._add_violation(1, event.at, what, (*self._open_requests[key].trail, event))
         self._open_requests[key] = OpenRequest(event)
         self._answered_requests.setdefault(event.dispatcher, set()).discard(event.job)
@@ -221,7 +221,7 @@
         request = self._open_requests.pop(RequestKey(event.dispatcher, event.job), None)
         answered = self._answered_requests.setdefault(event.dispatcher, set())
         if request is None:
-            why = "has had a second answer" if event.job in answered else "was answered and never taken"
+            why = "has had a second answer" if event.job in answered else "was answered but never accepted"
             self._add_violation(1, event.at, f"{event.job} {why}", (event,))
         elif event.at > request.taken.give_up_at + self.slack:
             late_ms = event.at - request.taken.give_up_at
@@ -238,7 +238,7 @@
             return
         earlier = self._executed.get(event.job)
         if earlier is not None:
-            what = f"{event.job} ran at {event.host} after it had at {earlier.host}"
+            what = f"{event.job} ran at {event.host} after having run at {earlier.host}"
             trails = [request.trail for key, request in self._open_requests.items() if key.request == event.job]
             self._add_violation(2, event.at, what, (*(trails[0] if trails else ()), earlier, event))
         self._executed[event.job] = event
@@ -250,12 +250,12 @@
         if request is not None:
             request.trail.append(event)
         else:
-            self._add_violation(1, event.at, f"{event.job} was sent and is not open", (event,))
+            self._add_violation(1, event.at, f"{event.job} was sent although the request is not open", (event,))
         notified = self._notifications.notified_since(event.dispatcher, event.host)
         if notified is not None and event.at - notified.at > self.drain_grace:
             elapsed_ms = event.at - notified.at
             what = (
-                f"{event.host} was sent {event.job} {elapsed_ms:.0f} ms after its change counted as notified, "
+                f"{event.host} was sent {event.job} {elapsed_ms:.0f} ms after the server's change counted as notified, "
                 f"which {notified.reason}"
             )
             self._add_violation(3, event.at, what, (*self._server_trail(event.host), event))
@@ -284,4 +284,4 @@
         trail = self._server_trail(event.host)
         trail.append(event)
         if event.fell:
-            self._add_violation(4, event.at, f"{event.host} was pushed over while it was cold", trail)
+            self._add_violation(4, event.at, f"{event.host} was overloaded while warming up", trail)
--- a/heronlug/conformance/events.py
+++ b/heronlug/conformance/events.py
@@ -183,5 +183,5 @@
             words: list[Any] = msgspec.json.decode(line, type=list)
             yield msgspec.convert(words[1:], KINDS[words[0]])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, IndexError) as error:
-            msg = f"line {number}: no event: {error}"
+            msg = f"line {number}: invalid event: {error}"
             raise ValueError(msg) from None
--- a/heronlug/conformance/notification.py
+++ b/heronlug/conformance/notification.py
@@ -31,7 +31,7 @@
 
     Attributes:
         at: Time from which the change counts as notified.
-        reason: Reason for this time, as a clause that completes "its change counted as notified, which".
+        reason: Reason for this time, as a clause that completes "the server's change counted as notified, which".
     """
 
     at: float
--- a/tests/emulator/test_checker.py
+++ b/tests/emulator/test_checker.py
@@ -48,15 +48,15 @@
         ([TAKEN], 1, "has had no final answer"),
         ([TAKEN, Answered(5001.0, "d", "j", "served")], 1, "1 ms too late"),
         ([*GOOD, Answered(95.0, "d", "j", "served")], 1, "second answer"),
-        ([Answered(95.0, "d", "j", "served")], 1, "never taken"),
-        ([TAKEN, TAKEN], 1, "taken twice"),
+        ([Answered(95.0, "d", "j", "served")], 1, "never accepted"),
+        ([TAKEN, TAKEN], 1, "accepted twice"),
         ([*GOOD, Sent(99.0, "d", "j", "h")], 1, "is not open"),
         ([TAKEN, Stopped(9.0, "d", False)], 1, "when d ended"),
         ([TAKEN, Began(2.0, "h", "j"), Began(3.0, "g", "j"), Answered(9.0, "d", "j", "failed")], 2, "ran at g"),
         (
             [*GOOD, Taken(100.0, "e", "j", "once", True, 9e3), Began(101.0, "h", "j"), Answered(102.0, "e", "j", "x")],
             2,
-            "ran at h after it had at h",
+            "ran at h after having run at h",
         ),
         (
             [
@@ -69,7 +69,7 @@
             3,
             "2501 ms after",
         ),
-        ([Load(0.0, "h", 1.2, True)], 4, "pushed over"),
+        ([Load(0.0, "h", 1.2, True)], 4, "overloaded while warming up"),
     ],
 )
 def test_each_way_to_break_a_rule_is_found(events: list[Event], rule: int, what: str) -> None:
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -152,5 +152,5 @@
     World(scenario(fault_tables("deploy", "dispatcher-kill"), span_s=12), 2, record=events.append).run()
     assert len({type(event) for event in events}) >= 6
     assert list(read(map(write, events))) == events
-    with pytest.raises(ValueError, match="line 2: no event"):
+    with pytest.raises(ValueError, match="line 2: invalid event"):
         list(read([write(events[0]), b'["Sent", 1]\n']))
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -129,7 +129,9 @@
             head = f"POST /job HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: job\r\nContent-Length: 2\r\n\r\n20"
             sock.send(head.encode())
             verdict = await playing
-        assert [violation.what for violation in verdict.violations] == [f"{txn} was sent and is not open"], verdict
+        assert [violation.what for violation in verdict.violations] == [
+            f"{txn} was sent although the request is not open"
+        ], verdict
         return verdict.faults
 
     assert asyncio.run(run()) == []
