--- a/heronlug/conformance/checker.py
+++ b/heronlug/conformance/checker.py
@@ -102,13 +102,13 @@
     dial_peaks: dict[str, PeakRate] = field(default_factory=dict)
 
     def reset_calls(self) -> None:
-        """Reset the counts and peaks of calls."""
+        """Resets the counts and peaks of calls."""
         self.calls = self.list_calls = self.rejected_calls = 0
         self.short_call_peak.reset()
         self.long_call_peak.reset()
 
     def count_call(self, event: Called) -> None:
-        """Count a call of service discovery."""
+        """Counts a call of service discovery."""
         self.calls += 1
         self.list_calls += event.whole
         self.rejected_calls += event.turned
@@ -116,7 +116,7 @@
         self.long_call_peak.add(event.at)
 
     def count_dial(self, event: Dialled) -> None:
-        """Count a connection to a server."""
+        """Counts a connection to a server."""
         self.dials[event.host] += 1
         self.dial_peaks.setdefault(event.host, PeakRate(LONG_WINDOW_MS)).add(event.at)
 
@@ -166,12 +166,12 @@
         }
 
     def see(self, event: Event) -> None:
-        """Check an event."""
+        """Checks an event."""
         self.seen += 1
         self._handlers[type(event)](event)
 
     def finish(self, at: float) -> list[Violation]:
-        """End the run and return the violations.
+        """Ends the run and returns the violations.
 
         A request that is still open after its deadline violates rule 1.
 
--- a/heronlug/conformance/notification.py
+++ b/heronlug/conformance/notification.py
@@ -53,7 +53,7 @@
 
     @property
     def missed_change_counts_at(self) -> float:
-        """The latest time at which a change counts that was made right after the call and that the watch missed."""
+        """Returns the latest time at which a missed change counts that was made right after the call."""
         return max(self.opened_at + COUNTS_AFTER_MS, self.opened_at + self.wait_ms + COUNTS_AFTER_WAIT_MS)
 
 
@@ -73,14 +73,14 @@
 
     @property
     def counts_at(self) -> float:
-        """The time at which the change counts as notified, even if the change never arrives."""
+        """Returns the time at which the change counts as notified, even if the change never arrives."""
         if self.watch is not None:
             return max(self.at + COUNTS_AFTER_MS, self.watch.missed_change_counts_at)
         return self.reachable_at + COUNTS_AFTER_MS if self.reachable_at is not None else inf
 
     @property
     def reason(self) -> str:
-        """The reason for ``counts_at``, as a clause for a violation message."""
+        """Returns the reason for ``counts_at``, as a clause for a violation message."""
         if self.watch is not None:
             return "was missed by a watch"
         return f"was made at {self.at:.0f} ms, and discovery was reachable at {self.reachable_at:.0f} ms"
@@ -105,7 +105,7 @@
         self.written: dict[str, Notified] = {}
 
     def add_unwritten(self, server: str, at: float, watch: Watch | None) -> None:
-        """Add a change that has not been written to the dispatcher.
+        """Adds a change that has not been written to the dispatcher.
 
         Args:
             server: Name of the server.
@@ -115,7 +115,7 @@
         self.unwritten[server] = UnwrittenChange(at, watch, at if self.reachable else None)
 
     def end_watch(self, at: float, call: int) -> None:
-        """End a watch.
+        """Ends a watch.
 
         A change that the watch missed now counts ``COUNTS_AFTER_MS`` after this end, if that is earlier.
         """
@@ -138,7 +138,7 @@
         return self._dispatchers.setdefault(name, DispatcherNotifications())
 
     def record_change(self, at: float, server: str, state: str) -> None:
-        """Record that discovery has changed the state of a server."""
+        """Records that discovery has changed the state of a server."""
         for dispatcher in self._dispatchers.values():
             if state == READY:
                 dispatcher.unwritten.pop(server, None)
@@ -147,7 +147,7 @@
                 dispatcher.add_unwritten(server, at, dispatcher.watch)
 
     def record_written(self, at: float, dispatcher: str, server: str, state: str) -> None:
-        """Record that discovery has written the state of a server to a dispatcher."""
+        """Records that discovery has written the state of a server to a dispatcher."""
         notifications = self.notifications_of(dispatcher)
         change = notifications.unwritten.pop(server, None)
         if state == READY:
@@ -158,15 +158,15 @@
             notifications.written.setdefault(server, Notified(at, "was written"))
 
     def record_watch(self, at: float, dispatcher: str, call: int, wait_ms: float) -> None:
-        """Record that a watch call of a dispatcher waits for a change."""
+        """Records that a watch call of a dispatcher waits for a change."""
         self.notifications_of(dispatcher).watch = Watch(call, at, wait_ms)
 
     def record_watch_end(self, at: float, dispatcher: str, call: int) -> None:
-        """Record that a watch call was answered, or that the connection of the call has ended."""
+        """Records that a watch call was answered, or that the connection of the call has ended."""
         self.notifications_of(dispatcher).end_watch(at, call)
 
     def record_reachability(self, at: float, dispatcher: str, reachable: bool) -> None:
-        """Record that discovery has become reachable or unreachable for a dispatcher."""
+        """Records that discovery has become reachable or unreachable for a dispatcher."""
         notifications = self.notifications_of(dispatcher)
         notifications.reachable = reachable
         if not reachable:
--- a/heronlug/conformance/peak_rate.py
+++ b/heronlug/conformance/peak_rate.py
@@ -19,12 +19,12 @@
         self._recent: deque[float] = deque()
 
     def add(self, at: float) -> None:
-        """Count an event at a time in ms, which must not be earlier than the previous event."""
+        """Counts an event at a time in ms, which must not be earlier than the previous event."""
         self._recent.append(at)
         while self._recent[0] <= at - self.window_ms:
             self._recent.popleft()
         self.most = max(self.most, len(self._recent))
 
     def reset(self) -> None:
-        """Reset the peak; the events of the current window stay counted."""
+        """Resets the peak; the events of the current window stay counted."""
         self.most = 0
--- a/heronlug/peers/datagrams.py
+++ b/heronlug/peers/datagrams.py
@@ -27,7 +27,7 @@
         run_due: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        """Create a protocol without a socket; asyncio passes the socket to :meth:`connection_made`.
+        """Creates a protocol without a socket; asyncio passes the socket to :meth:`connection_made`.
 
         Args:
             peers: Addresses of all dispatchers by position, including this dispatcher.
@@ -50,13 +50,13 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport of the socket that asyncio has opened."""
+        """Stores the transport of the socket that asyncio has opened."""
         self._transport = cast(
             asyncio.DatagramTransport, transport
         )  # uvloop's transport has this interface without being a subclass
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram of a peer.
+        """Handles a datagram of a peer.
 
         Drops datagrams from unknown senders, oversized datagrams, and the broadcasts of this dispatcher itself.
         """
@@ -73,14 +73,14 @@
         self._run_due()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore the error, which occurs while a peer is down; gossip may be lost."""
+        """Ignores the error, which occurs while a peer is down; gossip may be lost."""
 
     def others_serve(self) -> bool:
         """Returns whether a peer that is not leaving has sent a message recently."""
         return self.gossip.others_serve(self._clock())
 
     def leave(self) -> None:
-        """Send the goodbyes that are due, because the clients of this dispatcher move to the peers.
+        """Sends the goodbyes that are due, because the clients of this dispatcher move to the peers.
 
         Called repeatedly until the process ends.
         """
@@ -88,11 +88,11 @@
             self._send_datagram(LEAVING, recipient)
 
     def rejoin(self) -> None:
-        """Cancel the leave; this dispatcher continues to serve."""
+        """Cancels the leave; this dispatcher continues to serve."""
         self.gossip.rejoin()
 
     def send(self, message: bytes, recipient: int) -> None:
-        """Send a message to a peer or to ``ALL_PEERS``; drops a message that is too long for a datagram."""
+        """Sends a message to a peer or to ``ALL_PEERS``; drops a message that is too long for a datagram."""
         self._send_datagram(self.gossip.datagram(message, recipient, self._clock()), recipient)
 
     def _send_datagram(self, datagram: bytes, recipient: int) -> None:
@@ -110,14 +110,14 @@
         return [address for position, address in enumerate(self._addresses) if position != self._position]
 
     def close(self) -> None:
-        """Close the socket."""
+        """Closes the socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     @property
     def is_open(self) -> bool:
-        """Whether the socket is open."""
+        """Returns whether the socket is open."""
         return self._transport is not None
 
     def fileno(self) -> int:
--- a/heronlug/peers/goodbye.py
+++ b/heronlug/peers/goodbye.py
@@ -57,16 +57,16 @@
         self._sent: dict[int, SentGoodbyes] = {}
 
     def begin(self) -> None:
-        """Begin the leave; further calls have no effect."""
+        """Begins the leave; further calls have no effect."""
         self.leaving = True
 
     def cancel(self) -> None:
-        """Cancel the leave; the dispatcher continues to serve."""
+        """Cancels the leave; the dispatcher continues to serve."""
         self.leaving = False
         self._sent.clear()
 
     def record_message(self, recipient: int, now: float) -> bool:
-        """Record that a message is sent now, and return whether the message must carry the mark."""
+        """Records that a message is sent now, and returns whether the message must carry the mark."""
         if not self.leaving:
             self._last_unmarked[recipient] = now
         elif recipient in self._sent:
--- a/heronlug/peers/gossip.py
+++ b/heronlug/peers/gossip.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, dispatchers: int) -> None:
-        """Create the gossip of a dispatcher that has received no message yet.
+        """Creates the gossip of a dispatcher that has received no message yet.
 
         Args:
             dispatchers: Number of dispatchers, including this dispatcher.
@@ -55,7 +55,7 @@
     # -- receiving
 
     def receive(self, peer: int, datagram: bytes, now: float) -> bytes:
-        """Process a datagram of a peer and return the contained message, which is empty for a goodbye."""
+        """Processes a datagram of a peer and returns the contained message, which is empty for a goodbye."""
         message = datagram.removeprefix(LEAVING)
         if datagram.startswith(LEAVING):
             self._last_mark[peer] = now
@@ -91,7 +91,7 @@
         return message
 
     def leave(self, now: float) -> list[int]:
-        """Begin or continue the leave, and return the recipients of the goodbyes that are due now.
+        """Begins or continues the leave, and returns the recipients of the goodbyes that are due now.
 
         Called repeatedly until the process ends.
         """
@@ -101,5 +101,5 @@
         return due
 
     def rejoin(self) -> None:
-        """Cancel the leave; the dispatcher continues to serve."""
+        """Cancels the leave; the dispatcher continues to serve."""
         self._goodbyes.cancel()
--- a/heronlug/requests/core.py
+++ b/heronlug/requests/core.py
@@ -93,7 +93,7 @@
         plugins: Plugins | None = None,
         has_unread_update: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Create a core without any servers.
+        """Creates a core without any servers.
 
         Args:
             settings: Settings of the dispatcher.
@@ -126,7 +126,7 @@
 
     @property
     def dispatcher(self) -> Dispatcher:
-        """The dispatcher, which makes all decisions about requests."""
+        """Returns the dispatcher, which makes all decisions about requests."""
         return self.events.dispatcher
 
     # -- requests
@@ -142,7 +142,7 @@
         policy: RequestClass | None = None,
         workload: Workload | None = None,
     ) -> Request:
-        """Accept a request, which gets exactly one final answer from now on, possibly within this call.
+        """Accepts a request, which gets exactly one final answer from now on, possibly within this call.
 
         Args:
             payload: Data of the frontend, passed through unchanged.
@@ -188,7 +188,7 @@
         workload: Workload | None = None,
         not_before: float = 0.0,
     ) -> None:
-        """Continue a request that another process accepted.
+        """Continues a request that another process accepted.
 
         The caller connects the attempts in flight to their connections.
 
@@ -227,7 +227,7 @@
         return self.dispatcher.not_before(request.handle)
 
     def hand_over(self, request: Request) -> None:
-        """Forget a request that another process continues, without an answer and without ending its attempts."""
+        """Forgets a request that another process continues, without an answer and without ending its attempts."""
         request.client_gone = True
         self.requests.count_closed()
         for attempt in request.attempts:
@@ -238,7 +238,7 @@
         self.requests.forget(request)
 
     def use_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Apply new limits to the requests that are accepted from now on.
+        """Applies new limits to the requests that are accepted from now on.
 
         Requests that are already accepted keep their limits.  The number, order, effects and latency objectives of the
         classes must stay the same, because the statistics of the balancer depend on them.
@@ -246,7 +246,7 @@
         self.settings = replace(self.settings, classes=classes)
 
     def client_left(self, request: Request) -> None:
-        """Close a request whose client has disconnected, without a final answer."""
+        """Closes a request whose client has disconnected, without a final answer."""
         if not request.closed:
             request.client_gone = True
             self.requests.count_closed()
@@ -255,11 +255,11 @@
             self.requests.forget(request)
 
     def count_answer(self, class_index: int, final: FinalAnswer) -> None:
-        """Count a final answer; frontends also call this for requests that they answer without accepting them."""
+        """Counts a final answer; frontends also call this for requests that they answer without accepting them."""
         self.answer_counts[class_index][final] += 1
 
     def fail(self, request: Request) -> None:
-        """Fail a request for a reason outside the balancer, and cancel its attempts in flight.
+        """Fails a request for a reason outside the balancer, and cancels its attempts in flight.
 
         The logged reason is a rejected connection.
         """
@@ -269,14 +269,14 @@
             self.requests.forget(request)
 
     def give_up_all(self) -> None:
-        """Answer all open requests now with the final answers that the balancer chooses, because the process ends."""
+        """Answers all open requests now with the final answers that the balancer chooses, because the process ends."""
         for request in list(self.requests):
             if not request.closed:
                 self.events.handle(FinalAnswerDue(request.handle))
 
     @property
     def counts(self) -> dict[FinalAnswer, int]:
-        """The number of final answers of all classes, by kind."""
+        """Returns the number of final answers of all classes, by kind."""
         return {final: sum(counts[final] for counts in self.answer_counts) for final in FinalAnswer}
 
     # -- attempts
@@ -300,18 +300,18 @@
         return self.settings.classes[attempt.request.class_index].effect is Effect.NON_IDEMPOTENT
 
     def attempt_written(self) -> None:
-        """Count an attempt whose last byte has been written."""
+        """Counts an attempt whose last byte has been written."""
         self.dispatches += 1
 
     def attempt_progressed(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
-        """Process a server's report that an attempt has started, or which share of its work is done."""
+        """Processes a server's report that an attempt has started, or which share of its work is done."""
         if attempt.in_flight:
             self.events.handle(
                 AttemptProgress(attempt.request.handle, attempt.number, attempt.server.number, kind, share)
             )
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
-        """Process the end of an attempt; the first ``SERVED`` of an open request answers that request.
+        """Processes the end of an attempt; the first ``SERVED`` of an open request answers that request.
 
         Further ends of the same attempt are ignored.
         """
@@ -332,7 +332,7 @@
         self.requests.forget(request)
 
     def postpone(self, resume: Callable[[Attempt], None], attempt: Attempt) -> None:
-        """Resume an attempt in the next iteration of the event loop; this iteration reads the endpoint list."""
+        """Resumes an attempt in the next iteration of the event loop; this iteration reads the endpoint list."""
         self.postponed += 1
         self._log_attempt("attempt_postponed", attempt)
         self.deadlines.call_after(0.0, resume, attempt)
@@ -340,23 +340,23 @@
     # -- servers and peers
 
     def update_servers(self, kind: ListKind, entries: Sequence[ListedServer]) -> None:
-        """Apply an update of the endpoint list."""
+        """Applies an update of the endpoint list."""
         now = self.deadlines.clock()
         self.events.handle(self.directory.update(kind, entries, now))
         self.directory.forget_removed((attempt.server.number for attempt in self.attempts), now)
 
     def set_list_usable(self, usable: bool) -> None:
-        """Set whether the endpoint list may be used; while the list is unusable, no server gets new requests."""
+        """Sets whether the endpoint list may be used; while the list is unusable, no server gets new requests."""
         update = self.directory.set_usable(usable)
         if update is not None:
             self.events.handle(update)
 
     def peer_message(self, peer: int, content: bytes) -> None:
-        """Process a message from a peer."""
+        """Processes a message from a peer."""
         self.events.handle(PeerMessage(peer, content))
 
     def peer_process_ended(self) -> None:
-        """Discard the state of the other process of this dispatcher, which has ended."""
+        """Discards the state of the other process of this dispatcher, which has ended."""
         self.requests.peer_process_ids.clear()
         # The load of the other process is recorded under this dispatcher's own position, which no peer has.
         self.events.handle(PeerGone(self.settings.position))
@@ -370,7 +370,7 @@
     # -- events and actions
 
     def _log_slow_event(self, event: Event, elapsed: float) -> None:
-        """Log an event that blocked the event loop, or during which the process got no CPU time."""
+        """Logs an event that blocked the event loop, or during which the process got no CPU time."""
         self._log(
             "slow_event",
             kind=type(event).__name__,
@@ -422,7 +422,7 @@
             self.transport.send(attempt)
 
     def _begin_postponed(self, attempt: Attempt) -> None:
-        """Send an attempt that was postponed, unless its server or request may no longer be used."""
+        """Sends an attempt that was postponed, unless its server or request may no longer be used."""
         if not attempt.in_flight:
             return
         if self.has_unread_update():
@@ -456,7 +456,7 @@
             self.requests.forget(request)
 
     def _on_deadline(self, request: Request) -> None:
-        """Time out the attempts in flight at the deadline of a request, and fail the request if it is still open."""
+        """Times out the attempts in flight at the deadline of a request, and fails the request if it is still open."""
         for attempt in request.attempts:
             self._cancel_attempt(attempt, Outcome.TIMEOUT)
         if not request.closed:
@@ -467,7 +467,7 @@
     def _close(
         self, request: Request, final: FinalAnswer, body: bytes, retry_after: float = 0.0, reason: str = ""
     ) -> None:
-        """Give the final answer of a request; all final answers are sent from here."""
+        """Gives the final answer of a request; all final answers are sent from here."""
         request.final_answer = final
         self.requests.count_closed()
         self.count_answer(request.class_index, final)
--- a/heronlug/requests/deadlines.py
+++ b/heronlug/requests/deadlines.py
@@ -50,18 +50,18 @@
         return len(self._calls)
 
     def call_at(self, due_at: float, callback: Callable[..., object], *args: Any) -> Key:
-        """Call ``callback`` with ``args`` at a time in ms; returns the key for :meth:`cancel`."""
+        """Calls ``callback`` with ``args`` at a time in ms; returns the key for :meth:`cancel`."""
         self._seq += 1
         key = (due_at, self._seq)
         self._calls[key] = callback, args
         return key
 
     def call_after(self, delay: float, callback: Callable[..., object], *args: Any) -> Key:
-        """Call ``callback`` with ``args`` after a delay in ms; returns the key for :meth:`cancel`."""
+        """Calls ``callback`` with ``args`` after a delay in ms; returns the key for :meth:`cancel`."""
         return self.call_at(self.clock() + delay, callback, *args)
 
     def cancel(self, key: Key | None) -> None:
-        """Cancel a deadline; has no effect if the deadline has passed or the key is None."""
+        """Cancels a deadline; has no effect if the deadline has passed or the key is None."""
         if key is not None:
             self._calls.pop(key, None)
 
@@ -70,7 +70,7 @@
         return float(self._calls.peekitem(0)[0][0]) if self._calls else None
 
     def run_due(self) -> int:
-        """Call all functions that are due, in order, and return how many were called.
+        """Calls all functions that are due, in order, and returns how many were called.
 
         A deadline that is added during this call waits for the next call, even if it is due already.
         """
--- a/heronlug/requests/event_queue.py
+++ b/heronlug/requests/event_queue.py
@@ -30,7 +30,7 @@
         execute: Callable[[Action, float], None],
         on_slow_event: Callable[[Event, float], None],
     ) -> None:
-        """Create an empty queue.
+        """Creates an empty queue.
 
         Args:
             dispatcher: Makes the decisions.
@@ -45,11 +45,11 @@
         self._handling = False
 
     def append(self, event: Event) -> None:
-        """Append an event that an action has caused, to be handled after the current event."""
+        """Appends an event that an action has caused, to be handled after the current event."""
         self._events.append(event)
 
     def handle(self, event: Event) -> None:
-        """Handle an event now, or after the queued events if this is called while another event is handled."""
+        """Handles an event now, or after the queued events if this is called while another event is handled."""
         self._events.append(event)
         if self._handling:
             return
--- a/heronlug/requests/interfaces.py
+++ b/heronlug/requests/interfaces.py
@@ -9,13 +9,13 @@
     """The frontend and backend of one protocol."""
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt; the transport reports its end once to :meth:`Core.attempt_ended`."""
+        """Starts an attempt; the transport reports its end once to :meth:`Core.attempt_ended`."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt; the core records the end, and the transport does not report it."""
+        """Cancels an attempt; the core records the end, and the transport does not report it."""
 
     def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
-        """Send the final answer of a request; ``retry_after`` is in ms, 0 for none."""
+        """Sends the final answer of a request; ``retry_after`` is in ms, 0 for none."""
 
     def client_waits(self, request: Request) -> bool:
         """Returns whether the client is still connected, including a disconnect that has not been read yet."""
@@ -28,15 +28,15 @@
         """Returns whether to accept a request that has ``remaining`` ms left and a body of ``size`` bytes."""
 
     def observe(self, class_index: int, final: FinalAnswer, took: float) -> None:
-        """Observe a final answer that was sent ``took`` ms after the request was accepted."""
+        """Observes a final answer that was sent ``took`` ms after the request was accepted."""
 
 
 class EventLog(Protocol):
     """Writes log events; the names of events and fields are documented for people on call."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """Log an event."""
+        """Logs an event."""
 
 
 def log_nothing(event: str, /, **fields: object) -> None:
-    """Ignore the event; the default event log."""
+    """Ignores the event; the default event log."""
--- a/heronlug/requests/model.py
+++ b/heronlug/requests/model.py
@@ -74,12 +74,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new attempts may be sent to the server."""
+        """Returns whether new attempts may be sent to the server."""
         return self.draining_since is None
 
     @property
     def listed(self) -> bool:
-        """Whether the endpoint list contains the server."""
+        """Returns whether the endpoint list contains the server."""
         return self.entry.state is not ServerState.REMOVED
 
     def as_entry(self) -> ServerEntry:
@@ -121,7 +121,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the request needs no final answer from this process any longer."""
+        """Returns whether the request needs no final answer from this process any longer."""
         return self.client_gone or self.final_answer is not None
 
 
--- a/heronlug/requests/request_table.py
+++ b/heronlug/requests/request_table.py
@@ -46,7 +46,7 @@
         return request_id in self.ids or request_id in self.peer_process_ids
 
     def add(self, request: Request, on_deadline: Callable[[Request], None]) -> None:
-        """Add an open request; ``on_deadline`` is called with the request at its deadline."""
+        """Adds an open request; ``on_deadline`` is called with the request at its deadline."""
         request.handle = self._slots.add(request)
         self.open_count += 1
         if request.request_id:
@@ -54,16 +54,16 @@
         request.deadline_key = self._deadlines.call_at(request.give_up_at, on_deadline, request)
 
     def announce(self, request: Request) -> None:
-        """Report the id of an accepted request to the other process of this dispatcher, if there is one."""
+        """Reports the id of an accepted request to the other process of this dispatcher, if there is one."""
         if request.request_id and self.on_id_changed is not None:
             self.on_id_changed(request.request_id, True)
 
     def count_closed(self) -> None:
-        """Count one open request less, after a request has been closed."""
+        """Decrements the count of open requests after a request has been closed."""
         self.open_count -= 1
 
     def forget(self, request: Request) -> None:
-        """Remove a request if it is closed and has no attempt in flight."""
+        """Removes a request if it is closed and has no attempt in flight."""
         if not request.closed or any(attempt.in_flight for attempt in request.attempts):
             return
         self._deadlines.cancel(request.deadline_key)
--- a/heronlug/requests/server_directory.py
+++ b/heronlug/requests/server_directory.py
@@ -24,12 +24,12 @@
 
     @property
     def can_serve(self) -> bool:
-        """Whether the list is usable and contains a ready server."""
+        """Returns whether the list is usable and contains a ready server."""
         return not self.stale and self.has_ready_server
 
     @property
     def has_ready_server(self) -> bool:
-        """Whether the list contains a ready server, even if the list is stale."""
+        """Returns whether the list contains a ready server, even if the list is stale."""
         return any(server.ready for server in self.by_number.values())
 
     def listed(self) -> list[Server]:
@@ -41,7 +41,7 @@
         return self._numbers.number_of(name)
 
     def update(self, kind: ListKind, entries: Sequence[ListedServer], now: float) -> ServerListUpdate:
-        """Apply an update of the endpoint list and return the update for the balancer."""
+        """Applies an update of the endpoint list and returns the update for the balancer."""
         server_entries = [self._apply(entry, now) for entry in entries]
         if kind in (ListKind.FULL, ListKind.CACHED):
             self._remove_all_but({server_entry.server for server_entry in server_entries}, now)
@@ -51,7 +51,7 @@
         return ServerListUpdate(kind, tuple(server_entries))
 
     def set_usable(self, usable: bool) -> ServerListUpdate | None:
-        """Set whether the list may be used.
+        """Sets whether the list may be used.
 
         While the list is unusable, the balancer has an empty list, so that no server gets new requests.
 
@@ -64,7 +64,7 @@
         return ServerListUpdate(ListKind.CACHED, tuple(self._listed_entries()) if usable else ())
 
     def forget_removed(self, in_use: Iterable[int], now: float) -> None:
-        """Forget servers that were removed ``FORGET_AFTER`` ms ago or earlier.
+        """Forgets servers that were removed ``FORGET_AFTER`` ms ago or earlier.
 
         Args:
             in_use: Numbers of the servers with attempts in flight, which are not forgotten.
@@ -98,7 +98,7 @@
             self._record_state(server, now)
 
     def _record_state(self, server: Server, now: float) -> None:
-        """Record the times at which a server began to drain and was removed."""
+        """Records the times at which a server began to drain and was removed."""
         state = server.entry.state
         if state is ServerState.READY:
             server.draining_since = None
--- a/heronlug/requests/server_numbers.py
+++ b/heronlug/requests/server_numbers.py
@@ -32,7 +32,7 @@
         return number
 
     def forget(self, name: str) -> None:
-        """Free the number of a name that is no longer in use."""
+        """Frees the number of a name that is no longer in use."""
         number = self._by_name.pop(name, None)
         if number is not None:
             self._used_numbers.discard(number)
--- a/heronlug/requests/slots.py
+++ b/heronlug/requests/slots.py
@@ -30,7 +30,7 @@
         return iter([item for item in self._items if item is not None])
 
     def add(self, item: Item) -> int:
-        """Store an item in a free slot and return its handle.
+        """Stores an item in a free slot and returns its handle.
 
         Raises:
             OverflowError: All ``2**SLOT_BITS`` slots are in use.
@@ -56,7 +56,7 @@
         return None
 
     def remove(self, handle: int) -> Item | None:
-        """Remove and return the item of a handle; None if the item has been removed already."""
+        """Removes and returns the item of a handle; None if the item has been removed already."""
         item = self.get(handle)
         if item is not None:
             slot = handle & SLOT_MASK
--- a/heronlug/scheduling/chains.py
+++ b/heronlug/scheduling/chains.py
@@ -73,7 +73,7 @@
         return sorted(self._open_parents.get(jid, ()))
 
     def add(self, jid: str, open_edges: Iterable[Edge], ended_edges: Iterable[tuple[Edge, bool]]) -> ChainState:
-        """Add a job and return its state.
+        """Adds a job and returns its state.
 
         Args:
             jid: Jid of the job.
@@ -94,7 +94,7 @@
         return ChainState.WAITS
 
     def request_ended(self, jid: str, served: bool) -> ChainEnd:
-        """Record the end of a job and return the jobs that this end releases and fails.
+        """Records the end of a job and returns the jobs that this end releases and fails.
 
         The ended job may be a parent, a waiting job, or neither.
         """
@@ -118,7 +118,7 @@
         return consequences
 
     def _forget(self, jid: str) -> None:
-        """Remove a waiting job, also from the children of its parents."""
+        """Removes a waiting job, also from the children of its parents."""
         for parent in self._open_parents.pop(jid, ()):
             children = self._children.get(parent)
             if children is not None:
--- a/tests/peers/test_goodbye.py
+++ b/tests/peers/test_goodbye.py
@@ -39,7 +39,7 @@
         self.now = end
 
     def send_periodically(self, number: int) -> None:
-        """Send a message every ``INTERVAL_MS``."""
+        """Sends a message every ``INTERVAL_MS``."""
         if number in self.stopped:
             return
         recipients = [ALL_PEERS] if number in self.aggregators or not self.aggregators else list(self.aggregators)
@@ -53,7 +53,7 @@
                 self.gossips[other].receive(number, data, self.now)
 
     def stop(self, number: int) -> None:
-        """Stop a dispatcher that has a request open until the latest time for answers."""
+        """Stops a dispatcher that has a request open until the latest time for answers."""
         gossip = self.gossips[number]
         hooks = ShutdownHooks(
             open_work=lambda: int(self.deadlines.clock() < shutdown.answer_by),
