--- a/heronlug/discovery/cache.py
+++ b/heronlug/discovery/cache.py
@@ -12,7 +12,7 @@
 
 from heronlug.discovery.errors import DiscoveryError
 
-FORMAT = 1
+FORMAT_VERSION = 1
 """The version of the format."""
 
 MAX_CACHE_BYTES = 16 * 1024 * 1024
@@ -51,7 +51,7 @@
         written_at: Unix time in ms.
         table: The complete list in the form of service discovery.
     """
-    content = {"form": FORMAT, "register": address, "at": written_at, "list": table}
+    content = {"form": FORMAT_VERSION, "register": address, "at": written_at, "list": table}
     body = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return _checksum(body) + b"\n" + body
 
@@ -76,8 +76,8 @@
         msg = "it is torn: its checksum is another"
         raise CacheError(msg)
     content = orjson.loads(body)
-    if not isinstance(content, dict) or content.get("form") != FORMAT:
-        msg = f"it is of another form than {FORMAT}"
+    if not isinstance(content, dict) or content.get("form") != FORMAT_VERSION:
+        msg = f"it is of another form than {FORMAT_VERSION}"
         raise CacheError(msg)
     if content.get("register") != address:
         msg = f"it is of another register, {content.get('register')}"
--- a/heronlug/discovery/cache_file.py
+++ b/heronlug/discovery/cache_file.py
@@ -45,7 +45,7 @@
         self._deadlines = deadlines
         self._log = log
         self._schedule = WriteSchedule()
-        self._timer: Key | None = None
+        self._write_timer: Key | None = None
         self._write_task: asyncio.Task[None] | None = None
 
     def load(self) -> dict[str, Any] | None:
@@ -65,21 +65,21 @@
 
     def on_change(self) -> None:
         """The list that is held has changed."""
-        self._plan(self._schedule.on_change(self._deadlines.clock()))
+        self._schedule_write(self._schedule.on_change(self._deadlines.clock()))
 
     async def close(self) -> None:
         """Write what has not been written yet."""
-        self._deadlines.cancel(self._timer)
+        self._deadlines.cancel(self._write_timer)
         if self._write_task is not None:
             await self._write_task
-            self._deadlines.cancel(self._timer)
+            self._deadlines.cancel(self._write_timer)
         self._begin_write()
         if self._write_task is not None:
             await self._write_task
 
-    def _plan(self, when: float | None) -> None:
+    def _schedule_write(self, when: float | None) -> None:
         if when is not None:
-            self._timer = self._deadlines.call_at(when, self._begin_write)
+            self._write_timer = self._deadlines.call_at(when, self._begin_write)
 
     def _begin_write(self) -> None:
         now = self._deadlines.clock()
@@ -93,7 +93,7 @@
         except OSError as error:
             self._log("kept_list_not_written", file=str(self.path), why=str(error))
         self._write_task = None
-        self._plan(self._schedule.end(self._deadlines.clock()))
+        self._schedule_write(self._schedule.end(self._deadlines.clock()))
 
     def _replace_file(self, now: float, table: dict[str, Any]) -> None:
         """Write a temporary file to the disk and rename it, so that the file is always whole."""
--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -34,7 +34,7 @@
 DIAL_TIMEOUT_MS = 1_000.0
 """For an address that neither accepts nor refuses."""
 
-READ_WITHIN_MS = 500.0
+UNREAD_CHECK_INTERVAL_MS = 500.0
 """How long a check for unread bytes holds; far below the grace for drains."""
 
 FIRST_BACKOFF_MS = 300.0
@@ -69,8 +69,8 @@
     def first_poll_at(self, now: float, has_list: bool) -> float:
         """When the first poll may be sent."""
 
-    def on_answer(self, took: float) -> None:
-        """A poll that did not wait for a change was answered after ``took`` ms."""
+    def on_answer(self, answer_time: float) -> None:
+        """A poll that did not wait for a change was answered after ``answer_time`` ms."""
 
     def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
         """When the next poll may be sent after one that failed."""
@@ -137,7 +137,7 @@
         self._poll_deadline: Key | None = None
         self._next_poll: Key | None = None
         self._failures_in_row = 0
-        self._read_until = -math.inf  # all that arrived before that has been read
+        self._last_empty_check_at = -math.inf  # all that arrived before that has been read
 
     # -- Subscription
 
@@ -174,8 +174,8 @@
         self._disconnect()
         self.address = address
         self.version = None
-        self.staleness.polls = bool(address)
-        self.staleness.apply(FreshnessEvent.MOVED)
+        self.staleness.has_address = bool(address)
+        self.staleness.apply(FreshnessEvent.ADDRESS_CHANGED)
         self._open()
 
     def stop(self) -> None:
@@ -200,11 +200,11 @@
         if self.staleness.is_overdue:
             return True
         now = self._deadlines.clock()
-        if now - self._read_until < READ_WITHIN_MS:
+        if now - self._last_empty_check_at < UNREAD_CHECK_INTERVAL_MS:
             return False
         if self._connection is not None and self._connection.has_unread_data:
             return True
-        self._read_until = now
+        self._last_empty_check_at = now
         return False
 
     # -- PollObserver
@@ -299,8 +299,8 @@
         if self.freshness.retry_pause is not None:
             return self.freshness.retry_pause
         self._failures_in_row += 1
-        longest = FIRST_BACKOFF_MS * 2.0 ** min(self._failures_in_row, MAX_BACKOFF_DOUBLINGS)
-        return min(MAX_BACKOFF_MS, longest) * uniform(0.5, 1.0)
+        longest_wait = FIRST_BACKOFF_MS * 2.0 ** min(self._failures_in_row, MAX_BACKOFF_DOUBLINGS)
+        return min(MAX_BACKOFF_MS, longest_wait) * uniform(0.5, 1.0)
 
     def _open(self) -> None:
         self._next_poll = None
@@ -308,8 +308,8 @@
         self.staleness.report_next_answer = True
         # A poll without a wait brings what is missing at once, and shows sooner that nobody answers.
         reports_usable = self.staleness.on_usable_change is not None
-        wants_changes = reports_usable or self.freshness.state is FreshnessState.MISSED
-        if wants_changes and self.freshness.may_miss_changes:
+        needs_missed_changes = reports_usable or self.freshness.state is FreshnessState.MISSED
+        if needs_missed_changes and self.freshness.may_miss_changes:
             self._poll_immediately = True
         if self.pacer is not None and not self.has_list:
             self._poll_immediately = True
@@ -328,8 +328,8 @@
         connection.dial()
 
     def _send_poll(self, connection: DiscoveryConnection) -> None:
-        longest = self.pacer.poll_wait if self.pacer is not None else POLL_WAIT_MS
-        poll = Poll(self.version, 0.0 if self._poll_immediately else longest * self._wait_fraction)
+        longest_wait = self.pacer.poll_wait if self.pacer is not None else POLL_WAIT_MS
+        poll = Poll(self.version, 0.0 if self._poll_immediately else longest_wait * self._wait_fraction)
         self._poll_immediately = False
         now = self._deadlines.clock()
         self.freshness.poll_sent(now, 0.0 if poll.immediate else poll.wait_ms)
--- a/heronlug/discovery/endpoint_list.py
+++ b/heronlug/discovery/endpoint_list.py
@@ -60,12 +60,12 @@
     version: int, servers: list[ListedServer], zones: list[str], kinds: list[str], with_removed: bool = False
 ) -> dict[str, Any]:
     """A complete list in the form that :func:`read_list` takes; ``with_removed`` keeps removed servers on it."""
-    words = {state: word for word, state in STATES.items()}
+    lifecycle_names = {state: lifecycle for lifecycle, state in STATES.items()}
     rows = [
         {
             "instanceId": server.name,
             "hostPort": server.address,
-            "lifecycle": words[server.state],
+            "lifecycle": lifecycle_names[server.state],
             "zone": zones[server.zone] if server.zone < len(zones) else None,
             "machineType": kinds[server.kind] if server.kind < len(kinds) else None,
             "cell": server.cell,
@@ -92,14 +92,14 @@
         name=str(row["instanceId"]),
         address=address,
         state=STATES[row["lifecycle"]],
-        zone=_index(zones, row.get("zone")),
-        kind=_index(kinds, row.get("machineType")),
+        zone=_name_index(zones, row.get("zone")),
+        kind=_name_index(kinds, row.get("machineType")),
         cell=int(row.get("cell", 0)),
         weight=weight,
         started_at=to_clock(started_at) if started_at else 0.0,  # 0 means long ago on every clock
     )
 
 
-def _index(names: list[str], name: object) -> int:
+def _name_index(names: list[str], name: object) -> int:
     """The number of a zone or machine type; an unknown one gets the number after the last."""
     return names.index(str(name)) if str(name) in names else len(names)
--- a/heronlug/discovery/freshness.py
+++ b/heronlug/discovery/freshness.py
@@ -39,7 +39,7 @@
 HANDOVER_NOTIFIED_AFTER_MS = 2_000.0
 """What another process has missed counts as notified at most so long after it handed its list over, in ms."""
 
-MOVE_NOTIFIED_AFTER_MS = 4_000.0
+ADDRESS_CHANGE_NOTIFIED_AFTER_MS = 4_000.0
 """A change counts as notified so long after discovery's address was changed, in ms, as the protocol has it."""
 
 GRACE_MARGIN_MS = 150.0
@@ -85,7 +85,7 @@
     UNREACHABLE = "unreachable"
     """Nothing replied to the dial."""
 
-    MOVED = "moved"
+    ADDRESS_CHANGED = "moved"
     """A new configuration names another address."""
 
 
@@ -99,13 +99,13 @@
     (FreshnessState.WATCHED, FreshnessEvent.FAILED): FreshnessState.UNWATCHED,
     (FreshnessState.WATCHED, FreshnessEvent.REFUSED): FreshnessState.UNWATCHED,
     (FreshnessState.WATCHED, FreshnessEvent.UNREACHABLE): FreshnessState.UNWATCHED,
-    (FreshnessState.WATCHED, FreshnessEvent.MOVED): FreshnessState.UNWATCHED,
+    (FreshnessState.WATCHED, FreshnessEvent.ADDRESS_CHANGED): FreshnessState.UNWATCHED,
     (FreshnessState.UNWATCHED, FreshnessEvent.ANSWERED): FreshnessState.WATCHED,
     (FreshnessState.MISSED, FreshnessEvent.ANSWERED): FreshnessState.WATCHED,
 }
 """Where an event leads; all others leave the state as it is."""
 
-RENEWALS: set[tuple[FreshnessState, FreshnessEvent]] = {
+LIMIT_EXTENSIONS: set[tuple[FreshnessState, FreshnessEvent]] = {
     (FreshnessState.UNCONFIRMED, FreshnessEvent.REFUSED),
     (FreshnessState.UNCONFIRMED, FreshnessEvent.UNREACHABLE),
     (FreshnessState.UNWATCHED, FreshnessEvent.REFUSED),
@@ -137,7 +137,9 @@
         self.state = FreshnessState.UNCONFIRMED
         self.usable_until = -inf
         self._notified_after = 0.0 if pushed else min(poll_interval, SILENT_NOTIFIED_AFTER_MS)
-        self._move_notified_after = MOVE_NOTIFIED_AFTER_MS if pushed else min(poll_interval, MOVE_NOTIFIED_AFTER_MS)
+        self._address_change_notified_after = (
+            ADDRESS_CHANGE_NOTIFIED_AFTER_MS if pushed else min(poll_interval, ADDRESS_CHANGE_NOTIFIED_AFTER_MS)
+        )
         self._grace = max(0.0, grace - min(GRACE_MARGIN_MS, grace * GRACE_MARGIN_SHARE))
 
     @property
@@ -160,8 +162,8 @@
         """Start with a list that another process knows to be usable for ``remaining`` ms; 0 for an unknown age."""
         if remaining > 0.0:
             self.state = FreshnessState.UNWATCHED
-            after_handover = HANDOVER_NOTIFIED_AFTER_MS + self._grace
-            self.usable_until = now + min(remaining, self._notified_after + self._grace, after_handover)
+            longest_after_handover = HANDOVER_NOTIFIED_AFTER_MS + self._grace
+            self.usable_until = now + min(remaining, self._notified_after + self._grace, longest_after_handover)
 
     def poll_sent(self, now: float, wait: float) -> None:
         """A poll was sent that waits ``wait`` ms for a change; it is a watch only if it follows an answer."""
@@ -171,19 +173,19 @@
 
     def apply(self, event: FreshnessEvent, now: float) -> None:
         """Take in what happened to a poll, or to the address of service discovery."""
-        before = self.state
-        self.state = TRANSITIONS.get((before, event), before)
+        previous_state = self.state
+        self.state = TRANSITIONS.get((previous_state, event), previous_state)
         if event is FreshnessEvent.ANSWERED:
             self.usable_until = inf
-        elif (before, event) in RENEWALS:
+        elif (previous_state, event) in LIMIT_EXTENSIONS:
             # A list that has become stale stays so: discovery was up meanwhile, and what changed then counts.
-            if before is FreshnessState.UNCONFIRMED or now < self.usable_until:
+            if previous_state is FreshnessState.UNCONFIRMED or now < self.usable_until:
                 self.usable_until = max(self.usable_until, self._unwatched_until(now))
         elif event is FreshnessEvent.ANSWER_BEGUN:
             self.usable_until = min(self.usable_until, now + self._grace)
-        elif event is FreshnessEvent.MOVED:
-            self.usable_until = min(self.usable_until, now + self._move_notified_after + self._grace)
-        elif before is FreshnessState.WATCHED and self.state is FreshnessState.UNWATCHED:
+        elif event is FreshnessEvent.ADDRESS_CHANGED:
+            self.usable_until = min(self.usable_until, now + self._address_change_notified_after + self._grace)
+        elif previous_state is FreshnessState.WATCHED and self.state is FreshnessState.UNWATCHED:
             # The watch may have been silent before it ended, so its own clock goes on.
             self.usable_until = min(self.usable_until, self._unwatched_until(now))
 
--- a/heronlug/discovery/poll_pacing.py
+++ b/heronlug/discovery/poll_pacing.py
@@ -103,14 +103,14 @@
         """When the first poll may be sent: in this dispatcher's slot if the cost is known, else at once."""
         if self.terms.cost_ms is None or self.terms.dispatchers == 1:
             return now
-        return self._next_slot(now, self._round(has_list))
+        return self._next_slot_time(now, self._round_length(has_list))
 
-    def on_answer(self, took: float) -> None:
-        """A poll that did not wait for a change was answered after ``took`` ms."""
+    def on_answer(self, answer_time: float) -> None:
+        """A poll that did not wait for a change was answered after ``answer_time`` ms."""
         self.failures_in_row = 0
-        self.answer_timeout = max(ANSWER_TIMEOUT_MS, min(self.answer_timeout, 2 * took))
+        self.answer_timeout = max(ANSWER_TIMEOUT_MS, min(self.answer_timeout, 2 * answer_time))
         if self.terms.cost_ms is None:
-            self.cost_ms = min(self.cost_ms, max(1.0, took))
+            self.cost_ms = min(self.cost_ms, max(1.0, answer_time))
 
     def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
         """When the next poll may be sent after one that failed.
@@ -124,29 +124,29 @@
         self.failures_in_row += 1
         if failure is PollFailure.TIMED_OUT:  # waiting longer costs less than another poll that times out
             self.answer_timeout = min(MAX_ANSWER_TIMEOUT_MS, 2 * self.answer_timeout)
-        round_length = self._round(has_list)
-        guesses = self.terms.cost_ms is None
-        if failure is PollFailure.REJECTED and guesses and self.failures_in_row % REJECTIONS_TO_DOUBLE == 0:
+        round_length = self._round_length(has_list)
+        cost_is_guessed = self.terms.cost_ms is None
+        if failure is PollFailure.REJECTED and cost_is_guessed and self.failures_in_row % REJECTIONS_TO_DOUBLE == 0:
             self.cost_ms = min(MAX_GUESSED_COST_MS, 2 * self.cost_ms)
         if failure.is_unavailable or self.terms.dispatchers == 1:
             round_length = max(round_length, self._backoff())
-        return self._next_slot(now + max(MIN_RETRY_MS, retry_after), round_length)
+        return self._next_slot_time(now + max(MIN_RETRY_MS, retry_after), round_length)
 
     def _backoff(self) -> float:
         doublings = min(self.failures_in_row - 1, MAX_BACKOFF_DOUBLINGS)
         return min(MAX_UNAVAILABLE_ROUND_MS, MIN_ROUND_MS * 2.0**doublings)
 
-    def _round(self, has_list: bool) -> float:
+    def _round_length(self, has_list: bool) -> float:
         """How long, in ms, service discovery needs for the polls of all."""
-        polls = self.terms.dispatchers * (1 if has_list else 2)
-        longest = MAX_GUESSED_ROUND_MS if self.terms.cost_ms is None else MAX_KNOWN_ROUND_MS
-        return max(MIN_ROUND_MS, min(longest, polls * self.cost_ms))
+        polls_needed = self.terms.dispatchers * (1 if has_list else 2)
+        longest_round = MAX_GUESSED_ROUND_MS if self.terms.cost_ms is None else MAX_KNOWN_ROUND_MS
+        return max(MIN_ROUND_MS, min(longest_round, polls_needed * self.cost_ms))
 
-    def _next_slot(self, now: float, round_length: float) -> float:
+    def _next_slot_time(self, now: float, round_length: float) -> float:
         """A random moment of this dispatcher's next slot, so that the same two do not always collide."""
         if self.terms.dispatchers == 1:
             return now + round_length * (0.5 + 0.5 * self._draw())
-        width = round_length / self.terms.dispatchers
-        offset = (self.terms.position % self.terms.dispatchers) * width + width * self._draw()
-        slot = now // round_length * round_length + offset
-        return slot if slot >= now else slot + round_length
+        slot_length = round_length / self.terms.dispatchers
+        offset = (self.terms.position % self.terms.dispatchers) * slot_length + slot_length * self._draw()
+        poll_at = now // round_length * round_length + offset
+        return poll_at if poll_at >= now else poll_at + round_length
--- a/heronlug/discovery/reader_election.py
+++ b/heronlug/discovery/reader_election.py
@@ -13,7 +13,7 @@
     listen  | no reader is heard, and its time has not    | keeps its list
             | come                                        |
     follow  | another reads, and its list is not outdated | uses the shared list; ends its own watch after
-            |                                             | ``TRUST_AFTER_MS``
+            |                                             | ``STEP_DOWN_AFTER_MS``
     wait    | another tries in vain                       | keeps its list; polls once when it is next in rotation
     read    | it holds the lease, or its time has come    | watches service discovery and shares the list
 
@@ -40,13 +40,13 @@
 MAX_EXTRA_WAIT_MS = 500.0
 """No member waits longer than this after its list has become stale."""
 
-LAST_RANK_STEP_MS = 25.0
+LATE_RANK_STEP_MS = 25.0
 """Between two of the ranks that would otherwise come too late."""
 
-ALONE_WAIT_MS = 1200.0
+MAX_ISOLATED_WAIT_MS = 1200.0
 """A member that hears nobody although it has seeds waits up to so much longer, at random."""
 
-TRUST_AFTER_MS = 3000.0
+STEP_DOWN_AFTER_MS = 3000.0
 """Another reader must have been heard for so long before a member ends its own watch."""
 
 ROTATION_MS = 1000.0
@@ -106,10 +106,10 @@
         """
         self.stale_after = stale_after
         self.role = Role.LISTEN
-        self._alone_wait = ALONE_WAIT_MS * draw if seeds else 0.0
+        self._isolated_wait = MAX_ISOLATED_WAIT_MS * draw if seeds else 0.0
         self._started_at: float | None = None
-        self._failing_since = inf
-        self._read_since: float | None = None
+        self._other_fails_since = inf
+        self._other_reads_since: float | None = None
         self._last_turn = 0
 
     def decide(
@@ -131,10 +131,10 @@
         """
         if self._started_at is None:
             self._started_at = now
-        current = [status for status in shared_lists if not status.outdated]
-        reader_age = min((status.age for status in current if status.watched), default=inf)
-        failing_age = min((status.age for status in current if not status.watched), default=inf)
-        self._note_readers(now, reader_age, failing_age)
+        usable_lists = [status for status in shared_lists if not status.outdated]
+        reader_age = min((status.age for status in usable_lists if status.watched), default=inf)
+        failing_age = min((status.age for status in usable_lists if not status.watched), default=inf)
+        self._update_reader_times(now, reader_age, failing_age)
         self.role = self._next_role(now, holds_lease, position, reader_age, failing_age, watching)
         return self.role
 
@@ -150,14 +150,16 @@
         if holds_lease:
             return Role.READ
         if watching:  # a list of its own is worth more than one that it would have to trust
-            trusted = self._read_since is not None and now - self._read_since >= TRUST_AFTER_MS
-            return Role.FOLLOW if trusted else Role.READ
-        if self._silence(now, reader_age, failing_age) >= self._wait(position, min(reader_age, failing_age) == inf):
+            steps_down = self._other_reads_since is not None and now - self._other_reads_since >= STEP_DOWN_AFTER_MS
+            return Role.FOLLOW if steps_down else Role.READ
+        if self._silence(now, reader_age, failing_age) >= self._required_silence(
+            position, min(reader_age, failing_age) == inf
+        ):
             return Role.READ
         if reader_age <= self.stale_after:
             return Role.FOLLOW
         if failing_age <= self.stale_after:
-            return Role.READ if self._takes_turn(now, position) else Role.WAIT
+            return Role.READ if self._claim_turn(now, position) else Role.WAIT
         return Role.LISTEN
 
     def _silence(self, now: float, reader_age: float, failing_age: float) -> float:
@@ -165,34 +167,34 @@
         age = min(reader_age, failing_age)
         return age if age < inf or self._started_at is None else now - self._started_at
 
-    def _takes_turn(self, now: float, position: MemberPosition) -> bool:
+    def _claim_turn(self, now: float, position: MemberPosition) -> bool:
         """Whether this member is next in the rotation, and has not polled in this turn."""
-        turn = int((now - self._failing_since) / ROTATION_MS)
+        turn = int((now - self._other_fails_since) / ROTATION_MS)
         if turn <= self._last_turn or turn % (position.others + 1) != position.rank:
             return False
         self._last_turn = turn
         return True
 
-    def _note_readers(self, now: float, reader_age: float, failing_age: float) -> None:
+    def _update_reader_times(self, now: float, reader_age: float, failing_age: float) -> None:
         """Note since when another member reads, or tries in vain."""
         if reader_age > self.stale_after:
-            self._read_since = None
-        elif self._read_since is None:
-            self._read_since = now
+            self._other_reads_since = None
+        elif self._other_reads_since is None:
+            self._other_reads_since = now
         if failing_age > self.stale_after or reader_age <= self.stale_after:
-            self._failing_since = inf
-        elif self._failing_since == inf:
-            self._failing_since = now
+            self._other_fails_since = inf
+        elif self._other_fails_since == inf:
+            self._other_fails_since = now
             self._last_turn = 0
 
-    def _wait(self, position: MemberPosition, never_heard: bool) -> float:
+    def _required_silence(self, position: MemberPosition, heard_nobody: bool) -> float:
         """The silence, in ms, after which this member reads; shorter at a start, when there may be no list to use."""
-        first_wait = START_WAIT_MS if never_heard else STANDBY_WAIT_MS
-        if never_heard and not position.others:
-            return first_wait + self._alone_wait
+        first_wait = START_WAIT_MS if heard_nobody else STANDBY_WAIT_MS
+        if heard_nobody and not position.others:
+            return first_wait + self._isolated_wait
         wait = first_wait + RANK_STEP_MS * (position.rank // RANKS_PER_STEP)
         if wait <= self.stale_after:
             return wait
         ranks_in_time = RANKS_PER_STEP * int((self.stale_after - first_wait) / RANK_STEP_MS + 1)
-        extra_wait = LAST_RANK_STEP_MS * max(0, position.rank - ranks_in_time)
+        extra_wait = LATE_RANK_STEP_MS * max(0, position.rank - ranks_in_time)
         return self.stale_after + min(MAX_EXTRA_WAIT_MS, extra_wait)
--- a/heronlug/discovery/staleness.py
+++ b/heronlug/discovery/staleness.py
@@ -25,10 +25,10 @@
         deadlines: Deadlines,
         log: EventLog,
         version: Callable[[], int | None],
-        polls: bool,
+        has_address: bool,
     ) -> None:
         self.on_usable_change: Callable[[bool], None] | None = None
-        self.polls = polls
+        self.has_address = has_address
         self.answered_at = -math.inf
         self.report_next_answer = False
         self._freshness = freshness
@@ -36,7 +36,7 @@
         self._log = log
         self._version = version
         self._timer: Key | None = None
-        self._reported_stale = False
+        self._stale_reported = False
 
     @property
     def is_overdue(self) -> bool:
@@ -61,21 +61,21 @@
                 good_ms=round(remaining) if math.isfinite(remaining) else None,
             )
         self.reset_timer()
-        renewed = not was_usable and now < freshness.usable_until
+        became_usable = not was_usable and now < freshness.usable_until
         # An answer makes the list usable through the update that it brings.
-        if self.on_usable_change is not None and renewed and event is not FreshnessEvent.ANSWERED:
+        if self.on_usable_change is not None and became_usable and event is not FreshnessEvent.ANSWERED:
             self.on_usable_change(True)
 
     def reset_timer(self) -> None:
         """Set the timer to the moment at which the list becomes stale."""
         self.cancel()
-        if self.on_usable_change is None or not self.polls:
+        if self.on_usable_change is None or not self.has_address:
             return
         usable_until = self._freshness.usable_until
         if usable_until <= self._deadlines.clock():
             self._report_stale()
             return
-        self._reported_stale = False
+        self._stale_reported = False
         if math.isfinite(usable_until):
             self._timer = self._deadlines.call_at(usable_until, self._report_stale)
 
@@ -86,9 +86,9 @@
 
     def _report_stale(self) -> None:
         self._timer = None
-        if self.on_usable_change is None or self._reported_stale:
+        if self.on_usable_change is None or self._stale_reported:
             return
-        self._reported_stale = True
+        self._stale_reported = True
         self.report_next_answer = True
         age = self._deadlines.clock() - self.answered_at
         self._log(
--- a/heronlug/net/acceptor.py
+++ b/heronlug/net/acceptor.py
@@ -62,7 +62,7 @@
         self._log = log
         self._socket: socket.socket | None = None
         self._opening: set[asyncio.Task[object]] = set()
-        self._retry: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
         self._backoff_s = INITIAL_BACKOFF_S
         self._exhausted_since: float | None = None
         self._logged_at = -LOG_INTERVAL_S
@@ -77,37 +77,37 @@
         """The number of connections that have been accepted and have no protocol yet."""
         return len(self._opening)
 
-    def start(self, listening: socket.socket) -> None:
+    def start(self, listening_socket: socket.socket) -> None:
         """Accept the connections of this socket."""
-        listening.setblocking(False)
-        self._socket = listening
-        self._watch()
+        listening_socket.setblocking(False)
+        self._socket = listening_socket
+        self._watch_socket()
 
     def stop(self) -> None:
         """Accept no more; connections that have been accepted are still opened."""
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         elif self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket)
-        self._retry = None
+        self._retry_timer = None
         self._socket = None
 
-    def _watch(self) -> None:
-        self._retry = None
+    def _watch_socket(self) -> None:
+        self._retry_timer = None
         if self._socket is not None:
             asyncio.get_running_loop().add_reader(self._socket, self._accept_batch, self._socket)
 
-    def _accept_batch(self, listening: socket.socket) -> None:
+    def _accept_batch(self, listening_socket: socket.socket) -> None:
         """Accept what waits in the queue, up to one batch."""
         for _ in range(BATCH_SIZE):
             try:
-                connection, _ = listening.accept()
+                connection, _ = listening_socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
                 self._count_failure(error)
                 if error.errno in RESOURCE_ERRORS or error.errno in LISTENER_ERRORS:
-                    self._back_off(listening, error)
+                    self._back_off(listening_socket, error)
                     return
                 continue  # this connection ended while it waited; the next one may be well
             self._backoff_s = INITIAL_BACKOFF_S
@@ -129,16 +129,16 @@
             code = errno.errorcode.get(error.errno or 0, str(error.errno))
             self._log("accept_failed", listener=self.name, error=code, failures=self.failures)
 
-    def _back_off(self, listening: socket.socket, error: OSError) -> None:
+    def _back_off(self, listening_socket: socket.socket, error: OSError) -> None:
         """Leave the queue alone for a while, so that the loop does not spin on it."""
         loop = asyncio.get_running_loop()
-        loop.remove_reader(listening)
+        loop.remove_reader(listening_socket)
         if error.errno in DESCRIPTOR_ERRORS:
-            self._note_exhaustion(loop.time())
-        self._retry = loop.call_later(self._backoff_s, self._watch)
+            self._update_exhaustion(loop.time())
+        self._retry_timer = loop.call_later(self._backoff_s, self._watch_socket)
         self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
-    def _note_exhaustion(self, now: float) -> None:
+    def _update_exhaustion(self, now: float) -> None:
         if self._exhausted_since is None:
             self._exhausted_since = now
         if now - self._exhausted_since >= EXHAUSTED_AFTER_S:
--- a/heronlug/net/background.py
+++ b/heronlug/net/background.py
@@ -12,7 +12,7 @@
 """Seconds after which a thread gives the interpreter back to the loop; by default that takes 5 ms."""
 
 _DEFAULT_SWITCH_INTERVAL_S = sys.getswitchinterval()
-_calls_running = 0
+_active_calls = 0
 
 
 async def run_in_background(work: Callable[..., Result], *args: object) -> Result:
@@ -21,15 +21,15 @@
     Garbage collection waits until the work is done: what it allocates would have all open requests searched again and
     again.
     """
-    global _calls_running
-    if not _calls_running:
+    global _active_calls
+    if not _active_calls:
         sys.setswitchinterval(SWITCH_INTERVAL_S)
         gc.disable()
-    _calls_running += 1
+    _active_calls += 1
     try:
         return await asyncio.get_running_loop().run_in_executor(None, work, *args)
     finally:
-        _calls_running -= 1
-        if not _calls_running:
+        _active_calls -= 1
+        if not _active_calls:
             sys.setswitchinterval(_DEFAULT_SWITCH_INTERVAL_S)
             gc.enable()
--- a/heronlug/net/connection_state.py
+++ b/heronlug/net/connection_state.py
@@ -11,17 +11,17 @@
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
     """Whether the other side has ended its sending or reset the connection, even behind bytes not read yet."""
-    return transport.is_closing() or bool(_poll(_descriptor(transport), select.POLLRDHUP) & PEER_CLOSED_EVENTS)
+    return transport.is_closing() or bool(_ready_events(_descriptor(transport), select.POLLRDHUP) & PEER_CLOSED_EVENTS)
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
     """Whether bytes, or the end of the connection, can be read."""
-    return transport.is_closing() or bool(_poll(_descriptor(transport), select.POLLIN | select.POLLRDHUP))
+    return transport.is_closing() or bool(_ready_events(_descriptor(transport), select.POLLIN | select.POLLRDHUP))
 
 
 def has_pending_connection(listening_fd: int) -> bool:
     """Whether a connection can be accepted from a listening socket; never for the descriptor -1."""
-    return listening_fd >= 0 and bool(_poll(listening_fd, select.POLLIN) & select.POLLIN)
+    return listening_fd >= 0 and bool(_ready_events(listening_fd, select.POLLIN) & select.POLLIN)
 
 
 def shutdown_sending(transport: asyncio.Transport) -> None:
@@ -36,11 +36,11 @@
         sock.detach()
 
 
-def _poll(descriptor: int, events: int) -> int:
+def _ready_events(descriptor: int, events: int) -> int:
     """The events that a descriptor has now."""
     poller = select.poll()
     poller.register(descriptor, events)
-    return next((found for _, found in poller.poll(0)), 0)
+    return next((ready for _, ready in poller.poll(0)), 0)
 
 
 def _descriptor(transport: asyncio.Transport) -> int:
--- a/heronlug/net/http.py
+++ b/heronlug/net/http.py
@@ -76,10 +76,10 @@
 class Lines:
     """Splits chunks that may end anywhere into lines."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_partial_line",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """The lines that a chunk completes, without empty ones.
@@ -87,8 +87,8 @@
         Raises:
             ValueError: a line is longer than ``MAX_LINE``.
         """
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > MAX_LINE:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) > MAX_LINE:
             msg = "line too long"
             raise ValueError(msg)
         return [line for line in lines if line.strip()]
@@ -96,9 +96,9 @@
     @property
     def has_partial_line(self) -> bool:
         """Whether a line has begun and is not complete."""
-        return bool(self._rest)
+        return bool(self._partial_line)
 
     def end(self) -> list[bytes]:
         """The last line, which may lack its end, once no more chunks come."""
-        rest, self._rest = self._rest, b""
-        return [rest] if rest.strip() else []
+        remainder, self._partial_line = self._partial_line, b""
+        return [remainder] if remainder.strip() else []
--- a/heronlug/net/listener.py
+++ b/heronlug/net/listener.py
@@ -48,14 +48,14 @@
         Raises:
             OSError: the address cannot be bound.
         """
-        bound = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+        new_socket = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         try:
-            bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            bound.bind(address)
+            new_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            new_socket.bind(address)
         except OSError:
-            bound.close()
+            new_socket.close()
             raise
-        self.socket = bound
+        self.socket = new_socket
         self._backlog = backlog
 
     @property
--- a/heronlug/plugins/host.py
+++ b/heronlug/plugins/host.py
@@ -49,22 +49,24 @@
         except wasmtime.Trap as error:
             msg = f"plugin {name}: its start traps: {str(error).splitlines()[0]}"
             raise PluginError(msg) from None
-        self.admit = self._hook(exports, "admit", ADMIT_SIGNATURE)
-        self.observe = self._hook(exports, "observe", OBSERVE_SIGNATURE)
+        self.admit = self._exported_hook(exports, "admit", ADMIT_SIGNATURE)
+        self.observe = self._exported_hook(exports, "observe", OBSERVE_SIGNATURE)
         if self.admit is None and self.observe is None:
             msg = f"plugin {name}: it exports neither admit nor observe"
             raise PluginError(msg)
 
-    def _hook(self, exports: Any, key: str, form: tuple[list[str], list[str]]) -> Callable[..., Any] | None:
-        export = exports.get(key)
+    def _exported_hook(
+        self, exports: Any, hook_name: str, signature: tuple[list[str], list[str]]
+    ) -> Callable[..., Any] | None:
+        export = exports.get(hook_name)
         if export is None:
             return None
         if not isinstance(export, wasmtime.Func):
-            msg = f"plugin {self.name}: {key} is no function"
+            msg = f"plugin {self.name}: {hook_name} is no function"
             raise PluginError(msg)
-        kind = export.type(self._store)
-        if ([str(p) for p in kind.params], [str(r) for r in kind.results]) != form:
-            msg = f"plugin {self.name}: {key} has other parameters than the hook"
+        function_type = export.type(self._store)
+        if ([str(p) for p in function_type.params], [str(r) for r in function_type.results]) != signature:
+            msg = f"plugin {self.name}: {hook_name} has other parameters than the hook"
             raise PluginError(msg)
 
         def call(*values: float) -> Any:
@@ -93,19 +95,19 @@
         """Put these in the place of those before."""
         self._plugins = plugins
 
-    def admit(self, lane: int, remaining: float, size: int) -> bool:
+    def admit(self, class_index: int, remaining: float, size: int) -> bool:
         """Whether every plug-in lets a message in."""
         return all(
-            self._call(p, p.admit, lane, float(remaining), min(size, 2**31 - 1)) != 0
+            self._call(p, p.admit, class_index, float(remaining), min(size, 2**31 - 1)) != 0
             for p in self._plugins
             if p.admit is not None
         )
 
-    def observe(self, lane: int, final: FinalAnswer, took: float) -> None:
+    def observe(self, class_index: int, final: FinalAnswer, took: float) -> None:
         """Tell all of a final answer."""
         for plugin in self._plugins:
             if plugin.observe is not None:
-                self._call(plugin, plugin.observe, lane, FINAL_CODES[final], float(took))
+                self._call(plugin, plugin.observe, class_index, FINAL_CODES[final], float(took))
 
     def _call(self, plugin: Plugin, hook: Callable[..., Any], *values: float) -> Any:
         if not plugin.enabled:
--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -17,9 +17,9 @@
 
 GRACE = 2500.0
 GRACE_MARGIN = 150.0  # a dispatcher may be held up for so long between its freshness and its write
-WAIT = 20_000.0
-LENGTH = int(os.environ.get("FRESHNESS_ORDERS", "6"))  # 8 by hand: some minutes
-ENDS = (FreshnessEvent.FAILED, FreshnessEvent.REFUSED, FreshnessEvent.UNREACHABLE, FreshnessEvent.MOVED)
+POLL_WAIT = 20_000.0
+SEQUENCE_LENGTH = int(os.environ.get("FRESHNESS_ORDERS", "6"))  # 8 by hand: some minutes
+WATCH_ENDS = (FreshnessEvent.FAILED, FreshnessEvent.REFUSED, FreshnessEvent.UNREACHABLE, FreshnessEvent.ADDRESS_CHANGED)
 
 
 class TimedEvent(NamedTuple):
@@ -29,30 +29,38 @@
     event: FreshnessEvent
 
 
-def counts_after(pushed: bool, poll_interval: float) -> float:
+def change_notified_after(pushed: bool, poll_interval: float) -> float:
     """Where no watch is on, a change counts so long after it was made."""
     return 0.0 if pushed else min(poll_interval, 6_000.0)
 
 
-def usable_limit(history: list[TimedEvent], pushed: bool, poll_interval: float) -> float:
+def latest_usable_until(history: list[TimedEvent], pushed: bool, poll_interval: float) -> float:
     """Until when new work may go to a server that may have left; a call that waits follows each answer at once."""
-    after, moved_after = counts_after(pushed, poll_interval), 4_000.0 if pushed else min(poll_interval, 4_000.0)
+    notified_after, address_change_notified_after = (
+        change_notified_after(pushed, poll_interval),
+        4_000.0 if pushed else min(poll_interval, 4_000.0),
+    )
     answers = [number for number, (_, event) in enumerate(history) if event is FreshnessEvent.ANSWERED]
-    since = history[answers[-1] + 1 :] if answers else history
-    limit, over, silent = -inf, not answers, False
+    events_since_answer = history[answers[-1] + 1 :] if answers else history
+    limit, unwatched, poll_timed_out = -inf, not answers, False
     if answers:
-        limit = history[answers[-1]].at + WAIT + 2_000.0 + GRACE
-    for at, event in since:
-        if not over and event is FreshnessEvent.TIMED_OUT:
-            silent = True  # what it missed goes on counting by its own freshness
-        elif not over and not silent and event in ENDS and event is not FreshnessEvent.MOVED:
-            over, limit = True, min(limit, at + after + GRACE)
+        limit = history[answers[-1]].at + POLL_WAIT + 2_000.0 + GRACE
+    for at, event in events_since_answer:
+        if not unwatched and event is FreshnessEvent.TIMED_OUT:
+            poll_timed_out = True  # what it missed goes on counting by its own freshness
+        elif (
+            not unwatched and not poll_timed_out and event in WATCH_ENDS and event is not FreshnessEvent.ADDRESS_CHANGED
+        ):
+            unwatched, limit = True, min(limit, at + notified_after + GRACE)
         elif not answers and limit == -inf and event in (FreshnessEvent.REFUSED, FreshnessEvent.UNREACHABLE):
-            limit = at + after + GRACE  # nobody could reach it, and no list is newer
-        elif over and event is FreshnessEvent.REFUSED and at < limit - GRACE_MARGIN:
-            limit = max(limit, at + after + GRACE)  # it is down, so what is missing comes later
-        if event is FreshnessEvent.MOVED and limit > -inf:
-            over, limit = over or not silent, min(limit, at + moved_after + GRACE)
+            limit = at + notified_after + GRACE  # nobody could reach it, and no list is newer
+        elif unwatched and event is FreshnessEvent.REFUSED and at < limit - GRACE_MARGIN:
+            limit = max(limit, at + notified_after + GRACE)  # it is down, so what is missing comes later
+        if event is FreshnessEvent.ADDRESS_CHANGED and limit > -inf:
+            unwatched, limit = (
+                unwatched or not poll_timed_out,
+                min(limit, at + address_change_notified_after + GRACE),
+            )
         elif event is FreshnessEvent.ANSWER_BEGUN and limit > -inf:
             limit = min(limit, at + GRACE)  # what is written counts
     return limit
@@ -64,14 +72,14 @@
     freshness.begin(0.0)
     for at, event in history:
         freshness.apply(event, at)
-        freshness.poll_sent(at, WAIT)  # a call follows each answer; one in any other state is no watch
+        freshness.poll_sent(at, POLL_WAIT)  # a call follows each answer; one in any other state is no watch
     return freshness
 
 
 def check_usable_until(history: list[TimedEvent], pushed: bool, poll_interval: float) -> None:
     """The list is never good past the limit, and no earlier is it given up."""
     limit, usable_until = (
-        usable_limit(history, pushed, poll_interval),
+        latest_usable_until(history, pushed, poll_interval),
         freshness_after(history, pushed, poll_interval).usable_until,
     )
     assert usable_until <= limit, (history, limit, usable_until)
@@ -81,7 +89,7 @@
 @pytest.mark.parametrize("pushed", [False, True])
 def test_usable_until_after_every_short_order_of_events(pushed: bool) -> None:
     for gap in (200.0, 1_700.0):
-        for events in product(FreshnessEvent, repeat=LENGTH if gap > 1_000.0 else LENGTH - 1):
+        for events in product(FreshnessEvent, repeat=SEQUENCE_LENGTH if gap > 1_000.0 else SEQUENCE_LENGTH - 1):
             check_usable_until([TimedEvent(gap * (n + 1), event) for n, event in enumerate(events)], pushed, 10_000.0)
 
 
@@ -115,13 +123,13 @@
     """News count 2 s after it serves at the latest, and a list of unknown age is good for nothing."""
     freshness = Freshness(False, 10_000, GRACE)
     freshness.apply(FreshnessEvent.ANSWERED, 0)
-    freshness.poll_sent(0, WAIT)
+    freshness.poll_sent(0, POLL_WAIT)
     assert freshness.remaining(1_000) == 6_000 + GRACE - GRACE_MARGIN
-    for left, good in ((8_000.0, 2_000 + GRACE - GRACE_MARGIN), (700.0, 700.0), (0.0, -inf)):
+    for remaining, usable_for in ((8_000.0, 2_000 + GRACE - GRACE_MARGIN), (700.0, 700.0), (0.0, -inf)):
         handed_over = Freshness(False, 10_000, GRACE)
-        handed_over.begin(50_000, left)
-        assert handed_over.usable_until == 50_000 + good
-        assert handed_over.state is (FreshnessState.UNWATCHED if left else FreshnessState.UNCONFIRMED)
+        handed_over.begin(50_000, remaining)
+        assert handed_over.usable_until == 50_000 + usable_for
+        assert handed_over.state is (FreshnessState.UNWATCHED if remaining else FreshnessState.UNCONFIRMED)
 
 
 def test_retry_pause_fits_into_the_grace() -> None:
--- a/tests/discovery/test_poll_pacing.py
+++ b/tests/discovery/test_poll_pacing.py
@@ -13,69 +13,72 @@
 from heronlug.discovery.poll_failure import PollFailure
 from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 
-BOUND = 1000.0  # ms that a call may wait in the register
+MAX_QUEUE_WAIT_MS = 1000.0  # ms that a call may wait in the register
 
 
-class Played(NamedTuple):
-    calls: list[float]  # their times
-    turned: int
-    last: float  # when the last had its watch
-    gaps: list[float]  # between a failure and the next call of the same dispatcher
+class Simulation(NamedTuple):
+    polls: list[float]  # their times
+    rejected: int
+    last_watch_at: float  # when the last had its watch
+    retry_gaps: list[float]  # between a failure and the next call of the same dispatcher
 
 
-def play(
-    many: int,
+def simulate(
+    dispatchers: int,
     cost: float,
     *,
-    told: bool = False,
-    starts: float = 0.0,
+    cost_known: bool = False,
+    start_spread: float = 0.0,
     seed: int = 1,
-    listed: bool = False,
-    down_until: float = 0.0,
-    make: Callable[[PollTerms, Callable[[], float]], PollPacer] = PollPacer,
-) -> Played:
-    """All start within ``starts`` ms; each needs its list, unless it has one, and then a watch."""
+    has_list: bool = False,
+    outage_end: float = 0.0,
+    make_pacer: Callable[[PollTerms, Callable[[], float]], PollPacer] = PollPacer,
+) -> Simulation:
+    """All start within ``start_spread`` ms; each needs its list, unless it has one, and then a watch."""
     rng, heap, order = Random(seed), list[tuple[float, int, int]](), 0
-    pacers = [make(PollTerms(many, n, cost if told else None), Random(seed * 7919 + n).random) for n in range(many)]
-    has, done, failed_at = [listed] * many, dict[int, float](), dict[int, float]()
-    calls, gaps, turned, free = list[float](), list[float](), 0, 0.0
-
-    def call_at(when: float, number: int) -> None:
+    pacers = [
+        make_pacer(PollTerms(dispatchers, n, cost if cost_known else None), Random(seed * 7919 + n).random)
+        for n in range(dispatchers)
+    ]
+    received_list, watch_began_at, failed_at = [has_list] * dispatchers, dict[int, float](), dict[int, float]()
+    polls, retry_gaps, rejected, idle_at = list[float](), list[float](), 0, 0.0
+
+    def schedule_poll(when: float, number: int) -> None:
         nonlocal order
         order += 1
         heapq.heappush(heap, (when, order, number))
 
     for number, pacer in enumerate(pacers):
-        at = rng.uniform(0, starts)
-        call_at(pacer.first_poll_at(at, listed), number)
-    while heap and len(done) < many:
+        at = rng.uniform(0, start_spread)
+        schedule_poll(pacer.first_poll_at(at, has_list), number)
+    while heap and len(watch_began_at) < dispatchers:
         now, _, number = heapq.heappop(heap)
         if now > 3_600_000:
             msg = "somebody starves"
             raise AssertionError(msg)
         if number in failed_at:
-            gaps.append(now - failed_at.pop(number))
-        if now < down_until:
+            retry_gaps.append(now - failed_at.pop(number))
+        if now < outage_end:
             failed_at[number] = now
-            call_at(pacers[number].on_failure(now, PollFailure.CONNECTION_LOST, has[number]), number)
+            schedule_poll(pacers[number].on_failure(now, PollFailure.CONNECTION_LOST, received_list[number]), number)
             continue
-        calls.append(now)
-        wait = max(0.0, free - now)
-        if wait > BOUND:
-            turned, free, failed_at[number] = turned + 1, free + 1.0, now
-            call_at(pacers[number].on_failure(now, PollFailure.REJECTED, has[number]), number)
+        polls.append(now)
+        wait = max(0.0, idle_at - now)
+        if wait > MAX_QUEUE_WAIT_MS:
+            rejected, idle_at, failed_at[number] = rejected + 1, idle_at + 1.0, now
+            schedule_poll(pacers[number].on_failure(now, PollFailure.REJECTED, received_list[number]), number)
             continue
-        free = now + wait + cost
-        if has[number]:
-            done[number] = free  # a watch
+        idle_at = now + wait + cost
+        if received_list[number]:
+            watch_began_at[number] = idle_at  # a watch
             continue
         pacers[number].on_answer(wait + cost)
-        has[number] = True
-        call_at(free, number)  # at once: a watch goes on within 200 ms
-    return Played(calls, turned, max(done.values()), gaps)
+        received_list[number] = True
+        schedule_poll(idle_at, number)  # at once: a watch goes on within 200 ms
+    return Simulation(polls, rejected, max(watch_began_at.values()), retry_gaps)
 
 
-def most_in(times: list[float], span: float) -> int:
+def most_in_any_span(times: list[float], span: float) -> int:
     ordered, first, most = sorted(times), 0, 0
     for last, at in enumerate(ordered):
         while ordered[first] <= at - span:
@@ -85,36 +88,51 @@
 
 
 @given(
-    many=st.integers(1, 60),
+    dispatchers=st.integers(1, 60),
     cost=st.floats(1.0, 80.0),
-    told=st.booleans(),
-    starts=st.floats(0.0, 5000.0),
-    listed=st.booleans(),
-    down=st.sampled_from([0.0, 3000.0, 20_000.0]),
+    cost_known=st.booleans(),
+    start_spread=st.floats(0.0, 5000.0),
+    has_list=st.booleans(),
+    outage=st.sampled_from([0.0, 3000.0, 20_000.0]),
     seed=st.integers(0, 10_000),
 )
-def test_whatever_the_order_everybody_gets_its_watch(
-    many: int, cost: float, told: bool, starts: float, listed: bool, down: float, seed: int
+def test_every_dispatcher_gets_a_watch_in_any_order(
+    dispatchers: int, cost: float, cost_known: bool, start_spread: float, has_list: bool, outage: float, seed: int
 ) -> None:
-    played = play(many, cost, told=told, starts=starts, seed=seed, listed=listed, down_until=down)
-    assert all(gap >= poll_pacing.MIN_RETRY_MS - 1e-6 for gap in played.gaps)
-    least = many * (1 if listed else 2) * cost
-    assert played.last <= starts + down + 6 * least + 6 * poll_pacing.MAX_GUESSED_ROUND_MS
+    simulation = simulate(
+        dispatchers,
+        cost,
+        cost_known=cost_known,
+        start_spread=start_spread,
+        seed=seed,
+        has_list=has_list,
+        outage_end=outage,
+    )
+    assert all(gap >= poll_pacing.MIN_RETRY_MS - 1e-6 for gap in simulation.retry_gaps)
+    shortest_possible = dispatchers * (1 if has_list else 2) * cost
+    assert (
+        simulation.last_watch_at <= start_spread + outage + 6 * shortest_possible + 6 * poll_pacing.MAX_GUESSED_ROUND_MS
+    )
 
 
-@given(many=st.integers(20, 400), cost=st.floats(2.0, 60.0), starts=st.floats(0.0, 3000.0), seed=st.integers(0, 999))
-def test_where_the_cost_is_told_calls_of_any_second_stay_under_the_bound(
-    many: int, cost: float, starts: float, seed: int
+@given(
+    dispatchers=st.integers(20, 400),
+    cost=st.floats(2.0, 60.0),
+    start_spread=st.floats(0.0, 3000.0),
+    seed=st.integers(0, 999),
+)
+def test_polls_per_second_stay_bounded_when_the_cost_is_known(
+    dispatchers: int, cost: float, start_spread: float, seed: int
 ) -> None:
     """First calls have a place each; each answer brings one call more, and places of two rounds may meet."""
-    played = play(many, cost, told=True, starts=starts, seed=seed)
-    assert most_in(played.calls, 1000.0) <= 2 * 1000.0 / cost + 4
-    assert played.turned <= 0.05 * 2 * many
+    simulation = simulate(dispatchers, cost, cost_known=True, start_spread=start_spread, seed=seed)
+    assert most_in_any_span(simulation.polls, 1000.0) <= 2 * 1000.0 / cost + 4
+    assert simulation.rejected <= 0.05 * 2 * dispatchers
 
 
-@pytest.mark.parametrize(("many", "cost"), [(100, 50.0), (300, 50.0), (1000, 20.0)])
-def test_a_guess_costs_less_than_calls_that_know_nothing_of_each_other(many: int, cost: float) -> None:
-    class Alone(PollPacer):
+@pytest.mark.parametrize(("dispatchers", "cost"), [(100, 50.0), (300, 50.0), (1000, 20.0)])
+def test_shared_rounds_cause_fewer_rejections_than_independent_backoff(dispatchers: int, cost: float) -> None:
+    class IndependentBackoff(PollPacer):
         """As it was: each waits for itself, at random, longer with each failure."""
 
         def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
@@ -124,24 +142,27 @@
         def on_answer(self, took: float) -> None:
             self.failures_in_row = 0
 
-    spread = many * 10.0
-    now = [play(many, cost, starts=spread, seed=seed) for seed in range(3)]
-    before = [play(many, cost, starts=spread, seed=seed, make=Alone) for seed in range(3)]
-    assert sum(p.turned for p in now) < 0.7 * sum(p.turned for p in before)
+    start_spread = dispatchers * 10.0
+    with_shared_rounds = [simulate(dispatchers, cost, start_spread=start_spread, seed=seed) for seed in range(3)]
+    with_independent_backoff = [
+        simulate(dispatchers, cost, start_spread=start_spread, seed=seed, make_pacer=IndependentBackoff)
+        for seed in range(3)
+    ]
+    assert sum(p.rejected for p in with_shared_rounds) < 0.7 * sum(p.rejected for p in with_independent_backoff)
 
 
-def test_after_an_outage_everybody_comes_once() -> None:
-    played = play(200, 20.0, listed=True, down_until=30_000.0, starts=2000.0)
-    assert len(played.calls) <= 1.15 * 200
-    assert played.turned <= 10
+def test_dispatchers_poll_about_once_each_after_an_outage() -> None:
+    simulation = simulate(200, 20.0, has_list=True, outage_end=30_000.0, start_spread=2000.0)
+    assert len(simulation.polls) <= 1.15 * 200
+    assert simulation.rejected <= 10
 
 
-def test_the_register_says_when_to_come_again() -> None:
+def test_retry_waits_as_long_as_retry_after_says() -> None:
     pacer = PollPacer(PollTerms(10, 3), lambda: 0.5)
     assert pacer.on_failure(1000.0, PollFailure.REJECTED, True, 5000.0) >= 6000.0
 
 
-def test_patience_grows_with_answers_that_come_late_and_falls_with_quick_ones() -> None:
+def test_answer_timeout_grows_after_timeouts_and_shrinks_after_fast_answers() -> None:
     pacer = PollPacer(PollTerms(), lambda: 0.5)
     for _ in range(9):
         pacer.on_failure(0.0, PollFailure.TIMED_OUT, False)
@@ -152,8 +173,8 @@
     assert pacer.answer_timeout == poll_pacing.ANSWER_TIMEOUT_MS
 
 
-def test_watches_of_many_begin_anew_less_often() -> None:
+def test_polls_wait_longer_the_more_dispatchers_there_are() -> None:
     assert PollPacer(PollTerms(), lambda: 0.5).poll_wait == poll_pacing.MIN_POLL_WAIT_MS
     assert PollPacer(PollTerms(300, 0, 50.0), lambda: 0.5).poll_wait == poll_pacing.MAX_POLL_WAIT_MS
-    many = PollPacer(PollTerms(500, 0, 20.0), lambda: 0.5)
-    assert 500 / (many.poll_wait / 1000) * 20.0 <= 1000 * poll_pacing.RENEWAL_SHARE
+    pacer = PollPacer(PollTerms(500, 0, 20.0), lambda: 0.5)
+    assert 500 / (pacer.poll_wait / 1000) * 20.0 <= 1000 * poll_pacing.RENEWAL_SHARE
--- a/tests/discovery/test_reader_election.py
+++ b/tests/discovery/test_reader_election.py
@@ -14,20 +14,20 @@
 from heronlug.discovery import reader_election
 from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
 
-STALE_AFTER, HEARTBEAT, INTERVAL = 1500.0, 400.0, 100.0
-ANSWER, RETRY = 150.0, 600.0
+STALE_AFTER_MS, HEARTBEAT_MS, STEP_MS = 1500.0, 400.0, 100.0
+ANSWER_MS, RETRY_MS = 150.0, 600.0
 
 
 class Member:
-    def __init__(self, number: int, starts: float, rng: Random) -> None:
-        self.number, self.starts, self.alive, self.paused = number, starts, True, False
-        self.election = ReaderElection(STALE_AFTER, 3, rng.random())
+    def __init__(self, number: int, starts_at: float, rng: Random) -> None:
+        self.number, self.starts_at, self.alive, self.paused = number, starts_at, True, False
+        self.election = ReaderElection(STALE_AFTER_MS, 3, rng.random())
         self.watching = self.announced_watching = False
-        self.call_ends: float | None = None
-        self.next_call = -inf
-        self.claim: float | None = None  # when it began to say so
+        self.poll_ends_at: float | None = None
+        self.next_poll_at = -inf
+        self.claimed_at: float | None = None  # when it began to say so
         self.heard_at, self.heard_watched = -inf, False  # the latest claim that it has heard
-        self.heard_claim = -inf
+        self.heard_claimed_at = -inf
         self.list_at = -inf  # when its list was last good
 
 
@@ -37,74 +37,81 @@
     def __init__(self, count: int, seed: int, loss: float = 0.0, spread: float = 0.0) -> None:
         self.rng, self.loss, self.now = Random(seed), loss, 0.0
         self.members = [Member(n, self.rng.uniform(0, spread), self.rng) for n in range(count)]
-        self.down: set[int] = set()  # who cannot reach the register
+        self.cut_off: set[int] = set()  # who cannot reach the register
         self.partitions: dict[int, int] = {}  # which part of a cut cluster each is in
-        self.calls: list[tuple[float, int]] = []
+        self.polls: list[tuple[float, int]] = []
 
     def connected(self, a: Member, b: Member) -> bool:
         return self.partitions.get(a.number, 0) == self.partitions.get(b.number, 0)
 
     def up(self) -> list[Member]:
-        return [m for m in self.members if m.alive and not m.paused and m.starts <= self.now]
+        return [m for m in self.members if m.alive and not m.paused and m.starts_at <= self.now]
 
-    def run(self, span: float) -> None:
-        end = self.now + span
+    def run(self, duration: float) -> None:
+        end = self.now + duration
         while self.now < end:
-            self.now += INTERVAL
+            self.now += STEP_MS
             for member in self.up():
                 self.step(member)
-            if self.now % HEARTBEAT < INTERVAL / 2:
+            if self.now % HEARTBEAT_MS < STEP_MS / 2:
                 for member in self.up():
                     self.announce(member)
 
     def announce(self, writer: Member) -> None:
         """A beat, or a change, which is told at once."""
-        if writer.claim is not None:
+        if writer.claimed_at is not None:
             for member in self.up():
                 if member is writer or not self.connected(member, writer) or self.rng.random() < self.loss:
                     continue
-                if member.claim is not None and writer.claim < member.claim:
+                if member.claimed_at is not None and writer.claimed_at < member.claimed_at:
                     continue
-                member.claim = None
-                if writer.claim >= member.heard_claim:
-                    member.heard_claim, member.heard_at = writer.claim, self.now
+                member.claimed_at = None
+                if writer.claimed_at >= member.heard_claimed_at:
+                    member.heard_claimed_at, member.heard_at = writer.claimed_at, self.now
                     member.heard_watched = writer.watching
                     if writer.watching:
                         member.list_at = self.now
 
     def step(self, member: Member) -> None:
-        if member.call_ends is not None and member.call_ends <= self.now:
-            member.call_ends = None
-            member.watching = member.number not in self.down
-            member.next_call = self.now + RETRY
-        if member.watching and member.number in self.down:
-            member.watching, member.next_call = False, self.now + RETRY
+        if member.poll_ends_at is not None and member.poll_ends_at <= self.now:
+            member.poll_ends_at = None
+            member.watching = member.number not in self.cut_off
+            member.next_poll_at = self.now + RETRY_MS
+        if member.watching and member.number in self.cut_off:
+            member.watching, member.next_poll_at = False, self.now + RETRY_MS
         if member.watching:
             member.list_at = self.now
         others = [m for m in self.up() if m is not member and self.connected(m, member)]
-        place = MemberPosition(sum(m.number < member.number for m in others), len(others))
+        position = MemberPosition(sum(m.number < member.number for m in others), len(others))
         heard = (
-            [SharedListStatus(self.now - member.heard_at, member.heard_watched, False)] if member.claim is None else []
+            [SharedListStatus(self.now - member.heard_at, member.heard_watched, False)]
+            if member.claimed_at is None
+            else []
         )
-        role = member.election.decide(self.now, False, place, heard, member.watching)
-        if role is Role.READ and not member.watching and member.call_ends is None and self.now >= member.next_call:
-            self.calls.append((self.now, member.number))
-            member.call_ends = self.now + ANSWER
+        role = member.election.decide(self.now, False, position, heard, member.watching)
+        if (
+            role is Role.READ
+            and not member.watching
+            and member.poll_ends_at is None
+            and self.now >= member.next_poll_at
+        ):
+            self.polls.append((self.now, member.number))
+            member.poll_ends_at = self.now + ANSWER_MS
         if role is Role.FOLLOW:
             member.watching = False
-        before = member.claim, member.watching
-        tried = member.claim is None and self.now - member.heard_at <= STALE_AFTER
-        if role is Role.READ and member.claim is None and (member.watching or not tried):
-            member.claim = self.now + member.number / 1e6
+        previously_announced = member.claimed_at, member.watching
+        hears_reader = member.claimed_at is None and self.now - member.heard_at <= STALE_AFTER_MS
+        if role is Role.READ and member.claimed_at is None and (member.watching or not hears_reader):
+            member.claimed_at = self.now + member.number / 1e6
         elif role is not Role.READ:
-            member.claim = None
-        if (member.claim, member.watching) != before or (
-            member.claim is not None and member.watching is not member.announced_watching
+            member.claimed_at = None
+        if (member.claimed_at, member.watching) != previously_announced or (
+            member.claimed_at is not None and member.watching is not member.announced_watching
         ):
             member.announced_watching = member.watching
             self.announce(member)
 
-    def members_without_list(self, within: float = STALE_AFTER) -> list[int]:
+    def members_without_list(self, within: float = STALE_AFTER_MS) -> list[int]:
         return [m.number for m in self.up() if self.now - m.list_at > within]
 
 
@@ -120,7 +127,7 @@
     cluster.run(spread + 3000)
     assert not cluster.members_without_list()
     if not loss:
-        assert len(cluster.calls) <= 6
+        assert len(cluster.polls) <= 6
     cluster.run(10_000)
     if not loss:
         assert sum(m.watching for m in cluster.up()) == 1
@@ -128,7 +135,7 @@
 
 @settings(max_examples=40)
 @given(seed=st.integers(0, 9999), loss=st.sampled_from([0.0, 0.3]), data=st.data())
-def test_readers_that_die_one_after_another_are_replaced(seed: int, loss: float, data: st.DataObject) -> None:
+def test_crashed_readers_are_replaced_one_after_another(seed: int, loss: float, data: st.DataObject) -> None:
     cluster = Cluster(12, seed, loss)
     cluster.run(6000)
     for _ in range(5):
@@ -137,44 +144,44 @@
                 member.alive = False
         cluster.run(data.draw(st.sampled_from([2500.0, 5000.0])))
         assert not cluster.members_without_list(
-            STALE_AFTER + reader_election.MAX_EXTRA_WAIT_MS + (2 * HEARTBEAT + ANSWER if loss else 0.0)
+            STALE_AFTER_MS + reader_election.MAX_EXTRA_WAIT_MS + (2 * HEARTBEAT_MS + ANSWER_MS if loss else 0.0)
         )
     assert cluster.up()
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 100])
 @pytest.mark.parametrize("outage", [3000.0, 20_000.0])
-def test_few_poll_during_an_outage_and_one_reads_soon_after_it(count: int, outage: float) -> None:
+def test_few_members_poll_during_an_outage_and_one_reads_soon_after(count: int, outage: float) -> None:
     cluster = Cluster(count, 7)
     cluster.run(8000)
-    cluster.down = set(range(count))
+    cluster.cut_off = set(range(count))
     cluster.run(outage)
-    tried = [at for at, _ in cluster.calls if at > 8000]
+    polls_in_outage = [at for at, _ in cluster.polls if at > 8000]
     # the reader tries again each 0.75 s here, and one other a second looks
-    assert len(tried) <= 2 + outage / (RETRY + ANSWER) + outage / reader_election.ROTATION_MS
-    cluster.down, back, before = set(), cluster.now, len(cluster.calls)
+    assert len(polls_in_outage) <= 2 + outage / (RETRY_MS + ANSWER_MS) + outage / reader_election.ROTATION_MS
+    cluster.cut_off, recovered_at, polls_before_recovery = set(), cluster.now, len(cluster.polls)
     cluster.run(2000)
     assert not cluster.members_without_list()
     cluster.run(18_000)
     assert sum(m.watching for m in cluster.up()) == 1
-    assert len(cluster.calls) - before <= 4, cluster.calls[before:]
-    assert cluster.now - back == pytest.approx(20_000)
+    assert len(cluster.polls) - polls_before_recovery <= 4, cluster.polls[polls_before_recovery:]
+    assert cluster.now - recovered_at == pytest.approx(20_000)
 
 
 @settings(max_examples=40)
-@given(seed=st.integers(0, 9999), reach=st.integers(0, 11))
-def test_only_member_that_reaches_discovery_becomes_the_reader(seed: int, reach: int) -> None:
+@given(seed=st.integers(0, 9999), reaching_member=st.integers(0, 11))
+def test_only_member_that_reaches_discovery_becomes_the_reader(seed: int, reaching_member: int) -> None:
     cluster = Cluster(12, seed)
-    cluster.down = set(range(12)) - {reach}
+    cluster.cut_off = set(range(12)) - {reaching_member}
     cluster.run(3000 + 14 * reader_election.ROTATION_MS)
     assert not cluster.members_without_list()
 
 
 @settings(max_examples=40)
-@given(seed=st.integers(0, 9999), cut=st.integers(1, 11))
-def test_each_partition_has_a_reader_and_one_is_left_after_healing(seed: int, cut: int) -> None:
+@given(seed=st.integers(0, 9999), first_partition_size=st.integers(1, 11))
+def test_each_partition_has_a_reader_and_one_is_left_after_healing(seed: int, first_partition_size: int) -> None:
     cluster = Cluster(12, seed)
-    cluster.partitions = {number: int(number < cut) for number in range(12)}
+    cluster.partitions = {number: int(number < first_partition_size) for number in range(12)}
     cluster.run(6000)
     assert not cluster.members_without_list()
     cluster.partitions = {}
@@ -189,38 +196,42 @@
     (reader,) = [m for m in cluster.up() if m.watching]
     reader.paused = True
     cluster.run(3000)
-    assert not cluster.members_without_list(STALE_AFTER + reader_election.MAX_EXTRA_WAIT_MS)
+    assert not cluster.members_without_list(STALE_AFTER_MS + reader_election.MAX_EXTRA_WAIT_MS)
     reader.paused = False
     cluster.run(6000)
     assert sum(m.watching for m in cluster.up()) == 1
 
 
 def test_outdated_list_is_not_followed() -> None:
-    election = ReaderElection(STALE_AFTER, 3, 0.0)
+    election = ReaderElection(STALE_AFTER_MS, 3, 0.0)
     election.decide(0.0, False, MemberPosition(5, 9), [], False)
     assert (
         election.decide(100.0, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, False)], False) is Role.FOLLOW
     )
     for step in range(60):
         role = election.decide(
-            200.0 + step * INTERVAL, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, True)], False
+            200.0 + step * STEP_MS, False, MemberPosition(5, 9), [SharedListStatus(50.0, True, True)], False
         )
     assert role is Role.READ
 
 
 def test_lease_holder_always_reads_and_a_reader_stays_until_another_is_trusted() -> None:
-    election = ReaderElection(STALE_AFTER, 3, 0.0)
+    election = ReaderElection(STALE_AFTER_MS, 3, 0.0)
     assert election.decide(0.0, True, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], False) is Role.READ
     assert election.decide(10.0, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True) is Role.READ
     assert (
         election.decide(
-            reader_election.TRUST_AFTER_MS - 1, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True
+            reader_election.STEP_DOWN_AFTER_MS - 1,
+            False,
+            MemberPosition(9, 9),
+            [SharedListStatus(0.0, True, False)],
+            True,
         )
         is Role.READ
     )
     assert (
         election.decide(
-            reader_election.TRUST_AFTER_MS, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True
+            reader_election.STEP_DOWN_AFTER_MS, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True
         )
         is Role.FOLLOW
     )
