--- a/heronlug/discovery/cache.py
+++ b/heronlug/discovery/cache.py
@@ -43,7 +43,7 @@
     table: dict[str, Any]
 
 
-def write(address: str, written_at: float, table: dict[str, Any]) -> bytes:
+def encode_cache(address: str, written_at: float, table: dict[str, Any]) -> bytes:
     """The bytes of a cache.
 
     Args:
@@ -56,7 +56,7 @@
     return _checksum(body) + b"\n" + body
 
 
-def read(data: bytes, address: str, now: float, max_age: float) -> CachedList:
+def decode_cache(data: bytes, address: str, now: float, max_age: float) -> CachedList:
     """The list of a cache.
 
     Args:
--- a/heronlug/discovery/cache_file.py
+++ b/heronlug/discovery/cache_file.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from heronlug.discovery.cache import MAX_CACHE_BYTES, WriteSchedule, read, write
+from heronlug.discovery.cache import MAX_CACHE_BYTES, WriteSchedule, decode_cache, encode_cache
 from heronlug.net.background import run_in_background
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.interfaces import EventLog
@@ -54,7 +54,7 @@
         try:
             with self.path.open("rb") as file:
                 data = file.read(MAX_CACHE_BYTES + 1)
-            cached = read(data, self._address(), now, self._max_age)
+            cached = decode_cache(data, self._address(), now, self._max_age)
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
@@ -100,7 +100,7 @@
         temporary = self.path.with_name(f".{self.path.name}.{os.getpid()}")
         try:
             with temporary.open("wb") as file:
-                file.write(write(self._address(), now, table))
+                file.write(encode_cache(self._address(), now, table))
                 file.flush()
                 os.fsync(file.fileno())
             temporary.replace(self.path)
--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -163,7 +163,7 @@
         self._poll_immediately = not self.watching
         self.subscribe()
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Poll another address from now on, for the complete list.
 
         The versions of the new address need not be those of the old one, so a poll for changes after the held version
--- a/heronlug/lifecycle/discovery_service.py
+++ b/heronlug/lifecycle/discovery_service.py
@@ -69,7 +69,7 @@
     def use_reloaded(self, config: Config) -> None:
         """Use another address, or another configured list, of a configuration that was read again."""
         if config.discovery:
-            self.client.move(config.discovery)
+            self.client.change_address(config.discovery)
         elif config.known is not None:
             self.client.on_update(ListKind.FULL, self.client.parse_list(config.known).servers)
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -53,7 +53,7 @@
 )
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 from heronlug.cluster.server_rows import ServerRowCodec
-from heronlug.discovery.cache import write
+from heronlug.discovery.cache import encode_cache
 from heronlug.discovery.endpoint_list import read_list, write_list
 from heronlug.frontends.http.request import HttpRequest
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
@@ -134,7 +134,7 @@
 
 def kept_list() -> bytes:
     """The file of the kept list."""
-    return write("127.0.0.1:8500", NOW, write_list(42, SERVERS, ZONES, MACHINE_TYPES))
+    return encode_cache("127.0.0.1:8500", NOW, write_list(42, SERVERS, ZONES, MACHINE_TYPES))
 
 
 def server_list() -> bytes:
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -48,7 +48,7 @@
 from heronlug.cluster.ownership import tag
 from heronlug.cluster.server_rows import UNWATCHED_KEY, VERSION_KEY, VERSIONS_RESTARTED_KEY, ServerRowCodec
 from heronlug.cluster.shared_discovery import INTERIM_TABLE, LEASE_TABLE
-from heronlug.discovery.cache import read
+from heronlug.discovery.cache import decode_cache
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.discovery.endpoint_list import read_list, write_list
 from heronlug.lifecycle.hot_restart.channel import listen, socket_path
@@ -342,7 +342,7 @@
 
 
 def test_cached_list_is_read() -> None:
-    cached = read(recorded("kept-list.txt"), "127.0.0.1:8500", NOW + 1000, 5000.0)
+    cached = decode_cache(recorded("kept-list.txt"), "127.0.0.1:8500", NOW + 1000, 5000.0)
     assert cached.written_at == NOW
     assert read_list(cached.table, ZONES, MACHINE_TYPES, lambda at: at) == (42, True, SERVERS[:3])
 
--- a/tests/discovery/test_cache.py
+++ b/tests/discovery/test_cache.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronlug.discovery.cache import MAX_CLOCK_STEP_MS, CacheError, WriteSchedule, read, write
+from heronlug.discovery.cache import MAX_CLOCK_STEP_MS, CacheError, WriteSchedule, decode_cache, encode_cache
 from heronlug.discovery.cache_file import CacheFile
 from heronlug.requests.deadlines import Deadlines
 
 TABLE = {"generation": 41, "reset": True, "instances": [{"instanceId": "s1"}]}
-DATA = write("10.0.0.1:8500", 1_000_000.0, TABLE)
+DATA = encode_cache("10.0.0.1:8500", 1_000_000.0, TABLE)
 
 
 def test_written_cache_is_read() -> None:
-    cached = read(DATA, "10.0.0.1:8500", 1_000_500.0, 1000.0)
+    cached = decode_cache(DATA, "10.0.0.1:8500", 1_000_500.0, 1000.0)
     assert cached.table == TABLE
     assert cached.written_at == 1_000_000.0
 
@@ -32,12 +32,12 @@
         (DATA, "10.0.0.2:8500", 1_000_500.0, "another register, 10.0.0.1:8500"),
         (DATA, "10.0.0.1:8500", 1_002_000.0, "too old: written 2 s ago"),
         (DATA, "10.0.0.1:8500", 1_000_000.0 - MAX_CLOCK_STEP_MS - 1000, "from the future: written 61 s after now"),
-        (write("10.0.0.1:8500", 1e6, [1]), "10.0.0.1:8500", 1e6, "no list"),  # type: ignore[arg-type]
+        (encode_cache("10.0.0.1:8500", 1e6, [1]), "10.0.0.1:8500", 1e6, "no list"),  # type: ignore[arg-type]
     ],
 )
 def test_unusable_cache_is_rejected_with_the_reason(data: bytes, address: str, now: float, reason: str) -> None:
     with pytest.raises(ValueError, match=reason):
-        read(data, address, now, 1000.0)
+        decode_cache(data, address, now, 1000.0)
 
 
 @given(st.integers(0, len(DATA) - 1), st.integers(1, 255))
@@ -45,7 +45,7 @@
     data = bytearray(DATA)
     data[place] ^= change
     with pytest.raises(CacheError):
-        read(bytes(data), "10.0.0.1:8500", 1_000_500.0, 1000.0)
+        decode_cache(bytes(data), "10.0.0.1:8500", 1_000_500.0, 1000.0)
 
 
 @given(st.lists(st.tuples(st.floats(0, 3000), st.sampled_from("cwd")), max_size=60))
