--- a/heronlug/discovery/cache.py
+++ b/heronlug/discovery/cache.py
@@ -1,8 +1,8 @@
-"""The format of a cached endpoint list, and when it is written.
+"""Defines the format of a cached endpoint list and the schedule by which the cache is written.
 
-At a start the cached list serves as ``known`` does on the platform: it may be old, but it is good enough to use until
-service discovery answers, and with its version the first poll can ask for changes only. A cache that is damaged, too
-old, from the future or of another service discovery is rejected with the reason.
+At the start of a process the cached list has the role that ``known`` has on the platform: the list may be old, but can
+be used until service discovery answers, and its version lets the first poll request changes only. A cache that is
+damaged, too old, dated in the future or from another service discovery is rejected with the reason.
 """
 
 from hashlib import blake2b
@@ -13,30 +13,31 @@
 from heronlug.discovery.errors import DiscoveryError
 
 FORMAT_VERSION = 1
-"""The version of the format."""
+"""Version of the cache format; a cache of any other version is rejected."""
 
 MAX_CACHE_BYTES = 16 * 1024 * 1024
-"""A larger file is rejected."""
+"""Size limit of a cache; a larger one is rejected."""
 
 MAX_CLOCK_STEP_MS = 60_000.0
-"""The clock may have been set back by so much since the list was written."""
+"""Largest tolerated backward step of the clock since the list was written."""
 
 WRITE_INTERVAL_MS = 5_000.0
-"""The shortest time between two writes."""
+"""Minimum time between the starts of two writes."""
 
 CHECKSUM_BYTES = 16
+"""Length of the checksum before hexadecimal encoding."""
 
 
 class CacheError(DiscoveryError, ValueError):
-    """A cached list cannot be used."""
+    """Raised if a cached list cannot be used; the message gives the reason."""
 
 
 class CachedList(NamedTuple):
-    """What a cache holds.
+    """The endpoint list read from a cache.
 
     Attributes:
-        written_at: When it was written, in Unix time in ms.
-        table: The complete list in the form of service discovery.
+        written_at: Time at which the cache was written, in Unix time in ms.
+        table: The complete list in the JSON form of service discovery.
     """
 
     written_at: float
@@ -44,12 +45,12 @@
 
 
 def encode_cache(address: str, written_at: float, table: dict[str, Any]) -> bytes:
-    """The bytes of a cache.
+    """Returns the bytes of a cache.
 
     Args:
-        address: Host and port of the service discovery that the list is from.
-        written_at: Unix time in ms.
-        table: The complete list in the form of service discovery.
+        address: Host and port of the service discovery that provided the list.
+        written_at: Time of the write, in Unix time in ms.
+        table: The complete list in the JSON form of service discovery.
     """
     content = {"form": FORMAT_VERSION, "register": address, "at": written_at, "list": table}
     body = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
@@ -57,67 +58,69 @@
 
 
 def decode_cache(data: bytes, address: str, now: float, max_age: float) -> CachedList:
-    """The list of a cache.
+    """Returns the list that a cache contains.
 
     Args:
         data: The bytes of the cache.
-        address: Host and port of the service discovery that the list must be from.
-        now: Unix time in ms.
-        max_age: The age up to which it may be used, in ms.
+        address: Host and port of the service discovery that must have provided the list.
+        now: Current Unix time in ms.
+        max_age: Age in ms up to which the list may be used.
 
     Raises:
-        CacheError: It cannot be used.
+        CacheError: The cache is damaged, too large, too old, dated in the future, of another format version or from
+            another service discovery.
+        ValueError: The checksum matches, but the content is not JSON.
     """
     if len(data) > MAX_CACHE_BYTES:
-        msg = f"it holds more than {MAX_CACHE_BYTES} bytes"
+        msg = f"the cache is larger than {MAX_CACHE_BYTES} bytes"
         raise CacheError(msg)
     checksum, _, body = data.partition(b"\n")
     if _checksum(body) != checksum:
-        msg = "it is torn: its checksum is another"
+        msg = "the cache is damaged: its checksum does not match"
         raise CacheError(msg)
     content = orjson.loads(body)
     if not isinstance(content, dict) or content.get("form") != FORMAT_VERSION:
-        msg = f"it is of another form than {FORMAT_VERSION}"
+        msg = f"the cache does not have format version {FORMAT_VERSION}"
         raise CacheError(msg)
     if content.get("register") != address:
-        msg = f"it is of another register, {content.get('register')}"
+        msg = f"the list is from another service discovery, {content.get('register')}"
         raise CacheError(msg)
     written_at = content.get("at")
     table = content.get("list")
     if isinstance(written_at, bool) or not isinstance(written_at, int | float) or not isinstance(table, dict):
-        msg = "it has no time or no list"
+        msg = "the cache lacks a valid write time or a valid list"
         raise CacheError(msg)
     if written_at > now + MAX_CLOCK_STEP_MS:
-        msg = f"it is from the future: written {(written_at - now) / 1000:.0f} s after now"
+        msg = f"the cache is dated in the future: written {(written_at - now) / 1000:.0f} s after now"
         raise CacheError(msg)
     if now - written_at > max_age:
-        msg = f"it is too old: written {(now - written_at) / 1000:.0f} s ago"
+        msg = f"the cache is too old: written {(now - written_at) / 1000:.0f} s ago"
         raise CacheError(msg)
     return CachedList(float(written_at), table)
 
 
 class WriteSchedule:
-    """Decides when a cache is written: soon after a change, but rarely.
+    """Schedules cache writes: soon after a change, but at least one interval apart.
 
     Attributes:
-        writing: Whether a write is under way.
+        writing: Whether a write is in progress.
     """
 
     def __init__(self, interval: float = WRITE_INTERVAL_MS) -> None:
-        """``interval`` is the shortest time between two writes, in ms."""
+        """Creates a schedule; ``interval`` is the minimum time between the starts of two writes, in ms."""
         self.writing = False
         self._interval = interval
         self._next_write_at = 0.0
         self._changed = False
 
     def on_change(self, now: float) -> float | None:
-        """The list has changed; returns when to write it, or None if that is planned already."""
+        """Records a change of the list and returns the time of the next write; None if a write is already due."""
         is_planned = self._changed
         self._changed = True
         return None if is_planned or self.writing else max(now, self._next_write_at)
 
     def begin(self, now: float) -> bool:
-        """Whether to write now; a change after this call is written by another write."""
+        """Returns whether to write now, and marks the write as started; later changes need another write."""
         if not self._changed or self.writing:
             return False
         self._changed = False
@@ -126,7 +129,7 @@
         return True
 
     def end(self, now: float) -> float | None:
-        """A write has ended; returns when to write again if the list has changed meanwhile."""
+        """Records the end of a write and returns the time of the next write; None if nothing has changed since."""
         self.writing = False
         return max(now, self._next_write_at) if self._changed else None
 
--- a/heronlug/discovery/cache_file.py
+++ b/heronlug/discovery/cache_file.py
@@ -1,4 +1,4 @@
-"""The file of the cached endpoint list; imported only where an operators' file names one."""
+"""Stores the cached endpoint list in a file; imported only if the operators' configuration names a cache file."""
 
 import asyncio
 import os
@@ -13,10 +13,10 @@
 
 
 class CacheFile:
-    """Reads the cached list at the start, and writes it in a thread after changes.
+    """Reads the cached list at the start of the process and writes the list after changes, in a thread.
 
     Attributes:
-        path: The file.
+        path: Path of the cache file.
     """
 
     def __init__(
@@ -28,15 +28,15 @@
         deadlines: Deadlines,
         log: EventLog,
     ) -> None:
-        """Neither read nor write yet.
+        """Creates the cache file without reading or writing.
 
         Args:
-            path: The file.
-            max_age: The age up to which the cached list may be used, in ms.
+            path: Path of the cache file.
+            max_age: Age in ms up to which the cached list may be used.
             address: Returns host and port of service discovery.
-            current_list: Returns the list that is held, in the form of service discovery.
-            deadlines: Where writes are planned.
-            log: Where events are logged.
+            current_list: Returns the current list in the JSON form of service discovery.
+            deadlines: Timers for the scheduled writes.
+            log: Receives log events.
         """
         self.path = Path(path)
         self._max_age = max_age
@@ -49,7 +49,10 @@
         self._write_task: asyncio.Task[None] | None = None
 
     def load(self) -> dict[str, Any] | None:
-        """The cached list in the form of service discovery; None, with the reason in the log, if it is unusable."""
+        """Returns the cached list in the JSON form of service discovery; None if there is none.
+
+        An unusable file also gives None, and the reason is logged.
+        """
         now = self._deadlines.clock()
         try:
             with self.path.open("rb") as file:
@@ -64,11 +67,11 @@
         return cached.table
 
     def on_change(self) -> None:
-        """The list that is held has changed."""
+        """Schedules a write after a change of the current list."""
         self._schedule_write(self._schedule.on_change(self._deadlines.clock()))
 
     async def close(self) -> None:
-        """Write what has not been written yet."""
+        """Writes pending changes and waits until they are on disk."""
         self._deadlines.cancel(self._write_timer)
         if self._write_task is not None:
             await self._write_task
@@ -96,7 +99,7 @@
         self._schedule_write(self._schedule.end(self._deadlines.clock()))
 
     def _replace_file(self, now: float, table: dict[str, Any]) -> None:
-        """Write a temporary file to the disk and rename it, so that the file is always whole."""
+        """Replaces the file atomically: writes and syncs a temporary file, then renames it."""
         temporary = self.path.with_name(f".{self.path.name}.{os.getpid()}")
         try:
             with temporary.open("wb") as file:
--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of service discovery: a watch made of polls, one after the other on a kept connection."""
+"""Watches the endpoint list of service discovery by consecutive polls on a persistent connection."""
 
 import math
 from collections.abc import Callable
@@ -20,70 +20,71 @@
 from heronlug.requests.model import ListedServer
 
 POLL_WAIT_MS = 20_000.0
-"""How long a poll waits for a change, at the longest."""
+"""Maximum time that a poll waits for a change, unless a pacer sets the wait."""
 
 WAIT_SPREAD = 0.4
-"""Share of the wait by which dispatchers differ, so that the polls of many do not end together."""
+"""Fraction of the wait by which the waits of dispatchers differ, so that their polls do not end together."""
 
 ANSWER_GRACE_MS = 500.0
-"""A poll is given up so long after its wait: what it missed counts as notified soon after."""
+"""Time after the end of its wait at which a poll times out; a missed change counts as notified soon after that."""
 
 ANSWER_TIMEOUT_MS = 3_500.0
-"""For an answer that does not wait for a change, and for the rest of one that has begun."""
+"""Timeout of an answer to a poll without a wait, and of the rest of an answer that has begun."""
 
 DIAL_TIMEOUT_MS = 1_000.0
-"""For an address that neither accepts nor refuses."""
+"""Timeout of a dial that is neither accepted nor refused."""
 
 UNREAD_CHECK_INTERVAL_MS = 500.0
-"""How long a check for unread bytes holds; far below the grace for drains."""
+"""Minimum time between two checks for unread bytes; far below the grace of draining servers."""
 
 FIRST_BACKOFF_MS = 300.0
-"""Half of the longest pause after the first failed poll; it doubles with each further one."""
+"""Half of the maximum pause after the first failed poll; each further failure doubles the maximum."""
 
 MAX_BACKOFF_MS = 1_000.0
-"""The longest pause between failed polls."""
+"""Maximum pause after a failed poll."""
 
 MAX_BACKOFF_DOUBLINGS = 8
+"""Bound of the exponent; ``MAX_BACKOFF_MS`` is reached earlier."""
 
 FRESHNESS_EVENTS = {
     PollFailure.TIMED_OUT: FreshnessEvent.TIMED_OUT,
     PollFailure.REFUSED: FreshnessEvent.REFUSED,
     PollFailure.UNREACHABLE: FreshnessEvent.UNREACHABLE,
 }
-"""What a failure means for the freshness of the list; every other one is ``FreshnessEvent.FAILED``."""
+"""Freshness events of poll failures; every failure not listed is ``FreshnessEvent.FAILED``."""
 
 
 class Pacer(Protocol):
     """Decides when to poll, see :class:`heronlug.discovery.poll_pacing.PollPacer`.
 
     Attributes:
-        answer_timeout: How long, in ms, an answer may take that does not wait for a change.
+        answer_timeout: Timeout in ms of a poll that does not wait for a change.
     """
 
     answer_timeout: float
 
     @property
     def poll_wait(self) -> float:
-        """How long, in ms, a poll waits for a change."""
+        """The maximum time, in ms, that a poll waits for a change."""
 
     def first_poll_at(self, now: float, has_list: bool) -> float:
-        """When the first poll may be sent."""
+        """Returns the time, in ms, at which the first poll may be sent."""
 
     def on_answer(self, answer_time: float) -> None:
-        """A poll that did not wait for a change was answered after ``answer_time`` ms."""
+        """Records that a poll without a wait was answered after ``answer_time`` ms."""
 
     def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
-        """When the next poll may be sent after one that failed."""
+        """Records a failed poll and returns the time, in ms, at which the next one may be sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryTarget:
-    """What to poll.
+    """The service discovery to poll, and the version that the first poll starts from.
 
     Attributes:
         address: Host and port of service discovery; empty if there is none.
-        version: The version of the list that is held; None requests the complete list.
-        wait_fraction: This dispatcher's share of the longest wait.
+        version: Version of the current list; None requests the complete list.
+        wait_fraction: Fraction of the maximum wait that this dispatcher's polls wait.
     """
 
     address: str
@@ -92,21 +93,21 @@
 
 
 class DiscoveryClient:
-    """Watches the endpoint list while somebody is subscribed.
+    """Watches the endpoint list while a subscription exists.
 
-    A failure ends the watch. The pacer, or the pause of the freshness rules, decides when it begins again; without
-    either it begins with the next subscription.
+    A failure ends the watch. The pacer or, without a pacer, the backoff decides when the watch starts again; if the age
+    of the list is not limited either, the watch starts again with the next :meth:`subscribe`.
 
     Attributes:
         address: Host and port of service discovery; empty if there is none.
-        version: The version of the list that is held; None requests the complete list.
-        has_list: Whether there is a list to use, if an old one.
-        freshness: Until when the list may be used.
-        staleness: Reports when it may not be used any more.
-        pacer: Decides when to poll; None where the balancer's subscriptions do.
-        parse_list: Reads a decoded endpoint list; raises ``ValueError``.
-        on_update: Receives the changes of the list, and ``ListKind.FAILED`` when the watch fails.
-        flush: Ends the handling of an I/O event.
+        version: Version of the current list; None requests the complete list.
+        has_list: Whether a list is available, however old.
+        freshness: Limits how long the list may be used.
+        staleness: Reports when the list becomes stale or usable again.
+        pacer: Decides when to poll; None if the subscriptions of the balancer do.
+        parse_list: Parses a decoded endpoint list; raises ``ValueError`` if the list is invalid.
+        on_update: Called with the changes of the list, and with ``ListKind.FAILED`` when the watch fails.
+        flush: Called at the end of each I/O event.
     """
 
     def __init__(
@@ -137,7 +138,7 @@
         self._poll_deadline: Key | None = None
         self._next_poll: Key | None = None
         self._failures_in_row = 0
-        self._last_empty_check_at = -math.inf  # all that arrived before that has been read
+        self._last_empty_check_at = -math.inf  # data that arrived before this time has been read
 
     # -- Subscription
 
@@ -147,7 +148,7 @@
         return self._state is WatchState.OPEN
 
     def subscribe(self) -> None:
-        """Open the watch, unless it is open or planned or there is no address; a pacer may delay the first poll."""
+        """Opens the watch unless it is open or scheduled or has no address; a pacer may delay the first poll."""
         if not self.address or self._state in (WatchState.OPEN, WatchState.SCHEDULED):
             return
         if self.pacer is not None and self._state is WatchState.NEW:
@@ -159,15 +160,16 @@
         self._open()
 
     def resume(self) -> None:
-        """Open the watch after a pause; its first poll is answered at once, even if there is nothing new."""
+        """Opens the watch after a pause with a poll that is answered immediately, even if nothing has changed."""
         self._poll_immediately = not self.watching
         self.subscribe()
 
     def change_address(self, address: str) -> None:
-        """Poll another address from now on, for the complete list.
+        """Polls another address from now on, first for the complete list.
 
-        The versions of the new address need not be those of the old one, so a poll for changes after the held version
-        might wait for ever while unread changes count as notified. The held list stays until the answer comes.
+        The versions of the new address need not match those of the old one. A poll for changes after the current
+        version could therefore wait forever while unread changes count as notified. The current list stays in use until
+        the answer arrives.
         """
         if address == self.address:
             return
@@ -179,7 +181,7 @@
         self._open()
 
     def stop(self) -> None:
-        """Close the connection, and poll no more until the next :meth:`subscribe`."""
+        """Closes the connection and stops polling until the next :meth:`subscribe`."""
         self.staleness.cancel()
         self._change_state(WatchEvent.CLOSE)
         self._disconnect()
@@ -187,15 +189,16 @@
     # -- Freshness
 
     def begin_freshness(self, remaining: float) -> None:
-        """Begin with a list that another process knows to be usable for ``remaining`` ms; 0 for an unknown age."""
+        """Starts with a list that another process found usable for ``remaining`` more ms; 0 for an unknown age."""
         self.freshness.begin(self._deadlines.clock(), remaining)
         self.staleness.reset_timer()
 
     def has_unread_update(self) -> bool:
-        """Whether the list must not be used for reasons that the event loop has not handled yet.
+        """Returns whether the event loop has an update or a timer to handle before the list may be used.
 
-        If the loop was blocked, a change that counts as notified may wait unread in the kernel, or the timer that ends
-        the use of the list may be overdue. Both are handled within one turn of the loop, so requests wait for that.
+        After the loop was blocked, a change that counts as notified may still be unread in the kernel, or the timer
+        that marks the list as stale may be overdue. The loop handles either within one iteration, so requests wait for
+        that iteration.
         """
         if self.staleness.is_overdue:
             return True
@@ -210,33 +213,36 @@
     # -- PollObserver
 
     def on_connected(self, connection: DiscoveryConnection) -> None:
-        """Send the first poll of a connection."""
+        """Sends the first poll of a connection."""
         if connection is self._connection:
             self._send_poll(connection)
         else:
             connection.close()
 
     def on_answer_begun(self, connection: DiscoveryConnection) -> None:
-        """Allow the rest of the answer its time, for its bytes may come slowly."""
+        """Gives the rest of the answer a timeout of its own, because its bytes may arrive slowly."""
         if connection is self._connection and not _is_immediate(connection):
-            self._set_poll_deadline(connection, ANSWER_TIMEOUT_MS, "no whole answer in time", PollFailure.TIMED_OUT)
+            self._set_poll_deadline(
+                connection, ANSWER_TIMEOUT_MS, "rest of the answer timed out", PollFailure.TIMED_OUT
+            )
 
     def on_list_begun(self, connection: DiscoveryConnection) -> None:
-        """Note that a list has begun: its changes count as notified from then on, whenever the rest of it comes."""
+        """Applies the start of a list: its changes count as notified from now on, even if the rest arrives later."""
         if connection is self._connection:
             self.staleness.apply(FreshnessEvent.ANSWER_BEGUN)
 
     def on_answer(self, connection: DiscoveryConnection, body: bytes) -> None:
-        """Take in an answer.
+        """Applies an answer.
 
-        The next poll is sent before that, because service discovery ends a watch 200 ms after its last answer.
+        The next poll is sent before the update is reported, because service discovery ends a watch 200 ms after its
+        last answer.
         """
         if connection is not self._connection:
             return
         try:
             answer = self._read_answer(body)
         except ValueError as error:
-            self.on_failure(connection, f"bad list: {error}", PollFailure.INVALID_ANSWER)
+            self.on_failure(connection, f"invalid endpoint list: {error}", PollFailure.INVALID_ANSWER)
             return
         now = self._deadlines.clock()
         report = bool(answer.servers) or answer.complete or self.staleness.report_next_answer
@@ -254,10 +260,10 @@
             self.on_update(ListKind.FULL if answer.complete else ListKind.CHANGES, answer.servers)
 
     def on_failure(self, connection: DiscoveryConnection, reason: str, failure: PollFailure) -> None:
-        """Close the watch after a failed poll; the list that is held stays.
+        """Closes the watch after a failed poll; the current list stays.
 
-        A watch that has fallen silent is opened again at once, and polls for what it missed: that counts as notified
-        whether or not it has arrived.
+        A watch whose poll timed out is reopened immediately and polls for the missed changes, because these count as
+        notified whether or not they have arrived.
         """
         if connection is not self._connection or not self.watching:
             return
@@ -295,7 +301,7 @@
             self._schedule(self._deadlines.clock() + self._backoff())
 
     def _backoff(self) -> float:
-        """The pause until the next poll, in ms: the list becomes stale meanwhile."""
+        """Returns the pause until the next poll, in ms; short, because the list becomes stale in the meantime."""
         if self.freshness.retry_pause is not None:
             return self.freshness.retry_pause
         self._failures_in_row += 1
@@ -306,7 +312,7 @@
         self._next_poll = None
         self._change_state(WatchEvent.OPEN)
         self.staleness.report_next_answer = True
-        # A poll without a wait brings what is missing at once, and shows sooner that nobody answers.
+        # A poll without a wait returns missed changes immediately, and detects sooner that service discovery is down.
         reports_usable = self.staleness.on_usable_change is not None
         needs_missed_changes = reports_usable or self.freshness.state is FreshnessState.MISSED
         if needs_missed_changes and self.freshness.may_miss_changes:
@@ -316,7 +322,7 @@
         self._poll()
 
     def _poll(self) -> None:
-        """Send a poll on the connection, or dial one for it."""
+        """Sends a poll on the current connection, or dials a new connection for the poll."""
         connection = self._connection
         if connection is not None and connection.reusable:
             self._send_poll(connection)
@@ -324,7 +330,7 @@
         if self.freshness.state is FreshnessState.WATCHED:
             self.staleness.apply(FreshnessEvent.FAILED)
         connection = self._connection = DiscoveryConnection(self.address, self)
-        self._set_poll_deadline(connection, DIAL_TIMEOUT_MS, "dial: no answer in time", PollFailure.UNREACHABLE)
+        self._set_poll_deadline(connection, DIAL_TIMEOUT_MS, "dial timed out", PollFailure.UNREACHABLE)
         connection.dial()
 
     def _send_poll(self, connection: DiscoveryConnection) -> None:
@@ -337,20 +343,20 @@
         timeout = poll.wait_ms + ANSWER_GRACE_MS
         if poll.immediate:
             timeout = self.pacer.answer_timeout if self.pacer is not None else ANSWER_TIMEOUT_MS
-        self._set_poll_deadline(connection, timeout, "no answer in time", PollFailure.TIMED_OUT)
+        self._set_poll_deadline(connection, timeout, "answer timed out", PollFailure.TIMED_OUT)
         connection.send(poll, now)
 
     def _read_answer(self, body: bytes) -> EndpointList:
         answer = self.parse_list(orjson.loads(body))
         if not answer.complete and self.version is not None and answer.version < self.version:
-            msg = f"changes of version {answer.version} after {self.version}"
+            msg = f"generation {answer.version} of the changes is below the current generation {self.version}"
             raise EndpointListError(msg)
         return answer
 
     def _set_poll_deadline(
         self, connection: DiscoveryConnection, timeout: float, reason: str, failure: PollFailure
     ) -> None:
-        """Fail the poll unless it makes progress within ``timeout`` ms."""
+        """Fails the poll with ``reason`` unless it makes progress within ``timeout`` ms."""
         self._deadlines.cancel(self._poll_deadline)
         self._poll_deadline = self._deadlines.call_after(timeout, self.on_failure, connection, reason, failure)
 
@@ -365,5 +371,5 @@
 
 
 def _is_immediate(connection: DiscoveryConnection) -> bool:
-    """Whether the connection's poll does not wait for a change; not so before the first poll."""
+    """Returns whether the connection's last poll did not wait for a change; False before the first poll."""
     return connection.poll is not None and connection.poll.immediate
--- a/heronlug/discovery/connection.py
+++ b/heronlug/discovery/connection.py
@@ -1,4 +1,4 @@
-"""A connection to service discovery that carries one poll at a time."""
+"""Manages a connection to service discovery that carries one poll at a time."""
 
 import asyncio
 import errno
@@ -13,28 +13,28 @@
 from heronlug.net.connection_state import has_unread_input
 
 INSTANCES_PATH = "/registry/instances"
-"""Where service discovery serves the endpoint list."""
+"""Path of the endpoint list in service discovery."""
 
 MAX_LIST_BYTES = 8 * 1024 * 1024
-"""The largest body of an answer that is read."""
+"""Maximum size of the body of an answer."""
 
 MAX_RETRY_AFTER_MS = 60_000.0
-"""A longer Retry-After is cut to this."""
+"""Upper bound of Retry-After; longer values are reduced to this."""
 
 UNREACHABLE_ERRNOS = frozenset({errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT})
-"""Errors of a dial that got no reply from the other machine."""
+"""Errors of a dial to which the other machine did not reply."""
 
 OVERLOAD_STATUSES = (429, 503)
-"""Statuses by which service discovery rejects a poll because of its load."""
+"""HTTP statuses by which service discovery rejects a poll because of overload."""
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What a poll asks for.
+    """The parameters of one poll.
 
     Attributes:
-        after: The version whose successors are wanted; None for the complete list.
-        wait_ms: How long the answer may wait for a change.
+        after: Version after which changes are requested; None requests the complete list.
+        wait_ms: Maximum time for which service discovery may delay the answer until a change happens.
     """
 
     after: int | None
@@ -42,47 +42,47 @@
 
     @property
     def immediate(self) -> bool:
-        """Whether the answer comes at once, changed or not."""
+        """Whether service discovery answers immediately, even if nothing has changed."""
         return self.after is None or not self.wait_ms
 
     @property
     def target(self) -> bytes:
-        """The target of the HTTP request."""
+        """The HTTP request target."""
         if self.after is None:
             return INSTANCES_PATH.encode()
         return f"{INSTANCES_PATH}?after={self.after}&wait_ms={int(self.wait_ms)}".encode()
 
 
 class PollObserver(Protocol):
-    """What the owner of a connection is notified of."""
+    """Receives the events of a connection; implemented by the owner of the connection."""
 
     def on_connected(self, connection: "DiscoveryConnection") -> None:
-        """The connection is established."""
+        """Called when the connection is established."""
 
     def on_answer_begun(self, connection: "DiscoveryConnection") -> None:
-        """The first bytes of an answer have arrived."""
+        """Called when the first bytes of an answer arrive."""
 
     def on_list_begun(self, connection: "DiscoveryConnection") -> None:
-        """The head of an answer that carries a list has arrived."""
+        """Called when the headers of an answer with status 200, which carries a list, are complete."""
 
     def on_answer(self, connection: "DiscoveryConnection", body: bytes) -> None:
-        """An answer with a list is complete."""
+        """Called when an answer with a list is complete."""
 
     def on_failure(self, connection: "DiscoveryConnection", reason: str, failure: PollFailure) -> None:
-        """The poll, or the dial for it, has failed."""
+        """Called when the poll, or the dial for the poll, has failed."""
 
     def flush(self) -> None:
-        """All callbacks of one I/O event have been made."""
+        """Called after all other callbacks of one I/O event."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """Dials service discovery, sends polls and reads their answers.
+    """Dials service discovery, sends polls and parses their answers.
 
     Attributes:
-        poll: The poll that was sent last; None before the first.
-        sent_at: When it was sent, in ms; 0 before the first.
-        retry_after_ms: The Retry-After of its answer; 0 for none.
-        lost: Whether the connection has ended or is about to.
+        poll: The last poll sent; None before the first.
+        sent_at: Time at which the last poll was sent, in ms; 0 before the first.
+        retry_after_ms: Retry-After of the answer to the last poll, in ms; 0 if there is none.
+        lost: Whether the connection has ended or is closing.
     """
 
     def __init__(self, address: str, observer: PollObserver) -> None:
@@ -103,22 +103,30 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another poll can be sent on it."""
+        """Whether another poll can be sent on this connection."""
         return self._transport is not None and not self.lost
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether the kernel holds bytes, or an end, that have not been read."""
+        """Whether bytes, or the end of the connection, are waiting unread in the kernel."""
         return self._transport is not None and not self.lost and has_unread_input(self._transport)
 
     def dial(self) -> None:
-        """Start to connect; the observer is notified of the result."""
+        """Starts to connect; the observer is notified of the result."""
         self._dial_task = asyncio.get_running_loop().create_task(self._dial())
 
     def send(self, poll: Poll, now: float) -> None:
-        """Send a poll on the established connection; ``now`` in ms."""
+        """Sends a poll.
+
+        Args:
+            poll: The poll.
+            now: The current time in ms.
+
+        Raises:
+            ConnectionError: The connection is not established.
+        """
         if self._transport is None:
-            msg = f"no connection to {self._address} is established: dial it first"
+            msg = f"connection to {self._address} is not established: call dial() first"
             raise ConnectionError(msg)
         self.poll = poll
         self.sent_at = now
@@ -130,7 +138,7 @@
         self._transport.write(http.request(b"GET", poll.target, self._address, [], b""))
 
     def close(self) -> None:
-        """Abort the connection, or the dial."""
+        """Aborts the connection or the dial."""
         if self._transport is not None:
             self._transport.abort()
         elif self._dial_task is not None:
@@ -147,20 +155,22 @@
     # -- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notify the owner, which sends the poll."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport has its interface, not its type
+        """Notifies the observer, which sends the poll."""
+        self._transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transport implements the interface without being a subclass
         self._observer.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of an answer."""
+        """Parses bytes of an answer."""
         try:
             self._parse(data)
-        except Exception as error:  # whatever the other side sends must end no more than the poll
+        except Exception as error:  # invalid data from the other side must fail only the poll
             self._observer.on_failure(self, repr(error.__context__ or error), PollFailure.INVALID_ANSWER)
         self._observer.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the poll that is unanswered, if there is one."""
+        """Reports the failure of the unanswered poll, if there is one."""
         self.lost = True
         if self._parser is not None:
             self._observer.on_failure(self, f"connection lost: {exc}", PollFailure.CONNECTION_LOST)
@@ -168,7 +178,7 @@
 
     def _parse(self, data: bytes) -> None:
         if self._parser is None:
-            msg = "an answer came without a poll"
+            msg = "received data although no poll is waiting for an answer"
             raise EndpointListError(msg)
         if not self._answer_begun:
             self._answer_begun = True
@@ -178,33 +188,33 @@
     # -- httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read Retry-After."""
+        """Reads the Retry-After header."""
         if name.lower() != b"retry-after":
             return
         try:
             self.retry_after_ms = max(0.0, min(MAX_RETRY_AFTER_MS, 1000 * float(value)))
         except ValueError:
-            self.retry_after_ms = 0.0  # a date, or no time at all
+            self.retry_after_ms = 0.0  # an HTTP date or an invalid value
 
     def on_headers_complete(self) -> None:
-        """Notify the owner of a list that begins."""
+        """Notifies the observer when an answer with a list begins."""
         if self._parser.get_status_code() == 200:
             self._observer.on_list_begun(self)
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body.
+        """Collects the body.
 
         Raises:
-            EndpointListError: It is larger than ``MAX_LIST_BYTES``.
+            EndpointListError: The body is larger than ``MAX_LIST_BYTES``.
         """
         self._body_size += len(body)
         if self._body_size > MAX_LIST_BYTES:
-            msg = f"the list is larger than {MAX_LIST_BYTES} bytes"
+            msg = f"the answer is larger than {MAX_LIST_BYTES} bytes"
             raise EndpointListError(msg)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Report the answer."""
+        """Reports the complete answer, or its status as a failure."""
         status = self._parser.get_status_code()
         keep_alive = self._parser.should_keep_alive()
         self._parser = None
@@ -216,11 +226,11 @@
             return
         overloaded = status in OVERLOAD_STATUSES
         failure = PollFailure.REJECTED if overloaded else PollFailure.INVALID_ANSWER
-        self._observer.on_failure(self, f"status {status}", failure)
+        self._observer.on_failure(self, f"HTTP status {status}", failure)
 
 
 def _dial_failure(error: OSError) -> PollFailure:
-    """What a failed dial says of the other side; a failure of this machine says nothing of it."""
+    """Returns the kind of a dial failure; an error of this machine says nothing about service discovery."""
     if isinstance(error, ConnectionRefusedError):
         return PollFailure.REFUSED
     return PollFailure.UNREACHABLE if error.errno in UNREACHABLE_ERRNOS else PollFailure.CONNECTION_LOST
--- a/heronlug/discovery/endpoint_list.py
+++ b/heronlug/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reads and writes the endpoint list in the form of service discovery."""
+"""Converts endpoint lists from and to the JSON form of service discovery."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -10,20 +10,20 @@
 from heronlug.requests.model import ListedServer
 
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
-"""The protocol's words for the states of a server."""
+"""Server states by the ``lifecycle`` values of the protocol."""
 
 
 class EndpointListError(DiscoveryError, ValueError):
-    """An answer is no endpoint list; the list that is held stays."""
+    """Raised if an answer is not a valid endpoint list; the current list stays in use."""
 
 
 class EndpointList(NamedTuple):
-    """An endpoint list, or changes of one.
+    """A complete endpoint list, or the changes since an earlier version.
 
     Attributes:
-        version: The version that it leads to.
-        complete: Whether it names every server; else only those that have changed.
-        servers: The servers on it.
+        version: Version of the list once these entries are applied.
+        complete: Whether ``servers`` contains every server; otherwise only the changed ones.
+        servers: The listed servers.
     """
 
     version: int
@@ -32,22 +32,24 @@
 
 
 def read_list(table: Any, zones: list[str], kinds: list[str], to_clock: Callable[[float], float]) -> EndpointList:
-    """Read a decoded list, all of it or nothing: half a list would remove servers that are well.
+    """Parses a decoded endpoint list.
+
+    One invalid row makes the whole list invalid, because a partial list would remove healthy servers.
 
     Args:
         table: The decoded JSON.
-        zones: The names of the zones, in the order of their numbers.
-        kinds: The machine types, in the order of their numbers.
-        to_clock: Turns Unix time in ms into time on the caller's clock.
+        zones: Zone names, in the order of their numbers.
+        kinds: Machine types, in the order of their numbers.
+        to_clock: Converts Unix time in ms to time on the caller's clock.
 
     Raises:
-        EndpointListError: It is no endpoint list.
+        EndpointListError: ``table`` is not a valid endpoint list.
     """
     try:
         version = table["generation"]
         complete = table["reset"]
         if type(version) is not int or type(complete) is not bool:
-            msg = "generation or reset is of the wrong type"
+            msg = "generation must be an integer and reset a boolean"
             raise EndpointListError(msg)
         servers = [_read_server(row, zones, kinds, to_clock) for row in table["instances"]]
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -59,7 +61,15 @@
 def write_list(
     version: int, servers: list[ListedServer], zones: list[str], kinds: list[str], with_removed: bool = False
 ) -> dict[str, Any]:
-    """A complete list in the form that :func:`read_list` takes; ``with_removed`` keeps removed servers on it."""
+    """Returns a complete list in the form that :func:`read_list` accepts.
+
+    Args:
+        version: Version of the list.
+        servers: The servers to write.
+        zones: Zone names, in the order of their numbers.
+        kinds: Machine types, in the order of their numbers.
+        with_removed: Whether to include removed servers.
+    """
     lifecycle_names = {state: lifecycle for lifecycle, state in STATES.items()}
     rows = [
         {
@@ -84,7 +94,7 @@
     started_at = float(row.get("startedAtMs", 0))
     weight = float(row.get("weight", 1.0))
     if not (math.isfinite(started_at) and math.isfinite(weight)):
-        msg = "startedAtMs or weight is not finite"
+        msg = "startedAtMs and weight must be finite numbers"
         raise EndpointListError(msg)
     address = row["hostPort"]
     http.split_address(address)
@@ -96,10 +106,10 @@
         kind=_name_index(kinds, row.get("machineType")),
         cell=int(row.get("cell", 0)),
         weight=weight,
-        started_at=to_clock(started_at) if started_at else 0.0,  # 0 means long ago on every clock
+        started_at=to_clock(started_at) if started_at else 0.0,  # 0 means a start long ago on every clock
     )
 
 
 def _name_index(names: list[str], name: object) -> int:
-    """The number of a zone or machine type; an unknown one gets the number after the last."""
+    """Returns the number of a zone or machine type; an unknown name gets the number after the last."""
     return names.index(str(name)) if str(name) in names else len(names)
--- a/heronlug/discovery/errors.py
+++ b/heronlug/discovery/errors.py
@@ -1,5 +1,5 @@
-"""The base of this package's errors."""
+"""Defines the base class of the errors of service discovery."""
 
 
 class DiscoveryError(Exception):
-    """Something is wrong with service discovery or with a list of servers."""
+    """Base class of errors about service discovery, endpoint lists and their cache."""
--- a/heronlug/discovery/poll_failure.py
+++ b/heronlug/discovery/poll_failure.py
@@ -1,30 +1,30 @@
-"""How a poll of service discovery fails.  The pacer and the freshness of the list treat failures differently."""
+"""Classifies failed polls of service discovery, since polling and list freshness depend on the kind of failure."""
 
 from enum import Enum
 
 
 class PollFailure(Enum):
-    """How a poll failed; the values stand in the log."""
+    """Kinds of poll failures; the values are written to the log."""
 
     REJECTED = "turned away"
-    """Service discovery answered that it is overloaded."""
+    """Service discovery rejected the poll because of overload."""
 
     TIMED_OUT = "slow"
-    """No answer came in time."""
+    """The answer did not arrive within the timeout."""
 
     CONNECTION_LOST = "down"
-    """The connection broke, or this machine could not dial."""
+    """The connection was lost, or this machine failed to dial."""
 
     REFUSED = "refused"
-    """The other machine refused the dial: nothing listens there."""
+    """The other machine refused the dial, so no process listens on that port."""
 
     UNREACHABLE = "unreachable"
-    """Nothing replied to the dial."""
+    """The other machine did not reply to the dial."""
 
     INVALID_ANSWER = "bad"
-    """The answer is no endpoint list."""
+    """The answer is not a valid endpoint list."""
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether service discovery does not answer at all, so that polling it adds no load."""
+        """Whether service discovery does not respond at all, so that polling adds no load to it."""
         return self in (PollFailure.CONNECTION_LOST, PollFailure.REFUSED, PollFailure.UNREACHABLE)
--- a/heronlug/discovery/poll_pacing.py
+++ b/heronlug/discovery/poll_pacing.py
@@ -1,17 +1,18 @@
-"""When a dispatcher polls service discovery again, as one of many that poll the same service.
-
-Service discovery handles polls one after another, and one that it rejects costs it something too. A dispatcher sees of
-its load only how its own polls end. So after a poll that was rejected or timed out, the dispatcher waits for its slot:
-time is cut into rounds, the same for all since all read Unix time, and in each round a dispatcher has the slot that its
-position gives it. A round is as long as service discovery needs for the polls of all, by the estimated cost of a poll.
-Where the operators' file does not give that cost, it is a guess, which doubles with every third rejection in a row and
-never exceeds the time that an answer took.
-
-The usual way, in which each dispatcher doubles a random backoff for itself, needed more polls than this one wherever
-the two were compared: dispatchers that know nothing of each other go on colliding. ``docs/design/coldstart.md`` has the
+"""Decides when a dispatcher polls service discovery if many dispatchers poll the same service.
+
+Service discovery handles polls one after another, and a rejected poll costs some of its time too. A dispatcher can tell
+the load of service discovery only from the results of its own polls. After a poll that was rejected or timed out, the
+dispatcher therefore waits for its slot. Time is divided into rounds, which are the same for all dispatchers because all
+of them read Unix time, and the position of a dispatcher determines its slot in each round. A round is as long as
+service discovery needs for one poll (or two, without a list) of every dispatcher at the estimated cost of a poll. If
+the operators do not configure that cost, it is a guess, which doubles with every third rejection in a row and never
+exceeds the time that an answer took.
+
+The usual scheme, in which each dispatcher doubles a random backoff independently, needed more polls than this scheme in
+every comparison: dispatchers without knowledge of each other keep colliding. ``docs/design/coldstart.md`` has the
 figures.
 
-Times are in milliseconds of Unix time, as far as the dispatchers' clocks agree.
+Times are in milliseconds of Unix time, as far as the clocks of the dispatchers agree.
 """
 
 from collections.abc import Callable
@@ -20,55 +21,55 @@
 from heronlug.discovery.poll_failure import PollFailure
 
 GUESSED_COST_MS = 20.0
-"""What a poll is held to cost service discovery before anything is known."""
+"""Initial guess of the time that service discovery needs for a poll."""
 
 MAX_GUESSED_COST_MS = 8 * GUESSED_COST_MS
-"""The guess does not grow beyond this."""
+"""Upper bound of the guessed cost."""
 
 REJECTIONS_TO_DOUBLE = 3
-"""Failures in a row after which a rejection doubles the guess: rounds have few lengths, so that slots fit together."""
+"""Failures in a row after which a rejection doubles the guess; few distinct round lengths keep slots aligned."""
 
 MIN_RETRY_MS = 200.0
-"""The shortest time between a failed poll and the next."""
+"""Minimum time between a failed poll and the next poll."""
 
 MIN_ROUND_MS = 600.0
-"""The shortest round."""
+"""Minimum length of a round."""
 
 MAX_GUESSED_ROUND_MS = 20_000.0
-"""The longest round where the cost is a guess."""
+"""Maximum length of a round if the cost is guessed."""
 
 MAX_KNOWN_ROUND_MS = 120_000.0
-"""The longest round where the operators give the cost."""
+"""Maximum length of a round if the operators configure the cost."""
 
 MAX_UNAVAILABLE_ROUND_MS = 4_000.0
-"""The longest round that a growing backoff leads to."""
+"""Maximum length to which backoff extends a round."""
 
 MAX_BACKOFF_DOUBLINGS = 8
-"""The backoff is not doubled more often; ``MAX_UNAVAILABLE_ROUND_MS`` limits it before."""
+"""Bound of the exponent; the backoff reaches ``MAX_UNAVAILABLE_ROUND_MS`` earlier."""
 
 MIN_POLL_WAIT_MS = 20_000.0
-"""The shortest time that a poll waits for a change, in ms."""
+"""Lower bound of the time that a poll waits for a change, in ms."""
 
 MAX_POLL_WAIT_MS = 60_000.0
-"""The longest time that a poll waits for a change, in ms; the protocol allows no more."""
+"""Upper bound of the time that a poll waits for a change, in ms; the maximum that the protocol allows."""
 
 RENEWAL_SHARE = 0.25
-"""Share of service discovery's capacity that may go into polls that end without a change."""
+"""Fraction of the capacity of service discovery that polls ending without a change may use."""
 
 ANSWER_TIMEOUT_MS = 3_000.0
-"""For an answer that does not wait for a change, at first."""
+"""Initial timeout of a poll that does not wait for a change."""
 
 MAX_ANSWER_TIMEOUT_MS = 12_000.0
-"""The timeout does not grow beyond this."""
+"""Upper bound of the timeout of a poll that does not wait for a change."""
 
 
 class PollTerms(NamedTuple):
-    """What is known of the dispatchers that poll.
+    """The polling dispatchers and the cost of their polls.
 
     Attributes:
-        dispatchers: How many poll for themselves.
-        position: This one's number among them, from 0.
-        cost_ms: What a poll costs service discovery; None where the operators do not say.
+        dispatchers: Number of dispatchers that poll for themselves.
+        position: Index of this dispatcher among them, from 0.
+        cost_ms: Time that service discovery needs for a poll; None if the operators do not configure it.
     """
 
     dispatchers: int = 1
@@ -80,14 +81,14 @@
     """Paces the polls of one dispatcher.
 
     Attributes:
-        terms: What is known of the dispatchers that poll.
-        cost_ms: The estimated cost of a poll.
-        answer_timeout: How long, in ms, an answer may take that does not wait for a change.
-        failures_in_row: Polls that have failed since the last answer.
+        terms: The polling dispatchers and the configured cost of their polls.
+        cost_ms: Configured or guessed time that service discovery needs for a poll.
+        answer_timeout: Timeout in ms of a poll that does not wait for a change.
+        failures_in_row: Number of polls that have failed since the last answer.
     """
 
     def __init__(self, terms: PollTerms, draw: Callable[[], float]) -> None:
-        """``draw`` returns a random number from 0 to 1: the place within a slot."""
+        """Creates a pacer; ``draw`` returns a random number from 0 to 1, which selects the time within a slot."""
         self.terms = terms
         self.cost_ms = terms.cost_ms or GUESSED_COST_MS
         self.answer_timeout = ANSWER_TIMEOUT_MS
@@ -96,33 +97,33 @@
 
     @property
     def poll_wait(self) -> float:
-        """How long, in ms, a poll waits for a change: the longer, the more dispatchers there are."""
+        """The time, in ms, that a poll waits for a change; increases with the number of dispatchers."""
         return max(MIN_POLL_WAIT_MS, min(MAX_POLL_WAIT_MS, self.terms.dispatchers * self.cost_ms / RENEWAL_SHARE))
 
     def first_poll_at(self, now: float, has_list: bool) -> float:
-        """When the first poll may be sent: in this dispatcher's slot if the cost is known, else at once."""
+        """Returns the time of the first poll: in this dispatcher's slot if the cost is configured, else ``now``."""
         if self.terms.cost_ms is None or self.terms.dispatchers == 1:
             return now
         return self._next_slot_time(now, self._round_length(has_list))
 
     def on_answer(self, answer_time: float) -> None:
-        """A poll that did not wait for a change was answered after ``answer_time`` ms."""
+        """Records that a poll without a wait was answered after ``answer_time`` ms."""
         self.failures_in_row = 0
         self.answer_timeout = max(ANSWER_TIMEOUT_MS, min(self.answer_timeout, 2 * answer_time))
         if self.terms.cost_ms is None:
             self.cost_ms = min(self.cost_ms, max(1.0, answer_time))
 
     def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
-        """When the next poll may be sent after one that failed.
+        """Records a failed poll and returns the time, in ms, at which the next one may be sent.
 
         Args:
-            now: The time, in ms.
-            failure: How it failed.
-            has_list: Whether there is a list, so that one poll is enough.
-            retry_after: What service discovery asked to wait, in ms.
+            now: The current time, in ms.
+            failure: The kind of failure.
+            has_list: Whether the dispatcher has a list, so that one poll is enough.
+            retry_after: Minimum wait requested by service discovery, in ms; 0 for none.
         """
         self.failures_in_row += 1
-        if failure is PollFailure.TIMED_OUT:  # waiting longer costs less than another poll that times out
+        if failure is PollFailure.TIMED_OUT:  # a longer timeout costs less than another poll that times out
             self.answer_timeout = min(MAX_ANSWER_TIMEOUT_MS, 2 * self.answer_timeout)
         round_length = self._round_length(has_list)
         cost_is_guessed = self.terms.cost_ms is None
@@ -137,13 +138,13 @@
         return min(MAX_UNAVAILABLE_ROUND_MS, MIN_ROUND_MS * 2.0**doublings)
 
     def _round_length(self, has_list: bool) -> float:
-        """How long, in ms, service discovery needs for the polls of all."""
+        """Returns the time, in ms, that service discovery needs for the polls of all dispatchers."""
         polls_needed = self.terms.dispatchers * (1 if has_list else 2)
         longest_round = MAX_GUESSED_ROUND_MS if self.terms.cost_ms is None else MAX_KNOWN_ROUND_MS
         return max(MIN_ROUND_MS, min(longest_round, polls_needed * self.cost_ms))
 
     def _next_slot_time(self, now: float, round_length: float) -> float:
-        """A random moment of this dispatcher's next slot, so that the same two do not always collide."""
+        """Returns a random time in this dispatcher's next slot, so that no two dispatchers collide repeatedly."""
         if self.terms.dispatchers == 1:
             return now + round_length * (0.5 + 0.5 * self._draw())
         slot_length = round_length / self.terms.dispatchers
--- a/heronlug/discovery/reader_election.py
+++ b/heronlug/discovery/reader_election.py
@@ -1,24 +1,27 @@
-"""Which members of a cluster poll service discovery, from the start on and through its outages.
-
-One reader serves all. Once there is a lease, its holder reads. A lease needs a settled list of members, which a fleet
-that starts at once does not have for seconds. So until then, and whenever no reader is heard, a few members read
-without a lease, chosen without agreement: each member takes its rank among the members that it knows, and the first
-ranks begin first. A reader announces itself before its first answer has come, which holds the others back. A reader
-whose watch has failed goes on announcing that it tries: the others keep the list that they have, and one of them a
-second, in rotation, checks whether it can reach service discovery.
-
-So a member has one of four roles:
-
-    role    | when                                        | what it does
-    listen  | no reader is heard, and its time has not    | keeps its list
-            | come                                        |
-    follow  | another reads, and its list is not outdated | uses the shared list; ends its own watch after
-            |                                             | ``STEP_DOWN_AFTER_MS``
-    wait    | another tries in vain                       | keeps its list; polls once when it is next in rotation
-    read    | it holds the lease, or its time has come    | watches service discovery and shares the list
-
-A member uses a list whose reader it has heard within ``stale_after``. Otherwise it reads itself at the latest
-``MAX_EXTRA_WAIT_MS`` after that, unless no member can reach service discovery. Times are in milliseconds.
+"""Decides which members of a cluster poll service discovery, at the start and during outages.
+
+One reader polls for the whole cluster. Once a lease exists, the lease holder is the reader. A lease requires a stable
+list of members, which a fleet that starts all at once lacks for some seconds. Until then, and whenever no reader
+announces itself, a few members read without a lease and without an agreement: each member computes its rank among the
+members that it knows, and the lowest ranks start first. A reader announces itself before its first answer has arrived,
+so that other members do not start. A reader whose watch has failed keeps announcing its attempts: the other members
+keep their lists, and each second one of them, in rotation, checks whether it can reach service discovery.
+
+A member has one of four roles:
+
+    role    | condition                                   | behavior
+    listen  | no reader announces itself, and the         | keeps its list
+            | required silence is not over                |
+    follow  | another member reads, and its list is not   | uses the shared list; ends its own watch after
+            | outdated                                    | ``STEP_DOWN_AFTER_MS``
+    wait    | the attempts of another member fail         | keeps its list; polls once in its turn of the rotation
+    read    | holds the lease, or the required silence    | watches service discovery and shares the list
+            | is over                                     |
+
+A member uses a shared list while the last message from the reader is at most ``stale_after`` old. Otherwise the member
+starts to read at most ``MAX_EXTRA_WAIT_MS`` later, unless no member can reach service discovery.
+
+Times are in milliseconds.
 """
 
 from collections.abc import Iterable
@@ -27,34 +30,35 @@
 from typing import NamedTuple
 
 START_WAIT_MS = 400.0
-"""A new member listens for so long before the first ranks read."""
+"""Silence after the start of a member after which the lowest ranks read."""
 
 STANDBY_WAIT_MS = 1000.0
-"""After so much silence of a reader that was heard the first ranks read."""
+"""Silence of a known reader after which the lowest ranks read."""
 
 RANK_STEP_MS = 300.0
-"""Two more ranks read after so much more silence."""
+"""Additional silence after which the next ``RANKS_PER_STEP`` ranks read."""
 
 RANKS_PER_STEP = 2
+"""Number of ranks that start to read after the same silence."""
 
 MAX_EXTRA_WAIT_MS = 500.0
-"""No member waits longer than this after its list has become stale."""
+"""Maximum time that a member waits after its list has become stale."""
 
 LATE_RANK_STEP_MS = 25.0
-"""Between two of the ranks that would otherwise come too late."""
+"""Additional silence per rank for ranks that would otherwise start after their list is stale."""
 
 MAX_ISOLATED_WAIT_MS = 1200.0
-"""A member that hears nobody although it has seeds waits up to so much longer, at random."""
+"""Upper bound of the random extra wait of a member that has seeds but does not know any other member."""
 
 STEP_DOWN_AFTER_MS = 3000.0
-"""Another reader must have been heard for so long before a member ends its own watch."""
+"""Time for which another reader must have been active before a member ends its own watch."""
 
 ROTATION_MS = 1000.0
-"""While a reader tries in vain, one other member polls in each such interval, another one each time."""
+"""Turn length of the rotation: while the polls of a reader fail, another member polls in each turn."""
 
 
 class Role(Enum):
-    """What a member does about service discovery; the values stand in the log."""
+    """Roles of a member in the reading of service discovery; the values are written to the log."""
 
     LISTEN = "listen"
     FOLLOW = "follow"
@@ -63,12 +67,12 @@
 
 
 class SharedListStatus(NamedTuple):
-    """A shared list, as its writer was last heard.
+    """State of a shared list in the last message from its writer.
 
     Attributes:
-        age: Time since then, in ms.
+        age: Time since that message, in ms.
         watched: Whether the writer has an open watch.
-        outdated: Whether the list has a version below one that this member has seen.
+        outdated: Whether this member has already seen a newer version of the list.
     """
 
     age: float
@@ -77,11 +81,11 @@
 
 
 class MemberPosition(NamedTuple):
-    """A member's position among the members that it knows.
+    """The position of a member among the members that it knows.
 
     Attributes:
-        rank: Its number in the order in which they begin to read, from 0.
-        others: How many other members it knows.
+        rank: Index in the order in which the members start to read, from 0.
+        others: Number of other known members.
     """
 
     rank: int
@@ -92,17 +96,17 @@
     """Decides the role of one member.
 
     Attributes:
-        stale_after: A list whose writer has been silent for so long is stale, in ms.
-        role: The member's role.
+        stale_after: Silence of the writer, in ms, after which a shared list is stale.
+        role: The current role of the member.
     """
 
     def __init__(self, stale_after: float, seeds: int, draw: float) -> None:
-        """Begin as a listener.
+        """Starts in the role ``LISTEN``.
 
         Args:
-            stale_after: A list whose writer has been silent for so long is stale, in ms.
-            seeds: How many seeds of the cluster the member has.
-            draw: A random number from 0 to 1, which spreads the members that hear nobody.
+            stale_after: Silence of the writer, in ms, after which a shared list is stale.
+            seeds: Number of configured seeds of the cluster.
+            draw: A random number from 0 to 1, which spreads the first polls of members without known peers.
         """
         self.stale_after = stale_after
         self.role = Role.LISTEN
@@ -120,14 +124,14 @@
         shared_lists: Iterable[SharedListStatus],
         watching: bool,
     ) -> Role:
-        """Decide the role from now on.
+        """Decides and returns the role from now on.
 
         Args:
-            now: The time, in ms.
-            holds_lease: Whether the member holds the lease.
-            position: Its position among the members.
-            shared_lists: The lists that others share.
-            watching: Whether its own watch is open and has brought a list.
+            now: The current time, in ms.
+            holds_lease: Whether this member holds the lease.
+            position: Position of this member among the members.
+            shared_lists: States of the lists that other members share.
+            watching: Whether this member's own watch is open and has returned a list.
         """
         if self._started_at is None:
             self._started_at = now
@@ -149,7 +153,7 @@
     ) -> Role:
         if holds_lease:
             return Role.READ
-        if watching:  # a list of its own is worth more than one that it would have to trust
+        if watching:  # a list from the member's own watch is more reliable than a shared one
             steps_down = self._other_reads_since is not None and now - self._other_reads_since >= STEP_DOWN_AFTER_MS
             return Role.FOLLOW if steps_down else Role.READ
         if self._silence(now, reader_age, failing_age) >= self._required_silence(
@@ -163,12 +167,12 @@
         return Role.LISTEN
 
     def _silence(self, now: float, reader_age: float, failing_age: float) -> float:
-        """Time since a writer was heard, or since the start if none ever was, in ms."""
+        """Returns the time, in ms, since the last message from a writer, or since the start if there was none."""
         age = min(reader_age, failing_age)
         return age if age < inf or self._started_at is None else now - self._started_at
 
     def _claim_turn(self, now: float, position: MemberPosition) -> bool:
-        """Whether this member is next in the rotation, and has not polled in this turn."""
+        """Returns whether this member may poll in the current turn of the rotation, and marks the turn as used."""
         turn = int((now - self._other_fails_since) / ROTATION_MS)
         if turn <= self._last_turn or turn % (position.others + 1) != position.rank:
             return False
@@ -176,7 +180,7 @@
         return True
 
     def _update_reader_times(self, now: float, reader_age: float, failing_age: float) -> None:
-        """Note since when another member reads, or tries in vain."""
+        """Updates the times since which another member reads and since which the polls of another member fail."""
         if reader_age > self.stale_after:
             self._other_reads_since = None
         elif self._other_reads_since is None:
@@ -188,7 +192,7 @@
             self._last_turn = 0
 
     def _required_silence(self, position: MemberPosition, heard_nobody: bool) -> float:
-        """The silence, in ms, after which this member reads; shorter at a start, when there may be no list to use."""
+        """Returns the silence, in ms, after which this member reads; shorter at a start, when a list may be missing."""
         first_wait = START_WAIT_MS if heard_nobody else STANDBY_WAIT_MS
         if heard_nobody and not position.others:
             return first_wait + self._isolated_wait
--- a/heronlug/discovery/staleness.py
+++ b/heronlug/discovery/staleness.py
@@ -1,4 +1,4 @@
-"""Reports when the endpoint list becomes too old to be used, and when it may be used again."""
+"""Reports when the endpoint list becomes stale and when the list may be used again."""
 
 import math
 from collections.abc import Callable
@@ -9,14 +9,14 @@
 
 
 class StalenessMonitor:
-    """Runs the clock of a :class:`~heronlug.discovery.freshness.Freshness`.
+    """Sets the timer of a :class:`~heronlug.discovery.freshness.Freshness` and reports and logs its changes.
 
     Attributes:
-        on_usable_change: Called with whether the list may be used; None where nobody wants to know.
-        polls: Whether there is an address to poll; without one the list never becomes stale.
-        answered_at: When the last answer came, in ms; minus infinity before the first.
-        report_next_answer: The next answer is reported even if it brings no change, because the list was stale
-            or the watch is new.
+        on_usable_change: Called with whether the list may be used; None if the age of the list is not limited.
+        has_address: Whether service discovery has an address; without an address the list never becomes stale.
+        answered_at: Time of the last answer, in ms; minus infinity before the first answer.
+        report_next_answer: Whether the next answer is reported even if it contains no change, because the list was
+            stale or the watch is new.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
 
     @property
     def is_overdue(self) -> bool:
-        """Whether the list has become stale and the timer that reports so has not run yet."""
+        """Whether the list has become stale and the timer that reports this has not fired yet."""
         return self._timer is not None and self._deadlines.clock() >= self._freshness.usable_until
 
     def apply(self, event: FreshnessEvent) -> None:
-        """Take in what became of a poll: the list may be usable for a longer or for a shorter time."""
+        """Applies an event, which may extend or shorten the time for which the list is usable."""
         freshness = self._freshness
         now = self._deadlines.clock()
         before = freshness.state
@@ -62,12 +62,12 @@
             )
         self.reset_timer()
         became_usable = not was_usable and now < freshness.usable_until
-        # An answer makes the list usable through the update that it brings.
+        # After an answer, the update of the list itself makes the list usable.
         if self.on_usable_change is not None and became_usable and event is not FreshnessEvent.ANSWERED:
             self.on_usable_change(True)
 
     def reset_timer(self) -> None:
-        """Set the timer to the moment at which the list becomes stale."""
+        """Sets the timer to the time at which the list becomes stale."""
         self.cancel()
         if self.on_usable_change is None or not self.has_address:
             return
@@ -80,7 +80,7 @@
             self._timer = self._deadlines.call_at(usable_until, self._report_stale)
 
     def cancel(self) -> None:
-        """Stop the timer."""
+        """Stops the timer."""
         self._deadlines.cancel(self._timer)
         self._timer = None
 
--- a/heronlug/discovery/watch_state.py
+++ b/heronlug/discovery/watch_state.py
@@ -1,35 +1,35 @@
-"""The states of the watch on service discovery, and the one table by which they change."""
+"""Defines the states of the watch on service discovery and the table of their transitions."""
 
 from enum import Enum, auto
 
 
 class WatchState(Enum):
-    """Whether service discovery is polled."""
+    """States of the watch."""
 
     NEW = auto()
-    """No poll has been planned yet; a pacer may delay the first."""
+    """No poll has been scheduled yet; a pacer may delay the first one."""
 
     IDLE = auto()
-    """Nothing is polled until somebody subscribes."""
+    """No poll is sent until the next subscription."""
 
     SCHEDULED = auto()
-    """The next poll is planned."""
+    """The next poll is scheduled."""
 
     OPEN = auto()
-    """A poll is in flight, or the dial for it."""
+    """A poll, or the dial for a poll, is in progress."""
 
 
 class WatchEvent(Enum):
-    """What changes the state of the watch."""
+    """Events that change the state of the watch."""
 
     SCHEDULE = auto()
-    """The next poll is put off to a planned time."""
+    """The next poll is scheduled for a later time."""
 
     OPEN = auto()
-    """The watch begins."""
+    """The watch starts."""
 
     CLOSE = auto()
-    """The watch has failed, or was stopped."""
+    """The watch has failed or was stopped."""
 
 
 TRANSITIONS: dict[tuple[WatchState, WatchEvent], WatchState] = {
@@ -41,9 +41,9 @@
     (WatchState.SCHEDULED, WatchEvent.CLOSE): WatchState.IDLE,
     (WatchState.OPEN, WatchEvent.CLOSE): WatchState.IDLE,
 }
-"""The state that follows; every other event leaves the state as it is."""
+"""Next state by state and event; any pair not listed leaves the state unchanged."""
 
 
 def next_state(state: WatchState, event: WatchEvent) -> WatchState:
-    """The state after an event."""
+    """Returns the state after an event."""
     return TRANSITIONS.get((state, event), state)
--- a/heronlug/net/__init__.py
+++ b/heronlug/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and HTTP/1.1, as the frontends, the backends and service discovery share them."""
+"""Provides the sockets and HTTP/1.1 functions shared by the frontends, the backends and service discovery."""
--- a/heronlug/net/acceptor.py
+++ b/heronlug/net/acceptor.py
@@ -1,8 +1,8 @@
-"""Accepts connections so that those that cannot be accepted now stay in the listening socket's queue.
+"""Accepts connections, and leaves connections that cannot be accepted yet in the queue of the listening socket.
 
-The event loop's own server, when no descriptor is left, frees a spare one, accepts the waiting connections and closes
-them: requests that have reached the machine get no answer. Here, an accept that fails for want of a resource leaves the
-queue as it is, and is retried after a backoff that doubles up to a bound.
+The server of the event loop frees a spare descriptor when no descriptor is left, accepts the waiting connections and
+closes them, so requests that have reached the machine get no answer. Here, an accept that fails for lack of a resource
+leaves the queue unchanged and is retried after a backoff that doubles up to a bound.
 """
 
 import asyncio
@@ -13,48 +13,48 @@
 from heronlug.requests.interfaces import EventLog
 
 BATCH_SIZE = 64
-"""Connections accepted in one turn of the loop; the rest wait for the next one."""
+"""Maximum number of connections accepted per iteration of the event loop."""
 
 INITIAL_BACKOFF_S = 0.005
-"""Time until accept is tried again after its first failure."""
+"""Delay before accept is retried after its first failure."""
 
 MAX_BACKOFF_S = 0.1
-"""The longest time until accept is tried again."""
+"""Maximum delay before accept is retried."""
 
 LOG_INTERVAL_S = 1.0
-"""Time between two log lines of failures."""
+"""Minimum time between two logged failures."""
 
 EXHAUSTED_AFTER_S = 0.5
-"""Time without a free descriptor after which a connection is to be evicted."""
+"""Time without a free descriptor after which a connection is evicted."""
 
 DESCRIPTOR_ERRORS = frozenset({errno.EMFILE, errno.ENFILE})
-"""No descriptor is left, in the process or in the system."""
+"""Errors that report that the process or the system has no free descriptor."""
 
 RESOURCE_ERRORS = DESCRIPTOR_ERRORS | {errno.ENOBUFS, errno.ENOMEM}
-"""Something is lacking that the system may have again soon."""
+"""Errors that report the lack of a resource that may soon be available again."""
 
 LISTENER_ERRORS = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTSOCK})
-"""The socket does not listen any more."""
+"""Errors that report that the socket no longer listens."""
 
 ProtocolFactory = Callable[[], asyncio.Protocol]
-"""Makes the protocol of a new connection."""
+"""Creates the protocol of a new connection."""
 
 
 def do_nothing() -> None:
-    """Evict nothing."""
+    """Does not evict any connection; the default of :attr:`Acceptor.on_exhausted`."""
 
 
 class Acceptor:
-    """Accepts connections from one listening socket, which it does not own.
+    """Accepts connections from one listening socket, which the caller owns and closes.
 
     Attributes:
-        name: whose connections these are, for the log.
-        failures: calls of accept that failed, since the start.
-        on_exhausted: asked to close a connection when descriptors stay exhausted.
+        name: Name of the listener in the log.
+        failures: Number of failed calls of accept since the start.
+        on_exhausted: Called to evict a connection while no descriptor has been free for ``EXHAUSTED_AFTER_S``.
     """
 
     def __init__(self, name: str, protocol_factory: ProtocolFactory, log: EventLog) -> None:
-        """Make an acceptor that does not accept yet."""
+        """Creates an acceptor that does not accept connections yet."""
         self.name = name
         self.failures = 0
         self.on_exhausted: Callable[[], None] = do_nothing
@@ -69,22 +69,22 @@
 
     @property
     def active(self) -> bool:
-        """Whether connections are accepted."""
+        """Whether the acceptor accepts connections."""
         return self._socket is not None
 
     @property
     def opening(self) -> int:
-        """The number of connections that have been accepted and have no protocol yet."""
+        """The number of accepted connections that have no protocol yet."""
         return len(self._opening)
 
     def start(self, listening_socket: socket.socket) -> None:
-        """Accept the connections of this socket."""
+        """Starts to accept connections from this socket."""
         listening_socket.setblocking(False)
         self._socket = listening_socket
         self._watch_socket()
 
     def stop(self) -> None:
-        """Accept no more; connections that have been accepted are still opened."""
+        """Stops accepting; connections that are already accepted are still opened."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         elif self._socket is not None:
@@ -98,7 +98,7 @@
             asyncio.get_running_loop().add_reader(self._socket, self._accept_batch, self._socket)
 
     def _accept_batch(self, listening_socket: socket.socket) -> None:
-        """Accept what waits in the queue, up to one batch."""
+        """Accepts queued connections, up to ``BATCH_SIZE``; the rest wait for the next iteration of the loop."""
         for _ in range(BATCH_SIZE):
             try:
                 connection, _ = listening_socket.accept()
@@ -109,7 +109,7 @@
                 if error.errno in RESOURCE_ERRORS or error.errno in LISTENER_ERRORS:
                     self._back_off(listening_socket, error)
                     return
-                continue  # this connection ended while it waited; the next one may be well
+                continue  # this connection ended in the queue; the next one may still be open
             self._backoff_s = INITIAL_BACKOFF_S
             self._exhausted_since = None
             self._open(connection)
@@ -130,7 +130,7 @@
             self._log("accept_failed", listener=self.name, error=code, failures=self.failures)
 
     def _back_off(self, listening_socket: socket.socket, error: OSError) -> None:
-        """Leave the queue alone for a while, so that the loop does not spin on it."""
+        """Stops watching the socket until the backoff is over, so that failing accepts do not keep the loop busy."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(listening_socket)
         if error.errno in DESCRIPTOR_ERRORS:
--- a/heronlug/net/background.py
+++ b/heronlug/net/background.py
@@ -1,4 +1,4 @@
-"""Runs work in a thread that gives the interpreter back often, so that the event loop is never late by much."""
+"""Runs work in a thread that yields the interpreter often, so that the event loop is delayed only briefly."""
 
 import asyncio
 import gc
@@ -9,17 +9,17 @@
 Result = TypeVar("Result")
 
 SWITCH_INTERVAL_S = 0.0003
-"""Seconds after which a thread gives the interpreter back to the loop; by default that takes 5 ms."""
+"""Time after which a thread yields the interpreter to the event loop; the default of Python is 5 ms."""
 
 _DEFAULT_SWITCH_INTERVAL_S = sys.getswitchinterval()
 _active_calls = 0
 
 
 async def run_in_background(work: Callable[..., Result], *args: object) -> Result:
-    """Return or raise what the work does; the loop waits for one switch interval at most, each time it has to run.
+    """Runs ``work(*args)`` in a thread and returns its result, or raises its exception.
 
-    Garbage collection waits until the work is done: what it allocates would have all open requests searched again and
-    again.
+    Each time the event loop has to run, it waits at most ``SWITCH_INTERVAL_S`` for the thread. Garbage collection is
+    off until the work is done, because the allocations of the work would trigger repeated scans of all open requests.
     """
     global _active_calls
     if not _active_calls:
--- a/heronlug/net/connection_state.py
+++ b/heronlug/net/connection_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection before anything is read from it, and an end of sending without delay."""
+"""Queries the kernel for unread events of a connection, and shuts down its sending side without delay."""
 
 import asyncio
 import select
@@ -6,26 +6,26 @@
 from contextlib import suppress
 
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-"""Events of a connection whose other side has ended its sending, or reset it."""
+"""Poll events that report that the other side has shut down its sending side or reset the connection."""
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
-    """Whether the other side has ended its sending or reset the connection, even behind bytes not read yet."""
+    """Returns whether the other side has ended sending or reset the connection, even if unread bytes remain."""
     return transport.is_closing() or bool(_ready_events(_descriptor(transport), select.POLLRDHUP) & PEER_CLOSED_EVENTS)
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Whether bytes, or the end of the connection, can be read."""
+    """Returns whether bytes, or the end of the connection, can be read."""
     return transport.is_closing() or bool(_ready_events(_descriptor(transport), select.POLLIN | select.POLLRDHUP))
 
 
 def has_pending_connection(listening_fd: int) -> bool:
-    """Whether a connection can be accepted from a listening socket; never for the descriptor -1."""
+    """Returns whether a connection can be accepted from a listening socket; False for the descriptor -1."""
     return listening_fd >= 0 and bool(_ready_events(listening_fd, select.POLLIN) & select.POLLIN)
 
 
 def shutdown_sending(transport: asyncio.Transport) -> None:
-    """End our sending at once: a transport's close takes effect only in the loop's next turn."""
+    """Shuts down sending immediately; ``close`` of a transport takes effect only in the next loop iteration."""
     if transport.is_closing():
         return
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=_descriptor(transport))
@@ -37,7 +37,7 @@
 
 
 def _ready_events(descriptor: int, events: int) -> int:
-    """The events that a descriptor has now."""
+    """Returns those of ``events`` that a descriptor has now, with any error or hang-up; 0 if there are none."""
     poller = select.poll()
     poller.register(descriptor, events)
     return next((ready for _, ready in poller.poll(0)), 0)
--- a/heronlug/net/http.py
+++ b/heronlug/net/http.py
@@ -1,15 +1,15 @@
-"""Pieces of HTTP/1.1 without I/O that the frontend, the backends and service discovery share."""
+"""Provides HTTP/1.1 functions without I/O for the frontend, the backends and service discovery."""
 
 from urllib.parse import unquote_to_bytes
 
 MAX_BODY = 64 * 1024
-"""Bytes of the largest body of a request."""
+"""Maximum size of the body of a request, in bytes."""
 
 MAX_HEAD = 16 * 1024
-"""Bytes of the largest head of a request: its first line and its headers."""
+"""Maximum size of the request line and the headers together, in bytes."""
 
 MAX_LINE = 256 * 1024
-"""Bytes of the longest line that :class:`Lines` takes."""
+"""Maximum length of a line in :class:`Lines`, in bytes."""
 
 REASONS = {
     200: "OK",
@@ -25,17 +25,17 @@
     501: "Not Implemented",
     503: "Service Unavailable",
 }
-"""The reason phrase of each status that is sent."""
+"""Reason phrases of the statuses that are sent."""
 
 
 def response(status: int, body: bytes = b"", *, close: bool = False, retry_after: float = 0.0) -> bytes:
-    """A complete response.
+    """Returns a complete response.
 
     Args:
-        status: its status, one of ``REASONS``.
-        body: its body.
-        close: the connection ends with it.
-        retry_after: milliseconds until the client may retry, 0 for no such header.
+        status: The status, a key of ``REASONS``.
+        body: The body.
+        close: Whether the connection is closed after the response.
+        retry_after: Time in ms until the client may retry; 0 for no ``Retry-After`` header.
     """
     head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n"
     if retry_after > 0:
@@ -46,7 +46,7 @@
 
 
 def request(method: bytes, target: bytes, host: str, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A complete request."""
+    """Returns a complete request, with ``Content-Length`` for every body and every POST."""
     lines = [method + b" " + target + b" HTTP/1.1", b"Host: " + host.encode()]
     lines += [name + b": " + value for name, value in headers]
     if body or method == b"POST":
@@ -55,26 +55,26 @@
 
 
 def first_segment(target: bytes) -> str:
-    """The first segment of a path, decoded and without the query."""
+    """Returns the first segment of a path, decoded and without the query."""
     path = target.split(b"?", 1)[0]
     return unquote_to_bytes(path.lstrip(b"/").split(b"/", 1)[0]).decode("utf-8", "replace")
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of an address like ``10.0.0.4:8081``.
+    """Returns host and port of an address such as ``10.0.0.4:8081`` or ``[::1]:8081``.
 
     Raises:
-        ValueError: it is not of that form.
+        ValueError: ``text`` does not have the form host:port, or the port is not between 1 and 65535.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        msg = f"{text!r} is no address of the form host:port"
+        msg = f"{text!r} contains no address of the form host:port with a port from 1 to 65535"
         raise ValueError(msg)
     return host.strip("[]"), int(port)
 
 
 class Lines:
-    """Splits chunks that may end anywhere into lines."""
+    """Splits a stream of chunks of any length into lines."""
 
     __slots__ = ("_partial_line",)
 
@@ -82,23 +82,23 @@
         self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that a chunk completes, without empty ones.
+        """Returns the lines that a chunk completes, without blank lines.
 
         Raises:
-            ValueError: a line is longer than ``MAX_LINE``.
+            ValueError: The line that is still incomplete is longer than ``MAX_LINE``.
         """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) > MAX_LINE:
-            msg = "line too long"
+            msg = f"line is longer than {MAX_LINE} bytes"
             raise ValueError(msg)
         return [line for line in lines if line.strip()]
 
     @property
     def has_partial_line(self) -> bool:
-        """Whether a line has begun and is not complete."""
+        """Whether an incomplete line has been received."""
         return bool(self._partial_line)
 
     def end(self) -> list[bytes]:
-        """The last line, which may lack its end, once no more chunks come."""
+        """Returns the last line, which may lack its newline, after the last chunk; an empty list if there is none."""
         remainder, self._partial_line = self._partial_line, b""
         return [remainder] if remainder.strip() else []
--- a/heronlug/net/listener.py
+++ b/heronlug/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: bound here, or shared with the process before or after this one."""
+"""Manages a listening socket that is bound here or shared with another process during a hot restart."""
 
 import os
 import socket
@@ -7,35 +7,35 @@
 from heronlug.net.connection_state import has_pending_connection
 
 DEFAULT_BACKLOG = 512
-"""Connections that may wait in a socket's queue."""
+"""Maximum number of connections in the queue of a listening socket."""
 
 
 class Listener:
-    """A listening socket and its acceptor, which can be stopped and started again.
+    """A listening socket and its acceptor, which can be paused and started again.
 
-    The connections in the socket's queue may be accepted by another process that holds the socket, so the socket is
-    closed but never shut down.
+    Another process that shares the socket may accept the queued connections, so the socket is closed but never shut
+    down.
 
     Attributes:
-        acceptor: accepts the connections.
-        socket: the socket, None before there is one.
+        acceptor: Accepts the connections.
+        socket: The listening socket; None before :meth:`use` or :meth:`bind`.
     """
 
     def __init__(self, acceptor: Acceptor) -> None:
-        """Make a listener without a socket."""
+        """Creates a listener without a socket."""
         self.acceptor = acceptor
         self.socket: socket.socket | None = None
         self._backlog = DEFAULT_BACKLOG
 
     def fileno(self) -> int:
-        """The socket's descriptor, -1 for none."""
+        """Returns the descriptor of the socket; -1 without a socket."""
         return self.socket.fileno() if self.socket is not None else -1
 
     def use(self, fd: int) -> None:
-        """Use a copy of a listening socket that another process holds too.
+        """Uses a duplicate of a listening socket that another process shares.
 
         Raises:
-            OSError: the descriptor is not that of a listening socket.
+            OSError: The descriptor does not belong to a listening socket.
         """
         self.socket = socket.socket(fileno=os.dup(fd))
         if not self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -43,10 +43,10 @@
             raise OSError(msg)
 
     def bind(self, address: tuple[str, int], backlog: int = DEFAULT_BACKLOG) -> None:
-        """Bind a new socket, which refuses connections until :meth:`accept`.
+        """Binds a new socket, which refuses connections until :meth:`accept`.
 
         Raises:
-            OSError: the address cannot be bound.
+            OSError: The address cannot be bound.
         """
         new_socket = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         try:
@@ -60,23 +60,23 @@
 
     @property
     def has_pending_connection(self) -> bool:
-        """Whether a connection waits for this process to accept or open it, and not for another one."""
+        """Whether a connection is waiting for this process, not another one, to accept or open it."""
         if self.acceptor.opening > 0:
             return True
         return self.acceptor.active and has_pending_connection(self.fileno())
 
     def accept(self) -> None:
-        """Start to accept connections, if that has not been done."""
+        """Starts to accept connections; does nothing if the acceptor is active or the listener has no socket."""
         if not self.acceptor.active and self.socket is not None:
             self.socket.listen(self._backlog)
             self.acceptor.start(self.socket)
 
     def pause(self) -> None:
-        """Accept no more connections until :meth:`accept`."""
+        """Stops accepting connections until :meth:`accept`."""
         self.acceptor.stop()
 
     def close(self) -> None:
-        """Stop accepting and close this process's descriptor."""
+        """Stops accepting and closes the descriptor of this process."""
         self.pause()
         if self.socket is not None:
             self.socket.close()
--- a/heronlug/plugins/__init__.py
+++ b/heronlug/plugins/__init__.py
@@ -1,1 +1,1 @@
-"""The plug-in host."""
+"""Runs the plug-ins that operators configure."""
--- a/heronlug/plugins/host.py
+++ b/heronlug/plugins/host.py
@@ -1,13 +1,14 @@
-"""Plug-ins: WebAssembly modules under wasmtime, with bounded fuel and memory and nothing to import.
+"""Runs plug-ins: WebAssembly modules under wasmtime with bounded fuel and memory and without imports.
 
-A module may export either hook, and is given no other way to act:
+A module exports at least one of two hooks and has no other effect:
 
 ``admit(lane: i32, remaining_ms: f64, size: i32) -> i32``
-    Asked before a message is taken in; 0 has it refused.  Nothing has been sent then, so a refusal is harmless.
+    Called before a request is accepted, with the index of its request class, the time left until its deadline and the
+    size of its body; 0 rejects the request. Nothing has been sent to a server yet, so a rejection is harmless.
 ``observe(lane: i32, final: i32, took_ms: f64)``
-    Told of a final answer after it has gone out: 0 served, 1 refused, 2 failed.
+    Called after the final answer has been sent, with its code: 0 served, 1 rejected, 2 failed.
 
-A trap, which running out of fuel or memory is too, disables the plug-in; a disabled one admits everything.
+A trap, which includes exhausted fuel or memory, disables the plug-in; a disabled plug-in admits every request.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,11 +24,19 @@
 
 
 class PluginError(ValueError):
-    """A module that cannot be loaded; the text says why in one line."""
+    """Raised if a module cannot be loaded; the message gives the reason in one line."""
 
 
 class Plugin:
-    """One loaded module."""
+    """One loaded WebAssembly module.
+
+    Attributes:
+        name: Name of the plug-in in the configuration.
+        fuel: Fuel available to the start of the module and to each call of a hook.
+        enabled: Whether the hooks are called; False after a trap.
+        admit: The ``admit`` hook; None if the module does not export it.
+        observe: The ``observe`` hook; None if the module does not export it.
+    """
 
     def __init__(self, engine: wasmtime.Engine, name: str, data: bytes, fuel: int, memory_kb: int) -> None:
         self.name, self.fuel = name, int(fuel)
@@ -35,7 +44,7 @@
         try:
             module = wasmtime.Module(engine, data)
             if module.imports:
-                msg = f"plugin {name}: it imports something, and nothing is given"
+                msg = f"plugin {name}: the module has imports, which are not allowed"
                 raise PluginError(msg)
             self._store = wasmtime.Store(engine)
             self._store.set_limits(
@@ -47,12 +56,12 @@
             msg = f"plugin {name}: {str(error).splitlines()[0]}"
             raise PluginError(msg) from None
         except wasmtime.Trap as error:
-            msg = f"plugin {name}: its start traps: {str(error).splitlines()[0]}"
+            msg = f"plugin {name}: the start of the module traps: {str(error).splitlines()[0]}"
             raise PluginError(msg) from None
         self.admit = self._exported_hook(exports, "admit", ADMIT_SIGNATURE)
         self.observe = self._exported_hook(exports, "observe", OBSERVE_SIGNATURE)
         if self.admit is None and self.observe is None:
-            msg = f"plugin {name}: it exports neither admit nor observe"
+            msg = f"plugin {name}: the module exports neither admit nor observe"
             raise PluginError(msg)
 
     def _exported_hook(
@@ -62,11 +71,11 @@
         if export is None:
             return None
         if not isinstance(export, wasmtime.Func):
-            msg = f"plugin {self.name}: {hook_name} is no function"
+            msg = f"plugin {self.name}: {hook_name} is not a function"
             raise PluginError(msg)
         function_type = export.type(self._store)
         if ([str(p) for p in function_type.params], [str(r) for r in function_type.results]) != signature:
-            msg = f"plugin {self.name}: {hook_name} has other parameters than the hook"
+            msg = f"plugin {self.name}: the parameters or results of {hook_name} do not match the hook"
             raise PluginError(msg)
 
         def call(*values: float) -> Any:
@@ -77,7 +86,7 @@
 
 
 class PluginHost:
-    """All plug-ins, asked in the order of their names."""
+    """Calls the hooks of all plug-ins, in the order of the plug-in names."""
 
     def __init__(self, log: Callable[..., None]) -> None:
         self._log = log
@@ -85,18 +94,25 @@
 
     @staticmethod
     def load(modules: Mapping[str, tuple[bytes, int, int]]) -> list[Plugin]:
-        """Load modules, all or none; raises :class:`PluginError`."""
+        """Loads all modules.
+
+        Args:
+            modules: By plug-in name, the bytes of the module, its fuel and its memory limit in KiB.
+
+        Raises:
+            PluginError: A module cannot be loaded.
+        """
         config = wasmtime.Config()
         config.consume_fuel = True
         engine = wasmtime.Engine(config)
         return [Plugin(engine, name, *modules[name]) for name in sorted(modules)]
 
     def use(self, plugins: list[Plugin]) -> None:
-        """Put these in the place of those before."""
+        """Replaces the current plug-ins."""
         self._plugins = plugins
 
     def admit(self, class_index: int, remaining: float, size: int) -> bool:
-        """Whether every plug-in lets a message in."""
+        """Returns whether every plug-in admits a request with ``remaining`` ms left and a body of ``size`` bytes."""
         return all(
             self._call(p, p.admit, class_index, float(remaining), min(size, 2**31 - 1)) != 0
             for p in self._plugins
@@ -104,7 +120,7 @@
         )
 
     def observe(self, class_index: int, final: FinalAnswer, took: float) -> None:
-        """Tell all of a final answer."""
+        """Reports a final answer, sent after ``took`` ms, to every plug-in."""
         for plugin in self._plugins:
             if plugin.observe is not None:
                 self._call(plugin, plugin.observe, class_index, FINAL_CODES[final], float(took))
@@ -114,7 +130,7 @@
             return None
         try:
             return hook(*values)
-        except Exception as error:  # whatever it is, it stays inside the plug-in
+        except Exception as error:  # a fault of a plug-in must not affect requests
             plugin.enabled = False
             self._log("hook_disabled", plugin=plugin.name, error=str(error).splitlines()[-1][:200])
             return None
--- a/tests/discovery/test_cache.py
+++ b/tests/discovery/test_cache.py
@@ -1,4 +1,4 @@
-"""A cached list is used whole or rejected with the reason."""
+"""Tests the cached endpoint list: unusable caches are rejected with the reason, and writes are rare but complete."""
 
 import asyncio
 from itertools import pairwise
@@ -26,22 +26,24 @@
 @pytest.mark.parametrize(
     ("data", "address", "now", "reason"),
     [
-        (DATA[:-3], "10.0.0.1:8500", 1_000_500.0, "torn"),
-        (DATA[40:], "10.0.0.1:8500", 1_000_500.0, "torn"),
-        (b"", "10.0.0.1:8500", 1_000_500.0, "torn"),
-        (DATA, "10.0.0.2:8500", 1_000_500.0, "another register, 10.0.0.1:8500"),
+        (DATA[:-3], "10.0.0.1:8500", 1_000_500.0, "checksum does not match"),
+        (DATA[40:], "10.0.0.1:8500", 1_000_500.0, "checksum does not match"),
+        (b"", "10.0.0.1:8500", 1_000_500.0, "checksum does not match"),
+        (DATA, "10.0.0.2:8500", 1_000_500.0, "another service discovery, 10.0.0.1:8500"),
         (DATA, "10.0.0.1:8500", 1_002_000.0, "too old: written 2 s ago"),
-        (DATA, "10.0.0.1:8500", 1_000_000.0 - MAX_CLOCK_STEP_MS - 1000, "from the future: written 61 s after now"),
-        (encode_cache("10.0.0.1:8500", 1e6, [1]), "10.0.0.1:8500", 1e6, "no list"),  # type: ignore[arg-type]
+        (DATA, "10.0.0.1:8500", 1_000_000.0 - MAX_CLOCK_STEP_MS - 1000, "dated in the future: written 61 s after now"),
+        (encode_cache("10.0.0.1:8500", 1e6, [1]), "10.0.0.1:8500", 1e6, "a valid list"),  # type: ignore[arg-type]
     ],
 )
 def test_unusable_cache_is_rejected_with_the_reason(data: bytes, address: str, now: float, reason: str) -> None:
+    """Guards against starting with a damaged, outdated or foreign list, and against a rejection without its reason."""
     with pytest.raises(ValueError, match=reason):
         decode_cache(data, address, now, 1000.0)
 
 
 @given(st.integers(0, len(DATA) - 1), st.integers(1, 255))
 def test_changed_byte_is_detected(place: int, change: int) -> None:
+    """Guards against using a cache in which a disk error has changed one byte."""
     data = bytearray(DATA)
     data[place] ^= change
     with pytest.raises(CacheError):
@@ -50,6 +52,10 @@
 
 @given(st.lists(st.tuples(st.floats(0, 3000), st.sampled_from("cwd")), max_size=60))
 def test_writes_are_rare_and_the_last_change_is_written(steps: list[tuple[float, str]]) -> None:
+    """Guards against writes in quick succession, and against losing a change made between two writes.
+
+    Each step waits some ms, then changes the list ("c") or only runs the writes that are due ("w", "d").
+    """
     schedule, now, planned = WriteSchedule(interval=5000.0), 0.0, list[float]()
     began, changed_at, written_at = list[float](), -1.0, -1.0
 
@@ -77,6 +83,7 @@
 
 
 def test_failed_write_is_logged_and_keeps_the_old_file(tmp_path: Path) -> None:
+    """Guards against a failed write that stops the dispatcher, leaves a temporary file or goes unreported."""
     logged: list[tuple[str, dict[str, Any]]] = []
 
     def log(event: str, /, **fields: object) -> None:
--- a/tests/discovery/test_poll_pacing.py
+++ b/tests/discovery/test_poll_pacing.py
@@ -1,4 +1,4 @@
-"""The pace of calls, against a register modelled in a few lines: it queues, and turns away what would wait too long."""
+"""Tests the pacing of polls against a model of service discovery that queues polls and rejects those that wait long."""
 
 import heapq
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 from heronlug.discovery.poll_failure import PollFailure
 from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 
-MAX_QUEUE_WAIT_MS = 1000.0  # ms that a call may wait in the register
+MAX_QUEUE_WAIT_MS = 1000.0  # a poll that would wait longer in the queue of service discovery is rejected
 
 
 class Simulation(NamedTuple):
-    polls: list[float]  # their times
-    rejected: int
-    last_watch_at: float  # when the last had its watch
-    retry_gaps: list[float]  # between a failure and the next call of the same dispatcher
+    polls: list[float]  # times at which polls reached service discovery, in ms
+    rejected: int  # number of rejected polls
+    last_watch_at: float  # time at which the last dispatcher opened its watch, in ms
+    retry_gaps: list[float]  # times from a failed poll to the next poll of the same dispatcher, in ms
 
 
 def simulate(
@@ -34,7 +34,7 @@
     outage_end: float = 0.0,
     make_pacer: Callable[[PollTerms, Callable[[], float]], PollPacer] = PollPacer,
 ) -> Simulation:
-    """All start within ``start_spread`` ms; each needs its list, unless it has one, and then a watch."""
+    """Simulates dispatchers that start within ``start_spread`` ms; each fetches a list if needed and opens a watch."""
     rng, heap, order = Random(seed), list[tuple[float, int, int]](), 0
     pacers = [
         make_pacer(PollTerms(dispatchers, n, cost if cost_known else None), Random(seed * 7919 + n).random)
@@ -54,7 +54,7 @@
     while heap and len(watch_began_at) < dispatchers:
         now, _, number = heapq.heappop(heap)
         if now > 3_600_000:
-            msg = "somebody starves"
+            msg = "a dispatcher has no watch after one hour"
             raise AssertionError(msg)
         if number in failed_at:
             retry_gaps.append(now - failed_at.pop(number))
@@ -70,11 +70,11 @@
             continue
         idle_at = now + wait + cost
         if received_list[number]:
-            watch_began_at[number] = idle_at  # a watch
+            watch_began_at[number] = idle_at  # the poll with a list opens the watch
             continue
         pacers[number].on_answer(wait + cost)
         received_list[number] = True
-        schedule_poll(idle_at, number)  # at once: a watch goes on within 200 ms
+        schedule_poll(idle_at, number)  # immediately: a watch must continue within 200 ms
     return Simulation(polls, rejected, max(watch_began_at.values()), retry_gaps)
 
 
@@ -99,6 +99,7 @@
 def test_every_dispatcher_gets_a_watch_in_any_order(
     dispatchers: int, cost: float, cost_known: bool, start_spread: float, has_list: bool, outage: float, seed: int
 ) -> None:
+    """Guards against a dispatcher that gets its watch late or never, and against retries before ``MIN_RETRY_MS``."""
     simulation = simulate(
         dispatchers,
         cost,
@@ -124,7 +125,10 @@
 def test_polls_per_second_stay_bounded_when_the_cost_is_known(
     dispatchers: int, cost: float, start_spread: float, seed: int
 ) -> None:
-    """First calls have a place each; each answer brings one call more, and places of two rounds may meet."""
+    """Guards against bursts of polls when many dispatchers start together.
+
+    Each first poll has its own slot, each answer causes one more poll, and slots of two rounds may overlap.
+    """
     simulation = simulate(dispatchers, cost, cost_known=True, start_spread=start_spread, seed=seed)
     assert most_in_any_span(simulation.polls, 1000.0) <= 2 * 1000.0 / cost + 4
     assert simulation.rejected <= 0.05 * 2 * dispatchers
@@ -132,8 +136,10 @@
 
 @pytest.mark.parametrize(("dispatchers", "cost"), [(100, 50.0), (300, 50.0), (1000, 20.0)])
 def test_shared_rounds_cause_fewer_rejections_than_independent_backoff(dispatchers: int, cost: float) -> None:
+    """Guards against a guessed cost that makes dispatchers collide as often as independent backoff does."""
+
     class IndependentBackoff(PollPacer):
-        """As it was: each waits for itself, at random, longer with each failure."""
+        """The usual scheme: each dispatcher doubles a random backoff independently."""
 
         def on_failure(self, now: float, failure: PollFailure, has_list: bool, retry_after: float = 0.0) -> float:
             self.failures_in_row += 1
@@ -152,17 +158,20 @@
 
 
 def test_dispatchers_poll_about_once_each_after_an_outage() -> None:
+    """Guards against a burst of rejected polls when service discovery returns after an outage."""
     simulation = simulate(200, 20.0, has_list=True, outage_end=30_000.0, start_spread=2000.0)
     assert len(simulation.polls) <= 1.15 * 200
     assert simulation.rejected <= 10
 
 
 def test_retry_waits_as_long_as_retry_after_says() -> None:
+    """Guards against a poll before the Retry-After time of a rejection is over."""
     pacer = PollPacer(PollTerms(10, 3), lambda: 0.5)
     assert pacer.on_failure(1000.0, PollFailure.REJECTED, True, 5000.0) >= 6000.0
 
 
 def test_answer_timeout_grows_after_timeouts_and_shrinks_after_fast_answers() -> None:
+    """Guards against timing out every poll of a slow service discovery, and against keeping a long timeout."""
     pacer = PollPacer(PollTerms(), lambda: 0.5)
     for _ in range(9):
         pacer.on_failure(0.0, PollFailure.TIMED_OUT, False)
@@ -174,6 +183,7 @@
 
 
 def test_polls_wait_longer_the_more_dispatchers_there_are() -> None:
+    """Guards against overload of service discovery by polls that end without a change."""
     assert PollPacer(PollTerms(), lambda: 0.5).poll_wait == poll_pacing.MIN_POLL_WAIT_MS
     assert PollPacer(PollTerms(300, 0, 50.0), lambda: 0.5).poll_wait == poll_pacing.MAX_POLL_WAIT_MS
     pacer = PollPacer(PollTerms(500, 0, 20.0), lambda: 0.5)
--- a/tests/discovery/test_reader_election.py
+++ b/tests/discovery/test_reader_election.py
@@ -1,7 +1,7 @@
-"""Who reads for a cluster: members that decide alone, with losses, deaths and outages between them, in virtual time.
+"""Tests which members of a cluster poll service discovery, in virtual time, with message loss, crashes and outages.
 
-The model is the least that the module stands on: a beat every 400 ms that each member hears or not, a register that
-answers a call after a while, refuses or says nothing, for all or for some.
+The members decide without coordination. The model is minimal: a heartbeat every 400 ms that each member may receive or
+lose, and a service discovery that answers a poll after ``ANSWER_MS`` or is unreachable, for all members or for some.
 """
 
 from math import inf
@@ -15,7 +15,7 @@
 from heronlug.discovery.reader_election import MemberPosition, ReaderElection, Role, SharedListStatus
 
 STALE_AFTER_MS, HEARTBEAT_MS, STEP_MS = 1500.0, 400.0, 100.0
-ANSWER_MS, RETRY_MS = 150.0, 600.0
+ANSWER_MS, RETRY_MS = 150.0, 600.0  # time until a poll ends, and pause until the next poll
 
 
 class Member:
@@ -25,20 +25,20 @@
         self.watching = self.announced_watching = False
         self.poll_ends_at: float | None = None
         self.next_poll_at = -inf
-        self.claimed_at: float | None = None  # when it began to say so
-        self.heard_at, self.heard_watched = -inf, False  # the latest claim that it has heard
+        self.claimed_at: float | None = None  # when this member announced itself as a reader
+        self.heard_at, self.heard_watched = -inf, False  # last message of the newest reader
         self.heard_claimed_at = -inf
-        self.list_at = -inf  # when its list was last good
+        self.list_at = -inf  # when the list was last up to date
 
 
 class Cluster:
-    """Members by rank; the latest claim counts, and who hears of it gives way."""
+    """Members in the order of their ranks; the newest reader stays, and readers that receive its messages step down."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0, spread: float = 0.0) -> None:
         self.rng, self.loss, self.now = Random(seed), loss, 0.0
         self.members = [Member(n, self.rng.uniform(0, spread), self.rng) for n in range(count)]
-        self.cut_off: set[int] = set()  # who cannot reach the register
-        self.partitions: dict[int, int] = {}  # which part of a cut cluster each is in
+        self.cut_off: set[int] = set()  # numbers of the members that cannot reach service discovery
+        self.partitions: dict[int, int] = {}  # partition by member number; 0 for members not listed
         self.polls: list[tuple[float, int]] = []
 
     def connected(self, a: Member, b: Member) -> bool:
@@ -58,7 +58,7 @@
                     self.announce(member)
 
     def announce(self, writer: Member) -> None:
-        """A beat, or a change, which is told at once."""
+        """Sends a heartbeat, or a change immediately, from a reader to the members that it reaches."""
         if writer.claimed_at is not None:
             for member in self.up():
                 if member is writer or not self.connected(member, writer) or self.rng.random() < self.loss:
@@ -123,6 +123,7 @@
     spread=st.sampled_from([0.0, 500.0, 4000.0]),
 )
 def test_starting_fleet_has_its_list_soon_after_few_polls(count: int, seed: int, loss: float, spread: float) -> None:
+    """Guards against members without a list, or many pollers, when a fleet starts before it has a lease."""
     cluster = Cluster(count, seed, loss, spread)
     cluster.run(spread + 3000)
     assert not cluster.members_without_list()
@@ -136,6 +137,7 @@
 @settings(max_examples=40)
 @given(seed=st.integers(0, 9999), loss=st.sampled_from([0.0, 0.3]), data=st.data())
 def test_crashed_readers_are_replaced_one_after_another(seed: int, loss: float, data: st.DataObject) -> None:
+    """Guards against a cluster without a reader after the current readers crash, several times in a row."""
     cluster = Cluster(12, seed, loss)
     cluster.run(6000)
     for _ in range(5):
@@ -152,12 +154,13 @@
 @pytest.mark.parametrize("count", [1, 3, 40, 100])
 @pytest.mark.parametrize("outage", [3000.0, 20_000.0])
 def test_few_members_poll_during_an_outage_and_one_reads_soon_after(count: int, outage: float) -> None:
+    """Guards against polling by all members while service discovery is down, or by several readers afterwards."""
     cluster = Cluster(count, 7)
     cluster.run(8000)
     cluster.cut_off = set(range(count))
     cluster.run(outage)
     polls_in_outage = [at for at, _ in cluster.polls if at > 8000]
-    # the reader tries again each 0.75 s here, and one other a second looks
+    # in this model the reader retries every 0.75 s, and one other member polls each second
     assert len(polls_in_outage) <= 2 + outage / (RETRY_MS + ANSWER_MS) + outage / reader_election.ROTATION_MS
     cluster.cut_off, recovered_at, polls_before_recovery = set(), cluster.now, len(cluster.polls)
     cluster.run(2000)
@@ -171,6 +174,7 @@
 @settings(max_examples=40)
 @given(seed=st.integers(0, 9999), reaching_member=st.integers(0, 11))
 def test_only_member_that_reaches_discovery_becomes_the_reader(seed: int, reaching_member: int) -> None:
+    """Guards against a cluster without a list when the first readers cannot reach service discovery."""
     cluster = Cluster(12, seed)
     cluster.cut_off = set(range(12)) - {reaching_member}
     cluster.run(3000 + 14 * reader_election.ROTATION_MS)
@@ -180,6 +184,7 @@
 @settings(max_examples=40)
 @given(seed=st.integers(0, 9999), first_partition_size=st.integers(1, 11))
 def test_each_partition_has_a_reader_and_one_is_left_after_healing(seed: int, first_partition_size: int) -> None:
+    """Guards against a partition without a reader, and against two readers after the partitions merge."""
     cluster = Cluster(12, seed)
     cluster.partitions = {number: int(number < first_partition_size) for number in range(12)}
     cluster.run(6000)
@@ -191,6 +196,7 @@
 
 
 def test_paused_reader_is_replaced_and_yields_when_it_resumes() -> None:
+    """Guards against two readers after a paused process resumes."""
     cluster = Cluster(8, 3)
     cluster.run(6000)
     (reader,) = [m for m in cluster.up() if m.watching]
@@ -203,6 +209,7 @@
 
 
 def test_outdated_list_is_not_followed() -> None:
+    """Guards against waiting forever for a writer whose list is older than one already seen."""
     election = ReaderElection(STALE_AFTER_MS, 3, 0.0)
     election.decide(0.0, False, MemberPosition(5, 9), [], False)
     assert (
@@ -216,6 +223,7 @@
 
 
 def test_lease_holder_always_reads_and_a_reader_stays_until_another_is_trusted() -> None:
+    """Guards against a lease holder that does not read, and against a reader that ends its watch too early."""
     election = ReaderElection(STALE_AFTER_MS, 3, 0.0)
     assert election.decide(0.0, True, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], False) is Role.READ
     assert election.decide(10.0, False, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], True) is Role.READ
