--- a/heronlug/discovery/reader_election.py
+++ b/heronlug/discovery/reader_election.py
@@ -191,10 +191,10 @@
             self._other_fails_since = now
             self._last_turn = 0
 
-    def _required_silence(self, position: MemberPosition, heard_nobody: bool) -> float:
+    def _required_silence(self, position: MemberPosition, no_message_received: bool) -> float:
         """Returns the silence, in ms, after which this member reads; shorter at a start, when a list may be missing."""
-        first_wait = START_WAIT_MS if heard_nobody else STANDBY_WAIT_MS
-        if heard_nobody and not position.others:
+        first_wait = START_WAIT_MS if no_message_received else STANDBY_WAIT_MS
+        if no_message_received and not position.others:
             return first_wait + self._isolated_wait
         wait = first_wait + RANK_STEP_MS * (position.rank // RANKS_PER_STEP)
         if wait <= self.stale_after:
--- a/tests/discovery/test_cache.py
+++ b/tests/discovery/test_cache.py
@@ -42,10 +42,10 @@
 
 
 @given(st.integers(0, len(DATA) - 1), st.integers(1, 255))
-def test_changed_byte_is_detected(place: int, change: int) -> None:
+def test_changed_byte_is_detected(index: int, change: int) -> None:
     """Guards against using a cache in which a disk error has changed one byte."""
     data = bytearray(DATA)
-    data[place] ^= change
+    data[index] ^= change
     with pytest.raises(CacheError):
         decode_cache(bytes(data), "10.0.0.1:8500", 1_000_500.0, 1000.0)
 
@@ -70,12 +70,12 @@
             written_at = now
             plan(schedule.end(now))
 
-    for wait, what in [*steps, (20_000.0, "w"), (20_000.0, "w")]:
+    for wait, action in [*steps, (20_000.0, "w"), (20_000.0, "w")]:
         now += wait
         while planned and min(planned) <= now:
             planned.remove(min(planned))
             begin()
-        if what == "c":
+        if action == "c":
             changed_at = now
             plan(schedule.on_change(now))
     assert written_at >= changed_at
@@ -95,17 +95,17 @@
         def cache_file(path: Path) -> CacheFile:
             return CacheFile(str(path), 1e9, lambda: "r", lambda: TABLE, deadlines, log)
 
-        good = cache_file(tmp_path / "list")
-        assert good.load() is None
+        cache = cache_file(tmp_path / "list")
+        assert cache.load() is None
         assert not logged
-        good.on_change()
-        await good.close()
-        assert good.load() == TABLE
-        bad = cache_file(tmp_path / "nowhere" / "list")
-        bad.on_change()
-        await bad.close()
+        cache.on_change()
+        await cache.close()
+        assert cache.load() == TABLE
+        unwritable_cache = cache_file(tmp_path / "nowhere" / "list")
+        unwritable_cache.on_change()
+        await unwritable_cache.close()
         (tmp_path / "list").write_bytes(b"x")
-        assert good.load() is None
+        assert cache.load() is None
 
     asyncio.run(run())
     assert [event for event, _ in logged] == ["kept_list", "kept_list_not_written", "kept_list_refused"]
--- a/tests/discovery/test_freshness.py
+++ b/tests/discovery/test_freshness.py
@@ -91,7 +91,9 @@
     """Guards against a sequence of failures that keeps a list in use after the grace of a missed change."""
     for gap in (200.0, 1_700.0):
         for events in product(FreshnessEvent, repeat=SEQUENCE_LENGTH if gap > 1_000.0 else SEQUENCE_LENGTH - 1):
-            check_usable_until([TimedEvent(gap * (n + 1), event) for n, event in enumerate(events)], pushed, 10_000.0)
+            check_usable_until(
+                [TimedEvent(gap * (index + 1), event) for index, event in enumerate(events)], pushed, 10_000.0
+            )
 
 
 EVENTS = st.lists(st.tuples(st.floats(1.0, 9_000.0), st.sampled_from(list(FreshnessEvent))), max_size=16)
--- a/tests/discovery/test_reader_election.py
+++ b/tests/discovery/test_reader_election.py
@@ -25,10 +25,10 @@
         self.watching = self.announced_watching = False
         self.poll_ends_at: float | None = None
         self.next_poll_at = -inf
-        self.claimed_at: float | None = None  # when this member announced itself as a reader
-        self.heard_at, self.heard_watched = -inf, False  # last message of the newest reader
-        self.heard_claimed_at = -inf
-        self.list_at = -inf  # when the list was last up to date
+        self.reader_since: float | None = None  # when this member announced itself as a reader
+        self.last_message_at, self.last_message_watched = -inf, False  # last message of the newest reader
+        self.last_message_reader_since = -inf
+        self.list_current_at = -inf  # when the list was last up to date
 
 
 class Cluster:
@@ -41,36 +41,36 @@
         self.partitions: dict[int, int] = {}  # partition by member number; 0 for members not listed
         self.polls: list[tuple[float, int]] = []
 
-    def connected(self, a: Member, b: Member) -> bool:
-        return self.partitions.get(a.number, 0) == self.partitions.get(b.number, 0)
+    def connected(self, first: Member, second: Member) -> bool:
+        return self.partitions.get(first.number, 0) == self.partitions.get(second.number, 0)
 
-    def up(self) -> list[Member]:
+    def active_members(self) -> list[Member]:
         return [m for m in self.members if m.alive and not m.paused and m.starts_at <= self.now]
 
     def run(self, duration: float) -> None:
         end = self.now + duration
         while self.now < end:
             self.now += STEP_MS
-            for member in self.up():
+            for member in self.active_members():
                 self.step(member)
             if self.now % HEARTBEAT_MS < STEP_MS / 2:
-                for member in self.up():
+                for member in self.active_members():
                     self.announce(member)
 
     def announce(self, writer: Member) -> None:
         """Sends a heartbeat, or a change immediately, from a reader to the members that it reaches."""
-        if writer.claimed_at is not None:
-            for member in self.up():
+        if writer.reader_since is not None:
+            for member in self.active_members():
                 if member is writer or not self.connected(member, writer) or self.rng.random() < self.loss:
                     continue
-                if member.claimed_at is not None and writer.claimed_at < member.claimed_at:
+                if member.reader_since is not None and writer.reader_since < member.reader_since:
                     continue
-                member.claimed_at = None
-                if writer.claimed_at >= member.heard_claimed_at:
-                    member.heard_claimed_at, member.heard_at = writer.claimed_at, self.now
-                    member.heard_watched = writer.watching
+                member.reader_since = None
+                if writer.reader_since >= member.last_message_reader_since:
+                    member.last_message_reader_since, member.last_message_at = writer.reader_since, self.now
+                    member.last_message_watched = writer.watching
                     if writer.watching:
-                        member.list_at = self.now
+                        member.list_current_at = self.now
 
     def step(self, member: Member) -> None:
         if member.poll_ends_at is not None and member.poll_ends_at <= self.now:
@@ -80,15 +80,15 @@
         if member.watching and member.number in self.cut_off:
             member.watching, member.next_poll_at = False, self.now + RETRY_MS
         if member.watching:
-            member.list_at = self.now
-        others = [m for m in self.up() if m is not member and self.connected(m, member)]
+            member.list_current_at = self.now
+        others = [m for m in self.active_members() if m is not member and self.connected(m, member)]
         position = MemberPosition(sum(m.number < member.number for m in others), len(others))
-        heard = (
-            [SharedListStatus(self.now - member.heard_at, member.heard_watched, False)]
-            if member.claimed_at is None
+        shared_lists = (
+            [SharedListStatus(self.now - member.last_message_at, member.last_message_watched, False)]
+            if member.reader_since is None
             else []
         )
-        role = member.election.decide(self.now, False, position, heard, member.watching)
+        role = member.election.decide(self.now, False, position, shared_lists, member.watching)
         if (
             role is Role.READ
             and not member.watching
@@ -99,20 +99,20 @@
             member.poll_ends_at = self.now + ANSWER_MS
         if role is Role.FOLLOW:
             member.watching = False
-        previously_announced = member.claimed_at, member.watching
-        hears_reader = member.claimed_at is None and self.now - member.heard_at <= STALE_AFTER_MS
-        if role is Role.READ and member.claimed_at is None and (member.watching or not hears_reader):
-            member.claimed_at = self.now + member.number / 1e6
+        previously_announced = member.reader_since, member.watching
+        reader_announced = member.reader_since is None and self.now - member.last_message_at <= STALE_AFTER_MS
+        if role is Role.READ and member.reader_since is None and (member.watching or not reader_announced):
+            member.reader_since = self.now + member.number / 1e6
         elif role is not Role.READ:
-            member.claimed_at = None
-        if (member.claimed_at, member.watching) != previously_announced or (
-            member.claimed_at is not None and member.watching is not member.announced_watching
+            member.reader_since = None
+        if (member.reader_since, member.watching) != previously_announced or (
+            member.reader_since is not None and member.watching is not member.announced_watching
         ):
             member.announced_watching = member.watching
             self.announce(member)
 
     def members_without_list(self, within: float = STALE_AFTER_MS) -> list[int]:
-        return [m.number for m in self.up() if self.now - m.list_at > within]
+        return [m.number for m in self.active_members() if self.now - m.list_current_at > within]
 
 
 @settings(max_examples=40)
@@ -131,7 +131,7 @@
         assert len(cluster.polls) <= 6
     cluster.run(10_000)
     if not loss:
-        assert sum(m.watching for m in cluster.up()) == 1
+        assert sum(m.watching for m in cluster.active_members()) == 1
 
 
 @settings(max_examples=40)
@@ -141,14 +141,14 @@
     cluster = Cluster(12, seed, loss)
     cluster.run(6000)
     for _ in range(5):
-        for member in cluster.up():
-            if member.watching and len(cluster.up()) > 1:
+        for member in cluster.active_members():
+            if member.watching and len(cluster.active_members()) > 1:
                 member.alive = False
         cluster.run(data.draw(st.sampled_from([2500.0, 5000.0])))
         assert not cluster.members_without_list(
             STALE_AFTER_MS + reader_election.MAX_EXTRA_WAIT_MS + (2 * HEARTBEAT_MS + ANSWER_MS if loss else 0.0)
         )
-    assert cluster.up()
+    assert cluster.active_members()
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 100])
@@ -166,7 +166,7 @@
     cluster.run(2000)
     assert not cluster.members_without_list()
     cluster.run(18_000)
-    assert sum(m.watching for m in cluster.up()) == 1
+    assert sum(m.watching for m in cluster.active_members()) == 1
     assert len(cluster.polls) - polls_before_recovery <= 4, cluster.polls[polls_before_recovery:]
     assert cluster.now - recovered_at == pytest.approx(20_000)
 
@@ -191,7 +191,7 @@
     assert not cluster.members_without_list()
     cluster.partitions = {}
     cluster.run(8000)
-    assert sum(m.watching for m in cluster.up()) == 1
+    assert sum(m.watching for m in cluster.active_members()) == 1
     assert not cluster.members_without_list()
 
 
@@ -199,13 +199,13 @@
     """Guards against two readers after a paused process resumes."""
     cluster = Cluster(8, 3)
     cluster.run(6000)
-    (reader,) = [m for m in cluster.up() if m.watching]
+    (reader,) = [m for m in cluster.active_members() if m.watching]
     reader.paused = True
     cluster.run(3000)
     assert not cluster.members_without_list(STALE_AFTER_MS + reader_election.MAX_EXTRA_WAIT_MS)
     reader.paused = False
     cluster.run(6000)
-    assert sum(m.watching for m in cluster.up()) == 1
+    assert sum(m.watching for m in cluster.active_members()) == 1
 
 
 def test_outdated_list_is_not_followed() -> None:
