--- a/heronlug/plugins/host.py
+++ b/heronlug/plugins/host.py
@@ -94,13 +94,13 @@
 
     @staticmethod
     def load(modules: Mapping[str, tuple[bytes, int, int]]) -> list[Plugin]:
-        """Loads all modules.
+        """Loads all modules, or none if one of them cannot be loaded.
 
         Args:
             modules: By plug-in name, the bytes of the module, its fuel and its memory limit in KiB.
 
         Raises:
-            PluginError: A module cannot be loaded.
+            PluginError: A module cannot be loaded; names the plug-in.
         """
         config = wasmtime.Config()
         config.consume_fuel = True
