--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -62,8 +62,8 @@
     """The binary form of one message."""
     if isinstance(part, MemberUpdate):
         name, address = part.name.encode(), part.address.encode()
-        head = _MEMBER_UPDATE_LAYOUT.pack(part.incarnation, part.health, len(name), len(address))
-        return bytes([_MEMBER_UPDATE]) + head + name + address
+        header = _MEMBER_UPDATE_LAYOUT.pack(part.incarnation, part.health, len(name), len(address))
+        return bytes([_MEMBER_UPDATE]) + header + name + address
     if isinstance(part, NodeRequest):
         return struct.pack(f">BB{len(part.names)}Q", _NODE_REQUEST, len(part.names), *part.names)
     if isinstance(part, NodeData):
--- a/heronlug/cluster/datagrams.py
+++ b/heronlug/cluster/datagrams.py
@@ -47,7 +47,7 @@
 
 class _SeenStamps(NamedTuple):
     newest: int
-    below: int
+    seen_below: int
     """A bit for each stamp below the newest that was seen; the lowest bit is the one just below."""
 
 
@@ -83,7 +83,7 @@
 
     def unpack(self, data: bytes) -> tuple[int, list[Part]] | None:
         """The sender's tag and the messages; None for a datagram that is dropped, which is counted by its reason."""
-        reason = self._rejection(data)
+        reason = self._rejection_reason(data)
         if reason:
             self.dropped[reason] += 1
             return None
@@ -104,7 +104,7 @@
         data = HEADER.pack(MAGIC, PROTOCOL_VERSION, key_number, self.tag, self._stamp) + body
         return data + _authentication_tag(data, self.keys[key_number])
 
-    def _rejection(self, data: bytes) -> str:
+    def _rejection_reason(self, data: bytes) -> str:
         """Why a datagram is not authentic; empty if it is."""
         if data[:1] != MAGIC:
             return "malformed"
@@ -120,16 +120,16 @@
 
     def _accept_stamp(self, sender: int, stamp: int) -> bool:
         """Whether a stamp of this sender is new; it is remembered."""
-        newest, below = self._seen.get(sender, _SeenStamps(0, 0))
+        newest, seen_below = self._seen.get(sender, _SeenStamps(0, 0))
         if stamp > newest:
             advance = stamp - newest
-            shifted = (below << advance | 1 << (advance - 1)) if advance < REPLAY_WINDOW else 0
+            shifted = (seen_below << advance | 1 << (advance - 1)) if advance < REPLAY_WINDOW else 0
             self._seen[sender] = _SeenStamps(stamp, shifted & ((1 << REPLAY_WINDOW) - 1))
             return True
         bit = 1 << (newest - stamp - 1) if stamp < newest else 0
-        if not bit or newest - stamp > REPLAY_WINDOW or below & bit:
+        if not bit or newest - stamp > REPLAY_WINDOW or seen_below & bit:
             return False
-        self._seen[sender] = _SeenStamps(newest, below | bit)
+        self._seen[sender] = _SeenStamps(newest, seen_below | bit)
         return True
 
 
--- a/heronlug/cluster/failure_detector.py
+++ b/heronlug/cluster/failure_detector.py
@@ -130,14 +130,14 @@
                 self._request_indirect_probes(probe)
 
     def _request_indirect_probes(self, probe: Probe) -> None:
-        candidates = [m for m in self._active() if m is not probe.member and m.health is Health.ALIVE]
+        candidates = [m for m in self._active_members() if m is not probe.member and m.health is Health.ALIVE]
         for helper in self._rng.sample(candidates, min(self._timing.indirect_probes, len(candidates))):
             probe.helpers += 1
             self._send(helper.address, [IndirectPing(probe.number, probe.member.tag)])
 
     def _start_probe(self, now: float) -> None:
         if self._probe is not None and not self._probe.answered:
-            self._fail(self._probe, now)
+            self._report_failure(self._probe, now)
         self._probe = None
         self._next_probe_at = now + self._timing.probe_interval * (self.local_health + 1)
         if self.stopped:
@@ -145,19 +145,19 @@
         while self._round and not self._round[-1].active:
             self._round.pop()
         if not self._round:
-            self._round = self._active()
+            self._round = self._active_members()
             self._rng.shuffle(self._round)
         if self._round:
             self._probe = Probe(self._round.pop(), self._new_number(), now)
             self._ping(self._probe.member, self._probe.number)
 
-    def _fail(self, probe: Probe, now: float) -> None:
+    def _report_failure(self, probe: Probe, now: float) -> None:
         # helpers that did not even send a nack suggest that the fault is on this side (Lifeguard)
         self.adjust_local_health(1 if probe.helpers and not probe.nacks else 0)
         if probe.member.active:
             self._suspect(probe.member, now)
 
-    def _active(self) -> list[Member]:
+    def _active_members(self) -> list[Member]:
         return [member for member in self._members.values() if member.active]
 
     def _new_number(self) -> int:
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -191,16 +191,16 @@
         for_promise = state.collecting_promises
         self._last_request_id = (self._last_request_id + 1) & REQUEST_ID_MASK
         request = state.new_request(self._last_request_id, now)
-        answer = self._vote(state, request, now)
+        answer = self._decide_vote(state, request, now)
         if isinstance(answer, LeaseDenial):
-            self._denied(state, answer, now)
+            self._on_denial(state, answer, now)
             return
         duration = self._grant_duration(for_promise)
         grants = state.grants(for_promise)
         grants[self.tag] = now + duration
-        enough = duration / 2 if for_promise else self._renewal_margin
+        min_remaining = duration / 2 if for_promise else self._renewal_margin
         for member in quorum:
-            if grants.get(member, -inf) - now < enough:
+            if grants.get(member, -inf) - now < min_remaining:
                 self.callbacks.send(member, request)
         if for_promise:
             self._count_promises(state, quorum, now)
@@ -254,7 +254,7 @@
                 self._on_grant(state, sender, part, now)
             case LeaseDenial():
                 if part.request_id in state.requests:
-                    self._denied(state, part, now)
+                    self._on_denial(state, part, now)
             case LeaseRelease():
                 state.vote.release(part.token)
             case TransferOffer():
@@ -271,9 +271,9 @@
         ):  # the successor has received the completion
             state.advance(LeaseEvent.TRANSFER_FINISHED)
             state.next_action_at = now + self.timing.lease_duration
-        self.callbacks.send(sender, self._vote(state, request, now))
+        self.callbacks.send(sender, self._decide_vote(state, request, now))
 
-    def _vote(self, state: LeaseState, request: LeaseRequest, now: float) -> LeaseGrant | LeaseDenial:
+    def _decide_vote(self, state: LeaseState, request: LeaseRequest, now: float) -> LeaseGrant | LeaseDenial:
         return state.vote.decide(request, now, self.timing.lease_duration, renewals_only=now < self.votes_from)
 
     def _on_grant(self, state: LeaseState, sender: int, grant: LeaseGrant, now: float) -> None:
@@ -288,7 +288,7 @@
         elif state.stage is LeaseStage.REQUESTING or state.stage.holds:
             self._count_votes(state, self._quorum(state, now), now)
 
-    def _denied(self, state: LeaseState, denial: LeaseDenial, now: float) -> None:
+    def _on_denial(self, state: LeaseState, denial: LeaseDenial, now: float) -> None:
         """Give way to a higher token: another member holds the lease, or requests it too.
 
         The first denial may only mean that the number of our token was too low, so the request is repeated with a
@@ -365,8 +365,8 @@
         state.pending_releases = [state.token] * RELEASE_REPEATS
         state.vote.release_owner(self.process_tag)
         # spreads the members' retries without randomness
-        share = xxh32_intdigest(f"{self.name}{state.token.number}".encode()) / 2**32
-        state.retry_at = now + self.timing.lease_duration * (RETRY_DELAY_MIN + RETRY_DELAY_SPREAD * share)
+        spread = xxh32_intdigest(f"{self.name}{state.token.number}".encode()) / 2**32
+        state.retry_at = now + self.timing.lease_duration * (RETRY_DELAY_MIN + RETRY_DELAY_SPREAD * spread)
         state.next_action_at = now + self.timing.request_interval
 
     def _send_release(self, state: LeaseState, token: FencingToken, now: float) -> None:
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -30,7 +30,7 @@
 CARRIER_SIZE = 64
 """Bytes of a datagram that are left for its own content; the rest may be filled with member updates."""
 
-RESTART_INCARNATIONS = 1000
+RESTART_INCARNATION_GAP = 1000
 """An incarnation that is higher by this is a new process: a refutation adds one, a process starts with the time."""
 
 
@@ -91,8 +91,10 @@
         A dead member from which a datagram came within the last lease duration counts too: then it is this process
         that is not heard.
         """
-        since = now - self.timing.lease_duration
-        return [m for m in self.members.values() if m.active or (m.health is Health.DEAD and m.last_heard > since)]
+        heard_since = now - self.timing.lease_duration
+        return [
+            m for m in self.members.values() if m.active or (m.health is Health.DEAD and m.last_heard > heard_since)
+        ]
 
     def next_wake(self) -> float:
         """When :meth:`wake` has something to do."""
@@ -144,8 +146,8 @@
     def _suspicion_end(self, member: Member) -> float:
         """When a suspect is confirmed dead (LHA-Suspicion): the later, the fewer members suspect it too."""
         timing = self.timing
-        confirmed = log(len(member.suspected_by) or 1) / log(timing.confirmations + 1)
-        duration = timing.suspicion_max - (timing.suspicion_max - timing.suspicion_min) * min(1.0, confirmed)
+        confirmed_fraction = log(len(member.suspected_by) or 1) / log(timing.confirmations + 1)
+        duration = timing.suspicion_max - (timing.suspicion_max - timing.suspicion_min) * min(1.0, confirmed_fraction)
         return member.changed_at + max(timing.suspicion_min, duration)
 
     # -- messages
@@ -201,7 +203,7 @@
 
     def _apply_incarnation(self, member: Member, update: MemberUpdate, now: float) -> None:
         """Take over a higher incarnation; a member that says that it is alive is no longer suspected."""
-        if not member.active or update.incarnation - member.incarnation >= RESTART_INCARNATIONS:
+        if not member.active or update.incarnation - member.incarnation >= RESTART_INCARNATION_GAP:
             member.joined_at = now
         member.incarnation = update.incarnation
         member.address = update.address
--- a/heronlug/cluster/merkle_trie.py
+++ b/heronlug/cluster/merkle_trie.py
@@ -40,10 +40,10 @@
 BITS_PER_LEVEL = 2
 """Bits of that hash that choose a child."""
 
-LEVELS = HASH_BITS // BITS_PER_LEVEL
+MAX_LEVELS = HASH_BITS // BITS_PER_LEVEL
 """Levels of the tree at most."""
 
-WIDTH = 1 << BITS_PER_LEVEL
+MAX_CHILDREN = 1 << BITS_PER_LEVEL
 """Children of a branch at most."""
 
 Rows = dict[bytes, bytes]
@@ -56,7 +56,7 @@
 
 
 def _child_index(key: bytes, level: int) -> int:
-    return int(xxh64_intdigest(key)) >> (HASH_BITS - BITS_PER_LEVEL * (level + 1)) & (WIDTH - 1)
+    return int(xxh64_intdigest(key)) >> (HASH_BITS - BITS_PER_LEVEL * (level + 1)) & (MAX_CHILDREN - 1)
 
 
 def _leaf(rows: Rows) -> bytes:
@@ -68,8 +68,10 @@
 
 
 def _branch(children: dict[int, int]) -> bytes:
-    bits = sum(1 << index for index in children)
-    return struct.pack(f">cB{len(children)}Q", BRANCH_MARK, bits, *(children[index] for index in sorted(children)))
+    child_bits = sum(1 << index for index in children)
+    return struct.pack(
+        f">cB{len(children)}Q", BRANCH_MARK, child_bits, *(children[index] for index in sorted(children))
+    )
 
 
 def rows_of(node: bytes) -> Rows | None:
@@ -100,17 +102,17 @@
     """The children of a branch by their index, none for a leaf; raises :class:`MalformedNodeError`."""
     if node[:1] == LEAF_MARK:
         return {}
-    if len(node) < 2 or node[:1] != BRANCH_MARK or node[1] >> WIDTH:
+    if len(node) < 2 or node[:1] != BRANCH_MARK or node[1] >> MAX_CHILDREN:
         msg = "a node is neither a leaf nor a branch"
         raise MalformedNodeError(msg)
-    indexes = [index for index in range(WIDTH) if node[1] >> index & 1]
+    indexes = [index for index in range(MAX_CHILDREN) if node[1] >> index & 1]
     if len(node) != 2 + NAME_SIZE * len(indexes):
         msg = f"a branch with {len(indexes)} children has {len(node)} bytes"
         raise MalformedNodeError(msg)
     return dict(zip(indexes, struct.unpack_from(f">{len(indexes)}Q", node, 2), strict=True))
 
 
-def _put(nodes: MutableMapping[int, bytes], node: bytes) -> int:
+def _store_node(nodes: MutableMapping[int, bytes], node: bytes) -> int:
     name = name_of(node)
     nodes[name] = node
     return name
@@ -120,13 +122,13 @@
     """Put a complete table into a store, and return its root; raises :class:`RowTooLongError`."""
     size = _leaf_size(rows)
     if size <= MAX_LEAF_SIZE:
-        return _put(nodes, _leaf(dict(rows)))
-    if level == LEVELS or len(rows) == 1:
+        return _store_node(nodes, _leaf(dict(rows)))
+    if level == MAX_LEVELS or len(rows) == 1:
         raise RowTooLongError(size - len(LEAF_MARK) - ROW_OVERHEAD, MAX_ROW_SIZE)
     parts: dict[int, Rows] = {}
     for key, value in rows.items():
         parts.setdefault(_child_index(key, level), {})[key] = value
-    return _put(nodes, _branch({index: build(part, nodes, level + 1) for index, part in parts.items()}))
+    return _store_node(nodes, _branch({index: build(part, nodes, level + 1) for index, part in parts.items()}))
 
 
 def change(nodes: MutableMapping[int, bytes], root: int, key: bytes, value: bytes | None, level: int = 0) -> int:
@@ -142,9 +144,9 @@
     children = children_of(node)
     index = _child_index(key, level)
     if index in children:
-        below = change(nodes, children[index], key, value, level + 1)
-        children[index] = below
-        if nodes[below] == LEAF_MARK:
+        new_child = change(nodes, children[index], key, value, level + 1)
+        children[index] = new_child
+        if nodes[new_child] == LEAF_MARK:
             del children[index]
     elif value is not None:
         children[index] = build({key: value}, nodes, level + 1)
@@ -152,10 +154,10 @@
         # rows that fit into one leaf are one leaf; those of a branch never do
         leaves = [rows_of(nodes[child]) for child in children.values()]
         if all(leaf is not None for leaf in leaves):
-            together = {key: value for leaf in leaves if leaf for key, value in leaf.items()}
-            if _leaf_size(together) <= MAX_LEAF_SIZE:
-                return build(together, nodes, level)
-    return _put(nodes, _branch(children))
+            merged_rows = {key: value for leaf in leaves if leaf for key, value in leaf.items()}
+            if _leaf_size(merged_rows) <= MAX_LEAF_SIZE:
+                return build(merged_rows, nodes, level)
+    return _store_node(nodes, _branch(children))
 
 
 def walk(nodes: Nodes, root: int) -> Iterator[tuple[bytes, bytes]]:
@@ -208,8 +210,8 @@
     node = nodes.get(new)
     if node is None:
         return {new: old}
-    known = nodes.get(old) if old is not None else None
-    counterparts = children_of(known) if known is not None else {}
+    old_node = nodes.get(old) if old is not None else None
+    counterparts = children_of(old_node) if old_node is not None else {}
     found: dict[int, int | None] = {}
     for index, child in children_of(node).items():
         found.update(absent(nodes, counterparts.get(index), child))
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -90,9 +90,9 @@
     def receive(self, data: bytes, address: str, now: float) -> list[Action]:
         """Handle a datagram from an address."""
         self._detect_pause(now)
-        opened = self.codec.unpack(data)
-        if opened is not None and not self.left and opened[0] != self.local.tag:
-            sender, parts = opened
+        unpacked = self.codec.unpack(data)
+        if unpacked is not None and not self.left and unpacked[0] != self.local.tag:
+            sender, parts = unpacked
             self._addresses[sender] = address
             self.membership.receive(sender, address, parts, now)
             for part in parts:
@@ -209,8 +209,8 @@
         unsent, self._unsent = self._unsent, {}
         for address, parts in unsent.items():
             if any(isinstance(part, GOSSIP_CARRIERS) for part in parts):
-                present = {part.name for part in parts if isinstance(part, MemberUpdate)}
-                parts += [update for update in self.membership.next_updates() if update.name not in present]
+                included = {part.name for part in parts if isinstance(part, MemberUpdate)}
+                parts += [update for update in self.membership.next_updates() if update.name not in included]
             self._actions += [SendTo(address, data) for data in self.codec.pack(parts)]
         actions = [*self._actions]
         self._actions.clear()
--- a/heronlug/cluster/node_store.py
+++ b/heronlug/cluster/node_store.py
@@ -83,8 +83,8 @@
 
     def retain(self, roots: Iterable[int]) -> None:
         """Drop all nodes that are not below one of these."""
-        live: set[int] = {merkle_trie.EMPTY}
+        reachable: set[int] = {merkle_trie.EMPTY}
         for root in roots:
-            live.update(merkle_trie.names(self.nodes, root))
-        self.nodes = {name: node for name, node in self.nodes.items() if name in live}
+            reachable.update(merkle_trie.names(self.nodes, root))
+        self.nodes = {name: node for name, node in self.nodes.items() if name in reachable}
         self._collection_size = 2 * len(self.nodes) + MIN_COLLECTION_SIZE
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -10,45 +10,45 @@
 from heronlug.cluster.datagrams import MAX_DATAGRAM_SIZE, DatagramCodec
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate
 
-WORD = st.integers(0, 2**32 - 1)
-TOKEN = st.builds(FencingToken, st.integers(0, 2**63), WORD)
+UINT32 = st.integers(0, 2**32 - 1)
+TOKEN = st.builds(FencingToken, st.integers(0, 2**63), UINT32)
 NAME = st.text("abcdefåäö-", min_size=1, max_size=20)
 PARTS = st.one_of(
-    st.builds(messages.Ping, WORD),
-    st.builds(messages.Ack, WORD),
-    st.builds(messages.IndirectPing, WORD, WORD),
-    st.builds(messages.Nack, WORD),
+    st.builds(messages.Ping, UINT32),
+    st.builds(messages.Ack, UINT32),
+    st.builds(messages.IndirectPing, UINT32, UINT32),
+    st.builds(messages.Nack, UINT32),
     st.builds(messages.Sync),
-    st.builds(messages.LeaseRequest, WORD, TOKEN, WORD, TOKEN),
-    st.builds(messages.LeaseGrant, WORD, TOKEN, WORD),
-    st.builds(messages.LeaseDenial, WORD, TOKEN, WORD),
-    st.builds(messages.TransferOffer, WORD, TOKEN),
-    st.builds(messages.TransferAcceptance, WORD, TOKEN),
-    st.builds(messages.TransferCompletion, WORD, TOKEN),
+    st.builds(messages.LeaseRequest, UINT32, TOKEN, UINT32, TOKEN),
+    st.builds(messages.LeaseGrant, UINT32, TOKEN, UINT32),
+    st.builds(messages.LeaseDenial, UINT32, TOKEN, UINT32),
+    st.builds(messages.TransferOffer, UINT32, TOKEN),
+    st.builds(messages.TransferAcceptance, UINT32, TOKEN),
+    st.builds(messages.TransferCompletion, UINT32, TOKEN),
     st.builds(MemberUpdate, NAME, NAME, st.integers(0, 2**63), st.sampled_from(Health)),
 )
 
 
-def seals() -> tuple[DatagramCodec, DatagramCodec]:
+def codec_pair() -> tuple[DatagramCodec, DatagramCodec]:
     return DatagramCodec(1, {1: b"a" * 32}, 0), DatagramCodec(2, {1: b"a" * 32}, 0)
 
 
 @given(st.lists(PARTS, max_size=30))
 def test_messages_round_trip_in_datagrams_of_256_bytes(parts: list[messages.Part]) -> None:
-    sender, receiver = seals()
-    got: list[messages.Part] = []
+    sender, receiver = codec_pair()
+    received: list[messages.Part] = []
     for data in sender.pack(parts):
         assert len(data) <= MAX_DATAGRAM_SIZE
-        opened = receiver.unpack(data)
-        assert opened is not None
-        assert opened[0] == 1
-        got += opened[1]
-    assert got == parts
+        unpacked = receiver.unpack(data)
+        assert unpacked is not None
+        assert unpacked[0] == 1
+        received += unpacked[1]
+    assert received == parts
     assert not receiver.dropped
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_raise(data: bytes) -> None:
+def test_arbitrary_bytes_are_dropped_and_counted(data: bytes) -> None:
     receiver = DatagramCodec(2, {1: b"a" * 32}, 0)
     assert receiver.unpack(data) is None
     assert receiver.dropped.total() == 1
@@ -56,13 +56,13 @@
         decode_parts(data)
 
 
-def test_forged_truncated_replayed_and_of_another_version() -> None:
-    sender, receiver = seals()
+def test_forged_truncated_replayed_and_unknown_version_datagrams_are_dropped() -> None:
+    sender, receiver = codec_pair()
     (data,) = sender.pack([messages.Ping(7)])
-    for place in range(len(data)):
-        broken = bytearray(data)
-        broken[place] ^= 1
-        assert receiver.unpack(bytes(broken)) is None
+    for position in range(len(data)):
+        corrupted = bytearray(data)
+        corrupted[position] ^= 1
+        assert receiver.unpack(bytes(corrupted)) is None
     assert receiver.dropped["forged"] == len(data) - 3
     assert receiver.dropped["version"] == 1
     for length in range(len(data)):
@@ -72,32 +72,32 @@
     assert receiver.dropped["replayed"] == 1
 
 
-def test_reordered_datagrams_come_in_once_and_old_ones_do_not() -> None:
-    sender, receiver = seals()
+def test_reordered_datagrams_are_accepted_once_within_the_replay_window() -> None:
+    sender, receiver = codec_pair()
     sent = [sender.pack([messages.Ping(n)])[0] for n in range(100)]
-    late = [sent[n] for n in (50, 3, 99, 98, 40, 35, 34)]
-    assert [receiver.unpack(data) is not None for data in late] == [True, True, True, True, True, True, False]
-    assert [receiver.unpack(data) for data in late] == [None] * 7
+    reordered = [sent[n] for n in (50, 3, 99, 98, 40, 35, 34)]
+    assert [receiver.unpack(data) is not None for data in reordered] == [True, True, True, True, True, True, False]
+    assert [receiver.unpack(data) for data in reordered] == [None] * 7
 
 
-def test_a_key_is_replaced_in_service() -> None:
+def test_key_rotation_drops_no_datagram() -> None:
     """The new one is added everywhere, then signs everywhere, then the old one goes: at no step is anything dropped."""
     old, new = {1: b"a" * 32}, {2: b"b" * 32}
     steps = [old, {**old, **new}, {**new, **old}, new]
-    one, other = DatagramCodec(1, old, 0), DatagramCodec(2, old, 0)
+    first, second = DatagramCodec(1, old, 0), DatagramCodec(2, old, 0)
     for step in steps[1:]:
-        for seal in (one, other):  # between the two they differ by a step
-            seal.keys = dict(step)
-            for sender, receiver in ((one, other), (other, one)):
+        for codec in (first, second):  # between the two they differ by a step
+            codec.keys = dict(step)
+            for sender, receiver in ((first, second), (second, first)):
                 (data,) = sender.pack([messages.Ping(1)])
                 assert receiver.unpack(data) is not None
-    assert DatagramCodec(3, old, 0).unpack(one.pack([messages.Ping(1)])[0]) is None
+    assert DatagramCodec(3, old, 0).unpack(first.pack([messages.Ping(1)])[0]) is None
 
 
-def test_sizes_of_the_parts_that_matter() -> None:
+def test_a_probe_with_an_update_and_six_lease_requests_fit_into_one_datagram() -> None:
     """A probe with its news, and six requests for leases, fit into one datagram."""
-    news = MemberUpdate("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
+    update = MemberUpdate("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
     assert len(encode_part(messages.Ping(1))) == 5
-    assert len(encode_part(news)) == 12 + len(news.name) + len(news.address)
+    assert len(encode_part(update)) == 12 + len(update.name) + len(update.address)
     request = messages.LeaseRequest(1, FencingToken(1, 1), 1, FencingToken(1, 1))
     assert 6 * len(encode_part(request)) <= datagrams.MAX_BODY_SIZE
--- a/tests/cluster/test_lease_states.py
+++ b/tests/cluster/test_lease_states.py
@@ -23,19 +23,19 @@
 from heronlug.cluster.ownership import tag
 
 NAMES = ("a", "b", "c")
-TERMS = ClusterTiming(max_clock_drift=0.0)
-KEY = tag("duty")
-STATES = int(os.environ.get("CLUSTER_STATES", "15000"))
+TIMING = ClusterTiming(max_clock_drift=0.0)
+LEASE_KEY = tag("duty")
+MAX_STATES = int(os.environ.get("CLUSTER_STATES", "15000"))
 
 
-class World:
+class ClusterState:
     """Three members and what is on its way."""
 
     def __init__(self) -> None:
         self.now = 1000.0
-        self.first = {name: NAMES[0] for name in NAMES}
+        self.preferred = {name: NAMES[0] for name in NAMES}
         self.links: dict[tuple[str, str], tuple[Any, ...]] = {}
-        self.lives = dict.fromkeys(NAMES, 0)
+        self.restarts = dict.fromkeys(NAMES, 0)
         self.members = {name: self.member(name) for name in NAMES}
         for member in self.members.values():
             member.votes_from = 0.0
@@ -43,182 +43,196 @@
     def member(self, name: str) -> LeaseManager:
         others = {tag(other): other for other in NAMES if other != name}
         callbacks = LeaseCallbacks(
-            send=lambda whom, part: None,
+            send=lambda target, part: None,
             notify=lambda event: None,
             quorum=lambda lease, now: others,
             candidates=lambda now: [],
         )
-        return LeaseManager(name, 1000 + self.lives[name], ["duty"], TERMS, callbacks)
+        return LeaseManager(name, 1000 + self.restarts[name], ["duty"], TIMING, callbacks)
 
-    def act(self, name: str, what: Any) -> None:
+    def run_member(self, name: str, action: Any) -> None:
         """Let a member do something, with its messages put on their links."""
         member = self.members[name]
         sent: list[tuple[str, Any]] = []
         names = {tag(other): other for other in NAMES}
-        idle = member.callbacks
+        original_callbacks = member.callbacks
         member.callbacks = replace(
-            idle,
+            original_callbacks,
             send=lambda target, part: sent.append((names[target], part)),
-            candidates=lambda now: [self.first[name]],
+            candidates=lambda now: [self.preferred[name]],
         )
-        what(member)
-        member.callbacks = idle
+        action(member)
+        member.callbacks = original_callbacks
         for target, part in sent:
             link = (name, target)
-            waiting = self.links.get(link, ())
-            if part not in waiting and len(waiting) < 2:  # one that waits already says the same
-                self.links[link] = (*waiting, part)
+            in_flight = self.links.get(link, ())
+            if part not in in_flight and len(in_flight) < 2:  # one that waits already says the same
+                self.links[link] = (*in_flight, part)
 
     def settle(self) -> None:
         """The first member has the lease, as it comes to when nothing is lost."""
         for _ in range(2):
-            self.act("a", lambda member: member.wake(self.now))
+            self.run_member("a", lambda member: member.wake(self.now))
             while any(self.links.values()):
                 (source, target), parts = next(item for item in self.links.items() if item[1])
                 self.links[source, target] = parts[1:]
-                self.act(target, lambda m, p=parts[0], s=source: m.receive(tag(s), p, self.now))
+                self.run_member(
+                    target, lambda member, part=parts[0], sender=source: member.receive(tag(sender), part, self.now)
+                )
         assert self.owners() == ["a"]
 
     def key(self) -> Any:
         """What makes two states the same: times as spans from now, tokens and requests as they are."""
 
-        def rel(when: float) -> float:
+        def remaining(when: float) -> float:
             return max(-1.0, when - self.now)
 
         members = []
         for member in self.members.values():
-            d = member.leases[KEY]
+            lease = member.leases[LEASE_KEY]
             members.append(
                 (
-                    d.stage,
-                    d.token,
-                    d.highest_seen,
-                    d.released,
-                    rel(d.valid_until),
-                    rel(d.offered_until),
-                    d.successor,
-                    d.was_denied,
-                    d.transfer_messages,
-                    tuple(sorted((voter, rel(until)) for voter, until in d.granted_until.items())),
-                    tuple((rel(sent), for_promise) for sent, for_promise in list(d.requests.values())[-2:]),
-                    d.collecting_votes,
-                    tuple(sorted((voter, rel(until)) for voter, until in d.promised_until.items())),
-                    len(d.pending_releases),
-                    rel(d.retry_at),
-                    d.vote.promised,
-                    rel(d.vote.promised_until),
-                    d.vote.token,
-                    d.vote.highest,
-                    rel(d.vote.until),
-                    rel(member.votes_from),
+                    lease.stage,
+                    lease.token,
+                    lease.highest_seen,
+                    lease.released,
+                    remaining(lease.valid_until),
+                    remaining(lease.offered_until),
+                    lease.successor,
+                    lease.was_denied,
+                    lease.transfer_messages,
+                    tuple(sorted((voter, remaining(until)) for voter, until in lease.granted_until.items())),
+                    tuple((remaining(sent), for_promise) for sent, for_promise in list(lease.requests.values())[-2:]),
+                    lease.collecting_votes,
+                    tuple(sorted((voter, remaining(until)) for voter, until in lease.promised_until.items())),
+                    len(lease.pending_releases),
+                    remaining(lease.retry_at),
+                    lease.vote.promised,
+                    remaining(lease.vote.promised_until),
+                    lease.vote.token,
+                    lease.vote.highest,
+                    remaining(lease.vote.until),
+                    remaining(member.votes_from),
                 )
             )
         links = tuple(sorted((link, tuple(map(repr, parts))) for link, parts in self.links.items() if parts))
-        return tuple(members), links, tuple(self.first.values()), tuple(self.lives.values())
+        return tuple(members), links, tuple(self.preferred.values()), tuple(self.restarts.values())
 
     def owners(self) -> list[str]:
-        return [name for name, member in self.members.items() if member.may_act(KEY, self.now) is not None]
+        return [name for name, member in self.members.items() if member.may_act(LEASE_KEY, self.now) is not None]
 
-    def bound_too_soon(self) -> list[str]:
+    def early_votes(self) -> list[str]:
         """Who binds a vote, perhaps its own, while it is not promised all."""
-        leases = {name: member.leases[KEY] for name, member in self.members.items()}
-        asking = {
-            d.token: name
-            for name, d in leases.items()
-            if d.stage is LeaseStage.REQUESTING and not d.collecting_votes and d.released == NO_TOKEN
+        leases = {name: member.leases[LEASE_KEY] for name, member in self.members.items()}
+        collecting = {
+            lease.token: name
+            for name, lease in leases.items()
+            if lease.stage is LeaseStage.REQUESTING and not lease.collecting_votes and lease.released == NO_TOKEN
         }
-        votes = [d.vote for d in leases.values()]
-        return [f"{asking[v.token]} too soon" for v in votes if v.token in asking and v.until > self.now]
+        votes = [lease.vote for lease in leases.values()]
+        return [
+            f"{collecting[vote.token]} too soon" for vote in votes if vote.token in collecting and vote.until > self.now
+        ]
 
-    def next(self) -> Iterator["World"]:
+    def successors(self) -> Iterator["ClusterState"]:
         """All worlds that one step leads to."""
         for name in NAMES[:2]:
-            world = copy.deepcopy(self)
-            for lease in world.members[name].leases.values():
-                lease.next_action_at = world.now
-            world.act(name, lambda member, now=world.now: member.wake(now))
-            yield world
+            state = copy.deepcopy(self)
+            for lease in state.members[name].leases.values():
+                lease.next_action_at = state.now
+            state.run_member(name, lambda member, now=state.now: member.wake(now))
+            yield state
         for link, parts in self.links.items():
-            for arrives in (2, 1, 0) if parts else ():  # with its answer, alone, or not
-                world = copy.deepcopy(self)
-                world.links[link] = parts[1:]
+            for delivered_messages in (2, 1, 0) if parts else ():  # with its answer, alone, or not
+                state = copy.deepcopy(self)
+                state.links[link] = parts[1:]
                 source, target = link
-                if arrives:
-                    world.act(target, lambda m, p=parts[0], s=source, w=world: m.receive(tag(s), p, w.now))
-                answer = world.links.get((target, source), ())
-                if arrives == 2 and len(answer) == 1 and not self.links.get((target, source)):
-                    world.links[target, source] = ()
-                    world.act(source, lambda m, p=answer[0], s=target, w=world: m.receive(tag(s), p, w.now))
-                yield world
-        world = copy.deepcopy(self)
-        world.now += TERMS.lease_duration / 2
-        yield world
-        if self.first["b"] == "a":
-            world = copy.deepcopy(self)
-            world.first = dict.fromkeys(NAMES, "b") | {"a": "a"}  # the two have different views
-            yield world
-        if sum(self.lives.values()) < 1:
-            world = copy.deepcopy(self)
-            world.lives["c"] += 1
-            world.members["c"] = world.member("c")
-            world.members["c"].votes_from = world.now + TERMS.lease_duration
-            yield world
-
-
-def visit(bound: int) -> tuple[int, list[str]]:
+                if delivered_messages:
+                    state.run_member(
+                        target,
+                        lambda member, part=parts[0], sender=source, state=state: member.receive(
+                            tag(sender), part, state.now
+                        ),
+                    )
+                answer = state.links.get((target, source), ())
+                if delivered_messages == 2 and len(answer) == 1 and not self.links.get((target, source)):
+                    state.links[target, source] = ()
+                    state.run_member(
+                        source,
+                        lambda member, part=answer[0], sender=target, state=state: member.receive(
+                            tag(sender), part, state.now
+                        ),
+                    )
+                yield state
+        state = copy.deepcopy(self)
+        state.now += TIMING.lease_duration / 2
+        yield state
+        if self.preferred["b"] == "a":
+            state = copy.deepcopy(self)
+            state.preferred = dict.fromkeys(NAMES, "b") | {"a": "a"}  # the two have different views
+            yield state
+        if sum(self.restarts.values()) < 1:
+            state = copy.deepcopy(self)
+            state.restarts["c"] += 1
+            state.members["c"] = state.member("c")
+            state.members["c"].votes_from = state.now + TIMING.lease_duration
+            yield state
+
+
+def explore_states(max_states: int) -> tuple[int, list[str]]:
     """Visit states, nearest first; returns how many, and the first ones with two owners."""
-    begin = World()
-    begin.settle()
-    seen, queue, broken = {begin.key()}, deque([begin]), []
-    while queue and len(seen) < bound:
-        for world in queue.popleft().next():
-            key = world.key()
-            if key in seen:
+    initial = ClusterState()
+    initial.settle()
+    visited, queue, violations = {initial.key()}, deque([initial]), []
+    while queue and len(visited) < max_states:
+        for state in queue.popleft().successors():
+            key = state.key()
+            if key in visited:
                 continue
-            seen.add(key)
-            queue.append(world)
-            if len(world.owners()) > 1:
-                broken.append(str(world.owners()))
-            broken += world.bound_too_soon()
-            if broken:
-                return len(seen), broken
-    return len(seen), broken
+            visited.add(key)
+            queue.append(state)
+            if len(state.owners()) > 1:
+                violations.append(str(state.owners()))
+            violations += state.early_votes()
+            if violations:
+                return len(visited), violations
+    return len(visited), violations
 
 
 def test_no_state_has_two_holders() -> None:
-    states, broken = visit(STATES)
-    print(f"{states} states visited")
-    assert states >= STATES
-    assert not broken
+    state_count, violations = explore_states(MAX_STATES)
+    print(f"{state_count} states visited")
+    assert state_count >= MAX_STATES
+    assert not violations
 
 
-def test_a_vote_granted_twice_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_finds_a_vote_granted_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     """The voter does not wait a lease out."""
 
-    def grant(
+    def grant_every_request(
         self: LeaseVote, request: Any, now: float, lease_duration: float, renewals_only: bool
     ) -> LeaseGrant | LeaseDenial:
         self.token, self.until = request.token, now + lease_duration
         return LeaseGrant(request.lease, request.token, request.request_id)
 
-    monkeypatch.setattr(LeaseVote, "decide", grant)
-    monkeypatch.setattr(World, "bound_too_soon", lambda self: [])  # that is broken too
-    _, broken = visit(STATES * 2)
-    assert broken == ["['a', 'b']"]
+    monkeypatch.setattr(LeaseVote, "decide", grant_every_request)
+    monkeypatch.setattr(ClusterState, "early_votes", lambda self: [])  # that is broken too
+    _, violations = explore_states(MAX_STATES * 2)
+    assert violations == ["['a', 'b']"]
 
 
-def test_votes_bound_without_promises_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_finds_votes_granted_before_all_promises(monkeypatch: pytest.MonkeyPatch) -> None:
     """As it was before: 8 and 10 s without an owner, by two that asked with different views."""
     decide = LeaseVote.decide
 
-    def bind(
+    def decide_without_promises(
         self: LeaseVote, request: Any, now: float, lease_duration: float, renewals_only: bool
     ) -> LeaseGrant | LeaseDenial:
         if request.released.owner == 0:
             request = request._replace(released=NO_TOKEN)
         return decide(self, request, now, lease_duration, renewals_only)
 
-    monkeypatch.setattr(LeaseVote, "decide", bind)
-    _, broken = visit(STATES)
-    assert broken
-    assert broken[0].endswith("too soon")
+    monkeypatch.setattr(LeaseVote, "decide", decide_without_promises)
+    _, violations = explore_states(MAX_STATES)
+    assert violations
+    assert violations[0].endswith("too soon")
--- a/tests/cluster/test_random_faults.py
+++ b/tests/cluster/test_random_faults.py
@@ -7,8 +7,8 @@
 from cluster.virtual_network import VirtualNetwork
 
 NAMES = "abcd"
-TOPIC = "register"
-CUT_ENDS = 9000.0  # ms after a cut has healed in which two sides may still be finding each other
+TABLE = "register"
+MERGE_TIME_MS = 9000.0  # ms after a cut has healed in which two sides may still be finding each other
 
 
 class Cluster(RuleBasedStateMachine):
@@ -17,12 +17,12 @@
     def __init__(self) -> None:
         super().__init__()
         self.net = VirtualNetwork(NAMES, 0)
-        self.cut_until = -1.0
+        self.overlap_allowed_until = -1.0
         self.published: set[bytes] = set()
 
     @initialize(seed=st.integers(0, 10_000), loss=st.sampled_from([0.0, 0.1, 0.3]))
-    def begin(self, seed: int, loss: float) -> None:
-        self.net = VirtualNetwork(NAMES, seed, loss=loss, leases=[TOPIC, "sweep"], topics=[TOPIC])
+    def start_cluster(self, seed: int, loss: float) -> None:
+        self.net = VirtualNetwork(NAMES, seed, loss=loss, leases=[TABLE, "sweep"], topics=[TABLE])
         for name in NAMES[:3]:
             self.net.start(name)
         self.net.run(5000)
@@ -49,24 +49,24 @@
     def pause(self, name: str, span: int) -> None:
         self.net.pause(name, float(span))
 
-    @rule(side=st.sets(st.sampled_from(NAMES), min_size=1, max_size=3), both=st.booleans())
-    def cut(self, side: set[str], both: bool) -> None:
-        rest = set(NAMES) - side
-        self.net.cut |= {(a, b) for a in side for b in rest}
-        if both:
-            self.net.cut |= {(b, a) for a in side for b in rest}
+    @rule(side=st.sets(st.sampled_from(NAMES), min_size=1, max_size=3), both_ways=st.booleans())
+    def cut(self, side: set[str], both_ways: bool) -> None:
+        other_side = set(NAMES) - side
+        self.net.cut |= {(a, b) for a in side for b in other_side}
+        if both_ways:
+            self.net.cut |= {(b, a) for a in side for b in other_side}
         self.net.may_overlap = True
 
     @precondition(lambda self: bool(self.net.cut))
     @rule()
     def heal(self) -> None:
         self.net.cut.clear()
-        self.cut_until = self.net.now + CUT_ENDS
+        self.overlap_allowed_until = self.net.now + MERGE_TIME_MS
 
     @rule(value=st.binary(min_size=1, max_size=4))
     def publish(self, value: bytes) -> None:
-        for name in self.net.owners(TOPIC):
-            self.net.publish(name, TOPIC, {b"row": value})
+        for name in self.net.owners(TABLE):
+            self.net.publish(name, TABLE, {b"row": value})
         self.published.add(value)
 
     @rule(span=st.integers(10, 4000))
@@ -74,16 +74,16 @@
         self.net.run(float(span))
 
     @invariant()
-    def nobody_acts_twice(self) -> None:
+    def no_two_members_act_on_one_lease(self) -> None:
         """:meth:`VirtualNetwork.check` runs after every event: tokens are unique, two act only in a partition."""
-        if not self.net.cut and self.net.now > self.cut_until:
+        if not self.net.cut and self.net.now > self.overlap_allowed_until:
             self.net.may_overlap = False
         self.net.check()
 
     @invariant()
-    def nothing_is_read_that_nobody_wrote(self) -> None:
+    def every_row_was_published(self) -> None:
         for process in self.net.processes.values():
-            assert process.tables[TOPIC].get(b"row") in {None, *self.published}
+            assert process.tables[TABLE].get(b"row") in {None, *self.published}
 
     def teardown(self) -> None:
         """Left alone and healed, with everybody there, each lease has one owner again, and all read one table."""
@@ -94,10 +94,10 @@
         self.net.run(20_000)
         assert all(len(self.net.owners(lease)) == 1 for lease in self.net.leases)
         self.net.may_overlap = False
-        owner = self.net.owners(TOPIC)[0]
-        assert self.net.publish(owner, TOPIC, {b"row": b"last"})
+        owner = self.net.owners(TABLE)[0]
+        assert self.net.publish(owner, TABLE, {b"row": b"last"})
         self.net.run(4000)
-        assert {process.tables[TOPIC].get(b"row") for process in self.net.processes.values()} == {b"last"}
+        assert {process.tables[TABLE].get(b"row") for process in self.net.processes.values()} == {b"last"}
 
 
 Cluster.TestCase.settings = settings(max_examples=25, stateful_step_count=15)
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -16,8 +16,8 @@
 from heronlug.standins.ports import free_port
 
 NAMES = "abcd"
-DUTIES = ("sweep", "rotate", "report")
-FILE = """
+TASKS = ("sweep", "rotate", "report")
+CONFIG_TEMPLATE = """
 log_level = "info"
 [serve]
 name = "{name}"
@@ -35,7 +35,7 @@
 seeds = {seeds}
 key_files = ["key"]
 """
-DUTY = """
+TASK_TEMPLATE = """
 [[cluster.duty]]
 name = "{name}"
 every_s = 0.5
@@ -48,45 +48,45 @@
     """Four daemons."""
 
     def __init__(self, folder: Path, loss: float) -> None:
-        self.folder, self.paths, self.loss = folder, FaultyNetwork(7), loss
-        self.real, self.seen = {name: free_port() for name in NAMES}, dict[str, int]()
+        self.folder, self.network, self.loss = folder, FaultyNetwork(7), loss
+        self.ports, self.proxy_ports = {name: free_port() for name in NAMES}, dict[str, int]()
         (folder / "key").write_text("a key that is long enough")
-        self.http = {name: free_port() for name in NAMES}
-        self.programs: dict[str, subprocess.Popen[bytes]] = {}
+        self.http_ports = {name: free_port() for name in NAMES}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     async def open(self) -> None:
         """Every member sees every other at the address of its relay."""
-        self.seen = await self.paths.proxy_datagrams(self.real)
+        self.proxy_ports = await self.network.proxy_datagrams(self.ports)
         for source in NAMES:
             for target in NAMES:
-                self.paths.path_between(source, target).forward.loss = self.loss
+                self.network.path_between(source, target).forward.loss = self.loss
 
     def start(self, name: str) -> None:
-        seeds = json.dumps([f"127.0.0.1:{self.seen[other]}" for other in NAMES if other != name])
-        text = FILE.format(
+        seeds = json.dumps([f"127.0.0.1:{self.proxy_ports[other]}" for other in NAMES if other != name])
+        text = CONFIG_TEMPLATE.format(
             name=name,
-            http=self.http[name],
-            own=f"127.0.0.1:{self.real[name]}",
-            relay=f"127.0.0.1:{self.seen[name]}",
+            http=self.http_ports[name],
+            own=f"127.0.0.1:{self.ports[name]}",
+            relay=f"127.0.0.1:{self.proxy_ports[name]}",
             seeds=seeds,
         )
-        for duty in DUTIES:
+        for duty in TASKS:
             path = self.folder / f"{duty}.runs"
             fence = "os.environ['HERONLUG_FENCE'].encode()"
             code = f"import os; os.write(os.open('{path}', 1089, 420), {fence} + b'\\\\n')"
-            text += DUTY.format(name=duty, python=sys.executable, code=code)
+            text += TASK_TEMPLATE.format(name=duty, python=sys.executable, code=code)
         file = self.folder / f"{name}.toml"
         file.write_text(text)
-        environ = {**os.environ, "HERONLUG_CONTROL": str(self.folder / f"{name}.sock")}
+        environment = {**os.environ, "HERONLUG_CONTROL": str(self.folder / f"{name}.sock")}
         with (self.folder / f"{name}.log").open("ab") as log:
-            self.programs[name] = subprocess.Popen(
-                [sys.executable, "-m", "heronlug", "serve", str(file)], stdout=log, stderr=log, env=environ
+            self.processes[name] = subprocess.Popen(
+                [sys.executable, "-m", "heronlug", "serve", str(file)], stdout=log, stderr=log, env=environment
             )
 
     def owner(self, duty: str) -> list[str]:
         owners = []
-        for name, program in self.programs.items():
-            if program.poll() is None:
+        for name, process in self.processes.items():
+            if process.poll() is None:
                 try:
                     rows = ask(str(self.folder / f"{name}.sock"), {"ask": "duties"})["duties"]
                 except StateError:
@@ -94,56 +94,56 @@
                 owners += [name for row in rows if row["name"] == duty and row["owner"]]
         return owners
 
-    async def until_owned(self, duty: str, but: str = "") -> tuple[str, float]:
+    async def wait_for_owner(self, duty: str, excluded: str = "") -> tuple[str, float]:
         start = time.monotonic()
         while time.monotonic() - start < 40:
-            owners = [name for name in await asyncio.to_thread(self.owner, duty) if name != but]
+            owners = [name for name in await asyncio.to_thread(self.owner, duty) if name != excluded]
             if owners:
                 return owners[0], time.monotonic() - start
             await asyncio.sleep(0.05)
         raise AssertionError("\n".join(path.read_text()[-800:] for path in self.folder.glob("*.log")))
 
     def close(self) -> None:
-        self.paths.close()
-        for program in self.programs.values():
-            program.kill()
-            program.wait()
+        self.network.close()
+        for process in self.processes.values():
+            process.kill()
+            process.wait()
 
 
-async def _play(folder: Path, kills: int) -> tuple[list[float], dict[str, list[str]], list[int], str]:
+async def _run_with_kills(folder: Path, kills: int) -> tuple[list[float], dict[str, list[str]], list[int], str]:
     fleet = Fleet(folder, 0.3)
     await fleet.open()
-    took = []
+    takeover_times = []
     try:
         for name in NAMES:
             fleet.start(name)
-        for duty in DUTIES:
-            await fleet.until_owned(duty)
-        for turn in range(kills):
-            duty = DUTIES[turn % len(DUTIES)]
-            victim, _ = await fleet.until_owned(duty)
-            fleet.programs[victim].kill()
-            fleet.programs[victim].wait()
-            took.append((await fleet.until_owned(duty, victim))[1])
+        for duty in TASKS:
+            await fleet.wait_for_owner(duty)
+        for round_number in range(kills):
+            duty = TASKS[round_number % len(TASKS)]
+            victim, _ = await fleet.wait_for_owner(duty)
+            fleet.processes[victim].kill()
+            fleet.processes[victim].wait()
+            takeover_times.append((await fleet.wait_for_owner(duty, victim))[1])
             fleet.start(victim)
             await asyncio.sleep(4.0)
         members = ask(str(folder / "a.sock"), {"ask": "members"})["members"]
-        for program in fleet.programs.values():
-            program.terminate()
-        codes = [await asyncio.to_thread(program.wait, 20) for program in fleet.programs.values()]
+        for process in fleet.processes.values():
+            process.terminate()
+        codes = [await asyncio.to_thread(process.wait, 20) for process in fleet.processes.values()]
     finally:
         fleet.close()
-    runs = {duty: (folder / f"{duty}.runs").read_text().split() for duty in DUTIES}
+    runs = {duty: (folder / f"{duty}.runs").read_text().split() for duty in TASKS}
     logs = "".join(path.read_text() for path in folder.glob("*.log"))
     assert len(members) == 4
-    return took, runs, codes, logs
+    return takeover_times, runs, codes, logs
 
 
 @pytest.mark.parametrize("kills", [2])
 def test_four_dispatchers_and_a_lossy_network(tmp_path: Path, kills: int) -> None:
     """Risk: what holds in virtual time does not on sockets: addresses, timers, real clocks, kill -9."""
-    took, runs, codes, logs = asyncio.run(_play(tmp_path, kills))
-    assert len(took) == kills
+    takeover_times, runs, codes, logs = asyncio.run(_run_with_kills(tmp_path, kills))
+    assert len(takeover_times) == kills
     assert codes == [0] * 4
     assert '"exception"' not in logs
     assert "Traceback" not in logs
@@ -151,4 +151,4 @@
         assert len(fences) > 10, duty
         numbers = [int(fence.split(".")[0]) for fence in fences]
         assert numbers == sorted(numbers), f"{duty}: a run under a fence lower than one before"
-    print("takeovers", [round(each, 2) for each in took])
+    print("takeovers", [round(each, 2) for each in takeover_times])
--- a/tests/cluster/test_virtual_network.py
+++ b/tests/cluster/test_virtual_network.py
@@ -11,10 +11,10 @@
 from heronlug.cluster.model import Health, LeaseGained, LeaseLost, MemberUpdate
 
 SEEDS = int(os.environ.get("CLUSTER_SEEDS", "300"))
-BOUND = 5000.0  # ms without an owner, at 30% loss
+MAX_IDLE_MS = 5000.0  # ms without an owner, at 30% loss
 
 
-def started(seed: int, loss: float = 0.3) -> VirtualNetwork:
+def settled_network(seed: int, loss: float = 0.3) -> VirtualNetwork:
     """Four members that have settled."""
     net = VirtualNetwork("abcd", seed, loss=loss)
     for name in net.names:
@@ -24,9 +24,9 @@
     return net
 
 
-def kills(seed: int) -> float:
+def kill_and_restart_owner(seed: int) -> float:
     """The owner of a lease is killed, and comes back; returns the longest time that a lease had no owner."""
-    net = started(seed)
+    net = settled_network(seed)
     victim = net.owner(net.leases[seed % 4]) or "a"
     net.kill(victim)
     net.run(5500)
@@ -35,16 +35,16 @@
     return net.longest_idle
 
 
-def troubles(seed: int) -> float:
+def inject_random_faults(seed: int) -> float:
     """Anything at any time, but a cut network: kills, restarts, pauses, leaves."""
-    net, rng = started(seed), Random(seed)
+    net, rng = settled_network(seed), Random(seed)
     for _ in range(6):
-        name, luck = rng.choice(net.names), rng.random()
+        name, draw = rng.choice(net.names), rng.random()
         if name not in net.processes:
             net.start(name)
-        elif luck < 0.4 and len(net.processes) > 2:
+        elif draw < 0.4 and len(net.processes) > 2:
             net.kill(name)
-        elif luck < 0.8:
+        elif draw < 0.8:
             net.pause(name, rng.uniform(50, 4000))
         else:
             net.leave(name)
@@ -55,34 +55,36 @@
     return 0.0
 
 
-def many(play: Callable[[int], float], seeds: int) -> list[float]:
+def run_seeds(run_seed: Callable[[int], float], seeds: int) -> list[float]:
     """Each seed in turn, on all cores; a failing one is named by the error."""
     with ProcessPoolExecutor() as pool:
-        return list(pool.map(play, range(seeds), chunksize=4))
+        return list(pool.map(run_seed, range(seeds), chunksize=4))
 
 
 def test_takeover_is_bounded_under_packet_loss() -> None:
     """30% loss, delays, duplicates, clocks 1% apart; the network's invariants hold after every event of every seed."""
-    idle = many(kills, SEEDS)
-    assert max(idle) <= BOUND, f"seed {idle.index(max(idle))}: {max(idle):.0f} ms without an owner"
+    idle_times = run_seeds(kill_and_restart_owner, SEEDS)
+    assert (
+        max(idle_times) <= MAX_IDLE_MS
+    ), f"seed {idle_times.index(max(idle_times))}: {max(idle_times):.0f} ms without an owner"
 
 
 def test_a_withdrawn_request_releases_its_own_vote() -> None:
     """Found by ten thousand seeds: one that had asked anew kept its vote for its first token; 10 s without an owner."""
-    assert kills(6800) <= BOUND
+    assert kill_and_restart_owner(6800) <= MAX_IDLE_MS
 
 
 def test_competing_requests_with_different_views_bind_no_votes() -> None:
     """Found by seed 61029: each had part of the votes, renewed them, and left them bound: 10 s without an owner."""
-    assert kills(61029) <= BOUND
+    assert kill_and_restart_owner(61029) <= MAX_IDLE_MS
 
 
-def test_no_fault_makes_two_holders() -> None:
-    many(troubles, SEEDS // 3)
+def test_random_faults_never_make_two_holders() -> None:
+    run_seeds(inject_random_faults, SEEDS // 3)
 
 
-def test_the_same_seed_is_the_same_run() -> None:
-    logs = [repr([net.log for net in [started(5)]]) for _ in range(2)]
+def test_the_same_seed_repeats_the_same_run() -> None:
+    logs = [repr([net.log for net in [settled_network(5)]]) for _ in range(2)]
     assert logs[0] == logs[1]
 
 
@@ -103,7 +105,7 @@
 
 
 def test_a_leaving_member_transfers_its_leases_before_they_expire() -> None:
-    net = started(11, loss=0.0)
+    net = settled_network(11, loss=0.0)
     lease = net.leases[0]
     owner = net.owner(lease)
     assert owner is not None
@@ -124,41 +126,41 @@
     """Each message of the handover is lost the first three times: that costs time and never a lease."""
     from heronlug.cluster import codec, datagrams
 
-    net = started(13, loss=0.0)
+    net = settled_network(13, loss=0.0)
     lease = net.leases[1]
     owner = net.owner(lease)
     assert owner is not None
     dropped = 0
     send = net._send
 
-    def losing(sender: str, action: object) -> None:
+    def send_with_loss(sender: str, action: object) -> None:
         nonlocal dropped
-        opened = codec.decode_parts(action.data[datagrams.HEADER.size : -datagrams.AUTHENTICATION_TAG_SIZE])  # type: ignore[attr-defined]
-        kinds = {type(part).__name__ for part in opened}
-        kinds |= {part.health.name for part in opened if isinstance(part, MemberUpdate)}
+        parts = codec.decode_parts(action.data[datagrams.HEADER.size : -datagrams.AUTHENTICATION_TAG_SIZE])  # type: ignore[attr-defined]
+        kinds = {type(part).__name__ for part in parts}
+        kinds |= {part.health.name for part in parts if isinstance(part, MemberUpdate)}
         if lost in kinds and dropped < 3:
             dropped += 1
             return
         send(sender, action)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(net, "_send", losing)
+    monkeypatch.setattr(net, "_send", send_with_loss)
     net.leave(owner)
-    net.run(BOUND)
+    net.run(MAX_IDLE_MS)
     assert dropped == 3
     assert net.owner(lease) not in (None, owner)
-    assert net.longest_idle <= BOUND
+    assert net.longest_idle <= MAX_IDLE_MS
 
 
 def test_leases_survive_rolling_and_simultaneous_restarts() -> None:
     for seed in range(6):
-        net = started(seed)
+        net = settled_network(seed)
         for name in net.names:
             net.kill(name)
             net.run(200)
             net.start(name)
             net.run(6500)
         net.run(2500)
-        assert net.longest_idle <= BOUND
+        assert net.longest_idle <= MAX_IDLE_MS
         for name in net.names:
             net.kill(name)
         for name in net.names:
@@ -170,7 +172,7 @@
 def test_a_healed_partition_leaves_one_holder() -> None:
     """Both sides act while they cannot hear of each other, under different tokens; healed, one of the two stops."""
     for seed in range(8):
-        net = started(seed, loss=0.1)
+        net = settled_network(seed, loss=0.1)
         net.may_overlap = True
         net.split("ab", "cd")
         net.run(15_000)
@@ -180,15 +182,15 @@
             assert len({"ab".find(owner) >= 0 for owner in owners}) == 2, f"seed {seed}"
         net.cut.clear()
         net.run(6000)
-        net.overlap, net.since = 0.0, {}
+        net.overlap, net.overlap_since = 0.0, {}
         net.may_overlap = False
         net.run(4000)
         assert [len(net.owners(lease)) for lease in net.leases] == [1] * 4, f"seed {seed}"
 
 
-def test_a_one_way_cut_makes_no_second_holder() -> None:
+def test_a_one_way_cut_moves_the_lease_without_a_second_holder() -> None:
     for seed in range(6):
-        net = started(seed, loss=0.0)
+        net = settled_network(seed, loss=0.0)
         owner = net.owner(net.leases[0])
         assert owner is not None
         net.cut = {(owner, other) for other in net.names if other != owner}  # it hears, and is not heard
@@ -198,7 +200,7 @@
 
 def test_a_resumed_holder_does_not_act() -> None:
     for seed in range(6):
-        net = started(seed, loss=0.0)
+        net = settled_network(seed, loss=0.0)
         lease = net.leases[0]
         owner = net.owner(lease)
         assert owner is not None
@@ -216,13 +218,13 @@
 def test_fencing_tokens_only_rise() -> None:
     """Whoever takes over has a higher token than all before it, over kills and restarts."""
     for seed in range(4):
-        net = started(seed, loss=0.2)
-        for turn in range(4):
+        net = settled_network(seed, loss=0.2)
+        for round_number in range(4):
             name = net.owner(net.leases[0]) or "a"
             net.kill(name)
             net.run(5500)
             net.start(name)
-            net.run(4000 + 100 * turn)
+            net.run(4000 + 100 * round_number)
         events = [action for _, _, action in net.log if isinstance(action, LeaseGained)]
         gained = [action.token for action in events if action.lease == net.leases[0]]
         assert len(gained) >= 4
--- a/tests/cluster/virtual_network.py
+++ b/tests/cluster/virtual_network.py
@@ -24,7 +24,7 @@
 from heronlug.cluster.node import Node
 
 KEYS = {1: b"k" * 32}
-BORN = 1_800_000_000_000  # Unix milliseconds at virtual time 0
+START_UNIX_MS = 1_800_000_000_000  # Unix milliseconds at virtual time 0
 
 
 class Process:
@@ -33,13 +33,13 @@
     def __init__(self, net: "VirtualNetwork", name: str, drift: float) -> None:
         self.net, self.name, self.drift = net, name, drift
         self.offset = net.rng.uniform(0, 1e6)
-        incarnation = BORN + int(net.now) + net.skew.setdefault(name, net.rng.randrange(-2000, 2000))
+        incarnation = START_UNIX_MS + int(net.now) + net.start_skew.setdefault(name, net.rng.randrange(-2000, 2000))
         seeds = [other for other in net.names[: net.seeds] if other != name]
         local = LocalMember(name, name, incarnation)
-        self.node = Node(local, seeds, net.leases, net.keys, Random(net.rng.random()), net.terms)
+        self.node = Node(local, seeds, net.leases, net.keys, Random(net.rng.random()), net.timing)
         self.paused = self.dead = False
-        self.missed: list[tuple[bytes, str]] = []
-        self.next = 0.0
+        self.deferred: list[tuple[bytes, str]] = []
+        self.next_wake = 0.0
         self.tables: dict[str, dict[bytes, bytes]] = {topic: {} for topic in net.topics}  # as it is told of them
         for topic in net.topics:
             self.node.tables.follow(topic)
@@ -58,26 +58,26 @@
         seed: int,
         leases: Iterable[str] = ("register", "sweep", "probe", "audit"),
         loss: float = 0.0,
-        terms: ClusterTiming | None = None,
+        timing: ClusterTiming | None = None,
         drift: float = 0.01,
         topics: Iterable[str] = (),
     ) -> None:
         self.rng, self.seed = Random(seed), seed
         self.names, self.leases, self.topics, self.keys = list(names), list(leases), list(topics), KEYS
         self.seeds = 3 if len(self.names) > 16 else len(self.names)  # the first ones, that the others are told of
-        self.loss, self.delay, self.twice, self.terms = loss, (0.5, 40.0), 0.02, terms or ClusterTiming()
+        self.loss, self.delay, self.duplicate_rate, self.timing = loss, (0.5, 40.0), 0.02, timing or ClusterTiming()
         self.now = 0.0
-        self.skew: dict[str, int] = {}
+        self.start_skew: dict[str, int] = {}
         self.cut: set[tuple[str, str]] = set()
         self.processes: dict[str, Process] = {}
-        self.gone: list[Process] = []
+        self.killed: list[Process] = []
         self.drifts = {name: self.rng.uniform(-drift, drift) for name in self.names}
         self._queue: list[tuple[float, int, str, Any]] = []
-        self._seq = 0
+        self._event_count = 0
         self.log: list[tuple[float, str, Any]] = []
         self.tokens: dict[tuple[str, FencingToken], str] = {}  # who has had it
         self.acting: dict[str, set[str]] = {lease: set() for lease in self.leases}
-        self.since: dict[str, float] = {}  # how long a lease has had more than one owner
+        self.overlap_since: dict[str, float] = {}  # how long a lease has had more than one owner
         self.overlap = 0.0  # the longest that it has
         self.idle_since: dict[str, float] = dict.fromkeys(self.leases, 0.0)
         self.longest_idle = 0.0
@@ -95,7 +95,7 @@
         """It is gone at once."""
         process = self.processes.pop(name)
         process.dead = True
-        self.gone.append(process)
+        self.killed.append(process)
         self.check()
 
     def leave(self, name: str) -> None:
@@ -120,35 +120,42 @@
         process = self.processes.get(name)
         if process is not None and not process.paused:
             process.paused = True
-            self._at(self.now + span, name, (process, "resume"))
+            self._schedule(self.now + span, name, (process, "resume"))
 
     def split(self, *sides: Iterable[str]) -> None:
         """Nothing passes between these sides."""
-        parts = [set(side) for side in sides]
-        self.cut |= {(a, b) for x in parts for y in parts if x is not y for a in x for b in y}
+        groups = [set(side) for side in sides]
+        self.cut |= {
+            (a, b)
+            for sources in groups
+            for targets in groups
+            if sources is not targets
+            for a in sources
+            for b in targets
+        }
 
     def run(self, span: float) -> None:
         """Let time pass."""
         end = self.now + span
         while self._queue and self._queue[0][0] <= end:
-            self.now, _, name, (process, what) = heapq.heappop(self._queue)
+            self.now, _, name, (process, event) = heapq.heappop(self._queue)
             if process.dead:
                 continue
-            if what == "resume":
+            if event == "resume":
                 process.paused = False
-                missed, process.missed = process.missed, []
-                for data, sender in missed:
+                deferred, process.deferred = process.deferred, []
+                for data, sender in deferred:
                     self._do(process, process.node.receive(data, sender, process.clock()))
                 self._do(process, process.node.wake(process.clock()))
             elif process.paused:
-                if isinstance(what, tuple):
-                    process.missed = [*process.missed[-63:], what]
+                if isinstance(event, tuple):
+                    process.deferred = [*process.deferred[-63:], event]
                 else:
-                    process.next = 0.0
-            elif isinstance(what, tuple):
-                self._do(process, process.node.receive(*what, process.clock()))
-            elif what == process.next:
-                process.next = 0.0
+                    process.next_wake = 0.0
+            elif isinstance(event, tuple):
+                self._do(process, process.node.receive(*event, process.clock()))
+            elif event == process.next_wake:
+                process.next_wake = 0.0
                 self._do(process, process.node.wake(process.clock()))
         self.now = end
         self.check()
@@ -175,10 +182,10 @@
                 first = self.tokens.setdefault((lease, token), f"{name}/{process.node.local.name}/{id(process)}")
                 assert first.endswith(f"/{id(process)}"), f"seed {self.seed}: {lease} {token} twice: {first} and {name}"
             if len(owners) > 1:
-                self.overlap = max(self.overlap, self.now - self.since.setdefault(lease, self.now))
+                self.overlap = max(self.overlap, self.now - self.overlap_since.setdefault(lease, self.now))
                 assert self.may_overlap, f"seed {self.seed}: at {self.now:.0f} {lease} is owned by {owners}"
             else:
-                self.since.pop(lease, None)
+                self.overlap_since.pop(lease, None)
             if owners:
                 self.idle_since.pop(lease, None)
             else:
@@ -186,9 +193,9 @@
 
     # -- inside
 
-    def _at(self, when: float, name: str, what: Any) -> None:
-        self._seq += 1
-        heapq.heappush(self._queue, (when, self._seq, name, what))
+    def _schedule(self, when: float, name: str, event: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._queue, (when, self._event_count, name, event))
 
     def _do(self, process: Process, actions: list[Any]) -> None:
         changed = False
@@ -197,9 +204,9 @@
                 self._send(process.name, action)
             elif isinstance(action, WakeAt):
                 when = self.now + max(0.1, (action.when - process.clock()) / (1 + process.drift))
-                if not process.next or when < process.next:
-                    process.next = when
-                    self._at(when, process.name, (process, when))
+                if not process.next_wake or when < process.next_wake:
+                    process.next_wake = when
+                    self._schedule(when, process.name, (process, when))
             elif isinstance(action, TableChanged):
                 rows = process.tables[action.table]
                 for key, value in action.changes.items():
@@ -220,6 +227,6 @@
         target = self.processes.get(action.address)
         if target is None or (sender, action.address) in self.cut or self.rng.random() < self.loss:
             return
-        for _ in range(2 if self.rng.random() < self.twice else 1):
+        for _ in range(2 if self.rng.random() < self.duplicate_rate else 1):
             arrives = self.now + self.rng.uniform(*self.delay)
-            self._at(arrives, action.address, (target, (action.data, sender)))
+            self._schedule(arrives, action.address, (target, (action.data, sender)))
