--- a/heronlug/cluster/codec.py
+++ b/heronlug/cluster/codec.py
@@ -1,4 +1,4 @@
-"""The binary form of messages: a byte for the kind, then fields of fixed size or with their length in front."""
+"""Encodes and decodes messages: a byte for the kind, then fields of fixed size or fields preceded by their length."""
 
 import struct
 
@@ -38,28 +38,28 @@
     LeaseRelease: (13, struct.Struct(">IQI")),
     TableAnnouncement: (14, struct.Struct(">IQIQQ")),
 }
-"""Code and layout of the kinds with fields of fixed size."""
+"""The code and the layout of each kind of message whose fields all have a fixed size."""
 
 _BY_CODE = {code: (kind, layout) for kind, (code, layout) in _LAYOUTS.items()}
 
 _MEMBER_UPDATE = 12
-"""Code of a :class:`MemberUpdate`; name and address follow the layout."""
+"""The code of a :class:`MemberUpdate`; the name and the address follow ``_MEMBER_UPDATE_LAYOUT``."""
 
 _MEMBER_UPDATE_LAYOUT = struct.Struct(">QBBB")
-"""Incarnation, health, length of the name, length of the address."""
+"""Incarnation, health, byte length of the name, byte length of the address."""
 
 _NODE_REQUEST = 15
-"""Code of a :class:`NodeRequest`; a byte with the number of names, then the names, 8 bytes each."""
+"""The code of a :class:`NodeRequest`: one byte with the number of names, then 8 bytes for each name."""
 
 _NODE_DATA = 16
-"""Code of a :class:`NodeData`; a byte with the length, then the node."""
+"""The code of a :class:`NodeData`: one byte with the length of the node, then the node."""
 
 _NAME_SIZE = 8
-"""Bytes of a node's name."""
+"""The size of a node's name in bytes."""
 
 
 def encode_part(part: Part) -> bytes:
-    """The binary form of one message."""
+    """Returns the binary form of one message."""
     if isinstance(part, MemberUpdate):
         name, address = part.name.encode(), part.address.encode()
         header = _MEMBER_UPDATE_LAYOUT.pack(part.incarnation, part.health, len(name), len(address))
@@ -76,7 +76,11 @@
 
 
 def decode_parts(body: bytes) -> list[Part]:
-    """All messages of a datagram's body; raises :class:`MalformedMessageError`."""
+    """Returns all messages of a datagram's body.
+
+    Raises:
+        MalformedMessageError: If a message is truncated, or has an unknown code or an invalid field.
+    """
     parts: list[Part] = []
     offset = 0
     try:
@@ -89,7 +93,7 @@
 
 
 def _decode_part(body: bytes, offset: int) -> tuple[Part, int]:
-    """The message at an offset, and the offset behind it."""
+    """Returns the message at an offset and the offset of the next message."""
     code = body[offset]
     offset += 1
     if code == _MEMBER_UPDATE:
@@ -101,7 +105,7 @@
     if code == _NODE_DATA:
         end = offset + 1 + body[offset]
         if end > len(body):
-            msg = "a table node is cut off"
+            msg = "the table node is truncated"
             raise ValueError(msg)
         return NodeData(body[offset + 1 : end]), end
     kind, layout = _BY_CODE[code]
@@ -114,14 +118,14 @@
     address_at = name_at + name_size
     end = address_at + address_size
     if end > len(body) or not name_size:
-        msg = "a member update is cut off"
+        msg = "the member update is truncated, or its name is empty"
         raise ValueError(msg)
     name, address = body[name_at:address_at].decode(), body[address_at:end].decode()
     return MemberUpdate(name, address, incarnation, Health(health)), end
 
 
 def _from_fields(kind: type, fields: tuple[int, ...]) -> Part:
-    """A message of fixed size from its numbers; a fencing token takes two of them."""
+    """Returns a message of fixed size built from its unpacked integers; a fencing token takes two of the integers."""
     if kind in (LeaseGrant, LeaseDenial):
         return kind(fields[0], FencingToken(*fields[1:3]), fields[3])  # type: ignore[no-any-return]
     if kind in (TransferOffer, TransferAcceptance, TransferCompletion, LeaseRelease):
--- a/heronlug/cluster/datagrams.py
+++ b/heronlug/cluster/datagrams.py
@@ -1,15 +1,15 @@
-"""Datagrams of the cluster: at most 256 bytes, authenticated by keyed BLAKE2 and protected against replay.
+"""Packs and unpacks datagrams of at most 256 bytes, authenticated by keyed BLAKE2b and protected against replay.
 
     byte 0      "H"
-         1      version, 1
+         1      protocol version, 1
          2      number of the key
          3..6   tag of the sender's name
-         7..14  stamp of the sender, above all of its earlier stamps
+         7..14  stamp of the sender, above all its earlier stamps
          15..   messages, see :mod:`heronlug.cluster.codec`
-    last 12     BLAKE2b over all before, with the key
+    last 12     keyed BLAKE2b hash of all preceding bytes
 
-A datagram of an unknown version is counted and dropped.  One whose stamp was seen before, or lies too far below the
-newest of its sender, is a replay.
+A datagram of an unknown version is counted and dropped. A datagram is dropped as a replay if its stamp was already
+received, or is more than ``REPLAY_WINDOW`` below the newest stamp of its sender.
 """
 
 import hmac
@@ -24,22 +24,22 @@
 from heronlug.cluster.messages import Part
 
 PROTOCOL_VERSION = 1
-"""The only version that is understood."""
+"""The only protocol version that is accepted."""
 
 MAX_DATAGRAM_SIZE = 256
-"""Bytes of a datagram at most."""
+"""The largest size of a datagram in bytes."""
 
 AUTHENTICATION_TAG_SIZE = 12
-"""Bytes of the BLAKE2b tag at the end."""
+"""The size of the BLAKE2b authentication tag at the end of a datagram, in bytes."""
 
 HEADER = struct.Struct(">cBBIQ")
-"""Mark, version, key number, sender, stamp."""
+"""The first byte, protocol version, key number, tag of the sender, stamp."""
 
 MAX_BODY_SIZE = MAX_DATAGRAM_SIZE - HEADER.size - AUTHENTICATION_TAG_SIZE
-"""Bytes of all messages of a datagram together."""
+"""The largest total size of the messages in a datagram, in bytes."""
 
 REPLAY_WINDOW = 64
-"""How many stamps below a sender's newest are still accepted, each once."""
+"""The number of stamps below the newest stamp of a sender that are still accepted, each one once."""
 
 MAGIC = b"H"
 """The first byte of each datagram."""
@@ -48,23 +48,29 @@
 class _SeenStamps(NamedTuple):
     newest: int
     seen_below: int
-    """A bit for each stamp below the newest that was seen; the lowest bit is the one just below."""
+    """A bit mask of the stamps received below ``newest``; the lowest bit stands for ``newest - 1``."""
 
 
 class DatagramCodec:
-    """Packs messages into datagrams and takes them out again.
+    """Packs messages into signed datagrams, and checks and unpacks received datagrams.
 
-    One or two keys are in use, by their number; the first one signs, all are accepted.  A key is replaced in service
-    by adding the new one at every member, then putting it first everywhere, then removing the old one.
+    One or two numbered keys are in use: the first key signs, and every key is accepted. To replace a key in a running
+    cluster, add the new key at every member, then put the new key first at every member, then remove the old key.
 
     Attributes:
-        tag: The sender's tag.
-        keys: The keys by their numbers.
-        dropped: Datagrams that were dropped, by reason.
+        tag: The tag of this member, the sender of packed datagrams.
+        keys: The keys by number; the first key signs.
+        dropped: The number of received datagrams that were dropped, by reason.
     """
 
     def __init__(self, tag: int, keys: Mapping[int, bytes], stamp: int) -> None:
-        """Create a codec; ``stamp`` must be above every stamp that the sender has used."""
+        """Creates a codec.
+
+        Args:
+            tag: The tag of this member.
+            keys: The keys by number; the first key signs.
+            stamp: A number above every stamp that this member has used; the stamp of the first datagram is one higher.
+        """
         self.tag = tag
         self.keys = dict(keys)
         self.dropped: Counter[str] = Counter()
@@ -72,7 +78,7 @@
         self._seen: dict[int, _SeenStamps] = {}
 
     def pack(self, parts: Iterable[Part]) -> list[bytes]:
-        """As few datagrams as hold all these messages in their order."""
+        """Returns signed datagrams that contain the messages in order, each filled before the next is started."""
         bodies: list[bytes] = [b""]
         for part in parts:
             data = encode_part(part)
@@ -82,7 +88,7 @@
         return [self._sign(body) for body in bodies if body]
 
     def unpack(self, data: bytes) -> tuple[int, list[Part]] | None:
-        """The sender's tag and the messages; None for a datagram that is dropped, which is counted by its reason."""
+        """Returns the tag of the sender and the messages, or None if the datagram is dropped and counted."""
         reason = self._rejection_reason(data)
         if reason:
             self.dropped[reason] += 1
@@ -105,7 +111,7 @@
         return data + _authentication_tag(data, self.keys[key_number])
 
     def _rejection_reason(self, data: bytes) -> str:
-        """Why a datagram is not authentic; empty if it is."""
+        """Returns the reason for which a datagram is dropped, or an empty string if it is authentic."""
         if data[:1] != MAGIC:
             return "malformed"
         if not HEADER.size + AUTHENTICATION_TAG_SIZE <= len(data) <= MAX_DATAGRAM_SIZE:
@@ -119,7 +125,7 @@
         return "" if hmac.compare_digest(expected, data[-AUTHENTICATION_TAG_SIZE:]) else "forged"
 
     def _accept_stamp(self, sender: int, stamp: int) -> bool:
-        """Whether a stamp of this sender is new; it is remembered."""
+        """Returns whether a stamp of this sender is new, and records the stamp if it is."""
         newest, seen_below = self._seen.get(sender, _SeenStamps(0, 0))
         if stamp > newest:
             advance = stamp - newest
--- a/heronlug/cluster/errors.py
+++ b/heronlug/cluster/errors.py
@@ -1,27 +1,37 @@
-"""Errors of the cluster."""
+"""Defines the errors of the cluster package."""
 
 
 class ClusterError(Exception):
-    """Base of all errors of this package."""
+    """The base class of all errors of this package."""
 
 
 class MalformedMessageError(ClusterError, ValueError):
-    """Bytes of a datagram that are no messages."""
+    """Raised if the body of a datagram is not a sequence of valid messages."""
 
     def __init__(self, offset: int, reason: str) -> None:
-        """State what is wrong with the message at an offset of the datagram's body."""
+        """Creates the error.
+
+        Args:
+            offset: The byte offset of the malformed message in the datagram's body.
+            reason: What is wrong with the message.
+        """
         super().__init__(f"malformed message at byte {offset}: {reason}")
         self.offset = offset
 
 
 class MalformedNodeError(ClusterError, ValueError):
-    """Bytes that are not a node of a replicated table."""
+    """Raised if bytes do not form a valid node of a replicated table."""
 
 
 class RowTooLongError(ClusterError, ValueError):
-    """A row that does not fit into a node of a replicated table."""
+    """Raised if a row does not fit into a node of a replicated table."""
 
     def __init__(self, size: int, max_size: int) -> None:
-        """State the size of the row's key and value together, and what it may be, in bytes."""
-        super().__init__(f"a row of {size} bytes: {max_size} at most")
+        """Creates the error.
+
+        Args:
+            size: The total size of the row's key and value, in bytes.
+            max_size: The largest total size that fits, in bytes.
+        """
+        super().__init__(f"a row has {size} bytes of key and value; a row may have {max_size} at most")
         self.size = size
--- a/heronlug/cluster/failure_detector.py
+++ b/heronlug/cluster/failure_detector.py
@@ -1,9 +1,10 @@
-"""Probes of other members: SWIM's failure detector with Lifeguard's local health.
+"""Probes the other members: SWIM's failure detector with Lifeguard's local health.
 
-Each probe interval one member is pinged, in a shuffled round. If it does not answer within the timeout it is pinged
-again, and some other members are asked to ping it too (indirect probes). A member that seems slow itself, because its
-own probes fail without a nack from those it asked, probes more slowly (Lifeguard's local health multiplier). A ping to
-a suspect says that it is suspected, so that it can refute at once (Lifeguard's buddy system).
+In each probe interval one member is pinged, in the order of a shuffled round. A member that does not answer within the
+timeout is pinged again, and some other members are asked to ping it too (indirect probes). If a probe fails and none
+of the asked members sends even a nack, the fault is probably at the probing member, which then probes more slowly
+(Lifeguard's local health multiplier). A ping to a suspect carries the suspicion, so that the suspect can refute it at
+once (Lifeguard's buddy system).
 """
 
 from collections.abc import Callable, Mapping
@@ -17,24 +18,24 @@
 from heronlug.cluster.model import ClusterTiming, Health
 
 MAX_DIRECT_PINGS = 4
-"""Direct pings within a probe interval; a lost datagram is no reason to suspect a member."""
+"""The largest number of direct pings of a probe; repeated pings keep lost datagrams from causing a suspicion."""
 
 PROBE_ID_MASK = 0xFFFFFFFF
-"""Probe numbers have 32 bits."""
+"""Limits probe numbers to the 32 bits that they have in datagrams."""
 
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """The probe of this interval.
+    """The probe of the current probe interval.
 
     Attributes:
         member: The member that is probed.
-        number: Its answers carry this number.
-        started_at: When the first ping was sent, in milliseconds.
-        pings: Direct pings sent.
-        helpers: Members asked for an indirect probe.
-        nacks: How many of these have said that they got no answer either.
-        answered: Whether an answer has come, direct or indirect.
+        number: The number that answers to this probe carry.
+        started_at: The time at which the first ping was sent, in milliseconds.
+        pings: The number of direct pings sent.
+        helpers: The number of members asked for an indirect probe.
+        nacks: The number of nacks from these members: they got no answer from the probed member either.
+        answered: Whether a direct or an indirect answer has arrived.
     """
 
     member: Member
@@ -47,21 +48,22 @@
 
 
 class _IndirectProbe(NamedTuple):
-    """A probe that another member has asked for."""
+    """An indirect probe that this member makes at the request of another member."""
 
     expires_at: float
+    """Milliseconds of this member's clock."""
     requester: str
-    """The address of the member that has asked."""
+    """The address of the member that requested the probe."""
     number: int
-    """The number that this member expects."""
+    """The number that the requester expects in the answer."""
 
 
 class FailureDetector:
-    """Probes members in turn, and reports those that do not answer.
+    """Probes members in turn and reports each member that does not answer.
 
     Attributes:
-        local_health: Lifeguard's local health multiplier; 0 is well, a higher value makes probes slower.
-        stopped: Whether no new probes are started.
+        local_health: Lifeguard's local health multiplier; 0 means healthy, a higher value makes probes slower.
+        stopped: Whether the detector no longer starts probes.
     """
 
     def __init__(
@@ -72,7 +74,15 @@
         send: Callable[[str, list[Part]], None],
         suspect: Callable[[Member, float], None],
     ) -> None:
-        """Create a detector for ``members``, by tag; ``suspect`` is told of each that has not answered, and when."""
+        """Creates a detector.
+
+        Args:
+            timing: The timing of the cluster.
+            rng: The source of randomness.
+            members: The other members by tag; the owner of the mapping adds and removes members.
+            send: Sends messages to an address.
+            suspect: Called with each member that has not answered its probe, and with the time.
+        """
         self.local_health = 0
         self.stopped = False
         self._timing = timing
@@ -87,35 +97,35 @@
         self._indirect_probes: dict[int, _IndirectProbe] = {}
 
     def next_wake(self) -> float:
-        """When :meth:`wake` or :meth:`expire_indirect_probes` has something to do."""
+        """Returns the earliest time at which :meth:`wake` or :meth:`expire_indirect_probes` has to be called."""
         expiries = [probe.expires_at for probe in self._indirect_probes.values()]
         return min(self._next_probe_at, self._next_ping_at(), *expiries)
 
     def add(self, member: Member) -> None:
-        """Probe a new member within this round, at a random place."""
+        """Adds a new member to the current probe round, at a random position."""
         self._round.insert(self._rng.randrange(len(self._round) + 1), member)
 
     def adjust_local_health(self, change: int) -> None:
-        """Raise the local health multiplier, or lower it, within its bounds."""
+        """Adds ``change`` to the local health multiplier, within 0 and ``local_health_max``."""
         self.local_health = max(0, min(self._timing.local_health_max, self.local_health + change))
 
     # -- time
 
     def expire_indirect_probes(self, now: float) -> None:
-        """Tell members that have asked for an indirect probe that no answer has come."""
+        """Sends a nack to the requester of each indirect probe that got no answer in time."""
         for number, probe in list(self._indirect_probes.items()):
             if probe.expires_at <= now:
                 del self._indirect_probes[number]
                 self._send(probe.requester, [Nack(probe.number)])
 
     def wake(self, now: float) -> None:
-        """Repeat the present probe if that is due, and start the next one."""
+        """Repeats the pings of the current probe and starts the next probe, each if due."""
         self._repeat_probe(now)
         if now >= self._next_probe_at:
             self._start_probe(now)
 
     def _next_ping_at(self) -> float:
-        """When the probed member is pinged again, if it has not answered and pings are left."""
+        """Returns the time of the next ping of the probed member; infinity if it has answered or no pings are left."""
         probe = self._probe
         if probe is None or probe.answered or probe.pings >= MAX_DIRECT_PINGS:
             return inf
@@ -152,7 +162,7 @@
             self._ping(self._probe.member, self._probe.number)
 
     def _report_failure(self, probe: Probe, now: float) -> None:
-        # helpers that did not even send a nack suggest that the fault is on this side (Lifeguard)
+        # If no helper sends even a nack, the fault is probably at this member (Lifeguard).
         self.adjust_local_health(1 if probe.helpers and not probe.nacks else 0)
         if probe.member.active:
             self._suspect(probe.member, now)
@@ -171,7 +181,7 @@
     # -- messages
 
     def receive_ack(self, number: int) -> None:
-        """A member has answered a ping of this process, for itself or for another member."""
+        """Handles the answer to a ping, of this process's own probe or of an indirect probe for another member."""
         probe = self._probe
         if number in self._indirect_probes:
             indirect = self._indirect_probes.pop(number)
@@ -181,12 +191,12 @@
             self.adjust_local_health(-1)
 
     def receive_nack(self, number: int) -> None:
-        """A member that was asked for an indirect probe has got no answer."""
+        """Handles the nack of a helper that got no answer to its indirect probe."""
         if self._probe is not None and self._probe.number == number:
             self._probe.nacks += 1
 
     def receive_indirect_ping(self, requester: str, request: IndirectPing, now: float) -> None:
-        """Ping a member for the one at the address ``requester``."""
+        """Pings a member on behalf of the member at the address ``requester``."""
         member = self._members.get(request.target)
         if member is not None:
             number = self._new_number()
--- a/heronlug/cluster/gossip_queue.py
+++ b/heronlug/cluster/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Member updates that are sent along with other datagrams, each a limited number of times (SWIM, section 4.1)."""
+"""Queues the member updates that are sent along with other datagrams, each a limited number of times (SWIM, 4.1)."""
 
 from math import ceil, log
 from typing import NamedTuple
@@ -13,19 +13,29 @@
 
 
 class GossipQueue:
-    """The updates to send next: those that were sent least come first."""
+    """A queue of member updates, in which the updates sent the fewest times come first."""
 
     def __init__(self, retransmit_multiplier: int) -> None:
-        """Create an empty queue; an update is sent ``retransmit_multiplier`` times the logarithm of the members."""
+        """Creates an empty queue.
+
+        Args:
+            retransmit_multiplier: The number of times that an update is sent, per unit of the binary logarithm of the
+                number of members.
+        """
         self._retransmit_multiplier = retransmit_multiplier
         self._queued: dict[str, _QueuedUpdate] = {}
 
     def put(self, update: MemberUpdate) -> None:
-        """Queue an update in place of an earlier one of the same member."""
+        """Adds an update; an earlier update of the same member is replaced."""
         self._queued[update.name] = _QueuedUpdate(0, update)
 
     def take(self, size_limit: int, member_count: int) -> list[MemberUpdate]:
-        """Updates of at most ``size_limit`` bytes together; counts them as sent to one of ``member_count`` others."""
+        """Returns the updates to send in the next datagram and counts each as sent once.
+
+        Args:
+            size_limit: The largest total size of the updates, in bytes.
+            member_count: The number of other members, from which the number of transmissions follows.
+        """
         limit = self._retransmit_multiplier * ceil(log(member_count + 2, 2))
         taken: list[MemberUpdate] = []
         for name in sorted(self._queued, key=lambda name: self._queued[name].transmissions):
--- a/heronlug/cluster/lease_state.py
+++ b/heronlug/cluster/lease_state.py
@@ -1,6 +1,6 @@
-"""What one member knows of one lease: its stage, the votes it has given and the votes it has received.
+"""Holds the state of one lease at one member: its stage, the vote granted and the votes and promises received.
 
-The stages of a lease and the events between them are in :data:`TRANSITIONS`.
+:data:`TRANSITIONS` lists the stages of a lease and the events that lead from one stage to the next.
 """
 
 from collections.abc import Iterable
@@ -14,23 +14,23 @@
 from heronlug.cluster.ownership import tag
 
 MAX_OPEN_REQUESTS = 32
-"""Requests of a lease whose answers are still accepted."""
+"""The number of most recent requests for a lease whose answers a member still accepts."""
 
 PROMISE_FRACTION = 0.25
-"""How long a promise is kept, as a fraction of the lease duration."""
+"""The duration of a promise, as a fraction of the lease duration."""
 
 
 class LeaseStage(Enum):
     """The stage of a lease at one member.
 
-    The values are what the operators' command ``cluster duties`` shows; the command calls a lease a duty.
+    The command ``cluster duties``, which calls a lease a duty, shows these values to operators.
     """
 
     IDLE = "idle"
-    """Another member holds the lease, or nobody does."""
+    """Another member holds the lease, or no member does."""
 
     REQUESTING = "asking"
-    """This member collects promises, then votes."""
+    """This member requests the lease: it collects promises first, then votes."""
 
     HELD = "holding"
     """This member holds the lease and renews it."""
@@ -39,40 +39,40 @@
     """This member holds the lease and offers it to the preferred owner."""
 
     TRANSFERRED = "passed"
-    """This member has stopped acting and tells its successor so."""
+    """This member no longer acts on the lease and sends its successor a completion message."""
 
     @property
     def holds(self) -> bool:
-        """Whether this member holds the lease in this stage."""
+        """Returns whether a member in this stage holds the lease."""
         return self in (LeaseStage.HELD, LeaseStage.TRANSFERRING)
 
 
 class LeaseEvent(Enum):
-    """What moves a lease from one stage to another."""
+    """An event that moves a lease from one stage to another."""
 
     REQUESTED = "requested"
-    """This member is the preferred owner, or is handed the lease."""
+    """This member starts to request the lease: it is the preferred owner, or its predecessor handed the lease over."""
 
     WITHDRAWN = "withdrawn"
-    """This member stops requesting: it is no longer preferred, or a request with a higher token competes."""
+    """This member no longer requests the lease: another member is preferred, or competes with a higher token."""
 
     SECURED = "secured"
-    """All quorum members have granted the lease."""
+    """All quorum members have granted this member the lease."""
 
     SUCCESSOR_FOUND = "successor found"
-    """Another member is the preferred owner."""
+    """Another member has become the preferred owner."""
 
     TRANSFER_CANCELLED = "transfer cancelled"
-    """This member is preferred again, or a third one is."""
+    """This member, or a third member, has become the preferred owner in place of the successor."""
 
     TRANSFER_ACCEPTED = "transfer accepted"
-    """The successor has accepted; this member has stopped acting."""
+    """The successor has accepted the lease, and this member no longer acts."""
 
     TRANSFER_FINISHED = "transfer finished"
-    """The successor requests the lease, or was told often enough that it may."""
+    """The successor has requested the lease, its completion messages are used up, or the lease has expired."""
 
     LOST = "lost"
-    """The lease has expired, a higher token was seen, or this member leaves without a successor."""
+    """The lease has expired, this member has seen a higher token, or this member leaves and no successor accepts."""
 
 
 TRANSITIONS: dict[tuple[LeaseStage, LeaseEvent], LeaseStage] = {
@@ -86,35 +86,40 @@
     (LeaseStage.TRANSFERRING, LeaseEvent.LOST): LeaseStage.IDLE,
     (LeaseStage.TRANSFERRED, LeaseEvent.TRANSFER_FINISHED): LeaseStage.IDLE,
 }
-"""The next stage by the present one and the event; no other event may happen in a stage."""
+"""Maps the current stage and an event to the next stage; a pair that is missing here is a programming error."""
 
 
 class OpenRequest(NamedTuple):
-    """A request for a lease that may still be answered."""
+    """A request for a lease whose answers this member still accepts."""
 
     sent_at: float
+    """Milliseconds of this member's clock."""
     for_promise: bool
-    """Whether it asks for a promise rather than for a vote."""
+    """Whether the request is for a promise rather than for a vote."""
 
 
 def secured_until(grants: dict[int, float], members: Iterable[int]) -> float:
-    """Until when all these members have given their votes, or promises, as ``grants`` records them by their tags.
+    """Returns the time until which all of ``members`` have granted their votes or promises.
 
-    A lease needs all its quorum members, so the first vote to expire decides.
+    A lease needs every quorum member, so the grant that expires first decides.
+
+    Args:
+        grants: The end of each member's grant in milliseconds, by the member's tag.
+        members: The tags of the quorum members; a member without a grant makes the result minus infinity.
     """
     return min(grants.get(member, -inf) for member in members)
 
 
 @dataclass(slots=True)
 class LeaseVote:
-    """What this member, as a quorum member, has granted of a lease.
+    """The vote and the promise of this member, as a quorum member, for one lease.
 
     Attributes:
-        token: The token of the owner that has the vote.
-        until: When the vote ends, by this member's clock.
-        highest: The highest token that was ever granted.
-        promised: The token that is promised the vote.
-        promised_until: When the promise ends.
+        token: The token that the vote was granted to last.
+        until: The end of the vote, in milliseconds of this member's clock.
+        highest: The highest token that this member has ever granted its vote.
+        promised: The token that the vote was promised to last.
+        promised_until: The end of the promise, in milliseconds of this member's clock.
     """
 
     token: FencingToken = NO_TOKEN
@@ -126,14 +131,17 @@
     def decide(
         self, request: LeaseRequest, now: float, lease_duration: float, renewals_only: bool
     ) -> LeaseGrant | LeaseDenial:
-        """Grant the lease to one owner at a time, and never under a token below one that was granted.
+        """Grants or denies a request, so that one owner at a time has the vote and granted tokens never decrease.
 
         Args:
-            request: The request, of another member or of this one.
-            now: The time by this member's clock.
-            lease_duration: How long a vote is bound, in milliseconds.
-            renewals_only: Whether the votes of the process before this one may still be bound.  They are not known
-                here, so only an owner that states that it holds the lease already may go on.
+            request: A request of another member or of this one.
+            now: The time, in milliseconds of this member's clock.
+            lease_duration: The duration of a vote, in milliseconds.
+            renewals_only: Whether a vote that the previous process of this member granted may still be valid.  This
+                process has no record of that vote, so it denies every request that is not a renewal.
+
+        Returns:
+            The answer to send to the requester.
         """
         if renewals_only and not request.is_renewal:
             return LeaseDenial(request.lease, self.highest, request.request_id)
@@ -152,53 +160,53 @@
         return LeaseGrant(request.lease, request.token, request.request_id)
 
     def release(self, token: FencingToken) -> None:
-        """End the vote and the promise that were given to this token."""
+        """Ends the vote and the promise that were granted to this token."""
         if token == self.token:
             self.until = -inf
         if token == self.promised:
             self.promised_until = -inf
 
     def release_owner(self, owner: int) -> None:
-        """End the vote and the promise that were given to this owner, also under an earlier token."""
+        """Ends the vote and the promise that were granted to this owner, under its current or an earlier token."""
         if self.token.owner == owner:
             self.until = -inf
         if self.promised.owner == owner:
             self.promised_until = -inf
 
     def _available_to(self, request: LeaseRequest, now: float) -> bool:
-        """Whether the vote is free for a request under another token than the present one."""
+        """Returns whether the vote can be granted to a request whose token differs from the current token."""
         if now >= self.until:
             return True
         if request.released == self.token != NO_TOKEN:
             return True
-        # an owner that requests the lease anew no longer acts under its earlier token
+        # An owner that requests the lease under a new token no longer acts under its earlier token.
         return request.token.owner == self.token.owner
 
 
 @dataclass(slots=True)
 class LeaseState:
-    """One lease as one member sees it.  All times are milliseconds of this member's clock.
+    """The state of one lease at one member.  All times are milliseconds of this member's clock.
 
     Attributes:
-        name: The lease's name, the same at every member.
-        stage: Where this member stands with the lease.
-        vote: What this member has granted.
-        token: The fencing token that this member requests or holds the lease under.
-        highest_seen: The highest token that other members have reported.
-        valid_until: Until when this member may act.
-        granted_until: Until when each quorum member has granted its vote, by the member's tag.
-        promised_until: Until when each quorum member has promised its vote, by the member's tag.
-        requests: Requests that may still be answered, by their number.
-        collecting_votes: Whether all promises have come, so that votes are requested.
+        name: The name of the lease, the same at every member.
+        stage: The stage of the lease at this member.
+        vote: The vote and the promise that this member has granted as a quorum member.
+        token: The fencing token under which this member requests or holds the lease.
+        highest_seen: The highest token that other members have reported in denials.
+        valid_until: The time at which this member must stop acting unless the lease is renewed.
+        granted_until: The end of each quorum member's vote for this member, by the quorum member's tag.
+        promised_until: The end of each quorum member's promise to this member, by the quorum member's tag.
+        requests: The requests whose answers are still accepted, by request ID.
+        collecting_votes: Whether all quorum members have promised their votes, so that votes are requested.
         released: The token of a predecessor that has handed the lease to this member.
-        offered_until: Until when this member requests the lease because it was handed to it.
-        successor: The tag of the member that this one hands the lease to.
-        pending_releases: Tokens whose release is sent again.
-        retry_at: When this member may request the lease again.
-        next_action_at: When something has to be sent again.
+        offered_until: The time until which this member requests the lease because a predecessor handed it over.
+        successor: The tag of the member to which this member hands the lease.
+        pending_releases: One token for each release message that is still to be repeated.
+        retry_at: The earliest time at which this member may request the lease again.
+        next_action_at: The next time at which the stage is updated and messages are sent.
         was_denied: Whether a request was denied since this member began to request the lease.
-        transfer_messages: Offers, later completions, that the successor was sent in this transfer.
-        times_gained: How often this member has become the owner.
+        transfer_messages: The number of offers, later of completions, sent to the successor in this transfer.
+        times_gained: The number of times that this member has become the owner.
     """
 
     name: str
@@ -223,24 +231,31 @@
 
     @property
     def key(self) -> int:
-        """The lease's name in 32 bits, as it stands in datagrams."""
+        """Returns the 32-bit tag that identifies the lease in datagrams."""
         return tag(self.name)
 
     @property
     def collecting_promises(self) -> bool:
-        """Whether the next request asks for promises: no predecessor has released the lease, and not all have come."""
+        """Returns whether the next request is for promises.
+
+        Promises are requested until all quorum members have given theirs, unless a predecessor released the lease.
+        """
         return self.stage is LeaseStage.REQUESTING and self.released == NO_TOKEN and not self.collecting_votes
 
     def advance(self, event: LeaseEvent) -> None:
-        """Move to the stage that follows; raises ``KeyError`` for an event that cannot happen in this stage."""
+        """Moves to the stage that follows ``event``.
+
+        Raises:
+            KeyError: If ``event`` cannot happen in the current stage.
+        """
         self.stage = TRANSITIONS[self.stage, event]
 
     def may_act(self, now: float) -> bool:
-        """Whether this member holds the lease and it has not expired."""
+        """Returns whether this member holds the lease and the lease has not expired."""
         return self.stage.holds and now < self.valid_until
 
     def begin_request(self, token: FencingToken) -> None:
-        """Request the lease under a new token; what was granted to earlier ones counts no more."""
+        """Sets a new token to request the lease under and discards the grants that earlier tokens received."""
         self.token = token
         self.granted_until.clear()
         self.promised_until.clear()
@@ -248,10 +263,10 @@
         self.collecting_votes = False
 
     def new_request(self, request_id: int, now: float) -> LeaseRequest:
-        """The next request; answers to the oldest ones are not accepted any more."""
+        """Returns and records the next request; only the newest ``MAX_OPEN_REQUESTS`` requests stay open."""
         for_promise = self.collecting_promises
         if self.stage is not LeaseStage.REQUESTING and now < self.valid_until:
-            released = self.token  # makes it a renewal
+            released = self.token  # marks the request as a renewal
         else:
             released = without_owner(self.token) if for_promise else self.released
         self.requests[request_id] = OpenRequest(now, for_promise)
@@ -260,5 +275,5 @@
         return LeaseRequest(self.key, self.token, request_id, released)
 
     def grants(self, for_promise: bool) -> dict[int, float]:
-        """Where answers to a request are recorded."""
+        """Returns the record of granted promises or of granted votes: end times by the tag of the quorum member."""
         return self.promised_until if for_promise else self.granted_until
--- a/heronlug/cluster/leases.py
+++ b/heronlug/cluster/leases.py
@@ -1,22 +1,23 @@
-"""Leases: which member may act, under which fencing token, and how a lease is handed over.
+"""Requests, renews, transfers and releases the leases of one member.
 
-A lease has quorum members, and all of them must grant it: unlike in Raft or Paxos, a majority is not enough. They are
-the member that requests the lease and the first ``max_quorum_members`` others (fewer where there are fewer) in the
-lease's rendezvous ranking of the members that the requester does not hold dead. So two members may see different
-quorums, and a member that dies leaves the quorum instead of blocking it.
+A lease must be granted by all its quorum members; unlike in Raft or Paxos, a majority is not enough. The quorum
+members are the member that requests the lease and, in the lease's rendezvous ranking of the members that the
+requester does not consider dead, the first ``max_quorum_members`` other members (fewer where there are fewer). Two
+members can therefore see different quorums, and a dead member leaves the quorum instead of blocking the lease.
 
-A quorum member grants a lease to one owner at a time, until its own clock has run ``lease_duration`` past the grant.
-The owner counts the grant from when it sent the request, and only for ``1 - 2 * max_clock_drift`` of the duration, so
-that it never acts after the grant has expired. With the defaults that is 1920 ms of 2000 ms.
+A quorum member grants a lease to one owner at a time, until ``lease_duration`` after the grant by its own clock. The
+owner counts the grant from the time at which it sent the request, and only for ``1 - 2 * max_clock_drift`` of the
+duration, so that the owner never acts after the grant has expired. With the defaults that is 1920 ms of 2000 ms.
 
-Two members can act at once only if their quorums are disjoint: each holds the other, and every member that voted for
-it, dead. That is a partition. Both act under different tokens, and after the first datagram between them the one with
-the lower token stops.
+Two members can act at the same time only if their quorums are disjoint, which requires that each of the two considers
+the other member, and every member that voted for it, dead. That is a partition. The two act under different tokens,
+and after the first datagram between them the member with the lower token stops.
 
-No vote is bound before all quorum members are known to give theirs. As in Paxos (Lamport 1998), a round of promises
-comes first, unless a predecessor has released the lease. A promise is short and gives way to a higher token; a vote
-is bound for a whole lease. Without that round, two members that request the lease with different views would each
-bind some of the votes, and those would stay bound for a whole lease whenever the release message is lost.
+No vote is granted before all quorum members are known to grant theirs. As in Paxos (Lamport 1998), a round of promises
+comes first, unless a predecessor has released the lease. A promise is short and is replaced by a promise to a higher
+token; a vote is bound to its token for a whole lease duration. Without the round of promises, two members that request
+the lease with different views would each get some of the votes, and these votes would stay bound for a whole lease
+duration whenever the release message is lost.
 
 The stages of a lease are described in :mod:`heronlug.cluster.lease_state`.
 """
@@ -48,30 +49,30 @@
 from heronlug.cluster.ownership import preferred_owner, tag
 
 MAX_TRANSFER_MESSAGES = 12
-"""Offers after which a leaving member drops the lease, and completions after which a member sends no more."""
+"""The number of offers after which a leaving member drops the lease, and the number of completions sent at most."""
 
 RELEASE_REPEATS = 3
-"""How often a release is sent again after the first time, as it may be lost."""
+"""The number of times that a release message is repeated, since any datagram can be lost."""
 
 REQUEST_ID_MASK = 0xFFFFFFFF
-"""Request numbers have 32 bits."""
+"""Limits request IDs to the 32 bits that they have in datagrams."""
 
 RETRY_DELAY_MIN = 0.4
-"""The shortest time before a released lease is requested again, as a fraction of the lease duration."""
+"""The shortest delay before a released lease is requested again, as a fraction of the lease duration."""
 
 RETRY_DELAY_SPREAD = 0.4
-"""How much longer that time may be, as a fraction of the lease duration."""
+"""The range of the additional delay above ``RETRY_DELAY_MIN``, as a fraction of the lease duration."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseCallbacks:
-    """What the leases need of the member they belong to.
+    """The functions of a member that its lease manager calls.  Times are milliseconds of this member's clock.
 
     Attributes:
-        send: Sends a part to the member with this tag.
-        notify: Is told when a lease is gained or lost.
-        quorum: The other quorum members of a lease, names by tag, at a time.
-        candidates: The names of the members that may own a lease at a time, perhaps this one too.
+        send: Sends a part to the member with the given tag.
+        notify: Receives an event for each lease that is gained or lost.
+        quorum: Returns the other quorum members of the named lease at a time, names by tag.
+        candidates: Returns the names of the members that may own a lease at a time; this member can be among them.
     """
 
     send: Callable[[int, Part], None]
@@ -81,13 +82,16 @@
 
 
 class LeaseManager:
-    """All leases of one member.
+    """Manages all leases of one member.  Times are milliseconds of this member's clock.
 
     Attributes:
-        leases: The leases by their keys.
-        leaving: Whether this member hands its leases over and requests no more.
-        votes_from: When this member may grant leases that nobody holds yet; set once the start time is known.
-        conflicts: How often this member has stopped because of a higher token.
+        name: The name of this member.
+        tag: The tag of this member.
+        leases: The state of each lease, by the lease's key.
+        leaving: Whether this member hands over its leases and no longer requests any.
+        votes_from: The time from which this member grants requests that are not renewals; infinity until the node
+            sets it at its first wake.
+        conflicts: The number of leases that this member has lost because it saw a higher token.
     """
 
     def __init__(
@@ -98,12 +102,20 @@
         timing: ClusterTiming,
         callbacks: LeaseCallbacks,
     ) -> None:
-        """Create the leases; ``incarnation`` is the start time of this process in Unix milliseconds."""
+        """Creates a manager that holds no lease.
+
+        Args:
+            name: The name of this member.
+            incarnation: The start time of this process in Unix milliseconds.
+            lease_names: The names of the leases, the same at every member.
+            timing: The timing of the cluster, the same at every member.
+            callbacks: The functions of this member that the manager calls.
+        """
         self.name = name
         self.tag = tag(name)
         self.timing = timing
         self.callbacks = callbacks
-        # Names this process, so that a restarted one never repeats a token.
+        # The owner field of tokens names the process, so that a restarted member never repeats a token.
         self.process_tag = tag(f"{name}\0{incarnation}")
         self.leases = {state.key: state for state in map(LeaseState, lease_names)}
         self.leaving = False
@@ -117,22 +129,22 @@
     # -- queries
 
     def may_act(self, key: int, now: float) -> FencingToken | None:
-        """The token of this member while the lease holds; to be asked again before each step that matters."""
+        """Returns this member's token if it holds the lease, else None; check again before each protected step."""
         state = self.leases[key]
         return state.token if state.may_act(now) else None
 
     def next_wake(self) -> float:
-        """When :meth:`wake` has something to do."""
+        """Returns the earliest time at which :meth:`wake` has to be called."""
         return min((state.next_action_at for state in self.leases.values()), default=inf)
 
     def idle(self) -> bool:
-        """Whether this member holds no lease and is handing none over."""
+        """Returns whether this member holds no lease and is handing over none."""
         return all(state.stage in (LeaseStage.IDLE, LeaseStage.REQUESTING) for state in self.leases.values())
 
     # -- time
 
     def wake(self, now: float) -> None:
-        """Let leases expire, and send what is due."""
+        """Drops leases that have expired, updates the stages that are due and sends their messages."""
         candidates: list[str] | None = None
         for state in self.leases.values():
             self._expire(state, now)
@@ -145,7 +157,7 @@
             self._lose(state, LeaseCause.EXPIRED)
 
     def _step(self, state: LeaseState, candidates: list[str], now: float) -> None:
-        """Update the stage for the present candidates, then send what the stage calls for."""
+        """Updates the stage for the current candidates, then sends the messages of that stage."""
         state.next_action_at = now + self.timing.request_interval
         if state.pending_releases:
             self._send_release(state, state.pending_releases.pop(), now)
@@ -160,7 +172,7 @@
             self._repeat_completion(state, now)
 
     def _update_stage(self, state: LeaseState, preferred: str, now: float) -> None:
-        """Move the lease on if this member has become, or is no longer, the one that should hold it."""
+        """Changes the stage if this member has become the member that should hold the lease, or no longer is."""
         handed_over = now < state.offered_until
         wanted = not self.leaving and (preferred == self.name or handed_over)
         if state.stage is LeaseStage.IDLE and wanted and (now >= state.retry_at or handed_over):
@@ -182,12 +194,15 @@
         return self.callbacks.quorum(state.name, now)
 
     def _new_token(self, state: LeaseState) -> FencingToken:
-        """A token above all that this member has seen of the lease."""
+        """Returns a token above every token that this member has seen for the lease."""
         seen = (state.vote.highest.number, state.highest_seen.number, state.token.number, self._min_token_number)
         return FencingToken(max(seen) + 1, self.process_tag)
 
     def _request(self, state: LeaseState, quorum: dict[int, str], now: float) -> None:
-        """Ask the quorum members whose grant expires first; this member's own vote is given like any other."""
+        """Sends a request to the quorum members whose grant is missing or expires soon.
+
+        This member decides on its own vote first, by the same rules as on a request from another member.
+        """
         for_promise = state.collecting_promises
         self._last_request_id = (self._last_request_id + 1) & REQUEST_ID_MASK
         request = state.new_request(self._last_request_id, now)
@@ -208,23 +223,23 @@
             self._count_votes(state, quorum, now)
 
     def _renew(self, state: LeaseState, now: float) -> None:
-        """Request the lease again before the first grant expires."""
+        """Requests the lease again before the first grant expires."""
         quorum = self._quorum(state, now)
         if secured_until(state.granted_until, [*quorum, self.tag]) - now < self._renewal_margin:
             self._request(state, quorum, now)
 
     def _grant_duration(self, for_promise: bool) -> float:
-        """How long an answer holds from when its request was sent, in milliseconds."""
+        """Returns how long a grant counts from the time at which its request was sent, in milliseconds."""
         return self._vote_duration * PROMISE_FRACTION if for_promise else self._vote_duration
 
     def _count_promises(self, state: LeaseState, quorum: dict[int, str], now: float) -> None:
-        """Request votes once all quorum members have promised theirs."""
+        """Requests votes once all quorum members have promised their votes."""
         if secured_until(state.promised_until, [*quorum, self.tag]) > now:
             state.collecting_votes = True
             self._request(state, quorum, now)
 
     def _count_votes(self, state: LeaseState, quorum: dict[int, str], now: float) -> None:
-        """Hold the lease as long as every vote; time that was secured once is not taken back."""
+        """Takes or extends the lease up to the end of the vote that expires first; never shortens the lease."""
         until = secured_until(state.granted_until, [*quorum, self.tag])
         if until <= now:
             return
@@ -240,7 +255,7 @@
     # -- messages
 
     def receive(self, sender: int, part: Part, now: float) -> None:
-        """Handle a part of a datagram if it is about a lease that this member knows."""
+        """Handles a part of a datagram; parts about anything other than this member's leases are ignored."""
         if not isinstance(part, LEASE_PARTS):
             return
         state = self.leases.get(part.lease)
@@ -268,7 +283,7 @@
     def _on_request(self, state: LeaseState, sender: int, request: LeaseRequest, now: float) -> None:
         if (
             state.stage is LeaseStage.TRANSFERRED and request.token > state.token and sender == state.successor
-        ):  # the successor has received the completion
+        ):  # A request of the successor shows that it has received the completion.
             state.advance(LeaseEvent.TRANSFER_FINISHED)
             state.next_action_at = now + self.timing.lease_duration
         self.callbacks.send(sender, self._decide_vote(state, request, now))
@@ -289,11 +304,11 @@
             self._count_votes(state, self._quorum(state, now), now)
 
     def _on_denial(self, state: LeaseState, denial: LeaseDenial, now: float) -> None:
-        """Give way to a higher token: another member holds the lease, or requests it too.
+        """Gives way to a higher token: another member holds the lease, or requests it too.
 
-        The first denial may only mean that the number of our token was too low, so the request is repeated with a
-        higher one. After a second one two members would go on outbidding each other, each with some of the votes; so
-        this one releases its token and requests the lease again a little later.
+        The first denial may only mean that the number of this member's token was too low, so the request is repeated
+        with a higher number. If the second denial were handled in the same way, two members could outbid each other
+        endlessly, each with some of the votes; instead, this member releases its token and retries after a delay.
         """
         state.highest_seen = max(state.highest_seen, denial.highest)
         if denial.highest <= state.token:
@@ -319,7 +334,7 @@
             self._lose(state, LeaseCause.NO_SUCCESSOR)
 
     def _on_acceptance(self, state: LeaseState, sender: int, acceptance: TransferAcceptance, now: float) -> None:
-        """The successor has accepted: stop acting, then tell it so."""
+        """Stops acting because the successor has accepted the lease, then sends the completion to the successor."""
         if state.stage is not LeaseStage.TRANSFERRING:
             return
         if acceptance.token != state.token or sender != state.successor:
@@ -339,7 +354,7 @@
             self.callbacks.send(state.successor, TransferCompletion(state.key, state.token))
 
     def _on_completion(self, state: LeaseState, completion: TransferCompletion, now: float) -> None:
-        """The predecessor has stopped: request the lease at once, without a round of promises."""
+        """Schedules an immediate request without a round of promises, since the predecessor no longer acts."""
         if self.leaving or state.stage not in (LeaseStage.IDLE, LeaseStage.REQUESTING):
             return
         if completion.token >= state.vote.highest or completion.token == state.vote.token:
@@ -360,11 +375,11 @@
         self.callbacks.notify(LeaseLost(state.name, state.token, cause))
 
     def _release(self, state: LeaseState, now: float) -> None:
-        """Free all votes for our token, and wait before the lease is requested again."""
+        """Frees all votes for this member's token, and delays its next request for the lease."""
         self._send_release(state, state.token, now)
         state.pending_releases = [state.token] * RELEASE_REPEATS
         state.vote.release_owner(self.process_tag)
-        # spreads the members' retries without randomness
+        # The hash spreads the retries of the members in time without a source of randomness.
         spread = xxh32_intdigest(f"{self.name}{state.token.number}".encode()) / 2**32
         state.retry_at = now + self.timing.lease_duration * (RETRY_DELAY_MIN + RETRY_DELAY_SPREAD * spread)
         state.next_action_at = now + self.timing.request_interval
@@ -383,4 +398,4 @@
     TransferAcceptance,
     TransferCompletion,
 )
-"""The parts of a datagram that are about leases."""
+"""The kinds of message that concern leases."""
--- a/heronlug/cluster/member.py
+++ b/heronlug/cluster/member.py
@@ -1,4 +1,4 @@
-"""One member of the cluster as another member, or the process itself, knows it."""
+"""Holds the record of one member: of this process itself, or of another member."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -12,9 +12,9 @@
     """This process as a member.
 
     Attributes:
-        name: The name, unique among the members.
-        address: Where other members reach this one.
-        incarnation: Unix milliseconds of the start, and one more with each refutation.
+        name: The name of this member, unique among the members.
+        address: The address at which other members reach this member.
+        incarnation: The start of this process in Unix milliseconds, raised with each refutation.
         leaving: Whether this member has announced that it leaves.
     """
 
@@ -25,30 +25,30 @@
 
     @property
     def tag(self) -> int:
-        """The name in 32 bits."""
+        """Returns the 32-bit hash of the name."""
         return tag(self.name)
 
     @property
     def update(self) -> MemberUpdate:
-        """What this member says of itself."""
+        """Returns the update that announces this member."""
         health = Health.LEFT if self.leaving else Health.ALIVE
         return MemberUpdate(self.name, self.address, self.incarnation, health)
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """Another member.  All times are milliseconds of this process's clock.
+    """The record of another member.  All times are milliseconds of this process's clock.
 
     Attributes:
-        name: The name, unique among the members.
-        address: Where it is reached.
-        incarnation: The highest incarnation that is known.
-        joined_at: When it was last found alive after it was not, or as a new process.
-        changed_at: When its health changed last.
-        health: What this member holds it to be.
-        last_heard: When a datagram of it came last.
-        suspected_by: Tags of the members that suspect it independently.
-        tag: The name in 32 bits.
+        name: The name of the member, unique among the members.
+        address: The address at which the member is reached.
+        incarnation: The highest incarnation received for the member.
+        joined_at: The last time at which the member was added, came back after an absence or started a new process.
+        changed_at: The last time at which the health of the member changed.
+        health: The health of the member as recorded here.
+        last_heard: The time at which the last datagram of the member arrived.
+        suspected_by: The tags of the members that suspect this member independently.
+        tag: The 32-bit hash of the name.
     """
 
     name: str
@@ -66,10 +66,10 @@
 
     @property
     def active(self) -> bool:
-        """Whether it takes part: it is alive, or suspected and not yet dead."""
+        """Returns whether the member is alive, or suspected and not yet dead."""
         return self.health <= Health.SUSPECT
 
     @property
     def update(self) -> MemberUpdate:
-        """What this process tells others of it."""
+        """Returns the update that reports the member to other members."""
         return MemberUpdate(self.name, self.address, self.incarnation, self.health)
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -1,9 +1,11 @@
-"""Who is a member: SWIM with Lifeguard's refinements, without I/O, clock or randomness of its own.
+"""Tracks the members of the cluster by SWIM with the refinements of Lifeguard.
 
-SWIM (Das, Gupta, Motivala 2002): members are probed in turn, updates are sent along with other datagrams, and a
-suspect has time to refute by a higher incarnation. Lifeguard (Dadgar, Phillips, Currey 2017): a suspicion gets shorter
-as other members confirm it. Probes are in :mod:`heronlug.cluster.failure_detector`, the updates to send in
-:mod:`heronlug.cluster.gossip_queue`. Only dispatchers are members; servers are not probed here.
+In SWIM (Das, Gupta, Motivala 2002), members are probed in turn, updates are sent along with other datagrams, and a
+suspect has time to refute the suspicion by a higher incarnation. In Lifeguard (Dadgar, Phillips, Currey 2017), a
+suspicion gets shorter as other members confirm it. Probes are in :mod:`heronlug.cluster.failure_detector`, the updates
+to send are in :mod:`heronlug.cluster.gossip_queue`. Only dispatchers are members; servers are not probed here.
+
+This module does no I/O and reads no clock; callers pass the time and the source of randomness.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,32 +21,34 @@
 from heronlug.cluster.ownership import tag
 
 FAST_REJOIN_WINDOW = 5000.0
-"""How long a dead member is asked for its members more often, in milliseconds."""
+"""The time after a member's death in which join requests are sent more often, in milliseconds."""
 
 FAST_REJOIN_FACTOR = 8
-"""How much more often."""
+"""The factor by which join requests are more frequent after the start and after a member's death."""
 
 MAX_JOIN_REQUESTS = 8
-"""Addresses that are asked for their members at once."""
+"""The largest number of addresses that get a join request at the same time."""
 
 CARRIER_SIZE = 64
-"""Bytes of a datagram that are left for its own content; the rest may be filled with member updates."""
+"""The bytes of a datagram reserved for its main content; member updates may fill the rest."""
 
 RESTART_INCARNATION_GAP = 1000
-"""An incarnation that is higher by this is a new process: a refutation adds one, a process starts with the time."""
+"""The rise of an incarnation that shows a new process: a refutation adds 1, a new process starts at its Unix time."""
 
 
 class Membership:
-    """The members as one of them sees them.
+    """The members of the cluster as recorded at one member.
 
     Attributes:
-        local: This process.
-        members: The other members by name, also those that are dead or have left until they are forgotten.
-        by_tag: The same by tag.
-        suspicions: How often this process has begun to suspect a member.
-        false_suspicions: How many suspects have refuted.
-        refutations: How often this process has refuted that it is suspected or dead.
-        name_clashes: Updates of a member that has another name with the same tag.
+        local: This process as a member.
+        timing: The timing of the cluster.
+        members: The other members by name; dead members and members that have left stay until they are forgotten.
+        by_tag: The other members by tag.
+        seeds: The addresses of the seeds, without this process's own address.
+        suspicions: The number of times that this process has begun to suspect a member.
+        false_suspicions: The number of suspicions that were refuted.
+        refutations: The number of times that this process has refuted a report that it is suspected or dead.
+        name_clashes: The number of updates ignored because the name has the same tag as another member's name.
     """
 
     def __init__(
@@ -56,7 +60,16 @@
         send: Callable[[str, list[Part]], None],
         notify: Callable[[MemberChanged], None],
     ) -> None:
-        """Create a membership of this process alone; ``send`` takes an address, ``notify`` is told each change."""
+        """Creates a membership that contains only this process.
+
+        Args:
+            local: This process as a member.
+            seeds: The addresses at which other members are expected.
+            timing: The timing of the cluster.
+            rng: The source of randomness.
+            send: Sends messages to an address.
+            notify: Receives an event for each change of a member's health.
+        """
         self.local = local
         self.timing = timing
         self.members: dict[str, Member] = {}
@@ -78,18 +91,18 @@
 
     @property
     def local_health(self) -> int:
-        """Lifeguard's local health multiplier; 0 is well."""
+        """Returns Lifeguard's local health multiplier; 0 means healthy."""
         return self._detector.local_health
 
     def active_members(self) -> list[Member]:
-        """The other members that are alive or suspected."""
+        """Returns the other members that are alive or suspected."""
         return [member for member in self.members.values() if member.active]
 
     def quorum_candidates(self, now: float) -> list[Member]:
-        """Members whose votes count.
+        """Returns the other members that can be quorum members of a lease.
 
-        A dead member from which a datagram came within the last lease duration counts too: then it is this process
-        that is not heard.
+        A dead member counts if this process has received a datagram from it within the last lease duration: in that
+        case the datagrams of this process are the ones that get lost.
         """
         heard_since = now - self.timing.lease_duration
         return [
@@ -97,19 +110,19 @@
         ]
 
     def next_wake(self) -> float:
-        """When :meth:`wake` has something to do."""
+        """Returns the earliest time at which :meth:`wake` has to be called."""
         suspects = [member for member in self.members.values() if member.health is Health.SUSPECT]
         ends = [self._suspicion_end(member) for member in suspects]
         return min(self._detector.next_wake(), self._next_join_at, *ends)
 
     def next_updates(self, size_limit: int = MAX_BODY_SIZE - CARRIER_SIZE) -> list[MemberUpdate]:
-        """The updates to send along with a datagram, of at most ``size_limit`` bytes together."""
+        """Returns the updates to send along with a datagram, of at most ``size_limit`` bytes in total."""
         return self._gossip.take(size_limit, len(self.members))
 
     # -- time
 
     def wake(self, now: float) -> None:
-        """Do what is due."""
+        """Expires probes and members, sends join requests and probes, each if due."""
         self._detector.expire_indirect_probes(now)
         self._expire_members(now)
         if now >= self._next_join_at:
@@ -117,7 +130,7 @@
         self._detector.wake(now)
 
     def _expire_members(self, now: float) -> None:
-        """Confirm suspicions that were not refuted in time, and forget members that were dead for long."""
+        """Declares suspects dead that did not refute in time, and forgets inactive members after ``forget_after``."""
         for member in list(self.members.values()):
             if member.health is Health.SUSPECT and self._suspicion_end(member) <= now:
                 self._set_health(member, Health.DEAD, now, "suspicion over")
@@ -125,7 +138,7 @@
                 del self.members[member.name], self.by_tag[member.tag]
 
     def _join(self, now: float) -> None:
-        """Ask seeds that are not among the members, and dead members, for all members that they know."""
+        """Sends join requests to the seeds that are not active members and to the dead members."""
         self._started_at = min(self._started_at, now)
         factor = FAST_REJOIN_FACTOR if self._joins_fast(now) else 1
         self._next_join_at = now + self.timing.rejoin_interval * self._rng.uniform(0.75, 1.25) / factor
@@ -137,14 +150,17 @@
             self._send(address, [Sync(), self.local.update])
 
     def _joins_fast(self, now: float) -> bool:
-        """Whether the members have to be complete soon: before this process owns a lease, or after a partition."""
+        """Returns whether join requests are sent more often.
+
+        The list of members must be complete before this process may own a lease, and soon after a partition.
+        """
         if now - self._started_at < self.timing.settle_time:
             return True
         dead = (member for member in self.members.values() if member.health is Health.DEAD)
         return any(now - member.changed_at < FAST_REJOIN_WINDOW for member in dead)
 
     def _suspicion_end(self, member: Member) -> float:
-        """When a suspect is confirmed dead (LHA-Suspicion): the later, the fewer members suspect it too."""
+        """Returns the time at which a suspect is declared dead; each confirmation moves it forward (LHA-Suspicion)."""
         timing = self.timing
         confirmed_fraction = log(len(member.suspected_by) or 1) / log(timing.confirmations + 1)
         duration = timing.suspicion_max - (timing.suspicion_max - timing.suspicion_min) * min(1.0, confirmed_fraction)
@@ -153,7 +169,7 @@
     # -- messages
 
     def receive(self, sender: int, address: str, parts: Iterable[Part], now: float) -> None:
-        """Handle those parts of a datagram that are about members."""
+        """Handles the parts of a datagram that concern membership, and ignores other parts."""
         known = self.by_tag.get(sender)
         if known is not None:
             known.last_heard = now
@@ -173,7 +189,7 @@
                     self.apply_update(part, sender, now)
 
     def apply_update(self, update: MemberUpdate, sender: int, now: float) -> None:
-        """Apply an update in SWIM's order: the higher incarnation, and at the same one the worse health."""
+        """Applies an update in SWIM's order: a higher incarnation wins; at the same incarnation, the worse health."""
         if update.name == self.local.name:
             self._refute(update)
             return
@@ -189,7 +205,7 @@
 
     def _add(self, update: MemberUpdate, sender: int, now: float) -> None:
         if tag(update.name) in self.by_tag or tag(update.name) == self.local.tag:
-            self.name_clashes += 1  # the second of two names with one tag is not admitted
+            self.name_clashes += 1  # If two names have the same tag, only the first name is admitted.
             return
         if update.health > Health.SUSPECT:
             return
@@ -202,7 +218,7 @@
             self._suspect(member, sender, now, "told")
 
     def _apply_incarnation(self, member: Member, update: MemberUpdate, now: float) -> None:
-        """Take over a higher incarnation; a member that says that it is alive is no longer suspected."""
+        """Records a higher incarnation; an update with health ``ALIVE`` also ends a suspicion."""
         if not member.active or update.incarnation - member.incarnation >= RESTART_INCARNATION_GAP:
             member.joined_at = now
         member.incarnation = update.incarnation
@@ -221,7 +237,7 @@
             self._set_health(member, update.health, now, "told")
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Refute with a higher incarnation that this process is suspected or dead, unless it leaves."""
+        """Refutes a report that this process is suspected or dead by raising its incarnation, unless it is leaving."""
         local = self.local
         if update.incarnation >= local.incarnation and update.health is not Health.ALIVE and not local.leaving:
             local.incarnation = update.incarnation + 1
@@ -242,7 +258,7 @@
         elif member.health is Health.SUSPECT and accuser not in member.suspected_by:
             member.suspected_by.add(accuser)
             if len(member.suspected_by) <= self.timing.confirmations + 1:
-                self._gossip.put(member.update)  # an independent suspicion is sent on as a confirmation
+                self._gossip.put(member.update)  # An independent suspicion is passed on as a confirmation.
 
     def _set_health(self, member: Member, health: Health, now: float, cause: str) -> None:
         changed = member.health is not health
@@ -253,7 +269,7 @@
         self._gossip.put(member.update)
 
     def leave(self) -> MemberUpdate:
-        """Stop probing; returns the update that tells others, so that none has to suspect this process."""
+        """Stops probing and returns the update that announces the leave, so that no member suspects this process."""
         self.local.leaving = True
         self._detector.stopped = True
         return self.local.update
--- a/heronlug/cluster/merkle_trie.py
+++ b/heronlug/cluster/merkle_trie.py
@@ -1,12 +1,12 @@
-"""A table of rows as a tree of small nodes, each named by the hash of its content (Merkle 1987, Bagwell 2001).
+"""Stores a table of rows as a tree of small nodes named by their content's hash (Merkle 1987, Bagwell 2001).
 
-Rows are placed by the hash of their key, two bits a level; with four bits a level leaves are half as full. A node that
-would be larger than a datagram allows is a branch. The same rows give the same tree in whatever order they came, so
-two tables are equal if their roots are, and differences are found without looking at equal subtrees. A store is a
-mapping from the names of nodes to their bytes.
+A row's position follows from the hash of its key, two bits per level; with four bits per level, leaves would be half
+as full. Rows that do not fit into a leaf, and so into a datagram, are split over the children of a branch. Equal rows
+give an equal tree regardless of the order in which they were added, so two tables are equal if their roots are equal,
+and differences are found without reading equal subtrees. A store maps the names of nodes to their bytes.
 
-    leaf      "L", then rows in the order of their keys: lengths of key and value (a byte each), key, value
-    branch    "B", a bit for each child that is present, then the children's names, 8 bytes each
+    leaf      "L", then rows in the order of their keys: lengths of key and value (one byte each), key, value
+    branch    "B", one byte with a bit for each present child, then the children's names, 8 bytes each
 """
 
 import struct
@@ -23,35 +23,35 @@
 """The first byte of a branch."""
 
 MAX_LEAF_SIZE = 224
-"""Bytes of a leaf at most; larger ones are split."""
+"""The largest size of a leaf in bytes; a larger leaf is split."""
 
 ROW_OVERHEAD = 2
-"""Bytes of a row besides its key and its value."""
+"""The bytes of a row in addition to its key and its value."""
 
 MAX_ROW_SIZE = MAX_LEAF_SIZE - len(LEAF_MARK) - ROW_OVERHEAD
-"""Bytes of a key and its value together at most."""
+"""The largest total size of a key and its value, in bytes."""
 
 NAME_SIZE = 8
-"""Bytes of a node's name in a branch."""
+"""The size of a node's name in a branch, in bytes."""
 
 HASH_BITS = 64
-"""Bits of the hash of a key."""
+"""The number of bits in the hash of a key."""
 
 BITS_PER_LEVEL = 2
-"""Bits of that hash that choose a child."""
+"""The number of bits of the key's hash that select the child at each level."""
 
 MAX_LEVELS = HASH_BITS // BITS_PER_LEVEL
-"""Levels of the tree at most."""
+"""The largest number of branch levels in the tree."""
 
 MAX_CHILDREN = 1 << BITS_PER_LEVEL
-"""Children of a branch at most."""
+"""The largest number of children of a branch."""
 
 Rows = dict[bytes, bytes]
 Nodes = Mapping[int, bytes]
 
 
 def name_of(node: bytes) -> int:
-    """The name of a node: the hash of its content."""
+    """Returns the name of a node, which is the hash of its content."""
     return int(xxh3_64_intdigest(node))
 
 
@@ -75,23 +75,27 @@
 
 
 def rows_of(node: bytes) -> Rows | None:
-    """The rows of a leaf, None for a branch; raises :class:`MalformedNodeError`."""
+    """Returns the rows of a leaf, or None for a branch.
+
+    Raises:
+        MalformedNodeError: If the node has an unknown first byte or a truncated row.
+    """
     if node[:1] == BRANCH_MARK:
         return None
     if node[:1] != LEAF_MARK:
-        msg = f"a node starts with {node[:1]!r}, not with L or B"
+        msg = f"a node starts with {node[:1]!r}; it must start with L (leaf) or B (branch)"
         raise MalformedNodeError(msg)
     rows: Rows = {}
     offset = len(LEAF_MARK)
     while offset < len(node):
         if offset + ROW_OVERHEAD > len(node):
-            msg = "a row of a leaf is cut off"
+            msg = "a row of a leaf is truncated"
             raise MalformedNodeError(msg)
         key_at = offset + ROW_OVERHEAD
         value_at = key_at + node[offset]
         end = value_at + node[offset + 1]
         if end > len(node):
-            msg = "a row of a leaf is cut off"
+            msg = "a row of a leaf is truncated"
             raise MalformedNodeError(msg)
         rows[node[key_at:value_at]] = node[value_at:end]
         offset = end
@@ -99,7 +103,11 @@
 
 
 def children_of(node: bytes) -> dict[int, int]:
-    """The children of a branch by their index, none for a leaf; raises :class:`MalformedNodeError`."""
+    """Returns the names of a branch's children by their index, or an empty mapping for a leaf.
+
+    Raises:
+        MalformedNodeError: If the node is neither a leaf nor a valid branch.
+    """
     if node[:1] == LEAF_MARK:
         return {}
     if len(node) < 2 or node[:1] != BRANCH_MARK or node[1] >> MAX_CHILDREN:
@@ -119,7 +127,11 @@
 
 
 def build(rows: Mapping[bytes, bytes], nodes: MutableMapping[int, bytes], level: int = 0) -> int:
-    """Put a complete table into a store, and return its root; raises :class:`RowTooLongError`."""
+    """Adds the nodes of a complete table, or of a subtree at ``level``, to a store and returns the name of the root.
+
+    Raises:
+        RowTooLongError: If a row does not fit into a leaf.
+    """
     size = _leaf_size(rows)
     if size <= MAX_LEAF_SIZE:
         return _store_node(nodes, _leaf(dict(rows)))
@@ -132,7 +144,18 @@
 
 
 def change(nodes: MutableMapping[int, bytes], root: int, key: bytes, value: bytes | None, level: int = 0) -> int:
-    """The root of the table with this row put in, or removed if it is None; raises :class:`RowTooLongError`."""
+    """Sets one row of the table or subtree under ``root`` and returns the name of the new root.
+
+    Args:
+        nodes: The store, which must hold the table; new nodes are added and no node is removed.
+        root: The name of the root of the table or subtree.
+        key: The key of the row.
+        value: The new value, or None to remove the row.
+        level: The level of ``root`` in the tree; 0 for a table.
+
+    Raises:
+        RowTooLongError: If the row does not fit into a leaf.
+    """
     node = nodes[root]
     rows = rows_of(node)
     if rows is not None:
@@ -151,7 +174,8 @@
     elif value is not None:
         children[index] = build({key: value}, nodes, level + 1)
     if value is None:
-        # rows that fit into one leaf are one leaf; those of a branch never do
+        # Rows that fit into one leaf must form one leaf, so that equal rows give an equal tree.
+        # The rows of a child that is a branch never fit.
         leaves = [rows_of(nodes[child]) for child in children.values()]
         if all(leaf is not None for leaf in leaves):
             merged_rows = {key: value for leaf in leaves if leaf for key, value in leaf.items()}
@@ -161,7 +185,11 @@
 
 
 def walk(nodes: Nodes, root: int) -> Iterator[tuple[bytes, bytes]]:
-    """All rows of a table; raises ``KeyError`` if a node is missing."""
+    """Yields all rows of the table under ``root``.
+
+    Raises:
+        KeyError: If a node is missing from the store.
+    """
     node = nodes[root]
     rows = rows_of(node)
     if rows is not None:
@@ -171,7 +199,7 @@
 
 
 def names(nodes: Nodes, root: int) -> Iterator[int]:
-    """The names of all nodes below a root that are present, the root first."""
+    """Yields the names of the root and of all nodes below it that are in the store, parents first."""
     node = nodes.get(root)
     if node is not None:
         yield root
@@ -180,7 +208,7 @@
 
 
 def difference(nodes: Nodes, old: int, new: int) -> dict[bytes, bytes | None]:
-    """What changes from one table to another: rows that are new or different, and None for removed ones."""
+    """Returns the changes from table ``old`` to table ``new``: new and changed rows by key, None for a removed row."""
     if old == new:
         return {}
     before, after = children_of(nodes[old]), children_of(nodes[new])
@@ -201,9 +229,12 @@
 
 
 def absent(nodes: Nodes, old: int | None, new: int) -> dict[int, int | None]:
-    """The missing nodes of a table as far as they are known, each with the node at its place in an older table.
+    """Returns the missing nodes of table ``new`` whose names are known.
+
+    A subtree that the older table, which is complete, has at the same position is not searched.
 
-    Nodes that the older table, which is complete, has at the same place are not looked into.
+    Returns:
+        The names of the missing nodes, each mapped to the node at the same position in table ``old``, if any.
     """
     if new == old:
         return {}
@@ -219,4 +250,4 @@
 
 
 EMPTY = name_of(LEAF_MARK)
-"""The name of the empty table's root."""
+"""The name of the root of an empty table."""
--- a/heronlug/cluster/messages.py
+++ b/heronlug/cluster/messages.py
@@ -1,6 +1,6 @@
-"""Messages between members: a datagram consists of one or more of these parts.
+"""Defines the messages between members; a datagram consists of one or more of these parts.
 
-Leases, replicated tables and members appear in them by their tags, 32-bit hashes of their names.
+Messages identify leases, replicated tables and members by their tags, the 32-bit hashes of their names.
 """
 
 from typing import NamedTuple
@@ -8,23 +8,23 @@
 from heronlug.cluster.model import FencingToken, MemberUpdate
 
 MAX_NODES_PER_REQUEST = 24
-"""Nodes of a replicated table that one :class:`NodeRequest` may ask for."""
+"""The largest number of replicated table nodes that one :class:`NodeRequest` may name."""
 
 
 class Ping(NamedTuple):
-    """A probe: the receiver answers with an :class:`Ack` of this number."""
+    """A probe, which the receiver answers with an :class:`Ack` of the same number."""
 
     number: int
 
 
 class Ack(NamedTuple):
-    """The answer to a :class:`Ping`; a helper forwards it to the member that asked for an indirect probe."""
+    """The answer to a :class:`Ping`; a helper passes on the answer to the member that requested an indirect probe."""
 
     number: int
 
 
 class IndirectPing(NamedTuple):
-    """A request to ping another member and to forward its answer (``ping-req`` of SWIM)."""
+    """A request to a helper to ping another member and to pass on its answer (``ping-req`` of SWIM)."""
 
     number: int
     target: int
@@ -32,28 +32,28 @@
 
 
 class Nack(NamedTuple):
-    """A helper got no answer to an indirect probe; it is reachable itself (Lifeguard)."""
+    """The report of a helper that its indirect probe got no answer; shows that the helper is reachable (Lifeguard)."""
 
     number: int
 
 
 class Sync(NamedTuple):
-    """The sender has joined: the receiver tells it of all members and tables."""
+    """A request of a member that joins; the receiver answers with all its members and table announcements."""
 
 
 def without_owner(token: FencingToken) -> FencingToken:
-    """The value of ``LeaseRequest.released`` by which a request under ``token`` asks for a promise."""
+    """Returns the ``released`` value that marks a :class:`LeaseRequest` under ``token`` as a request for a promise."""
     return FencingToken(token.number, 0)
 
 
 class LeaseRequest(NamedTuple):
-    """The sender requests a lease, or renews it.
+    """A request of the sender for a lease, or for its renewal.
 
-    There are three kinds of request, which differ only in ``released``, since the datagram has no other field for it:
+    The three kinds of request differ only in ``released``, since the datagram has no separate field for the kind:
 
-    * a renewal (:attr:`is_renewal`): ``token`` itself, for the sender holds the lease already;
+    * a renewal (:attr:`is_renewal`): ``token`` itself, since the sender already holds the lease;
     * a request for a promise (:attr:`requests_promise`): the number of ``token`` with owner 0;
-    * a request for a vote: the token of the predecessor that has handed the lease over, or ``NO_TOKEN`` for none.
+    * a request for a vote: the token of the predecessor that has handed over the lease, or ``NO_TOKEN`` for none.
     """
 
     lease: int
@@ -63,17 +63,17 @@
 
     @property
     def is_renewal(self) -> bool:
-        """Whether the sender states that it holds the lease already."""
+        """Returns whether the sender states that it already holds the lease."""
         return self.released == self.token
 
     @property
     def requests_promise(self) -> bool:
-        """Whether the sender asks for a promise of a vote, not for the vote."""
+        """Returns whether the request is for a promise of a vote rather than for the vote."""
         return self.released == without_owner(self.token)
 
 
 class LeaseGrant(NamedTuple):
-    """The lease, or a promise of it, is granted for its duration from when the request arrived."""
+    """The grant of a vote or of a promise; its duration starts when the request arrives."""
 
     lease: int
     token: FencingToken
@@ -81,7 +81,7 @@
 
 
 class LeaseDenial(NamedTuple):
-    """The lease is granted to another member, or was granted under a higher token."""
+    """The refusal of a request, since the lease is granted to another member or was granted under a higher token."""
 
     lease: int
     highest: FencingToken
@@ -90,52 +90,52 @@
 
 
 class TransferOffer(NamedTuple):
-    """The holder offers the lease to the preferred owner."""
+    """The offer of a lease by its holder to the preferred owner."""
 
     lease: int
     token: FencingToken
 
 
 class TransferAcceptance(NamedTuple):
-    """The preferred owner accepts an offer."""
+    """The acceptance of an offer by the preferred owner."""
 
     lease: int
     token: FencingToken
 
 
 class TransferCompletion(NamedTuple):
-    """The sender no longer acts under ``token``: the receiver may request the lease."""
+    """The confirmation that the sender no longer acts under ``token``, so that the receiver may request the lease."""
 
     lease: int
     token: FencingToken
 
 
 class LeaseRelease(NamedTuple):
-    """The sender has released its token: votes that were given to it are free."""
+    """The announcement that the sender has released its token, which frees all votes granted to the token."""
 
     lease: int
     token: FencingToken
 
 
 class TableAnnouncement(NamedTuple):
-    """A replicated table has reached a version, or the writer's heartbeat confirms it."""
+    """The announcement of a new version of a replicated table, or the writer's heartbeat that confirms the version."""
 
     table: int
     token: FencingToken
     number: int
-    """The number of the publication or heartbeat under this token."""
+    """The sequence number of the publication or heartbeat under this token."""
     root: int
     """The name of the root of the table's trie."""
 
 
 class NodeRequest(NamedTuple):
-    """The sender needs the nodes of these names, at most ``MAX_NODES_PER_REQUEST``."""
+    """A request for the table nodes with these names, at most ``MAX_NODES_PER_REQUEST``."""
 
     names: tuple[int, ...]
 
 
 class NodeData(NamedTuple):
-    """A node of a replicated table; its name is the hash of its content."""
+    """A node of a replicated table; the node's name is the hash of ``data``."""
 
     data: bytes
 
@@ -158,4 +158,4 @@
     | NodeRequest
     | NodeData
 )
-"""Any message."""
+"""A message of any kind."""
--- a/heronlug/cluster/model.py
+++ b/heronlug/cluster/model.py
@@ -1,6 +1,6 @@
-"""Types of the cluster: the state of members, fencing tokens, timing, and the actions of a member.
+"""Defines the types that the cluster modules share: member health, fencing tokens, timing and the actions of a member.
 
-All times are milliseconds of one monotonic clock per process; nothing here reads it.
+All times are milliseconds of one monotonic clock per process; these types never read a clock.
 """
 
 from dataclasses import dataclass
@@ -15,26 +15,26 @@
     SUSPECT = 1
     DEAD = 2
     LEFT = 3
-    """It has left on purpose."""
+    """The member has announced that it leaves."""
 
 
 class MemberUpdate(NamedTuple):
-    """One member's health as another member reports it (SWIM, section 4)."""
+    """A report of one member's health, sent by that member or by another member (SWIM, section 4)."""
 
     name: str
     address: str
     incarnation: int
-    """Unix milliseconds of the member's start, and one more with each refutation."""
+    """The member's start in Unix milliseconds, raised with each refutation."""
     health: Health
 
 
 class FencingToken(NamedTuple):
-    """A fencing token: a write under a lower one than was seen comes too late.  No two owners ever have the same."""
+    """A fencing token, unique to one owner: a write under a token below one already seen is stale and is rejected."""
 
     number: int
-    """Never below Unix milliseconds of the owner's start, and above every number that the owner has seen."""
+    """At least the owner's start in Unix milliseconds, and above every number that the owner has seen."""
     owner: int
-    """The owner's tag, unique among the members."""
+    """A 32-bit tag of the owner, unique among the members."""
 
 
 NO_TOKEN = FencingToken(0, 0)
@@ -42,29 +42,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterTiming:
-    """How a cluster keeps time; the same at every member.  All times are milliseconds.
+    """The timing parameters of a cluster, the same at every member.  All times are milliseconds.
 
     Attributes:
-        probe_interval: Between two probes of one member.
-        probe_timeout: How long a direct answer may take before other members are asked to probe.
-        indirect_probes: How many other members are asked (k of SWIM).
-        suspicion_min: The shortest time that a suspect has to refute.
-        suspicion_max: The longest, while no other member confirms the suspicion (Lifeguard's LHA-Suspicion).
-        confirmations: How many independent suspicions shorten that time to ``suspicion_min``.
-        local_health_max: The highest local health multiplier (Lifeguard); a slow member probes more slowly by it.
-        retransmit_multiplier: An update is sent this many times the logarithm of the number of members.
-        forget_after: When a member that is dead or has left is forgotten.
-        lease_duration: How long a lease is granted, by the clock of the quorum member that grants it.
-        max_clock_drift: By which fraction two clocks differ in speed at most; an owner's lease is shorter by twice it.
-        request_interval: When an unanswered lease request, or an offer, is sent again.
+        probe_interval: The interval at which each member starts a probe of another member.
+        probe_timeout: The time without a direct answer after which other members are asked to probe.
+        indirect_probes: The number of other members that are asked to probe (k of SWIM).
+        suspicion_min: The shortest time that a suspect has to refute the suspicion.
+        suspicion_max: The time that a suspect has while no other member confirms the suspicion (Lifeguard's
+            LHA-Suspicion).
+        confirmations: The number of independent confirmations that shorten this time to ``suspicion_min``.
+        local_health_max: The highest local health multiplier (Lifeguard), by which a slow member slows its probes.
+        retransmit_multiplier: The number of times that an update is sent, per unit of the binary logarithm of the
+            number of members.
+        forget_after: The time after which a member that is dead or has left is forgotten.
+        lease_duration: The duration of a grant, by the clock of the quorum member that grants the lease.
+        max_clock_drift: The largest relative difference in speed between two clocks; an owner uses a lease for twice
+            this fraction less than its duration.
+        request_interval: The time after which an unanswered lease request or offer is sent again.
         renewal_fraction: The fraction of a lease after which it is renewed.
-        settle_time: How long a new member owns nothing, so that its list of members is complete by then.  For one
-            lease duration it also grants no new lease, as its predecessor's grants may still hold.
-        max_quorum_members: How many other members are asked for a lease at most, the first in the lease's ranking.
-        heartbeat_interval: How often the writer of a replicated table announces it, also when nothing has changed.
-        fanout: How many members each member passes a new announcement on to.
-        pull_timeout: When a table node that was requested and has not come is requested again.
-        rejoin_interval: How often seeds are contacted while one is missing.
+        settle_time: The time for which a new member owns no lease, so that its list of members is complete by then.
+            For one lease duration a new member also grants no new lease, since grants of its predecessor may be valid.
+        max_quorum_members: The largest number of other quorum members, taken from the top of the lease's ranking.
+        heartbeat_interval: The interval at which the writer of a replicated table announces it, even if unchanged.
+        fanout: The number of members to which each member passes on a new announcement.
+        pull_timeout: The time after which a table node that was requested and has not arrived is requested again.
+        rejoin_interval: The interval at which seeds are contacted while a seed is missing.
     """
 
     probe_interval: float = 400.0
@@ -89,20 +92,20 @@
 
 
 class SendTo(NamedTuple):
-    """Send a datagram to an address."""
+    """Asks the transport to send a datagram to an address."""
 
     address: str
     data: bytes
 
 
 class WakeAt(NamedTuple):
-    """Call ``Node.wake`` at this time; an earlier call does no harm."""
+    """Asks the transport to call ``Node.wake`` at a time; an earlier call is harmless."""
 
     when: float
 
 
 class MemberChanged(NamedTuple):
-    """A member's health, as this member knows it, has changed."""
+    """Reports that the recorded health of another member has changed."""
 
     name: str
     health: Health
@@ -110,26 +113,26 @@
 
 
 class LeaseCause(StrEnum):
-    """Why a member has gained or lost a lease; the values are logged."""
+    """The reason for which a member gained or lost a lease; the values are logged."""
 
     HANDED_OVER = "handed over"
-    """The lease was transferred: gained by the successor, lost by the predecessor."""
+    """The lease was transferred: the successor gained it, the predecessor lost it."""
 
     TAKEN_OVER = "taken over"
-    """Gained without a transfer: nobody holds the lease, or its holder is gone."""
+    """The member gained the lease without a transfer: there was no holder, or the holder is gone."""
 
     EXPIRED = "lease over"
-    """Lost: it was not renewed in time."""
+    """The member lost the lease because it was not renewed in time."""
 
     HIGHER_TOKEN = "higher fence seen"
-    """Lost: another member has a higher fencing token."""
+    """The member lost the lease because another member has a higher fencing token."""
 
     NO_SUCCESSOR = "left without an heir"
-    """Lost: this member leaves the cluster, and its successor has not accepted the lease."""
+    """The member lost the lease because it leaves the cluster and its successor has not accepted the lease."""
 
 
 class LeaseGained(NamedTuple):
-    """This member holds a lease; each step of the work is allowed only while ``Node.may_act`` says so."""
+    """Reports that this member has gained a lease; each step under it still requires a token from ``Node.may_act``."""
 
     lease: str
     token: FencingToken
@@ -137,7 +140,7 @@
 
 
 class LeaseLost(NamedTuple):
-    """This member holds a lease no more."""
+    """Reports that this member no longer holds a lease."""
 
     lease: str
     token: FencingToken
@@ -145,11 +148,11 @@
 
 
 class TableChanged(NamedTuple):
-    """A replicated table has changed: rows by their keys, None for those that were removed."""
+    """Reports a change of a replicated table: new and changed rows by key, None for a removed row."""
 
     table: str
     changes: dict[bytes, bytes | None]
 
 
 Action = SendTo | WakeAt | MemberChanged | LeaseGained | LeaseLost | TableChanged
-"""What a member asks its transport to do or to report."""
+"""An action that a member asks its transport to take, or an event that it reports."""
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -1,4 +1,4 @@
-"""One member: datagrams and time come in, actions go out.  Nothing here knows a socket or a clock."""
+"""Runs one member of a cluster without sockets or clocks: it takes datagrams and times and returns actions."""
 
 from collections.abc import Iterable, Mapping
 from math import inf
@@ -15,37 +15,38 @@
 from heronlug.cluster.replicated_tables import ReplicatedTables
 
 LEAVE_REPEATS = 3
-"""How often the update that this member leaves is sent to every member."""
+"""The number of times that this member sends every member the update that it leaves."""
 
 GOSSIP_CARRIERS = (Ping, Ack, IndirectPing, Nack, Sync)
-"""Parts of a datagram along with which member updates are sent."""
+"""The kinds of message whose datagrams also carry member updates."""
 
 INCARNATION_SHIFT = 20
-"""Bits below the incarnation in the first datagram stamp, so that the stamps of a restarted process are higher."""
+"""The shift from the incarnation to the first datagram stamp; makes the stamps of a restarted process higher."""
 
 MIN_WAKE_DELAY = 1.0
-"""The shortest time to the next wake, in milliseconds."""
+"""The shortest delay to the next wake, in milliseconds."""
 
 
 class RankPosition(NamedTuple):
-    """Where this member stands in the ranking of a lease."""
+    """This member's position in the ranking of a lease."""
 
     before: int
-    """How many of the other members come before it."""
+    """The number of other members that rank before this member."""
     others: int
-    """How many other members there are."""
+    """The number of other active members."""
 
 
 class Node:
-    """A member of a cluster.
+    """One member of a cluster.  Times are milliseconds of this member's monotonic clock.
 
     Attributes:
         local: This process as a member.
-        codec: Signs and checks datagrams.
+        timing: The timing of the cluster.
+        codec: The codec that signs and checks datagrams.
         membership: The other members.
-        leases: The leases that the members share.
+        leases: The leases at this member.
         tables: The replicated tables.
-        left: Whether this member has left; it then does nothing more.
+        left: Whether this member has left the cluster; it then ignores datagrams and wakes.
     """
 
     def __init__(
@@ -57,16 +58,16 @@
         rng: Random,
         timing: ClusterTiming | None = None,
     ) -> None:
-        """Create a member that has not sent anything yet.
+        """Creates a member that has not sent any datagram yet.
 
         Args:
-            local: Its name and address; its incarnation is Unix milliseconds at the start, above that of every
-                process of this name before.
-            seeds: Addresses at which members are expected.
-            leases: Names of the leases, the same at every member.
-            keys: Keys of datagrams by their numbers; the first signs.
+            local: The name, address and incarnation of this member. The incarnation is the start in Unix
+                milliseconds and must be above the incarnation of every earlier process with this name.
+            seeds: The addresses at which other members are expected.
+            leases: The names of the leases, the same at every member.
+            keys: The keys of datagrams by number; the first key signs.
             rng: The source of randomness.
-            timing: The cluster's timing; its defaults if not given.
+            timing: The timing of the cluster; the default timing if None.
         """
         self.local = local
         self.timing = timing or ClusterTiming()
@@ -88,7 +89,7 @@
     # -- input
 
     def receive(self, data: bytes, address: str, now: float) -> list[Action]:
-        """Handle a datagram from an address."""
+        """Handles a datagram that came from an address, and returns the actions that follow."""
         self._detect_pause(now)
         unpacked = self.codec.unpack(data)
         if unpacked is not None and not self.left and unpacked[0] != self.local.tag:
@@ -101,7 +102,7 @@
         return self._take_actions(now)
 
     def wake(self, now: float) -> list[Action]:
-        """Do what is due."""
+        """Does the work that is due and returns the actions that follow."""
         self._detect_pause(now)
         if self._settling_since is None:
             self._settling_since = now
@@ -115,53 +116,54 @@
         return self._take_actions(now)
 
     def leave(self, now: float) -> list[Action]:
-        """Leave on purpose: leases are handed over first; :attr:`left` says when it is done."""
+        """Starts to leave the cluster: leases are handed over first, and :attr:`left` becomes true at the end."""
         self.leases.leaving = True
         for state in self.leases.leases.values():
             state.next_action_at = now
         return self.wake(now)
 
     def flush(self, now: float) -> list[Action]:
-        """The actions that follow from a call to :attr:`tables` from outside, while :attr:`pending`."""
+        """Returns the actions of an outside call to :attr:`tables`; to be called while :attr:`pending` is true."""
         return self._take_actions(now)
 
     # -- queries
 
     @property
     def pending(self) -> bool:
-        """Whether there are actions that no call has returned."""
+        """Returns whether there are actions that no call has returned yet."""
         return bool(self._unsent or self._actions)
 
     def may_act(self, lease: str, now: float) -> FencingToken | None:
-        """The token to act under, or None; to be asked again before each step that matters."""
+        """Returns the token under which this member may act, or None; check again before each protected step."""
         if self.left:
             return None
         return self._claims.get(lease) or self.leases.may_act(tag(lease), now)
 
     def claim(self, table: str, now: float) -> FencingToken:
-        """A token to write a table that no lease guards; the writer of an earlier claim gives way to a later one."""
+        """Returns a token to write a table that no lease guards; a later claim has a higher token and prevails."""
         seen = self.tables.states[tag(table)].version.token.number
         token = FencingToken(max(int(now), seen + 1), self.local.tag)
         self._claims[table] = token
         return token
 
     def release(self, table: str) -> None:
-        """End the claim of a table."""
+        """Ends this member's claim of a table."""
         self._claims.pop(table, None)
 
     def rank_position(self, lease: str) -> RankPosition:
-        """This member's position in the ranking of a lease."""
+        """Returns this member's position in the ranking of a lease."""
         own_weight = rendezvous_weight(lease, self.local.name)
         others = self.membership.active_members()
         before = sum(rendezvous_weight(lease, member.name) > own_weight for member in others)
         return RankPosition(before, len(others))
 
-    # -- what membership, leases and tables ask for
+    # -- callbacks of membership, leases and tables
 
     def _detect_pause(self, now: float) -> None:
-        """Let a process settle anew if it stood still for so long that other members may hold it dead.
+        """Restarts the settle time after a pause so long that other members may consider this process dead.
 
-        What it knows of leases and tables is old, and an owner should not have to give way to it at once.
+        After such a pause the state of leases and tables here is outdated, so this member must not request a lease
+        from its current owner right away.
         """
         longest_pause = self.timing.suspicion_max + self.timing.probe_interval
         if self._settling_since is not None and now - self._last_run > longest_pause:
@@ -172,12 +174,19 @@
         return [member.tag for member in self.membership.active_members()]
 
     def _quorum(self, lease: str, now: float) -> dict[int, str]:
-        """All members if they are few, so that quorums are disjoint in a partition only; else the lease's first."""
+        """Returns the other quorum members of a lease, names by tag.
+
+        These are all members if they are few, so that quorums are disjoint only in a partition; else the members that
+        rank first for the lease.
+        """
         candidates = {member.tag: member.name for member in self.membership.quorum_candidates(now)}
         return top_ranked(lease, candidates, self.timing.max_quorum_members)
 
     def _candidates(self, now: float) -> list[str]:
-        """Members that have been there for long enough to own a lease with a complete list of members."""
+        """Returns the names of the members that may own a lease.
+
+        These are the members that joined at least the settle time ago, so that their lists of members are complete.
+        """
         settled = now - self.timing.settle_time
         names = [member.name for member in self.membership.active_members() if member.joined_at <= settled]
         if not self.leases.leaving and self._settling_since is not None and self._settling_since <= settled:
@@ -198,14 +207,14 @@
         self._unsent.setdefault(address, []).extend(parts)
 
     def _send_to(self, target: int, part: Part) -> None:
-        """Send a part to the member with this tag, or to where it was last heard from."""
+        """Sends a part to the member with this tag, or to the source address of the last datagram with this tag."""
         member = self.membership.by_tag.get(target)
         address = member.address if member is not None else self._addresses.get(target)
         if address is not None:
             self._send(address, [part])
 
     def _take_actions(self, now: float) -> list[Action]:
-        """All actions since the last call, then when to wake again."""
+        """Returns the actions since the last call, then the time of the next wake unless this member has left."""
         unsent, self._unsent = self._unsent, {}
         for address, parts in unsent.items():
             if any(isinstance(part, GOSSIP_CARRIERS) for part in parts):
--- a/heronlug/cluster/node_store.py
+++ b/heronlug/cluster/node_store.py
@@ -1,4 +1,4 @@
-"""The nodes of all replicated tables of a member, by their names."""
+"""Stores the nodes of all replicated tables of a member, by node name."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Mapping
@@ -6,14 +6,14 @@
 from heronlug.cluster import merkle_trie
 
 MAX_UNREQUESTED_NODES = 256
-"""Nodes kept that no table misses: they may have overtaken their announcement."""
+"""The largest number of unrequested nodes stored: a node can arrive before the announcement of its table."""
 
 MIN_COLLECTION_SIZE = 1024
-"""Nodes that are kept at least before unused ones are looked for."""
+"""The number of nodes, beyond twice the nodes in use, that the store may hold before unused nodes are dropped."""
 
 
 class Overlay(dict[int, bytes]):
-    """A view of one mapping over another: reads see both, writes go into the upper one."""
+    """A view of two mappings: reads look in the upper mapping, then in the lower one; writes go to the upper one."""
 
     def __init__(self, lower: Mapping[int, bytes], upper: dict[int, bytes]) -> None:
         super().__init__()
@@ -29,11 +29,12 @@
 
 
 class MissingNodes:
-    """The nodes of a table that are not there yet.
+    """The nodes of a new version of a table that have not arrived yet.
 
     Attributes:
-        counterparts: By the name of each missing node, the node at the same place of the present table, if any.
-        received: Nodes that have come for the table.
+        counterparts: Maps the name of each missing node to the node at the same position in the current version of
+            the table, if any.
+        received: The names of the nodes that have arrived for the new version.
     """
 
     __slots__ = ("counterparts", "received")
@@ -43,16 +44,16 @@
         self.received: list[int] = []
 
     def clear(self) -> None:
-        """Nothing is missing."""
+        """Discards the records of missing and received nodes."""
         self.counterparts.clear()
         self.received.clear()
 
 
 class NodeStore:
-    """Nodes of tables, and nodes that have come without being requested.
+    """The nodes of tables, and a bounded number of nodes that arrived without being requested.
 
     Attributes:
-        nodes: The nodes by their names.
+        nodes: The nodes of tables by name.
     """
 
     def __init__(self) -> None:
@@ -61,13 +62,19 @@
         self._collection_size = MIN_COLLECTION_SIZE
 
     def add_unrequested(self, name: int, node: bytes) -> None:
-        """Keep a node that no table misses; the oldest ones are dropped."""
+        """Stores a node that no table is missing; the oldest such nodes are dropped above ``MAX_UNREQUESTED_NODES``."""
         self._unrequested[name] = node
         while len(self._unrequested) > MAX_UNREQUESTED_NODES:
             self._unrequested.popitem(last=False)
 
     def find_missing(self, missing: MissingNodes, old: int | None, new: int) -> None:
-        """Add to ``missing`` what is not there below the node ``new``, after unrequested nodes are put in."""
+        """Moves unrequested nodes of a table into the store and adds the nodes still absent to ``missing``.
+
+        Args:
+            missing: The record of missing and received nodes, which is extended.
+            old: The root of a complete older version of the table, or None.
+            new: The root of the table or subtree to search.
+        """
         found = merkle_trie.absent(self.nodes, old, new)
         while present := [name for name in found if name in self._unrequested]:
             for name in present:
@@ -78,11 +85,11 @@
 
     @property
     def collection_due(self) -> bool:
-        """Whether there are so many nodes that unused ones should be looked for."""
+        """Returns whether the store has grown so large that unused nodes should be collected."""
         return len(self.nodes) > self._collection_size
 
     def retain(self, roots: Iterable[int]) -> None:
-        """Drop all nodes that are not below one of these."""
+        """Drops all nodes that are not reachable from one of the roots."""
         reachable: set[int] = {merkle_trie.EMPTY}
         for root in roots:
             reachable.update(merkle_trie.names(self.nodes, root))
