--- a/heronlug/cluster/member.py
+++ b/heronlug/cluster/member.py
@@ -46,7 +46,7 @@
         joined_at: The last time at which the member was added, came back after an absence or started a new process.
         changed_at: The last time at which the health of the member changed.
         health: The health of the member as recorded here.
-        last_heard: The time at which the last datagram of the member arrived.
+        last_received_at: The time at which the last datagram of the member arrived.
         suspected_by: The tags of the members that suspect this member independently.
         tag: The 32-bit hash of the name.
     """
@@ -57,7 +57,7 @@
     joined_at: float
     changed_at: float
     health: Health = Health.ALIVE
-    last_heard: float = -inf
+    last_received_at: float = -inf
     suspected_by: set[int] = field(default_factory=set)
     tag: int = field(init=False)
 
--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -104,9 +104,11 @@
         A dead member counts if this process has received a datagram from it within the last lease duration: in that
         case the datagrams of this process are the ones that get lost.
         """
-        heard_since = now - self.timing.lease_duration
+        received_since = now - self.timing.lease_duration
         return [
-            m for m in self.members.values() if m.active or (m.health is Health.DEAD and m.last_heard > heard_since)
+            m
+            for m in self.members.values()
+            if m.active or (m.health is Health.DEAD and m.last_received_at > received_since)
         ]
 
     def next_wake(self) -> float:
@@ -172,7 +174,7 @@
         """Handles the parts of a datagram that concern membership, and ignores other parts."""
         known = self.by_tag.get(sender)
         if known is not None:
-            known.last_heard = now
+            known.last_received_at = now
         for part in parts:
             match part:
                 case Ping():
