--- a/tests/cluster/test_lease_states.py
+++ b/tests/cluster/test_lease_states.py
@@ -36,11 +36,11 @@
         self.preferred = {name: NAMES[0] for name in NAMES}
         self.links: dict[tuple[str, str], tuple[Any, ...]] = {}
         self.restarts = dict.fromkeys(NAMES, 0)
-        self.members = {name: self.member(name) for name in NAMES}
+        self.members = {name: self.new_member(name) for name in NAMES}
         for member in self.members.values():
             member.votes_from = 0.0
 
-    def member(self, name: str) -> LeaseManager:
+    def new_member(self, name: str) -> LeaseManager:
         others = {tag(other): other for other in NAMES if other != name}
         callbacks = LeaseCallbacks(
             send=lambda target, part: None,
@@ -174,7 +174,7 @@
         if sum(self.restarts.values()) < 1:
             state = copy.deepcopy(self)
             state.restarts["c"] += 1
-            state.members["c"] = state.member("c")
+            state.members["c"] = state.new_member("c")
             state.members["c"].votes_from = state.now + TIMING.lease_duration
             yield state
 
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -83,7 +83,7 @@
                 [sys.executable, "-m", "heronlug", "serve", str(file)], stdout=log, stderr=log, env=environment
             )
 
-    def owner(self, duty: str) -> list[str]:
+    def owners(self, duty: str) -> list[str]:
         owners = []
         for name, process in self.processes.items():
             if process.poll() is None:
@@ -97,7 +97,7 @@
     async def wait_for_owner(self, duty: str, excluded: str = "") -> tuple[str, float]:
         start = time.monotonic()
         while time.monotonic() - start < 40:
-            owners = [name for name in await asyncio.to_thread(self.owner, duty) if name != excluded]
+            owners = [name for name in await asyncio.to_thread(self.owners, duty) if name != excluded]
             if owners:
                 return owners[0], time.monotonic() - start
             await asyncio.sleep(0.05)
@@ -130,21 +130,21 @@
         members = ask(str(folder / "a.sock"), {"ask": "members"})["members"]
         for process in fleet.processes.values():
             process.terminate()
-        codes = [await asyncio.to_thread(process.wait, 20) for process in fleet.processes.values()]
+        exit_codes = [await asyncio.to_thread(process.wait, 20) for process in fleet.processes.values()]
     finally:
         fleet.close()
     runs = {duty: (folder / f"{duty}.runs").read_text().split() for duty in TASKS}
     logs = "".join(path.read_text() for path in folder.glob("*.log"))
     assert len(members) == 4
-    return takeover_times, runs, codes, logs
+    return takeover_times, runs, exit_codes, logs
 
 
 @pytest.mark.parametrize("kills", [2])
 def test_four_dispatchers_and_a_lossy_network(tmp_path: Path, kills: int) -> None:
     """Risk: what holds in virtual time does not on sockets: addresses, timers, real clocks, kill -9."""
-    takeover_times, runs, codes, logs = asyncio.run(_run_with_kills(tmp_path, kills))
+    takeover_times, runs, exit_codes, logs = asyncio.run(_run_with_kills(tmp_path, kills))
     assert len(takeover_times) == kills
-    assert codes == [0] * 4
+    assert exit_codes == [0] * 4
     assert '"exception"' not in logs
     assert "Traceback" not in logs
     for duty, fences in runs.items():
