--- a/heronlug/cluster/membership.py
+++ b/heronlug/cluster/membership.py
@@ -162,7 +162,7 @@
         return any(now - member.changed_at < FAST_REJOIN_WINDOW for member in dead)
 
     def _suspicion_end(self, member: Member) -> float:
-        """Returns the time at which a suspect is declared dead; each confirmation moves it forward (LHA-Suspicion)."""
+        """Returns the time at which a suspect is declared dead; each confirmation makes it earlier (LHA-Suspicion)."""
         timing = self.timing
         confirmed_fraction = log(len(member.suspected_by) or 1) / log(timing.confirmations + 1)
         duration = timing.suspicion_max - (timing.suspicion_max - timing.suspicion_min) * min(1.0, confirmed_fraction)
--- a/heronlug/cluster/node.py
+++ b/heronlug/cluster/node.py
@@ -160,7 +160,7 @@
     # -- callbacks of membership, leases and tables
 
     def _detect_pause(self, now: float) -> None:
-        """Restarts the settle time after a pause so long that other members may consider this process dead.
+        """Restarts the settle time after a long pause, in which other members may have declared this process dead.
 
         After such a pause the state of leases and tables here is outdated, so this member must not request a lease
         from its current owner right away.
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams: what goes in comes out, what is forged, replayed, cut off or of another version is counted and dropped."""
+"""Checks that datagrams round-trip, and that forged, replayed, truncated and unknown-version ones are dropped."""
 
 from contextlib import suppress
 
@@ -30,11 +30,13 @@
 
 
 def codec_pair() -> tuple[DatagramCodec, DatagramCodec]:
+    """Returns the codecs of two members, tags 1 and 2, that share a key."""
     return DatagramCodec(1, {1: b"a" * 32}, 0), DatagramCodec(2, {1: b"a" * 32}, 0)
 
 
 @given(st.lists(PARTS, max_size=30))
 def test_messages_round_trip_in_datagrams_of_256_bytes(parts: list[messages.Part]) -> None:
+    """Guards against messages that change in transit, or that overfill a datagram when several are packed together."""
     sender, receiver = codec_pair()
     received: list[messages.Part] = []
     for data in sender.pack(parts):
@@ -49,6 +51,7 @@
 
 @given(st.binary(max_size=300))
 def test_arbitrary_bytes_are_dropped_and_counted(data: bytes) -> None:
+    """Guards against an exception from received bytes that are not a datagram of this cluster."""
     receiver = DatagramCodec(2, {1: b"a" * 32}, 0)
     assert receiver.unpack(data) is None
     assert receiver.dropped.total() == 1
@@ -57,6 +60,10 @@
 
 
 def test_forged_truncated_replayed_and_unknown_version_datagrams_are_dropped() -> None:
+    """Guards against accepting a datagram with the lowest bit of a byte flipped, cut at any length, or received twice.
+
+    A flipped bit is counted as forged except in three bytes: magic, version and key number.
+    """
     sender, receiver = codec_pair()
     (data,) = sender.pack([messages.Ping(7)])
     for position in range(len(data)):
@@ -73,6 +80,7 @@
 
 
 def test_reordered_datagrams_are_accepted_once_within_the_replay_window() -> None:
+    """Guards against dropping datagrams that the network reorders, and against accepting one twice or too late."""
     sender, receiver = codec_pair()
     sent = [sender.pack([messages.Ping(n)])[0] for n in range(100)]
     reordered = [sent[n] for n in (50, 3, 99, 98, 40, 35, 34)]
@@ -81,12 +89,15 @@
 
 
 def test_key_rotation_drops_no_datagram() -> None:
-    """The new one is added everywhere, then signs everywhere, then the old one goes: at no step is anything dropped."""
+    """Guards against dropped datagrams while a key is replaced at one member after the other.
+
+    The new key is added at every member, then signs at every member, then the old key is removed.
+    """
     old, new = {1: b"a" * 32}, {2: b"b" * 32}
     steps = [old, {**old, **new}, {**new, **old}, new]
     first, second = DatagramCodec(1, old, 0), DatagramCodec(2, old, 0)
     for step in steps[1:]:
-        for codec in (first, second):  # between the two they differ by a step
+        for codec in (first, second):  # after the first codec, the two members differ by one step
             codec.keys = dict(step)
             for sender, receiver in ((first, second), (second, first)):
                 (data,) = sender.pack([messages.Ping(1)])
@@ -95,7 +106,7 @@
 
 
 def test_a_probe_with_an_update_and_six_lease_requests_fit_into_one_datagram() -> None:
-    """A probe with its news, and six requests for leases, fit into one datagram."""
+    """Guards against growth of the message encodings: a probe with an update, and six lease requests, must fit."""
     update = MemberUpdate("dispatcher-12", "10.0.0.12:7947", 1_800_000_000_000, Health.SUSPECT)
     assert len(encode_part(messages.Ping(1))) == 5
     assert len(encode_part(update)) == 12 + len(update.name) + len(update.address)
--- a/tests/cluster/test_lease_states.py
+++ b/tests/cluster/test_lease_states.py
@@ -1,10 +1,7 @@
-"""An explicit-state check of the lease protocol: three members, one lease, every order of messages up to a bound.
+"""Checks the lease protocol by explicit-state search: three members, one lease, every message order up to a bound.
 
-Members are the real :class:`LeaseManager`. From a state, any member may be woken, the first message of any link may
-be lost, arrive, or arrive and have its answer arrive at once, time may go on by half a lease, the first in rank may
-change for a member, a member may start anew. All states that come of it are visited, each once. In none of them act
-two, or is a vote bound to a token whose owner is not yet promised all votes. The protocol is also broken on purpose,
-each time in one place, and the check has to find that.
+Each state of real :class:`LeaseManager` objects is visited once. Two members may never act, and no vote may be bound
+to a token whose owner lacks promises. Two tests break the protocol on purpose, and the check must detect it.
 """
 
 import copy
@@ -29,7 +26,7 @@
 
 
 class ClusterState:
-    """Three members and what is on its way."""
+    """The state of three members and of the messages in flight between them."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -51,7 +48,7 @@
         return LeaseManager(name, 1000 + self.restarts[name], ["duty"], TIMING, callbacks)
 
     def run_member(self, name: str, action: Any) -> None:
-        """Let a member do something, with its messages put on their links."""
+        """Runs an action on a member and puts the messages that the member sends on their links."""
         member = self.members[name]
         sent: list[tuple[str, Any]] = []
         names = {tag(other): other for other in NAMES}
@@ -66,11 +63,11 @@
         for target, part in sent:
             link = (name, target)
             in_flight = self.links.get(link, ())
-            if part not in in_flight and len(in_flight) < 2:  # one that waits already says the same
+            if part not in in_flight and len(in_flight) < 2:  # an equal message in flight has the same effect
                 self.links[link] = (*in_flight, part)
 
     def settle(self) -> None:
-        """The first member has the lease, as it comes to when nothing is lost."""
+        """Delivers all messages until the first member holds the lease, as happens without message loss."""
         for _ in range(2):
             self.run_member("a", lambda member: member.wake(self.now))
             while any(self.links.values()):
@@ -82,7 +79,7 @@
         assert self.owners() == ["a"]
 
     def key(self) -> Any:
-        """What makes two states the same: times as spans from now, tokens and requests as they are."""
+        """Returns a value that is equal for equivalent states: times are relative to now, tokens are absolute."""
 
         def remaining(when: float) -> float:
             return max(-1.0, when - self.now)
@@ -122,7 +119,7 @@
         return [name for name, member in self.members.items() if member.may_act(LEASE_KEY, self.now) is not None]
 
     def early_votes(self) -> list[str]:
-        """Who binds a vote, perhaps its own, while it is not promised all."""
+        """Returns a description of each vote bound to a member that does not have all promises yet."""
         leases = {name: member.leases[LEASE_KEY] for name, member in self.members.items()}
         collecting = {
             lease.token: name
@@ -131,11 +128,18 @@
         }
         votes = [lease.vote for lease in leases.values()]
         return [
-            f"{collecting[vote.token]} too soon" for vote in votes if vote.token in collecting and vote.until > self.now
+            f"{collecting[vote.token]} got a vote before all promises"
+            for vote in votes
+            if vote.token in collecting and vote.until > self.now
         ]
 
     def successors(self) -> Iterator["ClusterState"]:
-        """All worlds that one step leads to."""
+        """Yields the states one step away.
+
+        In a step, one of two members wakes, or the first message of a link is lost, arrives, or arrives and its answer
+        arrives too, or half a lease duration passes, or the preferred owner changes for two members, or one member
+        restarts.
+        """
         for name in NAMES[:2]:
             state = copy.deepcopy(self)
             for lease in state.members[name].leases.values():
@@ -143,7 +147,8 @@
             state.run_member(name, lambda member, now=state.now: member.wake(now))
             yield state
         for link, parts in self.links.items():
-            for delivered_messages in (2, 1, 0) if parts else ():  # with its answer, alone, or not
+            # 2: the message and its answer arrive, 1: only the message arrives, 0: the message is lost.
+            for delivered_messages in (2, 1, 0) if parts else ():
                 state = copy.deepcopy(self)
                 state.links[link] = parts[1:]
                 source, target = link
@@ -169,7 +174,7 @@
         yield state
         if self.preferred["b"] == "a":
             state = copy.deepcopy(self)
-            state.preferred = dict.fromkeys(NAMES, "b") | {"a": "a"}  # the two have different views
+            state.preferred = dict.fromkeys(NAMES, "b") | {"a": "a"}  # the members disagree on the preferred owner
             yield state
         if sum(self.restarts.values()) < 1:
             state = copy.deepcopy(self)
@@ -180,7 +185,11 @@
 
 
 def explore_states(max_states: int) -> tuple[int, list[str]]:
-    """Visit states, nearest first; returns how many, and the first ones with two owners."""
+    """Visits up to ``max_states`` states, fewest steps first, until a step violates an invariant.
+
+    Returns:
+        The number of states visited and the violations found.
+    """
     initial = ClusterState()
     initial.settle()
     visited, queue, violations = {initial.key()}, deque([initial]), []
@@ -200,6 +209,7 @@
 
 
 def test_no_state_has_two_holders() -> None:
+    """Guards against an order of events in which two members hold the lease, or a vote is bound before all promises."""
     state_count, violations = explore_states(MAX_STATES)
     print(f"{state_count} states visited")
     assert state_count >= MAX_STATES
@@ -207,7 +217,7 @@
 
 
 def test_check_finds_a_vote_granted_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The voter does not wait a lease out."""
+    """Breaks the protocol: quorum members grant every request, although an earlier vote has not expired."""
 
     def grant_every_request(
         self: LeaseVote, request: Any, now: float, lease_duration: float, renewals_only: bool
@@ -216,13 +226,18 @@
         return LeaseGrant(request.lease, request.token, request.request_id)
 
     monkeypatch.setattr(LeaseVote, "decide", grant_every_request)
-    monkeypatch.setattr(ClusterState, "early_votes", lambda self: [])  # that is broken too
+    monkeypatch.setattr(
+        ClusterState, "early_votes", lambda self: []
+    )  # this invariant fails too, but the two holders are to be found
     _, violations = explore_states(MAX_STATES * 2)
     assert violations == ["['a', 'b']"]
 
 
 def test_check_finds_votes_granted_before_all_promises(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As it was before: 8 and 10 s without an owner, by two that asked with different views."""
+    """Breaks the protocol as in an earlier version, in which requests for promises bound votes.
+
+    Two members that requested a lease with different views then left it without an owner for 8 s and 10 s.
+    """
     decide = LeaseVote.decide
 
     def decide_without_promises(
@@ -235,4 +250,4 @@
     monkeypatch.setattr(LeaseVote, "decide", decide_without_promises)
     _, violations = explore_states(MAX_STATES)
     assert violations
-    assert violations[0].endswith("too soon")
+    assert violations[0].endswith("got a vote before all promises")
--- a/tests/cluster/test_random_faults.py
+++ b/tests/cluster/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Anything that can happen to a cluster, drawn by hypothesis: what must hold does after each step."""
+"""Checks the invariants of a cluster after each step of random fault sequences drawn by hypothesis."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -8,11 +8,11 @@
 
 NAMES = "abcd"
 TABLE = "register"
-MERGE_TIME_MS = 9000.0  # ms after a cut has healed in which two sides may still be finding each other
+MERGE_TIME_MS = 9000.0  # after a cut has healed, the two sides may take this long to find each other
 
 
 class Cluster(RuleBasedStateMachine):
-    """Join, leave, crash, pause, cut, heal, publish, in any order."""
+    """Members join, leave, crash, pause and publish, and links are cut and heal, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -75,18 +75,25 @@
 
     @invariant()
     def no_two_members_act_on_one_lease(self) -> None:
-        """:meth:`VirtualNetwork.check` runs after every event: tokens are unique, two act only in a partition."""
+        """Guards against two members that act on one lease outside a partition, or under the same token.
+
+        :meth:`VirtualNetwork.check` also runs after every event that changes members or leases.
+        """
         if not self.net.cut and self.net.now > self.overlap_allowed_until:
             self.net.may_overlap = False
         self.net.check()
 
     @invariant()
     def every_row_was_published(self) -> None:
+        """Guards against a row value in any member's table that no member has published."""
         for process in self.net.processes.values():
             assert process.tables[TABLE].get(b"row") in {None, *self.published}
 
     def teardown(self) -> None:
-        """Left alone and healed, with everybody there, each lease has one owner again, and all read one table."""
+        """Guards against lasting damage: healed, with all members running, leases and tables must recover.
+
+        After 20 s each lease must have exactly one owner, and a published row must reach every member.
+        """
         self.net.cut.clear()
         for name in NAMES:
             if name not in self.net.processes:
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -1,4 +1,4 @@
-"""Four real dispatchers on loopback with a lossy relay between them: 30% of datagrams are lost, owners are killed."""
+"""Runs four real dispatchers on loopback behind a proxy that loses 30% of datagrams, and kills lease owners."""
 
 import asyncio
 import json
@@ -45,7 +45,7 @@
 
 
 class Fleet:
-    """Four daemons."""
+    """Four dispatcher processes and the proxies between them."""
 
     def __init__(self, folder: Path, loss: float) -> None:
         self.folder, self.network, self.loss = folder, FaultyNetwork(7), loss
@@ -55,7 +55,7 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     async def open(self) -> None:
-        """Every member sees every other at the address of its relay."""
+        """Starts the proxies: every member reaches every other member at the address of that member's proxy."""
         self.proxy_ports = await self.network.proxy_datagrams(self.ports)
         for source in NAMES:
             for target in NAMES:
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("kills", [2])
 def test_four_dispatchers_and_a_lossy_network(tmp_path: Path, kills: int) -> None:
-    """Risk: what holds in virtual time does not on sockets: addresses, timers, real clocks, kill -9."""
+    """Guards against faults that virtual time hides: addresses, timers, real clocks and processes ended by SIGKILL."""
     takeover_times, runs, exit_codes, logs = asyncio.run(_run_with_kills(tmp_path, kills))
     assert len(takeover_times) == kills
     assert exit_codes == [0] * 4
@@ -150,5 +150,5 @@
     for duty, fences in runs.items():
         assert len(fences) > 10, duty
         numbers = [int(fence.split(".")[0]) for fence in fences]
-        assert numbers == sorted(numbers), f"{duty}: a run under a fence lower than one before"
+        assert numbers == sorted(numbers), f"{duty}: a run has a lower fencing token than an earlier run"
     print("takeovers", [round(each, 2) for each in takeover_times])
--- a/tests/cluster/test_virtual_network.py
+++ b/tests/cluster/test_virtual_network.py
@@ -1,4 +1,4 @@
-"""Four members in a virtual network: takeover, restarts, partitions, pauses, leaves; many seeds, each to the letter."""
+"""Checks four members in a virtual network over many seeds: takeover, restarts, partitions, pauses and leaves."""
 
 import os
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 from heronlug.cluster.model import Health, LeaseGained, LeaseLost, MemberUpdate
 
 SEEDS = int(os.environ.get("CLUSTER_SEEDS", "300"))
-MAX_IDLE_MS = 5000.0  # ms without an owner, at 30% loss
+MAX_IDLE_MS = 5000.0  # the longest time that a lease may be without an owner at 30% loss
 
 
 def settled_network(seed: int, loss: float = 0.3) -> VirtualNetwork:
-    """Four members that have settled."""
+    """Returns a network of four members that have run long enough to own leases."""
     net = VirtualNetwork("abcd", seed, loss=loss)
     for name in net.names:
         net.start(name)
@@ -25,7 +25,7 @@
 
 
 def kill_and_restart_owner(seed: int) -> float:
-    """The owner of a lease is killed, and comes back; returns the longest time that a lease had no owner."""
+    """Kills and restarts the owner of a lease; returns the longest time that a lease had no owner, in milliseconds."""
     net = settled_network(seed)
     victim = net.owner(net.leases[seed % 4]) or "a"
     net.kill(victim)
@@ -36,7 +36,7 @@
 
 
 def inject_random_faults(seed: int) -> float:
-    """Anything at any time, but a cut network: kills, restarts, pauses, leaves."""
+    """Kills, restarts, pauses and leaves at random times, without partitions; returns 0."""
     net, rng = settled_network(seed), Random(seed)
     for _ in range(6):
         name, draw = rng.choice(net.names), rng.random()
@@ -56,13 +56,17 @@
 
 
 def run_seeds(run_seed: Callable[[int], float], seeds: int) -> list[float]:
-    """Each seed in turn, on all cores; a failing one is named by the error."""
+    """Runs the function for each seed, on all cores; the error of a failed run names its seed."""
     with ProcessPoolExecutor() as pool:
         return list(pool.map(run_seed, range(seeds), chunksize=4))
 
 
 def test_takeover_is_bounded_under_packet_loss() -> None:
-    """30% loss, delays, duplicates, clocks 1% apart; the network's invariants hold after every event of every seed."""
+    """Guards against a lease that stays without an owner too long after its owner is killed.
+
+    The network loses 30% of datagrams, delays and duplicates others, and clocks drift by up to 1%. The network also
+    checks its invariants after every change of members or leases.
+    """
     idle_times = run_seeds(kill_and_restart_owner, SEEDS)
     assert (
         max(idle_times) <= MAX_IDLE_MS
@@ -70,25 +74,34 @@
 
 
 def test_a_withdrawn_request_releases_its_own_vote() -> None:
-    """Found by ten thousand seeds: one that had asked anew kept its vote for its first token; 10 s without an owner."""
+    """Guards against a member that requests a lease under a new token but keeps its own vote for its first token.
+
+    This seed, found in a run of ten thousand, then left a lease without an owner for 10 s.
+    """
     assert kill_and_restart_owner(6800) <= MAX_IDLE_MS
 
 
 def test_competing_requests_with_different_views_bind_no_votes() -> None:
-    """Found by seed 61029: each had part of the votes, renewed them, and left them bound: 10 s without an owner."""
+    """Guards against two members that each get, renew and then leave bound some of the votes for a lease.
+
+    Seed 61029, at which this was found, then left a lease without an owner for 10 s.
+    """
     assert kill_and_restart_owner(61029) <= MAX_IDLE_MS
 
 
 def test_random_faults_never_make_two_holders() -> None:
+    """Guards against two holders of one lease after kills, restarts, pauses and leaves; the network checks it."""
     run_seeds(inject_random_faults, SEEDS // 3)
 
 
 def test_the_same_seed_repeats_the_same_run() -> None:
+    """Guards against hidden randomness or clock reads, which would make a failing seed impossible to replay."""
     logs = [repr([net.log for net in [settled_network(5)]]) for _ in range(2)]
     assert logs[0] == logs[1]
 
 
 def test_only_the_leases_of_a_dead_member_move() -> None:
+    """Guards against a member's death that moves leases of the other members too."""
     net = VirtualNetwork("abcd", 3, leases=[f"d{n}" for n in range(12)])
     for name in net.names:
         net.start(name)
@@ -105,6 +118,7 @@
 
 
 def test_a_leaving_member_transfers_its_leases_before_they_expire() -> None:
+    """Guards against a leave that lets leases expire, or that other members record as a death."""
     net = settled_network(11, loss=0.0)
     lease = net.leases[0]
     owner = net.owner(lease)
@@ -123,7 +137,7 @@
     "lost", ["TransferOffer", "TransferAcceptance", "TransferCompletion", "LeaseRequest", "LeaseGrant", "LEFT"]
 )
 def test_a_transfer_survives_the_loss_of_each_message(lost: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each message of the handover is lost the first three times: that costs time and never a lease."""
+    """Guards against a transfer that never ends, or an unowned lease, if each message is lost three times."""
     from heronlug.cluster import codec, datagrams
 
     net = settled_network(13, loss=0.0)
@@ -152,6 +166,7 @@
 
 
 def test_leases_survive_rolling_and_simultaneous_restarts() -> None:
+    """Guards against leases that stay without an owner after members restart one by one, or all at once."""
     for seed in range(6):
         net = settled_network(seed)
         for name in net.names:
@@ -170,7 +185,11 @@
 
 
 def test_a_healed_partition_leaves_one_holder() -> None:
-    """Both sides act while they cannot hear of each other, under different tokens; healed, one of the two stops."""
+    """Guards against two holders that still act after a partition has healed.
+
+    During the partition a member on each side holds the lease, under different tokens. Afterwards the member with the
+    lower token must stop.
+    """
     for seed in range(8):
         net = settled_network(seed, loss=0.1)
         net.may_overlap = True
@@ -189,16 +208,20 @@
 
 
 def test_a_one_way_cut_moves_the_lease_without_a_second_holder() -> None:
+    """Guards against an owner that keeps acting while it receives datagrams but none of its own arrive."""
     for seed in range(6):
         net = settled_network(seed, loss=0.0)
         owner = net.owner(net.leases[0])
         assert owner is not None
-        net.cut = {(owner, other) for other in net.names if other != owner}  # it hears, and is not heard
+        net.cut = {
+            (owner, other) for other in net.names if other != owner
+        }  # the owner receives datagrams, but its own are lost
         net.run(9000)
         assert net.owner(net.leases[0]) not in (None, owner), f"seed {seed}"
 
 
 def test_a_resumed_holder_does_not_act() -> None:
+    """Guards against a paused holder that resumes after a takeover and goes on acting, or reports no lost lease."""
     for seed in range(6):
         net = settled_network(seed, loss=0.0)
         lease = net.leases[0]
@@ -216,7 +239,7 @@
 
 
 def test_fencing_tokens_only_rise() -> None:
-    """Whoever takes over has a higher token than all before it, over kills and restarts."""
+    """Guards against a takeover, after kills and restarts, under a token below that of an earlier owner."""
     for seed in range(4):
         net = settled_network(seed, loss=0.2)
         for round_number in range(4):
--- a/tests/cluster/virtual_network.py
+++ b/tests/cluster/virtual_network.py
@@ -1,8 +1,8 @@
-"""A virtual network: no sockets and no sleep.  Seeded, so that a run can be played again to the letter.
+"""Simulates a network of cluster members without sockets or sleeps, repeatable by seed.
 
-Loss, delay, duplicates, reordering, one-way cuts, partitions, clocks that run apart, pauses of whole processes, kills
-and restarts.  After every event the invariants are checked: never two owners under one token, and never two at once,
-but where the test says that the network is cut.
+It simulates loss, delay, duplicates, reordering, one-way cuts, partitions, clock drift, pauses, kills and restarts.
+After each change of members or leases it checks that no token, and no lease at a time, has two owners; a test that cuts
+links sets ``may_overlap`` to allow two owners of a lease.
 """
 
 import heapq
@@ -24,11 +24,11 @@
 from heronlug.cluster.node import Node
 
 KEYS = {1: b"k" * 32}
-START_UNIX_MS = 1_800_000_000_000  # Unix milliseconds at virtual time 0
+START_UNIX_MS = 1_800_000_000_000  # the Unix time at virtual time 0
 
 
 class Process:
-    """A running member with its own clock."""
+    """A process that runs one member, with its own clock."""
 
     def __init__(self, net: "VirtualNetwork", name: str, drift: float) -> None:
         self.net, self.name, self.drift = net, name, drift
@@ -40,17 +40,18 @@
         self.paused = self.dead = False
         self.deferred: list[tuple[bytes, str]] = []
         self.next_wake = 0.0
-        self.tables: dict[str, dict[bytes, bytes]] = {topic: {} for topic in net.topics}  # as it is told of them
+        # The tables as a user of the member builds them from TableChanged actions.
+        self.tables: dict[str, dict[bytes, bytes]] = {topic: {} for topic in net.topics}
         for topic in net.topics:
             self.node.tables.follow(topic)
 
     def clock(self) -> float:
-        """Its own time."""
+        """Returns the time of this process's own clock, in milliseconds."""
         return self.offset + self.net.now * (1 + self.drift)
 
 
 class VirtualNetwork:
-    """All members, and what is on its way between them."""
+    """The processes of all members, and the events scheduled between them.  Times are milliseconds of virtual time."""
 
     def __init__(
         self,
@@ -64,7 +65,8 @@
     ) -> None:
         self.rng, self.seed = Random(seed), seed
         self.names, self.leases, self.topics, self.keys = list(names), list(leases), list(topics), KEYS
-        self.seeds = 3 if len(self.names) > 16 else len(self.names)  # the first ones, that the others are told of
+        # The number of names that every member gets as seeds.
+        self.seeds = 3 if len(self.names) > 16 else len(self.names)
         self.loss, self.delay, self.duplicate_rate, self.timing = loss, (0.5, 40.0), 0.02, timing or ClusterTiming()
         self.now = 0.0
         self.start_skew: dict[str, int] = {}
@@ -75,36 +77,36 @@
         self._queue: list[tuple[float, int, str, Any]] = []
         self._event_count = 0
         self.log: list[tuple[float, str, Any]] = []
-        self.tokens: dict[tuple[str, FencingToken], str] = {}  # who has had it
+        self.tokens: dict[tuple[str, FencingToken], str] = {}  # the process that first acted under each token
         self.acting: dict[str, set[str]] = {lease: set() for lease in self.leases}
-        self.overlap_since: dict[str, float] = {}  # how long a lease has had more than one owner
-        self.overlap = 0.0  # the longest that it has
+        self.overlap_since: dict[str, float] = {}  # when a lease got more than one owner
+        self.overlap = 0.0  # the longest time that a lease had more than one owner
         self.idle_since: dict[str, float] = dict.fromkeys(self.leases, 0.0)
         self.longest_idle = 0.0
         self.may_overlap = False
         self.sent = self.bytes = 0
 
-    # -- what a test does
+    # -- actions of tests
 
     def start(self, name: str) -> None:
-        """A process of that name starts."""
+        """Starts a process of that name."""
         process = self.processes[name] = Process(self, name, self.drifts[name])
         self._do(process, process.node.wake(process.clock()))
 
     def kill(self, name: str) -> None:
-        """It is gone at once."""
+        """Kills a process without notice to the other members."""
         process = self.processes.pop(name)
         process.dead = True
         self.killed.append(process)
         self.check()
 
     def leave(self, name: str) -> None:
-        """It goes on purpose."""
+        """Lets a member start to leave the cluster."""
         process = self.processes[name]
         self._do(process, process.node.leave(process.clock()))
 
     def publish(self, name: str, topic: str, changes: dict[bytes, bytes | None]) -> bool:
-        """It publishes under its token, if it has one."""
+        """Lets a member publish rows under its token; returns False if it has none."""
         process = self.processes[name]
         now = process.clock()
         token = process.node.may_act(topic, now)
@@ -116,14 +118,14 @@
         return True
 
     def pause(self, name: str, span: float) -> None:
-        """The whole process stands still; datagrams wait in its socket."""
+        """Pauses a whole process for ``span`` milliseconds; up to 64 datagrams wait in its socket buffer."""
         process = self.processes.get(name)
         if process is not None and not process.paused:
             process.paused = True
             self._schedule(self.now + span, name, (process, "resume"))
 
     def split(self, *sides: Iterable[str]) -> None:
-        """Nothing passes between these sides."""
+        """Cuts all links between these groups of members."""
         groups = [set(side) for side in sides]
         self.cut |= {
             (a, b)
@@ -135,7 +137,7 @@
         }
 
     def run(self, span: float) -> None:
-        """Let time pass."""
+        """Runs the events of the next ``span`` milliseconds."""
         end = self.now + span
         while self._queue and self._queue[0][0] <= end:
             self.now, _, name, (process, event) = heapq.heappop(self._queue)
@@ -160,19 +162,23 @@
         self.now = end
         self.check()
 
-    # -- what it sees
+    # -- state of the cluster
 
     def owner(self, lease: str) -> str | None:
-        """Who acts on a lease now."""
+        """Returns the first member that may act on a lease now, or None."""
         return next(iter(self.owners(lease)), None)
 
     def owners(self, lease: str) -> list[str]:
-        """All that act on it now: more than one is a fault, but in a partition."""
+        """Returns all members that may act on a lease now; more than one is an error outside a partition."""
         running = [p for p in self.processes.values() if not p.paused]
         return [p.name for p in running if p.node.may_act(lease, p.clock()) is not None]
 
     def check(self) -> None:
-        """The invariants; raises ``AssertionError`` with the seed."""
+        """Checks the invariants and records overlap and idle times.
+
+        Raises:
+            AssertionError: If an invariant is violated; the message names the seed.
+        """
         for lease in self.leases:
             owners = self.owners(lease)
             for name in owners:
@@ -191,7 +197,7 @@
             else:
                 self.longest_idle = max(self.longest_idle, self.now - self.idle_since.setdefault(lease, self.now))
 
-    # -- inside
+    # -- internals
 
     def _schedule(self, when: float, name: str, event: Any) -> None:
         self._event_count += 1
