--- a/tests/cluster/virtual_network.py
+++ b/tests/cluster/virtual_network.py
@@ -1,8 +1,8 @@
 """Simulates a network of cluster members without sockets or sleeps, repeatable by seed.
 
 It simulates loss, delay, duplicates, reordering, one-way cuts, partitions, clock drift, pauses, kills and restarts.
-After each change of members or leases it checks that no token, and no lease at a time, has two owners; a test that cuts
-links sets ``may_overlap`` to allow two owners of a lease.
+After each change of members or leases it checks that no token has two owners, and that no lease has two owners at once
+unless ``may_overlap`` is set because links are cut.
 """
 
 import heapq
