--- a/heronlug/cluster/health_checker.py
+++ b/heronlug/cluster/health_checker.py
@@ -140,7 +140,7 @@
         Raises:
             RuntimeError: if the health checker has joined no cluster.
         """
-        node = self._joined_node()
+        node = self._require_node()
         self._tokens[shard] = token
         node.tables.publish(shard, token, {}, self._deadlines.clock())
         self._flush()
@@ -189,7 +189,7 @@
         Raises:
             RuntimeError: if the health checker has joined no cluster.
         """
-        node = self._joined_node()
+        node = self._require_node()
         now = self._deadlines.clock()
         for shard in self.lease_names:
             is_stale = node.tables.age(shard, now) > max_age_ms
@@ -212,16 +212,16 @@
 
     def _apply(self, shard: str, down: Iterable[str], up: Iterable[str]) -> None:
         """Use the results of a shard, and log if so many servers are down now that none is believed to be."""
-        panicked = self._view.panic
+        previous_panic = self._view.panic
         changed = self._view.apply_health_results(shard, down, up)
-        if self._view.panic is not panicked:
+        if self._view.panic is not previous_panic:
             self._log("probes_not_believed" if self._view.panic else "probes_believed", down=len(self._view.down))
         if changed:
             self._notify(ListKind.CHANGES, changed)
 
     # -- this member's own checks
 
-    def _joined_node(self) -> Node:
+    def _require_node(self) -> Node:
         if self._node is None:
             message = "the health checker has joined no cluster; join() comes first"
             raise RuntimeError(message)
@@ -261,7 +261,7 @@
         failure = await check_server(address, self._path, self._timeout_ms)
         self.counts["probes"] += 1
         self.counts["failed"] += bool(failure)
-        is_up = self._schedule.ended(server, address, not failure)
+        is_up = self._schedule.record_result(server, address, not failure)
         if is_up is not None:
             self.counts["downs"] += not is_up
             self._log("host_up" if is_up else "host_down", host=server, why=failure)
--- a/heronlug/cluster/health_checks.py
+++ b/heronlug/cluster/health_checks.py
@@ -39,7 +39,7 @@
     Attributes:
         address: Where it is checked.
         due: When the next check starts, in milliseconds.
-        streak: Checks in a row whose result differs from the present state.
+        differing_results: Checks in a row whose result differs from the present state.
         down: Whether the server is down.
         in_flight: Whether a check is under way.
         checks: Checks that were started.
@@ -47,7 +47,7 @@
 
     address: str
     due: float
-    streak: int = 0
+    differing_results: int = 0
     down: bool = False
     in_flight: bool = False
     checks: int = 0
@@ -72,34 +72,34 @@
         self.max_in_flight = max_in_flight
         self.servers: dict[str, CheckedServer] = {}
         self.in_flight = 0
-        self._queue: list[tuple[float, str]] = []
+        self._due_heap: list[tuple[float, str]] = []
 
     def use(self, addresses: dict[str, str], down: Iterable[str], now: float) -> None:
         """Check these servers, addresses by name, and no others; new ones that are in ``down`` start as down."""
-        held_down = set(down)
+        initially_down = set(down)
         for name in self.servers.keys() - addresses.keys():
             self.in_flight -= self.servers.pop(name).in_flight
         for name, address in addresses.items():
-            known = self.servers.get(name)
-            if known is not None and known.address == address:
+            existing = self.servers.get(name)
+            if existing is not None and existing.address == address:
                 continue
-            if known is not None:  # another process, of which nothing is known
-                self.in_flight -= known.in_flight
+            if existing is not None:  # another process, of which nothing is known
+                self.in_flight -= existing.in_flight
             offset = xxh32_intdigest(name.encode(), seed=1) / 2**32
             due = now + self.interval * offset
-            self.servers[name] = CheckedServer(address, due, down=name in held_down and known is None)
-            heappush(self._queue, (due, name))
+            self.servers[name] = CheckedServer(address, due, down=name in initially_down and existing is None)
+            heappush(self._due_heap, (due, name))
 
     def start_due(self, now: float) -> list[DueCheck]:
         """Start the checks that are due, as far as more may be under way."""
         started: list[DueCheck] = []
-        while self._queue and self._queue[0][0] <= now and self.in_flight < self.max_in_flight:
-            due, name = heappop(self._queue)
+        while self._due_heap and self._due_heap[0][0] <= now and self.in_flight < self.max_in_flight:
+            due, name = heappop(self._due_heap)
             server = self.servers.get(name)
             if server is None or server.due != due:
                 continue  # removed, or scheduled anew
             server.due = max(due + self.interval, now + self.interval / 2)
-            heappush(self._queue, (server.due, name))
+            heappush(self._due_heap, (server.due, name))
             if not server.in_flight:
                 server.in_flight = True
                 server.checks += 1
@@ -107,26 +107,26 @@
                 started.append(DueCheck(name, server.address))
         return started
 
-    def ended(self, name: str, address: str, succeeded: bool) -> bool | None:
+    def record_result(self, name: str, address: str, succeeded: bool) -> bool | None:
         """A check has ended: True if the server is up again, False if it is down now, None if nothing has changed."""
         server = self.servers.get(name)
         if server is None or server.address != address or not server.in_flight:
             return None
         server.in_flight = False
         self.in_flight -= 1
-        server.streak = server.streak + 1 if succeeded is server.down else 0
-        if server.streak < (self.rise if server.down else self.fall):
+        server.differing_results = server.differing_results + 1 if succeeded is server.down else 0
+        if server.differing_results < (self.rise if server.down else self.fall):
             return None
-        server.streak = 0
+        server.differing_results = 0
         server.down = not server.down
         return not server.down
 
     def next_wake(self) -> float:
         """When a check is due; infinite while no more may be under way, as then one that ends comes first."""
-        while self._queue:
-            due, name = self._queue[0]
+        while self._due_heap:
+            due, name = self._due_heap[0]
             server = self.servers.get(name)
             if server is not None and server.due == due:
                 return due if self.in_flight < self.max_in_flight else inf
-            heappop(self._queue)
+            heappop(self._due_heap)
         return inf
--- a/heronlug/cluster/periodic_tasks.py
+++ b/heronlug/cluster/periodic_tasks.py
@@ -86,14 +86,14 @@
         """A schedule of these tasks, none of which this member may run yet."""
         return cls({task.name: TaskState(task) for task in tasks})
 
-    def gained(self, name: str, token: FencingToken, now: float) -> None:
+    def on_lease_gained(self, name: str, token: FencingToken, now: float) -> None:
         """The lease was gained: the first run is due at once, as the time of the last one elsewhere is unknown."""
         state = self.tasks[name]
         state.token = token
         state.due = now
         state.takeovers += 1
 
-    def lost(self, name: str) -> bool:
+    def on_lease_lost(self, name: str) -> bool:
         """The lease was lost; returns whether a run has to be ended."""
         state = self.tasks[name]
         state.token = None
@@ -109,14 +109,14 @@
                 started.append(TaskStart(name, state.token))
         return started
 
-    def finished(self, name: str, now: float, succeeded: bool) -> None:
+    def on_run_ended(self, name: str, now: float, succeeded: bool) -> None:
         """A run has ended, by itself or because it was ended."""
         state = self.tasks[name]
         state.running = False
         state.ended_at = now
         state.failed += not succeeded
 
-    def overdue(self, now: float) -> list[str]:
+    def timed_out(self, now: float) -> list[str]:
         """The tasks whose run has reached its timeout."""
         running = [(name, state) for name, state in self.tasks.items() if state.running]
         return [name for name, state in running if now - state.started_at >= state.task.timeout]
--- a/heronlug/cluster/replicated_tables.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -23,10 +23,10 @@
 MAX_OPEN_NODE_REQUESTS = 192
 """Nodes of a table that are requested at once."""
 
-MAX_HEARTBEATS_OLD = 1.1
+MAX_ANNOUNCED_AGE_HEARTBEATS = 1.1
 """How old a version may be, in heartbeat intervals, to be announced to a member that joins or asks."""
 
-ANSWER_WINDOW = 200.0
+POLL_ANSWER_WINDOW_MS = 200.0
 """How long after a poll an announcement counts as its answer, in milliseconds."""
 
 MEMBERS_POLLED = 2
@@ -96,7 +96,7 @@
     def age(self, name: str, now: float) -> float:
         """How long ago the writer confirmed the present version, in milliseconds; 0 for a table of this member."""
         state = self.states[tag(name)]
-        return 0.0 if state.own_token is not None else now - state.fresh_at
+        return 0.0 if state.own_token is not None else now - state.confirmed_at
 
     def own_token(self, name: str) -> FencingToken | None:
         """The token that this member writes a table under, until a later writer is heard of."""
@@ -116,7 +116,7 @@
 
     def next_wake(self) -> float:
         """When :meth:`wake` has something to do."""
-        times = [until for state in self.states.values() for until in state.requested_until.values()]
+        times = [deadline for state in self.states.values() for deadline in state.request_deadlines.values()]
         if any(state.own_token is not None for state in self.states.values()):
             times.append(self._next_heartbeat_at)
         return min(times, default=inf)
@@ -145,7 +145,7 @@
         """Announce a table no more, as it may be out of date; it becomes stale everywhere and stays readable."""
         state = self.states[tag(name)]
         state.own_token = None
-        state.fresh_at = -inf
+        state.confirmed_at = -inf
 
     def _publish(
         self, state: TableState, token: FencingToken, root: int, nodes: Mapping[int, bytes], now: float
@@ -157,7 +157,7 @@
         if root != state.root:
             self._set_root(state, root, tuple(nodes))
             self._collect_garbage()
-        state.fresh_at = now
+        state.confirmed_at = now
         self._announce(state)
         next_heartbeat = now + self.timing.heartbeat_interval
         if self._next_heartbeat_at <= now or next_heartbeat < self._next_heartbeat_at:
@@ -186,19 +186,21 @@
         for state in self.states.values():
             if state.own_token is not None and self._may_act(state.name, now) != state.own_token:
                 state.own_token = None
-                state.fresh_at = -inf
+                state.confirmed_at = -inf
             if state.own_token is not None and heartbeat:
                 state.version = Version(state.version.token, state.version.number + 1)
-                state.fresh_at = now
+                state.confirmed_at = now
                 self._announce(state)
-            if any(until <= now for until in state.requested_until.values()):
+            if any(deadline <= now for deadline in state.request_deadlines.values()):
                 self._repeat_requests(state, now)
         if heartbeat:
             self._next_heartbeat_at = now + self.timing.heartbeat_interval
 
     def _repeat_requests(self, state: TableState, now: float) -> None:
         """Request nodes again, perhaps from another member, as the present source may be unreachable."""
-        state.requested_until = {name: until for name, until in state.requested_until.items() if until > now}
+        state.request_deadlines = {
+            name: deadline for name, deadline in state.request_deadlines.items() if deadline > now
+        }
         others = self._other_members()
         if others:
             state.source = self._rng.choice([*others, *([state.source] * SOURCE_WEIGHT)])
@@ -220,7 +222,7 @@
                 self._on_node(part.data, now)
             case Sync():
                 for state in self.states.values():
-                    self._answer(state, sender, now)
+                    self._announce_to(state, sender, now)
 
     def _on_node_request(self, sender: int, request: NodeRequest) -> None:
         for name in request.names:
@@ -228,10 +230,10 @@
                 self._send(sender, NodeData(self.nodes[name]))
                 self.counts["pieces_sent"] += 1
 
-    def _answer(self, state: TableState, sender: int, now: float) -> None:
+    def _announce_to(self, state: TableState, sender: int, now: float) -> None:
         """Announce the present version to one member, unless it may be out of date."""
-        max_age = MAX_HEARTBEATS_OLD * self.timing.heartbeat_interval
-        current = state.own_token is not None or now - state.fresh_at <= max_age
+        max_age = MAX_ANNOUNCED_AGE_HEARTBEATS * self.timing.heartbeat_interval
+        current = state.own_token is not None or now - state.confirmed_at <= max_age
         if state.version != NO_VERSION and current:
             self._send(sender, state.announcement)
 
@@ -240,15 +242,15 @@
 
         The answer to a poll, like the first announcement, may be as old as a version may be that is announced.
         """
-        is_answer = state.version == NO_VERSION or now - state.polled_at < ANSWER_WINDOW
+        is_answer = state.version == NO_VERSION or now - state.polled_at < POLL_ANSWER_WINDOW_MS
         if not is_answer:
             return now
-        return max(state.fresh_at, now - MAX_HEARTBEATS_OLD * self.timing.heartbeat_interval)
+        return max(state.confirmed_at, now - MAX_ANNOUNCED_AGE_HEARTBEATS * self.timing.heartbeat_interval)
 
     def _on_announcement(self, state: TableState, sender: int, announcement: TableAnnouncement, now: float) -> None:
         version = Version(announcement.token, announcement.number)
         if version < state.version:
-            self._answer(state, sender, now)
+            self._announce_to(state, sender, now)
         if version <= state.newest_known:
             return
         if state.own_token is not None:
@@ -257,7 +259,7 @@
             state.own_token = None  # another writer has taken over
         if announcement.root == state.root:
             state.stop_fetching()
-            state.fresh_at = self._confirmed_at(state, now)
+            state.confirmed_at = self._confirmed_at(state, now)
             state.version = version
             self._announce(state, sender)
         else:
@@ -269,7 +271,7 @@
         state.pending = announcement
         state.source = sender
         if not same_root:
-            state.requested_until.clear()
+            state.request_deadlines.clear()
             state.missing.clear()
             self._store.find_missing(state.missing, state.root, announcement.root)
         self._continue_fetch(state, announcement, now)
@@ -298,7 +300,7 @@
         self.counts["pieces_taken"] += 1
         for state in waiting:
             counterpart = state.missing.counterparts.pop(name)
-            state.requested_until.pop(name, None)
+            state.request_deadlines.pop(name, None)
             state.missing.received.append(name)
             self._store.find_missing(state.missing, counterpart, name)
             if state.pending is not None:
@@ -306,16 +308,16 @@
 
     def _request_nodes(self, state: TableState, now: float) -> None:
         """Request missing nodes, as many as may be requested at once and in full datagrams where possible."""
-        requested, missing = state.requested_until, state.missing.counterparts
-        room = MAX_OPEN_NODE_REQUESTS - len(requested)
-        names = [name for name in missing if name not in requested][:room]
-        more_to_come = requested and len(names) + len(requested) < len(missing)
-        if len(names) < MAX_NODES_PER_REQUEST and more_to_come:
+        requested, missing = state.request_deadlines, state.missing.counterparts
+        free_requests = MAX_OPEN_NODE_REQUESTS - len(requested)
+        names = [name for name in missing if name not in requested][:free_requests]
+        more_missing = requested and len(names) + len(requested) < len(missing)
+        if len(names) < MAX_NODES_PER_REQUEST and more_missing:
             return
         for start in range(0, len(names), MAX_NODES_PER_REQUEST):
-            chosen = names[start : start + MAX_NODES_PER_REQUEST]
-            requested.update(dict.fromkeys(chosen, now + self.timing.pull_timeout))
-            self._send(state.source, NodeRequest(tuple(chosen)))
+            batch = names[start : start + MAX_NODES_PER_REQUEST]
+            requested.update(dict.fromkeys(batch, now + self.timing.pull_timeout))
+            self._send(state.source, NodeRequest(tuple(batch)))
 
     def _take_over(self, state: TableState, pending: TableAnnouncement, now: float) -> None:
         """Make the pending version, which is complete, the present one, and announce it."""
@@ -324,7 +326,7 @@
         state.stop_fetching()
         state.missing.received.clear()
         self._set_root(state, pending.root, received)
-        state.fresh_at = self._confirmed_at(state, now)
+        state.confirmed_at = self._confirmed_at(state, now)
         state.version = Version(pending.token, pending.number)
         self._announce(state, state.source)
         self._collect_garbage()
--- a/heronlug/cluster/server_view.py
+++ b/heronlug/cluster/server_view.py
@@ -53,13 +53,13 @@
     version: int = NO_LIST
     known: bool = False
 
-    def apply(self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]) -> None:
+    def apply(self, version: int, entries: Iterable[ListedServer], removed: Iterable[str]) -> None:
         """Apply changes, and the version that they lead to."""
         self.known = version >= 0
         self.version = version
         for entry in entries:
             self.servers[entry.name] = entry
-        for name in gone:
+        for name in removed:
             self.servers.pop(name, None)
 
     def apply_watch(self, kind: ListKind, entries: list[ListedServer]) -> None:
@@ -110,14 +110,14 @@
         """Use the own list, or the shared one; what the core is told, if the source changes."""
         self.watching = own
         own_usable = own and self.own.known
-        wanted = ListSource.OWN if own_usable else self.source
+        new_source = ListSource.OWN if own_usable else self.source
         if self.share == "list" and self.shared.known and not own_usable:
-            wanted = ListSource.SHARED
-        if wanted is self.source:
+            new_source = ListSource.SHARED
+        if new_source is self.source:
             return None
         self.switches += self.source is not ListSource.NONE
-        self.source = wanted
-        return ListUpdate(ListKind.CHANGES, self._changes_of_all())
+        self.source = new_source
+        return ListUpdate(ListKind.CHANGES, self._all_changes())
 
     def apply_own_update(
         self, kind: ListKind, version: int | None, entries: Iterable[ListedServer]
@@ -140,25 +140,25 @@
             return None
         if kind is ListKind.CHANGES and self.source is previous:
             return ListUpdate(kind, self._changes({entry.name for entry in entries}))
-        changes = self._changes_of_all()
+        changes = self._all_changes()
         return ListUpdate(kind, changes if kind is ListKind.CHANGES else list(self.reported.values()))
 
     # -- what other members publish
 
     def apply_shared_update(
-        self, version: int, entries: Iterable[ListedServer], gone: Iterable[str]
+        self, version: int, entries: Iterable[ListedServer], removed: Iterable[str]
     ) -> list[ListedServer]:
         """Apply changes of the shared list; the changes that the core is told."""
-        entries, gone = list(entries), list(gone)
-        self.shared.apply(version, entries, gone)
+        entries, removed = list(entries), list(removed)
+        self.shared.apply(version, entries, removed)
         if not self._uses_shared:
             return []
-        return self._changes({entry.name for entry in entries} | set(gone))
+        return self._changes({entry.name for entry in entries} | set(removed))
 
     def prefer_shared(self, shared: KnownList) -> list[ListedServer]:
         """Use this one of several shared lists from now on; the changes that the core is told."""
         self.shared = shared
-        return self._changes_of_all() if self._uses_shared else []
+        return self._all_changes() if self._uses_shared else []
 
     def apply_health_results(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
         """Apply that the owner of a shard holds servers down, or up again; the changes that the core is told."""
@@ -182,37 +182,37 @@
     def _uses_shared(self) -> bool:
         return self.source is ListSource.SHARED or self.share == "news"
 
-    def _base(self) -> dict[str, ListedServer]:
+    def _used_servers(self) -> dict[str, ListedServer]:
         """The servers of the list that is used."""
         return self.shared.servers if self.source is ListSource.SHARED else self.own.servers
 
-    def _changes_of_all(self) -> list[ListedServer]:
+    def _all_changes(self) -> list[ListedServer]:
         """What has changed for the core among all servers."""
         self._update_modes()
-        return self._differences(self._base().keys() | self.reported.keys())
+        return self._differences(self._used_servers().keys() | self.reported.keys())
 
     def _changes(self, names: set[str]) -> list[ListedServer]:
         """What has changed for the core among these servers, or among all if that follows from them."""
         if self._update_modes():
-            return self._changes_of_all()
+            return self._all_changes()
         return self._differences(names)
 
     def _update_modes(self) -> bool:
         """Decide whether health checks are ignored and the shared list counts; whether one of both has changed."""
-        base = self._base()
-        panic = sum(name in base for name in self.down) > self.panic_share * len(base)
-        ahead = self.share == "news" and self.shared.known and self.shared.version > self.own.version
-        changed = panic is not self.panic or ahead is not self.shared_ahead
+        used_servers = self._used_servers()
+        panic = sum(name in used_servers for name in self.down) > self.panic_share * len(used_servers)
+        shared_ahead = self.share == "news" and self.shared.known and self.shared.version > self.own.version
+        changed = panic is not self.panic or shared_ahead is not self.shared_ahead
         self.panic = panic
-        self.shared_ahead = ahead
+        self.shared_ahead = shared_ahead
         return changed
 
     def _differences(self, names: set[str]) -> list[ListedServer]:
         """How these servers differ from what the core was told last, which is updated."""
-        base = self._base()
+        used_servers = self._used_servers()
         changes = []
         for name in sorted(names):
-            entry = self._effective(base.get(name))
+            entry = self._reported_entry(used_servers.get(name))
             previous = self.reported.get(name)
             if entry is None and previous is not None:
                 del self.reported[name]
@@ -222,7 +222,7 @@
                 changes.append(entry)
         return changes
 
-    def _effective(self, entry: ListedServer | None) -> ListedServer | None:
+    def _reported_entry(self, entry: ListedServer | None) -> ListedServer | None:
         """A server of the list as it is reported; None if it is not."""
         if entry is None:
             return None
--- a/heronlug/cluster/shared_discovery.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -182,7 +182,7 @@
 
     def _read_table(self, topic: str) -> None:
         """Read all of a table that this member has written, as one that others write."""
-        node = self._joined_node()
+        node = self._require_node()
         rows: dict[bytes, bytes | None] = dict(node.tables.rows(topic))
         for name in self._tables[topic].known.servers:
             rows.setdefault(server_key(name), None)
@@ -192,7 +192,7 @@
 
     def _status(self, topic: str) -> SharedListStatus | None:
         """The status of a table; None for one that this member writes."""
-        tables = self._joined_node().tables
+        tables = self._require_node().tables
         table = self._tables[topic]
         own = self.view.own
         if tables.own_token(topic) is not None:
@@ -211,10 +211,10 @@
         silence = min((status.age for status in statuses.values()), default=0.0)
         if silence <= SILENCE_TO_PULL_MS or now < self._next_pull_at:
             return
-        often = silence < LONG_SILENCE_MS or silence == inf
-        self._next_pull_at = now + ELECTION_INTERVAL_MS * (1 if often else LONG_SILENCE_INTERVALS)
+        polls_each_time = silence < LONG_SILENCE_MS or silence == inf
+        self._next_pull_at = now + ELECTION_INTERVAL_MS * (1 if polls_each_time else LONG_SILENCE_INTERVALS)
         for topic in statuses:
-            self._joined_node().tables.poll(topic, now)
+            self._require_node().tables.poll(topic, now)
         self._flush()
 
     def _prefer_best_table(self) -> None:
@@ -233,10 +233,10 @@
         known = self._tables[topic].known
         if status is None or not known.known:
             return TablePreference(False, False, -1)
-        is_fresh = self._is_heard(status) and not status.outdated
+        is_fresh = self._is_recent(status) and not status.outdated
         return TablePreference(is_fresh and status.watched, is_fresh, known.version)
 
-    def _is_heard(self, status: SharedListStatus | None) -> bool:
+    def _is_recent(self, status: SharedListStatus | None) -> bool:
         return status is not None and status.age <= self.election.stale_after
 
     # -- Deciding who polls
@@ -259,7 +259,7 @@
         statuses = self._statuses()
         self._pull_tables(statuses)
         previous = self.election.role
-        position = MemberPosition(*self._joined_node().rank_position(LEASE_TABLE))
+        position = MemberPosition(*self._require_node().rank_position(LEASE_TABLE))
         role = self.election.decide(
             self._deadlines.clock(), self._lease is not None, position, statuses.values(), self.view.watching
         )
@@ -326,16 +326,16 @@
 
     def _write_interim_table(self, node: Node) -> None:
         writer = self._writers[INTERIM_TABLE]
-        reads = self.election.role is Role.READ
-        claims = reads and self._may_claim_interim_table()
-        if claims and writer.token is None:
+        is_reader = self.election.role is Role.READ
+        may_claim = is_reader and self._may_claim_interim_table()
+        if may_claim and writer.token is None:
             self.interim_reads += 1
             writer.start(node.claim(INTERIM_TABLE, self._deadlines.clock()))
         if writer.token is None or writer.is_superseded:
             return
-        if claims:
+        if may_claim:
             writer.publish(self._rows())
-        elif not reads or self.view.watching:
+        elif not is_reader or self.view.watching:
             node.release(INTERIM_TABLE)
             writer.stop()
 
@@ -343,7 +343,7 @@
         """Whether a reader writes the interim table; one that tries in vain does so only if no other one does."""
         if self.view.watching:
             return self._lease is None
-        return not self._is_heard(self._status(INTERIM_TABLE))
+        return not self._is_recent(self._status(INTERIM_TABLE))
 
     def _rows(self) -> merkle_trie.Rows:
         """The list that this member has read, or that it has from others; built anew after each change."""
@@ -370,8 +370,8 @@
             if self._node.tables.own_token(topic) is not None:
                 self._node.tables.withdraw(topic)
 
-    def _joined_node(self) -> Node:
+    def _require_node(self) -> Node:
         if self._node is None:
-            msg = "the shared list is used before join()"
-            raise RuntimeError(msg)
+            message = "the shared list is used before join()"
+            raise RuntimeError(message)
         return self._node
--- a/heronlug/cluster/status.py
+++ b/heronlug/cluster/status.py
@@ -14,18 +14,18 @@
 from heronlug.cluster.shared_discovery import SharedDiscovery
 
 
-class _Figure(NamedTuple):
+class _Metric(NamedTuple):
     kind: str
     """``counter`` or ``gauge``."""
     value: int
 
 
-def _counter(value: int) -> _Figure:
-    return _Figure("counter", value)
+def _counter(value: int) -> _Metric:
+    return _Metric("counter", value)
 
 
-def _gauge(value: int) -> _Figure:
-    return _Figure("gauge", value)
+def _gauge(value: int) -> _Metric:
+    return _Metric("gauge", value)
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,18 +92,18 @@
 
     def metrics(self) -> str:
         """All figures in Prometheus' text format."""
-        figures = {**self._node_figures(), **self._discovery_figures()}
+        metrics = {**self._node_metrics(), **self._discovery_metrics()}
         if self.health_checker is not None:
-            figures.update({f"host_{name}": _counter(count) for name, count in self.health_checker.counts.items()})
+            metrics.update({f"host_{name}": _counter(count) for name, count in self.health_checker.counts.items()})
         lines: list[str] = []
-        for name, figure in figures.items():
-            lines += [f"# TYPE svc_cluster_{name} {figure.kind}", f"svc_cluster_{name} {figure.value}"]
+        for name, metric in metrics.items():
+            lines += [f"# TYPE svc_cluster_{name} {metric.kind}", f"svc_cluster_{name} {metric.value}"]
         lines.append("# TYPE svc_cluster_dropped counter")
         for reason, count in sorted(self.node.codec.dropped.items()):
             lines.append(f'svc_cluster_dropped{{why="{reason}"}} {count}')
         return "\n".join([*lines, ""])
 
-    def _node_figures(self) -> dict[str, _Figure]:
+    def _node_metrics(self) -> dict[str, _Metric]:
         membership, tables = self.node.membership, self.node.tables
         return {
             "members": _gauge(len(membership.active_members()) + 1),
@@ -119,7 +119,7 @@
             "pieces_taken": _counter(tables.counts["pieces_taken"]),
         }
 
-    def _discovery_figures(self) -> dict[str, _Figure]:
+    def _discovery_metrics(self) -> dict[str, _Metric]:
         if self.discovery is None:
             return {}
         view = self.discovery.view
--- a/heronlug/cluster/table_state.py
+++ b/heronlug/cluster/table_state.py
@@ -31,13 +31,13 @@
         version: The latest version that is complete here.
         root: The root of that version.
         previous_root: The root before it.
-        fresh_at: When the writer was last known to confirm this version.
+        confirmed_at: When the writer was last known to confirm this version.
         own_token: The token that this member writes the table under, if it does.
         push_queue: Nodes that are new with this root and are sent along with its next announcement.
         pending: The version that is being fetched.
         source: The tag of the member that it is fetched from.
         missing: Nodes of the pending version that are not there.
-        requested_until: Until when the answer to each request for a node is awaited.
+        request_deadlines: Until when the answer to each request for a node is awaited.
         polled_at: When other members were last asked for a newer version.
         key: The table's tag.
     """
@@ -46,13 +46,13 @@
     version: Version = NO_VERSION
     root: int = merkle_trie.EMPTY
     previous_root: int = merkle_trie.EMPTY
-    fresh_at: float = -inf
+    confirmed_at: float = -inf
     own_token: FencingToken | None = None
     push_queue: tuple[int, ...] = ()
     pending: TableAnnouncement | None = None
     source: int = 0
     missing: MissingNodes = field(default_factory=MissingNodes)
-    requested_until: dict[int, float] = field(default_factory=dict)
+    request_deadlines: dict[int, float] = field(default_factory=dict)
     polled_at: float = -inf
     key: int = field(init=False)
 
@@ -75,7 +75,7 @@
         """Give up the pending version."""
         self.pending = None
         self.missing.counterparts.clear()
-        self.requested_until.clear()
+        self.request_deadlines.clear()
 
     def live_roots(self) -> Iterator[int]:
         """Nodes below which every node is needed."""
--- a/heronlug/cluster/table_writer.py
+++ b/heronlug/cluster/table_writer.py
@@ -97,7 +97,7 @@
         except ValueError as error:
             self._on_error(str(error))
         else:
-            self._note_published(rows)
+            self._record_published(rows)
 
     async def _build(self, token: FencingToken, rows: merkle_trie.Rows) -> None:
         nodes: dict[int, bytes] = {}
@@ -105,7 +105,7 @@
             root = await run_in_background(merkle_trie.build, rows, nodes)
             if self.token == token:
                 self._node.tables.replace(self.topic, token, root, nodes, self._deadlines.clock())
-                self._note_published(rows)
+                self._record_published(rows)
         except ValueError as error:
             self._on_error(str(error))
         finally:
@@ -115,7 +115,7 @@
         if pending is not None:
             self.publish(pending)
 
-    def _note_published(self, rows: merkle_trie.Rows) -> None:
+    def _record_published(self, rows: merkle_trie.Rows) -> None:
         self._published = rows
         self._has_published = True
         self._flush()
--- a/heronlug/cluster/task_runner.py
+++ b/heronlug/cluster/task_runner.py
@@ -26,7 +26,7 @@
 SLICE_PAUSE_S = 0.001
 """The pause after each slice, in seconds."""
 
-MIN_PLAN_DELAY = 10.0
+MIN_PLAN_DELAY_MS = 10.0
 """The shortest time until the schedule is looked at again, in milliseconds."""
 
 NOT_RUN = -1
@@ -48,13 +48,13 @@
     return partial(_run_command, list(table["command"]))
 
 
-async def _run_command(words: list[str], name: str, token: FencingToken) -> int:
+async def _run_command(command: list[str], name: str, token: FencingToken) -> int:
     """Run a command, which is killed when this is cancelled; raises ``OSError`` if it cannot start."""
     environment = {**os.environ, "HERONLUG_DUTY": name, "HERONLUG_FENCE": f"{token.number}.{token.owner}"}
     process: Process | None = None
     try:
         process = await asyncio.create_subprocess_exec(
-            *words, env=environment, stdin=DEVNULL, stdout=DEVNULL, stderr=DEVNULL
+            *command, env=environment, stdin=DEVNULL, stdout=DEVNULL, stderr=DEVNULL
         )
         return await process.wait()
     finally:
@@ -65,22 +65,22 @@
 
 async def _delete_old_files(table: dict[str, Any], log: Callable[..., None], name: str, token: FencingToken) -> int:
     """Delete files of a folder that are older than they may be; links and folders stay.  Raises ``OSError``."""
-    oldest = time.time() - table["keep_s"]
-    result = await asyncio.to_thread(_delete_in_folder, Path(table["folder"]), table["pattern"], oldest)
+    min_modified_at = time.time() - table["keep_s"]
+    result = await asyncio.to_thread(_delete_in_folder, Path(table["folder"]), table["pattern"], min_modified_at)
     if result.deleted or result.failed:
         log("swept", duty=name, files=result.deleted, failed=result.failed)
     return 1 if result.failed else 0
 
 
-def _delete_in_folder(folder: Path, pattern: str, oldest: float) -> Deletions:
-    """Delete the files that match a pattern and were changed before ``oldest``, in Unix seconds."""
+def _delete_in_folder(folder: Path, pattern: str, min_modified_at: float) -> Deletions:
+    """Delete the files that match a pattern and were changed before ``min_modified_at``, in Unix seconds."""
     deleted = failed = 0
     for number, path in enumerate(sorted(folder.glob(pattern))):
         if number % FILES_PER_SLICE == FILES_PER_SLICE - 1:
             time.sleep(SLICE_PAUSE_S)
         try:
             status = path.lstat()
-            if path.is_symlink() or not path.is_file() or status.st_mtime >= oldest:
+            if path.is_symlink() or not path.is_file() or status.st_mtime >= min_modified_at:
                 continue
             path.unlink()
             deleted += 1
@@ -121,7 +121,7 @@
         self._deadlines = deadlines
         self._log = log
         self._turn = turn
-        self._next_plan: Key | None = None
+        self._plan_timer: Key | None = None
         self._runs: dict[str, asyncio.Task[int]] = {}
 
     @property
@@ -129,21 +129,21 @@
         """The names of the tasks, which are those of their leases."""
         return list(self._functions)
 
-    def gained(self, name: str, token: FencingToken) -> None:
+    def on_lease_gained(self, name: str, token: FencingToken) -> None:
         """This member has gained the lease of a task."""
-        self.schedule.gained(name, token, self._deadlines.clock())
+        self.schedule.on_lease_gained(name, token, self._deadlines.clock())
         self._plan()
 
-    def lost(self, name: str) -> None:
+    def on_lease_lost(self, name: str) -> None:
         """This member has lost the lease of a task: a run is ended."""
-        if self.schedule.lost(name) and name in self._runs:
+        if self.schedule.on_lease_lost(name) and name in self._runs:
             self._runs[name].cancel()
 
     async def close(self) -> None:
         """Start no more runs, and end those that go on."""
-        self._deadlines.cancel(self._next_plan)
+        self._deadlines.cancel(self._plan_timer)
         for name in self.names:
-            self.schedule.lost(name)
+            self.schedule.on_lease_lost(name)
         runs = [*self._runs.values()]
         for run in runs:
             run.cancel()
@@ -152,18 +152,18 @@
     def _plan(self) -> None:
         """Start what is due, end what has reached its timeout, and set the timer for the next."""
         now = self._deadlines.clock()
-        for name in self.schedule.overdue(now):
+        for name in self.schedule.timed_out(now):
             if name in self._runs:
                 self._runs[name].cancel()
         for start in self.schedule.start_due(now):
             run = asyncio.get_running_loop().create_task(self._run(start.name, start.token))
             self._runs[start.name] = run
-            run.add_done_callback(partial(self._ended, start.name))
-        self._deadlines.cancel(self._next_plan)
-        self._next_plan = None
+            run.add_done_callback(partial(self._on_run_ended, start.name))
+        self._deadlines.cancel(self._plan_timer)
+        self._plan_timer = None
         next_wake = self.schedule.next_wake()
         if next_wake < inf:
-            self._next_plan = self._deadlines.call_at(max(next_wake, now + MIN_PLAN_DELAY), self._plan)
+            self._plan_timer = self._deadlines.call_at(max(next_wake, now + MIN_PLAN_DELAY_MS), self._plan)
 
     async def _run(self, name: str, token: FencingToken) -> int:
         """One run, if the lease still holds."""
@@ -175,14 +175,14 @@
             self._log("duty_failed", duty=name, error=str(error))
             return NOT_RUN
 
-    def _ended(self, name: str, run: "asyncio.Task[int]") -> None:
+    def _on_run_ended(self, name: str, run: "asyncio.Task[int]") -> None:
         """A run has ended, perhaps before it has started: the next one may start."""
         if self._runs.get(name) is run:
             del self._runs[name]
         status = None if run.cancelled() or run.exception() is not None else run.result()
         if status != 0:
             self._log("duty_failed", duty=name, status=status)
-        self.schedule.finished(name, self._deadlines.clock(), status == 0)
+        self.schedule.on_run_ended(name, self._deadlines.clock(), status == 0)
         self._plan()
         self._turn()
 
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -25,13 +25,13 @@
 from heronlug.net.http import split_address
 from heronlug.requests.deadlines import Deadlines, Key
 
-LEAVE_TIMEOUT = 3000.0
+LEAVE_TIMEOUT_MS = 3000.0
 """How long a planned leave may take, in milliseconds."""
 
-HEALTH_CHECK_RESULT_TTL = 10_000.0
+HEALTH_CHECK_RESULT_TTL_MS = 10_000.0
 """How long the results of a shard's owner count after it was last heard of, in milliseconds."""
 
-STALE_CHECK_INTERVAL = 500.0
+STALE_CHECK_INTERVAL_MS = 500.0
 """How often results of health checks are checked for their age, in milliseconds."""
 
 
@@ -69,14 +69,14 @@
         self.health_checker = health_checker
         self.task_runner = TaskRunner(table["duty"], self._may_act, deadlines, log, turn)
         self.node = self._create_node(table)
-        for part in (discovery, health_checker):
-            if part is not None:
-                part.join(self.node, self._flush)
+        for component in (discovery, health_checker):
+            if component is not None:
+                component.join(self.node, self._flush)
         self._transport: asyncio.DatagramTransport | None = None
-        self._acting = False
-        self._wake: Key | None = None
-        self._stale_check: Key | None = None
-        self._left: asyncio.Future[None] | None = None
+        self._carrying_out = False
+        self._wake_timer: Key | None = None
+        self._stale_check_timer: Key | None = None
+        self._left_future: asyncio.Future[None] | None = None
 
     def _create_node(self, table: dict[str, Any]) -> Node:
         """The member, with a lease for each periodic task, for shared discovery and for each shard of health checks."""
@@ -91,7 +91,7 @@
     async def open(self) -> None:
         """Join the cluster; raises ``OSError`` if the address cannot be bound."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=self.listen)
-        self._check_stale()
+        self._withdraw_stale_results()
         self.act(self.node.wake(self._deadlines.clock()))
 
     def replace_keys(self, keys: dict[int, bytes]) -> None:
@@ -101,18 +101,18 @@
     async def leave(self) -> None:
         """Hand the leases over, announce the leave, and close."""
         if self._transport is not None:
-            self._left = asyncio.get_running_loop().create_future()
-            timeout = self._deadlines.call_after(LEAVE_TIMEOUT, self._leave_done)
+            self._left_future = asyncio.get_running_loop().create_future()
+            timeout = self._deadlines.call_after(LEAVE_TIMEOUT_MS, self._finish_leave)
             self.act(self.node.leave(self._deadlines.clock()))
             self._turn()
-            await self._left
+            await self._left_future
             self._deadlines.cancel(timeout)
             self._transport.close()
-        for key in (self._wake, self._stale_check):
+        for key in (self._wake_timer, self._stale_check_timer):
             self._deadlines.cancel(key)
-        for part in (self.shared_discovery, self.health_checker):
-            if part is not None:
-                part.close()
+        for component in (self.shared_discovery, self.health_checker):
+            if component is not None:
+                component.close()
         await self.task_runner.close()
 
     # -- asyncio
@@ -158,61 +158,61 @@
 
     def act(self, actions: list[Action]) -> None:
         """Carry out the actions of the node, and those that follow from them."""
-        self._acting = True
+        self._carrying_out = True
         try:
             while actions:
-                self._act(actions)
+                self._carry_out(actions)
                 actions = self.node.flush(self._deadlines.clock()) if self.node.pending else []
         finally:
-            self._acting = False
+            self._carrying_out = False
         if self.node.left:
-            self._leave_done()
+            self._finish_leave()
 
     def _flush(self) -> None:
         """Send what was published or withdrawn; while actions are carried out, it is sent with these."""
-        if not self._acting:
+        if not self._carrying_out:
             self.act(self.node.flush(self._deadlines.clock()))
 
-    def _act(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendTo):
                 if self._transport is not None and not self._transport.is_closing():
                     self._transport.sendto(action.data, split_address(action.address))
             elif isinstance(action, WakeAt):
-                self._wake_at(action.when)
+                self._set_wake_timer(action.when)
             elif isinstance(action, MemberChanged):
                 health = action.health.name.lower()
                 self._log("member", name=action.name, health=health, cause=action.cause)
             elif isinstance(action, TableChanged):
-                self._table_changed(action)
+                self._on_table_change(action)
             else:
-                self._lease_changed(action)
+                self._on_lease_change(action)
 
-    def _wake_at(self, when: float) -> None:
-        self._deadlines.cancel(self._wake)
-        self._wake = self._deadlines.call_at(when, self._wake_due)
+    def _set_wake_timer(self, when: float) -> None:
+        self._deadlines.cancel(self._wake_timer)
+        self._wake_timer = self._deadlines.call_at(when, self._on_wake_timer)
 
-    def _wake_due(self) -> None:
-        self._wake = None
+    def _on_wake_timer(self) -> None:
+        self._wake_timer = None
         self.act(self.node.wake(self._deadlines.clock()))
 
-    def _leave_done(self) -> None:
-        if self._left is not None and not self._left.done():
-            self._left.set_result(None)
+    def _finish_leave(self) -> None:
+        if self._left_future is not None and not self._left_future.done():
+            self._left_future.set_result(None)
 
     def _may_act(self, name: str, now: float) -> FencingToken | None:
         return self.node.may_act(name, now)
 
-    def _lease_changed(self, action: LeaseGained | LeaseLost) -> None:
+    def _on_lease_change(self, action: LeaseGained | LeaseLost) -> None:
         gained = isinstance(action, LeaseGained)
         self._log(
             "duty_gained" if gained else "duty_lost", duty=action.lease, fence=action.token.number, cause=action.cause
         )
         if action.lease in self.task_runner.names:
             if gained:
-                self.task_runner.gained(action.lease, action.token)
+                self.task_runner.on_lease_gained(action.lease, action.token)
             else:
-                self.task_runner.lost(action.lease)
+                self.task_runner.on_lease_lost(action.lease)
         elif action.lease == LEASE_TABLE and self.shared_discovery is not None:
             if gained:
                 self.shared_discovery.on_lease_gained(action.token)
@@ -224,14 +224,14 @@
             else:
                 self.health_checker.on_lease_lost(action.lease)
 
-    def _table_changed(self, change: TableChanged) -> None:
+    def _on_table_change(self, change: TableChanged) -> None:
         if change.table in (LEASE_TABLE, INTERIM_TABLE) and self.shared_discovery is not None:
             self.shared_discovery.on_table_change(change.table, change.changes)
         elif self.health_checker is not None:
             self.health_checker.on_table_change(change.table, change.changes)
 
-    def _check_stale(self) -> None:
+    def _withdraw_stale_results(self) -> None:
         """Withdraw results of health checks whose owner is silent."""
-        self._stale_check = self._deadlines.call_after(STALE_CHECK_INTERVAL, self._check_stale)
+        self._stale_check_timer = self._deadlines.call_after(STALE_CHECK_INTERVAL_MS, self._withdraw_stale_results)
         if self.health_checker is not None:
-            self.health_checker.withdraw_stale(HEALTH_CHECK_RESULT_TTL)
+            self.health_checker.withdraw_stale(HEALTH_CHECK_RESULT_TTL_MS)
--- a/tests/cluster/test_server_view.py
+++ b/tests/cluster/test_server_view.py
@@ -86,7 +86,7 @@
     assert view.withdraw("probe-1") == servers("a", "b")
 
 
-STEP = st.one_of(
+STEPS = st.one_of(
     st.tuples(st.just("own"), st.sampled_from(list(ListKind)), st.lists(st.sampled_from("abcde"), unique=True)),
     st.tuples(st.just("shared"), st.integers(0, 20), st.lists(st.sampled_from("abcdef"), unique=True)),
     st.tuples(st.just("verdict"), st.booleans(), st.sampled_from("abcdef")),
@@ -94,7 +94,7 @@
 )
 
 
-@given(st.sampled_from(["none", "list", "news"]), st.lists(STEP, max_size=40))
+@given(st.sampled_from(["none", "list", "news"]), st.lists(STEPS, max_size=40))
 def test_reported_changes_add_up_to_the_view(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
     """The core, which applies the reported changes, ends with the servers of the view, and none is on no list."""
     view, core = ServerView(share, 1500), dict[str, ListedServer]()
@@ -105,17 +105,17 @@
         for entry in entries:
             core[entry.name] = entry
 
-    for number, (what, how, names) in enumerate(steps):
-        if what == "own":
-            update = view.apply_own_update(ListKind(how), number, servers(*names))
+    for number, (step, value, names) in enumerate(steps):
+        if step == "own":
+            update = view.apply_own_update(ListKind(value), number, servers(*names))
             apply(*(update or (ListKind.CHANGES, [])))
-        elif what == "shared":
-            gone = [name for name in view.shared.servers if name not in names]
-            apply(ListKind.CHANGES, view.apply_shared_update(how, servers(*names), gone))
-        elif what == "verdict":
-            apply(ListKind.CHANGES, view.apply_health_results("s", *((names, []) if how else ([], names))))
+        elif step == "shared":
+            removed = [name for name in view.shared.servers if name not in names]
+            apply(ListKind.CHANGES, view.apply_shared_update(value, servers(*names), removed))
+        elif step == "verdict":
+            apply(ListKind.CHANGES, view.apply_health_results("s", *((names, []) if value else ([], names))))
         else:
-            apply(*(view.select_source(own=bool(how)) or (ListKind.CHANGES, [])))
+            apply(*(view.select_source(own=bool(value)) or (ListKind.CHANGES, [])))
         assert {name: e for name, e in core.items() if e.state is not REMOVED} == view.reported
         named = view.own.servers.keys() | (view.shared.servers.keys() if share == "list" else set())
         assert view.reported.keys() <= named
@@ -130,13 +130,13 @@
         started += [name for name, _ in batch]
         assert len(batch) < 15
         for name, address in batch:
-            schedule.ended(name, address, True)
+            schedule.record_result(name, address, True)
     assert sorted(started) == sorted({f"h{n}" for n in range(50)})
     results, now = [], 1000.0
     for succeeded in (False, False, True, False, False, False, True, True):
         now = schedule.servers["h0"].due
         for name, address in schedule.start_due(now):
-            result = schedule.ended(name, address, succeeded or name != "h0")
+            result = schedule.record_result(name, address, succeeded or name != "h0")
             if name == "h0":
                 results.append(result)
     assert results == [None, None, None, None, None, False, None, True]
@@ -151,7 +151,7 @@
     assert schedule.next_wake() == float("inf")
     schedule.use({"h0": "127.0.0.1:9000"}, [], 1000.0)
     assert schedule.in_flight == sum(name == "h0" for name, _ in first)
-    assert all(schedule.ended(name, address, False) is None for name, address in first if name != "h0")
+    assert all(schedule.record_result(name, address, False) is None for name, address in first if name != "h0")
     schedule.use({"h0": "127.0.0.1:9999"}, ["h0"], 1000.0)
     assert not schedule.servers["h0"].down
     assert schedule.in_flight == 0
@@ -164,7 +164,7 @@
     results = []
     for _ in range(2):
         now = schedule.next_wake()
-        results += [schedule.ended(*which, True) for which in schedule.start_due(now)]
+        results += [schedule.record_result(*due_check, True) for due_check in schedule.start_due(now)]
     assert results == [None, True]
 
 
