--- a/heronlug/cluster/__init__.py
+++ b/heronlug/cluster/__init__.py
@@ -1,14 +1,15 @@
-"""Dispatchers that know of each other, share leases and replicate tables.
+"""Forms a cluster of dispatchers that share leases and replicate tables.
 
-What decides has no I/O, no clock and no randomness of its own:
+The modules that make decisions have no I/O, no clock and no source of randomness of their own:
 
-- ``node``: one member, which puts the following together.
-- ``membership``, ``failure_detector``, ``gossip_queue``, ``member``: who is there (SWIM, Lifeguard).
-- ``ownership``: which member should hold a lease; ``leases``, ``lease_state``: which member does.
+- ``node``: one member, which combines the following modules.
+- ``membership``, ``failure_detector``, ``gossip_queue``, ``member``: the list of members (SWIM, Lifeguard).
+- ``ownership``: the preferred holder of a lease; ``leases``, ``lease_state``: the actual holder.
 - ``replicated_tables``, ``table_state``, ``node_store``, ``merkle_trie``: tables that one member writes.
-- ``messages``, ``codec``, ``datagrams``: what members send each other.
-- ``periodic_tasks``, ``health_checks``, ``server_view``: what the holder of a lease does.
+- ``messages``, ``codec``, ``datagrams``: the messages between members.
+- ``periodic_tasks``, ``health_checks``, ``server_view``: the work of lease holders and the use of its results.
 
-``transport`` has the socket, ``task_runner`` runs periodic tasks, ``schema`` reads the operators' table, ``status`` is
-what operators see.
+``transport`` owns the socket, ``health_checker`` runs health checks, ``task_runner`` runs periodic tasks and ``status``
+reports to operators. ``shared_discovery``, ``server_rows`` and ``table_writer`` share the endpoint list. The
+configuration is read by :mod:`heronlug.config.cluster_section`.
 """
--- a/heronlug/cluster/health_checker.py
+++ b/heronlug/cluster/health_checker.py
@@ -1,8 +1,9 @@
-"""Health checks of servers over sockets: a connection, and a ``GET`` on it where a path is configured.
+"""Checks the health of servers over TCP and shares the results among the members of the cluster.
 
-Only servers that the operators configure are checked, never those of the platform. The servers are divided into shards
-(:mod:`heronlug.cluster.health_checks`). The member that holds a shard's lease checks its servers and publishes which of
-them are down in the replicated table of the shard; all members read the tables of all shards.
+A check opens a connection and, where a path is configured, sends a ``GET`` on it. Only servers that the operators
+configure are checked, never those of the platform. The servers are divided into shards
+(:mod:`heronlug.cluster.health_checks`). The member that holds a shard's lease checks the servers of the shard and
+publishes the servers that are down in the shard's replicated table; each member reads the tables of all shards.
 """
 
 import asyncio
@@ -22,28 +23,28 @@
 from heronlug.requests.model import ListedServer
 
 MAX_STATUS_LINE_BYTES = 64
-"""So much of a status line is read at most, in bytes; a longer one fails the check."""
+"""Maximum length of a status line, in bytes; a longer status line fails the check."""
 
 MAX_CHECKS_IN_FLIGHT = 64
-"""Health checks of this member that may be under way at once."""
+"""Maximum number of health checks that this member runs concurrently."""
 
 MAX_REASON_CHARACTERS = 64
-"""So much of the reason why a server is down is published, in characters."""
+"""Maximum length of the published reason for a server being down, in characters; longer reasons are truncated."""
 
 MIN_WAKE_DELAY_MS = 1.0
-"""The shortest time until due checks are looked for again, in ms."""
+"""Minimum delay before the schedule is searched for due checks again, in milliseconds."""
 
 
 async def check_server(address: str, path: str, timeout_ms: float) -> str:
-    """Check a server once.
+    """Runs one health check of a server.
 
     Args:
         address: Host and port of the server.
-        path: What to ``GET``; where it is empty, a connection is enough.
-        timeout_ms: For the connection and the answer together, in ms.
+        path: The path to ``GET``; if empty, the check succeeds once the connection is open.
+        timeout_ms: The time limit for connecting and receiving the status line together, in milliseconds.
 
     Returns:
-        Why the check failed; empty if it succeeded.
+        The reason for the failure, or an empty string if the check succeeded.
     """
     writer: asyncio.StreamWriter | None = None
     try:
@@ -66,7 +67,7 @@
 
 
 def _failure_of_status_line(line: bytes) -> str:
-    """Why an answer that begins with this line fails a check; empty for any status 2xx."""
+    """Returns the reason why a response with this status line fails a check, or an empty string for a 2xx status."""
     words = line.split(b" ", 2)
     if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
         return "no HTTP/1.1"
@@ -74,11 +75,12 @@
 
 
 class HealthChecker:
-    """Checks the servers of the shards whose leases this member holds, and applies the results of all shards.
+    """Checks the servers of the shards whose leases this member holds and applies the results of all shards.
 
     Attributes:
-        lease_names: The shards' names; each names a lease and a replicated table.
-        counts: Figures: checks that have ended, those that failed, and servers that went down.
+        lease_names: The names of the shards; each shard has a lease and a replicated table of that name.
+        counts: Counters by name: ``probes`` for completed checks, ``failed`` for failed checks, ``downs`` for changes
+            of a server from up to down.
     """
 
     def __init__(
@@ -90,15 +92,15 @@
         log: EventLog,
         turn: Callable[[], None],
     ) -> None:
-        """Create a health checker that holds no lease yet.
+        """Creates a health checker that holds no lease.
 
         Args:
-            options: The file table ``[cluster.probe]``.
-            view: The servers, and which of them are down.
-            notify: Takes servers whose state has changed by a result.
-            deadlines: The clock and timers, in ms.
-            log: Where events are logged.
-            turn: Is called after each check, to handle what follows from it.
+            options: The table ``[cluster.probe]`` of the configuration file.
+            view: The servers that this dispatcher uses and the servers that are down.
+            notify: Receives the servers whose state a check result has changed.
+            deadlines: The clock and timers, in milliseconds.
+            log: Writes log events.
+            turn: Runs pending work of the dispatcher; called after each check.
         """
         self._shard_count = int(options["shards"])
         self.lease_names = [shard_name(number) for number in range(self._shard_count)]
@@ -111,23 +113,28 @@
         self._turn = turn
         interval_ms = options["every_s"] * 1000
         self._schedule = HealthCheckSchedule(interval_ms, options["fall"], options["rise"], MAX_CHECKS_IN_FLIGHT)
-        self._tokens: dict[str, FencingToken] = {}  # of the shards whose leases this member holds
+        self._tokens: dict[str, FencingToken] = {}  # one per lease that this member holds, by shard
         self._node: Node | None = None
-        self._flush: Callable[[], None] = lambda: None  # sends what was published
+        self._flush: Callable[[], None] = lambda: None  # sends published rows
         self._timer: Key | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._withdrawn_shards: set[str] = set()  # results not used, because their owner is silent
+        self._withdrawn_shards: set[str] = set()  # shards with ignored results: the lease holder is silent
         self.counts = {"probes": 0, "failed": 0, "downs": 0}
 
     def join(self, node: Node, flush: Callable[[], None]) -> None:
-        """Read the results of all members from their tables, and publish those of this member there."""
+        """Joins the cluster: follows the replicated tables of all shards.
+
+        Args:
+            node: The cluster member that replicates the tables.
+            flush: Sends the messages that the node has queued.
+        """
         self._node = node
         self._flush = flush
         for name in self.lease_names:
             node.tables.follow(name)
 
     def close(self) -> None:
-        """Cancel all checks."""
+        """Cancels the running health checks and the timer of the next ones."""
         self._deadlines.cancel(self._timer)
         for task in self._tasks:
             task.cancel()
@@ -135,26 +142,29 @@
     # -- leases and endpoint lists
 
     def on_lease_gained(self, shard: str, token: FencingToken) -> None:
-        """Begin to check the servers of a shard.
+        """Starts checking the servers of a shard.
 
         Raises:
-            RuntimeError: if the health checker has joined no cluster.
+            RuntimeError: If :meth:`join` has not been called.
         """
         node = self._require_node()
         self._tokens[shard] = token
         node.tables.publish(shard, token, {}, self._deadlines.clock())
         self._flush()
-        # The last owner's results are the starting point, even if they were withdrawn since that owner was silent.
+        # Start from the results of the previous lease holder, even if they were withdrawn because it was silent.
         self._apply_table(node, shard)
         self.use_servers()
 
     def on_lease_lost(self, shard: str) -> None:
-        """Stop checking the servers of a shard: another member does."""
+        """Stops checking the servers of a shard, since another member takes over the lease."""
         self._tokens.pop(shard, None)
         self.use_servers()
 
     def use_servers(self) -> None:
-        """Check the present servers of the shards that this member owns; called when either has changed."""
+        """Updates the schedule to the listed servers of the shards whose leases this member holds.
+
+        Called when the endpoint list or the set of held leases has changed.
+        """
         if not self._tokens and not self._schedule.servers:
             return
         addresses = {
@@ -167,7 +177,7 @@
         self._start_due_checks()
 
     def _drop_unlisted(self) -> None:
-        """Remove the results of servers that are on no endpoint list any more."""
+        """Removes the results of servers that neither the own nor the shared endpoint list contains."""
         listed = self._view.own.servers.keys() | self._view.shared.servers
         unlisted = [name for name in self._view.down if name not in listed]
         for shard in self._tokens:
@@ -178,16 +188,21 @@
     # -- results from the replicated tables
 
     def on_table_change(self, shard: str, changes: dict[bytes, bytes | None]) -> None:
-        """Apply what the owner of a shard has published: a row for each server that is down, None where it is up."""
+        """Applies the rows that a shard's lease holder has published: a value for a server that is down, None if up."""
         down = [key.decode() for key, value in changes.items() if value is not None]
         up = [key.decode() for key, value in changes.items() if value is None]
         self._apply(shard, down, up)
 
     def withdraw_stale(self, max_age_ms: float) -> None:
-        """Stop using the results of owners that were silent for longer than ``max_age_ms``, until they are heard.
+        """Withdraws the results of lease holders that have been silent too long, and restores them later.
+
+        The results apply again once the lease holder confirms the table.
+
+        Args:
+            max_age_ms: The maximum age of a table's last confirmation, in milliseconds.
 
         Raises:
-            RuntimeError: if the health checker has joined no cluster.
+            RuntimeError: If :meth:`join` has not been called.
         """
         node = self._require_node()
         now = self._deadlines.clock()
@@ -207,11 +222,15 @@
             self._notify(ListKind.CHANGES, changed)
 
     def _apply_table(self, node: Node, shard: str) -> None:
-        """Apply all results that the table of a shard holds."""
+        """Applies every result in the table of a shard."""
         self._apply(shard, [key.decode() for key in node.tables.rows(shard)], ())
 
     def _apply(self, shard: str, down: Iterable[str], up: Iterable[str]) -> None:
-        """Use the results of a shard, and log if so many servers are down now that none is believed to be."""
+        """Applies results of a shard to the view.
+
+        Logs when the number of servers that are down crosses the panic threshold, above which the results of health
+        checks are ignored.
+        """
         previous_panic = self._view.panic
         changed = self._view.apply_health_results(shard, down, up)
         if self._view.panic is not previous_panic:
@@ -219,11 +238,11 @@
         if changed:
             self._notify(ListKind.CHANGES, changed)
 
-    # -- this member's own checks
+    # -- checks that this member runs
 
     def _require_node(self) -> Node:
         if self._node is None:
-            message = "the health checker has joined no cluster; join() comes first"
+            message = "health checker has not joined a cluster; call join() first"
             raise RuntimeError(message)
         return self._node
 
@@ -231,13 +250,13 @@
         return shard_name(shard_of(server, self._shard_count))
 
     def _publish(self, shard: str, reasons: dict[str, str | None]) -> None:
-        """Share results of this member and apply them here: why each server is down, or None if it is up."""
+        """Publishes results of this member and applies them: the reason for a server being down, or None if up."""
         if self._node is None or shard not in self._tokens:
             return
         rows = {name.encode(): _encode_reason(reason) for name, reason in reasons.items()}
         try:
             self._node.tables.publish(shard, self._tokens[shard], rows, self._deadlines.clock())
-        except ValueError as error:  # the name is too long for a row, so the result counts at this member only
+        except ValueError as error:  # the server name is too long for a row, so only this member applies the result
             self._log("verdict_not_shared", shard=shard, error=str(error))
         self._flush()
         down = [name for name, reason in reasons.items() if reason is not None]
@@ -245,7 +264,7 @@
         self._apply(shard, down, up)
 
     def _start_due_checks(self) -> None:
-        """Start the checks that are due, and set the timer for the next ones."""
+        """Starts the due checks and sets the timer for the next ones."""
         now = self._deadlines.clock()
         for due_check in self._schedule.start_due(now):
             task = asyncio.get_running_loop().create_task(self._check(due_check.server, due_check.address))
@@ -271,5 +290,5 @@
 
 
 def _encode_reason(reason: str | None) -> bytes | None:
-    """The row of a server that is down for this reason; None, which removes the row, for one that is up."""
+    """Returns the row value for a server that is down, or None, which removes the row, for a server that is up."""
     return None if reason is None else json.dumps(reason[:MAX_REASON_CHARACTERS]).encode()
--- a/heronlug/cluster/health_checks.py
+++ b/heronlug/cluster/health_checks.py
@@ -1,9 +1,9 @@
-"""Which server's health is checked when, and what follows from the results.  No I/O and no clock.
+"""Schedules health checks and decides from their results which servers are down, without I/O and without a clock.
 
 Servers are divided into shards by their names. Each shard has a lease, so each server is checked by one member at a
-time. The checks of a server have their own offset within the interval, so that checks are spread. After a number of
-failures in a row a server is down, after a number of successes it is up again; a server that the previous owner of the
-shard held down stays down until then.
+time. Each server has its own offset within the interval, which spreads the checks over time. A server goes down after
+a number of consecutive failures and comes up again after a number of consecutive successes. A server that was down
+according to the previous lease holder of the shard stays down until that number of successes.
 """
 
 from collections.abc import Iterable
@@ -16,17 +16,17 @@
 
 
 def shard_of(server: str, shards: int) -> int:
-    """The shard of a server; the same at every member."""
+    """Returns the shard number of a server, which is the same at every member."""
     return int(xxh32_intdigest(server.encode())) % shards
 
 
 def shard_name(number: int) -> str:
-    """The name of a shard's lease and of its replicated table."""
+    """Returns the name of a shard, which is also the name of its lease and of its replicated table."""
     return f"probe-{number}"
 
 
 class DueCheck(NamedTuple):
-    """A health check that starts now."""
+    """A health check that the caller must run now."""
 
     server: str
     address: str
@@ -34,15 +34,15 @@
 
 @dataclass(slots=True)
 class CheckedServer:
-    """What is known of the health of one server.
+    """The health of one server.
 
     Attributes:
-        address: Where it is checked.
-        due: When the next check starts, in milliseconds.
-        differing_results: Checks in a row whose result differs from the present state.
+        address: The host and port that checks connect to.
+        due: The start time of the next check, in milliseconds.
+        differing_results: Number of consecutive checks whose result contradicts ``down``.
         down: Whether the server is down.
-        in_flight: Whether a check is under way.
-        checks: Checks that were started.
+        in_flight: Whether a check of the server is running.
+        checks: Number of checks started.
     """
 
     address: str
@@ -54,15 +54,15 @@
 
 
 class HealthCheckSchedule:
-    """The servers of the shards that this member checks.
+    """Schedules the checks of the servers in the shards whose leases this member holds.
 
     Attributes:
-        interval: Between two checks of a server, in milliseconds.
-        fall: Failures in a row after which a server is down.
-        rise: Successes in a row after which it is up again.
-        max_in_flight: Checks that may be under way at once.
-        servers: The servers by their names.
-        in_flight: Checks that are under way.
+        interval: Time between two checks of the same server, in milliseconds.
+        fall: Number of consecutive failures after which a server is down.
+        rise: Number of consecutive successes after which a server is up again.
+        max_in_flight: Maximum number of concurrent checks.
+        servers: The checked servers by name.
+        in_flight: Number of running checks.
     """
 
     def __init__(self, interval: float, fall: int, rise: int, max_in_flight: int) -> None:
@@ -75,7 +75,13 @@
         self._due_heap: list[tuple[float, str]] = []
 
     def use(self, addresses: dict[str, str], down: Iterable[str], now: float) -> None:
-        """Check these servers, addresses by name, and no others; new ones that are in ``down`` start as down."""
+        """Replaces the set of checked servers.
+
+        Args:
+            addresses: The addresses of the servers to check, by server name.
+            down: Names of servers that are down; a server that is new to the schedule starts in this state.
+            now: The current time, in milliseconds.
+        """
         initially_down = set(down)
         for name in self.servers.keys() - addresses.keys():
             self.in_flight -= self.servers.pop(name).in_flight
@@ -83,7 +89,7 @@
             existing = self.servers.get(name)
             if existing is not None and existing.address == address:
                 continue
-            if existing is not None:  # another process, of which nothing is known
+            if existing is not None:  # a new address means a new process with unknown health
                 self.in_flight -= existing.in_flight
             offset = xxh32_intdigest(name.encode(), seed=1) / 2**32
             due = now + self.interval * offset
@@ -91,13 +97,13 @@
             heappush(self._due_heap, (due, name))
 
     def start_due(self, now: float) -> list[DueCheck]:
-        """Start the checks that are due, as far as more may be under way."""
+        """Returns the due checks and marks them as running, up to ``max_in_flight`` running checks."""
         started: list[DueCheck] = []
         while self._due_heap and self._due_heap[0][0] <= now and self.in_flight < self.max_in_flight:
             due, name = heappop(self._due_heap)
             server = self.servers.get(name)
             if server is None or server.due != due:
-                continue  # removed, or scheduled anew
+                continue  # outdated heap entry: the server was removed or rescheduled
             server.due = max(due + self.interval, now + self.interval / 2)
             heappush(self._due_heap, (server.due, name))
             if not server.in_flight:
@@ -108,7 +114,16 @@
         return started
 
     def record_result(self, name: str, address: str, succeeded: bool) -> bool | None:
-        """A check has ended: True if the server is up again, False if it is down now, None if nothing has changed."""
+        """Records the result of a check.
+
+        Args:
+            name: The name of the checked server.
+            address: The address that was checked; the result is ignored if the server has another address by now.
+            succeeded: Whether the check succeeded.
+
+        Returns:
+            True if the server has come up, False if it has gone down, None if its state is unchanged.
+        """
         server = self.servers.get(name)
         if server is None or server.address != address or not server.in_flight:
             return None
@@ -122,7 +137,11 @@
         return not server.down
 
     def next_wake(self) -> float:
-        """When a check is due; infinite while no more may be under way, as then one that ends comes first."""
+        """Returns the start time of the next check, in milliseconds.
+
+        Returns infinity if no check is scheduled, or while ``max_in_flight`` checks are running: the caller asks again
+        when one of them ends.
+        """
         while self._due_heap:
             due, name = self._due_heap[0]
             server = self.servers.get(name)
--- a/heronlug/cluster/periodic_tasks.py
+++ b/heronlug/cluster/periodic_tasks.py
@@ -1,6 +1,6 @@
-"""When the periodic tasks whose leases this member holds are run.  No I/O and no clock.
+"""Schedules the periodic tasks whose leases this member holds, without I/O and without a clock.
 
-A schedule is told which leases are gained and lost and which runs have ended; it says which runs start.
+The caller reports gained and lost leases and ended runs to the schedule; the schedule returns the runs to start.
 """
 
 from dataclasses import dataclass, field
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeriodicTask:
-    """One periodic task.  All times are milliseconds.
+    """The configuration of a periodic task. All times are milliseconds.
 
     Attributes:
         name: The name of the task and of its lease.
-        interval: Between the starts of two runs.
-        jitter: How much later a run may start; its name and its number give the fraction.
-        timeout: A run is ended after this time.
+        interval: Time between the starts of two runs.
+        jitter: Maximum additional delay of a run; the task name and the run number determine the used fraction.
+        timeout: Maximum duration of a run, after which the run is cancelled.
     """
 
     name: str
@@ -30,18 +30,18 @@
 
 @dataclass(slots=True)
 class TaskState:
-    """What this member knows of a periodic task.  All times are milliseconds of its clock.
+    """The state of a periodic task at this member. All times are milliseconds of this member's clock.
 
     Attributes:
-        task: The task.
-        token: The fencing token of its lease, while this member holds it.
-        due: When the next run starts.
-        started_at: When the last run here has started.
-        ended_at: When the last run here has ended.
-        running: Whether a run is going on here.
-        runs: Runs that have started here.
-        failed: Runs that have failed here.
-        takeovers: How often this member has gained the lease.
+        task: The configuration of the task.
+        token: The fencing token of the task's lease; None while this member does not hold the lease.
+        due: The start time of the next run; infinite while this member does not hold the lease.
+        started_at: The start time of this member's last run.
+        ended_at: The end time of this member's last run.
+        running: Whether a run is in progress at this member.
+        runs: Number of runs started at this member.
+        failed: Number of runs that failed at this member.
+        takeovers: Number of times this member has gained the lease.
     """
 
     task: PeriodicTask
@@ -56,11 +56,11 @@
 
     @property
     def next_wake(self) -> float:
-        """When the present run times out, or the next one starts."""
+        """The time when the current run times out or, if none is in progress, when the next run starts."""
         return self.started_at + self.task.timeout if self.running else self.due
 
     def start(self, now: float) -> None:
-        """Start a run, and plan the next one."""
+        """Records the start of a run and schedules the next run."""
         self.running = True
         self.started_at = now
         self.runs += 1
@@ -69,7 +69,7 @@
 
 
 class TaskStart(NamedTuple):
-    """A run that starts now."""
+    """A run that the caller must start now."""
 
     name: str
     token: FencingToken
@@ -77,31 +77,38 @@
 
 @dataclass(slots=True)
 class TaskSchedule:
-    """All periodic tasks of a member, by name."""
+    """The schedule of all periodic tasks of a member.
+
+    Attributes:
+        tasks: The state of each task by name.
+    """
 
     tasks: dict[str, TaskState] = field(default_factory=dict)
 
     @classmethod
     def of(cls, tasks: list[PeriodicTask]) -> "TaskSchedule":
-        """A schedule of these tasks, none of which this member may run yet."""
+        """Returns a schedule of these tasks, without any lease held."""
         return cls({task.name: TaskState(task) for task in tasks})
 
     def on_lease_gained(self, name: str, token: FencingToken, now: float) -> None:
-        """The lease was gained: the first run is due at once, as the time of the last one elsewhere is unknown."""
+        """Records that this member has gained the lease of a task.
+
+        The first run is due immediately, since the time of the last run at another member is unknown.
+        """
         state = self.tasks[name]
         state.token = token
         state.due = now
         state.takeovers += 1
 
     def on_lease_lost(self, name: str) -> bool:
-        """The lease was lost; returns whether a run has to be ended."""
+        """Records that this member has lost the lease of a task; returns whether a run must be cancelled."""
         state = self.tasks[name]
         state.token = None
         state.due = inf
         return state.running
 
     def start_due(self, now: float) -> list[TaskStart]:
-        """Start the runs that are due; none is due again before it has ended."""
+        """Returns the due runs and marks them as running; a task never has two runs at a time."""
         started: list[TaskStart] = []
         for name, state in self.tasks.items():
             if state.token is not None and not state.running and state.due <= now:
@@ -110,17 +117,17 @@
         return started
 
     def on_run_ended(self, name: str, now: float, succeeded: bool) -> None:
-        """A run has ended, by itself or because it was ended."""
+        """Records that the run of a task has completed or has been cancelled."""
         state = self.tasks[name]
         state.running = False
         state.ended_at = now
         state.failed += not succeeded
 
     def timed_out(self, now: float) -> list[str]:
-        """The tasks whose run has reached its timeout."""
+        """Returns the names of the tasks whose run has reached its timeout."""
         running = [(name, state) for name, state in self.tasks.items() if state.running]
         return [name for name, state in running if now - state.started_at >= state.task.timeout]
 
     def next_wake(self) -> float:
-        """When a run is due, or times out."""
+        """Returns the earliest time when a run is due or times out, in milliseconds."""
         return min((state.next_wake for state in self.tasks.values()), default=inf)
--- a/heronlug/cluster/replicated_tables.py
+++ b/heronlug/cluster/replicated_tables.py
@@ -1,10 +1,12 @@
-"""Tables that one member writes and all others read, replicated by gossip in nodes that fit into a datagram.
-
-The holder of a lease publishes a table under its fencing token; each publication and each heartbeat has a number. A
-member passes an announcement that is newer than what it knows on to a few others at once (eager push; Birman and
-others 1999), with the few nodes that have changed. What is still missing it requests from the member that announced
-it, by the names of the nodes. So a lost or repeated datagram costs time only, and unchanged nodes are never sent
-again. A version is taken over completely or not at all. No I/O, no clock and no randomness of its own.
+"""Replicates tables by gossip: one member writes a table and all other members read it.
+
+A table is a Merkle trie whose nodes fit into a datagram. The holder of a lease publishes a table under its fencing
+token; each publication and each heartbeat has a number. A member that receives a newer announcement forwards it
+immediately to a few other members (eager push; Birman and others 1999), together with the changed nodes if they are
+few. The receiver requests the missing nodes by name from the member that announced the version. A lost or repeated
+datagram therefore only delays replication, and unchanged nodes are never sent again. A version is applied completely
+or not at all. This module has no I/O, no clock and no source of randomness: the caller provides the time and the
+random generator.
 """
 
 from collections import Counter
@@ -21,30 +23,32 @@
 from heronlug.cluster.table_state import NO_VERSION, TableState, Version
 
 MAX_OPEN_NODE_REQUESTS = 192
-"""Nodes of a table that are requested at once."""
+"""Maximum number of outstanding node requests per table."""
 
 MAX_ANNOUNCED_AGE_HEARTBEATS = 1.1
-"""How old a version may be, in heartbeat intervals, to be announced to a member that joins or asks."""
+"""Maximum age, in heartbeat intervals, of a version that is announced to a member that joins or polls."""
 
 POLL_ANSWER_WINDOW_MS = 200.0
-"""How long after a poll an announcement counts as its answer, in milliseconds."""
+"""Time after a poll during which a received announcement counts as the response, in milliseconds."""
 
 MEMBERS_POLLED = 2
-"""Members that are asked for a newer version at once."""
+"""Number of members that a poll asks for a newer version."""
 
 MAX_PUSHED_NODES = 12
-"""Nodes sent along with an announcement; if more have changed, all are fetched."""
+"""Maximum number of nodes sent with an announcement; if more have changed, the receivers request every node."""
 
 SOURCE_WEIGHT = 3
-"""How much likelier a repeated request goes to the member that announced the version than to any other one."""
+"""Weight of the announcing member, relative to 1 for each other member, in the choice of a target for a retry."""
 
 
 class ReplicatedTables:
-    """All replicated tables of a member.
+    """The replicated tables of a member.
 
     Attributes:
-        states: The tables that are followed, by their tags.
-        counts: Figures: ``pieces_sent``, ``pieces_taken``, ``pulled_again``, ``bad_nodes``.
+        timing: The timing of the cluster.
+        states: The followed tables by tag.
+        counts: Counters by name: ``pieces_sent`` for nodes sent on request, ``pieces_taken`` for requested nodes
+            received, ``pulled_again`` for repeated requests, ``bad_nodes`` for malformed nodes.
     """
 
     def __init__(
@@ -56,15 +60,15 @@
         other_members: Callable[[], list[int]],
         may_act: Callable[[str, float], FencingToken | None],
     ) -> None:
-        """Create an empty set of tables.
+        """Creates a set of tables that follows no table.
 
         Args:
-            timing: The cluster's timing.
-            rng: The source of randomness.
-            send: Sends a message to the member with a tag.
-            notify: Is told what has changed in a table that another member writes.
-            other_members: The tags of the other active members.
-            may_act: The token under which this member may write a table at a time.
+            timing: The timing of the cluster.
+            rng: The random generator.
+            send: Sends a message to the member with the given tag.
+            notify: Receives the changes of tables that other members write.
+            other_members: Returns the tags of the other active members.
+            may_act: Returns the token under which this member may write a table at a given time, or None.
         """
         self.timing = timing
         self.states: dict[int, TableState] = {}
@@ -81,33 +85,33 @@
 
     @property
     def nodes(self) -> Mapping[int, bytes]:
-        """The nodes of all tables by their names."""
+        """The nodes of all tables by name."""
         return self._store.nodes
 
     def follow(self, name: str) -> None:
-        """Replicate this table; announcements of others are ignored."""
+        """Starts replicating a table; announcements of tables that are not followed are ignored."""
         state = TableState(name)
         self.states.setdefault(state.key, state)
 
     def rows(self, name: str) -> merkle_trie.Rows:
-        """All rows of a table."""
+        """Returns all rows of a table."""
         return dict(merkle_trie.walk(self.nodes, self.states[tag(name)].root))
 
     def age(self, name: str, now: float) -> float:
-        """How long ago the writer confirmed the present version, in milliseconds; 0 for a table of this member."""
+        """Returns the time since the writer's last confirmation, in milliseconds; 0 if this member writes the table."""
         state = self.states[tag(name)]
         return 0.0 if state.own_token is not None else now - state.confirmed_at
 
     def own_token(self, name: str) -> FencingToken | None:
-        """The token that this member writes a table under, until a later writer is heard of."""
+        """Returns the token under which this member writes a table, or None once a later writer is known."""
         return self.states[tag(name)].own_token
 
     def latest_token(self, name: str) -> FencingToken:
-        """The token of the latest version that is complete here."""
+        """Returns the token of the latest version that this member has completely."""
         return self.states[tag(name)].version.token
 
     def poll(self, name: str, now: float) -> None:
-        """Ask a few other members for a newer version, by announcing the present one to them."""
+        """Asks a few other members for a newer version by announcing the current version to them."""
         state, others = self.states[tag(name)], self._other_members()
         if state.own_token is None and others:
             for member in self._rng.sample(others, min(MEMBERS_POLLED, len(others))):
@@ -115,7 +119,7 @@
                 self._send(member, state.announcement)
 
     def next_wake(self) -> float:
-        """When :meth:`wake` has something to do."""
+        """Returns the time when :meth:`wake` must be called next, in milliseconds; infinite if nothing is scheduled."""
         times = [deadline for state in self.states.values() for deadline in state.request_deadlines.values()]
         if any(state.own_token is not None for state in self.states.values()):
             times.append(self._next_heartbeat_at)
@@ -124,10 +128,18 @@
     # -- writing
 
     def publish(self, name: str, token: FencingToken, changes: Mapping[bytes, bytes | None], now: float) -> None:
-        """Put rows in, and remove those that are None; the first publication goes on from the predecessor's version.
+        """Publishes changed rows of a table.
+
+        A writer's first publication is based on the version of the previous writer.
+
+        Args:
+            name: The name of the table.
+            token: The fencing token under which this member writes the table.
+            changes: The new values by row key; None removes a row.
+            now: The current time, in milliseconds.
 
         Raises:
-            RowTooLongError: A row is too long.
+            RowTooLongError: If a row is too long.
         """
         state = self.states[tag(name)]
         new_nodes: dict[int, bytes] = {}
@@ -138,11 +150,14 @@
         self._publish(state, token, root, new_nodes, now)
 
     def replace(self, name: str, token: FencingToken, root: int, nodes: Mapping[int, bytes], now: float) -> None:
-        """Publish a complete table that was built elsewhere."""
+        """Publishes a complete table, given by its root and the nodes that the caller has built."""
         self._publish(self.states[tag(name)], token, root, nodes, now)
 
     def withdraw(self, name: str) -> None:
-        """Announce a table no more, as it may be out of date; it becomes stale everywhere and stays readable."""
+        """Stops announcing a table that may be outdated.
+
+        The table stays readable at every member, and its age grows until another member writes the table.
+        """
         state = self.states[tag(name)]
         state.own_token = None
         state.confirmed_at = -inf
@@ -168,7 +183,7 @@
         state.push_queue = new_nodes if len(new_nodes) <= MAX_PUSHED_NODES else ()
 
     def _announce(self, state: TableState, received_from: int = 0) -> None:
-        """Announce the present version to a few members, with its new nodes if they are few."""
+        """Announces the current version to a few members, together with its new nodes if these are few."""
         others = [member for member in self._other_members() if member != received_from]
         announcement = state.announcement
         for member in self._rng.sample(others, min(self.timing.fanout, len(others))):
@@ -181,7 +196,7 @@
     # -- time
 
     def wake(self, now: float) -> None:
-        """Send the heartbeats of own tables, and repeat requests that were not answered."""
+        """Sends the heartbeats of the tables that this member writes and repeats requests that have timed out."""
         heartbeat = now >= self._next_heartbeat_at
         for state in self.states.values():
             if state.own_token is not None and self._may_act(state.name, now) != state.own_token:
@@ -197,7 +212,7 @@
             self._next_heartbeat_at = now + self.timing.heartbeat_interval
 
     def _repeat_requests(self, state: TableState, now: float) -> None:
-        """Request nodes again, perhaps from another member, as the present source may be unreachable."""
+        """Repeats timed-out requests, possibly to another member, since the current source may be unreachable."""
         state.request_deadlines = {
             name: deadline for name, deadline in state.request_deadlines.items() if deadline > now
         }
@@ -210,7 +225,7 @@
     # -- messages
 
     def receive(self, sender: int, part: Part, now: float) -> None:
-        """Handle a message if it is about tables."""
+        """Handles a message about tables; other messages are ignored."""
         match part:
             case TableAnnouncement():
                 state = self.states.get(part.table)
@@ -231,16 +246,17 @@
                 self.counts["pieces_sent"] += 1
 
     def _announce_to(self, state: TableState, sender: int, now: float) -> None:
-        """Announce the present version to one member, unless it may be out of date."""
+        """Announces the current version to one member, unless the version may be outdated."""
         max_age = MAX_ANNOUNCED_AGE_HEARTBEATS * self.timing.heartbeat_interval
         current = state.own_token is not None or now - state.confirmed_at <= max_age
         if state.version != NO_VERSION and current:
             self._send(sender, state.announcement)
 
     def _confirmed_at(self, state: TableState, now: float) -> float:
-        """When the writer confirmed a version that was announced just now.
+        """Returns the assumed time of the writer's confirmation of a version whose announcement arrives at ``now``.
 
-        The answer to a poll, like the first announcement, may be as old as a version may be that is announced.
+        The first announcement of a table and the response to a poll may be up to ``MAX_ANNOUNCED_AGE_HEARTBEATS``
+        heartbeat intervals old; any other announcement is assumed to be new.
         """
         is_answer = state.version == NO_VERSION or now - state.polled_at < POLL_ANSWER_WINDOW_MS
         if not is_answer:
@@ -256,7 +272,7 @@
         if state.own_token is not None:
             if announcement.token <= state.own_token:
                 return
-            state.own_token = None  # another writer has taken over
+            state.own_token = None  # another member writes the table now
         if announcement.root == state.root:
             state.stop_fetching()
             state.confirmed_at = self._confirmed_at(state, now)
@@ -266,7 +282,7 @@
             self._fetch(state, sender, announcement, now)
 
     def _fetch(self, state: TableState, sender: int, announcement: TableAnnouncement, now: float) -> None:
-        """Fetch an announced version from the member that announced it."""
+        """Starts fetching an announced version from the member that announced the version."""
         same_root = state.pending is not None and state.pending.root == announcement.root
         state.pending = announcement
         state.source = sender
@@ -307,7 +323,10 @@
                 self._continue_fetch(state, state.pending, now)
 
     def _request_nodes(self, state: TableState, now: float) -> None:
-        """Request missing nodes, as many as may be requested at once and in full datagrams where possible."""
+        """Requests missing nodes, up to ``MAX_OPEN_NODE_REQUESTS`` outstanding requests per table.
+
+        While responses are outstanding and further nodes are missing, a request waits until it fills a datagram.
+        """
         requested, missing = state.request_deadlines, state.missing.counterparts
         free_requests = MAX_OPEN_NODE_REQUESTS - len(requested)
         names = [name for name in missing if name not in requested][:free_requests]
@@ -320,7 +339,7 @@
             self._send(state.source, NodeRequest(tuple(batch)))
 
     def _take_over(self, state: TableState, pending: TableAnnouncement, now: float) -> None:
-        """Make the pending version, which is complete, the present one, and announce it."""
+        """Replaces the current version by the pending version, which is complete, and announces it."""
         changes = merkle_trie.difference(self.nodes, state.root, pending.root)
         received = tuple(state.missing.received)
         state.stop_fetching()
@@ -333,6 +352,6 @@
         self._notify(TableChanged(state.name, changes))
 
     def _collect_garbage(self) -> None:
-        """Drop nodes that no table needs, once there are many."""
+        """Drops the nodes that no table needs, if the node store requests a collection."""
         if self._store.collection_due:
             self._store.retain([root for state in self.states.values() for root in state.live_roots()])
--- a/heronlug/cluster/server_rows.py
+++ b/heronlug/cluster/server_rows.py
@@ -1,8 +1,8 @@
-"""The rows of a replicated table that holds the endpoint list.
+"""Encodes and decodes the rows of a replicated table that contains the endpoint list.
 
-A server's row has the key ``h`` and the server's name; its value is the server as msgpack. Three more rows describe the
-list: ``v`` has its version, ``s`` is there while its writer has no open watch, ``b`` says when the versions of service
-discovery last restarted.
+The key of a server's row is ``h`` followed by the server's name; the value is the server as msgpack. Three more rows
+describe the list: ``v`` contains the version of the list, ``s`` is present while the writer has no open watch, and
+``b`` contains the time when the version numbers of service discovery last restarted.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,45 +21,49 @@
 VERSIONS_RESTARTED_KEY = b"b"
 
 UNWATCHED = b"\x01"
-"""The value of the row that is there while the writer has no open watch."""
+"""The value of the row that is present while the writer has no open watch."""
 
 SERVER_PREFIX = b"h"
 
 ServerColumns = tuple[str, int, str, str, int, float, float]
-"""A server's row: address, state, zone, machine type, cell, weight, started at (Unix time in ms)."""
+"""The columns of a server's row: address, state, zone, machine type, cell, weight, start time (Unix time in ms)."""
 
 
 def server_key(name: str) -> bytes:
-    """The key of a server's row."""
+    """Returns the key of a server's row."""
     return SERVER_PREFIX + name.encode()
 
 
 def server_name(key: bytes) -> str:
-    """The name of the server that a row's key stands for."""
+    """Returns the server name that the key of a row contains."""
     return key[len(SERVER_PREFIX) :].decode()
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRowCodec:
-    """Encodes servers as rows; zones and machine types go by name, for other dispatchers may number them differently.
+    """Encodes servers as rows and decodes rows.
+
+    Zones and machine types are encoded by name, since other dispatchers may number them differently.
 
     Attributes:
-        zones: The names of the zones, in the order of their numbers.
-        kinds: The machine types, in the order of their numbers.
+        zones: The zone names; the index is the zone number.
+        kinds: The machine types; the index is the machine type's number.
     """
 
     zones: list[str]
     kinds: list[str]
 
     def encode(self, servers: Iterable[ListedServer]) -> merkle_trie.Rows:
-        """The rows of servers."""
+        """Returns the rows of the given servers."""
         return {server_key(server.name): msgspec.msgpack.encode(self._columns(server)) for server in servers}
 
     def decode(self, key: bytes, value: bytes) -> ListedServer:
-        """The server of a row.
+        """Returns the server that a row describes.
+
+        A zone or machine type that this dispatcher does not know gets the next number after the configured names.
 
         Raises:
-            ValueError: It is no server's row.
+            ValueError: If the row does not describe a server.
         """
         columns: ServerColumns = msgspec.msgpack.decode(value, type=ServerColumns)
         address, state, zone, kind, cell, weight, started_at = columns
@@ -88,12 +92,12 @@
 
 @dataclass(slots=True)
 class ListChange:
-    """What changed rows mean.
+    """The change of the endpoint list that a set of changed rows describes.
 
     Attributes:
-        version: The version of the list; -1 if it has none.
-        servers: Servers that are new or have changed.
-        removed: The names of servers that are not on it any more.
+        version: The version of the list, or -1 if the table contains no version.
+        servers: The added and changed servers.
+        removed: The names of the removed servers.
     """
 
     version: int
@@ -102,13 +106,14 @@
 
 
 class ServerTable:
-    """One replicated table with the endpoint list, as it is known here.
+    """The endpoint list in one replicated table, as this member has received it.
 
     Attributes:
-        topic: The table's name.
-        known: The list in it.
-        watched: Whether its writer has an open watch.
-        versions_restarted_at: When the versions of service discovery last restarted, in Unix time in ms.
+        topic: The name of the table.
+        known: The endpoint list in the table.
+        watched: Whether the writer of the table has an open watch.
+        versions_restarted_at: The time when the version numbers of service discovery last restarted, in Unix
+            milliseconds; 0 if no restart is known.
     """
 
     def __init__(self, topic: str, codec: ServerRowCodec, log: EventLog) -> None:
@@ -120,12 +125,21 @@
         self._log = log
 
     def read(self, rows: Mapping[bytes, bytes | None]) -> ListChange:
-        """Read changed rows; None stands for a row that is gone. A row that makes no sense is logged and skipped."""
+        """Decodes changed rows and updates ``watched`` and ``versions_restarted_at``.
+
+        A row that cannot be decoded is logged and skipped.
+
+        Args:
+            rows: The new values by row key; None for a removed row.
+
+        Returns:
+            The resulting change of the endpoint list, which is not applied to ``known``.
+        """
         change = ListChange(self.known.version)
         for key, value in rows.items():
             try:
                 self._read_row(key, value, change)
-            except ValueError as error:  # msgspec's errors are ValueErrors too
+            except ValueError as error:  # includes msgspec's decoding errors
                 self._log("bad_row", sheet=self.topic, key=key.hex(), error=str(error))
         return change
 
--- a/heronlug/cluster/server_view.py
+++ b/heronlug/cluster/server_view.py
@@ -1,15 +1,15 @@
-"""Which servers this dispatcher uses, out of its own list, the shared list and the results of health checks.
+"""Determines the servers that this dispatcher uses from its own list, the shared list and health check results.
 
-Decides and does nothing: which list is used, and which changes the core is told. Whether this dispatcher has to watch
-service discovery itself is decided in :mod:`heronlug.discovery.reader_election`.
+The view decides which list is used and which changes are reported to the core; it has no I/O. Whether this dispatcher
+watches service discovery itself is decided in :mod:`heronlug.discovery.reader_election`.
 
-``share = "list"``: one member reads service discovery for all.
-``share = "news"``: all read; the shared list counts only where it drains or lacks a server that the own list names.
-``share = "none"``: all read; only the results of health checks are shared.
+``share = "list"``: one member reads service discovery for all members.
+``share = "news"``: each member reads service discovery; the shared list only drains or removes servers of the own list.
+``share = "none"``: each member reads service discovery; only the results of health checks are shared.
 
-A server that health checks find down is reported as draining: it gets no new attempts, and those that run there go on.
-If more than a given fraction of the list is down, the health checks are ignored (Envoy's panic threshold), as then it
-is likelier that the checks themselves fail.
+A server that health checks find down is reported as draining: the server gets no new attempts, and its running
+attempts continue. If more than a given fraction of the list is down, the results of health checks are ignored (Envoy's
+panic threshold), since a failure of the checks themselves is then more likely.
 """
 
 from collections.abc import Iterable
@@ -21,11 +21,11 @@
 from heronlug.requests.model import ListedServer
 
 NO_LIST = -1
-"""The version of a list that is not known."""
+"""The version number of a list without a known version."""
 
 
 class ListSource(Enum):
-    """Which list is used."""
+    """The endpoint list that the view uses."""
 
     NONE = "none"
     OWN = "own"
@@ -33,7 +33,12 @@
 
 
 class ListUpdate(NamedTuple):
-    """What the core is told."""
+    """An update that is reported to the core.
+
+    Attributes:
+        kind: The kind of the update.
+        entries: The changed servers, or all servers if ``kind`` is a complete list.
+    """
 
     kind: ListKind
     entries: list[ListedServer]
@@ -41,12 +46,12 @@
 
 @dataclass(slots=True)
 class KnownList:
-    """One complete list.
+    """A complete endpoint list.
 
     Attributes:
-        servers: The servers by their names.
-        version: The version that service discovery gave it; ``NO_LIST`` for none.
-        known: Whether a list has come.
+        servers: The servers by name.
+        version: The version number from service discovery, or ``NO_LIST`` if none is known.
+        known: Whether a list has been received.
     """
 
     servers: dict[str, ListedServer] = field(default_factory=dict)
@@ -54,7 +59,7 @@
     known: bool = False
 
     def apply(self, version: int, entries: Iterable[ListedServer], removed: Iterable[str]) -> None:
-        """Apply changes, and the version that they lead to."""
+        """Applies added, changed and removed servers, and sets the resulting version."""
         self.known = version >= 0
         self.version = version
         for entry in entries:
@@ -63,7 +68,7 @@
             self.servers.pop(name, None)
 
     def apply_watch(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """Apply a complete list, or changes, of a watch; servers that it names as removed go."""
+        """Applies a complete list or changes from a watch; entries in state ``REMOVED`` remove their servers."""
         if kind is not ListKind.CHANGES:
             self.servers = {entry.name: entry for entry in entries}
         for entry in entries:
@@ -74,24 +79,25 @@
 
 
 class ServerView:
-    """The servers as they are reported to the core.
+    """The servers that are reported to the core.
 
     Attributes:
-        share: How lists are shared: ``none``, ``list`` or ``news``.
-        panic_share: The fraction of servers above which the results of health checks are ignored.
-        own: The list of this dispatcher's own watch.
+        share: The sharing mode: ``none``, ``list`` or ``news``.
+        panic_share: The fraction of servers that are down above which the results of health checks are ignored.
+        own: The list from this dispatcher's own watch.
         shared: The list that another member publishes.
-        source: Which of the two is used.
-        watching: Whether the own watch is on, so that the own list is current.
-        down: Servers that health checks have found down, with the shard that says so.
+        source: The list that is used.
+        watching: Whether the own watch is open, so that the own list is current.
+        down: The servers that health checks have found down, each with the shard that published the result.
         panic: Whether the results of health checks are ignored.
-        shared_ahead: Whether the shared list is newer than the own one, and counts for what it takes away.
-        reported: What the core was told last.
-        switches: How often the source has changed.
+        shared_ahead: Whether the shared list is newer than the own list in mode ``news``, so that the servers that the
+            shared list drains or lacks are drained or removed.
+        reported: The servers by name, as last reported to the core.
+        switches: Number of changes from one list to the other.
     """
 
     def __init__(self, share: str = "none", panic_share: float = 0.5) -> None:
-        """Create a view without any list."""
+        """Creates a view without any list."""
         self.share = share
         self.panic_share = panic_share
         self.own = KnownList()
@@ -107,7 +113,15 @@
     # -- the own list
 
     def select_source(self, own: bool) -> ListUpdate | None:
-        """Use the own list, or the shared one; what the core is told, if the source changes."""
+        """Selects the own or the shared list.
+
+        Args:
+            own: Whether the own watch is open. If so, the own list is used once it is known; otherwise the shared list
+                is used in mode ``list`` once it is known.
+
+        Returns:
+            The update to report to the core, or None if the source is unchanged.
+        """
         self.watching = own
         own_usable = own and self.own.known
         new_source = ListSource.OWN if own_usable else self.source
@@ -122,11 +136,11 @@
     def apply_own_update(
         self, kind: ListKind, version: int | None, entries: Iterable[ListedServer]
     ) -> ListUpdate | None:
-        """Apply what the own watch has brought; what the core is told, if anything."""
+        """Applies an update from the own watch; returns the update to report to the core, or None."""
         entries = list(entries)
         if kind is ListKind.FAILED:
             self.watching = False
-            return ListUpdate(kind, [])  # the core decides when to poll again
+            return ListUpdate(kind, [])  # the core schedules the next poll
         self.own.apply_watch(kind, entries)
         previous = self.source
         if kind is not ListKind.CACHED:
@@ -143,12 +157,12 @@
         changes = self._all_changes()
         return ListUpdate(kind, changes if kind is ListKind.CHANGES else list(self.reported.values()))
 
-    # -- what other members publish
+    # -- lists and results from other members
 
     def apply_shared_update(
         self, version: int, entries: Iterable[ListedServer], removed: Iterable[str]
     ) -> list[ListedServer]:
-        """Apply changes of the shared list; the changes that the core is told."""
+        """Applies changes of the shared list; returns the changed servers to report to the core."""
         entries, removed = list(entries), list(removed)
         self.shared.apply(version, entries, removed)
         if not self._uses_shared:
@@ -156,12 +170,21 @@
         return self._changes({entry.name for entry in entries} | set(removed))
 
     def prefer_shared(self, shared: KnownList) -> list[ListedServer]:
-        """Use this one of several shared lists from now on; the changes that the core is told."""
+        """Replaces the shared list by another one; returns the changed servers to report to the core."""
         self.shared = shared
         return self._all_changes() if self._uses_shared else []
 
     def apply_health_results(self, shard: str, down: Iterable[str], up: Iterable[str]) -> list[ListedServer]:
-        """Apply that the owner of a shard holds servers down, or up again; the changes that the core is told."""
+        """Applies health check results of a shard.
+
+        Args:
+            shard: The shard whose lease holder published the results.
+            down: Names of servers that are down.
+            up: Names of servers that are up again; names that another shard reports as down are ignored.
+
+        Returns:
+            The changed servers to report to the core.
+        """
         changed = set()
         for name in up:
             if self.down.get(name) == shard:
@@ -173,7 +196,7 @@
         return self._changes(changed)
 
     def withdraw(self, shard: str) -> list[ListedServer]:
-        """Drop all results of a shard that nobody checks any more; the changes that the core is told."""
+        """Drops the results of a shard without an active lease holder; returns the changed servers for the core."""
         return self.apply_health_results(shard, (), [name for name, source in self.down.items() if source == shard])
 
     # -- changes
@@ -183,22 +206,22 @@
         return self.source is ListSource.SHARED or self.share == "news"
 
     def _used_servers(self) -> dict[str, ListedServer]:
-        """The servers of the list that is used."""
+        """Returns the servers of the list that is used, by name."""
         return self.shared.servers if self.source is ListSource.SHARED else self.own.servers
 
     def _all_changes(self) -> list[ListedServer]:
-        """What has changed for the core among all servers."""
+        """Returns the changes of all servers since the last report to the core."""
         self._update_modes()
         return self._differences(self._used_servers().keys() | self.reported.keys())
 
     def _changes(self, names: set[str]) -> list[ListedServer]:
-        """What has changed for the core among these servers, or among all if that follows from them."""
+        """Returns the changes of these servers, or of all servers if ``panic`` or ``shared_ahead`` has changed."""
         if self._update_modes():
             return self._all_changes()
         return self._differences(names)
 
     def _update_modes(self) -> bool:
-        """Decide whether health checks are ignored and the shared list counts; whether one of both has changed."""
+        """Updates ``panic`` and ``shared_ahead``; returns whether either has changed."""
         used_servers = self._used_servers()
         panic = sum(name in used_servers for name in self.down) > self.panic_share * len(used_servers)
         shared_ahead = self.share == "news" and self.shared.known and self.shared.version > self.own.version
@@ -208,7 +231,7 @@
         return changed
 
     def _differences(self, names: set[str]) -> list[ListedServer]:
-        """How these servers differ from what the core was told last, which is updated."""
+        """Returns the changes of these servers since the last report to the core, and updates ``reported``."""
         used_servers = self._used_servers()
         changes = []
         for name in sorted(names):
@@ -223,7 +246,7 @@
         return changes
 
     def _reported_entry(self, entry: ListedServer | None) -> ListedServer | None:
-        """A server of the list as it is reported; None if it is not."""
+        """Returns the entry to report for a server of the list, or None if the server is not reported."""
         if entry is None:
             return None
         if self.shared_ahead:
--- a/heronlug/cluster/shared_discovery.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -1,10 +1,10 @@
-"""Shares service discovery among the members of a cluster: one member polls, all others read a replicated table.
+"""Shares service discovery among the members of a cluster: one member polls, all other members read its table.
 
-:class:`heronlug.discovery.reader_election.ReaderElection` decides who polls, and
-:class:`heronlug.cluster.server_view.ServerView` which endpoint list is used. There are two tables of the same form
-(:mod:`heronlug.cluster.server_rows`). One is written by the lease holder while its watch is open. The interim table
-is written by whichever member polls before there is a lease holder, or in place of one that cannot; the latest claim to
-it counts.
+:class:`heronlug.discovery.reader_election.ReaderElection` decides which member polls, and
+:class:`heronlug.cluster.server_view.ServerView` decides which endpoint list is used. Two replicated tables have the
+same format (:mod:`heronlug.cluster.server_rows`). The lease holder writes the lease table while its watch is open. The
+interim table is written by a member that polls before a lease holder exists, or in place of a lease holder that cannot
+poll; the member with the latest claim writes it.
 """
 
 from collections.abc import Callable
@@ -35,33 +35,36 @@
 from heronlug.requests.model import ListedServer
 
 LEASE_TABLE = "register"
-"""The name of the lease for polling, and of the table that its holder writes; members of all versions exchange it."""
+"""The name of the lease for polling and of the lease holder's table; members of every version exchange this name."""
 
 INTERIM_TABLE = "register-scout"
-"""The name of the table that a member writes while it polls without the lease; exchanged like the other one."""
+"""The name of the table that a member writes while polling without the lease; exchanged like ``LEASE_TABLE``."""
 
 TABLES = (LEASE_TABLE, INTERIM_TABLE)
 
 ELECTION_INTERVAL_MS = 100.0
-"""Time between two decisions on who polls."""
+"""Time between two decisions on which member polls, in milliseconds."""
 
 SILENCE_TO_PULL_MS = 600.0
-"""After so much silence of all writers other members are asked for the tables: one and a half heartbeat intervals."""
+"""Silence of all writers after which other members are asked for the tables, in milliseconds.
+
+The value is one and a half heartbeat intervals.
+"""
 
 LONG_SILENCE_MS = 5000.0
-"""After so much silence other members are asked for the tables less often."""
+"""Silence of all writers after which other members are asked less often, in milliseconds."""
 
 LONG_SILENCE_INTERVALS = 10
-"""After a long silence they are asked with every tenth decision on who polls, not with each."""
+"""Number of election intervals between two requests for the tables after a long silence, instead of one."""
 
 
 class TablePreference(NamedTuple):
-    """How a table compares with the other; the greatest is used.
+    """The sort key of a table; the table with the greatest key is used.
 
     Attributes:
-        is_read: Its writer is heard and has an open watch.
-        is_fresh: Its writer is heard, and the list is not outdated.
-        version: The version of the list, -1 for none.
+        is_read: Whether ``is_fresh`` holds and the writer has an open watch.
+        is_fresh: Whether the writer has confirmed the table recently and the list is not outdated.
+        version: The version of the list, or -1 if no list is known.
     """
 
     is_read: bool
@@ -70,13 +73,13 @@
 
 
 class SharedDiscovery:
-    """Stands between the discovery client and the core of a cluster member.
+    """Passes endpoint lists from the discovery client and from the replicated tables to the core.
 
     Attributes:
-        view: Which endpoint list is used.
+        view: Selects the endpoint list that is used.
         election: Decides whether this member polls.
-        lists_read: Lists that the member's own watch has brought.
-        interim_reads: Times that it began to poll without the lease.
+        lists_read: Number of lists and changes received from the own watch.
+        interim_reads: Number of times this member started to write the interim table.
     """
 
     def __init__(
@@ -89,7 +92,17 @@
         deadlines: Deadlines,
         log: EventLog,
     ) -> None:
-        """``on_update`` receives the changes of the list that is used."""
+        """Creates an instance that has not joined the cluster.
+
+        Args:
+            view: Selects the endpoint list that is used.
+            client: The client that polls service discovery.
+            on_update: Receives the updates for the core.
+            codec: Encodes and decodes the rows of the tables.
+            election: Decides whether this member polls.
+            deadlines: The clock and timers, in milliseconds.
+            log: Writes log events.
+        """
         self.view = view
         self.election = election
         self.lists_read = 0
@@ -113,7 +126,12 @@
         view.prefer_shared(self._tables[LEASE_TABLE].known)
 
     def join(self, node: Node, flush: Callable[[], None]) -> None:
-        """Follow the tables, and write them when this member is the reader; ``flush`` sends what the node has."""
+        """Follows the tables and starts the election; does nothing in mode ``none``.
+
+        Args:
+            node: The cluster member that replicates the tables.
+            flush: Sends the messages that the node has queued.
+        """
         self._node = node
         self._flush = flush
         if self.view.share == "none":
@@ -124,7 +142,7 @@
         self._election_timer = self._deadlines.call_after(0.0, self._on_election)
 
     def close(self) -> None:
-        """Stop deciding and writing."""
+        """Cancels the election timer and closes the table writers."""
         self._deadlines.cancel(self._election_timer)
         for writer in self._writers.values():
             writer.close()
@@ -132,12 +150,12 @@
     # -- The core and the discovery client
 
     def subscribe(self) -> None:
-        """The core wants updates: the own watch is opened if this member is to poll."""
+        """Starts updates for the core; opens the own watch if this member polls."""
         if self._node is None or self.view.share != "list" or self.election.role is Role.READ:
             self._open_watch()
 
     def on_client_update(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """The own watch has brought a list or changes, or has failed."""
+        """Applies a list, changes or a failure from the own watch."""
         previous = self.view.own
         now = self._deadlines.clock()
         self.lists_read += kind is not ListKind.FAILED
@@ -154,14 +172,14 @@
     # -- The lease
 
     def on_lease_gained(self, token: FencingToken) -> None:
-        """This member reads for all from now on."""
+        """Starts writing the lease table: this member polls for all members."""
         self._lease = token
         self._writers[LEASE_TABLE].start(token)
         self._decide()
         self._write()
 
     def on_lease_lost(self) -> None:
-        """Another member reads; what this one has published is a shared list for it too."""
+        """Stops writing the lease table and reads its rows, which are a shared list for this member, too."""
         self._lease = None
         self._writers[LEASE_TABLE].stop()
         self._read_table(LEASE_TABLE)
@@ -169,7 +187,7 @@
     # -- Reading the tables
 
     def on_table_change(self, topic: str, rows: dict[bytes, bytes | None]) -> None:
-        """Rows of a table have changed; None stands for a row that is gone."""
+        """Applies changed rows of a table; None stands for a removed row."""
         self._rows_cache = None
         table = self._tables[topic]
         change = table.read(rows)
@@ -181,7 +199,7 @@
             self._on_update(ListKind.CHANGES, update)
 
     def _read_table(self, topic: str) -> None:
-        """Read all of a table that this member has written, as one that others write."""
+        """Applies all rows of a table that this member has stopped writing, as rows of another writer."""
         node = self._require_node()
         rows: dict[bytes, bytes | None] = dict(node.tables.rows(topic))
         for name in self._tables[topic].known.servers:
@@ -191,7 +209,7 @@
         self.on_table_change(topic, rows)
 
     def _status(self, topic: str) -> SharedListStatus | None:
-        """The status of a table; None for one that this member writes."""
+        """Returns the status of a table, or None if this member writes the table."""
         tables = self._require_node().tables
         table = self._tables[topic]
         own = self.view.own
@@ -206,7 +224,7 @@
         return {topic: status for topic, status in statuses.items() if status is not None}
 
     def _pull_tables(self, statuses: dict[str, SharedListStatus]) -> None:
-        """Ask other members for the tables after a silence: they may have heard a writer that this one has not."""
+        """Asks other members for the tables after a silence, since they may have received a newer version."""
         now = self._deadlines.clock()
         silence = min((status.age for status in statuses.values()), default=0.0)
         if silence <= SILENCE_TO_PULL_MS or now < self._next_pull_at:
@@ -218,7 +236,7 @@
         self._flush()
 
     def _prefer_best_table(self) -> None:
-        """Use the table whose reader is heard; of two such the one with the newer list."""
+        """Uses the table with the greatest preference: an active writer first, then the newer list."""
         preferences = {topic: self._preference(topic) for topic in TABLES}
         best = max(TABLES, key=lambda topic: preferences[topic])
         if preferences[best] <= preferences[self._preferred]:
@@ -239,7 +257,7 @@
     def _is_recent(self, status: SharedListStatus | None) -> bool:
         return status is not None and status.age <= self.election.stale_after
 
-    # -- Deciding who polls
+    # -- Election of the polling member
 
     def _on_election(self) -> None:
         self._election_timer = self._deadlines.call_after(ELECTION_INTERVAL_MS, self._on_election)
@@ -251,7 +269,7 @@
         self._write()
 
     def _decide(self) -> None:
-        """Decide this member's role, and open or close its watch."""
+        """Decides this member's role and opens or closes its watch."""
         if self.view.share != "list":
             self._open_watch()
             self._prefer_best_table()
@@ -267,19 +285,22 @@
         if role is Role.READ:
             self._open_watch()
         elif role is Role.FOLLOW or not self._client.watching:
-            self._client.stop()  # a poll of this member's turn may end; none is sent after it
+            self._client.stop()  # a poll in flight may complete; no further poll is sent
         if self._should_use_shared_list(role):
             self._use_shared_list()
         if role is not previous:
             self._log_role(role, previous, position)
 
     def _open_watch(self) -> None:
-        """Open the own watch; after a failure the pacer decides when."""
+        """Opens the own watch if it is closed; after a failure the client's pacer determines the time."""
         if not self._client.watching:
             self._client.resume()
 
     def _should_use_shared_list(self, role: Role) -> bool:
-        """Whether the shared list is used: also by a member that polls in vain, where its own is no newer."""
+        """Returns whether the shared list is used.
+
+        A member that polls without success also uses the shared list, unless its own list is newer.
+        """
         shared = self.view.shared
         own = self.view.own
         if role is Role.FOLLOW:
@@ -298,7 +319,7 @@
         if role is not Role.READ:
             self._log("register_role", role=role.value)
             return
-        cause = "turn" if previous is Role.WAIT else "nobody is heard"
+        cause = "turn" if previous is Role.WAIT else "no active writer"
         if self._lease is not None:
             cause = "owner"
         self._log(
@@ -313,7 +334,7 @@
     # -- Writing the tables
 
     def _write(self) -> None:
-        """Publish the list that this member reads, or that it tries to read one."""
+        """Publishes the list that this member reads, or the fact that this member tries to read one."""
         if self._node is None or not self._writers:
             return
         if self._lease is not None:
@@ -340,13 +361,16 @@
             writer.stop()
 
     def _may_claim_interim_table(self) -> bool:
-        """Whether a reader writes the interim table; one that tries in vain does so only if no other one does."""
+        """Returns whether this member, as a reader, may write the interim table.
+
+        A reader without an open watch writes the table only if no other member does.
+        """
         if self.view.watching:
             return self._lease is None
         return not self._is_recent(self._status(INTERIM_TABLE))
 
     def _rows(self) -> merkle_trie.Rows:
-        """The list that this member has read, or that it has from others; built anew after each change."""
+        """Returns the rows of the list that this member has read or received; cached until the next change."""
         if self._rows_cache is not None:
             return self._rows_cache
         uses_own = self.view.own.known or self.view.source is not ListSource.SHARED
@@ -362,7 +386,7 @@
         return rows
 
     def _on_write_error(self, error: str) -> None:
-        """Withdraw a list that cannot be shared: each member then reads for itself."""
+        """Withdraws a list that cannot be shared, so that each member polls service discovery itself."""
         self._log("register_not_shared", error=error)
         if self._node is None:
             return
@@ -372,6 +396,6 @@
 
     def _require_node(self) -> Node:
         if self._node is None:
-            message = "the shared list is used before join()"
+            message = "shared discovery has not joined a cluster; call join() first"
             raise RuntimeError(message)
         return self._node
--- a/heronlug/cluster/status.py
+++ b/heronlug/cluster/status.py
@@ -1,6 +1,7 @@
-"""What operators see of the cluster: its members, its leases and its figures.
+"""Reports the members, leases and metrics of the cluster to operators.
 
-Keys of rows and names of figures are part of the command line and of the metrics endpoint, and keep their names.
+The keys of rows and the names of metrics appear on the command line and at the metrics endpoint, so they must not
+change.
 """
 
 from collections.abc import Mapping
@@ -15,6 +16,8 @@
 
 
 class _Metric(NamedTuple):
+    """The value of a metric and its Prometheus type."""
+
     kind: str
     """``counter`` or ``gauge``."""
     value: int
@@ -30,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterStatus:
-    """The cluster as one member knows it at a time.
+    """A member's view of the cluster at a point in time.
 
     Attributes:
         node: The member.
-        tasks: Its periodic tasks by name.
-        now: The time by its clock, in milliseconds.
-        discovery: Its part in shared service discovery, if there is any.
-        health_checker: Its health checks, if configured.
+        tasks: The member's periodic tasks by name.
+        now: The time of the member's clock, in milliseconds.
+        discovery: The member's shared service discovery; None if service discovery is not shared.
+        health_checker: The member's health checker; None if health checks are not configured.
     """
 
     node: Node
@@ -47,7 +50,7 @@
     health_checker: HealthChecker | None
 
     def members(self) -> list[dict[str, Any]]:
-        """A row for each member, this one first."""
+        """Returns a row for each member, this member first."""
         local = self.node.local
         rows: list[dict[str, Any]] = [
             {
@@ -71,7 +74,10 @@
         return rows
 
     def leases(self) -> list[dict[str, Any]]:
-        """A row for each lease; one without runs serves shared service discovery or health checks."""
+        """Returns a row for each lease.
+
+        ``runs`` is None for the leases of shared service discovery and health checks, which run no periodic task.
+        """
         return [self._lease(lease) for lease in self.node.leases.leases.values()]
 
     def _lease(self, lease: LeaseState) -> dict[str, Any]:
@@ -91,7 +97,7 @@
         }
 
     def metrics(self) -> str:
-        """All figures in Prometheus' text format."""
+        """Returns all metrics in the Prometheus text format."""
         metrics = {**self._node_metrics(), **self._discovery_metrics()}
         if self.health_checker is not None:
             metrics.update({f"host_{name}": _counter(count) for name, count in self.health_checker.counts.items()})
--- a/heronlug/cluster/table_state.py
+++ b/heronlug/cluster/table_state.py
@@ -1,4 +1,4 @@
-"""One replicated table as one member knows it."""
+"""Holds the state of one replicated table at one member."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -13,7 +13,12 @@
 
 
 class Version(NamedTuple):
-    """The version of a table; those of a later writer are above all of an earlier one."""
+    """The version of a table; every version of a later writer is greater than those of an earlier writer.
+
+    Attributes:
+        token: The fencing token of the writer.
+        number: The number of the publication or heartbeat under this token.
+    """
 
     token: FencingToken
     number: int
@@ -24,22 +29,22 @@
 
 @dataclass(slots=True, eq=False)
 class TableState:
-    """One replicated table.  All times are milliseconds of this member's clock.
+    """The state of one replicated table. All times are milliseconds of this member's clock.
 
     Attributes:
-        name: The table's name, the same at every member.
-        version: The latest version that is complete here.
-        root: The root of that version.
-        previous_root: The root before it.
-        confirmed_at: When the writer was last known to confirm this version.
-        own_token: The token that this member writes the table under, if it does.
-        push_queue: Nodes that are new with this root and are sent along with its next announcement.
-        pending: The version that is being fetched.
-        source: The tag of the member that it is fetched from.
-        missing: Nodes of the pending version that are not there.
-        request_deadlines: Until when the answer to each request for a node is awaited.
-        polled_at: When other members were last asked for a newer version.
-        key: The table's tag.
+        name: The name of the table, the same at every member.
+        version: The latest version that this member has completely.
+        root: The root of ``version``.
+        previous_root: The root before ``root``.
+        confirmed_at: The time when the writer last confirmed ``version``, as far as this member knows.
+        own_token: The fencing token under which this member writes the table; None while it does not.
+        push_queue: The nodes that are new with ``root`` and are sent with its next announcement.
+        pending: The announcement of the version that is being fetched; None if no version is being fetched.
+        source: The tag of the member from which the pending version is fetched.
+        missing: The nodes of the pending version that this member does not have.
+        request_deadlines: The time when each outstanding node request times out, by node name.
+        polled_at: The time when other members were last asked for a newer version.
+        key: The tag of the table.
     """
 
     name: str
@@ -61,29 +66,29 @@
 
     @property
     def announcement(self) -> TableAnnouncement:
-        """What announces the present version."""
+        """The announcement of the current version."""
         return TableAnnouncement(self.key, self.version.token, self.version.number, self.root)
 
     @property
     def newest_known(self) -> Version:
-        """The pending version, or the present one if none is being fetched."""
+        """The newer of the current and the pending version."""
         if self.pending is None:
             return self.version
         return max(self.version, Version(self.pending.token, self.pending.number))
 
     def stop_fetching(self) -> None:
-        """Give up the pending version."""
+        """Discards the pending version and its outstanding requests."""
         self.pending = None
         self.missing.counterparts.clear()
         self.request_deadlines.clear()
 
     def live_roots(self) -> Iterator[int]:
-        """Nodes below which every node is needed."""
+        """Yields the roots of the subtrees whose nodes must be retained."""
         yield self.root
         yield self.previous_root
         if self.pending is not None:
             yield self.pending.root
-        # below a missing node it is not known yet which nodes of its counterpart are needed
+        # The content of a missing node is unknown: any node below its counterpart may belong to the pending version.
         for counterpart in self.missing.counterparts.values():
             if counterpart is not None:
                 yield counterpart
--- a/heronlug/cluster/table_writer.py
+++ b/heronlug/cluster/table_writer.py
@@ -1,4 +1,4 @@
-"""Writes a replicated table, large changes of it off the event loop."""
+"""Writes a replicated table and builds large changes outside the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,15 +10,15 @@
 from heronlug.requests.deadlines import Deadlines
 
 LARGE_CHANGE_ROWS = 300
-"""A change of more rows is built in a thread."""
+"""Maximum number of changed rows that are applied in the event loop; larger changes are built in a thread."""
 
 
 class TableWriter:
-    """One table as this member writes it.
+    """Writes one table.
 
     Attributes:
-        topic: The table's name.
-        token: The fencing token under which it is written; None while it is not.
+        topic: The name of the table.
+        token: The fencing token under which this member writes the table; None while this member does not write it.
     """
 
     def __init__(
@@ -29,7 +29,15 @@
         flush: Callable[[], None],
         on_error: Callable[[str], None],
     ) -> None:
-        """``flush`` sends what the node has to say; ``on_error`` is told why a table could not be written."""
+        """Creates a writer without a token.
+
+        Args:
+            topic: The name of the table.
+            node: The cluster member that replicates the table.
+            deadlines: The clock, in milliseconds.
+            flush: Sends the messages that the node has queued.
+            on_error: Receives the error text if the table cannot be written.
+        """
         self.topic = topic
         self.token: FencingToken | None = None
         self._node = node
@@ -37,23 +45,23 @@
         self._flush = flush
         self._on_error = on_error
         self._published: merkle_trie.Rows = {}
-        self._has_published = False  # under this token
-        self._pending: merkle_trie.Rows | None = None  # what was published while a change was being built
+        self._has_published = False  # whether rows were published under the current token
+        self._pending: merkle_trie.Rows | None = None  # the rows passed to publish() during a build
         self._build_task: asyncio.Task[None] | None = None
 
     @property
     def is_superseded(self) -> bool:
-        """Whether another member has begun to write after this one."""
+        """Whether another member has started to write the table after this member."""
         return self.token is not None and self._has_published and self._node.tables.own_token(self.topic) is None
 
     def start(self, token: FencingToken) -> None:
-        """Write from now on, beginning with the rows of the writer before."""
+        """Starts writing under a token, based on the rows of the previous writer."""
         self.token = token
         self._published = self._node.tables.rows(self.topic)
         self._has_published = False
 
     def stop(self) -> None:
-        """Write no more; the table becomes stale unless another member writes it."""
+        """Stops writing; the table becomes stale unless another member writes it."""
         if self.token is not None and self._node.tables.own_token(self.topic) is not None:
             self._node.tables.withdraw(self.topic)
         self.token = None
@@ -62,7 +70,10 @@
         self._flush()
 
     def publish(self, rows: merkle_trie.Rows) -> None:
-        """Make these the rows of the table."""
+        """Replaces the rows of the table; does nothing while this member has no token.
+
+        During a build the rows are stored, and are published when the build ends.
+        """
         if self.token is None:
             return
         if self._build_task is not None:
@@ -80,7 +91,7 @@
             self._publish_changes(self.token, changes, rows)
 
     def close(self) -> None:
-        """Stop building."""
+        """Cancels a build that is in progress."""
         if self._build_task is not None:
             self._build_task.cancel()
 
--- a/heronlug/cluster/task_runner.py
+++ b/heronlug/cluster/task_runner.py
@@ -1,4 +1,4 @@
-"""Runs periodic tasks: a command, or the deletion of old files.
+"""Runs periodic tasks: commands and the deletion of old files.
 
 :mod:`heronlug.cluster.periodic_tasks` decides when a task runs.
 """
@@ -18,38 +18,46 @@
 from heronlug.requests.deadlines import Deadlines, Key
 
 TaskFunction = Callable[[str, FencingToken], Awaitable[int]]
-"""One run of a task under a token; returns its exit status, 0 for success, and is cancelled at its timeout."""
+"""Runs a task once, given its name and fencing token; returns an exit status, 0 for success; cancelled on timeout."""
 
 FILES_PER_SLICE = 256
-"""Files that are looked at before another thread gets its turn."""
+"""Number of files examined between two pauses, which let other threads run."""
 
 SLICE_PAUSE_S = 0.001
-"""The pause after each slice, in seconds."""
+"""Duration of the pause after ``FILES_PER_SLICE`` files, in seconds."""
 
 MIN_PLAN_DELAY_MS = 10.0
-"""The shortest time until the schedule is looked at again, in milliseconds."""
+"""Minimum delay before the schedule is searched for due runs again, in milliseconds."""
 
 NOT_RUN = -1
-"""The status of a run that could not start, or whose lease was lost before."""
+"""The status of a run that could not start, or whose lease was lost before its start."""
 
 
 class Deletions(NamedTuple):
-    """The result of a deletion of old files."""
+    """The result of a deletion of old files.
+
+    Attributes:
+        deleted: Number of deleted files.
+        failed: Number of old files that could not be deleted.
+    """
 
     deleted: int
     failed: int
-    """Old files that could not be deleted."""
 
 
 def task_function(table: dict[str, Any], log: Callable[..., None]) -> TaskFunction:
-    """What a ``[[cluster.duty]]`` runs."""
+    """Returns the function that runs the task of a table ``[[cluster.duty]]``."""
     if table.get("sweep"):
         return partial(_delete_old_files, table["sweep"], log)
     return partial(_run_command, list(table["command"]))
 
 
 async def _run_command(command: list[str], name: str, token: FencingToken) -> int:
-    """Run a command, which is killed when this is cancelled; raises ``OSError`` if it cannot start."""
+    """Runs a command and returns its exit status; kills the process when the coroutine is cancelled.
+
+    Raises:
+        OSError: If the command cannot be started.
+    """
     environment = {**os.environ, "HERONLUG_DUTY": name, "HERONLUG_FENCE": f"{token.number}.{token.owner}"}
     process: Process | None = None
     try:
@@ -64,7 +72,14 @@
 
 
 async def _delete_old_files(table: dict[str, Any], log: Callable[..., None], name: str, token: FencingToken) -> int:
-    """Delete files of a folder that are older than they may be; links and folders stay.  Raises ``OSError``."""
+    """Deletes the files of a folder whose age exceeds ``keep_s`` seconds; symbolic links and subfolders stay.
+
+    Returns:
+        0 if every old file was deleted, otherwise 1.
+
+    Raises:
+        OSError: If the folder cannot be read.
+    """
     min_modified_at = time.time() - table["keep_s"]
     result = await asyncio.to_thread(_delete_in_folder, Path(table["folder"]), table["pattern"], min_modified_at)
     if result.deleted or result.failed:
@@ -73,7 +88,7 @@
 
 
 def _delete_in_folder(folder: Path, pattern: str, min_modified_at: float) -> Deletions:
-    """Delete the files that match a pattern and were changed before ``min_modified_at``, in Unix seconds."""
+    """Deletes the files that match a pattern and were last modified before ``min_modified_at``, in Unix seconds."""
     deleted = failed = 0
     for number, path in enumerate(sorted(folder.glob(pattern))):
         if number % FILES_PER_SLICE == FILES_PER_SLICE - 1:
@@ -85,17 +100,17 @@
             path.unlink()
             deleted += 1
         except FileNotFoundError:
-            continue  # another process has deleted it
+            continue  # another process has deleted the file
         except OSError:
             failed += 1
     return Deletions(deleted, failed)
 
 
 class TaskRunner:
-    """The periodic tasks of this member.
+    """Runs the periodic tasks whose leases this member holds.
 
     Attributes:
-        schedule: Decides which tasks run when.
+        schedule: Decides when each task runs.
     """
 
     def __init__(
@@ -106,14 +121,14 @@
         log: Callable[..., None],
         turn: Callable[[], None],
     ) -> None:
-        """Create a runner that holds no lease yet.
+        """Creates a runner that holds no lease.
 
         Args:
-            tables: ``[[cluster.duty]]`` as :mod:`heronlug.config.cluster_section` reads it.
-            may_act: The token under which this member may run a task at a time.
-            deadlines: The timers of this process.
-            log: Writes a log event with its fields.
-            turn: Is called after each run.
+            tables: The tables ``[[cluster.duty]]`` as read by :mod:`heronlug.config.cluster_section`.
+            may_act: Returns the token under which this member may run a task at a given time, or None.
+            deadlines: The clock and timers, in milliseconds.
+            log: Writes log events.
+            turn: Runs pending work of the dispatcher; called after each run.
         """
         self._functions = {table["name"]: task_function(table, log) for table in tables}
         self.schedule = TaskSchedule.of([_periodic_task(table) for table in tables])
@@ -126,21 +141,21 @@
 
     @property
     def names(self) -> list[str]:
-        """The names of the tasks, which are those of their leases."""
+        """The names of the tasks, which are also the names of their leases."""
         return list(self._functions)
 
     def on_lease_gained(self, name: str, token: FencingToken) -> None:
-        """This member has gained the lease of a task."""
+        """Starts scheduling a task whose lease this member has gained."""
         self.schedule.on_lease_gained(name, token, self._deadlines.clock())
         self._plan()
 
     def on_lease_lost(self, name: str) -> None:
-        """This member has lost the lease of a task: a run is ended."""
+        """Stops scheduling a task whose lease this member has lost, and cancels its run."""
         if self.schedule.on_lease_lost(name) and name in self._runs:
             self._runs[name].cancel()
 
     async def close(self) -> None:
-        """Start no more runs, and end those that go on."""
+        """Stops scheduling all tasks and cancels their runs."""
         self._deadlines.cancel(self._plan_timer)
         for name in self.names:
             self.schedule.on_lease_lost(name)
@@ -150,7 +165,7 @@
         await asyncio.gather(*runs, return_exceptions=True)
 
     def _plan(self) -> None:
-        """Start what is due, end what has reached its timeout, and set the timer for the next."""
+        """Starts due runs, cancels runs that have reached their timeout and sets the timer for the next check."""
         now = self._deadlines.clock()
         for name in self.schedule.timed_out(now):
             if name in self._runs:
@@ -166,7 +181,7 @@
             self._plan_timer = self._deadlines.call_at(max(next_wake, now + MIN_PLAN_DELAY_MS), self._plan)
 
     async def _run(self, name: str, token: FencingToken) -> int:
-        """One run, if the lease still holds."""
+        """Runs a task once if this member holds the lease under ``token``; returns the exit status or ``NOT_RUN``."""
         if self._may_act(name, self._deadlines.clock()) != token:
             return NOT_RUN
         try:
@@ -176,7 +191,7 @@
             return NOT_RUN
 
     def _on_run_ended(self, name: str, run: "asyncio.Task[int]") -> None:
-        """A run has ended, perhaps before it has started: the next one may start."""
+        """Records the end of a run, which may have been cancelled before its start, and plans the next run."""
         if self._runs.get(name) is run:
             del self._runs[name]
         status = None if run.cancelled() or run.exception() is not None else run.result()
@@ -188,7 +203,7 @@
 
 
 def _periodic_task(table: dict[str, Any]) -> PeriodicTask:
-    """The task of a ``[[cluster.duty]]``, whose times are seconds."""
+    """Returns the task of a table ``[[cluster.duty]]``, whose times are in seconds."""
     return PeriodicTask(
         table["name"], table["every_s"] * 1000, table["jitter_s"] * 1000, timeout=table["longest_s"] * 1000
     )
--- a/heronlug/cluster/transport.py
+++ b/heronlug/cluster/transport.py
@@ -1,4 +1,8 @@
-"""The cluster on UDP: datagrams and time go to :class:`Node`, its actions to the network, the log and the tasks."""
+"""Connects a cluster :class:`Node` to UDP and to the event loop.
+
+The transport passes datagrams and timer events to the node and carries out the node's actions: datagrams to send, log
+events, lease changes and table changes.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -26,13 +30,13 @@
 from heronlug.requests.deadlines import Deadlines, Key
 
 LEAVE_TIMEOUT_MS = 3000.0
-"""How long a planned leave may take, in milliseconds."""
+"""Maximum duration of a planned leave, in milliseconds."""
 
 HEALTH_CHECK_RESULT_TTL_MS = 10_000.0
-"""How long the results of a shard's owner count after it was last heard of, in milliseconds."""
+"""Maximum age of a shard's health check results since the last message of the lease holder, in milliseconds."""
 
 STALE_CHECK_INTERVAL_MS = 500.0
-"""How often results of health checks are checked for their age, in milliseconds."""
+"""Time between two searches for stale health check results, in milliseconds."""
 
 
 class ClusterTransport(asyncio.DatagramProtocol):
@@ -40,10 +44,10 @@
 
     Attributes:
         listen: Host and port of the socket.
-        shared_discovery: Publishes and reads the shared server list, if it is shared.
-        health_checker: Checks servers and shares the results, if configured.
+        shared_discovery: Publishes and reads the shared endpoint list; None without service discovery.
+        health_checker: Checks servers and shares the results; None if health checks are not configured.
         task_runner: Runs the periodic tasks whose leases this member holds.
-        node: The member's decisions.
+        node: Makes the decisions of the member, without I/O.
     """
 
     def __init__(
@@ -55,11 +59,19 @@
         discovery: SharedDiscovery | None = None,
         health_checker: HealthChecker | None = None,
     ) -> None:
-        """Create a member that has not joined; ``table`` is what :mod:`heronlug.config.cluster_section` reads.
+        """Creates a member that has not joined the cluster.
+
+        Args:
+            table: The table ``[cluster]`` as read by :mod:`heronlug.config.cluster_section`.
+            deadlines: The clock and timers, in milliseconds.
+            log: Writes log events.
+            turn: Runs pending work of the dispatcher; called after each datagram, health check and task run.
+            discovery: The shared service discovery of this member, if any.
+            health_checker: The health checker of this member, if configured.
 
         Raises:
-            OSError: A key file cannot be read.
-            ValueError: An address is malformed, or a key (:class:`KeyFileError`).
+            OSError: If a key file cannot be read.
+            ValueError: If an address or a key is malformed (:class:`KeyFileError` for a key).
         """
         self.listen = split_address(table["listen"])
         self._deadlines = deadlines
@@ -79,7 +91,7 @@
         self._left_future: asyncio.Future[None] | None = None
 
     def _create_node(self, table: dict[str, Any]) -> Node:
-        """The member, with a lease for each periodic task, for shared discovery and for each shard of health checks."""
+        """Returns a node with a lease per periodic task, one for shared discovery and one per health check shard."""
         leases = self.task_runner.names
         if self.shared_discovery is not None and self.shared_discovery.view.share != "none":
             leases.append(LEASE_TABLE)
@@ -89,17 +101,21 @@
         return Node(local, table["seeds"], leases, read_keys(table["key_files"]), Random())
 
     async def open(self) -> None:
-        """Join the cluster; raises ``OSError`` if the address cannot be bound."""
+        """Opens the socket and joins the cluster.
+
+        Raises:
+            OSError: If the address cannot be bound.
+        """
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=self.listen)
         self._withdraw_stale_results()
         self.act(self.node.wake(self._deadlines.clock()))
 
     def replace_keys(self, keys: dict[int, bytes]) -> None:
-        """Sign with the first of these keys from now on, and accept all of them."""
+        """Replaces the keys: datagrams are signed with the first key and accepted with any of the keys."""
         self.node.codec.keys = keys
 
     async def leave(self) -> None:
-        """Hand the leases over, announce the leave, and close."""
+        """Hands the leases over, announces the leave and closes the socket and all components."""
         if self._transport is not None:
             self._left_future = asyncio.get_running_loop().create_future()
             timeout = self._deadlines.call_after(LEAVE_TIMEOUT_MS, self._finish_leave)
@@ -118,22 +134,22 @@
     # -- asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Stores the transport of the open socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram."""
+        """Passes a received datagram to the node."""
         self.act(self.node.receive(data, f"{addr[0]}:{addr[1]}", self._deadlines.clock()))
         self._turn()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens at an address; the failure detector notices it by itself."""
+        """Ignores unreachable addresses, which the failure detector detects without these errors."""
 
     # -- status for operators
 
     @property
     def status(self) -> ClusterStatus:
-        """What this member knows of the cluster."""
+        """This member's current view of the cluster."""
         return ClusterStatus(
             self.node,
             self.task_runner.schedule.tasks,
@@ -143,21 +159,21 @@
         )
 
     def members(self) -> list[dict[str, Any]]:
-        """All members, this one first."""
+        """Returns a row for each member, this member first."""
         return self.status.members()
 
     def leases(self) -> list[dict[str, Any]]:
-        """All leases, with the runs of their periodic tasks here."""
+        """Returns a row for each lease, with the runs of its periodic task at this member."""
         return self.status.leases()
 
     def metrics(self) -> str:
-        """The figures of the cluster in Prometheus' text format."""
+        """Returns the metrics of the cluster in the Prometheus text format."""
         return self.status.metrics()
 
     # -- actions
 
     def act(self, actions: list[Action]) -> None:
-        """Carry out the actions of the node, and those that follow from them."""
+        """Carries out actions of the node and the further actions that result from them."""
         self._carrying_out = True
         try:
             while actions:
@@ -169,7 +185,10 @@
             self._finish_leave()
 
     def _flush(self) -> None:
-        """Send what was published or withdrawn; while actions are carried out, it is sent with these."""
+        """Sends the messages that the node has queued.
+
+        While actions are carried out, :meth:`act` sends the messages afterwards.
+        """
         if not self._carrying_out:
             self.act(self.node.flush(self._deadlines.clock()))
 
@@ -231,7 +250,7 @@
             self.health_checker.on_table_change(change.table, change.changes)
 
     def _withdraw_stale_results(self) -> None:
-        """Withdraw results of health checks whose owner is silent."""
+        """Withdraws health check results whose lease holder is silent, and restarts the timer."""
         self._stale_check_timer = self._deadlines.call_after(STALE_CHECK_INTERVAL_MS, self._withdraw_stale_results)
         if self.health_checker is not None:
             self.health_checker.withdraw_stale(HEALTH_CHECK_RESULT_TTL_MS)
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -1,7 +1,8 @@
-"""Three real dispatchers, a stand-in register and stand-in hosts: one reads for all, and nobody misses a drain.
+"""Tests three real dispatchers with stand-in service discovery and stand-in servers.
 
-Risk: what is decided without I/O is wired wrongly to watches, sheets, probes and the core. Which hosts a dispatcher
-holds to be there is read from its figures; no speed is asserted, only that it comes.
+The tests guard against wrong connections between the decision modules, which have no I/O, and the watches, replicated
+tables, health checks and core. The servers that a dispatcher uses are read from its metrics. The tests assert that a
+change arrives, not how fast.
 """
 
 import asyncio
@@ -26,7 +27,11 @@
 
 DISPATCHER_NAMES = "abc"
 WAIT_TIMEOUT_S = 30.0
+"""Maximum wait for a condition."""
+
 OWNER_STABLE_S = 2.0
+"""Time without a change of the lease holder after which the holder counts as final."""
+
 CONFIG_TEMPLATE = """
 [serve]
 name = "{name}"
@@ -53,7 +58,7 @@
 
 
 class Fleet:
-    """The dispatchers, the register and the hosts."""
+    """Three dispatcher processes, stand-in service discovery and five stand-in servers."""
 
     def __init__(self, folder: Path, extra_config: str) -> None:
         self.folder, self.extra_config = folder, extra_config
@@ -97,7 +102,7 @@
             )
 
     def metrics(self, name: str) -> dict[str, float]:
-        """What an operator reads; nothing where it does not answer."""
+        """Returns the metrics of a dispatcher, or an empty dict if the dispatcher does not answer."""
         try:
             with urllib.request.urlopen(f"http://127.0.0.1:{self.ports[name][1]}/stats", timeout=5) as answer:
                 lines = answer.read().decode().splitlines()
@@ -106,7 +111,7 @@
         return {line.rsplit(" ", 1)[0]: float(line.rsplit(" ", 1)[1]) for line in lines if not line.startswith("#")}
 
     def has_metric(self, name: str, metric: str, value: float) -> bool:
-        """Whether a figure is this now."""
+        """Returns whether a metric of a dispatcher has this value now."""
         return self.metrics(name).get(metric) == value
 
     def logged_events(self, name: str, event: str) -> list[dict[str, Any]]:
@@ -126,22 +131,22 @@
         while time.monotonic() < end:
             try:
                 found = await asyncio.to_thread(condition)
-            except ValueError:  # a control socket that is not there yet
+            except ValueError:  # the control socket does not exist yet
                 found = None
             if found:
                 return found
             await asyncio.sleep(0.05)
         logs = "\n".join(f"{path.name}: {path.read_text()[-1500:]}" for path in self.folder.glob("*.log"))
-        message = f"{description} has not come\n{logs}"
+        message = f"timed out waiting for {description}\n{logs}"
         raise AssertionError(message)
 
     def list_reader(self) -> str | None:
-        """Who reads for all, once the others go by what it says."""
+        """Returns the member that reads service discovery, once the other running members use its shared list."""
         owner = self.lease_owner("register")
         if owner != self.last_owner_change[0]:
             self.last_owner_change = owner, time.monotonic()
         if time.monotonic() - self.last_owner_change[1] < OWNER_STABLE_S:
-            return None  # the first owner hands over to the one that should have the duty
+            return None  # the first lease holder may still hand over to the preferred member
         others = [name for name, process in self.processes.items() if name != owner and process.poll() is None]
         shared = all(self.metrics(name).get("svc_cluster_register_shared") == 1 for name in others)
         return owner if shared else None
@@ -175,8 +180,10 @@
 
 
 def test_members_follow_one_reader_and_miss_no_drain_when_it_is_killed(tmp_path: Path) -> None:
+    """Guards against a lost drain when the reader is killed, and against members that poll although a reader exists."""
+
     async def steps(fleet: Fleet) -> None:
-        owner = await fleet.wait_until(fleet.list_reader, "one that reads for all")
+        owner = await fleet.wait_until(fleet.list_reader, "a member that reads for all members")
         others = [name for name in DISPATCHER_NAMES if name != owner]
         polls_before, own_reads_before = (
             fleet.discovery_server.answered_polls,
@@ -185,55 +192,75 @@
         fleet.discovery_server.put("s0", lifecycle="leaving")
         fleet.discovery_server.put("s1", lifecycle="left")
         for name in DISPATCHER_NAMES:
-            await fleet.wait_until(partial(fleet.has_metric, name, "svc_targets", 4), f"{name} to know who has gone")
-        # of the owner, for two changes: the others do not ask
+            await fleet.wait_until(
+                partial(fleet.has_metric, name, "svc_targets", 4),
+                f"{name} to drop the leaving server and the left server",
+            )
+        # the lease holder polls for two changes; the other members do not poll
         assert fleet.discovery_server.answered_polls - polls_before <= 4
         for name in others:
             assert len(fleet.logged_events(name, "register_own")) == own_reads_before[name]
         fleet.processes[owner].kill()
         fleet.processes[owner].wait()
         fleet.discovery_server.put("s2", lifecycle="left")
-        for name in others:  # the one that read for them is gone, and another reads for both until there is an owner
-            await fleet.wait_until(partial(fleet.has_metric, name, "svc_targets", 3), f"{name} to know the second")
+        # after the kill another member reads for both until there is a new lease holder
+        for name in others:
+            await fleet.wait_until(
+                partial(fleet.has_metric, name, "svc_targets", 3), f"{name} to drop the second server that left"
+            )
         assert any(len(fleet.logged_events(name, "register_own")) > own_reads_before[name] for name in others)
-        await fleet.wait_until(fleet.list_reader, "a successor that reads for the other")
+        await fleet.wait_until(fleet.list_reader, "a successor that reads for the other member")
         fleet.start(owner)
-        await fleet.wait_until(lambda: fleet.metrics(owner).get("svc_targets") == 3, "the one that is back")
+        await fleet.wait_until(
+            lambda: fleet.metrics(owner).get("svc_targets") == 3, "the restarted dispatcher to have the list"
+        )
 
     run_fleet(tmp_path, '[cluster.register]\nshare = "list"\n', steps)
 
 
 def test_silent_service_discovery_changes_no_server_list(tmp_path: Path) -> None:
+    """Guards against dispatchers that drop servers while service discovery accepts connections but does not answer."""
+
     async def steps(fleet: Fleet) -> None:
-        owner = await fleet.wait_until(fleet.list_reader, "one that reads for all")
+        owner = await fleet.wait_until(fleet.list_reader, "a member that reads for all members")
         others = [name for name in DISPATCHER_NAMES if name != owner]
         fleet.discovery_server.silent = True
         for connection in list(fleet.discovery_server.connections):
-            connection.abort()  # the owner's watch fails, and so does all that follows
+            connection.abort()  # the lease holder's watch fails, and so does each later poll
         for name in others:
-            await fleet.wait_until(partial(fleet.logged_events, name, "register_own"), f"{name} to read by itself")
+            await fleet.wait_until(
+                partial(fleet.logged_events, name, "register_own"), f"{name} to poll service discovery itself"
+            )
         assert all(fleet.metrics(name)["svc_targets"] == 5 for name in DISPATCHER_NAMES)
         fleet.discovery_server.silent = False
         fleet.discovery_server.put("s4", lifecycle="left")
         for connection in list(fleet.discovery_server.connections):
             connection.abort()
         for name in DISPATCHER_NAMES:
-            await fleet.wait_until(partial(fleet.has_metric, name, "svc_targets", 4), f"{name} to read again")
+            await fleet.wait_until(
+                partial(fleet.has_metric, name, "svc_targets", 4), f"{name} to receive the list again"
+            )
 
     run_fleet(tmp_path, '[cluster.register]\nshare = "list"\n', steps)
 
 
 def test_each_server_is_checked_by_one_member_and_results_are_shared(tmp_path: Path) -> None:
+    """Guards against duplicate checks, and against a server that stays down after its checking member is killed."""
+
     async def steps(fleet: Fleet) -> None:
         for name in DISPATCHER_NAMES:
-            await fleet.wait_until(partial(fleet.has_metric, name, "svc_targets", 5), f"{name} to have its list")
+            await fleet.wait_until(
+                partial(fleet.has_metric, name, "svc_targets", 5), f"{name} to have its endpoint list"
+            )
         await fleet.wait_until(
             lambda: sum(fleet.metrics(n).get("svc_cluster_duties_owned", 0) for n in DISPATCHER_NAMES) == 4,
-            "all shards owned",
+            "a lease holder for each shard",
         )
         fleet.servers[3].close()
         for name in DISPATCHER_NAMES:
-            await fleet.wait_until(partial(fleet.has_metric, name, "svc_cluster_hosts_down", 1), f"{name}: s3 down")
+            await fleet.wait_until(
+                partial(fleet.has_metric, name, "svc_cluster_hosts_down", 1), f"{name} to find s3 down"
+            )
         assert sum(len(fleet.logged_events(name, "host_down")) for name in DISPATCHER_NAMES) == 1
         checking_member = next(name for name in DISPATCHER_NAMES if fleet.logged_events(name, "host_down"))
         fleet.processes[checking_member].kill()
@@ -241,14 +268,17 @@
         port = int(fleet.discovery_server.instances["s3"]["hostPort"].rsplit(":", 1)[1])
         await fleet.servers[3].open(port=port)
         for name in DISPATCHER_NAMES:
-            if name != checking_member:  # whoever took the shard over finds it up again
-                await fleet.wait_until(partial(fleet.has_metric, name, "svc_cluster_hosts_down", 0), f"{name}: s3 up")
+            if name != checking_member:  # the new lease holder of the shard finds s3 up again
+                await fleet.wait_until(
+                    partial(fleet.has_metric, name, "svc_cluster_hosts_down", 0), f"{name} to find s3 up"
+                )
 
     extra_config = "[cluster.probe]\nevery_s = 0.3\ntimeout_ms = 200\nshards = 4\n"
     run_fleet(tmp_path, extra_config, steps)
 
 
 def test_a_sweep_deletes_only_matching_old_files_of_its_folder(tmp_path: Path) -> None:
+    """Guards against a sweep that deletes new files, files outside the pattern, links or link targets."""
     shared = tmp_path / "shared"
     (shared / "folder.plan").mkdir(parents=True)
     old, new, other = shared / "old.plan", shared / "new.plan", shared / "old.txt"
@@ -259,7 +289,7 @@
         os.utime(path, (0, 0))
 
     async def steps(fleet: Fleet) -> None:
-        await fleet.wait_until(lambda: not old.exists(), "the sweep")
+        await fleet.wait_until(lambda: not old.exists(), "the sweep to delete the old file")
         assert new.exists()
         assert other.exists()
         assert (shared / "link.plan").is_symlink()
@@ -287,6 +317,7 @@
 def test_invalid_tables_are_reported_with_their_line(
     tmp_path: Path, extra_config: str, line: int, key: str, expected_text: str
 ) -> None:
+    """Guards against configuration problems that name the wrong line or key, or not what is accepted."""
     from heronlug.config.files import gather
 
     (tmp_path / "key").write_text("a key that is long enough")
@@ -301,6 +332,7 @@
 
 
 def test_a_position_beyond_the_dispatcher_count_is_reported(tmp_path: Path) -> None:
+    """Guards against a dispatcher that starts with ``position = 3`` although positions 0 to 2 exist."""
     from heronlug.config.files import gather
 
     path = tmp_path / "site.toml"
--- a/tests/cluster/test_replicated_tables.py
+++ b/tests/cluster/test_replicated_tables.py
@@ -1,4 +1,8 @@
-"""Replicated tables: the tree is canonical, a table is taken whole or not at all, and gets through whatever is lost."""
+"""Tests replicated tables and the Merkle trie that stores them.
+
+Equal rows must give equal tries, a version must be applied completely or not at all, and a change must reach each
+member despite lost datagrams.
+"""
 
 from random import Random
 
@@ -14,20 +18,22 @@
 TABLE = "register"
 KEYS = st.binary(min_size=1, max_size=24)
 VALUES = st.binary(max_size=90)
-MAX_PROPAGATION_MS = 2500.0  # ms in which a change has to be known by all: the drain promise
+MAX_PROPAGATION_MS = 2500.0
+"""Time limit for a change to reach all members, in milliseconds, as promised for draining servers."""
 
 
 @given(st.dictionaries(KEYS, VALUES, max_size=60), st.lists(st.tuples(KEYS, st.none() | VALUES), max_size=30))
 def test_the_same_rows_give_the_same_tree_and_the_difference_is_what_changed(
     rows: dict[bytes, bytes], changes: list[tuple[bytes, bytes | None]]
 ) -> None:
+    """Guards against tries that depend on the order of changes, and against wrong or incomplete differences."""
     nodes: dict[int, bytes] = {}
     original_root = root = merkle_trie.build(rows, nodes)
     changed = dict(rows)
     keys = [*rows]
     for number, (key, value) in enumerate(changes):
         if keys and number % 2:
-            key = keys[number % len(keys)]  # one that is there
+            key = keys[number % len(keys)]  # every second change targets an existing row
         root = merkle_trie.change(nodes, root, key, value)
         if value is None:
             changed.pop(key, None)
@@ -42,6 +48,7 @@
 
 @given(st.dictionaries(KEYS, VALUES, min_size=20, max_size=60), st.integers(0, 2**32))
 def test_missing_nodes_are_found_whatever_is_present(rows: dict[bytes, bytes], seed: int) -> None:
+    """Guards against a fetch that ends without all rows because some nodes were already present."""
     all_nodes: dict[int, bytes] = {}
     old_root = merkle_trie.build({key: rows[key] for key in list(rows)[::2]}, all_nodes)
     new_root = merkle_trie.build(rows, all_nodes)
@@ -56,6 +63,7 @@
 
 
 def test_a_row_too_long_for_a_datagram_is_rejected_and_changes_nothing() -> None:
+    """Guards against rows that exceed a datagram, and against a table changed by a rejected row."""
     nodes: dict[int, bytes] = {}
     root = merkle_trie.build({b"a": b"1"}, nodes)
     with pytest.raises(ValueError, match=f"{merkle_trie.MAX_ROW_SIZE} at most"):
@@ -65,6 +73,7 @@
 
 @given(st.binary(max_size=40))
 def test_malformed_nodes_raise(data: bytes) -> None:
+    """Guards against other errors than ``MalformedNodeError``, or an unknown node type, on arbitrary bytes."""
     try:
         merkle_trie.rows_of(data)
         merkle_trie.children_of(data)
@@ -74,7 +83,7 @@
 
 
 def replicated_network(seed: int, names: str | list[str], loss: float, rows: int = 60) -> tuple[VirtualNetwork, str]:
-    """Members that all have a table of so many rows, and who publishes it."""
+    """Returns a network whose members all have a table of ``rows`` rows, and the name of the writer."""
     net = VirtualNetwork(names, seed, loss=loss, leases=[TABLE], topics=[TABLE])
     for name in net.names:
         net.start(name)
@@ -87,19 +96,22 @@
 
 
 def members_with_other_rows(net: VirtualNetwork, rows: dict[bytes, bytes]) -> list[str]:
-    """Who has something else."""
+    """Returns the names of the members whose table differs from ``rows``."""
     return [name for name, process in net.processes.items() if process.tables[TABLE] != rows]
 
 
 @pytest.mark.parametrize(("members", "loss"), [(4, 0.0), (4, 0.3), (12, 0.3)])
 def test_a_change_reaches_all_members_within_the_drain_time(members: int, loss: float) -> None:
-    """Ten changes at each of six seeds, one row each; the table is never taken by halves."""
+    """Guards against a change that arrives late or is applied in part.
+
+    Publishes ten changes for each of six seeds; each change updates a row and removes another row.
+    """
     for seed in range(6):
         net, owner = replicated_network(seed, [f"m{n}" for n in range(members)], loss)
         rows = dict(net.processes[owner].tables[TABLE])
         for number in range(10):
             if not net.publish(owner, TABLE, {b"h%d" % number: b"draining", b"h%d" % (number + 20): None}):
-                break  # its lease has run out for want of answers: another publishes from what it has
+                break  # the lease expired because of lost responses; another member is the writer now
             before = dict(rows)
             rows[b"h%d" % number] = b"draining"
             rows.pop(b"h%d" % (number + 20), None)
@@ -107,20 +119,21 @@
             while members_with_other_rows(net, rows) and net.now - started_at <= MAX_PROPAGATION_MS:
                 net.run(20)
                 for process in net.processes.values():
-                    assert process.tables[TABLE] in (before, rows), f"seed {seed}: half of a change was taken"
+                    assert process.tables[TABLE] in (before, rows), f"seed {seed}: a change was applied in part"
             assert not members_with_other_rows(
                 net, rows
-            ), f"seed {seed}: {members_with_other_rows(net, rows)} do not know after {MAX_PROPAGATION_MS:.0f} ms"
+            ), f"seed {seed}: {members_with_other_rows(net, rows)} lack the change after {MAX_PROPAGATION_MS:.0f} ms"
 
 
 def test_a_dead_writer_is_noticed_and_its_successor_continues_from_its_rows() -> None:
+    """Guards against a table that counts as fresh after its writer's death, and against rows lost at takeover."""
     for seed in range(4):
         net, owner = replicated_network(seed, "abcd", 0.3)
         rows = dict(net.processes[owner].tables[TABLE])
         net.kill(owner)
         net.run(1600)
         ages = [process.node.tables.age(TABLE, process.clock()) for process in net.processes.values()]
-        assert min(ages) > 1000, f"seed {seed}: nobody publishes, and the sheet is taken for fresh"
+        assert min(ages) > 1000, f"seed {seed}: a table without a writer counts as fresh"
         net.run(4000)
         successor = net.owner(TABLE)
         assert successor is not None
@@ -131,6 +144,7 @@
 
 
 def test_a_paused_writer_does_not_restore_its_old_rows() -> None:
+    """Guards against a writer that resumes after its lease expired and overwrites its successor's rows."""
     net, owner = replicated_network(9, "abcd", 0.0)
     net.pause(owner, 9000)
     net.run(7000)
@@ -138,7 +152,7 @@
     assert successor is not None
     assert successor != owner
     assert net.publish(successor, TABLE, {b"h1": b"new"})
-    net.run(2500)  # the one before is back, with a lease that has run out
+    net.run(2500)  # the paused writer resumes with an expired lease
     assert not net.publish(owner, TABLE, {b"h1": b"old"})
     net.run(2500)
     assert not members_with_other_rows(net, {**net.processes[successor].tables[TABLE]})
@@ -146,6 +160,7 @@
 
 
 def test_both_sides_of_a_healed_partition_converge_to_one_table() -> None:
+    """Guards against two writers and two tables that remain after both sides of a partition have published."""
     net, owner = replicated_network(4, "abcd", 0.0)
     net.may_overlap = True
     net.split("ab", "cd")
@@ -163,6 +178,7 @@
 
 
 def test_a_late_joiner_gets_the_complete_table() -> None:
+    """Guards against a joining member that never gets the nodes published before it joined."""
     net, owner = replicated_network(5, "abcd", 0.3, rows=400)
     joiner = next(name for name in net.names if name != owner)
     net.kill(joiner)
@@ -177,6 +193,7 @@
 
 
 def test_nodes_of_old_versions_are_dropped() -> None:
+    """Guards against unbounded memory use by nodes of replaced versions."""
     net, owner = replicated_network(6, "ab", 0.0, rows=200)
     for number in range(400):
         assert net.publish(owner, TABLE, {b"h%d" % (number % 200): b"%d" % number})
@@ -196,6 +213,7 @@
 
 
 def test_a_table_under_a_lower_token_is_ignored() -> None:
+    """Guards against a stale writer that replaces the table of a writer with a higher fencing token."""
     net, owner = replicated_network(7, "ab", 0.0)
     other = next(name for name in net.names if name != owner)
     tables = net.processes[other].node.tables
--- a/tests/cluster/test_server_view.py
+++ b/tests/cluster/test_server_view.py
@@ -1,4 +1,4 @@
-"""Which list is used, what the core is told, and which server is checked when."""
+"""Tests the choice of the endpoint list, the changes reported to the core, and the schedule of health checks."""
 
 from typing import Any
 
@@ -22,6 +22,7 @@
 
 
 def test_the_shared_list_is_used_once_the_own_watch_ends() -> None:
+    """Guards against a dispatcher that stays on its own list after it has closed its watch."""
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a", "b"))
     view.apply_shared_update(6, servers("a"), [])
@@ -32,6 +33,7 @@
 
 
 def test_a_change_of_source_reports_only_differences() -> None:
+    """Guards against reports of unchanged servers, and against missed removals, when the used list changes."""
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a", "b", "c"))
     view.apply_shared_update(8, servers("a", "b"), [])
@@ -43,6 +45,7 @@
 
 
 def test_a_failed_watch_changes_no_server() -> None:
+    """Guards against servers that are dropped because service discovery fails."""
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a"))
     assert view.apply_own_update(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
@@ -51,28 +54,28 @@
 
 
 def test_a_newer_shared_list_only_takes_servers_away() -> None:
-    """``share = "news"``: nothing is sent to a host that our own list has not named."""
+    """Guards against requests to a server that the own list does not contain, in mode ``share = "news"``."""
     view = ServerView("news")
     view.apply_own_update(ListKind.FULL, 7, servers("a", "b", "c"))
     view.apply_shared_update(8, [*servers("a", state=DRAINING), *servers("b", "new")], [])
     assert states(view) == {"a": DRAINING, "b": READY}
     view.apply_own_update(ListKind.CHANGES, 8, servers("a", state=DRAINING))
-    assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # ours is as new now, and counts
+    assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # the own list now has the same version and is used
 
 
 def test_a_server_found_down_drains_until_it_is_up() -> None:
+    """Guards against a result that another shard or an update of the endpoint list overrides."""
     view = ServerView("none", panic_share=0.5)
     view.apply_own_update(ListKind.FULL, 1, servers("a", "b", "c", "d"))
     assert view.apply_health_results("probe-1", ["a"], []) == servers("a", state=DRAINING)
-    assert view.apply_health_results("probe-2", [], ["a"]) == []  # another shard has no say in it
-    assert view.apply_own_update(ListKind.CHANGES, 2, servers("a")) == (
-        ListKind.CHANGES,
-        [],
-    )  # the register knows nothing of it
+    assert view.apply_health_results("probe-2", [], ["a"]) == []  # a result of another shard is ignored
+    # service discovery still reports the server as ready, which does not override the health check
+    assert view.apply_own_update(ListKind.CHANGES, 2, servers("a")) == (ListKind.CHANGES, [])
     assert view.apply_health_results("probe-1", [], ["a"]) == servers("a")
 
 
 def test_health_checks_that_find_most_servers_down_are_ignored() -> None:
+    """Guards against draining most servers when the health checks themselves fail."""
     view = ServerView("none", panic_share=0.5)
     view.apply_own_update(ListKind.FULL, 1, servers("a", "b", "c", "d"))
     view.apply_health_results("probe-1", ["a", "b"], [])
@@ -96,7 +99,10 @@
 
 @given(st.sampled_from(["none", "list", "news"]), st.lists(STEPS, max_size=40))
 def test_reported_changes_add_up_to_the_view(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
-    """The core, which applies the reported changes, ends with the servers of the view, and none is on no list."""
+    """Guards against reported changes that leave the core with other servers than the view.
+
+    Also checks that each reported server is on a list that the view may use.
+    """
     view, core = ServerView(share, 1500), dict[str, ListedServer]()
 
     def apply(kind: ListKind, entries: list[ListedServer]) -> None:
@@ -122,6 +128,7 @@
 
 
 def test_checks_are_spread_and_a_state_changes_after_several_in_a_row() -> None:
+    """Guards against bursts of checks, and against a state change after too few consecutive results."""
     schedule = HealthCheckSchedule(1000, fall=3, rise=2, max_in_flight=64)
     schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
     started = []
@@ -143,6 +150,7 @@
 
 
 def test_checks_in_flight_are_limited_and_removed_servers_do_not_count() -> None:
+    """Guards against removed or replaced servers whose running checks count toward the limit forever."""
     schedule = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
     schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
     first = schedule.start_due(1000.0)
@@ -158,6 +166,7 @@
 
 
 def test_a_new_shard_owner_starts_with_the_servers_that_are_down() -> None:
+    """Guards against a lease change that marks a server as up before enough checks have succeeded."""
     schedule = HealthCheckSchedule(100, fall=3, rise=2, max_in_flight=4)
     schedule.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
     now = 0.0
@@ -169,5 +178,6 @@
 
 
 def test_every_server_has_one_shard() -> None:
+    """Guards against shards of very different sizes."""
     shards = [shard_of(f"s-{n:08x}", 8) for n in range(4000)]
     assert all(400 < shards.count(number) < 600 for number in range(8))
