--- a/heronlug/cluster/status.py
+++ b/heronlug/cluster/status.py
@@ -1,6 +1,7 @@
-"""What operators see of the cluster: its members, its leases and its figures.
+"""Reports the members, leases and metrics of the cluster to operators.
 
-Keys of rows and names of figures are part of the command line and of the metrics endpoint, and keep their names.
+The keys of rows and the names of metrics appear on the command line and at the metrics endpoint, so they must not
+change.
 """
 
 from collections.abc import Mapping
@@ -14,30 +15,32 @@
 from heronlug.cluster.shared_discovery import SharedDiscovery
 
 
-class _Figure(NamedTuple):
+class _Metric(NamedTuple):
+    """The value of a metric and its Prometheus type."""
+
     kind: str
     """``counter`` or ``gauge``."""
     value: int
 
 
-def _counter(value: int) -> _Figure:
-    return _Figure("counter", value)
+def _counter(value: int) -> _Metric:
+    return _Metric("counter", value)
 
 
-def _gauge(value: int) -> _Figure:
-    return _Figure("gauge", value)
+def _gauge(value: int) -> _Metric:
+    return _Metric("gauge", value)
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterStatus:
-    """The cluster as one member knows it at a time.
+    """A member's view of the cluster at a point in time.
 
     Attributes:
         node: The member.
-        tasks: Its periodic tasks by name.
-        now: The time by its clock, in milliseconds.
-        discovery: Its part in shared service discovery, if there is any.
-        health_checker: Its health checks, if configured.
+        tasks: The member's periodic tasks by name.
+        now: The time of the member's clock, in milliseconds.
+        discovery: The member's shared service discovery; None if service discovery is not shared.
+        health_checker: The member's health checker; None if health checks are not configured.
     """
 
     node: Node
@@ -47,7 +50,7 @@
     health_checker: HealthChecker | None
 
     def members(self) -> list[dict[str, Any]]:
-        """A row for each member, this one first."""
+        """Returns a row for each member, this member first."""
         local = self.node.local
         rows: list[dict[str, Any]] = [
             {
@@ -71,7 +74,10 @@
         return rows
 
     def leases(self) -> list[dict[str, Any]]:
-        """A row for each lease; one without runs serves shared service discovery or health checks."""
+        """Returns a row for each lease.
+
+        ``runs`` is None for the leases of shared service discovery and health checks, which run no periodic task.
+        """
         return [self._lease(lease) for lease in self.node.leases.leases.values()]
 
     def _lease(self, lease: LeaseState) -> dict[str, Any]:
@@ -91,19 +97,19 @@
         }
 
     def metrics(self) -> str:
-        """All figures in Prometheus' text format."""
-        figures = {**self._node_figures(), **self._discovery_figures()}
+        """Returns all metrics in the Prometheus text format."""
+        metrics = {**self._node_metrics(), **self._discovery_metrics()}
         if self.health_checker is not None:
-            figures.update({f"host_{name}": _counter(count) for name, count in self.health_checker.counts.items()})
+            metrics.update({f"host_{name}": _counter(count) for name, count in self.health_checker.counts.items()})
         lines: list[str] = []
-        for name, figure in figures.items():
-            lines += [f"# TYPE svc_cluster_{name} {figure.kind}", f"svc_cluster_{name} {figure.value}"]
+        for name, metric in metrics.items():
+            lines += [f"# TYPE svc_cluster_{name} {metric.kind}", f"svc_cluster_{name} {metric.value}"]
         lines.append("# TYPE svc_cluster_dropped counter")
         for reason, count in sorted(self.node.codec.dropped.items()):
             lines.append(f'svc_cluster_dropped{{why="{reason}"}} {count}')
         return "\n".join([*lines, ""])
 
-    def _node_figures(self) -> dict[str, _Figure]:
+    def _node_metrics(self) -> dict[str, _Metric]:
         membership, tables = self.node.membership, self.node.tables
         return {
             "members": _gauge(len(membership.active_members()) + 1),
@@ -119,7 +125,7 @@
             "pieces_taken": _counter(tables.counts["pieces_taken"]),
         }
 
-    def _discovery_figures(self) -> dict[str, _Figure]:
+    def _discovery_metrics(self) -> dict[str, _Metric]:
         if self.discovery is None:
             return {}
         view = self.discovery.view
--- a/tests/cluster/test_server_view.py
+++ b/tests/cluster/test_server_view.py
@@ -1,4 +1,4 @@
-"""Which list is used, what the core is told, and which server is checked when."""
+"""Tests the choice of the endpoint list, the changes reported to the core, and the schedule of health checks."""
 
 from typing import Any
 
@@ -22,6 +22,7 @@
 
 
 def test_the_shared_list_is_used_once_the_own_watch_ends() -> None:
+    """Guards against a dispatcher that stays on its own list after it has closed its watch."""
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a", "b"))
     view.apply_shared_update(6, servers("a"), [])
@@ -32,6 +33,7 @@
 
 
 def test_a_change_of_source_reports_only_differences() -> None:
+    """Guards against reports of unchanged servers, and against missed removals, when the used list changes."""
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a", "b", "c"))
     view.apply_shared_update(8, servers("a", "b"), [])
@@ -43,6 +45,7 @@
 
 
 def test_a_failed_watch_changes_no_server() -> None:
+    """Guards against servers that are dropped because service discovery fails."""
     view = ServerView("list")
     view.apply_own_update(ListKind.FULL, 7, servers("a"))
     assert view.apply_own_update(ListKind.FAILED, 7, []) == (ListKind.FAILED, [])
@@ -51,28 +54,28 @@
 
 
 def test_a_newer_shared_list_only_takes_servers_away() -> None:
-    """``share = "news"``: nothing is sent to a host that our own list has not named."""
+    """Guards against requests to a server that the own list does not contain, in mode ``share = "news"``."""
     view = ServerView("news")
     view.apply_own_update(ListKind.FULL, 7, servers("a", "b", "c"))
     view.apply_shared_update(8, [*servers("a", state=DRAINING), *servers("b", "new")], [])
     assert states(view) == {"a": DRAINING, "b": READY}
     view.apply_own_update(ListKind.CHANGES, 8, servers("a", state=DRAINING))
-    assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # ours is as new now, and counts
+    assert states(view) == {"a": DRAINING, "b": READY, "c": READY}  # the own list now has the same version and is used
 
 
 def test_a_server_found_down_drains_until_it_is_up() -> None:
+    """Guards against a result that another shard or an update of the endpoint list overrides."""
     view = ServerView("none", panic_share=0.5)
     view.apply_own_update(ListKind.FULL, 1, servers("a", "b", "c", "d"))
     assert view.apply_health_results("probe-1", ["a"], []) == servers("a", state=DRAINING)
-    assert view.apply_health_results("probe-2", [], ["a"]) == []  # another shard has no say in it
-    assert view.apply_own_update(ListKind.CHANGES, 2, servers("a")) == (
-        ListKind.CHANGES,
-        [],
-    )  # the register knows nothing of it
+    assert view.apply_health_results("probe-2", [], ["a"]) == []  # a result of another shard is ignored
+    # service discovery still reports the server as ready, which does not override the health check
+    assert view.apply_own_update(ListKind.CHANGES, 2, servers("a")) == (ListKind.CHANGES, [])
     assert view.apply_health_results("probe-1", [], ["a"]) == servers("a")
 
 
 def test_health_checks_that_find_most_servers_down_are_ignored() -> None:
+    """Guards against draining most servers when the health checks themselves fail."""
     view = ServerView("none", panic_share=0.5)
     view.apply_own_update(ListKind.FULL, 1, servers("a", "b", "c", "d"))
     view.apply_health_results("probe-1", ["a", "b"], [])
@@ -86,7 +89,7 @@
     assert view.withdraw("probe-1") == servers("a", "b")
 
 
-STEP = st.one_of(
+STEPS = st.one_of(
     st.tuples(st.just("own"), st.sampled_from(list(ListKind)), st.lists(st.sampled_from("abcde"), unique=True)),
     st.tuples(st.just("shared"), st.integers(0, 20), st.lists(st.sampled_from("abcdef"), unique=True)),
     st.tuples(st.just("verdict"), st.booleans(), st.sampled_from("abcdef")),
@@ -94,9 +97,12 @@
 )
 
 
-@given(st.sampled_from(["none", "list", "news"]), st.lists(STEP, max_size=40))
+@given(st.sampled_from(["none", "list", "news"]), st.lists(STEPS, max_size=40))
 def test_reported_changes_add_up_to_the_view(share: str, steps: list[tuple[str, Any, list[str]]]) -> None:
-    """The core, which applies the reported changes, ends with the servers of the view, and none is on no list."""
+    """Guards against reported changes that leave the core with other servers than the view.
+
+    Also checks that each reported server is on a list that the view may use.
+    """
     view, core = ServerView(share, 1500), dict[str, ListedServer]()
 
     def apply(kind: ListKind, entries: list[ListedServer]) -> None:
@@ -105,23 +111,24 @@
         for entry in entries:
             core[entry.name] = entry
 
-    for number, (what, how, names) in enumerate(steps):
-        if what == "own":
-            update = view.apply_own_update(ListKind(how), number, servers(*names))
+    for number, (step, value, names) in enumerate(steps):
+        if step == "own":
+            update = view.apply_own_update(ListKind(value), number, servers(*names))
             apply(*(update or (ListKind.CHANGES, [])))
-        elif what == "shared":
-            gone = [name for name in view.shared.servers if name not in names]
-            apply(ListKind.CHANGES, view.apply_shared_update(how, servers(*names), gone))
-        elif what == "verdict":
-            apply(ListKind.CHANGES, view.apply_health_results("s", *((names, []) if how else ([], names))))
+        elif step == "shared":
+            removed = [name for name in view.shared.servers if name not in names]
+            apply(ListKind.CHANGES, view.apply_shared_update(value, servers(*names), removed))
+        elif step == "verdict":
+            apply(ListKind.CHANGES, view.apply_health_results("s", *((names, []) if value else ([], names))))
         else:
-            apply(*(view.select_source(own=bool(how)) or (ListKind.CHANGES, [])))
+            apply(*(view.select_source(own=bool(value)) or (ListKind.CHANGES, [])))
         assert {name: e for name, e in core.items() if e.state is not REMOVED} == view.reported
         named = view.own.servers.keys() | (view.shared.servers.keys() if share == "list" else set())
         assert view.reported.keys() <= named
 
 
 def test_checks_are_spread_and_a_state_changes_after_several_in_a_row() -> None:
+    """Guards against bursts of checks, and against a state change after too few consecutive results."""
     schedule = HealthCheckSchedule(1000, fall=3, rise=2, max_in_flight=64)
     schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(50)}, [], 0.0)
     started = []
@@ -130,19 +137,20 @@
         started += [name for name, _ in batch]
         assert len(batch) < 15
         for name, address in batch:
-            schedule.ended(name, address, True)
+            schedule.record_result(name, address, True)
     assert sorted(started) == sorted({f"h{n}" for n in range(50)})
     results, now = [], 1000.0
     for succeeded in (False, False, True, False, False, False, True, True):
         now = schedule.servers["h0"].due
         for name, address in schedule.start_due(now):
-            result = schedule.ended(name, address, succeeded or name != "h0")
+            result = schedule.record_result(name, address, succeeded or name != "h0")
             if name == "h0":
                 results.append(result)
     assert results == [None, None, None, None, None, False, None, True]
 
 
 def test_checks_in_flight_are_limited_and_removed_servers_do_not_count() -> None:
+    """Guards against removed or replaced servers whose running checks count toward the limit forever."""
     schedule = HealthCheckSchedule(100, fall=1, rise=1, max_in_flight=4)
     schedule.use({f"h{n}": f"127.0.0.1:{9000 + n}" for n in range(20)}, [], 0.0)
     first = schedule.start_due(1000.0)
@@ -151,23 +159,25 @@
     assert schedule.next_wake() == float("inf")
     schedule.use({"h0": "127.0.0.1:9000"}, [], 1000.0)
     assert schedule.in_flight == sum(name == "h0" for name, _ in first)
-    assert all(schedule.ended(name, address, False) is None for name, address in first if name != "h0")
+    assert all(schedule.record_result(name, address, False) is None for name, address in first if name != "h0")
     schedule.use({"h0": "127.0.0.1:9999"}, ["h0"], 1000.0)
     assert not schedule.servers["h0"].down
     assert schedule.in_flight == 0
 
 
 def test_a_new_shard_owner_starts_with_the_servers_that_are_down() -> None:
+    """Guards against a lease change that marks a server as up before enough checks have succeeded."""
     schedule = HealthCheckSchedule(100, fall=3, rise=2, max_in_flight=4)
     schedule.use({"a": "127.0.0.1:9000"}, ["a"], 0.0)
     now = 0.0
     results = []
     for _ in range(2):
         now = schedule.next_wake()
-        results += [schedule.ended(*which, True) for which in schedule.start_due(now)]
+        results += [schedule.record_result(*due_check, True) for due_check in schedule.start_due(now)]
     assert results == [None, True]
 
 
 def test_every_server_has_one_shard() -> None:
+    """Guards against shards of very different sizes."""
     shards = [shard_of(f"s-{n:08x}", 8) for n in range(4000)]
     assert all(400 < shards.count(number) < 600 for number in range(8))
