--- a/heronlug/backends/connection.py
+++ b/heronlug/backends/connection.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from heronlug.backends.response import ResponseReader, Verdict
+from heronlug.backends.response import AttemptResult, ResponseReader
 from heronlug.balancer.events import Outcome, ProgressKind
 from heronlug.frontends.http.request import forwarded_headers
 from heronlug.net import http
@@ -18,7 +18,7 @@
 from heronlug.requests.interfaces import EventLog
 from heronlug.requests.model import Attempt, Server
 
-WITHHOLD_MS = 10.0
+LAST_BYTE_DELAY_MS = 10.0
 """The last byte of a non-idempotent request is withheld for so long.
 
 A connection that breaks until then, as a reused one that the server has forgotten or a new one that it drops, proves
@@ -85,7 +85,7 @@
     def remove(self, connection: "ServerConnection") -> None:
         """The connection is closed."""
 
-    def distrust_reused(self) -> None:
+    def suspend_reuse(self) -> None:
         """A reused connection has broken under its request without a response."""
 
 
@@ -103,7 +103,7 @@
         timer: The deadline of the dial, of the idle time, or of the last chunk.
         request_id: The id of the request that was written last.
         reused: Whether it has carried a request before.
-        unnamed_until: Until when a repetition of its last response would be taken for the next request's, in ms.
+        ambiguous_until: Until when a repetition of its last response would be taken for the next request's, in ms.
     """
 
     def __init__(self, pool: ConnectionOwner, server: Server, address: str) -> None:
@@ -117,11 +117,11 @@
         self.timer: Key | None = None
         self.request_id = ""
         self.reused = False
-        self.unnamed_until = 0.0
+        self.ambiguous_until = 0.0
         self._pool = pool
         self._response: ResponseReader | None = None
-        self._unwritten = False  # bytes wait in the transport's buffer
-        self._withheld = b""  # the last byte of the request
+        self._has_unwritten_bytes = False  # bytes wait in the transport's buffer
+        self._withheld_byte = b""  # the last byte of the request
 
     @property
     def is_closed(self) -> bool:
@@ -129,7 +129,7 @@
         return self.state is ConnectionState.CLOSED
 
     @property
-    def is_silent(self) -> bool:
+    def has_no_input(self) -> bool:
         """Whether it is connected and nothing, not even an end, waits to be read."""
         return self.transport is not None and not has_unread_input(self.transport)
 
@@ -147,11 +147,11 @@
 
     def pause_writing(self) -> None:
         """Bytes wait in the transport's buffer."""
-        self._unwritten = True
+        self._has_unwritten_bytes = True
 
     def resume_writing(self) -> None:
         """The transport's buffer is empty."""
-        self._unwritten = False
+        self._has_unwritten_bytes = False
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of the response."""
@@ -162,10 +162,10 @@
             return
         try:
             self._response.feed(data)
-            self._settle()
+            self._end_attempt_if_decided()
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._end_attempt(Outcome.ERROR)
-            self._log_invalid(str(error.__context__ or error))
+            self._log_protocol_error(str(error.__context__ or error))
             self.close()
         except Exception as error:  # one connection ends, the process does not
             self._pool.log("exception", where="south", error=repr(error))
@@ -179,10 +179,10 @@
         is_active = self.state is ConnectionState.ACTIVE
         if response is not None and is_active and self.attempt is not None and exc is None:
             response.finish()
-            self._settle()
+            self._end_attempt_if_decided()
         if self.reused and self.attempt is not None and response is not None and not response.begun:
-            self._pool.distrust_reused()
-        never_ran = self._unwritten or not is_active
+            self._pool.suspend_reuse()
+        never_ran = self._has_unwritten_bytes or not is_active
         self._end_attempt(Outcome.CONNECT_FAILED if never_ran else Outcome.RESET)
         self.close()
         self._pool.flush()
@@ -199,13 +199,13 @@
         headers = forwarded_headers(request, remaining)
         data = http.request(request.method, request.target, self.address, headers, request.body)
         self._begin(attempt, request.request_id)
-        self._unwritten = False
-        self._withheld = b""
+        self._has_unwritten_bytes = False
+        self._withheld_byte = b""
         if self._pool.core.is_non_idempotent(attempt):
             self._withhold(data[-1:])
             data = data[:-1]
         transport.write(data)
-        if not self._withheld:
+        if not self._withheld_byte:
             self._report_written(attempt)
 
     def release(self) -> None:
@@ -241,9 +241,9 @@
         response = self._response
         if self.state is not ConnectionState.ACTIVE or transport is None or response is None:
             return False
-        if transport.is_closing() or self._withheld or transport.get_write_buffer_size():
+        if transport.is_closing() or self._withheld_byte or transport.get_write_buffer_size():
             return False
-        return response.verdict is None and response.at_line_boundary
+        return response.attempt_result is None and response.at_line_boundary
 
     def pause_for_handover(self) -> PausedConnection:
         """Stop reading; another process goes on with the descriptor."""
@@ -275,27 +275,27 @@
         self.attempt = attempt
         self.state = ConnectionState.ACTIVE
         self._response = ResponseReader(
-            request_id, previous_request_id, partial(self._report_progress, attempt), self._log_invalid
+            request_id, previous_request_id, partial(self._report_progress, attempt), self._log_protocol_error
         )
         return self._response
 
     def _withhold(self, last_byte: bytes) -> None:
-        self._withheld = last_byte
+        self._withheld_byte = last_byte
         if self._response is not None:
             self._response.request_withheld = True
-        self.timer = self._pool.deadlines.call_after(WITHHOLD_MS, self._write_withheld)
+        self.timer = self._pool.deadlines.call_after(LAST_BYTE_DELAY_MS, self._write_withheld)
 
     def _write_withheld(self) -> None:
         """Send the last byte, if the connection has held; from here on the request may have run."""
         attempt = self.attempt
         if self.is_closed or attempt is None or self.transport is None or self._response is None:
             return
-        if not self.is_silent or not self._pool.core.may_write(attempt):
+        if not self.has_no_input or not self._pool.core.may_write(attempt):
             self._end_attempt(Outcome.CONNECT_FAILED)
             self.close()
             return
-        last_byte = self._withheld
-        self._withheld = b""
+        last_byte = self._withheld_byte
+        self._withheld_byte = b""
         self._response.request_withheld = False
         self.transport.write(last_byte)
         self._report_written(attempt)
@@ -306,46 +306,48 @@
             return
         if self.transport.get_write_buffer_size() == 0:
             self._pool.core.attempt_written()
-        elif not self._unwritten:
+        elif not self._has_unwritten_bytes:
             asyncio.get_running_loop().call_soon(self._report_written, attempt)
         elif self.attempt is attempt:
-            self._pool.deadlines.call_after(WITHHOLD_MS, self._report_written, attempt)
+            self._pool.deadlines.call_after(LAST_BYTE_DELAY_MS, self._report_written, attempt)
 
     def _report_progress(self, attempt: Attempt, kind: ProgressKind, share: float) -> None:
         self._pool.core.attempt_progressed(attempt, kind, share)
 
-    def _log_invalid(self, error: str) -> None:
+    def _log_protocol_error(self, error: str) -> None:
         self._pool.log("bad_host", host=self.server.entry.name, error=error)
 
-    def _settle(self) -> None:
+    def _end_attempt_if_decided(self) -> None:
         """Act on what has been read; the connection is free before its attempt ends, so that the next can have it."""
         response = self._response
-        if response is None or response.verdict is None or self.is_closed:
+        if response is None or response.attempt_result is None or self.is_closed:
             return
         attempt = self.attempt
         self.attempt = None
-        verdict = response.verdict
-        if self._withheld and verdict.outcome not in (Outcome.FULL, Outcome.REJECTED_BY_SERVER):
-            verdict = response.verdict = Verdict(Outcome.CONNECT_FAILED)  # an incomplete request never ran
+        attempt_result = response.attempt_result
+        if self._withheld_byte and attempt_result.outcome not in (Outcome.FULL, Outcome.REJECTED_BY_SERVER):
+            attempt_result = response.attempt_result = AttemptResult(
+                Outcome.CONNECT_FAILED
+            )  # an incomplete request never ran
         now = self._pool.deadlines.clock()
-        self.unnamed_until = now + REPETITION_WINDOW_MS if response.is_unnamed else 0.0
-        if response.complete and response.keep_alive and not self._withheld:
+        self.ambiguous_until = now + REPETITION_WINDOW_MS if response.lacks_request_id else 0.0
+        if response.complete and response.keep_alive and not self._withheld_byte:
             self._pool.release(self)
-        elif response.complete or self._withheld:
+        elif response.complete or self._withheld_byte:
             self.close()
         elif attempt is not None:
             self._pool.deadlines.cancel(self.timer)
             self.timer = self._pool.deadlines.call_after(LAST_CHUNK_TIMEOUT_MS, self.close)
         if attempt is not None:
             attempt.exchange = None
-            self._pool.core.attempt_ended(attempt, verdict.outcome, verdict.result)
+            self._pool.core.attempt_ended(attempt, attempt_result.outcome, attempt_result.result)
 
     def _end_attempt(self, outcome: Outcome) -> None:
         attempt = self.attempt
         self.attempt = None
         if attempt is not None:
             attempt.exchange = None
-            self._pool.core.attempt_ended(attempt, Outcome.CONNECT_FAILED if self._withheld else outcome)
+            self._pool.core.attempt_ended(attempt, Outcome.CONNECT_FAILED if self._withheld_byte else outcome)
 
     def _connected_transport(self) -> asyncio.Transport:
         if self.transport is None:
--- a/heronlug/backends/pool.py
+++ b/heronlug/backends/pool.py
@@ -21,7 +21,7 @@
 A request that meets the server's own close is reset, which a non-idempotent one does not survive.
 """
 
-DISTRUST_MS = 30_000.0
+REUSE_SUSPENSION_MS = 30_000.0
 """After a reused connection broke under a request, non-idempotent ones go out on new connections for so long.
 
 Some servers drop a connection only when the request is complete, and then it may have run.
@@ -73,7 +73,7 @@
         self._dial_timeout = dial_timeout
         self._idle: dict[int, deque[ServerConnection]] = {}  # by server, the one used last at the end
         self._adoptions: set[asyncio.Task[Any]] = set()
-        self._distrust_until = 0.0
+        self._reuse_suspended_until = 0.0
 
     # -- The core's calls
 
@@ -163,9 +163,9 @@
         if idle and connection in idle:
             idle.remove(connection)
 
-    def distrust_reused(self) -> None:
+    def suspend_reuse(self) -> None:
         """Send non-idempotent requests on new connections for a while."""
-        self._distrust_until = self.deadlines.clock() + DISTRUST_MS
+        self._reuse_suspended_until = self.deadlines.clock() + REUSE_SUSPENSION_MS
 
     # -- Internals
 
@@ -173,7 +173,7 @@
         """An idle connection that the attempt can use; those that nobody can use are closed."""
         idle = self._idle.get(attempt.server.number)
         non_idempotent = self.core.is_non_idempotent(attempt)
-        if non_idempotent and self.deadlines.clock() < self._distrust_until:
+        if non_idempotent and self.deadlines.clock() < self._reuse_suspended_until:
             return None
         while idle:
             connection = idle.pop()
@@ -186,7 +186,7 @@
     def _is_usable(self, connection: ServerConnection, attempt: Attempt, non_idempotent: bool) -> bool:
         if self._has_expired(connection) or self._may_confuse_responses(connection, attempt, non_idempotent):
             return False
-        return connection.address == attempt.server.entry.address and connection.is_silent
+        return connection.address == attempt.server.entry.address and connection.has_no_input
 
     def _has_expired(self, connection: ServerConnection) -> bool:
         """Whether the idle time is over, though the loop has not closed the connection yet."""
@@ -196,7 +196,9 @@
         """Whether a repetition of the last response could be taken for the attempt's."""
         if connection.request_id == attempt.request.payload.request_id:
             return True
-        return self.deadlines.clock() < connection.unnamed_until or (non_idempotent and connection.unnamed_until > 0.0)
+        return self.deadlines.clock() < connection.ambiguous_until or (
+            non_idempotent and connection.ambiguous_until > 0.0
+        )
 
     def _add(self, attempt: Attempt) -> ServerConnection:
         connection = ServerConnection(self, attempt.server, attempt.server.entry.address)
--- a/heronlug/backends/response.py
+++ b/heronlug/backends/response.py
@@ -9,14 +9,14 @@
 from heronlug.balancer.events import Outcome, ProgressKind
 from heronlug.net import http
 
-STATUSES_OF_SERVER = (408, 429)
+SERVER_SIDE_STATUSES = (408, 429)
 """Of the 4xx, these say nothing against the request."""
 
-FINAL_STATES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
+OUTCOMES_BY_FINAL_STATE = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 """Outcomes by the protocol's words for the states that end a request without a result."""
 
 
-class Verdict(NamedTuple):
+class AttemptResult(NamedTuple):
     """How an attempt has ended, as the server says.
 
     Attributes:
@@ -34,7 +34,7 @@
     Some servers repeat the response to the request before, so lines that name that request are skipped.
 
     Attributes:
-        verdict: How the attempt has ended; None while it runs.
+        attempt_result: How the attempt has ended; None while it runs.
         complete: Whether the response is complete.
         keep_alive: Whether the connection can be used again; known once the response is complete.
         begun: Whether the server has begun to respond.
@@ -66,7 +66,7 @@
             on_progress: Receives the progress of the work and the share of it that is done.
             on_invalid_line: Receives what is wrong with a line that breaks the protocol.
         """
-        self.verdict: Verdict | None = None
+        self.attempt_result: AttemptResult | None = None
         self.complete = False
         self.keep_alive = False
         self.request_withheld = False
@@ -78,9 +78,9 @@
         self._expect_head()
 
     @property
-    def is_unnamed(self) -> bool:
+    def lacks_request_id(self) -> bool:
         """Whether the response names no request, so that a repetition would be taken for the next request's."""
-        return self._status != 200 or (self.verdict is not None and self.verdict.outcome is Outcome.FULL)
+        return self._status != 200 or (self.attempt_result is not None and self.attempt_result.outcome is Outcome.FULL)
 
     @property
     def at_line_boundary(self) -> bool:
@@ -130,11 +130,11 @@
         """The head is complete: every status but 200 ends the attempt."""
         self._status = self._parser.get_status_code()
         if self._status in (503, 504) and self._rejected:
-            self.verdict = Verdict(Outcome.FULL)
-        elif 400 <= self._status < 500 and self._status not in STATUSES_OF_SERVER:
-            self.verdict = Verdict(Outcome.REJECTED_BY_SERVER)
+            self.attempt_result = AttemptResult(Outcome.FULL)
+        elif 400 <= self._status < 500 and self._status not in SERVER_SIDE_STATUSES:
+            self.attempt_result = AttemptResult(Outcome.REJECTED_BY_SERVER)
         elif self._status >= 200 and self._status != 200:
-            self.verdict = Verdict(Outcome.ERROR)
+            self.attempt_result = AttemptResult(Outcome.ERROR)
 
     def on_chunk_header(self) -> None:
         """A chunk begins."""
@@ -154,10 +154,10 @@
         """A response is complete."""
         if self._status == 200:
             self.finish()
-        if self._is_repeated and self.verdict is None:
+        if self._is_repeated and self.attempt_result is None:
             self._expect_head()
         elif self._status >= 200:
-            self.verdict = self.verdict or Verdict(Outcome.RESET)  # it ended before the last line
+            self.attempt_result = self.attempt_result or AttemptResult(Outcome.RESET)  # it ended before the last line
             self.complete = True
             # After this callback the parser answers as if the next response had begun.
             self.keep_alive = self._parser.should_keep_alive()
@@ -175,13 +175,13 @@
         self._lines = http.Lines()
 
     def _read_line(self, line: bytes) -> None:
-        if self.verdict is not None:
+        if self.attempt_result is not None:
             return
         try:
             self._apply_line(orjson.loads(line))
         except (ValueError, KeyError, TypeError, AttributeError, UnicodeError) as error:
             self._on_invalid_line(repr(error))
-            self.verdict = Verdict(Outcome.ERROR)
+            self.attempt_result = AttemptResult(Outcome.ERROR)
 
     def _apply_line(self, message: dict[str, Any]) -> None:
         state = message["state"]
@@ -195,6 +195,6 @@
         elif state == "running":
             self._on_progress(ProgressKind.PROGRESS, float(message.get("share", 0.0)))
         elif state == "done":
-            self.verdict = Verdict(Outcome.SERVED, message["result"].encode())
+            self.attempt_result = AttemptResult(Outcome.SERVED, message["result"].encode())
         else:
-            self.verdict = Verdict(FINAL_STATES[state])
+            self.attempt_result = AttemptResult(OUTCOMES_BY_FINAL_STATE[state])
--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -195,7 +195,7 @@
             return
         self.transport.write(data)
         if keep_alive:
-            self._rest()
+            self._await_next_request()
         elif has_unread_input(self.transport):  # a close now would send a reset, which overtakes the response
             self._linger(self.transport)
         else:
@@ -253,7 +253,7 @@
     def _step(self, event: ConnectionEvent) -> None:
         self._state = next_state(self._state, event)
 
-    def _rest(self) -> None:
+    def _await_next_request(self) -> None:
         """Wait for the next request, or serve the one that waits."""
         served = EvictionRank.SERVED if self.requests_accepted else EvictionRank.HEALTH_CHECKED
         self._frontend.rank_for_eviction(self, served)
--- a/heronlug/frontends/http/eviction.py
+++ b/heronlug/frontends/http/eviction.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from typing import Generic, Protocol, TypeVar
 
-GRACE_MS = 100.0
+NEW_CONNECTION_GRACE_MS = 100.0
 """The first request of a new connection may be on its way for so long."""
 
 CANDIDATES_PER_RANK = 8
@@ -73,7 +73,7 @@
     def first(self) -> Connection | None:
         """The connection to evict, or None; a new one whose first request may be on its way is spared if possible."""
         silent = self._first_of(EvictionRank.SILENT)
-        in_grace = silent is not None and self._clock() - silent.opened_at < GRACE_MS
+        in_grace = silent is not None and self._clock() - silent.opened_at < NEW_CONNECTION_GRACE_MS
         return (
             self._first_of(EvictionRank.REJECTED)
             or (None if in_grace else silent)
--- a/heronlug/frontends/http/frontend.py
+++ b/heronlug/frontends/http/frontend.py
@@ -10,7 +10,7 @@
 from heronlug.frontends.http.body_memory import BodyMemory
 from heronlug.frontends.http.connection import ClientConnection
 from heronlug.frontends.http.errors import DuplicateRequestIdError
-from heronlug.frontends.http.eviction import GRACE_MS, EvictionOrder, EvictionRank
+from heronlug.frontends.http.eviction import NEW_CONNECTION_GRACE_MS, EvictionOrder, EvictionRank
 from heronlug.frontends.http.request import NO_CLASS, AnswerableConnection, HttpRequest
 from heronlug.frontends.http.request_policy import RequestPolicy
 from heronlug.requests.core import Core
@@ -114,7 +114,7 @@
 
     def close_idle(self) -> None:
         """Close the connections between two requests, but new ones whose first request may be on its way."""
-        grace_start = self.deadlines.clock() - GRACE_MS
+        grace_start = self.deadlines.clock() - NEW_CONNECTION_GRACE_MS
         for connection in self.connections:
             if connection.has_sent_request or connection.opened_at < grace_start:
                 connection.close_if_idle()
@@ -127,15 +127,15 @@
 
     # -- hot restart
 
-    def hand_over_idle(self, take: Callable[[int, bool], None]) -> None:
+    def hand_over_idle(self, hand_over: Callable[[int, bool], None]) -> None:
         """Hand the idle connections to another process.
 
         Args:
-            take: called with each descriptor, and whether a request of it has been served.
+            hand_over: called with each descriptor, and whether a request of it has been served.
         """
         for connection in self.connections:
             if connection.can_hand_over() and not connection.serving:
-                take(connection.pause_for_handover(), connection.requests_accepted > 0)
+                hand_over(connection.pause_for_handover(), connection.requests_accepted > 0)
                 connection.detach()
 
     def adopt(
--- a/heronlug/frontends/http/request_reader.py
+++ b/heronlug/frontends/http/request_reader.py
@@ -74,7 +74,7 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._body = bytearray()
         self._head_size = 0  # bytes of the head that the parser has reported
-        self._size = 0  # bytes of the request with all framing; 0 for those that came along with the one before
+        self._request_size = 0  # bytes of the request with all framing; 0 for those that came along with the one before
 
     @property
     def reading(self) -> bool:
@@ -87,7 +87,7 @@
         Raises:
             BadRequestError: they break the protocol; the reader cannot be used any more.
         """
-        self._size += len(data)
+        self._request_size += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
@@ -115,7 +115,7 @@
     def on_url(self, url: bytes) -> None:
         """Path and query, perhaps in pieces."""
         self.request.target += url
-        self._count_head(len(url))
+        self._add_to_head_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header; those of a trailer are ignored."""
@@ -125,7 +125,7 @@
         if name in SINGLE_HEADERS and name in self.request.headers:
             raise DuplicateHeaderError
         self.request.headers[name] = value.strip(b" \t")  # the parser strips only what stands before a value
-        self._count_head(len(name) + len(value) + HEADER_FRAMING_BYTES)
+        self._add_to_head_size(len(name) + len(value) + HEADER_FRAMING_BYTES)
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
@@ -148,20 +148,20 @@
         request.keep_alive = self._parser.should_keep_alive()
         request.body = bytes(self._body)
         self._body = bytearray()
-        self._size = 0
+        self._request_size = 0
         self.phase = ReadPhase.BETWEEN_REQUESTS
         self._receiver.request_complete(request)
 
-    def _count_head(self, size: int) -> None:
+    def _add_to_head_size(self, size: int) -> None:
         self._head_size += size
         if self._head_size > http.MAX_HEAD:
             raise HeadTooLargeError
 
     def _check_size(self) -> None:
         """Bound what the parser does not report: a header that is not complete, and the extension of a chunk."""
-        if self.phase is ReadPhase.HEAD and self._size > http.MAX_HEAD:
+        if self.phase is ReadPhase.HEAD and self._request_size > http.MAX_HEAD:
             raise HeadTooLargeError
-        if self.phase is ReadPhase.BODY and self._size > MAX_REQUEST_BYTES:
+        if self.phase is ReadPhase.BODY and self._request_size > MAX_REQUEST_BYTES:
             raise FramingTooLargeError
 
 
--- a/tests/end_to_end/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -19,18 +19,18 @@
 from heronlug.standins.ports import free_port
 
 
-class NoDescriptors:
+class DescriptorShortage:
     """The process can open no further descriptor, from now on until :meth:`over`."""
 
     def __init__(self, pid: int) -> None:
         self._pid = pid
-        self._before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
-        used = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
-        free = next(number for number in range(len(used) + 1) if number not in used)
-        resource.prlimit(pid, resource.RLIMIT_NOFILE, (free, self._before[1]))
+        self._original_limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+        used_descriptors = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
+        first_free = next(number for number in range(len(used_descriptors) + 1) if number not in used_descriptors)
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, (first_free, self._original_limits[1]))
 
-    def ended(self) -> None:
-        resource.prlimit(self._pid, resource.RLIMIT_NOFILE, self._before)
+    def end(self) -> None:
+        resource.prlimit(self._pid, resource.RLIMIT_NOFILE, self._original_limits)
 
 
 def test_connection_that_cannot_be_accepted_is_accepted_later(tmp_path: Path) -> None:
@@ -42,7 +42,7 @@
         faktory = f"127.0.0.1:{free_port()}"
         (folder / "state.toml").write_text(f'log_level = "info"\n[faktory]\nlisten = "{faktory}"\n')
         program.environ["HERONLUG_STATE"] = str(folder / "state.toml")
-        address, sent, answer = {
+        address, sent, expected = {
             "operators": (program.operators, b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n", b"HTTP/1.1 200 "),
             "faktory": (faktory, b"", b"+HI "),
         }.get(listener, (harness.listen, request_bytes("t1", "once", 4000), b"HTTP/1.1 200 "))
@@ -54,24 +54,24 @@
             program.environ["RELAY_INHERITED_FD"] = str(inherited.fileno())
         async with program.open():
             await program.confirmed()
-            warm = await program.dial()
-            warm.send(request_bytes("t0", "safe", 4000))
-            end, _ = await harness.servers["h1"].request()
-            end.send(done("t0"))
-            await until(lambda: warm.received.endswith(b"ok"), "the first answer")
-            shortage = NoDescriptors(program.process.pid)
+            first_client = await program.dial()
+            first_client.send(request_bytes("t0", "safe", 4000))
+            server_connection, _ = await harness.servers["h1"].request()
+            server_connection.send(done("t0"))
+            await until(lambda: first_client.received.endswith(b"ok"), "the first answer")
+            shortage = DescriptorShortage(program.process.pid)
             client = await program.dial(address)
             client.send(sent)
             await until(lambda: client.ended or bool(program.logged("accept_failed")), "a failure of accept")
             assert not client.ended
             assert program.logged("accept_failed")[0]["listener"] == listener.replace("inherited", "clients")
-            shortage.ended()
+            shortage.end()
             if address == harness.listen:
-                end, request = await harness.servers["h1"].request()
-                end.send(done(request_id_of(request)))
-            await until(lambda: client.received.startswith(answer), "an answer")
-            figure = f'svc_accept_failures{{listener="{listener.replace("inherited", "clients")}"}}'
-            assert await program.figure(figure) >= 1
+                server_connection, request = await harness.servers["h1"].request()
+                server_connection.send(done(request_id_of(request)))
+            await until(lambda: client.received.startswith(expected), "an answer")
+            metric = f'svc_accept_failures{{listener="{listener.replace("inherited", "clients")}"}}'
+            assert await program.figure(metric) >= 1
         if inherited is not None:
             inherited.close()
 
--- a/tests/end_to_end/test_closed_connections.py
+++ b/tests/end_to_end/test_closed_connections.py
@@ -9,13 +9,13 @@
 from end_to_end.harness import BlockingClient, DispatcherHarness, done, request_bytes, run_async
 from heronlug.frontends.http.connection import ClientConnection
 
-HEALTH = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
+HEALTH_CHECK = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 async def idle_client(harness: DispatcherHarness) -> BlockingClient:
     """A client that has been answered once, and rests."""
     client = harness.blocking_client()
-    client.send(HEALTH)
+    client.send(HEALTH_CHECK)
     await harness.settle()
     assert client.received().startswith(b"HTTP/1.1 200")
     return client
@@ -24,9 +24,9 @@
 async def expect_served(harness: DispatcherHarness, client: BlockingClient, *request_ids: str) -> None:
     """All of these are forwarded and answered, in order."""
     for request_id in request_ids:
-        end, request = await harness.servers["h1"].request()
+        server_connection, request = await harness.servers["h1"].request()
         assert f"x-txn: {request_id}\r".encode() in request
-        end.send(done(request_id, f"{request_id}-ok"))
+        server_connection.send(done(request_id, f"{request_id}-ok"))
         await harness.settle()
     received = client.received()
     assert [received.count(f"{request_id}-ok".encode()) for request_id in request_ids] == [1] * len(
@@ -57,13 +57,13 @@
         async with DispatcherHarness(1).open() as harness:
             client = await idle_client(harness)
             client.send(request_bytes("t1", "safe", 4000))
-            end, _ = await harness.servers["h1"].request()
+            server_connection, _ = await harness.servers["h1"].request()
             harness.application.shutdown.drain()
-            end.send_now(done("t1", "t1-ok"))
+            server_connection.send_now(done("t1", "t1-ok"))
             client.send(request_bytes("t2", "safe", 4000))
-            end, request = await harness.servers["h1"].request()
+            server_connection, request = await harness.servers["h1"].request()
             assert b"x-txn: t2\r" in request
-            end.send(done("t2", "t2-ok"))
+            server_connection.send(done("t2", "t2-ok"))
             await harness.settle()
             received = client.received()
             assert received.count(b"-ok") == 2
@@ -93,16 +93,16 @@
     async def test() -> None:
         async with DispatcherHarness(1, sockets=96).open() as harness:
             clients = [await idle_client(harness) for _ in range(16)]
-            opened = harness.application.frontend.connection_opened
+            open_connection = harness.application.frontend.connection_opened
 
-            def crossed(connection: ClientConnection) -> None:
+            def send_request_then_open(connection: ClientConnection) -> None:
                 clients[0].send(request_bytes("t1", "safe", 4000))
-                opened(connection)
+                open_connection(connection)
 
-            harness.application.frontend.connection_opened = crossed  # type: ignore[method-assign]
+            harness.application.frontend.connection_opened = send_request_then_open  # type: ignore[method-assign]
             newcomer = harness.blocking_client()
             await expect_served(harness, clients[0], "t1")
-            newcomer.send(HEALTH)
+            newcomer.send(HEALTH_CHECK)
             await harness.settle()
             assert newcomer.received().startswith(b"HTTP/1.1 200")
             assert harness.logged("too_many_clients")
--- a/tests/frontends/test_eviction.py
+++ b/tests/frontends/test_eviction.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from heronlug.frontends.http.eviction import GRACE_MS, EvictionOrder, EvictionRank
+from heronlug.frontends.http.eviction import NEW_CONNECTION_GRACE_MS, EvictionOrder, EvictionRank
 
 
 @dataclass(eq=False)
@@ -16,7 +16,7 @@
     has_unanswered_input: bool = False
 
 
-def order_of(now: float, *connections: tuple[Connection, EvictionRank]) -> EvictionOrder[Connection]:
+def eviction_order(now: float, *connections: tuple[Connection, EvictionRank]) -> EvictionOrder[Connection]:
     """The order with these connections, each with its rank."""
     order: EvictionOrder[Connection] = EvictionOrder(lambda: now)
     for connection, rank in connections:
@@ -31,7 +31,7 @@
         (checked, EvictionRank.HEALTH_CHECKED),
         (silent, EvictionRank.SILENT),
     ]
-    order = order_of(GRACE_MS, *ranked)
+    order = eviction_order(NEW_CONNECTION_GRACE_MS, *ranked)
     for expected in (silent, checked, served):
         assert order.first() is expected
         order.move(expected, None)
@@ -40,7 +40,9 @@
 
 def test_new_silent_connection_is_spared_for_one_that_only_checked_health() -> None:
     silent, checked = Connection(1), Connection(2)
-    order = order_of(GRACE_MS - 1, (silent, EvictionRank.SILENT), (checked, EvictionRank.HEALTH_CHECKED))
+    order = eviction_order(
+        NEW_CONNECTION_GRACE_MS - 1, (silent, EvictionRank.SILENT), (checked, EvictionRank.HEALTH_CHECKED)
+    )
     assert order.first() is checked
     order.move(checked, None)
     assert order.first() is silent
@@ -48,13 +50,13 @@
 
 def test_connection_with_unanswered_input_is_not_evicted() -> None:
     waiting, idle = Connection(1, has_unanswered_input=True), Connection(2)
-    assert order_of(0.0, (waiting, EvictionRank.SERVED), (idle, EvictionRank.SERVED)).first() is idle
-    assert order_of(0.0, (Connection(1), EvictionRank.BUSY)).first() is None
+    assert eviction_order(0.0, (waiting, EvictionRank.SERVED), (idle, EvictionRank.SERVED)).first() is idle
+    assert eviction_order(0.0, (Connection(1), EvictionRank.BUSY)).first() is None
 
 
 def test_closing_connection_has_no_rank_but_rejected() -> None:
     connection = Connection(1, closing=True)
-    order = order_of(0.0, (connection, EvictionRank.SERVED))
+    order = eviction_order(0.0, (connection, EvictionRank.SERVED))
     assert connection.rank is None
     assert order.first() is None
     order.move(connection, EvictionRank.REJECTED)
--- a/tests/frontends/test_faktory.py
+++ b/tests/frontends/test_faktory.py
@@ -18,7 +18,7 @@
 IDEMPOTENT_KILLS = 50
 KILLS = NON_IDEMPOTENT_KILLS + IDEMPOTENT_KILLS
 REQUEST_CLASSES = [{**request_class, "deadline": 90_000.0, "goal_time": 50.0} for request_class in SETTINGS["lanes"]]
-STATE = "log_level = 'info'\n[faktory]\nlisten = 'HERE'\n"
+STATE_FILE = "log_level = 'info'\n[faktory]\nlisten = 'HERE'\n"
 
 
 class FaktoryClient:
@@ -35,9 +35,9 @@
         assert await client.call("HELLO", {"v": 2, **hello}) == "OK"
         return client
 
-    async def call(self, word: str, argument: Any = "") -> Any:
+    async def call(self, command: str, argument: Any = "") -> Any:
         text = argument if isinstance(argument, str) else json.dumps(argument)
-        self.writer.write(f"{word} {text}\r\n".encode())
+        self.writer.write(f"{command} {text}\r\n".encode())
         line = (await self.reader.readline()).decode().strip()
         if line.startswith("$"):
             size = int(line[1:])
@@ -56,14 +56,14 @@
 
 class PasswordTest(unittest.TestCase):
     def test_password_is_required(self) -> None:
-        player = ExchangePlayer(state=STATE + "password = 'open'\n")
+        player = ExchangePlayer(state=STATE_FILE + "password = 'open'\n")
         try:
-            for word, answer in (("open", b"+OK"), ("shut", b"-ERR invalid password")):
+            for password, answer in (("open", b"+OK"), ("shut", b"-ERR invalid password")):
                 host, port = player.faktory_address.split(":")
                 with socket.create_connection((host, int(port)), 10) as sock, sock.makefile("rwb") as lines:
-                    hi = json.loads(lines.readline().removeprefix(b"+HI "))
-                    digest = (word + hi["s"]).encode()
-                    for _ in range(hi["i"]):
+                    greeting = json.loads(lines.readline().removeprefix(b"+HI "))
+                    digest = (password + greeting["s"]).encode()
+                    for _ in range(greeting["i"]):
                         digest = hashlib.sha256(digest).digest()
                     lines.write(b'HELLO {"v":2,"pwdhash":"%s"}\r\n' % digest.hex().encode())
                     lines.flush()
@@ -75,7 +75,7 @@
 class WorkerKillsTest(unittest.TestCase):
     def test_killed_workers_cause_no_second_run(self) -> None:
         player = ExchangePlayer(
-            state=STATE, settings={"lanes": REQUEST_CLASSES}, limits={"max_open": 20_000, "attempts_cap": 50}
+            state=STATE_FILE, settings={"lanes": REQUEST_CLASSES}, limits={"max_open": 20_000, "attempts_cap": 50}
         )
         try:
             asyncio.run(asyncio.wait_for(self.run_jobs(player), 240))
@@ -89,13 +89,13 @@
             player.close()
 
     async def run_jobs(self, player: ExchangePlayer) -> None:
-        rng, runs, lost, acks = random.Random(7), Counter[str](), {True: 0, False: 0}, 0
+        rng, runs, kills_by_class, acks = random.Random(7), Counter[str](), {True: 0, False: 0}, 0
         producer = await FaktoryClient.connect(player.faktory_address)
         jobtypes = ["once"] * NON_IDEMPOTENT_JOBS + ["safe"] * IDEMPOTENT_JOBS
         jobs = [{"jid": f"job-{n:06}", "jobtype": jobtype, "args": [n]} for n, jobtype in enumerate(jobtypes)]
         rng.shuffle(jobs)
-        for at in range(0, len(jobs), 100):
-            assert await producer.call("PUSHB", jobs[at : at + 100]) == {}
+        for start in range(0, len(jobs), 100):
+            assert await producer.call("PUSHB", jobs[start : start + 100]) == {}
         all_ended = asyncio.Event()
 
         async def work(number: int) -> None:
@@ -109,9 +109,9 @@
                     if job is None:
                         continue
                     runs[job["jid"]] += 1
-                    once = job["jobtype"] == "once"
-                    if lost[once] < (NON_IDEMPOTENT_KILLS if once else IDEMPOTENT_KILLS):
-                        lost[once] += 1
+                    non_idempotent = job["jobtype"] == "once"
+                    if kills_by_class[non_idempotent] < (NON_IDEMPOTENT_KILLS if non_idempotent else IDEMPOTENT_KILLS):
+                        kills_by_class[non_idempotent] += 1
                         worker.kill(rng.randrange(3))
                         break
                     acks += 1
@@ -130,12 +130,12 @@
         all_ended.set()
         await asyncio.gather(*workers)
         counts = info["heronlug"]
-        twice = [jid for jid, count in runs.items() if count > 1 and int(jid[4:]) < NON_IDEMPOTENT_JOBS]
-        kills = sum(lost.values())
-        print(f"kills {kills}, acks {acks}, runs {sum(runs.values())}, {counts}, once run twice: {len(twice)}")
+        run_twice = [jid for jid, count in runs.items() if count > 1 and int(jid[4:]) < NON_IDEMPOTENT_JOBS]
+        kills = sum(kills_by_class.values())
+        print(f"kills {kills}, acks {acks}, runs {sum(runs.values())}, {counts}, once run twice: {len(run_twice)}")
         assert kills == KILLS
         assert counts["resets"] == KILLS
-        assert twice == []
+        assert run_twice == []
         assert counts["served"] + counts["refused"] + counts["failed"] == len(jobs)
         assert counts["served"] == acks
 
