--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -124,7 +124,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended, and with it the client's interest in its requests."""
-        self._step(ConnectionEvent.CLOSED)
+        self._apply_event(ConnectionEvent.CLOSED)
         self._reader.close()
         self._timeout.cancel()
         self._frontend.connection_closed(self)
@@ -190,7 +190,7 @@
     def answer(self, data: bytes, keep_alive: bool = True) -> None:
         """Write the response to the request that is being served; without ``keep_alive`` it is the last one."""
         self.open_request = None
-        self._step(ConnectionEvent.ANSWERED)
+        self._apply_event(ConnectionEvent.ANSWERED)
         if self.transport is None or self.closing:
             return
         self.transport.write(data)
@@ -208,7 +208,7 @@
 
     def abort(self) -> None:
         """End the connection at once."""
-        self._step(ConnectionEvent.CLOSED)
+        self._apply_event(ConnectionEvent.CLOSED)
         self._frontend.connection_closed(self)
         if self.transport is not None:
             self.transport.abort()
@@ -244,13 +244,13 @@
     def resume_request(self, request: Request) -> None:
         """Go on with a request that another process took from this connection."""
         self.open_request = request
-        self._step(ConnectionEvent.REQUEST_STARTED)
+        self._apply_event(ConnectionEvent.REQUEST_STARTED)
         self._timeout.cancel()
         self._frontend.rank_for_eviction(self, EvictionRank.BUSY)
 
     # -- inside
 
-    def _step(self, event: ConnectionEvent) -> None:
+    def _apply_event(self, event: ConnectionEvent) -> None:
         self._state = next_state(self._state, event)
 
     def _await_next_request(self) -> None:
@@ -263,7 +263,7 @@
 
     def _serve_next(self) -> None:
         while self._pipeline and self._state is ConnectionState.IDLE:
-            self._step(ConnectionEvent.REQUEST_STARTED)
+            self._apply_event(ConnectionEvent.REQUEST_STARTED)
             self._frontend.rank_for_eviction(self, EvictionRank.BUSY)
             if not self._reader.reading:
                 self._timeout.cancel()
@@ -294,12 +294,12 @@
 
     def _close(self, transport: asyncio.Transport) -> None:
         """Close the connection once all that has been written has gone out."""
-        self._step(ConnectionEvent.CLOSED)
+        self._apply_event(ConnectionEvent.CLOSED)
         transport.close()
 
     def _linger(self, transport: asyncio.Transport) -> None:
         """End our side, and go on reading for a while, so that what has been written arrives."""
-        self._step(ConnectionEvent.LAST_RESPONSE_WRITTEN)
+        self._apply_event(ConnectionEvent.LAST_RESPONSE_WRITTEN)
         if not transport.is_closing():
             transport.write_eof()
         self._frontend.rank_for_eviction(self, EvictionRank.REJECTED)
--- a/tests/frontends/test_eviction.py
+++ b/tests/frontends/test_eviction.py
@@ -38,7 +38,7 @@
     assert order.first() is None
 
 
-def test_new_silent_connection_is_spared_for_one_that_only_checked_health() -> None:
+def test_new_silent_connection_is_evicted_after_health_checked_connection() -> None:
     silent, checked = Connection(1), Connection(2)
     order = eviction_order(
         NEW_CONNECTION_GRACE_MS - 1, (silent, EvictionRank.SILENT), (checked, EvictionRank.HEALTH_CHECKED)
@@ -54,7 +54,7 @@
     assert eviction_order(0.0, (Connection(1), EvictionRank.BUSY)).first() is None
 
 
-def test_closing_connection_has_no_rank_but_rejected() -> None:
+def test_closing_connection_can_only_have_rank_rejected() -> None:
     connection = Connection(1, closing=True)
     order = eviction_order(0.0, (connection, EvictionRank.SERVED))
     assert connection.rank is None
--- a/tests/frontends/test_states.py
+++ b/tests/frontends/test_states.py
@@ -11,13 +11,13 @@
         assert next_connection_state(ConnectionState.CLOSED, event) is ConnectionState.CLOSED
 
 
-def test_lingering_connection_serves_nothing_more() -> None:
+def test_lingering_connection_serves_no_further_request() -> None:
     for event in ConnectionEvent:
         after = next_connection_state(ConnectionState.LINGERING, event)
         assert after in (ConnectionState.LINGERING, ConnectionState.CLOSED)
 
 
-def test_connection_serves_one_request_after_another() -> None:
+def test_connection_is_idle_again_after_answer() -> None:
     state = next_connection_state(ConnectionState.IDLE, ConnectionEvent.REQUEST_STARTED)
     assert state is ConnectionState.SERVING
     assert next_connection_state(state, ConnectionEvent.ANSWERED) is ConnectionState.IDLE
