--- a/heronlug/backends/__init__.py
+++ b/heronlug/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The backends: connections to servers, and health checks of servers."""
+"""Backends: reusable connections to servers and the parsing of their responses."""
--- a/heronlug/backends/connection.py
+++ b/heronlug/backends/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: it carries one request at a time and is used again."""
+"""Implements a reusable connection to a server, which carries one request at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,41 +19,42 @@
 from heronlug.requests.model import Attempt, Server
 
 LAST_BYTE_DELAY_MS = 10.0
-"""The last byte of a non-idempotent request is withheld for so long.
+"""Time for which the last byte of a non-idempotent request is withheld.
 
-A connection that breaks until then, as a reused one that the server has forgotten or a new one that it drops, proves
-that the request never ran, so that it may be sent to another server.
+If the connection breaks within this time, because the server has dropped a reused connection or closes a new
+connection, the request cannot have run and may be sent to another server.
 """
 
 LAST_CHUNK_TIMEOUT_MS = 1000.0
-"""After the last line, for the end of the response."""
+"""Time for the end of the response after its last line."""
 
 REPETITION_WINDOW_MS = 100.0
-"""A server may repeat its response so much later."""
+"""Time within which a server may repeat its last response."""
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """State of a server connection."""
 
     CONNECTING = auto()
-    """The dial is under way, or its request has not been written yet."""
+    """The dial is in progress, or the request has not been written yet."""
 
     IDLE = auto()
-    """It is kept for the next request."""
+    """The connection is available for the next request."""
 
     ACTIVE = auto()
     """A request has been written, and its response is not complete."""
 
     CLOSED = auto()
+    """The connection is closed or its dial has been cancelled."""
 
 
 class PausedConnection(NamedTuple):
-    """What another process needs to go on reading.
+    """State with which another process continues to read a response.
 
     Attributes:
-        fd: The descriptor of the socket.
+        fd: Descriptor of the socket.
         answered: Whether the server has begun to respond.
-        last: Whether the connection ends with the response.
+        last: Whether the connection closes after the response.
     """
 
     fd: int
@@ -62,13 +63,13 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool of a connection.
+    """The part of the connection pool that its connections use.
 
     Attributes:
-        core: The owner of requests, which gets the ends of attempts.
-        deadlines: Where timers are planned.
-        log: Where events are logged.
-        flush: Ends the handling of an I/O event.
+        core: Core that owns the requests and receives the outcomes of attempts.
+        deadlines: Scheduler for timers.
+        log: Event log.
+        flush: Called after each I/O event has been handled.
     """
 
     core: Core
@@ -77,33 +78,34 @@
     flush: Callable[[], None]
 
     def on_connected(self, connection: "ServerConnection") -> None:
-        """The connection is established."""
+        """Handles an established connection."""
 
     def release(self, connection: "ServerConnection") -> None:
-        """The connection is free."""
+        """Returns a free connection to the pool."""
 
     def remove(self, connection: "ServerConnection") -> None:
-        """The connection is closed."""
+        """Removes a closed connection from the pool."""
 
     def suspend_reuse(self) -> None:
-        """A reused connection has broken under its request without a response."""
+        """Suspends reuse after a reused connection broke before the server responded to the request."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a server.
+    """A connection to a server.
 
     Attributes:
-        server: The server.
-        address: Its host and port when the connection was dialled.
-        handle: The connection's handle in the pool.
-        state: What it is doing.
-        attempt: The attempt on it.
-        transport: Its transport, once it is connected.
-        dial_task: The task that connects it.
-        timer: The deadline of the dial, of the idle time, or of the last chunk.
-        request_id: The id of the request that was written last.
-        reused: Whether it has carried a request before.
-        ambiguous_until: Until when a repetition of its last response would be taken for the next request's, in ms.
+        server: Server of the connection.
+        address: Host and port of the server when the connection was dialled.
+        handle: Handle of the connection in the pool.
+        state: State of the connection.
+        attempt: Attempt that uses the connection; None if there is none.
+        transport: Transport of the connection; None until the connection is established.
+        dial_task: Task that dials the connection; None for a connection from another process.
+        timer: Pending deadline of the dial, the withheld byte, the idle time or the last chunk.
+        request_id: Id of the request that was written last; empty before the first request.
+        reused: Whether the connection has carried an earlier request.
+        ambiguous_until: Time until which a repetition of the last response could be mistaken for the response to the
+            next request, in ms; 0 if the last response names its request.
     """
 
     def __init__(self, pool: ConnectionOwner, server: Server, address: str) -> None:
@@ -120,25 +122,25 @@
         self.ambiguous_until = 0.0
         self._pool = pool
         self._response: ResponseReader | None = None
-        self._has_unwritten_bytes = False  # bytes wait in the transport's buffer
-        self._withheld_byte = b""  # the last byte of the request
+        self._has_unwritten_bytes = False  # the transport's buffer holds unsent bytes
+        self._withheld_byte = b""  # last byte of a non-idempotent request until it is sent
 
     @property
     def is_closed(self) -> bool:
-        """Whether it is closed."""
+        """Returns whether the connection is closed."""
         return self.state is ConnectionState.CLOSED
 
     @property
     def has_no_input(self) -> bool:
-        """Whether it is connected and nothing, not even an end, waits to be read."""
+        """Returns whether the connection is established and has neither unread bytes nor an unread end of stream."""
         return self.transport is not None and not has_unread_input(self.transport)
 
     # -- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notify the pool, unless the connection came from another process with its request written."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport has its interface, not its type
-        self.transport.set_write_buffer_limits(high=0)  # pause_writing() then reports any byte that stays unwritten
+        """Notifies the pool, unless the connection was taken over with its request already written."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport has the methods but is not a subclass
+        self.transport.set_write_buffer_limits(high=0)  # pause_writing() then reports every unwritten byte
         if self.is_closed:
             self.transport.abort()
         elif self.state is ConnectionState.CONNECTING:
@@ -146,19 +148,19 @@
             self._pool.flush()
 
     def pause_writing(self) -> None:
-        """Bytes wait in the transport's buffer."""
+        """Records that the transport's buffer holds unsent bytes."""
         self._has_unwritten_bytes = True
 
     def resume_writing(self) -> None:
-        """The transport's buffer is empty."""
+        """Records that the transport's buffer is empty."""
         self._has_unwritten_bytes = False
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of the response."""
+        """Parses bytes of the response; bytes without a request close the connection."""
         if self.is_closed:
             return
         if self._response is None:
-            self.close()  # the server sends without a request
+            self.close()  # the server sends data although there is no request
             return
         try:
             self._response.feed(data)
@@ -167,14 +169,14 @@
             self._end_attempt(Outcome.ERROR)
             self._log_protocol_error(str(error.__context__ or error))
             self.close()
-        except Exception as error:  # one connection ends, the process does not
+        except Exception as error:  # an unexpected error ends this connection, not the process
             self._pool.log("exception", where="south", error=repr(error))
             self._end_attempt(Outcome.ERROR)
             self.close()
         self._pool.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt: it never ran if a byte of its request was not sent."""
+        """Ends the attempt, which cannot have run if a byte of its request was not sent."""
         response = self._response
         is_active = self.state is ConnectionState.ACTIVE
         if response is not None and is_active and self.attempt is not None and exc is None:
@@ -187,10 +189,14 @@
         self.close()
         self._pool.flush()
 
-    # -- The pool's calls
+    # -- Calls by the pool
 
     def write(self, attempt: Attempt) -> None:
-        """Send an attempt's request, without its last byte if it is not idempotent."""
+        """Sends the request of an attempt; the last byte of a non-idempotent request is sent later.
+
+        Raises:
+            ConnectionError: The connection is not established.
+        """
         transport = self._connected_transport()
         request = attempt.request.payload
         remaining = attempt.request.give_up_at - self._pool.deadlines.clock()
@@ -209,20 +215,23 @@
             self._report_written(attempt)
 
     def release(self) -> None:
-        """Become idle; the pool keeps the connection."""
+        """Marks the connection as idle, so that the pool can reuse it."""
         self._response = None
         self.reused = self.reused or self.state is ConnectionState.ACTIVE
         self.state = ConnectionState.IDLE
 
     def cancel(self) -> None:
-        """Close it without a report, at once for the server: else a retry might run beside this attempt."""
+        """Closes the connection without reporting an outcome.
+
+        Sending is shut down immediately, so that the server sees the end before a retry can run concurrently.
+        """
         self.attempt = None
         if self.state is ConnectionState.ACTIVE and self.transport is not None:
             shutdown_sending(self.transport)
         self.close()
 
     def close(self) -> None:
-        """Close it, whatever is on it."""
+        """Closes the connection without reporting an outcome; repeated calls have no effect."""
         if self.is_closed:
             return
         self.state = ConnectionState.CLOSED
@@ -236,7 +245,10 @@
     # -- Handover to another process
 
     def can_hand_over(self) -> bool:
-        """Whether another process can go on reading: the request is sent, and what has been read ends with a line."""
+        """Returns whether another process can continue to read the response.
+
+        The request must be sent completely, and the bytes that have been read must end with a complete line.
+        """
         transport = self.transport
         response = self._response
         if self.state is not ConnectionState.ACTIVE or transport is None or response is None:
@@ -246,23 +258,28 @@
         return response.attempt_result is None and response.at_line_boundary
 
     def pause_for_handover(self) -> PausedConnection:
-        """Stop reading; another process goes on with the descriptor."""
+        """Stops reading and returns the state with which another process continues to read.
+
+        Raises:
+            ConnectionError: The connection is not established.
+            RuntimeError: No request has been written.
+        """
         transport = self._connected_transport()
         transport.pause_reading()
         fd = int(transport.get_extra_info("socket").fileno())
         response = self._response
         if response is None:
-            msg = f"no response of {self.address} is due: check can_hand_over() first"
+            msg = f"connection to {self.address} expects no response: check can_hand_over() first"
             raise RuntimeError(msg)
         return PausedConnection(fd, response.begun, response.closes_connection)
 
     def detach(self) -> None:
-        """Close the descriptor after the handover, without a report."""
+        """Closes the descriptor after the handover without reporting an outcome."""
         self.attempt = None
         self.close()
 
     def resume(self, attempt: Attempt, answered: bool, last: bool) -> None:
-        """Go on reading a response in chunks; ``answered`` and ``last`` are as in :class:`PausedConnection`."""
+        """Continues to read a chunked response; ``answered`` and ``last`` are as in :class:`PausedConnection`."""
         response = self._begin(attempt, attempt.request.payload.request_id)
         if answered:
             response.skip_head(last)
@@ -286,7 +303,7 @@
         self.timer = self._pool.deadlines.call_after(LAST_BYTE_DELAY_MS, self._write_withheld)
 
     def _write_withheld(self) -> None:
-        """Send the last byte, if the connection has held; from here on the request may have run."""
+        """Sends the last byte if the connection has not broken; from then on the request may have run."""
         attempt = self.attempt
         if self.is_closed or attempt is None or self.transport is None or self._response is None:
             return
@@ -301,7 +318,11 @@
         self._report_written(attempt)
 
     def _report_written(self, attempt: Attempt) -> None:
-        """Report the attempt once its last byte is sent: the loop writes at the end of a turn, or later."""
+        """Reports the attempt as written once its last byte is sent.
+
+        The event loop sends buffered bytes at the end of a turn or later, so the check is repeated until the buffer is
+        empty.
+        """
         if self.transport is None or self.is_closed:
             return
         if self.transport.get_write_buffer_size() == 0:
@@ -318,7 +339,10 @@
         self._pool.log("bad_host", host=self.server.entry.name, error=error)
 
     def _end_attempt_if_decided(self) -> None:
-        """Act on what has been read; the connection is free before its attempt ends, so that the next can have it."""
+        """Ends the attempt if the response has decided its outcome.
+
+        The connection is released before the attempt ends, so that the next attempt can reuse the connection.
+        """
         response = self._response
         if response is None or response.attempt_result is None or self.is_closed:
             return
@@ -326,9 +350,8 @@
         self.attempt = None
         attempt_result = response.attempt_result
         if self._withheld_byte and attempt_result.outcome not in (Outcome.FULL, Outcome.REJECTED_BY_SERVER):
-            attempt_result = response.attempt_result = AttemptResult(
-                Outcome.CONNECT_FAILED
-            )  # an incomplete request never ran
+            # an incomplete request cannot have run
+            attempt_result = response.attempt_result = AttemptResult(Outcome.CONNECT_FAILED)
         now = self._pool.deadlines.clock()
         self.ambiguous_until = now + REPETITION_WINDOW_MS if response.lacks_request_id else 0.0
         if response.complete and response.keep_alive and not self._withheld_byte:
@@ -351,6 +374,6 @@
 
     def _connected_transport(self) -> asyncio.Transport:
         if self.transport is None:
-            msg = f"no connection to {self.address} is established: dial it first"
+            msg = f"connection to {self.address} is not established: wait for on_connected() first"
             raise ConnectionError(msg)
         return self.transport
--- a/heronlug/backends/pool.py
+++ b/heronlug/backends/pool.py
@@ -1,4 +1,4 @@
-"""The connections to all servers: dialled for an attempt, kept when idle, and closed when they cannot be used again."""
+"""Manages the connections to all servers: dials, reuses and closes them."""
 
 import asyncio
 import socket
@@ -18,27 +18,27 @@
 IDLE_SHARE = 0.7
 """Share of the servers' idle timeout after which an idle connection is closed.
 
-A request that meets the server's own close is reset, which a non-idempotent one does not survive.
+A request that crosses the server's own close is reset, and a non-idempotent request cannot be retried after a reset.
 """
 
 REUSE_SUSPENSION_MS = 30_000.0
-"""After a reused connection broke under a request, non-idempotent ones go out on new connections for so long.
+"""Time for which non-idempotent requests use new connections after a reused connection broke during a request.
 
-Some servers drop a connection only when the request is complete, and then it may have run.
+Some servers drop a connection only once the request is complete, and that request may have run.
 """
 
 
 class ConnectionPool:
-    """The connections to all servers.
+    """Owns the connections to all servers.
 
     Attributes:
-        core: The owner of requests; set once it is made, since it needs the pool.
-        deadlines: Where timers are planned.
-        log: Where events are logged.
-        flush: Ends the handling of an I/O event.
-        max_connections: How many connections there may be.
-        connections: All of them, by handle.
-        dials: How many were dialled so far.
+        core: Core that owns the requests; set after construction, because the core needs the pool.
+        deadlines: Scheduler for timers.
+        log: Event log.
+        flush: Called after each I/O event has been handled.
+        max_connections: Maximum number of connections.
+        connections: Open connections by handle, including those being dialled.
+        dials: Number of dials since the start.
     """
 
     core: Core
@@ -53,15 +53,15 @@
         dial_timeout: float,
         max_connections: int,
     ) -> None:
-        """Make an empty pool.
+        """Creates an empty pool.
 
         Args:
-            deadlines: Where timers are planned.
-            log: Where events are logged.
-            flush: Ends the handling of an I/O event.
-            conn_idle: The servers' idle timeout, in ms.
-            dial_timeout: The time that a dial may take, in ms.
-            max_connections: How many connections there may be.
+            deadlines: Scheduler for timers.
+            log: Event log.
+            flush: Called after each I/O event has been handled.
+            conn_idle: Idle timeout of the servers, in ms.
+            dial_timeout: Timeout of a dial, in ms.
+            max_connections: Maximum number of connections.
         """
         self.deadlines = deadlines
         self.log = log
@@ -71,14 +71,18 @@
         self.dials = 0
         self._idle_timeout = IDLE_SHARE * conn_idle
         self._dial_timeout = dial_timeout
-        self._idle: dict[int, deque[ServerConnection]] = {}  # by server, the one used last at the end
+        # by server number; the most recently used connection is last
+        self._idle: dict[int, deque[ServerConnection]] = {}
         self._adoptions: set[asyncio.Task[Any]] = set()
         self._reuse_suspended_until = 0.0
 
-    # -- The core's calls
+    # -- Calls by the core
 
     def send(self, attempt: Attempt) -> None:
-        """Put an attempt on an idle connection, or dial one for it."""
+        """Sends an attempt on an idle connection, or dials a new connection.
+
+        At the limit of connections the attempt ends with ``CONNECT_FAILED``.
+        """
         connection = self._take_idle(attempt)
         if connection is not None:
             attempt.exchange = connection
@@ -90,14 +94,21 @@
             self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up by closing its connection."""
+        """Cancels an attempt by closing its connection."""
         connection = attempt.exchange
         attempt.exchange = None
         if connection is not None:
             connection.cancel()
 
     def adopt(self, attempt: Attempt, sock: socket.socket, answered: bool, last: bool) -> None:
-        """Go on with an attempt whose request another process has written."""
+        """Continues an attempt whose request another process has written.
+
+        Args:
+            attempt: Attempt to continue.
+            sock: Socket of the connection.
+            answered: Whether the server has begun to respond.
+            last: Whether the connection closes after the response.
+        """
         sock.setblocking(False)
         connection = self._add(attempt)
         connection.resume(attempt, answered, last)
@@ -107,11 +118,14 @@
         task.add_done_callback(self._adoptions.discard)
 
     def is_available(self) -> bool:
-        """Whether another connection may be dialled, if need be after the one that was idle longest is closed."""
+        """Returns whether a connection may be dialled.
+
+        At the limit of connections, closes the connection that has been idle longest to make room.
+        """
         return len(self.connections) < self.max_connections or self._evict()
 
     def retire(self, servers: dict[int, Server]) -> None:
-        """Close idle connections to servers that are not ready, have moved or are not listed any more."""
+        """Closes idle connections to servers that are not ready, have a new address or have left the endpoint list."""
         for number, idle in list(self._idle.items()):
             server = servers.get(number)
             for connection in list(idle):
@@ -121,15 +135,18 @@
                 del self._idle[number]
 
     def close_idle(self) -> None:
-        """Close all idle connections."""
+        """Closes the idle connections to all servers."""
         for idle in self._idle.values():
             for connection in list(idle):
                 connection.close()
 
-    # -- The connections' calls
+    # -- Calls by the connections
 
     def on_connected(self, connection: ServerConnection) -> None:
-        """Write the request of a connection that was dialled, unless the attempt may not go out any more."""
+        """Writes the request on a newly dialled connection, unless the attempt may no longer be sent.
+
+        Waits while an update of the endpoint list is unread, because the update may exclude the server.
+        """
         attempt = connection.attempt
         if connection.is_closed:
             return
@@ -148,7 +165,7 @@
             self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
 
     def release(self, connection: ServerConnection) -> None:
-        """Keep a connection that is free."""
+        """Keeps a free connection for the next request until its idle time is over."""
         if connection.is_closed:
             return
         connection.release()
@@ -157,20 +174,20 @@
         self._idle.setdefault(connection.server.number, deque()).append(connection)
 
     def remove(self, connection: ServerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Removes a closed connection from the pool."""
         self.connections.remove(connection.handle)
         idle = self._idle.get(connection.server.number)
         if idle and connection in idle:
             idle.remove(connection)
 
     def suspend_reuse(self) -> None:
-        """Send non-idempotent requests on new connections for a while."""
+        """Sends non-idempotent requests only on new connections for ``REUSE_SUSPENSION_MS``."""
         self._reuse_suspended_until = self.deadlines.clock() + REUSE_SUSPENSION_MS
 
     # -- Internals
 
     def _take_idle(self, attempt: Attempt) -> ServerConnection | None:
-        """An idle connection that the attempt can use; those that nobody can use are closed."""
+        """Returns an idle connection for the attempt, or None; closes unusable connections that are found first."""
         idle = self._idle.get(attempt.server.number)
         non_idempotent = self.core.is_non_idempotent(attempt)
         if non_idempotent and self.deadlines.clock() < self._reuse_suspended_until:
@@ -189,11 +206,11 @@
         return connection.address == attempt.server.entry.address and connection.has_no_input
 
     def _has_expired(self, connection: ServerConnection) -> bool:
-        """Whether the idle time is over, though the loop has not closed the connection yet."""
+        """Returns whether the idle time is over, even if the event loop has not yet closed the connection."""
         return connection.timer is not None and connection.timer[0] <= self.deadlines.clock()
 
     def _may_confuse_responses(self, connection: ServerConnection, attempt: Attempt, non_idempotent: bool) -> bool:
-        """Whether a repetition of the last response could be taken for the attempt's."""
+        """Returns whether a repetition of the last response could be mistaken for the response to the attempt."""
         if connection.request_id == attempt.request.payload.request_id:
             return True
         return self.deadlines.clock() < connection.ambiguous_until or (
@@ -208,7 +225,7 @@
         return connection
 
     def _evict(self) -> bool:
-        """Close the connection that was idle longest; returns whether there was one."""
+        """Closes the connection that has been idle longest; returns whether an idle connection existed."""
         oldest = [idle[0] for idle in self._idle.values() if idle]
         if not oldest:
             return False
--- a/heronlug/backends/response.py
+++ b/heronlug/backends/response.py
@@ -1,4 +1,4 @@
-"""Reads a server's response to one request: HTTP with a line of JSON for each step of the work."""
+"""Parses a server's response to a request: an HTTP response with one JSON line per step of the work."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -10,18 +10,18 @@
 from heronlug.net import http
 
 SERVER_SIDE_STATUSES = (408, 429)
-"""Of the 4xx, these say nothing against the request."""
+"""4xx statuses that report a condition of the server rather than an invalid request."""
 
 OUTCOMES_BY_FINAL_STATE = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
-"""Outcomes by the protocol's words for the states that end a request without a result."""
+"""Outcome by protocol state, for the states that end a request without a result."""
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt has ended, as the server says.
+    """Result of an attempt as reported by the server.
 
     Attributes:
-        outcome: The outcome.
-        result: The result of the work, empty where there is none.
+        outcome: Outcome of the attempt.
+        result: Result of the work; empty if there is none.
     """
 
     outcome: Outcome
@@ -31,14 +31,14 @@
 class ResponseReader:
     """Parses the response to one request.
 
-    Some servers repeat the response to the request before, so lines that name that request are skipped.
+    Some servers repeat the response to the previous request, so lines that name the previous request are skipped.
 
     Attributes:
-        attempt_result: How the attempt has ended; None while it runs.
+        attempt_result: Result of the attempt; None while the attempt runs.
         complete: Whether the response is complete.
-        keep_alive: Whether the connection can be used again; known once the response is complete.
+        keep_alive: Whether the connection can be reused; valid once the response is complete.
         begun: Whether the server has begun to respond.
-        closes_connection: Whether the head says that the connection ends with the response.
+        closes_connection: Whether the head announces that the connection closes after the response.
         request_withheld: Whether part of the request has not been sent, so that no response to it can be valid.
     """
 
@@ -58,13 +58,13 @@
         on_progress: Callable[[ProgressKind, float], None],
         on_invalid_line: Callable[[str], None],
     ) -> None:
-        """Expect a response.
+        """Creates a reader that expects the head of a response.
 
         Args:
-            request_id: The id of the request.
-            previous_request_id: The id of the request before on this connection; empty for none.
-            on_progress: Receives the progress of the work and the share of it that is done.
-            on_invalid_line: Receives what is wrong with a line that breaks the protocol.
+            request_id: Id of the request.
+            previous_request_id: Id of the previous request on the connection; empty if there is none.
+            on_progress: Called with the kind of progress and the share of the work that is done.
+            on_invalid_line: Called with the error of a line that violates the protocol.
         """
         self.attempt_result: AttemptResult | None = None
         self.complete = False
@@ -79,45 +79,48 @@
 
     @property
     def lacks_request_id(self) -> bool:
-        """Whether the response names no request, so that a repetition would be taken for the next request's."""
+        """Returns whether the response names no request.
+
+        A repetition of such a response could be mistaken for the response to the next request.
+        """
         return self._status != 200 or (self.attempt_result is not None and self.attempt_result.outcome is Outcome.FULL)
 
     @property
     def at_line_boundary(self) -> bool:
-        """Whether another process can go on reading here."""
+        """Returns whether another process can continue to read at the current position."""
         between_lines = self._between_chunks and not self._lines.has_partial_line
         return not self.begun or (self._status == 200 and self._chunked and between_lines)
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes of the response.
+        """Parses bytes of the response.
 
         Raises:
-            httptools.HttpParserError: They are no HTTP response.
-            httptools.HttpParserUpgrade: The server wants to change the protocol.
+            httptools.HttpParserError: The bytes are not a valid HTTP response.
+            httptools.HttpParserUpgrade: The server switches to another protocol.
         """
         self.begun = True
         self._parser.feed_data(data)
         self._between_chunks = self._between_chunks and data.endswith(b"\r\n")
 
     def skip_head(self, closes_connection: bool) -> None:
-        """Go on with the chunks of a response whose head another process has read."""
+        """Prepares to read the chunks of a response whose head another process has read."""
         connection = b"Connection: close\r\n" if closes_connection else b""
         self._parser.feed_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + connection + b"\r\n")
         self.begun = True
 
     def finish(self) -> None:
-        """Read the last line, which may lack its end, when nothing more comes."""
+        """Reads the last line, which may lack a line end, after the end of the response or connection."""
         for line in self._lines.end():
             self._read_line(line)
 
-    # -- httptools
+    # -- Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Records that the server has begun to respond."""
         self.begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read one header."""
+        """Reads the headers X-Turned-Away, Transfer-Encoding and Connection."""
         name = name.lower()
         if name == b"x-turned-away":
             self._rejected = value.strip() == b"1"
@@ -127,7 +130,7 @@
             self.closes_connection = b"close" in value.lower()
 
     def on_headers_complete(self) -> None:
-        """The head is complete: every status but 200 ends the attempt."""
+        """Ends the attempt if the status is final and not 200."""
         self._status = self._parser.get_status_code()
         if self._status in (503, 504) and self._rejected:
             self.attempt_result = AttemptResult(Outcome.FULL)
@@ -137,29 +140,30 @@
             self.attempt_result = AttemptResult(Outcome.ERROR)
 
     def on_chunk_header(self) -> None:
-        """A chunk begins."""
+        """Records the start of a chunk."""
         self._between_chunks = False
 
     def on_chunk_complete(self) -> None:
-        """A chunk is complete."""
+        """Records the end of a chunk."""
         self._between_chunks = True
 
     def on_body(self, body: bytes) -> None:
-        """Read the lines of a chunk, which may end anywhere in a line."""
+        """Reads the complete lines of a chunk; a line may span several chunks."""
         if self._status == 200:
             for line in self._lines.feed(body):
                 self._read_line(line)
 
     def on_message_complete(self) -> None:
-        """A response is complete."""
+        """Completes the response; after a repetition of the previous response, expects another head."""
         if self._status == 200:
             self.finish()
         if self._is_repeated and self.attempt_result is None:
             self._expect_head()
         elif self._status >= 200:
-            self.attempt_result = self.attempt_result or AttemptResult(Outcome.RESET)  # it ended before the last line
+            # without a result the response ended before its last line
+            self.attempt_result = self.attempt_result or AttemptResult(Outcome.RESET)
             self.complete = True
-            # After this callback the parser answers as if the next response had begun.
+            # After this callback the parser reports the state of the next response.
             self.keep_alive = self._parser.should_keep_alive()
 
     # -- Lines
@@ -171,7 +175,7 @@
         self._rejected = False
         self._chunked = False
         self._between_chunks = True
-        self._is_repeated = False  # this response answers the request before once more
+        self._is_repeated = False  # whether this response repeats the response to the previous request
         self._lines = http.Lines()
 
     def _read_line(self, line: bytes) -> None:
@@ -187,7 +191,7 @@
         state = message["state"]
         if message["id"] != self._request_id:
             if message["id"] != self._previous_request_id or self.request_withheld:
-                msg = f"a line names request {message['id']!r}, {self._request_id!r} was sent"
+                msg = f"response line names request {message['id']!r}, expected {self._request_id!r}"
                 raise ValueError(msg)
             self._is_repeated = True
         elif state == "started":
--- a/heronlug/frontends/__init__.py
+++ b/heronlug/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The frontends: protocols in which clients hand in requests."""
+"""Frontends: the protocols over which clients send requests to the dispatcher."""
--- a/heronlug/frontends/http/__init__.py
+++ b/heronlug/frontends/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP frontend: the platform's protocol on clients' connections."""
+"""HTTP frontend: the platform's HTTP protocol on client connections."""
--- a/heronlug/frontends/http/body_memory.py
+++ b/heronlug/frontends/http/body_memory.py
@@ -1,15 +1,15 @@
-"""The memory that the bodies of all requests may take together, those that are still being read included."""
+"""Limits the total memory of request bodies, including bodies that are still being read."""
 
 from heronlug.frontends.http.errors import BodyMemoryExhaustedError
 from heronlug.frontends.http.request import HttpRequest
 
 
 class BodyMemory:
-    """Counts the bytes of bodies against a limit.
+    """Counts the bytes of all request bodies against a limit.
 
     Attributes:
-        limit: the most bytes that bodies may take.
-        used: the bytes that are reserved.
+        limit: Maximum total size of the bodies, in bytes.
+        used: Reserved bytes; exceeds ``limit`` after a failed reservation until the request is released.
     """
 
     __slots__ = ("limit", "used")
@@ -19,10 +19,10 @@
         self.used = 0
 
     def reserve(self, request: HttpRequest, size: int) -> None:
-        """Reserve ``size`` bytes more for a request.
+        """Reserves ``size`` more bytes for the body of a request.
 
         Raises:
-            BodyMemoryExhaustedError: the limit is exceeded; the bytes stay reserved until the request is released.
+            BodyMemoryExhaustedError: The limit is exceeded; the bytes stay reserved until the request is released.
         """
         request.reserved_bytes += size
         self.used += size
@@ -30,7 +30,7 @@
             raise BodyMemoryExhaustedError
 
     def release(self, request: HttpRequest) -> None:
-        """Drop the body of a request of which nothing more is forwarded."""
+        """Drops the body of a request that needs no further forwarding and releases its reserved bytes."""
         self.used -= request.reserved_bytes
         request.reserved_bytes = 0
         request.body = b""
--- a/heronlug/frontends/http/connection.py
+++ b/heronlug/frontends/http/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: requests are served in turn, pipelined ones wait."""
+"""Implements one client connection: serves requests one at a time and queues pipelined requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,20 +21,30 @@
 from heronlug.requests.model import Request
 
 READ_TIMEOUT_MS = 2_500.0
-"""Time for a request to be complete: the first one's runs from the connect, a later one's from its first byte."""
+"""Time for a request to be complete, from the connect for the first request, from its first byte for a later one."""
 
 IDLE_TIMEOUT_MS = 120_000.0
-"""A connection may be idle between two requests for so long."""
+"""Time after which a connection that is idle between two requests is closed."""
 
 LINGER_MS = 500.0
-"""Time for a client to read the last response: a close with input unread would send a reset, which overtakes it."""
+"""Time for a client to read the last response.
+
+Closing a socket with unread input sends a reset, which can discard the response before the client reads it.
+"""
 
 MAX_DISCARDED_BYTES = 256 * 1024
-"""Input that is read and discarded while a connection lingers."""
+"""Maximum input, in bytes, that is read and discarded while a connection lingers; more aborts the connection."""
 
 
 class ConnectionOwner(Protocol):
-    """The frontend, as its connections use it."""
+    """The part of the frontend that its connections use.
+
+    Attributes:
+        deadlines: Scheduler for time-outs.
+        policy: Reads and checks the headers of requests.
+        body_memory: Memory limit of all request bodies.
+        run_due: Runs the deadlines that are due; called after each I/O event.
+    """
 
     deadlines: Deadlines
     policy: RequestPolicy
@@ -43,42 +53,47 @@
 
     @property
     def core(self) -> Core:
-        """The owner of requests."""
+        """Returns the core, which owns the accepted requests."""
 
     @property
     def log(self) -> EventLog:
-        """Where events are logged."""
+        """Returns the event log."""
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """A connection has been opened."""
+        """Registers a new connection."""
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """A connection has ended; may be called again."""
+        """Removes an ended connection; repeated calls have no effect."""
 
     def rank_for_eviction(self, connection: "ClientConnection", rank: EvictionRank) -> None:
-        """A connection does something else from now on."""
+        """Sets the eviction rank of a connection."""
 
     def serve(self, connection: "ClientConnection", request: HttpRequest) -> None:
-        """Serve a complete request; raises :class:`BadRequestError`."""
+        """Serves a complete request.
+
+        Raises:
+            BadRequestError: The request cannot be accepted.
+        """
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection.
+    """A connection from a client.
 
     Attributes:
-        handle: its handle in the frontend's table.
-        transport: what it writes to; None before it is connected.
-        open_request: the request that is being served, if the core has it.
-        requests_accepted: requests of it that were handed to the core, here or in the process before.
-        has_sent_request: the client has sent a complete request, if only a health check.
-        opened_at: when it was opened.
-        rank: its rank for eviction, if any.
+        handle: Handle of the connection in the frontend's connection table.
+        transport: Transport of the connection; None until the connection is established.
+        open_request: Request that the core is serving; None if there is none.
+        requests_accepted: Number of requests passed to the core; after a hot restart at least 1 if the previous process
+            accepted any.
+        has_sent_request: Whether the client has sent a complete request, including health checks.
+        opened_at: Time at which the connection was opened, in ms.
+        rank: Rank in the eviction order; None if the connection is not in the order.
     """
 
     def __init__(
         self, frontend: ConnectionOwner, on_connected: "Callable[[ClientConnection], None] | None" = None
     ) -> None:
-        """Prepare a connection; ``on_connected`` is called once it has a transport."""
+        """Creates an unconnected connection; ``on_connected`` is called once the transport is set."""
         self.handle = 0
         self.transport: asyncio.Transport | None = None
         self.open_request: Request | None = None
@@ -97,15 +112,15 @@
     # -- asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The client is connected."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's class has the methods but is no subclass
+        """Starts the time-out and registers the connection with the frontend."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport has the methods but is not a subclass
         self._timeout.start(IDLE_TIMEOUT_MS if self.has_sent_request else READ_TIMEOUT_MS, self._on_timeout)
         self._frontend.connection_opened(self)
         if self._on_connected is not None:
             self._on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes from the client; requests are served only once all of the bytes have been read."""
+        """Parses bytes from the client; requests are served only after all of ``data`` has been parsed."""
         if self.closing:
             self._discarded += len(data)
             if self._discarded > MAX_DISCARDED_BYTES:
@@ -115,7 +130,7 @@
             self._reader.feed(data)
         except BadRequestError as error:
             self._reject(error)
-        except Exception as error:  # a fault ends this connection, not the process
+        except Exception as error:  # an unexpected error ends this connection, not the process
             self._frontend.log("exception", where="north", error=repr(error))
             self.abort()
         else:
@@ -123,7 +138,7 @@
         self._frontend.run_due()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, and with it the client's interest in its requests."""
+        """Releases the resources of the connection and reports its open request to the core as abandoned."""
         self._apply_event(ConnectionEvent.CLOSED)
         self._reader.close()
         self._timeout.cancel()
@@ -136,24 +151,32 @@
             self._frontend.core.client_left(request)
         self._frontend.run_due()
 
-    # -- what the reader finds
+    # -- callbacks of the request reader
 
     def request_began(self) -> None:
-        """The first byte of a request has come."""
-        if self.has_sent_request:  # the time of the first one runs from the connect
+        """Starts the read time-out at the first byte of a request."""
+        if self.has_sent_request:  # the read time-out of the first request started at the connect
             self._timeout.start(READ_TIMEOUT_MS, self._on_timeout)
 
     def head_complete(self, expects_continue: bool) -> None:
-        """The head of a request is complete."""
+        """Sends 100 Continue if the client expects it and no request is being served."""
         if expects_continue and not self.serving and self.transport is not None:
             self.transport.write(responses.CONTINUE)
 
     def body_received(self, request: HttpRequest, size: int) -> None:
-        """So many bytes more of a body have come; raises :class:`BadRequestError` without memory for them."""
+        """Reserves memory for ``size`` more bytes of a body.
+
+        Raises:
+            BadRequestError: The memory for bodies is exhausted.
+        """
         self._frontend.body_memory.reserve(request, size)
 
     def request_complete(self, request: HttpRequest) -> None:
-        """A request is complete: it waits for its turn, unless it breaks the protocol."""
+        """Checks a complete request and adds it to the pipeline.
+
+        Raises:
+            BadRequestError: The request violates the protocol or the pipeline is full.
+        """
         request.connection = self
         self.has_sent_request = True
         self._timeout.cancel()
@@ -165,30 +188,30 @@
 
     @property
     def serving(self) -> bool:
-        """Whether a request is being served."""
+        """Returns whether a request is being served."""
         return self._state is ConnectionState.SERVING
 
     @property
     def closing(self) -> bool:
-        """Whether no more requests are served."""
+        """Returns whether the connection has stopped serving requests."""
         return self._state in (ConnectionState.LINGERING, ConnectionState.CLOSED)
 
     @property
     def has_unanswered_input(self) -> bool:
-        """Whether the client has sent more than has been answered, counting what has not been read yet."""
+        """Returns whether the client has sent unanswered input, including bytes that are unread in the socket."""
         if self._pipeline or self._reader.reading:
             return True
         return self.transport is not None and has_unread_input(self.transport)
 
     @property
     def client_connected(self) -> bool:
-        """Whether the client has not closed its side."""
+        """Returns whether the client has not closed its side of the connection."""
         return self.transport is None or not peer_has_closed(self.transport)
 
     # -- serving
 
     def answer(self, data: bytes, keep_alive: bool = True) -> None:
-        """Write the response to the request that is being served; without ``keep_alive`` it is the last one."""
+        """Writes the response to the current request and, without ``keep_alive``, ends the connection."""
         self.open_request = None
         self._apply_event(ConnectionEvent.ANSWERED)
         if self.transport is None or self.closing:
@@ -196,18 +219,18 @@
         self.transport.write(data)
         if keep_alive:
             self._await_next_request()
-        elif has_unread_input(self.transport):  # a close now would send a reset, which overtakes the response
+        elif has_unread_input(self.transport):  # closing now would send a reset, which can discard the response
             self._linger(self.transport)
         else:
             self._close(self.transport)
 
     def close_if_idle(self) -> None:
-        """Close the connection if it is between two requests."""
+        """Closes the connection if it is idle and has no unanswered input."""
         if self._state is ConnectionState.IDLE and not self.has_unanswered_input and self.transport is not None:
             self._close(self.transport)
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Ends the connection immediately, without sending buffered bytes."""
         self._apply_event(ConnectionEvent.CLOSED)
         self._frontend.connection_closed(self)
         if self.transport is not None:
@@ -216,45 +239,49 @@
     # -- hot restart
 
     def can_hand_over(self) -> bool:
-        """Whether another process can go on: nothing is partly read or written but the request being served."""
+        """Returns whether another process can continue the connection.
+
+        The client must have sent a complete request, no request may be partly read or waiting in the pipeline, and no
+        response may be partly written; a request that is being served does not prevent a handover.
+        """
         transport = self.transport
         if self._pipeline or self._reader.reading or self.closing or not self.has_sent_request or transport is None:
             return False
         return not transport.is_closing() and transport.get_write_buffer_size() == 0
 
     def pause_for_handover(self) -> int:
-        """Stop reading, and return the descriptor for the process that goes on.
+        """Stops reading and returns the socket descriptor for the process that continues the connection.
 
         Raises:
-            ConnectionError: it is not connected.
+            ConnectionError: The connection has no transport.
         """
         if self.transport is None:
-            msg = "a connection without a transport cannot be handed over"
+            msg = "the client connection has no transport and cannot be handed over"
             raise ConnectionError(msg)
         self.transport.pause_reading()
         return int(self.transport.get_extra_info("socket").fileno())
 
     def detach(self) -> None:
-        """Close this process's descriptor without writing: another process holds the connection."""
+        """Closes this process's descriptor without writing, after another process has taken over the connection."""
         if self.open_request is not None:
             self._frontend.body_memory.release(self.open_request.payload)
         self.open_request = None
         self.abort()
 
     def resume_request(self, request: Request) -> None:
-        """Go on with a request that another process took from this connection."""
+        """Continues a request that another process read from this connection."""
         self.open_request = request
         self._apply_event(ConnectionEvent.REQUEST_STARTED)
         self._timeout.cancel()
         self._frontend.rank_for_eviction(self, EvictionRank.BUSY)
 
-    # -- inside
+    # -- internals
 
     def _apply_event(self, event: ConnectionEvent) -> None:
         self._state = next_state(self._state, event)
 
     def _await_next_request(self) -> None:
-        """Wait for the next request, or serve the one that waits."""
+        """Updates rank and time-out after a response and serves the next pipelined request, if any."""
         served = EvictionRank.SERVED if self.requests_accepted else EvictionRank.HEALTH_CHECKED
         self._frontend.rank_for_eviction(self, served)
         if not self._reader.reading:
@@ -273,10 +300,10 @@
                 self._reject(error)
 
     def _reject(self, error: BadRequestError) -> None:
-        """Answer a request that breaks the protocol at once, and end the connection.
+        """Answers an invalid request with its error and ends the connection.
 
-        The complete requests before it are answered too: one that is being served has failed, for it may have run,
-        and the others are refused.
+        The complete requests that precede the invalid request are answered first: the request that is being served
+        fails, because it may have run, and the pipelined requests are rejected.
         """
         if self.closing or self.transport is None:
             return
@@ -286,19 +313,19 @@
         self._frontend.body_memory.release(self._reader.request)
         self._pipeline.clear(self._frontend.body_memory)
         if self.open_request is not None:
-            self._frontend.core.fail(self.open_request)  # calls :meth:`answer`, which may end the connection
+            self._frontend.core.fail(self.open_request)  # calls answer(), which may end the connection
             if self.closing:
                 return
         self.transport.write(unserved + responses.rejection_response(error))
         self._linger(self.transport)
 
     def _close(self, transport: asyncio.Transport) -> None:
-        """Close the connection once all that has been written has gone out."""
+        """Closes the connection after the transport has sent its buffered bytes."""
         self._apply_event(ConnectionEvent.CLOSED)
         transport.close()
 
     def _linger(self, transport: asyncio.Transport) -> None:
-        """End our side, and go on reading for a while, so that what has been written arrives."""
+        """Ends sending but keeps reading for ``LINGER_MS``, so that the last response reaches the client."""
         self._apply_event(ConnectionEvent.LAST_RESPONSE_WRITTEN)
         if not transport.is_closing():
             transport.write_eof()
@@ -306,10 +333,10 @@
         self._timeout.start(LINGER_MS, self.abort)
 
     def _on_timeout(self) -> None:
-        """A request that has begun is not complete in time, or nothing comes at all."""
+        """Rejects a request that is incomplete when its time is over; closes a connection without input."""
         if self._reader.reading:
             self._reject(IncompleteRequestError())
-        elif self.has_unanswered_input:  # it has just come, and is read in this turn of the loop
+        elif self.has_unanswered_input:  # bytes have just arrived and are read in this turn of the loop
             self._timeout.start(READ_TIMEOUT_MS, self._on_timeout)
         else:
             self.abort()
--- a/heronlug/frontends/http/connection_state.py
+++ b/heronlug/frontends/http/connection_state.py
@@ -1,26 +1,26 @@
-"""The states of a client's connection, and the step from one to the next."""
+"""Defines the states of a client connection and the transitions between them."""
 
 from enum import Enum
 
 
 class ConnectionState(Enum):
-    """What a connection is doing for its client."""
+    """State of a client connection."""
 
     IDLE = "idle"
-    """No request is being served; one may be on its way."""
+    """No request is being served; a request may be partly read."""
 
     SERVING = "serving"
-    """A request is being served; later ones wait."""
+    """A request is being served; later requests wait in the pipeline."""
 
     LINGERING = "lingering"
-    """The last response is written, and input is discarded until the client has had time to read it."""
+    """The last response is written; input is discarded until the client has had time to read the response."""
 
     CLOSED = "closed"
-    """Nothing is read or written any more."""
+    """The connection is closed for reading and writing."""
 
 
 class ConnectionEvent(Enum):
-    """What changes the state of a connection."""
+    """Event that can change the state of a client connection."""
 
     REQUEST_STARTED = "request started"
     ANSWERED = "answered"
@@ -42,9 +42,9 @@
     ConnectionState.LINGERING: {ConnectionEvent.CLOSED: ConnectionState.CLOSED},
     ConnectionState.CLOSED: {},
 }
-"""The next state by state and event; an event that is not listed changes nothing."""
+"""Next state by current state and event; an event that is not listed leaves the state unchanged."""
 
 
 def next_state(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
-    """The state after an event."""
+    """Returns the state that follows ``state`` after ``event``."""
     return TRANSITIONS[state].get(event, state)
--- a/heronlug/frontends/http/errors.py
+++ b/heronlug/frontends/http/errors.py
@@ -1,18 +1,19 @@
-"""Requests that break the protocol, each error with its status and the text that is sent with it.
+"""Defines the errors for invalid requests, each with its HTTP status and response body.
 
-The texts go over the wire and keep their words: a message there is a request here, and a figure a number. ``X-Txn`` is
-the request's id and ``X-Lane`` its class; :mod:`heronlug.frontends.http.request_policy` explains all headers.
+The texts are part of the wire protocol and must not change; in them, "message" means request and "figure" means number.
+``X-Txn`` carries the id of a request and ``X-Lane`` its class; :mod:`heronlug.frontends.http.request_policy` describes
+all headers.
 """
 
 from typing import ClassVar
 
 
 class BadRequestError(Exception):
-    """A request that is answered with an error, after which its connection ends.
+    """Raised for a request that is answered with an error; its connection is closed afterwards.
 
     Attributes:
-        status: the status of the response.
-        text: the line that is the body of the response, and is logged.
+        status: HTTP status of the response.
+        text: Body of the response, one line, also written to the log.
     """
 
     status: ClassVar[int] = 400
@@ -23,123 +24,126 @@
 
 
 class MalformedRequestError(BadRequestError):
-    """What came is not HTTP/1.1."""
+    """The input is not valid HTTP/1.1."""
 
     text = "this is no HTTP/1.1"
 
 
 class UpgradeError(BadRequestError):
-    """The client asks for another protocol."""
+    """The client requests an upgrade to another protocol."""
 
     text = "no upgrades here"
 
 
 class DuplicateHeaderError(BadRequestError):
-    """A header came twice that may come once: the second would silently replace the first."""
+    """A header that must be unique occurs twice; the second value would silently replace the first."""
 
     text = "a header is given twice"
 
 
 class ConflictingLengthError(BadRequestError):
-    """Two headers give the body's length, and one of them would hide what the other shows."""
+    """Content-Length and Transfer-Encoding are both present, so the length of the body is ambiguous."""
 
     text = "Content-Length with Transfer-Encoding"
 
 
 class InvalidContentLengthError(BadRequestError):
-    """Content-Length is not a whole number."""
+    """Content-Length is not a non-negative integer."""
 
     text = "Content-Length is no figure"
 
 
 class InvalidRequestIdError(BadRequestError):
-    """The request's id (X-Txn) is missing, too long, or not printable ASCII."""
+    """The request id (X-Txn) is missing, too long or not printable ASCII."""
 
     text = "X-Txn is missing or no ASCII"
 
 
 class ControlCharacterError(BadRequestError):
-    """A header that is forwarded holds a control character."""
+    """A forwarded header contains a control character."""
 
     text = "a header holds a control character"
 
 
 class UnknownClassError(BadRequestError):
-    """The path names no known class, or X-Lane names another class than the path."""
+    """The path does not name a known request class, or X-Lane differs from the class in the path."""
 
     text = "X-Txn, X-Lane or path names nothing known"
 
 
 class InvalidNumberError(BadRequestError):
-    """The remaining time (X-Remaining-Ms) or a label (X-Labels) is not a number."""
+    """The remaining time (X-Remaining-Ms) is not an integer, or a label (X-Labels) is not a number."""
 
     text = "X-Remaining-Ms or X-Labels is no figure"
 
 
 class NonFiniteNumberError(BadRequestError):
-    """A label (X-Labels) is infinite or not a number; the text names X-Remaining-Ms too, which cannot be either."""
+    """A label (X-Labels) is infinite or NaN.
+
+    The text also names X-Remaining-Ms, whose value cannot be infinite or NaN because only digits are accepted.
+    """
 
     text = "X-Remaining-Ms or X-Labels is no finite figure"
 
 
 class MethodNotAllowedError(BadRequestError):
-    """A request for a server with a method other than POST."""
+    """The method of a request that would be forwarded is not POST."""
 
     status = 405
     text = "only POST hands in a message"
 
 
 class IncompleteRequestError(BadRequestError):
-    """A request was not complete in time."""
+    """The request is not complete within the read time-out."""
 
     status = 408
     text = "the request is not whole in time"
 
 
 class DuplicateRequestIdError(BadRequestError):
-    """Another request with the same id (X-Txn) is open."""
+    """Another open request has the same id (X-Txn)."""
 
     status = 409
     text = "a message of this X-Txn is open"
 
 
 class BodyTooLargeError(BadRequestError):
-    """The body is larger than the limit of the protocol."""
+    """The body exceeds the size limit of the protocol."""
 
     status = 413
     text = "a body holds 64 KiB at most"
 
 
 class FramingTooLargeError(BadRequestError):
-    """The framing of a chunked body takes many times the space of the largest body."""
+    """The chunk framing makes the request many times larger than the largest allowed body."""
 
     status = 413
     text = "too much framing"
 
 
 class TooManyPipelinedRequestsError(BadRequestError):
-    """Too many requests of one connection wait for their turn."""
+    """Too many pipelined requests wait on one connection."""
 
     status = 429
     text = "too many requests at once on one connection"
 
 
 class HeadTooLargeError(BadRequestError):
-    """The request line and the headers are larger than the limit."""
+    """The request line and headers exceed the size limit."""
 
     status = 431
     text = "the head is too large"
 
 
 class UnsupportedTransferCodingError(BadRequestError):
-    """A transfer coding other than chunked."""
+    """The transfer coding is not chunked."""
 
     status = 501
     text = "no transfer coding but chunked"
 
 
 class BodyMemoryExhaustedError(BadRequestError):
-    """The memory for bodies is used up."""
+    """The memory for request bodies is exhausted."""
 
     status = 503
     text = "no room for a body now"
--- a/heronlug/frontends/http/eviction.py
+++ b/heronlug/frontends/http/eviction.py
@@ -1,6 +1,6 @@
-"""Which client connection is closed first when the process runs short of descriptors.
+"""Selects the client connection to close when the process runs short of file descriptors.
 
-Protects the connections of ordinary clients against hundreds that send nothing, or one health check and no more.
+The order protects ordinary clients from hundreds of connections that send nothing or only a single health check.
 """
 
 from collections.abc import Callable
@@ -9,33 +9,39 @@
 from typing import Generic, Protocol, TypeVar
 
 NEW_CONNECTION_GRACE_MS = 100.0
-"""The first request of a new connection may be on its way for so long."""
+"""Time after the connect during which the first request of a connection may still be in transit."""
 
 CANDIDATES_PER_RANK = 8
-"""Connections of each rank that are examined for one that may be closed."""
+"""Number of connections per rank that are examined for an evictable connection."""
 
 
 class EvictionRank(IntEnum):
-    """What a connection is doing, in the order of eviction; within a rank, the longest there goes first."""
+    """Eviction rank of a connection: the lowest rank is evicted first, within a rank the oldest entry first."""
 
     REJECTED = 0
-    """Its client broke the protocol, and the response has been written."""
+    """The last response, usually an error for an invalid request, is written and the connection lingers."""
 
     SILENT = 1
-    """It has never sent a complete request."""
+    """The client has never sent a complete request."""
 
     HEALTH_CHECKED = 2
-    """It is idle, and has sent nothing but health checks."""
+    """The connection is idle and has carried only health checks."""
 
     SERVED = 3
-    """It is idle, and has had a request served."""
+    """The connection is idle and has carried a request for a server."""
 
     BUSY = 4
-    """A request of it is being served: never evicted."""
+    """A request is being served; the connection is never evicted."""
 
 
 class Evictable(Protocol):
-    """A connection that may be evicted."""
+    """Interface of a connection in the eviction order.
+
+    Attributes:
+        handle: Handle of the connection in the frontend's connection table.
+        opened_at: Time at which the connection was opened, in ms.
+        rank: Current rank; None if the connection is not in the order.
+    """
 
     handle: int
     opened_at: float
@@ -43,25 +49,28 @@
 
     @property
     def closing(self) -> bool:
-        """Whether it serves no more requests."""
+        """Returns whether the connection has stopped serving requests."""
 
     @property
     def has_unanswered_input(self) -> bool:
-        """Whether the client has sent more than has been answered."""
+        """Returns whether the client has sent unanswered input."""
 
 
 Connection = TypeVar("Connection", bound=Evictable)
 
 
 class EvictionOrder(Generic[Connection]):
-    """The connections by rank."""
+    """Keeps client connections by eviction rank."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._by_rank: dict[EvictionRank, dict[int, Connection]] = {rank: {} for rank in EvictionRank}
 
     def move(self, connection: Connection, rank: EvictionRank | None) -> None:
-        """Put a connection last in a rank, or in none; one that closes can only be in the first."""
+        """Appends a connection to a rank, or removes it from the order if ``rank`` is None.
+
+        A closing connection can only have rank ``REJECTED``; any other rank removes the connection.
+        """
         if connection.rank is not None:
             del self._by_rank[connection.rank][connection.handle]
         if connection.closing and rank is not EvictionRank.REJECTED:
@@ -71,7 +80,11 @@
             self._by_rank[rank][connection.handle] = connection
 
     def first(self) -> Connection | None:
-        """The connection to evict, or None; a new one whose first request may be on its way is spared if possible."""
+        """Returns the connection to evict, or None.
+
+        A silent connection within ``NEW_CONNECTION_GRACE_MS`` of its connect is evicted only after all rejected and
+        health-checked connections, because its first request may still be in transit.
+        """
         silent = self._first_of(EvictionRank.SILENT)
         in_grace = silent is not None and self._clock() - silent.opened_at < NEW_CONNECTION_GRACE_MS
         return (
--- a/heronlug/frontends/http/frontend.py
+++ b/heronlug/frontends/http/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP frontend: the clients' connections, and the requests that are taken from them."""
+"""Implements the HTTP frontend, which owns client connections and passes their requests to the core."""
 
 import asyncio
 import socket
@@ -19,36 +19,40 @@
 from heronlug.requests.slots import SlotTable
 
 EXHAUSTION_LOG_INTERVAL_MS = 1000.0
-"""Time between two log lines that say that there are too many connections."""
+"""Minimum interval between two ``too_many_clients`` log lines."""
 
 
 class FrontendOwner(Protocol):
-    """The application, as the frontend uses it."""
+    """The part of the application that the frontend uses.
+
+    Attributes:
+        core: Core that owns the accepted requests.
+    """
 
     core: Core
 
     @property
     def log(self) -> EventLog:
-        """Where events are logged."""
+        """Returns the event log."""
 
     def sends_clients_away(self) -> bool:
-        """Whether connections end with their next answer."""
+        """Returns whether each connection is to be closed after its next answer."""
 
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Returns whether the dispatcher can serve requests."""
 
 
 class HttpFrontend:
-    """The clients' connections.
+    """Accepts requests on client connections and writes the final answers.
 
     Attributes:
-        policy: how the headers of requests are read.
-        deadlines: where time-outs are kept.
-        run_due: runs the deadlines that are due; called after input from outside.
-        max_connections: connections above this number have one evicted.
-        body_memory: the memory for bodies.
-        connections: the open connections.
-        last_client_at: when a connection last sent its first request for a server.
+        policy: Reads and checks the headers of requests.
+        deadlines: Scheduler for time-outs.
+        run_due: Runs the deadlines that are due; called after each I/O event.
+        max_connections: Maximum number of connections; a new connection above the limit evicts another connection.
+        body_memory: Memory limit of all request bodies.
+        connections: Open connections by handle.
+        last_client_at: Time at which a connection last sent its first request for a server, in ms.
     """
 
     def __init__(
@@ -59,7 +63,7 @@
         max_body_bytes: int,
         run_due: Callable[[], None],
     ) -> None:
-        """Make a frontend without connections; ``max_body_bytes`` bounds the bodies of all requests together."""
+        """Creates a frontend without connections; ``max_body_bytes`` limits the total size of all request bodies."""
         self.policy = RequestPolicy(settings)
         self.deadlines = owner.core.deadlines
         self.run_due = run_due
@@ -74,22 +78,25 @@
 
     @property
     def core(self) -> Core:
-        """The owner of requests."""
+        """Returns the core, which owns the accepted requests."""
         return self._owner.core
 
     @property
     def log(self) -> EventLog:
-        """Where events are logged."""
+        """Returns the event log."""
         return self._owner.log
 
     # -- connections
 
     def protocol(self) -> ClientConnection:
-        """A protocol for a new connection."""
+        """Returns a protocol instance for a new client connection."""
         return ClientConnection(self)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Enter a connection; above the limit another one is evicted for it, or it goes itself."""
+        """Registers a new connection.
+
+        Above the limit another connection is evicted, or the new connection itself is aborted if none is evictable.
+        """
         connection.handle = self.connections.add(connection)
         if len(self.connections) > self.max_connections:
             self._log_exhaustion()
@@ -97,23 +104,23 @@
         self.rank_for_eviction(connection, _initial_rank(connection))
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection has ended; may be called again."""
+        """Removes an ended connection; repeated calls have no effect."""
         self._eviction_order.move(connection, None)
         self.connections.remove(connection.handle)
 
     def rank_for_eviction(self, connection: ClientConnection, rank: EvictionRank) -> None:
-        """A connection does something else from now on."""
+        """Sets the eviction rank of a connection."""
         self._eviction_order.move(connection, rank)
 
     def evict_one(self) -> None:
-        """Close one connection that owes no answer, if there is one: the process has no descriptor left."""
+        """Aborts one connection without unanswered requests, if any, when the process has no free file descriptor."""
         connection = self._eviction_order.first()
         if connection is not None:
             self._log_exhaustion()
             connection.abort()
 
     def close_idle(self) -> None:
-        """Close the connections between two requests, but new ones whose first request may be on its way."""
+        """Closes idle connections, except new connections whose first request may still be in transit."""
         grace_start = self.deadlines.clock() - NEW_CONNECTION_GRACE_MS
         for connection in self.connections:
             if connection.has_sent_request or connection.opened_at < grace_start:
@@ -128,10 +135,10 @@
     # -- hot restart
 
     def hand_over_idle(self, hand_over: Callable[[int, bool], None]) -> None:
-        """Hand the idle connections to another process.
+        """Hands the idle connections over to another process.
 
         Args:
-            hand_over: called with each descriptor, and whether a request of it has been served.
+            hand_over: Called with each socket descriptor and whether the connection has carried a request for a server.
         """
         for connection in self.connections:
             if connection.can_hand_over() and not connection.serving:
@@ -141,12 +148,12 @@
     def adopt(
         self, sock: socket.socket, served: bool, on_connected: Callable[[ClientConnection], None] | None = None
     ) -> None:
-        """Take over a connection from another process.
+        """Takes over a connection from another process.
 
         Args:
-            sock: its socket.
-            served: a request of it has been served.
-            on_connected: called once the connection can be used.
+            sock: Socket of the connection.
+            served: Whether the connection has carried a request for a server.
+            on_connected: Called with the connection once its transport is set.
         """
         sock.setblocking(False)
         connection = ClientConnection(self, on_connected)
@@ -160,10 +167,10 @@
     # -- requests
 
     def serve(self, connection: ClientConnection, request: HttpRequest) -> None:
-        """Answer a health check, or hand a request to the core.
+        """Answers a health check, or passes a request to the core.
 
         Raises:
-            DuplicateRequestIdError: another request has the same id, of another client or it would not be open.
+            DuplicateRequestIdError: An open request, necessarily from another connection, has the same id.
         """
         if request.class_index == NO_CLASS:
             self._answer_health_check(connection, request)
@@ -187,7 +194,7 @@
             connection.open_request = accepted
 
     def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
-        """Give the final answer of a request on its connection; ``retry_after`` is in ms, 0 for none."""
+        """Writes the final answer of a request to its connection; ``retry_after`` is in ms, 0 for none."""
         http_request: HttpRequest = request.payload
         connection = http_request.connection
         self.body_memory.release(http_request)
@@ -196,7 +203,7 @@
             connection.answer(responses.final_response(final, body, retry_after, close=not keep_alive), keep_alive)
 
     def client_waits(self, request: Request) -> bool:
-        """Whether the client of a request has not left."""
+        """Returns whether the client of a request still waits for its answer."""
         connection: AnswerableConnection | None = request.payload.connection
         return connection is None or connection.client_connected
 
@@ -208,12 +215,15 @@
         )
 
     def _keeps_alive(self, request: HttpRequest, connection: AnswerableConnection) -> bool:
-        """Whether a connection stays open after this answer; in a drain, until all that has come is answered."""
+        """Returns whether a connection stays open after this answer.
+
+        During a drain, a connection stays open only until all received input is answered.
+        """
         return request.keep_alive and not (self._owner.sends_clients_away() and not connection.has_unanswered_input)
 
 
 def _initial_rank(connection: ClientConnection) -> EvictionRank:
-    """The rank of a connection that has just been opened, perhaps by another process."""
+    """Returns the eviction rank of a connection that is new or was taken over from another process."""
     if not connection.has_sent_request:
         return EvictionRank.SILENT
     return EvictionRank.SERVED if connection.requests_accepted else EvictionRank.HEALTH_CHECKED
--- a/heronlug/frontends/http/pipeline.py
+++ b/heronlug/frontends/http/pipeline.py
@@ -1,4 +1,4 @@
-"""The complete requests of a connection that wait for their turn."""
+"""Queues the complete requests of a client connection until they can be served."""
 
 from collections import deque
 
@@ -9,11 +9,11 @@
 from heronlug.requests.model import FinalAnswer
 
 MAX_PIPELINED_REQUESTS = 16
-"""Complete requests that may wait on one connection."""
+"""Maximum number of complete requests that may wait on one connection."""
 
 
 class RequestPipeline:
-    """A queue of requests, served one by one."""
+    """A first-in, first-out queue of complete requests."""
 
     __slots__ = ("_requests",)
 
@@ -24,27 +24,28 @@
         return len(self._requests)
 
     def add(self, request: HttpRequest) -> None:
-        """Add a request.
+        """Appends a request.
 
         Raises:
-            TooManyPipelinedRequestsError: too many wait; this one is among them.
+            TooManyPipelinedRequestsError: More than ``MAX_PIPELINED_REQUESTS`` wait, including ``request``, which
+                stays in the queue.
         """
         self._requests.append(request)
         if len(self._requests) > MAX_PIPELINED_REQUESTS:
             raise TooManyPipelinedRequestsError
 
     def next(self) -> HttpRequest:
-        """Remove and return the request that came first."""
+        """Removes and returns the oldest request."""
         return self._requests.popleft()
 
     def count_rejected(self, core: Core) -> None:
-        """Count a rejection for each request that waits for a server."""
+        """Counts a rejection for each waiting request that is not a health check."""
         for request in self._requests:
             if request.class_index != NO_CLASS:
                 core.count_answer(request.class_index, FinalAnswer.REFUSED)
 
     def clear(self, body_memory: BodyMemory) -> None:
-        """Remove all requests and release their bodies."""
+        """Removes all requests and releases their body memory."""
         for request in self._requests:
             body_memory.release(request)
         self._requests.clear()
--- a/heronlug/frontends/http/request.py
+++ b/heronlug/frontends/http/request.py
@@ -1,4 +1,4 @@
-"""A client's HTTP request, and the headers of it that are forwarded to a server."""
+"""Defines the HTTP request of a client and selects the headers that are forwarded to a server."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -6,43 +6,43 @@
 from heronlug.requests.model import Workload
 
 FORWARDED_HEADERS = (b"x-txn", b"idempotency-key", b"x-lane", b"x-labels", b"x-resent", b"x-org")
-"""Names of the headers that go on to a server, in the order in which they are sent."""
+"""Names of the headers that are forwarded to a server, in the order in which they are sent."""
 
 NO_CLASS = -1
-"""In place of the index of a class: the request is answered here and forwarded to no server."""
+"""Class index of a request that the dispatcher answers itself, without a server."""
 
 
 class AnswerableConnection(Protocol):
-    """The connection that a request came on."""
+    """Interface of the connection on which a request was received."""
 
     @property
     def has_unanswered_input(self) -> bool:
-        """Whether the client has sent more than has been answered."""
+        """Returns whether the client has sent unanswered input."""
 
     @property
     def client_connected(self) -> bool:
-        """Whether the client has not closed its side."""
+        """Returns whether the client has not closed its side of the connection."""
 
     def answer(self, data: bytes, keep_alive: bool = True) -> None:
-        """Write the response to the request that is being served."""
+        """Writes the response to the current request and, without ``keep_alive``, ends the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class HttpRequest:
-    """One request as it came.
+    """A request as received from a client.
 
     Attributes:
-        method: the method, in upper case.
-        target: path and query, as sent.
-        body: the body without its framing; empty once nothing more is forwarded.
-        headers: the headers by name in lower case.
-        request_id: the client's id for it (X-Txn).
-        class_index: the index of its class in the settings, or ``NO_CLASS``.
-        remaining_ms: the time that it has left for its answer.
-        workload: what the client says of the work.
-        keep_alive: the client wants to go on with the connection.
-        reserved_bytes: bytes of its body that count against the memory for bodies.
-        connection: where it came, None if that is not known.
+        method: HTTP method in upper case.
+        target: Path and query as sent.
+        body: Body without its framing; emptied once no further forwarding is needed.
+        headers: Headers by lower-case name.
+        request_id: Id that the client gave the request (X-Txn).
+        class_index: Index of the request class in the settings, or ``NO_CLASS``.
+        remaining_ms: Time left for the answer when the request was read, in ms.
+        workload: Resources and attributes of the work as stated by the client.
+        keep_alive: Whether the client allows the connection to be reused.
+        reserved_bytes: Bytes of the body that count against the body memory limit.
+        connection: Connection on which the request was received; None if unknown.
     """
 
     method: bytes = b""
@@ -59,11 +59,11 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """Returns the target without its query."""
         return self.target.split(b"?", 1)[0]
 
 
 def forwarded_headers(request: HttpRequest, remaining_ms: float) -> list[tuple[bytes, bytes]]:
-    """The headers for a server that has ``remaining_ms`` left for this request."""
+    """Returns the headers to forward to a server that has ``remaining_ms`` left to answer the request."""
     headers = [(name, request.headers[name]) for name in FORWARDED_HEADERS if name in request.headers]
     return [*headers, (b"x-remaining-ms", b"%d" % max(0, round(remaining_ms)))]
--- a/heronlug/frontends/http/request_policy.py
+++ b/heronlug/frontends/http/request_policy.py
@@ -1,15 +1,15 @@
-"""What the headers of a request say: its id, class, remaining time and workload.
+"""Reads the id, class, remaining time and workload of a request from its headers.
 
 ================ ================================================================================================
 header           meaning
 ================ ================================================================================================
-X-Txn            the request's id
-X-Lane           its class; the first segment of the path by default, and never another
+X-Txn            the id of the request
+X-Lane           the request class; must equal the first segment of the path, which is the default
 X-Remaining-Ms   the time left until the client gives up, in ms; the deadline of the class by default
-X-Labels         its workload, as ``slots=2,memory=0.5``: the slots and the memory that it takes of a server
-X-Org            its tenant
+X-Labels         the slots and the memory that the request takes on a server, for example ``slots=2,memory=0.5``
+X-Org            the tenant
 X-Resent         ``1`` if the client has sent the request before
-Idempotency-Key  forwarded to the server, not read here
+Idempotency-Key  forwarded to the server without being interpreted
 ================ ================================================================================================
 """
 
@@ -29,23 +29,26 @@
 from heronlug.requests.model import Workload
 
 MAX_REQUEST_ID_BYTES = 256
-"""Length of the longest X-Txn that is accepted."""
+"""Maximum length of X-Txn, in bytes."""
 
 MAX_REMAINING_MS = 71 * 60_000.0
-"""The longest time that a client may give a request; more is cut to this."""
+"""Maximum remaining time of a request; a larger X-Remaining-Ms is reduced to this value."""
 
 TRANSIT_MARGIN_MS = 15.0
-"""Taken off a client's time, which runs from its send: what transit and the socket's queue have used at most."""
+"""Upper bound of the time in transit and in the socket queue, subtracted from the time that the client states.
+
+X-Remaining-Ms counts from the moment at which the client sends the request.
+"""
 
 RETRY_MARK = b"1"
-"""The value of X-Resent that says that the client has sent the request before."""
+"""Value of X-Resent that marks a request as a retry by the client."""
 
 
 class RequestPolicy:
-    """Reads requests by the settings in force.
+    """Reads and checks the headers of requests according to the current settings.
 
     Attributes:
-        settings: the settings, with the classes and tenants.
+        settings: Settings that define the request classes and tenants.
     """
 
     __slots__ = ("_class_indices", "_tenant_indices", "settings")
@@ -56,10 +59,10 @@
         self._tenant_indices = {name.encode(): index for index, name in enumerate(settings.tenants)}
 
     def read(self, request: HttpRequest) -> None:
-        """Set the id, class, remaining time and workload of a request.
+        """Sets the id, class, remaining time and workload of a request.
 
         Raises:
-            BadRequestError: a header is missing or wrong; the class is not set then.
+            BadRequestError: The method is not POST, or a header is missing or invalid; the class is then not set.
         """
         if request.method != b"POST":
             raise MethodNotAllowedError
@@ -81,7 +84,7 @@
 
     def _remaining_ms(self, headers: dict[bytes, bytes], class_index: int) -> float:
         value = headers.get(b"x-remaining-ms", b"%d" % self.settings.classes[class_index].deadline)
-        if not value.isdigit():  # float() would accept more than whole milliseconds
+        if not value.isdigit():  # float() would also accept values that are not whole milliseconds
             raise InvalidNumberError
         return float(value)
 
@@ -90,7 +93,7 @@
         return Workload(
             slots=labels.get(b"slots", 1.0),
             memory=labels.get(b"memory", 0.0),
-            # an unknown tenant counts against no quota
+            # the index past the last tenant stands for an unknown tenant, which has no quota
             tenant=self._tenant_indices.get(headers.get(b"x-org", b""), len(self._tenant_indices)),
             retry=headers.get(b"x-resent") == RETRY_MARK,
         )
@@ -104,7 +107,12 @@
 
 
 def _labels(value: bytes) -> dict[bytes, float]:
-    """The numbers of X-Labels by name in lower case."""
+    """Returns the numbers in X-Labels by lower-case name.
+
+    Raises:
+        InvalidNumberError: A label has no value or its value is not a number.
+        NonFiniteNumberError: A value is infinite or NaN.
+    """
     try:
         pairs = dict(part.split(b"=", 1) for part in value.split(b",") if part.strip())
         labels = {name.strip().lower(): float(number) for name, number in pairs.items()}
--- a/heronlug/frontends/http/request_reader.py
+++ b/heronlug/frontends/http/request_reader.py
@@ -1,4 +1,4 @@
-"""Turns a connection's bytes into requests, within the limits of size."""
+"""Parses the bytes of a client connection into requests and enforces the size limits."""
 
 from enum import Enum
 from typing import Any, Protocol
@@ -21,22 +21,25 @@
 from heronlug.net import http
 
 MAX_REQUEST_BYTES = http.MAX_HEAD + 8 * http.MAX_BODY
-"""Size of the largest request with all its framing: chunks may be small, but not without end."""
+"""Maximum size of a request including its framing, in bytes; allows small chunks but bounds their total overhead."""
 
 MAX_LENGTH_DIGITS = 9
-"""Digits of the longest Content-Length that is read as a number."""
+"""Maximum number of digits in a Content-Length that is converted to a number."""
 
 HEADER_FRAMING_BYTES = 4
-"""Bytes around each header: colon, space and the end of the line."""
+"""Bytes that frame each header: colon, space and line end."""
 
 SINGLE_HEADERS = frozenset(
     {*FORWARDED_HEADERS, b"x-remaining-ms", b"content-length", b"transfer-encoding", b"host", b"expect"}
 )
-"""Headers that may come once: a second one would replace the first, and the two ends would read different requests."""
+"""Headers that may occur only once.
+
+A second value would replace the first, so that client and server could interpret the same request differently.
+"""
 
 
 class ReadPhase(Enum):
-    """How far the request that is being read has come."""
+    """Part of a request that the reader expects next."""
 
     BETWEEN_REQUESTS = "between requests"
     HEAD = "head"
@@ -44,27 +47,31 @@
 
 
 class RequestReceiver(Protocol):
-    """Takes what a reader finds; each method may raise :class:`BadRequestError`."""
+    """Receives the callbacks of a reader; each method may raise :class:`BadRequestError`."""
 
     def request_began(self) -> None:
-        """The first byte of a request has come."""
+        """Handles the first byte of a request."""
 
     def head_complete(self, expects_continue: bool) -> None:
-        """The head is complete; the client may wait for a 100 before it sends the body."""
+        """Handles a complete head.
+
+        Args:
+            expects_continue: Whether the client waits for 100 Continue before it sends the body.
+        """
 
     def body_received(self, request: HttpRequest, size: int) -> None:
-        """So many bytes more of the body have come."""
+        """Handles ``size`` more bytes of the body."""
 
     def request_complete(self, request: HttpRequest) -> None:
-        """The last byte of a request has come."""
+        """Handles a complete request."""
 
 
 class RequestReader:
-    """Reads one connection's requests with httptools, which calls the ``on_`` methods.
+    """Reads the requests of one connection with httptools, which calls the ``on_`` methods.
 
     Attributes:
-        phase: how far the current request has come.
-        request: the current request, or the last one.
+        phase: Part of the current request that is being read.
+        request: Current request; the last complete request between two requests.
     """
 
     def __init__(self, receiver: RequestReceiver) -> None:
@@ -73,19 +80,19 @@
         self._receiver = receiver
         self._parser: Any = httptools.HttpRequestParser(self)
         self._body = bytearray()
-        self._head_size = 0  # bytes of the head that the parser has reported
-        self._request_size = 0  # bytes of the request with all framing; 0 for those that came along with the one before
+        self._head_size = 0  # bytes of the head reported by the parser
+        self._request_size = 0  # bytes including framing; excludes bytes received together with the previous request
 
     @property
     def reading(self) -> bool:
-        """Whether a request has begun and is not complete."""
+        """Returns whether a request is partly read."""
         return self.phase is not ReadPhase.BETWEEN_REQUESTS
 
     def feed(self, data: bytes) -> None:
-        """Read bytes of the client.
+        """Parses bytes from the client.
 
         Raises:
-            BadRequestError: they break the protocol; the reader cannot be used any more.
+            BadRequestError: The bytes violate the protocol; the reader must not be used again.
         """
         self._request_size += len(data)
         try:
@@ -93,7 +100,7 @@
         except httptools.HttpParserUpgrade as error:
             raise UpgradeError from error
         except httptools.HttpParserError as error:
-            # the parser wraps what one of the methods below has raised
+            # the parser wraps exceptions raised by the on_ methods
             cause = error.__context__ or error.__cause__
             if isinstance(cause, BadRequestError):
                 raise cause from None
@@ -101,11 +108,14 @@
         self._check_size()
 
     def close(self) -> None:
-        """Drop the parser: it refers to this reader, and the cycle would wait long for the collector in an overload."""
+        """Drops the parser to break the reference cycle with the reader.
+
+        During an overload the garbage collector would free the cycle only after a long time.
+        """
         self._parser = None
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Starts a new request."""
         self.request = HttpRequest()
         self._head_size = 0
         self._body = bytearray()
@@ -113,36 +123,44 @@
         self._receiver.request_began()
 
     def on_url(self, url: bytes) -> None:
-        """Path and query, perhaps in pieces."""
+        """Appends a piece of the path and query."""
         self.request.target += url
         self._add_to_head_size(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header; those of a trailer are ignored."""
+        """Stores a header; headers in a trailer are ignored.
+
+        Raises:
+            DuplicateHeaderError: A header that must be unique occurs a second time.
+        """
         if self.phase is not ReadPhase.HEAD:
             return
         name = name.lower()
         if name in SINGLE_HEADERS and name in self.request.headers:
             raise DuplicateHeaderError
-        self.request.headers[name] = value.strip(b" \t")  # the parser strips only what stands before a value
+        self.request.headers[name] = value.strip(b" \t")  # the parser strips only leading white space
         self._add_to_head_size(len(name) + len(value) + HEADER_FRAMING_BYTES)
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Checks the framing headers and reports the complete head to the receiver."""
         self.phase = ReadPhase.BODY
         headers = self.request.headers
         _check_framing(headers.get(b"content-length"), headers.get(b"transfer-encoding"))
         self._receiver.head_complete(headers.get(b"expect", b"").lower() == b"100-continue")
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Appends a piece of the body.
+
+        Raises:
+            BodyTooLargeError: The body exceeds ``http.MAX_BODY`` bytes.
+        """
         self._body += body
         if len(self._body) > http.MAX_BODY:
             raise BodyTooLargeError
         self._receiver.body_received(self.request, len(body))
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Completes the request and passes it to the receiver."""
         request = self.request
         request.method = self._parser.get_method()
         request.keep_alive = self._parser.should_keep_alive()
@@ -158,7 +176,7 @@
             raise HeadTooLargeError
 
     def _check_size(self) -> None:
-        """Bound what the parser does not report: a header that is not complete, and the extension of a chunk."""
+        """Limits input that the parser does not report: incomplete headers and chunk extensions."""
         if self.phase is ReadPhase.HEAD and self._request_size > http.MAX_HEAD:
             raise HeadTooLargeError
         if self.phase is ReadPhase.BODY and self._request_size > MAX_REQUEST_BYTES:
@@ -166,7 +184,11 @@
 
 
 def _check_framing(length: bytes | None, coding: bytes | None) -> None:
-    """Check Content-Length and Transfer-Encoding; raises :class:`BadRequestError`."""
+    """Checks Content-Length and Transfer-Encoding.
+
+    Raises:
+        BadRequestError: The headers conflict, are invalid, exceed the body limit or name an unsupported coding.
+    """
     if length is not None and coding is not None:
         raise ConflictingLengthError
     if length is not None and not length.isdigit():
--- a/heronlug/frontends/http/request_table.py
+++ b/heronlug/frontends/http/request_table.py
@@ -1,4 +1,4 @@
-"""An open request as a table, with which another process can go on."""
+"""Converts an open request to and from the table that hands it over to another process."""
 
 from base64 import b64decode, b64encode
 from typing import Any
@@ -16,11 +16,11 @@
     "key": "key",
     "retry": "retry",
 }
-"""The keys of a workload between two processes, and the field of :class:`Workload` that each sets."""
+"""Keys of a workload in the table, with the corresponding field of :class:`Workload`."""
 
 
 def write_request(request: HttpRequest) -> Table:
-    """The table of a request, without what belongs to its connection."""
+    """Returns the table of a request, without the state of its connection."""
     return {
         "method": request.method.decode("latin-1"),
         "target": request.target.decode("latin-1"),
@@ -34,12 +34,12 @@
 
 
 def read_request(table: Table) -> HttpRequest:
-    """The request of a table.
+    """Returns the request that a table describes.
 
     Raises:
-        KeyError: an entry is missing.
-        TypeError: an entry has the wrong type.
-        ValueError: an entry cannot be decoded.
+        KeyError: An entry is missing or the key of a workload entry is unknown.
+        TypeError: An entry has the wrong type.
+        ValueError: An entry cannot be decoded.
     """
     request = HttpRequest()
     request.method = table["method"].encode("latin-1")
@@ -54,7 +54,7 @@
 
 
 def _write_workload(workload: Workload) -> Table:
-    """The entries that differ from the defaults, which a process of any version fills in."""
+    """Returns the entries that differ from the defaults; a process of any version fills in missing entries."""
     defaults = Workload()
     fields = {key: (getattr(workload, name), getattr(defaults, name)) for key, name in WORKLOAD_KEYS.items()}
     return {key: value for key, (value, default) in fields.items() if value != default}
--- a/heronlug/frontends/timeout.py
+++ b/heronlug/frontends/timeout.py
@@ -1,4 +1,4 @@
-"""A time-out that is started anew again and again, as a connection has it."""
+"""Provides a restartable time-out for connections."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class Timeout:
-    """One time-out, of which at most one run is pending."""
+    """A time-out with at most one pending callback."""
 
     __slots__ = ("_deadlines", "_key")
 
@@ -15,11 +15,11 @@
         self._key: Key | None = None
 
     def start(self, timeout_ms: float, callback: Callable[[], None]) -> None:
-        """Call ``callback`` after this time, in place of what was pending."""
+        """Schedules ``callback`` after ``timeout_ms`` and cancels the pending callback, if any."""
         self.cancel()
         self._key = self._deadlines.call_after(timeout_ms, callback)
 
     def cancel(self) -> None:
-        """Drop what is pending, if anything."""
+        """Cancels the pending callback, if any."""
         self._deadlines.cancel(self._key)
         self._key = None
--- a/tests/end_to_end/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -1,12 +1,8 @@
-"""What waits to be accepted goes on waiting while ``accept`` fails, and is served once it works again.
+"""Tests that a connection stays in the accept queue while ``accept`` fails and is served afterwards.
 
-What users saw: with descriptors short for a moment, one in three requests on new connections ended with the connection
-closed and no answer, so a client could not know whether its request had run.  Order of events: the connection waits in
-the listening socket's queue, its request with it; ``accept`` fails for want of a descriptor.  Cause: the event loop
-then gives up a spare descriptor, accepts what waits, and closes it.
-
-Evidence: of 231 requests 73 were closed unread while ``accept`` failed with ENFILE or EMFILE half of the time, and none
-with each other error, which the loop leaves in the queue.
+Guards against lost requests when ``accept`` fails with ENFILE or EMFILE: the event loop then frees a spare descriptor,
+accepts the connection and closes it. With half of the calls failing, 73 of 231 requests were closed unread; with other
+errors none, because the loop leaves them queued.
 """
 
 import os
@@ -20,7 +16,7 @@
 
 
 class DescriptorShortage:
-    """The process can open no further descriptor, from now on until :meth:`over`."""
+    """Keeps a process from opening further descriptors until :meth:`end` restores its limits."""
 
     def __init__(self, pid: int) -> None:
         self._pid = pid
@@ -34,6 +30,8 @@
 
 
 def test_connection_that_cannot_be_accepted_is_accepted_later(tmp_path: Path) -> None:
+    """Guards, for each listener, against closing a connection that arrives while no descriptor is free."""
+
     async def test(listener: str) -> None:
         folder = tmp_path / listener
         folder.mkdir()
@@ -58,18 +56,21 @@
             first_client.send(request_bytes("t0", "safe", 4000))
             server_connection, _ = await harness.servers["h1"].request()
             server_connection.send(done("t0"))
-            await until(lambda: first_client.received.endswith(b"ok"), "the first answer")
+            await until(lambda: first_client.received.endswith(b"ok"), "the answer to the first request")
             shortage = DescriptorShortage(program.process.pid)
             client = await program.dial(address)
             client.send(sent)
-            await until(lambda: client.ended or bool(program.logged("accept_failed")), "a failure of accept")
+            await until(
+                lambda: client.ended or bool(program.logged("accept_failed")),
+                "an accept_failed event or the end of the client connection",
+            )
             assert not client.ended
             assert program.logged("accept_failed")[0]["listener"] == listener.replace("inherited", "clients")
             shortage.end()
             if address == harness.listen:
                 server_connection, request = await harness.servers["h1"].request()
                 server_connection.send(done(request_id_of(request)))
-            await until(lambda: client.received.startswith(expected), "an answer")
+            await until(lambda: client.received.startswith(expected), "the answer after the descriptor shortage")
             metric = f'svc_accept_failures{{listener="{listener.replace("inherited", "clients")}"}}'
             assert await program.figure(metric) >= 1
         if inherited is not None:
--- a/tests/end_to_end/test_closed_connections.py
+++ b/tests/end_to_end/test_closed_connections.py
@@ -1,6 +1,6 @@
-"""Connections that we close ourselves: none of them owes anything that its client has written already.
+"""Tests that the dispatcher closes no connection whose client has already sent a request.
 
-In each test the client's bytes are in our machine's kernel, unread, when the moment to close comes.
+In each test the client's bytes are unread in the socket when the dispatcher is about to close the connection.
 """
 
 import os
@@ -13,7 +13,7 @@
 
 
 async def idle_client(harness: DispatcherHarness) -> BlockingClient:
-    """A client that has been answered once, and rests."""
+    """Returns a client that has received the answer to a health check and is idle."""
     client = harness.blocking_client()
     client.send(HEALTH_CHECK)
     await harness.settle()
@@ -22,7 +22,7 @@
 
 
 async def expect_served(harness: DispatcherHarness, client: BlockingClient, *request_ids: str) -> None:
-    """All of these are forwarded and answered, in order."""
+    """Checks that each request is forwarded and answered exactly once, in the given order."""
     for request_id in request_ids:
         server_connection, request = await harness.servers["h1"].request()
         assert f"x-txn: {request_id}\r".encode() in request
@@ -35,7 +35,10 @@
 
 
 def test_request_that_arrives_as_a_drain_closes_idle_connections_is_served() -> None:
-    """The look that closes what rests comes before the request is read."""
+    """Guards against losing a request that arrives during a drain.
+
+    The check that closes idle connections runs before the request is read.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -51,7 +54,10 @@
 
 
 def test_connection_stays_in_a_drain_for_a_request_that_is_unread() -> None:
-    """Its connection stays for that one, and ends with its answer; none is overtaken by a reset."""
+    """Guards against closing a connection in a drain while a further request is unread in the socket.
+
+    The connection must stay open for the unread request and close after its answer. A reset must not discard an answer.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -74,7 +80,7 @@
 
 
 def test_connection_stays_in_a_drain_for_a_pipelined_request() -> None:
-    """What waits behind it on its connection was taken too."""
+    """Guards against closing a connection after an answer in a drain while a pipelined request still waits."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -88,7 +94,10 @@
 
 
 def test_connection_with_an_unread_request_is_not_evicted() -> None:
-    """A newcomer at the limit of descriptors, and the one that has rested longest has just sent a request."""
+    """Guards against evicting the longest-idle connection when its client has just sent a request.
+
+    A new client connects at the limit of connections, and the request is still unread when the eviction runs.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, sockets=96).open() as harness:
@@ -111,7 +120,7 @@
 
 
 def test_request_that_arrives_as_the_idle_timeout_ends_is_served() -> None:
-    """The idle time is over before the request is read."""
+    """Guards against losing a request that has arrived but is unread when the idle time-out expires."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -130,7 +139,10 @@
 
 
 def test_request_in_the_accept_queue_at_a_stop_is_served() -> None:
-    """The look that ends the process comes before the connection is accepted."""
+    """Guards against losing a connection in the accept queue during a graceful shutdown.
+
+    The check that ends the process runs before the connection is accepted.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
--- a/tests/frontends/test_eviction.py
+++ b/tests/frontends/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which client connection is closed when descriptors run short."""
+"""Tests the order in which client connections are closed when file descriptors run short."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(eq=False)
 class Connection:
-    """A connection as the order of eviction sees it."""
+    """Stand-in for a client connection, with the attributes that the eviction order uses."""
 
     handle: int
     opened_at: float = 0.0
@@ -17,7 +17,7 @@
 
 
 def eviction_order(now: float, *connections: tuple[Connection, EvictionRank]) -> EvictionOrder[Connection]:
-    """The order with these connections, each with its rank."""
+    """Returns an eviction order at time ``now``, in ms, with each connection in its rank."""
     order: EvictionOrder[Connection] = EvictionOrder(lambda: now)
     for connection, rank in connections:
         order.move(connection, rank)
@@ -25,6 +25,7 @@
 
 
 def test_lowest_rank_is_evicted_first() -> None:
+    """Guards against closing a served client while silent or health-checked connections remain."""
     served, checked, silent = Connection(1), Connection(2), Connection(3)
     ranked = [
         (served, EvictionRank.SERVED),
@@ -39,6 +40,7 @@
 
 
 def test_new_silent_connection_is_evicted_after_health_checked_connection() -> None:
+    """Guards against closing a new connection whose first request is still in transit."""
     silent, checked = Connection(1), Connection(2)
     order = eviction_order(
         NEW_CONNECTION_GRACE_MS - 1, (silent, EvictionRank.SILENT), (checked, EvictionRank.HEALTH_CHECKED)
@@ -49,12 +51,14 @@
 
 
 def test_connection_with_unanswered_input_is_not_evicted() -> None:
+    """Guards against closing a connection whose request has arrived but is unread or being served."""
     waiting, idle = Connection(1, has_unanswered_input=True), Connection(2)
     assert eviction_order(0.0, (waiting, EvictionRank.SERVED), (idle, EvictionRank.SERVED)).first() is idle
     assert eviction_order(0.0, (Connection(1), EvictionRank.BUSY)).first() is None
 
 
 def test_closing_connection_can_only_have_rank_rejected() -> None:
+    """Guards against a closing connection that stays in a rank from which it would be evicted again."""
     connection = Connection(1, closing=True)
     order = eviction_order(0.0, (connection, EvictionRank.SERVED))
     assert connection.rank is None
--- a/tests/frontends/test_faktory.py
+++ b/tests/frontends/test_faktory.py
@@ -1,4 +1,4 @@
-"""Faktory workers that are killed while they run jobs: no second run, and one final answer for each job."""
+"""Tests Faktory over TCP: password authentication, and workers that are killed while they run jobs."""
 
 import asyncio
 import hashlib
@@ -22,7 +22,7 @@
 
 
 class FaktoryClient:
-    """A stand-in producer or worker."""
+    """A Faktory producer or worker for tests."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -45,7 +45,11 @@
         return line[1:]
 
     def kill(self, method: int) -> None:
-        """Lose the connection: by a reset, by a close, or by a reset within an ACK."""
+        """Ends the connection abruptly.
+
+        Args:
+            method: 0 for a reset, 1 for a close, 2 for a reset after part of an ACK.
+        """
         if method == 2:
             self.writer.write(b'ACK {"jid":"job-')
         if method != 1:
@@ -56,6 +60,7 @@
 
 class PasswordTest(unittest.TestCase):
     def test_password_is_required(self) -> None:
+        """Guards against accepting a wrong password, or rejecting the right one, in HELLO."""
         player = ExchangePlayer(state=STATE_FILE + "password = 'open'\n")
         try:
             for password, answer in (("open", b"+OK"), ("shut", b"-ERR invalid password")):
@@ -74,6 +79,7 @@
 
 class WorkerKillsTest(unittest.TestCase):
     def test_killed_workers_cause_no_second_run(self) -> None:
+        """Guards against a second run, or none or several answers, of a job whose worker is killed."""
         player = ExchangePlayer(
             state=STATE_FILE, settings={"lanes": REQUEST_CLASSES}, limits={"max_open": 20_000, "attempts_cap": 50}
         )
@@ -125,7 +131,7 @@
             assert isinstance(info, dict), info
             if info["faktory"]["total_processed"] == len(jobs):
                 break
-            await producer.call("PUSHB", rng.sample(jobs, 5))  # known jids: nothing new starts
+            await producer.call("PUSHB", rng.sample(jobs, 5))  # jobs with known jids must not start again
             await asyncio.sleep(0.1)
         all_ended.set()
         await asyncio.gather(*workers)
--- a/tests/frontends/test_states.py
+++ b/tests/frontends/test_states.py
@@ -1,4 +1,4 @@
-"""The states of client connections and of Faktory sessions."""
+"""Tests the state transitions of HTTP client connections and Faktory sessions."""
 
 from heronlug.frontends.faktory.session_state import SessionEvent, SessionState
 from heronlug.frontends.faktory.session_state import next_state as next_session_state
@@ -7,23 +7,27 @@
 
 
 def test_closed_connection_stays_closed() -> None:
+    """Guards against an event that reopens a closed client connection."""
     for event in ConnectionEvent:
         assert next_connection_state(ConnectionState.CLOSED, event) is ConnectionState.CLOSED
 
 
 def test_lingering_connection_serves_no_further_request() -> None:
+    """Guards against serving a request after the last response of a connection."""
     for event in ConnectionEvent:
         after = next_connection_state(ConnectionState.LINGERING, event)
         assert after in (ConnectionState.LINGERING, ConnectionState.CLOSED)
 
 
 def test_connection_is_idle_again_after_answer() -> None:
+    """Guards against a connection that cannot serve another request after an answer."""
     state = next_connection_state(ConnectionState.IDLE, ConnectionEvent.REQUEST_STARTED)
     assert state is ConnectionState.SERVING
     assert next_connection_state(state, ConnectionEvent.ANSWERED) is ConnectionState.IDLE
 
 
 def test_session_is_ready_only_after_hello() -> None:
+    """Guards against a Faktory session that accepts commands before a valid HELLO."""
     for event in SessionEvent:
         after = next_session_state(SessionState.AWAITING_HELLO, event)
         ready = event is SessionEvent.GREETED
@@ -31,6 +35,7 @@
 
 
 def test_fetch_ends_by_timeout_or_delivery() -> None:
+    """Guards against a FETCH that times out after a job was assigned: the time-out must not end a pending reply."""
     fetching = next_session_state(SessionState.READY, SessionEvent.FETCH_STARTED)
     assert next_session_state(fetching, SessionEvent.FETCH_TIMED_OUT) is SessionState.READY
     delivering = next_session_state(fetching, SessionEvent.REPLY_DEFERRED)
@@ -40,5 +45,6 @@
 
 
 def test_closed_session_stays_closed() -> None:
+    """Guards against an event that reopens a closed Faktory session."""
     for event in SessionEvent:
         assert next_session_state(SessionState.CLOSED, event) is SessionState.CLOSED
