--- a/tests/end_to_end/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -1,12 +1,8 @@
-"""What waits to be accepted goes on waiting while ``accept`` fails, and is served once it works again.
+"""Tests that a connection stays in the accept queue while ``accept`` fails and is served afterwards.
 
-What users saw: with descriptors short for a moment, one in three requests on new connections ended with the connection
-closed and no answer, so a client could not know whether its request had run.  Order of events: the connection waits in
-the listening socket's queue, its request with it; ``accept`` fails for want of a descriptor.  Cause: the event loop
-then gives up a spare descriptor, accepts what waits, and closes it.
-
-Evidence: of 231 requests 73 were closed unread while ``accept`` failed with ENFILE or EMFILE half of the time, and none
-with each other error, which the loop leaves in the queue.
+Guards against lost requests when ``accept`` fails with ENFILE or EMFILE: the event loop then frees a spare descriptor,
+accepts the connection and closes it. With half of the calls failing, 73 of 231 requests were closed unread; with other
+errors none, because the loop leaves them queued.
 """
 
 import os
@@ -19,21 +15,23 @@
 from heronlug.standins.ports import free_port
 
 
-class NoDescriptors:
-    """The process can open no further descriptor, from now on until :meth:`over`."""
+class DescriptorShortage:
+    """Keeps a process from opening further descriptors until :meth:`end` restores its limits."""
 
     def __init__(self, pid: int) -> None:
         self._pid = pid
-        self._before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
-        used = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
-        free = next(number for number in range(len(used) + 1) if number not in used)
-        resource.prlimit(pid, resource.RLIMIT_NOFILE, (free, self._before[1]))
+        self._original_limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+        used_descriptors = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
+        first_free = next(number for number in range(len(used_descriptors) + 1) if number not in used_descriptors)
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, (first_free, self._original_limits[1]))
 
-    def ended(self) -> None:
-        resource.prlimit(self._pid, resource.RLIMIT_NOFILE, self._before)
+    def end(self) -> None:
+        resource.prlimit(self._pid, resource.RLIMIT_NOFILE, self._original_limits)
 
 
 def test_connection_that_cannot_be_accepted_is_accepted_later(tmp_path: Path) -> None:
+    """Guards, for each listener, against closing a connection that arrives while no descriptor is free."""
+
     async def test(listener: str) -> None:
         folder = tmp_path / listener
         folder.mkdir()
@@ -42,7 +40,7 @@
         faktory = f"127.0.0.1:{free_port()}"
         (folder / "state.toml").write_text(f'log_level = "info"\n[faktory]\nlisten = "{faktory}"\n')
         program.environ["HERONLUG_STATE"] = str(folder / "state.toml")
-        address, sent, answer = {
+        address, sent, expected = {
             "operators": (program.operators, b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n", b"HTTP/1.1 200 "),
             "faktory": (faktory, b"", b"+HI "),
         }.get(listener, (harness.listen, request_bytes("t1", "once", 4000), b"HTTP/1.1 200 "))
@@ -54,24 +52,27 @@
             program.environ["RELAY_INHERITED_FD"] = str(inherited.fileno())
         async with program.open():
             await program.confirmed()
-            warm = await program.dial()
-            warm.send(request_bytes("t0", "safe", 4000))
-            end, _ = await harness.servers["h1"].request()
-            end.send(done("t0"))
-            await until(lambda: warm.received.endswith(b"ok"), "the first answer")
-            shortage = NoDescriptors(program.process.pid)
+            first_client = await program.dial()
+            first_client.send(request_bytes("t0", "safe", 4000))
+            server_connection, _ = await harness.servers["h1"].request()
+            server_connection.send(done("t0"))
+            await until(lambda: first_client.received.endswith(b"ok"), "the answer to the first request")
+            shortage = DescriptorShortage(program.process.pid)
             client = await program.dial(address)
             client.send(sent)
-            await until(lambda: client.ended or bool(program.logged("accept_failed")), "a failure of accept")
+            await until(
+                lambda: client.ended or bool(program.logged("accept_failed")),
+                "an accept_failed event or the end of the client connection",
+            )
             assert not client.ended
             assert program.logged("accept_failed")[0]["listener"] == listener.replace("inherited", "clients")
-            shortage.ended()
+            shortage.end()
             if address == harness.listen:
-                end, request = await harness.servers["h1"].request()
-                end.send(done(request_id_of(request)))
-            await until(lambda: client.received.startswith(answer), "an answer")
-            figure = f'svc_accept_failures{{listener="{listener.replace("inherited", "clients")}"}}'
-            assert await program.figure(figure) >= 1
+                server_connection, request = await harness.servers["h1"].request()
+                server_connection.send(done(request_id_of(request)))
+            await until(lambda: client.received.startswith(expected), "the answer after the descriptor shortage")
+            metric = f'svc_accept_failures{{listener="{listener.replace("inherited", "clients")}"}}'
+            assert await program.figure(metric) >= 1
         if inherited is not None:
             inherited.close()
 
--- a/tests/end_to_end/test_closed_connections.py
+++ b/tests/end_to_end/test_closed_connections.py
@@ -1,6 +1,6 @@
-"""Connections that we close ourselves: none of them owes anything that its client has written already.
+"""Tests that the dispatcher closes no connection whose client has already sent a request.
 
-In each test the client's bytes are in our machine's kernel, unread, when the moment to close comes.
+In each test the client's bytes are unread in the socket when the dispatcher is about to close the connection.
 """
 
 import os
@@ -9,24 +9,24 @@
 from end_to_end.harness import BlockingClient, DispatcherHarness, done, request_bytes, run_async
 from heronlug.frontends.http.connection import ClientConnection
 
-HEALTH = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
+HEALTH_CHECK = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 async def idle_client(harness: DispatcherHarness) -> BlockingClient:
-    """A client that has been answered once, and rests."""
+    """Returns a client that has received the answer to a health check and is idle."""
     client = harness.blocking_client()
-    client.send(HEALTH)
+    client.send(HEALTH_CHECK)
     await harness.settle()
     assert client.received().startswith(b"HTTP/1.1 200")
     return client
 
 
 async def expect_served(harness: DispatcherHarness, client: BlockingClient, *request_ids: str) -> None:
-    """All of these are forwarded and answered, in order."""
+    """Checks that each request is forwarded and answered exactly once, in the given order."""
     for request_id in request_ids:
-        end, request = await harness.servers["h1"].request()
+        server_connection, request = await harness.servers["h1"].request()
         assert f"x-txn: {request_id}\r".encode() in request
-        end.send(done(request_id, f"{request_id}-ok"))
+        server_connection.send(done(request_id, f"{request_id}-ok"))
         await harness.settle()
     received = client.received()
     assert [received.count(f"{request_id}-ok".encode()) for request_id in request_ids] == [1] * len(
@@ -35,7 +35,10 @@
 
 
 def test_request_that_arrives_as_a_drain_closes_idle_connections_is_served() -> None:
-    """The look that closes what rests comes before the request is read."""
+    """Guards against losing a request that arrives during a drain.
+
+    The check that closes idle connections runs before the request is read.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -51,19 +54,22 @@
 
 
 def test_connection_stays_in_a_drain_for_a_request_that_is_unread() -> None:
-    """Its connection stays for that one, and ends with its answer; none is overtaken by a reset."""
+    """Guards against closing a connection in a drain while a further request is unread in the socket.
+
+    The connection must stay open for the unread request and close after its answer. A reset must not discard an answer.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             client = await idle_client(harness)
             client.send(request_bytes("t1", "safe", 4000))
-            end, _ = await harness.servers["h1"].request()
+            server_connection, _ = await harness.servers["h1"].request()
             harness.application.shutdown.drain()
-            end.send_now(done("t1", "t1-ok"))
+            server_connection.send_now(done("t1", "t1-ok"))
             client.send(request_bytes("t2", "safe", 4000))
-            end, request = await harness.servers["h1"].request()
+            server_connection, request = await harness.servers["h1"].request()
             assert b"x-txn: t2\r" in request
-            end.send(done("t2", "t2-ok"))
+            server_connection.send(done("t2", "t2-ok"))
             await harness.settle()
             received = client.received()
             assert received.count(b"-ok") == 2
@@ -74,7 +80,7 @@
 
 
 def test_connection_stays_in_a_drain_for_a_pipelined_request() -> None:
-    """What waits behind it on its connection was taken too."""
+    """Guards against closing a connection after an answer in a drain while a pipelined request still waits."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -88,21 +94,24 @@
 
 
 def test_connection_with_an_unread_request_is_not_evicted() -> None:
-    """A newcomer at the limit of descriptors, and the one that has rested longest has just sent a request."""
+    """Guards against evicting the longest-idle connection when its client has just sent a request.
+
+    A new client connects at the limit of connections, and the request is still unread when the eviction runs.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, sockets=96).open() as harness:
             clients = [await idle_client(harness) for _ in range(16)]
-            opened = harness.application.frontend.connection_opened
+            open_connection = harness.application.frontend.connection_opened
 
-            def crossed(connection: ClientConnection) -> None:
+            def send_request_then_open(connection: ClientConnection) -> None:
                 clients[0].send(request_bytes("t1", "safe", 4000))
-                opened(connection)
+                open_connection(connection)
 
-            harness.application.frontend.connection_opened = crossed  # type: ignore[method-assign]
+            harness.application.frontend.connection_opened = send_request_then_open  # type: ignore[method-assign]
             newcomer = harness.blocking_client()
             await expect_served(harness, clients[0], "t1")
-            newcomer.send(HEALTH)
+            newcomer.send(HEALTH_CHECK)
             await harness.settle()
             assert newcomer.received().startswith(b"HTTP/1.1 200")
             assert harness.logged("too_many_clients")
@@ -111,7 +120,7 @@
 
 
 def test_request_that_arrives_as_the_idle_timeout_ends_is_served() -> None:
-    """The idle time is over before the request is read."""
+    """Guards against losing a request that has arrived but is unread when the idle time-out expires."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -130,7 +139,10 @@
 
 
 def test_request_in_the_accept_queue_at_a_stop_is_served() -> None:
-    """The look that ends the process comes before the connection is accepted."""
+    """Guards against losing a connection in the accept queue during a graceful shutdown.
+
+    The check that ends the process runs before the connection is accepted.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
