--- a/heronlug/frontends/faktory/commands.py
+++ b/heronlug/frontends/faktory/commands.py
@@ -22,7 +22,7 @@
 from heronlug.frontends.faktory.job import DEFAULT_QUEUE
 from heronlug.frontends.faktory.jobs import JobTable
 from heronlug.frontends.faktory.resp import OK, JsonObject, bulk_json, error_reply, parse_object, parse_objects
-from heronlug.frontends.faktory.worker import Reply, Worker
+from heronlug.frontends.faktory.worker import ReplyCallback, Worker
 from heronlug.frontends.faktory.workers import WorkerTable
 
 PROTOCOL_VERSION = 2
@@ -67,7 +67,7 @@
     def wait_for_job(self, worker: Worker, queues: list[str]) -> None:
         """Wait for a job of these queues."""
 
-    def defer_reply(self) -> Reply:
+    def defer_reply(self) -> ReplyCallback:
         """Carry out no further command until the result is called with the reply."""
 
     def write(self, data: bytes) -> None:
@@ -100,13 +100,13 @@
 
 
 def _hello(session: CommandSession, argument: bytes) -> None:
-    table = parse_object(argument)
-    if table.get("v") != PROTOCOL_VERSION:
+    fields = parse_object(argument)
+    if fields.get("v") != PROTOCOL_VERSION:
         raise UnsupportedVersionError(PROTOCOL_VERSION)
     password = session.frontend.context.config.password
-    if password and not is_valid_proof(password, session.salt, table.get("pwdhash", "")):
+    if password and not is_valid_proof(password, session.salt, fields.get("pwdhash", "")):
         raise InvalidPasswordError
-    wid = table.get("wid")
+    wid = fields.get("wid")
     if wid is not None and (not isinstance(wid, str) or not 0 < len(wid) <= MAX_WID_CHARACTERS):
         raise InvalidWorkerIdError(MAX_WID_CHARACTERS)
     session.greet(wid)
--- a/heronlug/frontends/faktory/delivery.py
+++ b/heronlug/frontends/faktory/delivery.py
@@ -12,11 +12,11 @@
 from heronlug.frontends.faktory.recovery import must_be_stored_before_delivery
 from heronlug.frontends.faktory.reservations import Reservations
 from heronlug.frontends.faktory.resp import NO_JOB, bulk_json
-from heronlug.frontends.faktory.worker import Reply, Reservation, Worker, WorkerConnection
+from heronlug.frontends.faktory.worker import ReplyCallback, Reservation, Worker, WorkerConnection
 from heronlug.frontends.faktory.workers import WorkerTable
 from heronlug.requests.model import Attempt
 
-FETCH_WITHIN_MS = 2_500.0
+ASSIGNMENT_TIMEOUT_MS = 2_500.0
 """A job that its worker does not fetch within this time never ran, and goes elsewhere."""
 
 REJECT_MARGIN_MS = 50.0
@@ -40,7 +40,7 @@
         worker.assigned.append(attempt)
         deadlines = self._context.deadlines
         until_reject_ms = attempt.request.give_up_at - REJECT_MARGIN_MS - deadlines.clock()
-        timeout_ms = max(0.0, min(FETCH_WITHIN_MS, until_reject_ms))
+        timeout_ms = max(0.0, min(ASSIGNMENT_TIMEOUT_MS, until_reject_ms))
         attempt.exchange = deadlines.call_after(timeout_ms, self._on_not_fetched, attempt)
         self.match(worker)
 
@@ -95,7 +95,7 @@
         else:
             self._deliver(reservation, reply, "")
 
-    def _deliver(self, reservation: Reservation, reply: Reply, store_failure: str) -> None:
+    def _deliver(self, reservation: Reservation, reply: ReplyCallback, store_failure: str) -> None:
         """Write a reserved job to its worker, if it still should; ``store_failure`` is empty for none."""
         attempt = reservation.attempt
         job: Job = attempt.request.payload
--- a/heronlug/frontends/faktory/errors.py
+++ b/heronlug/frontends/faktory/errors.py
@@ -19,8 +19,8 @@
 class WorkerRequiredError(CommandError):
     """The command is for workers, and the session has not named one."""
 
-    def __init__(self, what_needs_it: str) -> None:
-        super().__init__(f"{what_needs_it} a HELLO with a wid")
+    def __init__(self, command_names: str) -> None:
+        super().__init__(f"{command_names} a HELLO with a wid")
 
 
 class UnknownWorkerError(CommandError):
--- a/heronlug/frontends/faktory/jobs.py
+++ b/heronlug/frontends/faktory/jobs.py
@@ -58,15 +58,15 @@
     def push_all(self, payloads: list[JsonObject], callback: PushAllCallback) -> None:
         """Accept many jobs."""
         errors: dict[str, str] = {}
-        open_pushes = len(payloads)
+        pending_pushes = len(payloads)
 
         def on_pushed(jid: str, error: CommandError | None) -> None:
             """Note one result; the last one completes the command."""
-            nonlocal open_pushes
-            open_pushes -= 1
+            nonlocal pending_pushes
+            pending_pushes -= 1
             if error is not None:
                 errors[jid] = str(error)
-            if not open_pushes:
+            if not pending_pushes:
                 callback(errors)
 
         for payload in payloads:
@@ -78,7 +78,7 @@
         jid = parse_jid(payload)
         known = self.by_jid.get(jid)
         if known is not None:
-            _push_again(known, callback)
+            _push_known_job(known, callback)
             return
         arguments = parse_push(payload, self._class_names())
         if self.scheduler.stopping:
@@ -140,21 +140,21 @@
 
     # -- the end
 
-    def finish(self, job: Job, final: FinalAnswer) -> None:
+    def finish(self, job: Job, final_answer: FinalAnswer) -> None:
         """End a job; its jid stays known for the configured time."""
-        job.final_answer = final
+        job.final_answer = final_answer
         job.payload = {}
-        self._context.store.record_final_state(job.jid, final.value, self._context.deadlines.clock())
-        self._context.log("job_answered", jid=job.jid, final=final.value)
+        self._context.store.record_final_state(job.jid, final_answer.value, self._context.deadlines.clock())
+        self._context.log("job_answered", jid=job.jid, final=final_answer.value)
         self._context.deadlines.call_after(self._context.config.remember_ms, self._forget, job)
-        self.scheduler.job_ended(job.jid, final is FinalAnswer.SERVED)
+        self.scheduler.job_ended(job.jid, final_answer is FinalAnswer.SERVED)
 
-    def answer(self, job: Job, final: FinalAnswer) -> None:
+    def answer(self, job: Job, final_answer: FinalAnswer) -> None:
         """End a job as the core says; one that a stop rejects stays stored for the next process."""
-        if self.scheduler.stopping and self._context.store.is_durable and final is FinalAnswer.REFUSED:
+        if self.scheduler.stopping and self._context.store.is_durable and final_answer is FinalAnswer.REFUSED:
             self._context.log("job_kept", jid=job.jid)
             return
-        self.finish(job, final)
+        self.finish(job, final_answer)
 
     def _forget(self, job: Job) -> None:
         if self.by_jid.get(job.jid) is job:
@@ -221,7 +221,7 @@
         return reserve_s * 1000 if reserve_s else self._context.config.reserve_ms
 
 
-def _push_again(job: Job, callback: PushCallback) -> None:
+def _push_known_job(job: Job, callback: PushCallback) -> None:
     """Handle the push of a job that is known; raises :class:`JobEndedError`."""
     if job.final_answer in (FinalAnswer.REFUSED, FinalAnswer.FAILED):
         raise JobEndedError(job.jid, job.final_answer.value)
--- a/heronlug/frontends/faktory/recovery.py
+++ b/heronlug/frontends/faktory/recovery.py
@@ -68,8 +68,8 @@
             store.forget(record.jid)
             continue
         if action in (RecoveryAction.FAIL, RecoveryAction.REJECT):
-            final = FinalState.FAILED if action is RecoveryAction.FAIL else FinalState.REFUSED
-            store.record_final_state(record.jid, final.value, now)
-            record = record._replace(final_state=final.value, ended_at=now)
+            final_state = FinalState.FAILED if action is RecoveryAction.FAIL else FinalState.REFUSED
+            store.record_final_state(record.jid, final_state.value, now)
+            record = record._replace(final_state=final_state.value, ended_at=now)
         records.append((record, action))
     return records, counts
--- a/heronlug/frontends/faktory/resp.py
+++ b/heronlug/frontends/faktory/resp.py
@@ -60,9 +60,9 @@
     return value
 
 
-def optional_number(table: JsonObject, key: str) -> float | None:
+def optional_number(fields: JsonObject, key: str) -> float | None:
     """A number of 0 or more, or None if there is none; raises :class:`InvalidArgumentError`."""
-    value = table.get(key)
+    value = fields.get(key)
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
--- a/heronlug/frontends/faktory/scheduler.py
+++ b/heronlug/frontends/faktory/scheduler.py
@@ -68,8 +68,10 @@
     def may_start(self, job: Job, start: StartTime) -> bool:
         """Whether a job waits for no other; else it is kept until they end, or has failed with one of them."""
         # a parent that has been forgotten ended long ago, and released this job by then
-        parents = [(edge, self._jobs[edge.parent]) for edge in _edges(job.custom) if edge.parent in self._jobs]
-        verdict = self._chains.add(
+        parents = [
+            (edge, self._jobs[edge.parent]) for edge in _parse_dependencies(job.custom) if edge.parent in self._jobs
+        ]
+        chain_state = self._chains.add(
             job.jid,
             [edge for edge, parent in parents if parent.final_answer is None],
             [
@@ -78,12 +80,12 @@
                 if parent.final_answer is not None
             ],
         )
-        if verdict is ChainState.WAITS:
+        if chain_state is ChainState.WAITS:
             self._dependent[job.jid] = _DependentJob(job, start)
-        elif verdict is ChainState.FAILED:
+        elif chain_state is ChainState.FAILED:
             self._context.log("job_chain_failed", jid=job.jid, cause="a parent had failed")
             self._finish(job, FinalAnswer.FAILED)
-        return verdict is ChainState.READY
+        return chain_state is ChainState.READY
 
     def check_parents(self, custom: JsonObject) -> None:
         """Check what a pushed job waits for.
@@ -93,7 +95,7 @@
             UnknownParentError: nobody has pushed one of them.
         """
         try:
-            edges = _edges(custom)
+            edges = _parse_dependencies(custom)
         except ValueError as error:
             raise InvalidArgumentError(str(error)) from error
         for edge in edges:
@@ -103,12 +105,12 @@
     def job_ended(self, jid: str, served: bool) -> None:
         """Start the jobs that waited for this one last, and fail those that need it to be served."""
         self._dependent.pop(jid, None)
-        consequences = self._chains.request_ended(jid, served)
-        for child in consequences.failed:
+        chain_end = self._chains.request_ended(jid, served)
+        for child in chain_end.failed:
             failed = self._dependent.pop(child)
             self._context.log("job_chain_failed", jid=child, cause=jid)
             self._finish(failed.job, FinalAnswer.FAILED)
-        for child in consequences.released:
+        for child in chain_end.released:
             released = self._dependent.pop(child)
             self.start(released.job, released.start)
 
@@ -128,6 +130,6 @@
                 self._finish(dependent.job, FinalAnswer.REFUSED)
 
 
-def _edges(custom: JsonObject) -> list[Edge]:
+def _parse_dependencies(custom: JsonObject) -> list[Edge]:
     """The jobs that a job waits for; raises ``ValueError``."""
     return parse_edges(custom.get("after"), custom.get("on_failure"))
--- a/heronlug/frontends/faktory/session.py
+++ b/heronlug/frontends/faktory/session.py
@@ -20,7 +20,7 @@
 )
 from heronlug.frontends.faktory.resp import NO_JOB, OK, error_reply
 from heronlug.frontends.faktory.session_state import SessionEvent, SessionState, next_state
-from heronlug.frontends.faktory.worker import Reply, Worker
+from heronlug.frontends.faktory.worker import ReplyCallback, Worker
 from heronlug.frontends.timeout import Timeout
 from heronlug.net import http
 from heronlug.net.connection_state import peer_has_closed
@@ -84,7 +84,7 @@
         """Send HI; a client that does not answer with HELLO in time is disconnected."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's class has the methods but is no subclass
         if not self.frontend.session_opened(self):
-            self._hang_up(TooManyConnectionsError())
+            self._close_with_error(TooManyConnectionsError())
             return
         greeting: dict[str, Any] = {"v": PROTOCOL_VERSION}
         if self.frontend.context.config.password:
@@ -100,15 +100,15 @@
         try:
             self._commands.extend(self._lines.feed(data))
         except ValueError:
-            self._hang_up(LineTooLongError())
+            self._close_with_error(LineTooLongError())
         self._execute_waiting()
         if len(self._commands) > MAX_WAITING_COMMANDS and self.transport is not None:
-            self._hang_up(TooManyCommandsError())
+            self._close_with_error(TooManyCommandsError())
         self.frontend.run_due()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended: the jobs that were fetched on it may have run."""
-        self._step(SessionEvent.CLOSED)
+        self._apply_event(SessionEvent.CLOSED)
         self._hello_timeout.cancel()
         self._fetch_timeout.cancel()
         self.frontend.session_closed(self)
@@ -140,7 +140,7 @@
 
     def greet(self, wid: str | None) -> None:
         """Accept the client, as a worker if it gives a wid."""
-        self._step(SessionEvent.GREETED)
+        self._apply_event(SessionEvent.GREETED)
         self._hello_timeout.cancel()
         self.write(OK)
         if wid is not None:
@@ -149,18 +149,18 @@
     def wait_for_job(self, worker: Worker, queues: list[str]) -> None:
         """Wait for a job of these queues."""
         self.queues = queues
-        self._step(SessionEvent.FETCH_STARTED)
+        self._apply_event(SessionEvent.FETCH_STARTED)
         self._fetch_timeout.start(FETCH_TIMEOUT_MS, self._on_fetch_timeout)
         self.frontend.delivery.match(worker)
 
-    def defer_reply(self) -> Reply:
+    def defer_reply(self) -> ReplyCallback:
         """Carry out no further command until the result is called with the reply, which may be at once."""
         self._fetch_timeout.cancel()
-        self._step(SessionEvent.REPLY_DEFERRED)
+        self._apply_event(SessionEvent.REPLY_DEFERRED)
 
         def reply(data: bytes) -> None:
             """Write the reply, and carry out the commands that have waited for it."""
-            self._step(SessionEvent.REPLIED)
+            self._apply_event(SessionEvent.REPLIED)
             self.write(data)
             if not self._executing:
                 self._execute_waiting()
@@ -174,7 +174,7 @@
 
     def close(self) -> None:
         """End the session once all that has been written has gone out."""
-        self._step(SessionEvent.CLOSED)
+        self._apply_event(SessionEvent.CLOSED)
         if self.transport is not None:
             self.transport.close()
 
@@ -185,10 +185,10 @@
 
     # -- inside
 
-    def _step(self, event: SessionEvent) -> None:
+    def _apply_event(self, event: SessionEvent) -> None:
         self._state = next_state(self._state, event)
 
-    def _hang_up(self, error: SessionError) -> None:
+    def _close_with_error(self, error: SessionError) -> None:
         self._commands.clear()
         self.write(error_reply(error))
         self.close()
@@ -206,14 +206,14 @@
         try:
             execute(self, name, argument)
         except SessionError as error:
-            self._hang_up(error)
+            self._close_with_error(error)
         except CommandError as error:
             self.write(error_reply(error))
         except Exception as error:  # a fault ends this session, not the process
             self.frontend.context.log("exception", where="faktory", error=repr(error))
-            self._hang_up(InternalError())
+            self._close_with_error(InternalError())
 
     def _on_fetch_timeout(self) -> None:
-        self._step(SessionEvent.FETCH_TIMED_OUT)
+        self._apply_event(SessionEvent.FETCH_TIMED_OUT)
         self.write(NO_JOB)
         self._execute_waiting()
--- a/heronlug/frontends/faktory/worker.py
+++ b/heronlug/frontends/faktory/worker.py
@@ -8,7 +8,7 @@
 from heronlug.requests.deadlines import Key
 from heronlug.requests.model import Attempt
 
-Reply = Callable[[bytes], None]
+ReplyCallback = Callable[[bytes], None]
 """Writes the reply to a command that could not be replied to at once."""
 
 
@@ -26,7 +26,7 @@
     def peer_connected(self) -> bool:
         """Whether the worker has not closed its side."""
 
-    def defer_reply(self) -> Reply:
+    def defer_reply(self) -> ReplyCallback:
         """Carry out no further command until the result is called; ends a FETCH that waits."""
 
     def abort(self) -> None:
--- a/heronlug/frontends/faktory/workers.py
+++ b/heronlug/frontends/faktory/workers.py
@@ -49,17 +49,17 @@
         for jid in list(connection.reserved_jids):
             self._reservations.reset(worker, jid, "connection lost")
 
-    def heartbeat(self, table: JsonObject) -> str:
+    def heartbeat(self, fields: JsonObject) -> str:
         """Handle the argument of BEAT; returns the state that the worker has to take on, empty for none.
 
         Raises:
             UnknownWorkerError: the worker is not connected.
         """
-        worker = self.by_wid.get(str(table.get("wid")))
+        worker = self.by_wid.get(str(fields.get("wid")))
         if worker is None or not worker.connections:
             raise UnknownWorkerError
         self._restart_heartbeat_timeout(worker)
-        reported = str(table.get("current_state") or table.get("state") or "")
+        reported = str(fields.get("current_state") or fields.get("state") or "")
         if reported in REPORTED_STATES and not worker.state:
             self._drain(worker, REPORTED_STATES[reported])
         return worker.state
--- a/heronlug/storage/memory.py
+++ b/heronlug/storage/memory.py
@@ -14,23 +14,23 @@
         """There is nothing stored."""
         return ()
 
-    def accept(self, request: StoredRequest, done: DurabilityCallback) -> None:
+    def accept(self, request: StoredRequest, callback: DurabilityCallback) -> None:
         """Call back at once."""
-        done("")
+        callback("")
 
-    def deliver(self, jid: str, at: float, done: DurabilityCallback) -> None:
+    def deliver(self, jid: str, delivered_at: float, callback: DurabilityCallback) -> None:
         """Call back at once."""
-        done("")
+        callback("")
 
-    def record_final_state(self, jid: str, final: str, at: float) -> None:
+    def record_final_state(self, jid: str, final_state: str, ended_at: float) -> None:
         """Do nothing."""
 
     def forget(self, jid: str) -> None:
         """Do nothing."""
 
-    def when_durable(self, done: DurabilityCallback) -> None:
+    def when_durable(self, callback: DurabilityCallback) -> None:
         """Call back at once."""
-        done("")
+        callback("")
 
     def close(self) -> None:
         """Do nothing."""
--- a/heronlug/storage/model.py
+++ b/heronlug/storage/model.py
@@ -68,19 +68,19 @@
     def load(self) -> Iterable[StoredRequest]:
         """All that is stored; called once, at the start."""
 
-    def accept(self, request: StoredRequest, done: DurabilityCallback) -> None:
+    def accept(self, request: StoredRequest, callback: DurabilityCallback) -> None:
         """Store a request that is about to be accepted."""
 
-    def deliver(self, jid: str, at: float, done: DurabilityCallback) -> None:
+    def deliver(self, jid: str, delivered_at: float, callback: DurabilityCallback) -> None:
         """Store that a request is about to be given to a worker."""
 
-    def record_final_state(self, jid: str, final: str, at: float) -> None:
+    def record_final_state(self, jid: str, final_state: str, ended_at: float) -> None:
         """Store how a request ended; retried until it is durable."""
 
     def forget(self, jid: str) -> None:
         """Delete a request."""
 
-    def when_durable(self, done: DurabilityCallback) -> None:
+    def when_durable(self, callback: DurabilityCallback) -> None:
         """Call back when all changes before this one are durable."""
 
     def close(self) -> None:
--- a/heronlug/storage/sqlite.py
+++ b/heronlug/storage/sqlite.py
@@ -30,17 +30,17 @@
 """How long SQLite waits for a file that another process has."""
 EXIT_STATUS_KILLED = 137
 """The exit status of an injected fault, that of a killed process."""
-SCHEMA = """
+CREATE_TABLE = """
 create table if not exists jobs (
     jid text primary key, lane text not null, queue text not null, job blob not null, accepted_at real not null,
     remaining real not null, due real not null, delivered_at real not null, final text not null, ended_at real not null
 ) without rowid
 """
-SELECT = "select jid, lane, queue, job, accepted_at, remaining, due, delivered_at, final, ended_at from jobs"
-INSERT = "insert or ignore into jobs values (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
-DELIVER = "update jobs set delivered_at = ? where jid = ? and delivered_at = 0"
-END = "update jobs set final = ?, ended_at = ?, job = x'' where jid = ? and final = ''"
-FORGET = "delete from jobs where jid = ?"
+SELECT_REQUESTS = "select jid, lane, queue, job, accepted_at, remaining, due, delivered_at, final, ended_at from jobs"
+INSERT_REQUEST = "insert or ignore into jobs values (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
+SET_DELIVERED_AT = "update jobs set delivered_at = ? where jid = ? and delivered_at = 0"
+SET_FINAL_STATE = "update jobs set final = ?, ended_at = ?, job = x'' where jid = ? and final = ''"
+DELETE_REQUEST = "delete from jobs where jid = ?"
 FAULT_VARIABLE = "HERONLUG_STORE_FAULT"
 """For tests: ``KIND:NUMBER:before`` or ``after`` ends the process around the commit of that operation."""
 
@@ -57,12 +57,12 @@
 
 
 class _Operation(NamedTuple):
-    """A change to write; ``done`` is None for one that is retried until it is durable."""
+    """A change to write; ``callback`` is None for one that is retried until it is durable."""
 
     kind: str
     sql: str
     values: tuple[Any, ...]
-    done: DurabilityCallback | None
+    callback: DurabilityCallback | None
 
 
 class _InjectedFault:
@@ -126,7 +126,7 @@
         msg = f"{path}: damaged: {'; '.join(str(row[0]) for row in problems)}"
         raise StoreError(msg)
     connection.execute("begin immediate")  # from here on no other process may write
-    connection.execute(SCHEMA)
+    connection.execute(CREATE_TABLE)
     connection.execute(f"pragma user_version = {FORMAT_VERSION}")
     connection.execute("commit")
 
@@ -134,7 +134,7 @@
 def read_requests(connection: sqlite3.Connection) -> Iterator[StoredRequest]:
     """All stored requests; raises :class:`StoreError`."""
     try:
-        yield from (StoredRequest(*row) for row in connection.execute(SELECT))
+        yield from (StoredRequest(*row) for row in connection.execute(SELECT_REQUESTS))
     except sqlite3.Error as error:
         raise StoreError(str(error)) from error
 
@@ -161,75 +161,75 @@
         self._connection = connect(path)
         self._call_soon, self._log = call_soon, log
         self._operations: deque[_Operation] = deque()
-        self._wake = threading.Condition()
+        self._condition = threading.Condition()
         self._closing = False
-        self._failing = False
+        self._commits_failing = False
         self._fault = _InjectedFault.from_environment()
         self.commits = 0
         self.written = 0
         self.failures = 0
-        self._thread = threading.Thread(target=self._run, name="store", daemon=True)
+        self._thread = threading.Thread(target=self._write_operations, name="store", daemon=True)
         self._thread.start()
 
     def load(self) -> Iterable[StoredRequest]:
         """All that is stored."""
         return list(read_requests(self._connection))
 
-    def accept(self, request: StoredRequest, done: DurabilityCallback) -> None:
+    def accept(self, request: StoredRequest, callback: DurabilityCallback) -> None:
         """Store a request that is about to be accepted."""
-        self._put(_Operation("accept", INSERT, tuple(request), done))
+        self._enqueue(_Operation("accept", INSERT_REQUEST, tuple(request), callback))
 
-    def deliver(self, jid: str, at: float, done: DurabilityCallback) -> None:
+    def deliver(self, jid: str, delivered_at: float, callback: DurabilityCallback) -> None:
         """Store that a request is about to be given to a worker."""
-        self._put(_Operation("deliver", DELIVER, (at, jid), done))
+        self._enqueue(_Operation("deliver", SET_DELIVERED_AT, (delivered_at, jid), callback))
 
-    def record_final_state(self, jid: str, final: str, at: float) -> None:
+    def record_final_state(self, jid: str, final_state: str, ended_at: float) -> None:
         """Store how a request ended."""
-        self._put(_Operation("end", END, (final, at, jid), None))
+        self._enqueue(_Operation("end", SET_FINAL_STATE, (final_state, ended_at, jid), None))
 
     def forget(self, jid: str) -> None:
         """Delete a request."""
-        self._put(_Operation("forget", FORGET, (jid,), None))
+        self._enqueue(_Operation("forget", DELETE_REQUEST, (jid,), None))
 
-    def when_durable(self, done: DurabilityCallback) -> None:
+    def when_durable(self, callback: DurabilityCallback) -> None:
         """Call back when all changes before this one are durable."""
-        self._put(_Operation("after", "", (), done))
+        self._enqueue(_Operation("after", "", (), callback))
 
     def close(self) -> None:
         """Write what is outstanding, and release the file."""
-        with self._wake:
+        with self._condition:
             self._closing = True
-            self._wake.notify()
+            self._condition.notify()
         self._thread.join(CLOSE_TIMEOUT_S)
         self._connection.close()
 
-    def _put(self, operation: _Operation) -> None:
-        with self._wake:
+    def _enqueue(self, operation: _Operation) -> None:
+        with self._condition:
             self._operations.append(operation)
-            self._wake.notify()
+            self._condition.notify()
 
     # -- in the thread
 
-    def _run(self) -> None:
+    def _write_operations(self) -> None:
         while batch := self._next_batch():
-            error = self._write(batch)
+            error = self._commit(batch)
             self._log_health(error)
-            callbacks = [operation.done for operation in batch if operation.done is not None]
+            callbacks = [operation.callback for operation in batch if operation.callback is not None]
             if callbacks:
                 self._call_soon(partial(_call_all, callbacks, error))
-            unwritten = [operation for operation in batch if error and operation.done is None]
-            if unwritten and not self._retry_later(unwritten):
+            uncommitted = [operation for operation in batch if error and operation.callback is None]
+            if uncommitted and not self._retry_later(uncommitted):
                 return
 
     def _next_batch(self) -> list[_Operation]:
         """Wait for operations; none once the store is closing and all are written."""
-        with self._wake:
+        with self._condition:
             while not self._operations and not self._closing:
-                self._wake.wait()
+                self._condition.wait()
             count = min(MAX_COMMIT_OPERATIONS, len(self._operations))
             return [self._operations.popleft() for _ in range(count)]
 
-    def _write(self, batch: list[_Operation]) -> str:
+    def _commit(self, batch: list[_Operation]) -> str:
         """Make one commit; returns why it could not be made, or an empty text."""
         try:
             self._connection.execute("begin immediate")
@@ -261,26 +261,26 @@
 
     def _log_health(self, error: str) -> None:
         """Log when commits begin to fail, and when they succeed again."""
-        if error and not self._failing:
+        if error and not self._commits_failing:
             self._log("store_failed", error=error)
-        elif not error and self._failing:
+        elif not error and self._commits_failing:
             self._log("store_well")
-        self._failing = bool(error)
+        self._commits_failing = bool(error)
 
-    def _retry_later(self, unwritten: list[_Operation]) -> bool:
+    def _retry_later(self, uncommitted: list[_Operation]) -> bool:
         """Put operations back and wait; False if the store is closing, so that they are lost."""
-        with self._wake:
+        with self._condition:
             if self._closing:
-                self._log("store_lost", operations=len(unwritten))
+                self._log("store_lost", operations=len(uncommitted))
                 return False
-            self._operations.extendleft(reversed(unwritten))
-            self._wake.wait(RETRY_DELAY_S)
+            self._operations.extendleft(reversed(uncommitted))
+            self._condition.wait(RETRY_DELAY_S)
             return True
 
 
 def _call_all(callbacks: list[DurabilityCallback], error: str) -> None:
-    for done in callbacks:
-        done(error)
+    for callback in callbacks:
+        callback(error)
 
 
 def compact(path: Path) -> FileSizes:
--- a/tests/end_to_end/test_faktory.py
+++ b/tests/end_to_end/test_faktory.py
@@ -13,7 +13,7 @@
 from heronlug.frontends.faktory.worker import Reservation
 from heronlug.standins.ports import free_port
 
-TERMS = {
+FAKTORY_TABLE = {
     "password": "",
     "beat_timeout_s": 60,
     "reserve_for_s": 1800,
@@ -24,7 +24,7 @@
 }
 
 
-class Client(BlockingClient):
+class FaktoryClient(BlockingClient):
     """A producer or a worker, each act of which is done when the call returns."""
 
     def __init__(self, address: str, harness: DispatcherHarness, **hello: object) -> None:
@@ -32,7 +32,7 @@
         self.harness = harness
         self.send(b"HELLO %s\r\n" % json.dumps({"v": 2, **hello}).encode())
 
-    async def reported(self) -> bytes:
+    async def received_after_settling(self) -> bytes:
         await self.harness.settle()
         return self.received()
 
@@ -41,24 +41,24 @@
 async def open_faktory(harness: DispatcherHarness) -> AsyncIterator[str]:
     """The Faktory frontend of a running application."""
     address = f"127.0.0.1:{free_port()}"
-    harness.application.faktory.use(await harness.application.faktory.open({**TERMS, "listen": address}))
+    harness.application.faktory.use(await harness.application.faktory.open({**FAKTORY_TABLE, "listen": address}))
     await asyncio.sleep(0)
     yield address
 
 
-def fetching_worker(address: str, harness: DispatcherHarness, wid: str) -> Client:
+def connect_fetching_worker(address: str, harness: DispatcherHarness, wid: str) -> FaktoryClient:
     """A worker that waits for a job."""
-    client = Client(address, harness, wid=wid)
+    client = FaktoryClient(address, harness, wid=wid)
     client.send(b"FETCH default\r\n")
     return client
 
 
-async def next_worker(address: str, harness: DispatcherHarness) -> tuple[Client, bytes]:
+async def fetch_with_second_worker(address: str, harness: DispatcherHarness) -> tuple[FaktoryClient, bytes]:
     """The next worker, and what it gets in place of the one that has left."""
-    other = fetching_worker(address, harness, "w2")
+    second_worker = connect_fetching_worker(address, harness, "w2")
     await harness.settle()
     await harness.pass_time(1_500)
-    return other, await other.reported()
+    return second_worker, await second_worker.received_after_settling()
 
 
 def push_command(jid: str) -> bytes:
@@ -66,47 +66,47 @@
 
 
 @pytest.mark.parametrize("ending", ["fin", "half", "reset"])
-def test_job_for_a_worker_that_has_left_goes_to_another(ending: str) -> None:
+def test_job_for_a_departed_worker_goes_to_another_worker(ending: str) -> None:
     """Its end is not read yet when the job is matched with its FETCH: the job never ran, and another worker has it."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness, open_faktory(harness) as address:
-            gone = fetching_worker(address, harness, "w1")
-            producer = Client(address, harness)
+            departed = connect_fetching_worker(address, harness, "w1")
+            producer = FaktoryClient(address, harness)
             await harness.settle()
             producer.send(push_command("job-00001"))  # first in the queue of what is to be read
-            gone.leave(ending)
-            assert (await producer.reported()).endswith(b"+OK\r\n")
-            other, received = await next_worker(address, harness)
+            departed.leave(ending)
+            assert (await producer.received_after_settling()).endswith(b"+OK\r\n")
+            second_worker, received = await fetch_with_second_worker(address, harness)
             assert b"job-00001" in received
             assert not harness.logged("job_reset")
-            other.send(b'ACK {"jid":"job-00001"}\r\n')
-            assert (await other.reported()).endswith(b"+OK\r\n")
-            assert [progress_chunk["final"] for progress_chunk in harness.logged("job_answered")] == ["served"]
+            second_worker.send(b'ACK {"jid":"job-00001"}\r\n')
+            assert (await second_worker.received_after_settling()).endswith(b"+OK\r\n")
+            assert [event["final"] for event in harness.logged("job_answered")] == ["served"]
 
     run_async(test)
 
 
 @pytest.mark.parametrize("ending", ["fin", "half", "reset"])
-def test_job_whose_worker_leaves_while_its_delivery_is_stored_goes_to_another(ending: str) -> None:
+def test_job_whose_worker_leaves_while_the_delivery_is_stored_goes_to_another_worker(ending: str) -> None:
     """What may not be repeated is on the disk before it goes out; by then nobody is there to have it."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness, open_faktory(harness) as address:
-            gone = fetching_worker(address, harness, "w1")
+            departed = connect_fetching_worker(address, harness, "w1")
             await harness.settle()
-            deliver = JobDelivery._deliver
+            original_deliver = JobDelivery._deliver
 
-            def late(delivery: JobDelivery, reservation: Reservation, *rest: object) -> None:
+            def leave_then_deliver(delivery: JobDelivery, reservation: Reservation, *rest: object) -> None:
                 if reservation.worker.wid == "w1":
-                    gone.leave(ending)
-                deliver(delivery, reservation, *rest)  # type: ignore[arg-type]
+                    departed.leave(ending)
+                original_deliver(delivery, reservation, *rest)  # type: ignore[arg-type]
 
-            with mock.patch.object(JobDelivery, "_deliver", late):
-                producer = Client(address, harness)
+            with mock.patch.object(JobDelivery, "_deliver", leave_then_deliver):
+                producer = FaktoryClient(address, harness)
                 producer.send(push_command("job-00002"))
                 await harness.settle()
-            _, received = await next_worker(address, harness)
+            _, received = await fetch_with_second_worker(address, harness)
             assert b"job-00002" in received
             assert not harness.logged("job_reset")
 
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -10,38 +10,45 @@
 from heronlug.storage.model import RecoveryAction, StoredRequest, recovery_action
 from heronlug.storage.sqlite import SqliteStore, StoreError, connect
 
-ONCE = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.NON_IDEMPOTENT)
-KEYED = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT_BY_KEY, repeat_window=500.0)
-SAFE = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT)
-NEW = StoredRequest("jid-00001", "c", "default", b"{}", 1000.0, 800.0)
+NON_IDEMPOTENT_CLASS = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.NON_IDEMPOTENT)
+BY_KEY_CLASS = RequestClass(
+    latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT_BY_KEY, repeat_window=500.0
+)
+IDEMPOTENT_CLASS = RequestClass(latency_objective=1.0, deadline=1000.0, effect=Effect.IDEMPOTENT)
+REQUEST = StoredRequest("jid-00001", "c", "default", b"{}", 1000.0, 800.0)
 
 
 @pytest.mark.parametrize(
     ("request_", "policy", "now", "action"),
     [
-        (NEW, ONCE, 1100.0, RecoveryAction.RESTART),
-        (NEW, ONCE, 1900.0, RecoveryAction.REJECT),  # it never ran
-        (NEW, None, 1100.0, RecoveryAction.REJECT),
-        (NEW._replace(not_before=5000.0), ONCE, 1900.0, RecoveryAction.SCHEDULE),
-        (NEW._replace(not_before=5000.0), ONCE, 5100.0, RecoveryAction.RESTART),
-        (NEW._replace(not_before=5000.0), ONCE, 5900.0, RecoveryAction.REJECT),
-        (NEW._replace(first_delivered_at=1050.0), ONCE, 1100.0, RecoveryAction.FAIL),
-        (NEW._replace(first_delivered_at=1050.0), SAFE, 1100.0, RecoveryAction.RESTART),
-        (NEW._replace(first_delivered_at=1050.0), SAFE, 1900.0, RecoveryAction.FAIL),
-        (NEW._replace(first_delivered_at=1050.0), KEYED, 1500.0, RecoveryAction.RESTART),
+        (REQUEST, NON_IDEMPOTENT_CLASS, 1100.0, RecoveryAction.RESTART),
+        (REQUEST, NON_IDEMPOTENT_CLASS, 1900.0, RecoveryAction.REJECT),  # it never ran
+        (REQUEST, None, 1100.0, RecoveryAction.REJECT),
+        (REQUEST._replace(not_before=5000.0), NON_IDEMPOTENT_CLASS, 1900.0, RecoveryAction.SCHEDULE),
+        (REQUEST._replace(not_before=5000.0), NON_IDEMPOTENT_CLASS, 5100.0, RecoveryAction.RESTART),
+        (REQUEST._replace(not_before=5000.0), NON_IDEMPOTENT_CLASS, 5900.0, RecoveryAction.REJECT),
+        (REQUEST._replace(first_delivered_at=1050.0), NON_IDEMPOTENT_CLASS, 1100.0, RecoveryAction.FAIL),
+        (REQUEST._replace(first_delivered_at=1050.0), IDEMPOTENT_CLASS, 1100.0, RecoveryAction.RESTART),
+        (REQUEST._replace(first_delivered_at=1050.0), IDEMPOTENT_CLASS, 1900.0, RecoveryAction.FAIL),
+        (REQUEST._replace(first_delivered_at=1050.0), BY_KEY_CLASS, 1500.0, RecoveryAction.RESTART),
         (
-            NEW._replace(first_delivered_at=1050.0),
-            KEYED,
+            REQUEST._replace(first_delivered_at=1050.0),
+            BY_KEY_CLASS,
             1600.0,
             RecoveryAction.FAIL,
         ),  # the hosts have forgotten its key
-        (NEW._replace(first_delivered_at=1050.0), None, 1100.0, RecoveryAction.FAIL),
-        (NEW, SAFE, 0.0, RecoveryAction.RESTART),  # the clock went back
-        (NEW._replace(final_state="served", ended_at=1100.0), ONCE, 1200.0, RecoveryAction.REMEMBER),
-        (NEW._replace(final_state="served", ended_at=1100.0), ONCE, 9e9, RecoveryAction.FORGET),
+        (REQUEST._replace(first_delivered_at=1050.0), None, 1100.0, RecoveryAction.FAIL),
+        (REQUEST, IDEMPOTENT_CLASS, 0.0, RecoveryAction.RESTART),  # the clock went back
+        (
+            REQUEST._replace(final_state="served", ended_at=1100.0),
+            NON_IDEMPOTENT_CLASS,
+            1200.0,
+            RecoveryAction.REMEMBER,
+        ),
+        (REQUEST._replace(final_state="served", ended_at=1100.0), NON_IDEMPOTENT_CLASS, 9e9, RecoveryAction.FORGET),
     ],
 )
-def test_what_becomes_of_a_stored_request(
+def test_recovery_action_follows_state_effect_and_time(
     request_: StoredRequest, policy: RequestClass | None, now: float, action: RecoveryAction
 ) -> None:
     assert recovery_action(request_, policy, now, 10_000.0) is action
@@ -51,145 +58,145 @@
     """A store whose callbacks run in its own thread; keeps what they were called with, and the events logged."""
 
     def __init__(self, path: Path) -> None:
-        self.told: list[str] = []
+        self.results: list[str] = []
         self.events: list[str] = []
         self.store = SqliteStore(path, lambda callback: callback(), self._log)
-        self._over = threading.Event()
+        self._finished = threading.Event()
 
     def _log(self, event: str, /, **fields: object) -> None:
         self.events.append(event)
 
     def accept(self, *jids: str) -> list[str]:
         """Accept, wait, and what was told."""
-        self.told.clear()
+        self.results.clear()
         for jid in jids:
-            self.store.accept(NEW._replace(jid=jid), self.told.append)
-        self.wait()
-        return list(self.told)
+            self.store.accept(REQUEST._replace(jid=jid), self.results.append)
+        self.wait_until_written()
+        return list(self.results)
 
-    def wait(self) -> str:
+    def wait_until_written(self) -> str:
         """Until all is written, or could not be."""
-        why: list[str] = []
-        over = threading.Event()
+        results: list[str] = []
+        finished = threading.Event()
 
-        def done(text: str) -> None:
-            why.append(text)
-            over.set()
+        def on_written(result: str) -> None:
+            results.append(result)
+            finished.set()
 
-        self.store.when_durable(done)
-        assert over.wait(20)
-        return why[0]
+        self.store.when_durable(on_written)
+        assert finished.wait(20)
+        return results[0]
 
 
-def test_what_was_kept_is_there_for_the_next_process(tmp_path: Path) -> None:
+def test_stored_requests_are_loaded_by_the_next_process(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = OpenedStore(path)
-    assert one.accept(*(f"jid-{n:05}" for n in range(500))) == [""] * 500
-    assert one.store.commits < 400  # many in one
-    one.store.deliver("jid-00001", 5.0, one.told.append)
-    one.store.deliver("jid-00001", 9.0, one.told.append)
-    one.store.record_final_state("jid-00002", "served", 7.0)
-    one.store.record_final_state("jid-00002", "failed", 8.0)  # the first outcome stays
-    one.store.forget("jid-00003")
-    one.store.close()
-    two = OpenedStore(path)
-    jobs = {job.jid: job for job in two.store.load()}
+    opened = OpenedStore(path)
+    assert opened.accept(*(f"jid-{n:05}" for n in range(500))) == [""] * 500
+    assert opened.store.commits < 400  # many in one
+    opened.store.deliver("jid-00001", 5.0, opened.results.append)
+    opened.store.deliver("jid-00001", 9.0, opened.results.append)
+    opened.store.record_final_state("jid-00002", "served", 7.0)
+    opened.store.record_final_state("jid-00002", "failed", 8.0)  # the first outcome stays
+    opened.store.forget("jid-00003")
+    opened.store.close()
+    reopened = OpenedStore(path)
+    jobs = {job.jid: job for job in reopened.store.load()}
     assert len(jobs) == 499
-    assert jobs["jid-00000"] == NEW._replace(jid="jid-00000")
+    assert jobs["jid-00000"] == REQUEST._replace(jid="jid-00000")
     assert jobs["jid-00001"].first_delivered_at == 5.0
     assert jobs["jid-00002"][-2:] == ("served", 7.0)
     assert jobs["jid-00002"].job == b""
-    two.store.close()
+    reopened.store.close()
 
 
-def test_one_process_has_the_file(tmp_path: Path) -> None:
+def test_second_process_cannot_open_the_store(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = OpenedStore(path)
+    opened = OpenedStore(path)
     with pytest.raises(StoreError, match="another process has it"):
         connect(path)
-    assert one.accept("jid-00001") == [""]
-    one.store.close()
+    assert opened.accept("jid-00001") == [""]
+    opened.store.close()
 
 
-def test_a_full_disk_refuses_new_work_and_loses_nothing(tmp_path: Path) -> None:
+def test_full_disk_rejects_new_requests_and_loses_no_accepted_one(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = OpenedStore(path)
-    one.accept("jid-00001", "jid-00002")
-    pages = one.store._connection.execute("pragma page_count").fetchone()[0]
-    one.store._connection.execute(f"pragma max_page_count = {pages}")
-    told = one.accept(*(f"jid-{n:05}" for n in range(100, 400)))
-    assert any("full" in why for why in told)
-    assert "store_failed" in one.events
-    one.store._connection.execute("pragma max_page_count = 100000")
-    assert one.accept("jid-90000") == [""]
-    assert "store_well" in one.events
-    one.store.close()
-    kept = {job.jid for job in OpenedStore(path).store.load()}
-    good = {f"jid-{n:05}" for n, why in zip(range(100, 400), told, strict=True) if not why}
-    assert kept == {"jid-00001", "jid-00002", "jid-90000"} | good
-
-
-def test_damage_and_another_format_are_told_and_nothing_is_touched(tmp_path: Path) -> None:
+    opened = OpenedStore(path)
+    opened.accept("jid-00001", "jid-00002")
+    pages = opened.store._connection.execute("pragma page_count").fetchone()[0]
+    opened.store._connection.execute(f"pragma max_page_count = {pages}")
+    results = opened.accept(*(f"jid-{n:05}" for n in range(100, 400)))
+    assert any("full" in result for result in results)
+    assert "store_failed" in opened.events
+    opened.store._connection.execute("pragma max_page_count = 100000")
+    assert opened.accept("jid-90000") == [""]
+    assert "store_well" in opened.events
+    opened.store.close()
+    stored = {job.jid for job in OpenedStore(path).store.load()}
+    accepted = {f"jid-{n:05}" for n, result in zip(range(100, 400), results, strict=True) if not result}
+    assert stored == {"jid-00001", "jid-00002", "jid-90000"} | accepted
+
+
+def test_damaged_file_and_unknown_format_are_reported_without_changing_the_file(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = OpenedStore(path)
-    one.accept(*(f"jid-{n:05}" for n in range(2000)))
-    one.store.close()
+    opened = OpenedStore(path)
+    opened.accept(*(f"jid-{n:05}" for n in range(2000)))
+    opened.store.close()
     data = path.read_bytes()
-    for place in (4096 + 3, len(data) // 2 // 4096 * 4096):  # a page's head
-        broken = bytearray(data)
-        broken[place : place + 64] = b"\xff" * 64
-        path.write_bytes(broken)
+    for offset in (4096 + 3, len(data) // 2 // 4096 * 4096):  # a page's head
+        damaged = bytearray(data)
+        damaged[offset : offset + 64] = b"\xff" * 64
+        path.write_bytes(damaged)
         with pytest.raises(StoreError):
             connect(path)
-        assert path.read_bytes() == broken
+        assert path.read_bytes() == damaged
     path.write_bytes(data)
-    db = connect(path)
-    db.execute("pragma user_version = 7")
-    db.close()
+    connection = connect(path)
+    connection.execute("pragma user_version = 7")
+    connection.close()
     with pytest.raises(StoreError, match="format 7"):
         connect(path)
 
 
-def test_a_write_ahead_log_that_is_cut_anywhere_holds_whole_commits(tmp_path: Path) -> None:
+def test_truncated_write_ahead_log_yields_whole_commits_in_order(tmp_path: Path) -> None:
     """What a crash of the machine may leave of the log: after each cut some number of whole commits, in order."""
     path = tmp_path / "jobs.sqlite"
-    one = OpenedStore(path)
+    opened = OpenedStore(path)
     for number in range(12):
-        assert one.accept(f"a-{number:06}", f"b-{number:06}") == ["", ""]
-    wal = Path(f"{path}-wal").read_bytes()
-    whole = path.read_bytes()
-    seen = set()
-    for cut in range(0, len(wal) + 1, 1031):
+        assert opened.accept(f"a-{number:06}", f"b-{number:06}") == ["", ""]
+    log_bytes = Path(f"{path}-wal").read_bytes()
+    database = path.read_bytes()
+    row_counts = set()
+    for cut in range(0, len(log_bytes) + 1, 1031):
         folder = tmp_path / str(cut)
         folder.mkdir()
-        (folder / "jobs.sqlite").write_bytes(whole)
-        (folder / "jobs.sqlite-wal").write_bytes(wal[:cut])
+        (folder / "jobs.sqlite").write_bytes(database)
+        (folder / "jobs.sqlite-wal").write_bytes(log_bytes[:cut])
         try:
-            db = connect(folder / "jobs.sqlite")
+            connection = connect(folder / "jobs.sqlite")
         except StoreError:
             continue
-        jids = [row[0] for row in db.execute("select jid from jobs order by jid")]
-        db.close()
-        firsts = sorted(jid[2:] for jid in jids if jid.startswith("a"))
-        assert firsts == [f"{n:06}" for n in range(len(firsts))]
-        seen.add(len(jids))
-    assert max(seen) >= 22
-    assert len(seen) > 5
-    one.store.close()
+        jids = [row[0] for row in connection.execute("select jid from jobs order by jid")]
+        connection.close()
+        first_numbers = sorted(jid[2:] for jid in jids if jid.startswith("a"))
+        assert first_numbers == [f"{n:06}" for n in range(len(first_numbers))]
+        row_counts.add(len(jids))
+    assert max(row_counts) >= 22
+    assert len(row_counts) > 5
+    opened.store.close()
 
 
-def test_the_commands_look_at_a_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_store_commands_read_a_store_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "jobs.sqlite"
-    one = OpenedStore(path)
-    one.accept("jid-00001", "jid-00002")
-    one.store.record_final_state("jid-00002", "served", 7.0)
-    one.wait()
-    one.store.close()
-
-    def call(*words: str) -> str:
-        assert not group.main(["store", *words], standalone_mode=False)
+    opened = OpenedStore(path)
+    opened.accept("jid-00001", "jid-00002")
+    opened.store.record_final_state("jid-00002", "served", 7.0)
+    opened.wait_until_written()
+    opened.store.close()
+
+    def run_command(*arguments: str) -> str:
+        assert not group.main(["store", *arguments], standalone_mode=False)
         return capsys.readouterr().out
 
-    assert "waiting  1" in call("check", str(path))
-    assert '"jid":"jid-00002"' in call("dump", str(path))
-    assert "bytes before" in call("compact", str(path))
+    assert "waiting  1" in run_command("check", str(path))
+    assert '"jid":"jid-00002"' in run_command("dump", str(path))
+    assert "bytes before" in run_command("compact", str(path))
