--- a/heronlug/balancer/open_requests.py
+++ b/heronlug/balancer/open_requests.py
@@ -34,22 +34,22 @@
         request = attempt.request
         self.attempts[request.id, len(request.attempts)] = attempt
         request.attempts.append(attempt)
-        self._book(attempt, 1)
+        self._count_attempt(attempt, 1)
 
     def resume_attempt(self, attempt: Attempt, number: int) -> None:
         """Book an attempt that another process of this dispatcher started and that is in flight."""
         self.attempts[attempt.request.id, number] = attempt
-        self._book(attempt, 1)
+        self._count_attempt(attempt, 1)
 
     def end_attempt(self, request_id: int, number: int) -> Attempt | None:
         """Book the end of an attempt; None if it is not in flight."""
         attempt = self.attempts.pop((request_id, number), None)
         if attempt is not None:
-            self._book(attempt, -1)
+            self._count_attempt(attempt, -1)
             attempt.server.load.silent_attempts -= attempt.silent
         return attempt
 
-    def _book(self, attempt: Attempt, change: int) -> None:
+    def _count_attempt(self, attempt: Attempt, change: int) -> None:
         """Count one attempt more in flight (1), or one less (-1), at its server."""
         server, slots = attempt.server, change * attempt.request.slots
         load = server.load
@@ -69,8 +69,8 @@
         It is rejected where a retry by the client is harmless, because no attempt may have run or a second run does no
         harm; otherwise it is failed. A request that servers have found fault with gains nothing from a retry.
         """
-        same_for_any_retry = request.retry_is_harmless and not request.rejected_by
-        harmless = same_for_any_retry or not any(attempt.may_have_run for attempt in request.attempts)
+        retry_may_succeed = request.retry_is_harmless and not request.rejected_by
+        harmless = retry_may_succeed or not any(attempt.may_have_run for attempt in request.attempts)
         self._outbox.add(Reject(request.id, reason) if harmless else Fail(request.id, reason))
         self.close(request.id)
 
--- a/heronlug/balancer/outlier_detection.py
+++ b/heronlug/balancer/outlier_detection.py
@@ -26,7 +26,7 @@
 MAX_DOUBLINGS = 3
 """How often an ejection may double."""
 
-EJECTION_SPREAD = (0.8, 1.2)
+EJECTION_JITTER = (0.8, 1.2)
 """An ejection is shortened or lengthened by a random factor, so that dispatchers don't return at once."""
 
 HALF_OPEN_TRIALS = 4
@@ -60,7 +60,7 @@
         """Count the ready servers, and those of them that are ejected or half-open."""
         trials = [server.outlier.trials_left for server in ready]
         self._ready_count = len(trials)
-        self._ejected_count = sum(1 for left in trials if left)
+        self._ejected_count = sum(1 for trials_left in trials if trials_left)
 
     def record_outcome(self, server: Server, outcome: Outcome | int, now: float) -> None:
         """Eject the server after a failure; count a success of one that is half-open."""
@@ -91,7 +91,7 @@
     def _eject(self, server: Server, outcome: Outcome, now: float) -> None:
         state = server.outlier
         state.ejections = min(state.ejections + 1, MAX_DOUBLINGS + 1)
-        span = EJECTION_DIALS * self._settings.dial_timeout * self._rng.uniform(*EJECTION_SPREAD)
-        state.ejected_until = now + span * 2 ** (state.ejections - 1)
+        base_duration = EJECTION_DIALS * self._settings.dial_timeout * self._rng.uniform(*EJECTION_JITTER)
+        state.ejected_until = now + base_duration * 2 ** (state.ejections - 1)
         if state.ejections == 1:
             self._outbox.add(LogLine(f"worker {server.id} ejected: {outcome.name.lower()}"))
--- a/heronlug/balancer/overload.py
+++ b/heronlug/balancer/overload.py
@@ -41,8 +41,8 @@
         attempts = self._open_requests.attempts.values()
         waiting = sum(attempt.unstarted and now < attempt.request.due_at for attempt in attempts)
         running = sum(not attempt.unstarted for attempt in attempts)
-        time_left = WAIT_SHARE * max(0.0, request.latest_start - now)
-        return waiting > 1 and waiting * self._run_times.overall > (running + 1) * time_left
+        acceptable_wait = WAIT_SHARE * max(0.0, request.latest_start - now)
+        return waiting > 1 and waiting * self._run_times.overall > (running + 1) * acceptable_wait
 
     def is_hopeless(self, request: Request, now: float) -> bool:
         """Whether an overdue request would not end in time, or be worth nothing during an overload."""
--- a/heronlug/balancer/payoffs.py
+++ b/heronlug/balancer/payoffs.py
@@ -39,16 +39,20 @@
         if outcome in UNGRADED:
             return None
         request, server = attempt.request, attempt.server
-        usual = self._run_times.usual_latencies[request.class_index]
-        pace = latency / (request.work_hint or 1.0)
+        usual_latency = self._run_times.usual_latencies[request.class_index]
+        latency_per_unit = latency / (request.work_hint or 1.0)
         if outcome == Outcome.CANCELLED:
             # It would have taken longer still: without this grade, slow servers would lose clients unnoticed.
-            return self._graded(server, pace / usual) if usual and pace > usual else None
+            return (
+                self._graded(server, latency_per_unit / usual_latency)
+                if usual_latency and latency_per_unit > usual_latency
+                else None
+            )
         if outcome != Outcome.SERVED:
             return 0.0
         self._run_times.record_served(request, latency, run_time)
-        usual = self._run_times.usual_latencies[request.class_index]
-        return self._graded(server, max(latency, SHORTEST_MS) / (request.work_hint or 1.0) / usual)
+        usual_latency = self._run_times.usual_latencies[request.class_index]
+        return self._graded(server, max(latency, SHORTEST_MS) / (request.work_hint or 1.0) / usual_latency)
 
     def _graded(self, server: Server, relative_latency: float) -> float:
         other_zone = server.zone != self._settings.zone
--- a/heronlug/balancer/peer_load.py
+++ b/heronlug/balancer/peer_load.py
@@ -28,7 +28,7 @@
 LEVELS_IN_MESSAGE = 496
 """What fits into a message of at most 256 bytes."""
 
-LISTS_KEPT = 8
+MAX_KNOWN_LISTS = 8
 """Endpoint lists whose summaries can be read."""
 
 
@@ -54,13 +54,13 @@
     """
 
     __slots__ = (
-        "_began_at",
         "_checksum",
-        "_clocks",
         "_counts",
-        "_heard_at",
-        "_parts",
+        "_listening_since",
+        "_part_levels",
         "_read_checksum",
+        "_report_received_at",
+        "_sender_clocks",
         "_server_ids",
         "aggregating",
         "aggregators",
@@ -86,14 +86,14 @@
         self.aggregating = False
         self.last_report_at = 0.0
         self.on_load_changed: Callable[[Server], None] = lambda server: None
-        self._began_at = 0.0
+        self._listening_since = 0.0
         self._counts: dict[tuple[int, int], tuple[int, float]] = {}  # slots and time by peer and server, oldest first
-        self._clocks: dict[int, float] = {}  # of each peer's last report
-        self._heard_at: dict[int, float] = {}  # by our clock
+        self._sender_clocks: dict[int, float] = {}  # of each peer's last report
+        self._report_received_at: dict[int, float] = {}  # by our clock
         self._checksum = 0
         self._server_ids: dict[int, array[int]] = {}  # the order of a summary, by checksum
         self._read_checksum = 0  # of the last summary that was read
-        self._parts: dict[int, str] = {}  # the levels in its parts
+        self._part_levels: dict[int, str] = {}  # the levels in its parts
 
     # -- our own load
 
@@ -137,9 +137,9 @@
 
     def _receive_counts(self, message: PeerMessage, servers: dict[int, Server], now: float) -> list[PeerOutcome]:
         _, clock = self.STAMP.unpack_from(message.content)
-        if clock < self._clocks.get(message.peer, clock):
+        if clock < self._sender_clocks.get(message.peer, clock):
             return []  # a later report has overtaken it
-        self._clocks[message.peer], self._heard_at[message.peer] = clock, now
+        self._sender_clocks[message.peer], self._report_received_at[message.peer] = clock, now
         pairs, size = message.content[self.STAMP.size :], self.PAIR.size
         outcomes = []
         for server_id, code in self.PAIR.iter_unpack(pairs[: len(pairs) // size * size]):
@@ -161,7 +161,7 @@
 
     def set_counts(self, peer: int, counts: dict[int, int], servers: dict[int, Server], now: float) -> None:
         """Set the slots that a peer has in flight, as known from elsewhere than a report."""
-        self._heard_at[peer] = now
+        self._report_received_at[peer] = now
         for server_id, slots in counts.items():
             self._replace_count(peer, servers[server_id], slots, now)
             self._counts[peer, server_id] = (slots, now)
@@ -169,7 +169,7 @@
     def forget_peer(self, peer: int, servers: dict[int, Server]) -> None:
         """Void all counts of a peer."""
         for key in [key for key in self._counts if key[0] == peer]:
-            self._void(key, servers)
+            self._remove_count(key, servers)
 
     def forget_server(self, server_id: int) -> None:
         """Forget what is reported of a server that is forgotten."""
@@ -185,13 +185,13 @@
             slots, at = self._counts[key]
             if at >= before:
                 return
-            if not repeated and self._heard_at[key[0]] >= before:
+            if not repeated and self._report_received_at[key[0]] >= before:
                 del self._counts[key]
-                self._counts[key] = (slots, self._heard_at[key[0]])
+                self._counts[key] = (slots, self._report_received_at[key[0]])
             else:
-                self._void(key, servers)
+                self._remove_count(key, servers)
 
-    def _void(self, key: tuple[int, int], servers: dict[int, Server]) -> None:
+    def _remove_count(self, key: tuple[int, int], servers: dict[int, Server]) -> None:
         server = servers[key[1]]
         server.load.peer_slots -= self._counts.pop(key)[0]
         self.on_load_changed(server)
@@ -204,16 +204,16 @@
 
     def aggregators_heard_at(self, position: int, count: int, now: float) -> float:
         """When so many aggregators of a lower position were last heard; with fewer, when we began to listen."""
-        self._began_at = self._began_at or now
-        heard = sorted((at for peer, at in self.aggregators.items() if peer < position), reverse=True)
-        return heard[count - 1] if len(heard) >= count else self._began_at
+        self._listening_since = self._listening_since or now
+        received_at = sorted((at for peer, at in self.aggregators.items() if peer < position), reverse=True)
+        return received_at[count - 1] if len(received_at) >= count else self._listening_since
 
     def set_ready_servers(self, ready: Iterable[Server]) -> None:
         """Use these servers in the order of their numbers for summaries from now on."""
         self.servers_in_order = sorted(ready, key=attrgetter("id"))
         ids = array("Q", [server.id for server in self.servers_in_order])
         self._checksum = crc32(struct.pack(f">{len(ids)}Q", *ids))
-        self._server_ids = dict([*self._server_ids.items(), (self._checksum, ids)][-LISTS_KEPT:])
+        self._server_ids = dict([*self._server_ids.items(), (self._checksum, ids)][-MAX_KNOWN_LISTS:])
 
     def summary(self, levels: list[int]) -> list[bytes]:
         """Messages with a level below 16 for each ready server."""
@@ -233,12 +233,12 @@
         if ids is None:
             return
         if checksum != self._read_checksum:
-            self._read_checksum, self._parts = checksum, {}
+            self._read_checksum, self._part_levels = checksum, {}
             for server in servers.values():
                 self._set_level(server, 0)
         first, digits = part * LEVELS_IN_MESSAGE, content[self.HEAD.size :].hex()
-        before = self._parts.get(part, "0" * LEVELS_IN_MESSAGE)
-        self._parts[part] = digits
+        before = self._part_levels.get(part, "0" * LEVELS_IN_MESSAGE)
+        self._part_levels[part] = digits
         self.summaries_read += 1
         if digits != before:
             pairs = zip_longest(digits, before[: max(0, len(ids) - first)], fillvalue="0")
--- a/heronlug/balancer/queue.py
+++ b/heronlug/balancer/queue.py
@@ -21,7 +21,7 @@
 from heronlug.balancer.run_times import RunTimes
 from heronlug.balancer.selection import Selection
 from heronlug.balancer.settings import Settings
-from heronlug.balancer.slow_start import LOANS_AT_ONCE
+from heronlug.balancer.slow_start import MAX_LOAN_REQUESTS
 from heronlug.balancer.state import BalancerState
 
 NO_CLASS = -1
@@ -52,15 +52,15 @@
                 policy.latency_objective + (policy.latency_factor - 1) * self._run_times.by_class[request.class_index]
             )
         weight_of_worst = self._settings.worst_class_weight
-        extra = 0.0
+        extra_weight = 0.0
         if request.class_index == self._worst_class:
-            extra = weight_of_worst / self._class_values.share(request.class_index)
-        return -policy.priority_weight * (1 - weight_of_worst + extra)
+            extra_weight = weight_of_worst / self._class_values.share(request.class_index)
+        return -policy.priority_weight * (1 - weight_of_worst + extra_weight)
 
     def update(self, overdue: Sequence[QueuedRequest]) -> bool:
         """Find the class that is served worst, while there is not enough for all; returns whether that has changed."""
-        not_enough_for_all = len(overdue) > 0 and overdue[0].priority < 0.0  # a late answer is worth something
-        worst = self._class_values.worst_class() if not_enough_for_all else NO_CLASS
+        overloaded = len(overdue) > 0 and overdue[0].priority < 0.0  # a late answer is worth something
+        worst = self._class_values.worst_class() if overloaded else NO_CLASS
         changed = worst != self._worst_class
         self._worst_class = worst
         return changed
@@ -143,7 +143,7 @@
             return True
         return self._summaries_seen != self._peer_load.summaries_read
 
-    def check_again(self) -> None:
+    def mark_changed(self) -> None:
         """Something other than a summary may have freed a server."""
         self._summaries_seen = -1
 
@@ -170,8 +170,8 @@
     def _drain_heap(self, heap: list[QueuedRequest], now: float, *, overdue: bool) -> bool:
         """Start the first ones of a heap until no server has room; returns whether the heap was worked through."""
         out_of_budget: list[QueuedRequest] = []
-        room = True
-        while heap and room:
+        has_room = True
+        while heap and has_room:
             entry = heap[0]
             request = entry.request
             if not self._open_requests.is_open(request) or request.in_flight:
@@ -188,10 +188,10 @@
             elif request.attempts and self._budget.is_spent():
                 out_of_budget.append(heappop(heap))  # its retry has to wait, which must not hold up the others
             else:
-                room = False
+                has_room = False
         for entry in out_of_budget:
             heappush(heap, entry)
-        return room
+        return has_room
 
     def _is_hopeless(self, request: Request, now: float, *, overdue: bool) -> bool:
         """Whether no attempt can help any more: its repeat window is over, or an answer would come too late.
@@ -206,6 +206,6 @@
         """Plan to look at the queue again: the timer itself is enough to have it drained."""
         self._recheck_planned = len(self) > 0
         if self._recheck_planned:
-            first = (self.in_time or self.overdue)[:LOANS_AT_ONCE]
+            first = (self.in_time or self.overdue)[:MAX_LOAN_REQUESTS]
             self._loans.ask([entry.request for entry in first], now)
             self._timers.call_at(now + self._recheck_interval, self._plan_recheck, None)
--- a/heronlug/balancer/ranking.py
+++ b/heronlug/balancer/ranking.py
@@ -32,7 +32,7 @@
 MEMORY_RUN_TIMES = 20.0
 """Counts age by a factor of e over this many mean run times."""
 
-LEAST_COUNT = 0.01
+MIN_COUNT = 0.01
 """A count that has aged below this says nothing any more."""
 
 LEVELS_PER_SLOT = 8
@@ -94,8 +94,8 @@
         Scoring reads every server, so it has to be earned by outcomes, and is not done for each of a burst.
         """
         self._earned_scores += self._derived.scores_per_outcome
-        waited = now - self.ranked_at >= self._derived.check_interval
-        return waited and self._earned_scores >= len(self.servers)
+        interval_over = now - self.ranked_at >= self._derived.check_interval
+        return interval_over and self._earned_scores >= len(self.servers)
 
     def use_ready(self, ready: Sequence[Server]) -> None:
         """Drop servers that are no longer ready, and append these, which are; :meth:`update` has to follow."""
@@ -119,7 +119,7 @@
             if self.servers != before:
                 self._exploration.begin_round(self.servers)
         self.warming = [server for server in self.servers if server.slow_start.work_budget < inf]
-        self._shares.all_scored()
+        self._shares.scoring_finished()
 
     def _set_queue_limit(self) -> None:
         self.queue_limit = max(1.0, QUEUE_LIMIT_FACTOR * self._log_t)
@@ -135,33 +135,33 @@
                 server.payoff.count *= remaining
 
     def _mean_of_bounds(self) -> float:
-        payoffs = [server.payoff for server in self.servers if server.payoff.count > LEAST_COUNT]
+        payoffs = [server.payoff for server in self.servers if server.payoff.count > MIN_COUNT]
         bounds = [payoff.mean + sqrt(4 * self._log_t / payoff.count) for payoff in payoffs]
         return sum(bounds) / len(bounds) if bounds else 0.0
 
     def _score_all(self, now: float) -> None:
         """Score each server, and give those that warm up the work budget that goes with their capacity."""
         settings = self._settings
-        log_t, own_zone = 4 * self._log_t, settings.zone
-        unknown_here = self._mean_bound
-        unknown_elsewhere = unknown_here - PAYOFF_SCALE * settings.cross_zone_price
+        bonus_numerator, own_zone = 4 * self._log_t, settings.zone
+        default_bound_own_zone = self._mean_bound
+        default_bound_other_zone = default_bound_own_zone - PAYOFF_SCALE * settings.cross_zone_price
         warmup_time, least_capacity = settings.warmup_time, settings.warmup_capacity
         warming_per_ms = (1 - least_capacity) / warmup_time if warmup_time else 0.0
         share, usual_work = self._shares.share, self._run_times.overall or self._derived.latency_objectives[0]
         for server in self.servers:
             payoff = server.payoff
-            if payoff.count > LEAST_COUNT:
-                bound = payoff.mean + sqrt(log_t / payoff.count)
+            if payoff.count > MIN_COUNT:
+                bound = payoff.mean + sqrt(bonus_numerator / payoff.count)
             else:
-                bound = unknown_here if server.zone == own_zone else unknown_elsewhere
-            since, recovery_began_at = server.started_at, server.zone_standing.recovery_began_at
-            if recovery_began_at > since:
-                since = recovery_began_at
-            if not since or now - since >= warmup_time:
+                bound = default_bound_own_zone if server.zone == own_zone else default_bound_other_zone
+            warming_since, recovery_began_at = server.started_at, server.zone_standing.recovery_began_at
+            if recovery_began_at > warming_since:
+                warming_since = recovery_began_at
+            if not warming_since or now - warming_since >= warmup_time:
                 server.slow_start.work_budget = inf
                 payoff.score = bound
             else:
-                capacity = least_capacity + warming_per_ms * max(0.0, now - since)
+                capacity = least_capacity + warming_per_ms * max(0.0, now - warming_since)
                 server.slow_start.work_budget = share(server, capacity, usual_work, now)
                 payoff.score = bound * capacity
 
--- a/heronlug/balancer/reservations.py
+++ b/heronlug/balancer/reservations.py
@@ -42,28 +42,28 @@
 SLOW_DOWN = 0.7
 """Factor on the pace after an attempt that waited."""
 
-LOWEST_LEVEL, HIGHEST_LEVEL = 0.7, 2.5
+MIN_PACE_FACTOR, MAX_PACE_FACTOR = 0.7, 2.5
 """Bounds of the product of those factors."""
 
-AT_ONCE = 0.25
+NO_WAIT_FRACTION = 0.25
 """An attempt that starts within this part of a usual run time has not waited."""
 
-OPEN_AT_A_TIME = 3
+MAX_OPEN_RESERVATIONS = 3
 """Reservations open at a time: a dispatcher with no request while its own is open loses it."""
 
-WIDEST_REQUEST = 4.0
+MAX_RESERVATIONS_PER_REQUEST = 4.0
 """Requests of usual size that one may be worth: it takes as many of its sender's reservations."""
 
-CHECK_MS = 20.0
+CHECK_INTERVAL_MS = 20.0
 """Time between two looks for reservations of ours that have opened."""
 
-NEAR_MS = 200.0
+MAYBE_OPEN_RECHECK_MS = 200.0
 """Time until a server is looked at again where a reservation of ours may be open."""
 
-FAR_MS = 4_000.0
+MAX_RECHECK_MS = 4_000.0
 """The longest time until a server is looked at again where none may be open."""
 
-LEVEL_MARGIN = 1.15
+PACE_FACTOR_MARGIN = 1.15
 """Change of the level after which all servers are looked at again."""
 
 SLOTS_MARGIN = 1.1
@@ -87,17 +87,19 @@
 class WarmupCurve:
     """The capacity of a server that warms up evenly, and the work that is opened meanwhile."""
 
-    __slots__ = ("_highest_pace", "_least", "_rise")
+    __slots__ = ("_capacity_per_ms", "_highest_pace", "_initial_capacity")
 
     def __init__(self, settings: Settings, budget_margin: float) -> None:
         """Make it; at most ``budget_margin`` of what a server can take is opened."""
         self._highest_pace = min(HIGHEST_PACE, budget_margin * settings.overload_multiple)
-        self._least = settings.warmup_capacity
-        self._rise = (1 - self._least) / settings.warmup_time if settings.warmup_time else 0.0
+        self._initial_capacity = settings.warmup_capacity
+        self._capacity_per_ms = (1 - self._initial_capacity) / settings.warmup_time if settings.warmup_time else 0.0
 
-    def pace(self, level: float) -> OpeningPace:
+    def pace(self, pace_factor: float) -> OpeningPace:
         """The pace for a level, the factor on the usual pace."""
-        return OpeningPace(min(COLD_PACE * level, self._highest_pace), min(WARM_PACE * level, self._highest_pace))
+        return OpeningPace(
+            min(COLD_PACE * pace_factor, self._highest_pace), min(WARM_PACE * pace_factor, self._highest_pace)
+        )
 
     def work_opened(self, age: float, pace: OpeningPace) -> float:
         """Work that one slot is given until that age, in ms of a slot of a warm server.
@@ -105,15 +107,15 @@
         The capacity grows evenly, and with it the pace; this is the integral of their product.
         """
         cold, warm = pace
-        least = self._least
-        capacity = least + self._rise * age
+        least = self._initial_capacity
+        capacity = least + self._capacity_per_ms * age
         integral = age * (least + capacity) / 2
         integral_of_square = age * (least * least + least * capacity + capacity * capacity) / 3
         return cold * integral + (warm - cold) * integral_of_square
 
     def rate(self, age: float, pace: OpeningPace) -> float:
         """The rate at which :meth:`work_opened` grows at that age."""
-        capacity = self._least + self._rise * age
+        capacity = self._initial_capacity + self._capacity_per_ms * age
         return capacity * (pace.cold + (pace.warm - pace.cold) * capacity)
 
 
@@ -134,7 +136,7 @@
         self.usual_work = 0.0
 
     @property
-    def is_open(self) -> bool:
+    def is_warming_and_ready(self) -> bool:
         """Whether it still warms up and is ready, so that somebody may have a turn."""
         return self.server.slow_start.work_budget < inf and self.server.state is ServerState.READY
 
@@ -142,11 +144,11 @@
 class ReservationBounds:
     """The level and slots between which the servers that may have an open reservation stay the same."""
 
-    __slots__ = ("highest_level", "highest_pace", "lowest_level", "lowest_pace", "slots")
+    __slots__ = ("highest_factor", "highest_pace", "lowest_factor", "lowest_pace", "slots")
 
-    def __init__(self, level: float, curve: WarmupCurve) -> None:
-        self.lowest_level, self.highest_level = level / LEVEL_MARGIN, level * LEVEL_MARGIN
-        self.lowest_pace, self.highest_pace = curve.pace(self.lowest_level), curve.pace(self.highest_level)
+    def __init__(self, pace_factor: float, curve: WarmupCurve) -> None:
+        self.lowest_factor, self.highest_factor = pace_factor / PACE_FACTOR_MARGIN, pace_factor * PACE_FACTOR_MARGIN
+        self.lowest_pace, self.highest_pace = curve.pace(self.lowest_factor), curve.pace(self.highest_factor)
         self.slots: dict[CapacityEstimate, tuple[float, float]] = {}
 
     def slots_of(self, capacity: CapacityEstimate) -> tuple[float, float]:
@@ -155,9 +157,9 @@
             self.slots[capacity] = capacity.slots / SLOTS_MARGIN, capacity.slots * SLOTS_MARGIN
         return self.slots[capacity]
 
-    def hold(self, level: float) -> bool:
+    def are_valid(self, pace_factor: float) -> bool:
         """Whether everything is still between them."""
-        if not self.lowest_level <= level <= self.highest_level:
+        if not self.lowest_factor <= pace_factor <= self.highest_factor:
             return False
         return all(least <= capacity.slots <= most for capacity, (least, most) in self.slots.items())
 
@@ -170,13 +172,13 @@
         "_bounds",
         "_changed",
         "_checked_at",
+        "_checks_due",
         "_curve",
-        "_due",
+        "_insertion_order",
         "_instances",
-        "_level",
-        "_near",
-        "_order",
+        "_maybe_open",
         "_pace",
+        "_pace_factor",
         "_position",
         "_used",
         "_warming",
@@ -186,16 +188,16 @@
         """Make it; at most ``budget_margin`` of what a server can take is opened."""
         self._instances, self._position = settings.instances, settings.position
         self._curve = WarmupCurve(settings, budget_margin)
-        self._level = 1.0  # factor on the pace
-        self._pace = self._curve.pace(self._level)
+        self._pace_factor = 1.0  # factor on the pace
+        self._pace = self._curve.pace(self._pace_factor)
         self._warming: dict[int, WarmingServer] = {}
         self._used: dict[int, Reservation] = {}  # by server, the last one that was used
         self._announced: dict[int, Reservation] = {}  # by server, the open one that turns() has returned
         self._checked_at = -inf
         self._bounds: ReservationBounds | None = None  # None where all servers are to be looked at
-        self._near: dict[int, None] = {}  # servers that may have an open reservation of ours
-        self._order: dict[int, int] = {}  # of each server, as they were added
-        self._due: list[tuple[float, int]] = []  # when to look at each server again
+        self._maybe_open: dict[int, None] = {}  # servers that may have an open reservation of ours
+        self._insertion_order: dict[int, int] = {}  # of each server, as they were added
+        self._checks_due: list[tuple[float, int]] = []  # when to look at each server again
         self._changed: list[Server] = []  # servers that have become near, or ceased to be
 
     def add_warming(self, server: Server, usual_work: float) -> None:
@@ -206,35 +208,35 @@
             warming = self._warming[server.id] = WarmingServer(server)
         warming.server, warming.began_at, warming.usual_work = server, server.warming_since, usual_work
 
-    def all_scored(self) -> None:
+    def scoring_finished(self) -> None:
         """Note that all servers that warm up have been added."""
         self._bounds = None
 
-    def turns(self, now: float) -> list[Server]:
+    def newly_open_servers(self, now: float) -> list[Server]:
         """Servers at which a reservation of ours has opened, each returned once."""
-        if now - self._checked_at < CHECK_MS:
+        if now - self._checked_at < CHECK_INTERVAL_MS:
             return []
         self._checked_at = now
-        self._advance(now)
+        self._run_due_checks(now)
         self._drop_closed()
-        open_ones = {n: found for n in self._near if (found := self._open_reservation(n, now))}
-        fresh = [n for n, reservation in open_ones.items() if self._announced.get(n) != reservation]
-        self._announced = open_ones
-        return [self._warming[n].server for n in sorted(fresh, key=self._order.__getitem__)]
+        open_reservations = {n: found for n in self._maybe_open if (found := self._open_reservation(n, now))}
+        newly_open = [n for n, reservation in open_reservations.items() if self._announced.get(n) != reservation]
+        self._announced = open_reservations
+        return [self._warming[n].server for n in sorted(newly_open, key=self._insertion_order.__getitem__)]
 
     def may_send(self, server: Server, work: float, now: float) -> bool:
         """Whether a reservation of ours is open there for a request of so much work."""
         if self._open_reservation(server.id, now) is None:
             return False
-        return work <= WIDEST_REQUEST * self._warming[server.id].usual_work
+        return work <= MAX_RESERVATIONS_PER_REQUEST * self._warming[server.id].usual_work
 
     def may_be_open(self, server: Server) -> bool:
         """Whether a reservation of ours may be open there, as of the last :meth:`changed_servers`."""
-        return server.id in self._near
+        return server.id in self._maybe_open
 
     def changed_servers(self, now: float) -> Sequence[Server]:
         """Servers for which :meth:`may_be_open` has changed since the last call."""
-        self._advance(now)
+        self._run_due_checks(now)
         changed, self._changed = self._changed, []
         return changed
 
@@ -243,70 +245,72 @@
         reservation = self._open_reservation(server.id, now)
         if reservation is None:
             return
-        more = max(0, ceil(work / self._warming[server.id].usual_work - 0.5) - 1)
-        last = reservation.number + more * self._instances
-        self._used[server.id] = reservation._replace(number=last)
+        extra = max(0, ceil(work / self._warming[server.id].usual_work - 0.5) - 1)
+        last_number = reservation.number + extra * self._instances
+        self._used[server.id] = reservation._replace(number=last_number)
 
     def record_start(self, server: Server, wait: float) -> None:
         """Record that an attempt started there after waiting so long."""
         warming = self._warming.get(server.id)
         if warming is not None and server.slow_start.work_budget < inf:
-            self._level *= SPEED_UP if wait <= AT_ONCE * warming.usual_work else SLOW_DOWN
-            self._level = max(LOWEST_LEVEL, min(HIGHEST_LEVEL, self._level))
-            self._pace = self._curve.pace(self._level)
+            self._pace_factor *= SPEED_UP if wait <= NO_WAIT_FRACTION * warming.usual_work else SLOW_DOWN
+            self._pace_factor = max(MIN_PACE_FACTOR, min(MAX_PACE_FACTOR, self._pace_factor))
+            self._pace = self._curve.pace(self._pace_factor)
 
     # -- which servers are looked at
 
-    def _advance(self, now: float) -> None:
+    def _run_due_checks(self, now: float) -> None:
         """Bring the servers that may have an open reservation up to date."""
-        if self._bounds is None or not self._bounds.hold(self._level):
-            self._look_at_all(now)
-        due = self._due
-        while due and due[0][0] <= now:
-            self._look_at(heappop(due)[1], now)
-
-    def _look_at_all(self, now: float) -> None:
-        self._bounds = ReservationBounds(self._level, self._curve)
-        for server_id in [n for n, warming in self._warming.items() if not warming.is_open]:
+        if self._bounds is None or not self._bounds.are_valid(self._pace_factor):
+            self._check_all_servers(now)
+        checks_due = self._checks_due
+        while checks_due and checks_due[0][0] <= now:
+            self._check_server(heappop(checks_due)[1], now)
+
+    def _check_all_servers(self, now: float) -> None:
+        self._bounds = ReservationBounds(self._pace_factor, self._curve)
+        for server_id in [n for n, warming in self._warming.items() if not warming.is_warming_and_ready]:
             del self._warming[server_id]
-        before, self._near = self._near, {}
-        self._due = [(self._look_again_at(server_id, now), server_id) for server_id in self._warming]
-        heapify(self._due)
-        self._order = {server_id: index for index, server_id in enumerate(self._warming)}
-        changed = before.keys() ^ self._near.keys()
+        before, self._maybe_open = self._maybe_open, {}
+        self._checks_due = [(self._update_maybe_open(server_id, now), server_id) for server_id in self._warming]
+        heapify(self._checks_due)
+        self._insertion_order = {server_id: index for index, server_id in enumerate(self._warming)}
+        changed = before.keys() ^ self._maybe_open.keys()
         self._changed += [self._warming[server_id].server for server_id in changed if server_id in self._warming]
 
-    def _look_at(self, server_id: int, now: float) -> None:
+    def _check_server(self, server_id: int, now: float) -> None:
         if server_id not in self._warming:
             return
-        was_near = server_id in self._near
-        heappush(self._due, (self._look_again_at(server_id, now), server_id))
-        if was_near != (server_id in self._near):
+        was_maybe_open = server_id in self._maybe_open
+        heappush(self._checks_due, (self._update_maybe_open(server_id, now), server_id))
+        if was_maybe_open != (server_id in self._maybe_open):
             self._changed.append(self._warming[server_id].server)
 
-    def _look_again_at(self, server_id: int, now: float) -> float:
+    def _update_maybe_open(self, server_id: int, now: float) -> float:
         """Note whether a reservation of ours may be open there now; returns when to look again at the latest."""
         warming, curve = self._warming[server_id], self._curve
-        bounds = self._bounds or ReservationBounds(self._level, curve)
+        bounds = self._bounds or ReservationBounds(self._pace_factor, curve)
         least_slots, most_slots = bounds.slots_of(warming.server.capacity)
         age = max(0.0, now - warming.began_at)
-        lowest = floor(least_slots / warming.usual_work * curve.work_opened(age, bounds.lowest_pace))
-        highest = most_slots / warming.usual_work * curve.work_opened(age, bounds.highest_pace)
+        fewest_opened = floor(least_slots / warming.usual_work * curve.work_opened(age, bounds.lowest_pace))
+        most_opened = most_slots / warming.usual_work * curve.work_opened(age, bounds.highest_pace)
         used = self._used.get(server_id)
         first_unused = used.number + 1 if used is not None and used.began_at == warming.began_at else 0
-        first = max(0, lowest - OPEN_AT_A_TIME + 1, first_unused)
-        ours = first + (self._position - server_id - first) % self._instances
-        if highest >= ours:
-            self._near[server_id] = None
-            return now + NEAR_MS
-        self._near.pop(server_id, None)
-        fastest = most_slots / warming.usual_work * curve.rate(age + FAR_MS, bounds.highest_pace)
-        return now + min(FAR_MS, (ours - highest) / fastest)
+        first_candidate = max(0, fewest_opened - MAX_OPEN_RESERVATIONS + 1, first_unused)
+        own_number = first_candidate + (self._position - server_id - first_candidate) % self._instances
+        if most_opened >= own_number:
+            self._maybe_open[server_id] = None
+            return now + MAYBE_OPEN_RECHECK_MS
+        self._maybe_open.pop(server_id, None)
+        fastest_rate = most_slots / warming.usual_work * curve.rate(age + MAX_RECHECK_MS, bounds.highest_pace)
+        return now + min(MAX_RECHECK_MS, (own_number - most_opened) / fastest_rate)
 
     def _drop_closed(self) -> None:
-        for server_id in [n for n in self._near if n not in self._warming or not self._warming[n].is_open]:
+        for server_id in [
+            n for n in self._maybe_open if n not in self._warming or not self._warming[n].is_warming_and_ready
+        ]:
             self._warming.pop(server_id, None)
-            del self._near[server_id]
+            del self._maybe_open[server_id]
 
     # -- which reservations are open
 
@@ -320,6 +324,6 @@
         number = opened - (opened - self._position + server_id) % self._instances
         used = self._used.get(server_id)
         is_used = used is not None and used.began_at == warming.began_at and number <= used.number
-        if number < 0 or opened - number >= OPEN_AT_A_TIME or is_used:
+        if number < 0 or opened - number >= MAX_OPEN_RESERVATIONS or is_used:
             return None
         return Reservation(warming.began_at, number)
--- a/heronlug/balancer/retries.py
+++ b/heronlug/balancer/retries.py
@@ -49,7 +49,7 @@
 
         The first attempt needs none, nor does a copy of attempts that have not started: together they are one run.
         """
-        return _is_free(request) or self._tokens.has(self._arrivals.value)
+        return _needs_no_token(request) or self._tokens.has(self._arrivals.value)
 
     def is_spent(self) -> bool:
         """Whether there is no token."""
@@ -57,7 +57,7 @@
 
     def spend(self, request: Request) -> None:
         """Take the token of an attempt that starts now."""
-        if not _is_free(request):
+        if not _needs_no_token(request):
             self._tokens.take(self._arrivals.value)
 
 
@@ -75,13 +75,13 @@
         """Whether a request that has had attempts may have another one now, at whichever server."""
         if not self._budget.allows(request):
             return False
-        risky = [attempt for attempt in request.attempts if attempt.may_have_run]
-        beside_another = any(attempt.in_flight for attempt in risky)
+        possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
+        another_in_flight = any(attempt.in_flight for attempt in possibly_run)
         if len(request.attempts) >= request.max_attempts:
             return False
-        if beside_another and not (self._hedging and request.policy.hedge):
+        if another_in_flight and not (self._hedging and request.policy.hedge):
             return False
-        if not risky or request.policy.effect is Effect.IDEMPOTENT:
+        if not possibly_run or request.policy.effect is Effect.IDEMPOTENT:
             return True
         by_key = request.policy.effect is Effect.IDEMPOTENT_BY_KEY
         return by_key and not request.repeat_window_over_by(now + self._dial_allowance)
@@ -102,6 +102,6 @@
     return None
 
 
-def _is_free(request: Request) -> bool:
+def _needs_no_token(request: Request) -> bool:
     """Whether the next attempt needs no token: there is none yet, or none of those before has started."""
     return all(attempt.unstarted for attempt in request.attempts)
--- a/heronlug/balancer/rules.py
+++ b/heronlug/balancer/rules.py
@@ -130,7 +130,7 @@
 
     def on_loan(server: Server) -> None:
         selection.server_changed(server)
-        queue.check_again()
+        queue.mark_changed()
 
     shares.on_loan = on_loan
     return Rules(
--- a/heronlug/balancer/run_times.py
+++ b/heronlug/balancer/run_times.py
@@ -29,8 +29,8 @@
 
     def expected(self, request: Request) -> float:
         """The expected run time of a request; its latency objective while nothing is known."""
-        known = self.by_class[request.class_index] * (request.work_hint or 1.0)
-        return known or request.policy.latency_objective
+        expected_ms = self.by_class[request.class_index] * (request.work_hint or 1.0)
+        return expected_ms or request.policy.latency_objective
 
     def record_served(self, request: Request, latency: float, run_time: float) -> None:
         """Learn from a request that was served.
@@ -41,9 +41,9 @@
             run_time: ms that it ran, as far as that is known.
         """
         mean = self.by_class[request.class_index]
-        pace = max(run_time, SHORTEST_MS) / (request.work_hint or 1.0)
-        self.by_class[request.class_index] += (LEARN_STEP if mean else 1.0) * (pace - mean)
+        run_time_per_unit = max(run_time, SHORTEST_MS) / (request.work_hint or 1.0)
+        self.by_class[request.class_index] += (LEARN_STEP if mean else 1.0) * (run_time_per_unit - mean)
         self.overall += (LEARN_STEP if self.overall else 1.0) * (run_time - self.overall)
-        latency_pace = max(latency, SHORTEST_MS) / (request.work_hint or 1.0)
-        usual = self.usual_latencies[request.class_index] or latency_pace
-        self.usual_latencies[request.class_index] = usual * (latency_pace / usual) ** LEARN_STEP
+        latency_per_unit = max(latency, SHORTEST_MS) / (request.work_hint or 1.0)
+        usual_latency = self.usual_latencies[request.class_index] or latency_per_unit
+        self.usual_latencies[request.class_index] = usual_latency * (latency_per_unit / usual_latency) ** LEARN_STEP
--- a/heronlug/balancer/silence.py
+++ b/heronlug/balancer/silence.py
@@ -17,12 +17,12 @@
 class SilenceDetection:
     """Marks silent attempts and unresponsive servers, and has the requests hedged."""
 
-    __slots__ = ("_hedging", "_next_check", "_open_requests", "_silence")
+    __slots__ = ("_hedging", "_next_check", "_open_requests", "_silence_ms")
 
     def __init__(
         self, settings: Settings, derived: DerivedSettings, open_requests: OpenRequests, hedging: Hedging
     ) -> None:
-        self._silence = SILENT_PERIODS * settings.progress_interval
+        self._silence_ms = SILENT_PERIODS * settings.progress_interval
         self._next_check = 0.0 if derived.silence_is_known else inf
         self._open_requests, self._hedging = open_requests, hedging
 
@@ -30,14 +30,14 @@
         """Look at all attempts in flight, if it is time."""
         if now < self._next_check:
             return
-        self._next_check = now + self._silence / CHECKS_PER_SILENCE
+        self._next_check = now + self._silence_ms / CHECKS_PER_SILENCE
         attempts = self._open_requests.attempts.values()
-        silent = [a for a in attempts if not a.unstarted and now - a.last_progress_at >= self._silence]
+        silent = [a for a in attempts if not a.unstarted and now - a.last_progress_at >= self._silence_ms]
         for attempt in silent:
             server = attempt.server
             if not attempt.silent:
                 attempt.silent = True
                 server.load.silent_attempts += 1
-            if now - server.outlier.last_progress_at >= self._silence:
+            if now - server.outlier.last_progress_at >= self._silence_ms:
                 server.outlier.unresponsive = True
             self._hedging.hedge_silent(attempt, now)
--- a/heronlug/balancer/slow_start.py
+++ b/heronlug/balancer/slow_start.py
@@ -39,13 +39,13 @@
 REQUESTS_IN_LENT_SHARE = 4.0
 """Requests of usual size that a share holds where shares are lent, so that wide ones fit in too."""
 
-FEW_DISPATCHERS = 9
+MAX_DISPATCHERS_WITHOUT_LOANS = 9
 """So few dispatchers have shares that are large enough, and learn of each other's load soon enough."""
 
-SERVERS_LOOKED_AT = 64
+MAX_SERVERS_EXAMINED = 64
 """Servers that are looked at for each request that a loan is wanted for."""
 
-LOANS_AT_ONCE = 4
+MAX_LOAN_REQUESTS = 4
 """Requests for which loans are asked at one time."""
 
 ASK, GRANT = b"a", b"g"
@@ -82,10 +82,10 @@
 
     __slots__ = (
         "_asked_at",
-        "_awaited",
-        "_began_at",
+        "_awaiting_grant",
         "_budget_by_slot",
-        "_lends",
+        "_first_scored_at",
+        "_lends_capacity",
         "_loans",
         "_next_server",
         "_requests_in_share",
@@ -101,16 +101,16 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.on_loan: Callable[[Server], None] = lambda server: None
-        many = settings.instances > FEW_DISPATCHERS
-        self._lends = settings.lends_capacity and many
-        self.without_gossip = many and not settings.gossip
+        many_dispatchers = settings.instances > MAX_DISPATCHERS_WITHOUT_LOANS
+        self._lends_capacity = settings.lends_capacity and many_dispatchers
+        self.without_gossip = many_dispatchers and not settings.gossip
         self._reservations = Reservations(settings, BUDGET_MARGIN) if self.without_gossip else None
-        self._began_at: float | None = None
+        self._first_scored_at: float | None = None
         self._budget_by_slot = BUDGET_MARGIN * settings.overload_multiple * settings.overload_window
-        self._requests_in_share = REQUESTS_IN_LENT_SHARE if self._lends else 1.0
+        self._requests_in_share = REQUESTS_IN_LENT_SHARE if self._lends_capacity else 1.0
         self._next_server = settings.position  # so that dispatchers don't all ask for the same one
         self._asked_at: dict[int, float] = {}  # by server, when we asked last
-        self._awaited: set[int] = set()  # servers for which that has no answer yet
+        self._awaiting_grant: set[int] = set()  # servers for which that has no answer yet
         self._loans: dict[int, list[CapacityLoan]] = {}  # by server, what others have granted
         self.loans_requested = 0
         self.loans_given = 0
@@ -133,8 +133,8 @@
         if self._reservations is not None:
             self._reservations.add_warming(server, usual_work)
             return 0.0
-        if self._began_at is None:
-            self._began_at = now
+        if self._first_scored_at is None:
+            self._first_scored_at = now
         budget = self._budget_by_slot * capacity * server.capacity.slots
         instances = self._settings.instances
         count = int(budget / (self._requests_in_share * usual_work))
@@ -143,19 +143,19 @@
         elif count > instances:
             count = instances
         server.slow_start.share_count = count
-        is_ours = (self._settings.position - server.id) % instances < count
-        return budget / count if is_ours else 0.0
+        holds_share = (self._settings.position - server.id) % instances < count
+        return budget / count if holds_share else 0.0
 
-    def all_scored(self) -> None:
+    def scoring_finished(self) -> None:
         """Note that :meth:`share` has been asked for all servers that warm up."""
         if self._reservations is not None:
-            self._reservations.all_scored()
+            self._reservations.scoring_finished()
 
     # -- what may be sent
 
     def reservation_turns(self, now: float) -> list[Server]:
         """Servers at which a reservation of ours has opened, each returned once."""
-        return self._reservations.turns(now) if self._reservations is not None else []
+        return self._reservations.newly_open_servers(now) if self._reservations is not None else []
 
     def may_accept_any(self, server: Server) -> bool:
         """Whether any work might be sent there: false only where :meth:`may_send` is false for all work."""
@@ -176,13 +176,13 @@
             return True
         if self._reservations is not None:
             return self._reservations.may_send(server, work, now)
-        return self._left_of_share(server, now) >= work or self._left_of_loans(server, now) >= work
+        return self._remaining_share(server, now) >= work or self._remaining_loans(server, now) >= work
 
     def record_send(self, server: Server, work: float, now: float) -> None:
         """Book work that is sent there; loans are used before our own share."""
         if self._reservations is not None and server.slow_start.work_budget < inf:
             self._reservations.record_send(server, work, now)
-        elif server.id in self._loans and self._left_of_loans(server, now) >= work:
+        elif server.id in self._loans and self._remaining_loans(server, now) >= work:
             self._use_loans(server, work)
         else:
             server.slow_start.recent_work.add(now, work)
@@ -192,14 +192,18 @@
         if self._reservations is not None:
             self._reservations.record_start(server, wait)
 
-    def _left_of_share(self, server: Server, now: float) -> float:
+    def _remaining_share(self, server: Server, now: float) -> float:
         state, window = server.slow_start, self._settings.overload_window
-        grown = 1.0
-        if state.known_before_restart and self._began_at is not None and server.started_at < self._began_at:
-            grown = min(1.0, (now - self._began_at) / window)
-        return grown * state.work_budget - state.recent_work.total(now - window)
-
-    def _left_of_loans(self, server: Server, now: float) -> float:
+        usable_fraction = 1.0
+        if (
+            state.known_before_restart
+            and self._first_scored_at is not None
+            and server.started_at < self._first_scored_at
+        ):
+            usable_fraction = min(1.0, (now - self._first_scored_at) / window)
+        return usable_fraction * state.work_budget - state.recent_work.total(now - window)
+
+    def _remaining_loans(self, server: Server, now: float) -> float:
         loans = self._loans.get(server.id)
         if not loans:
             return 0.0
@@ -223,14 +227,14 @@
         self, requests: Sequence[Request], warming: Sequence[Server], now: float
     ) -> list[SendPeerMessage]:
         """Messages that ask for a loan for each of the first few requests, at a server that warms up."""
-        if not self._lends or not warming:
+        if not self._lends_capacity or not warming:
             return []
-        messages = [self._request_loan(request, warming, now) for request in requests[:LOANS_AT_ONCE]]
+        messages = [self._request_loan(request, warming, now) for request in requests[:MAX_LOAN_REQUESTS]]
         return [message for message in messages if message is not None]
 
     def _request_loan(self, request: Request, warming: Sequence[Server], now: float) -> SendPeerMessage | None:
         """Ask a holder of a share of the next server in turn that was not asked for lately."""
-        for _ in range(min(len(warming), SERVERS_LOOKED_AT)):
+        for _ in range(min(len(warming), MAX_SERVERS_EXAMINED)):
             self._next_server += 1
             server = warming[self._next_server % len(warming)]
             if server.outlier.trials_left or server.load.reported_failing:
@@ -240,7 +244,7 @@
             asked_lately = now - self._asked_at.get(server.id, -inf) < ASK_AGAIN_MS
             if holder != self._settings.position and not asked_lately:
                 self._asked_at[server.id] = now
-                self._awaited.add(server.id)
+                self._awaiting_grant.add(server.id)
                 self.loans_requested += 1
                 return SendPeerMessage(LOAN_MESSAGE.pack(ASK, server.id, request.work, now), holder)
         return None
@@ -249,29 +253,29 @@
         """Answer a message that asks for a loan, and take in one that grants it; any other is skipped."""
         if len(message.content) != LOAN_MESSAGE.size or message.content[:1] not in (ASK, GRANT):
             return []
-        kind, server_id, work, clock = LOAN_MESSAGE.unpack(message.content)
+        kind, server_id, work, asked_at = LOAN_MESSAGE.unpack(message.content)
         server = servers.get(server_id)
-        if server is None or not (isfinite(work) and isfinite(clock) and work > 0):
+        if server is None or not (isfinite(work) and isfinite(asked_at) and work > 0):
             return []
         if kind == ASK:
-            return self._lend(server, work, clock, message.peer, now)
-        self._take_loan(server, work, clock, now)
+            return self._grant_loan(server, work, asked_at, message.peer, now)
+        self._accept_loan(server, work, asked_at, now)
         return []
 
-    def _lend(self, server: Server, work: float, clock: float, peer: int, now: float) -> list[SendPeerMessage]:
+    def _grant_loan(self, server: Server, work: float, asked_at: float, peer: int, now: float) -> list[SendPeerMessage]:
         state = server.slow_start
         is_ready = server.state is ServerState.READY and not server.outlier.trials_left
-        if not is_ready or not 0 < state.work_budget < inf or self._left_of_share(server, now) < work:
+        if not is_ready or not 0 < state.work_budget < inf or self._remaining_share(server, now) < work:
             return []
         state.recent_work.add(now + LOAN_MS, work)  # it may be sent as late as that
         self.loans_given += 1
-        return [SendPeerMessage(LOAN_MESSAGE.pack(GRANT, server.id, work, clock), peer)]
+        return [SendPeerMessage(LOAN_MESSAGE.pack(GRANT, server.id, work, asked_at), peer)]
 
-    def _take_loan(self, server: Server, work: float, clock: float, now: float) -> None:
+    def _accept_loan(self, server: Server, work: float, asked_at: float, now: float) -> None:
         """Take a loan, unless it is late, repeated, or of an earlier incarnation of ours."""
-        is_answer = self._asked_at.get(server.id) == clock and server.id in self._awaited
-        if not is_answer or now > clock + LOAN_MS:
+        is_answer = self._asked_at.get(server.id) == asked_at and server.id in self._awaiting_grant
+        if not is_answer or now > asked_at + LOAN_MS:
             return
-        self._awaited.discard(server.id)
-        self._loans.setdefault(server.id, []).append(CapacityLoan(clock + LOAN_MS, work, server.started_at))
+        self._awaiting_grant.discard(server.id)
+        self._loans.setdefault(server.id, []).append(CapacityLoan(asked_at + LOAN_MS, work, server.started_at))
         self.on_loan(server)
--- a/heronlug/balancer/snapshot.py
+++ b/heronlug/balancer/snapshot.py
@@ -81,13 +81,15 @@
     """
     state = learned.state
     try:
-        send_count, ranked_at, overall, arrivals = [_figure(value) for value in table["all"]]
-        by_class = _figures_by_class(table["span"])
-        usual_latencies = _figures_by_class(table["usual_pace"])
-        level = _figure(table["retries"])
-        kinds = [KindRow(int(kind), *[_figure(value) for value in values]) for kind, *values in table["kinds"]]
+        send_count, ranked_at, overall, arrivals = [_finite_number(value) for value in table["all"]]
+        by_class = _numbers_by_class(table["span"])
+        usual_latencies = _numbers_by_class(table["usual_pace"])
+        level = _finite_number(table["retries"])
+        kinds = [KindRow(int(kind), *[_finite_number(value) for value in values]) for kind, *values in table["kinds"]]
         servers = list(_known_servers(table["workers"], state.servers.by_id))
-        zones = [[int(number), str(phase), *map(_figure, rest)] for number, phase, *rest in table.get("halls", ())]
+        zones = [
+            [int(number), str(phase), *map(_finite_number, rest)] for number, phase, *rest in table.get("halls", ())
+        ]
         learned.zone_failover.restore(zones)
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         message = f"a snapshot that makes no sense: {error!r}"
@@ -129,13 +131,13 @@
 
 def _known_servers(rows: Iterable[Any], servers: dict[int, Server]) -> Iterable[tuple[Server, ServerRow]]:
     """The rows of servers that are listed here, and whose process is still the same."""
-    for number, started_at, own_slots, recent_work, *figures in rows:
+    for number, started_at, own_slots, recent_work, *numbers in rows:
         server = servers.get(number)
         columns = len(ServerRow._fields) - 4
-        if server is not None and server.started_at == started_at and len(figures) == columns:
-            items = [(_figure(at), _figure(amount)) for at, amount in recent_work]
-            values: list[Any] = [_figure(value) for value in figures]
-            yield server, ServerRow(number, started_at, _figure(own_slots), items, *values)
+        if server is not None and server.started_at == started_at and len(numbers) == columns:
+            items = [(_finite_number(at), _finite_number(amount)) for at, amount in recent_work]
+            values: list[Any] = [_finite_number(value) for value in numbers]
+            yield server, ServerRow(number, started_at, _finite_number(own_slots), items, *values)
 
 
 def _restore_server(server: Server, row: ServerRow) -> None:
@@ -150,11 +152,11 @@
         server.slow_start.recent_work.add(at, amount)
 
 
-def _figures_by_class(rows: Iterable[Any]) -> dict[int, float]:
-    return {int(class_index): _figure(value) for class_index, value in rows}
+def _numbers_by_class(rows: Iterable[Any]) -> dict[int, float]:
+    return {int(class_index): _finite_number(value) for class_index, value in rows}
 
 
-def _figure(value: object) -> float:
+def _finite_number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
         message = f"{value!r} is not a figure"
         raise SnapshotError(message)
--- a/heronlug/balancer/timers.py
+++ b/heronlug/balancer/timers.py
@@ -10,7 +10,7 @@
 from heronlug.balancer.outbox import Outbox
 
 Subject = TypeVar("Subject")
-TOKEN = 0
+TIMER_TOKEN = 0
 """The token of all timers: which of them fired makes no difference."""
 
 
@@ -26,12 +26,12 @@
 class TimerQueue:
     """Calls to make later."""
 
-    __slots__ = ("_due", "_sequence", "_timers")
+    __slots__ = ("_armed_timers", "_due", "_sequence")
 
     def __init__(self) -> None:
         self._due: list[DueCall] = []
         self._sequence = 0
-        self._timers: list[float] = []  # times of the host's timers that have not fired
+        self._armed_timers: list[float] = []  # times of the host's timers that have not fired
 
     def call_at(self, when: float, call: Callable[[Subject, float], None], subject: Subject) -> None:
         """Call ``call(subject, now)`` at that time, unless the subject is a request that is over by then."""
@@ -40,8 +40,8 @@
 
     def timer_fired(self) -> None:
         """Note that a timer has fired: they fire in order, and a host may round one to just before its time."""
-        if self._timers:
-            heappop(self._timers)
+        if self._armed_timers:
+            heappop(self._armed_timers)
 
     def run_due(self, now: float, open_requests: OpenRequests, outbox: Outbox) -> None:
         """Make the calls that are due, drop those that are void, and set a timer for the first of the others."""
@@ -53,7 +53,7 @@
                 heappop(self._due)
                 call(subject, now)
             else:
-                if not self._timers or when < self._timers[0]:
-                    heappush(self._timers, when)
-                    outbox.add(SetTimer(when - now, TOKEN))
+                if not self._armed_timers or when < self._armed_timers[0]:
+                    heappush(self._armed_timers, when)
+                    outbox.add(SetTimer(when - now, TIMER_TOKEN))
                 return
--- a/heronlug/balancer/zone_failover/controller.py
+++ b/heronlug/balancer/zone_failover/controller.py
@@ -32,7 +32,7 @@
 from heronlug.balancer.zone_failover.stranded_attempts import StrandedAttempts
 from heronlug.balancer.zone_failover.zone_state import STAGES, UNTIL_RELEASED, ZoneObservation, ZonePhase, ZoneState
 
-CHECK_MS = 100.0
+CHECK_INTERVAL_MS = 100.0
 """Time between two checks."""
 
 EVIDENCE_MS = 3000.0
@@ -53,13 +53,13 @@
 LEAST_EXCLUDED_REPORTS = 2
 """Servers that have to be reported as excluded at least for that."""
 
-REPORTS_GONE_MS = 3000.0
+MISSING_REPORTS_GRACE_MS = 3000.0
 """Time for which a zone stays excluded after its reports have gone all at once."""
 
-CHANGES_KEPT = 64
+MAX_CHANGES = 64
 """Changes of zones that are remembered."""
 
-NO_END = -1.0
+HELD_UNTIL_RELEASED = -1.0
 """In a snapshot: the phase is held until released."""
 
 
@@ -102,29 +102,29 @@
         by_zone = self._ready_by_zone()
         if len(by_zone) < 2:
             return
-        decides = self._decides(now)
-        if decides:
+        is_decider = self._is_decider(now)
+        if is_decider:
             self._decide(by_zone, now)
         else:
             self._follow(by_zone, now)
-        self._offer(by_zone, not decides, now)
+        self._apply_states(by_zone, not is_decider, now)
 
     def _on_timer(self, _: None, now: float) -> None:
-        known = len(self.changes)
+        known_changes = len(self.changes)
         self.check(now)
         self._stranded.report_silent_servers(now)
-        self._stranded.take_back(self._excluded_zones(), now)
-        for change in self.changes[known:]:
+        self._stranded.cancel_stranded(self._excluded_zones(), now)
+        for change in self.changes[known_changes:]:
             text = f"hall {change.zone} {change.state.phase.value}: {change.state.cause}"
             self._state.outbox.add(LogLine(text))
-        del self.changes[:-CHANGES_KEPT]
-        self._state.timers.call_at(now + CHECK_MS, self._on_timer, None)
+        del self.changes[:-MAX_CHANGES]
+        self._state.timers.call_at(now + CHECK_INTERVAL_MS, self._on_timer, None)
 
     # -- operators
 
     def overview(self, now: float) -> dict[int, dict[str, Any]]:
         """Each zone that has ready servers, for people; the keys stand in operators' pages."""
-        decided_by = "here" if self._decides(now) else "whoever sums up"
+        decided_by = "here" if self._is_decider(now) else "whoever sums up"
         return {
             number: overview(
                 self.zones.get(number, ZoneState()),
@@ -176,7 +176,7 @@
                 zone.since,
                 zone.stage,
                 zone.relapses,
-                NO_END if zone.held_until == UNTIL_RELEASED else zone.held_until,
+                HELD_UNTIL_RELEASED if zone.held_until == UNTIL_RELEASED else zone.held_until,
             ]
             for number, zone in self.zones.items()
         ]
@@ -192,7 +192,7 @@
             if not 0 <= int(stage) < len(STAGES):
                 message = f"zone {number}: stage {stage} is not one of the {len(STAGES)} stages"
                 raise SnapshotError(message)
-            until = UNTIL_RELEASED if held_until == NO_END else float(held_until)
+            until = UNTIL_RELEASED if held_until == HELD_UNTIL_RELEASED else float(held_until)
             restored[int(number)] = ZoneState(
                 ZonePhase(phase), float(since), int(stage), int(relapses), until, "taken up"
             )
@@ -209,7 +209,7 @@
     def _excluded_zones(self) -> set[int]:
         return {number for number, zone in self.zones.items() if zone.phase is ZonePhase.EXCLUDED}
 
-    def _decides(self, now: float) -> bool:
+    def _is_decider(self, now: float) -> bool:
         """Whether this dispatcher decides: no other aggregator of a lower position does."""
         peer_load = self._state.peer_load
         if not self._state.derived.aggregated:
@@ -221,26 +221,26 @@
 
     def _decide(self, by_zone: dict[int, list[Server]], now: float) -> None:
         """Make the transitions that follow from the evidence, the zone with most failures first."""
-        fresh = now - EVIDENCE_MS
+        evidence_since = now - EVIDENCE_MS
         found = tallies(
             ServerOutcome(number, server.outlier.last_ended_badly)
             for number, servers in by_zone.items()
             for server in servers
-            if server.outlier.last_ended_at >= fresh
+            if server.outlier.last_ended_at >= evidence_since
         )
         most_servers = LARGEST_EXCLUDED_SHARE * len(self._state.peer_load.servers_in_order)
         excluded = sum(len(by_zone.get(number, ())) for number in self._excluded_zones())
         for number in sorted(by_zone, key=lambda n: -found[n].failed if n in found else 0):
             zone, servers = self.zones.setdefault(number, ZoneState()), by_zone[number]
             may_exclude = excluded + len(servers) <= most_servers
-            seen = _observe(zone, servers, failing_share_elsewhere(found, number), may_exclude, fresh)
-            if self._step(number, zone, seen, now):
+            observed = _observe(zone, servers, failing_share_elsewhere(found, number), may_exclude, evidence_since)
+            if self._advance_zone(number, zone, observed, now):
                 excluded += len(servers)
 
-    def _step(self, number: int, zone: ZoneState, seen: ZoneObservation, now: float) -> bool:
+    def _advance_zone(self, number: int, zone: ZoneState, observed: ZoneObservation, now: float) -> bool:
         """Make all transitions of a zone that one observation allows; returns whether it is excluded by them."""
         excluded = False
-        while zone.step(seen, now):
+        while zone.step(observed, now):
             self.changes.append(ZoneChange(number, replace(zone)))
             excluded = excluded or zone.phase is ZonePhase.EXCLUDED
             if zone.phase is not ZonePhase.DOUBTFUL:
@@ -264,7 +264,7 @@
 
     # -- what they mean for the servers
 
-    def _offer(self, by_zone: dict[int, list[Server]], following: bool, now: float) -> None:
+    def _apply_states(self, by_zone: dict[int, list[Server]], following: bool, now: float) -> None:
         """Have each server get traffic or not, and choose those that are ours to probe."""
         excluded: set[int] = set()
         probes: list[Server] = []
@@ -278,10 +278,10 @@
                 probes += self._probes(in_order, now)
         self._exploration.zone_probes = probes
         excluded -= {server.id for server in probes}
-        if self._apply(excluded, now):
+        if self._mark_servers(excluded, now):
             self._rerank(now)
 
-    def _apply(self, excluded: set[int], now: float) -> bool:
+    def _mark_servers(self, excluded: set[int], now: float) -> bool:
         """Mark the servers; returns whether some got traffic again."""
         excluded_zones, got_traffic = self._excluded_zones(), False
         for server in self._state.peer_load.servers_in_order:
@@ -297,7 +297,7 @@
     def _probes(self, servers: Sequence[Server], now: float) -> list[Server]:
         """Servers that are ours to probe in this term: each of a few belongs to one dispatcher."""
         term, instances = int(now / PROBE_TERM_MS), self._state.settings.instances
-        ours = []
+        own_probes = []
         for number in range(min(PROBED_SERVERS, len(servers))):
             turn = term * PROBED_SERVERS + number
             server = servers[turn % len(servers)]
@@ -306,8 +306,8 @@
             failed_lately = outlier.last_ended_at > now - PROBE_TERM_MS and outlier.last_ended_badly
             if is_ours and not failed_lately and not server.load.own_attempts:
                 self._begin_probe(server, now)
-                ours.append(server)
-        return ours
+                own_probes.append(server)
+        return own_probes
 
     def _begin_probe(self, server: Server, now: float) -> None:
         """Have a server get the next idempotent request, as if it were half-open."""
@@ -321,18 +321,20 @@
             self._exploration.visit([server])
 
 
-def _observe(zone: ZoneState, servers: list[Server], usual: float, may_exclude: bool, fresh: float) -> ZoneObservation:
-    """What the servers of a zone have shown since ``fresh``; of one that returns, those that get traffic again."""
+def _observe(
+    zone: ZoneState, servers: list[Server], usual: float, may_exclude: bool, evidence_since: float
+) -> ZoneObservation:
+    """What a zone's servers have shown since ``evidence_since``; of one that returns, those that get traffic again."""
     if zone.phase is ZonePhase.RETURNING:
-        seen = [
+        observed = [
             server.outlier
             for server in servers
             if not server.zone_standing.excluded
-            and server.outlier.last_ended_at >= max(fresh, server.zone_standing.recovery_began_at)
+            and server.outlier.last_ended_at >= max(evidence_since, server.zone_standing.recovery_began_at)
         ]
     else:
-        seen = [server.outlier for server in servers if server.outlier.last_ended_at >= fresh]
-    tally = ZoneTally(len(seen), sum(outlier.last_ended_badly for outlier in seen))
+        observed = [server.outlier for server in servers if server.outlier.last_ended_at >= evidence_since]
+    tally = ZoneTally(len(observed), sum(outlier.last_ended_badly for outlier in observed))
     since = [server.outlier for server in servers if server.outlier.last_ended_at > zone.since]
     return ZoneObservation(
         log_ratio=failure_log_ratio(tally, usual),
@@ -348,15 +350,15 @@
 
     A zone returns in stages: reports that go all at once are of an aggregator that knows nothing yet.
     """
-    was_away = zone.phase in (ZonePhase.EXCLUDED, ZonePhase.RETURNING)
-    all_gone = zone.phase is ZonePhase.EXCLUDED and not reported
-    if not all_gone:
+    was_excluded_or_returning = zone.phase in (ZonePhase.EXCLUDED, ZonePhase.RETURNING)
+    no_reports_left = zone.phase is ZonePhase.EXCLUDED and not reported
+    if not no_reports_left:
         zone.last_reported_at = now
     if reported >= max(LEAST_EXCLUDED_REPORTS, EXCLUDED_REPORT_SHARE * servers):
         return ZonePhase.EXCLUDED
-    if all_gone and now - zone.last_reported_at < REPORTS_GONE_MS:
+    if no_reports_left and now - zone.last_reported_at < MISSING_REPORTS_GRACE_MS:
         return ZonePhase.EXCLUDED
-    return ZonePhase.RETURNING if was_away and reported else ZonePhase.HEALTHY
+    return ZonePhase.RETURNING if was_excluded_or_returning and reported else ZonePhase.HEALTHY
 
 
 def _without_traffic(zone: ZoneState, servers: Sequence[Server], following: bool) -> list[int]:
--- a/heronlug/balancer/zone_failover/evidence.py
+++ b/heronlug/balancer/zone_failover/evidence.py
@@ -39,22 +39,22 @@
 
 def tallies(outcomes: Iterable[ServerOutcome]) -> dict[int, ZoneTally]:
     """Count the outcomes by zone."""
-    found: dict[int, ZoneTally] = {}
+    by_zone: dict[int, ZoneTally] = {}
     for outcome in outcomes:
-        tally = found.setdefault(outcome.zone, ZoneTally())
+        tally = by_zone.setdefault(outcome.zone, ZoneTally())
         tally.tried += 1
         tally.failed += outcome.failed
-    return found
+    return by_zone
 
 
-def failing_share_elsewhere(found: dict[int, ZoneTally], zone: int) -> float:
+def failing_share_elsewhere(by_zone: dict[int, ZoneTally], zone: int) -> float:
     """The share of servers that fail in the other zones."""
-    tried = sum(tally.tried for other, tally in found.items() if other != zone)
-    failed = sum(tally.failed for other, tally in found.items() if other != zone)
+    tried = sum(tally.tried for other, tally in by_zone.items() if other != zone)
+    failed = sum(tally.failed for other, tally in by_zone.items() if other != zone)
     return min(DOWN_SHARE - 0.1, max(USUAL_SHARE, (failed + USUAL_SHARE * PRIOR_SERVERS) / (tried + PRIOR_SERVERS)))
 
 
-def failure_log_ratio(tally: ZoneTally, usual: float) -> float:
+def failure_log_ratio(tally: ZoneTally, usual_share: float) -> float:
     """The logarithm of the likelihood ratio: above 0 the observations fit a failed zone better."""
     passed = tally.tried - tally.failed
-    return tally.failed * log(DOWN_SHARE / usual) + passed * log((1 - DOWN_SHARE) / (1 - usual))
+    return tally.failed * log(DOWN_SHARE / usual_share) + passed * log((1 - DOWN_SHARE) / (1 - usual_share))
--- a/heronlug/balancer/zone_failover/stranded_attempts.py
+++ b/heronlug/balancer/zone_failover/stranded_attempts.py
@@ -6,13 +6,13 @@
 from heronlug.balancer.silence import SILENT_PERIODS
 from heronlug.balancer.state import BalancerState
 
-SILENCE_REPORT_MS = 1000.0
+SILENCE_REPORT_INTERVAL_MS = 1000.0
 """Time between two reports that a server is silent."""
 
 SILENT_PERIODS_IN_EXCLUDED_ZONE = 1.25
 """Progress periods without a report after which an attempt in an excluded zone is taken back."""
 
-TAKEN_BACK_AT_ONCE = 2
+MAX_CANCELLED_PER_CHECK = 2
 """Attempts that are taken back at one check."""
 
 
@@ -35,43 +35,43 @@
         for server in peer_load.servers_in_order:
             unresponsive = server.outlier.unresponsive and server.load.own_attempts
             silent = unresponsive or server.id in overdue
-            if silent and now - server.outlier.last_ended_at >= SILENCE_REPORT_MS:
+            if silent and now - server.outlier.last_ended_at >= SILENCE_REPORT_INTERVAL_MS:
                 server.outlier.record_end(True, now)
                 peer_load.record_outcome(server, True)
                 peer_load.unreported[server.id] = server
 
-    def take_back(self, excluded_zones: set[int], now: float) -> None:
+    def cancel_stranded(self, excluded_zones: set[int], now: float) -> None:
         """Cancel a few silent attempts of idempotent requests in excluded zones, so that they can be retried."""
         settings = self._state.settings
         if not settings.may_cancel or not excluded_zones:
             return
-        heard_since = now - SILENT_PERIODS_IN_EXCLUDED_ZONE * _reporting_period(settings)
+        silent_since = now - SILENT_PERIODS_IN_EXCLUDED_ZONE * _reporting_period(settings)
         stranded = [
             attempt
             for attempt in self._state.open_requests.attempts.values()
             if attempt.server.zone in excluded_zones
-            and attempt.last_progress_at <= heard_since
-            and self._may_take_back(attempt)
+            and attempt.last_progress_at <= silent_since
+            and self._may_be_cancelled(attempt)
         ]
         stranded.sort(key=lambda attempt: attempt.sent_at)
-        for attempt in stranded[:TAKEN_BACK_AT_ONCE]:
+        for attempt in stranded[:MAX_CANCELLED_PER_CHECK]:
             number = attempt.request.attempts.index(attempt)
             self._state.outbox.add(CancelAttempt(attempt.request.id, number))
 
     def _servers_with_overdue_start(self, now: float) -> set[int]:
         settings = self._state.settings
-        heard_since = -1.0
+        silent_since = -1.0
         if self._state.derived.silence_is_known:
-            heard_since = now - SILENT_PERIODS * settings.progress_interval
+            silent_since = now - SILENT_PERIODS * settings.progress_interval
         attempts = self._state.open_requests.attempts.values()
         waiting = [attempt for attempt in attempts if attempt.in_flight and attempt.unstarted]
         return {
             attempt.server.id
             for attempt in waiting
-            if max(attempt.sent_at, attempt.server.outlier.last_progress_at) <= heard_since
+            if max(attempt.sent_at, attempt.server.outlier.last_progress_at) <= silent_since
         }
 
-    def _may_take_back(self, attempt: Attempt) -> bool:
+    def _may_be_cancelled(self, attempt: Attempt) -> bool:
         """Whether it is the only attempt in flight of an open idempotent request that may have another one."""
         request = attempt.request
         in_flight = sum(other.in_flight for other in request.attempts)
--- a/heronlug/balancer/zone_failover/zone_state.py
+++ b/heronlug/balancer/zone_failover/zone_state.py
@@ -113,17 +113,17 @@
         """The least time for which it stays excluded, in ms."""
         return min(LONGEST_EXCLUSION_MS, FIRST_EXCLUSION_MS * 2.0**self.relapses)
 
-    def step(self, seen: ZoneObservation, now: float) -> bool:
+    def step(self, observed: ZoneObservation, now: float) -> bool:
         """Make the transition that follows from an observation; returns whether there was one."""
         if self.is_held(now):
             return False
         if self.phase is ZonePhase.HEALTHY:
-            return self._step_healthy(seen, now)
+            return self._step_healthy(observed, now)
         if self.phase is ZonePhase.DOUBTFUL:
-            return self._step_doubtful(seen, now)
+            return self._step_doubtful(observed, now)
         if self.phase is ZonePhase.EXCLUDED:
-            return self._step_excluded(seen, now)
-        return self._step_returning(seen, now)
+            return self._step_excluded(observed, now)
+        return self._step_returning(observed, now)
 
     def is_held(self, now: float) -> bool:
         """Whether an operator holds the phase; once that time is over, observations decide again."""
@@ -142,36 +142,36 @@
         if self.phase is ZonePhase.EXCLUDED:
             self.since = now - self.least_exclusion
 
-    def _step_healthy(self, seen: ZoneObservation, now: float) -> bool:
+    def _step_healthy(self, observed: ZoneObservation, now: float) -> bool:
         if self.relapses and now - self.since > RELAPSE_MEMORY_MS:
             self.relapses = 0
-        if seen.log_ratio >= DOUBT_RATIO and seen.failed_servers >= LEAST_FAILED_SERVERS - 1:
-            return self._enter(ZonePhase.DOUBTFUL, now, f"{seen.failed_servers} hosts fail")
+        if observed.log_ratio >= DOUBT_RATIO and observed.failed_servers >= LEAST_FAILED_SERVERS - 1:
+            return self._enter(ZonePhase.DOUBTFUL, now, f"{observed.failed_servers} hosts fail")
         return False
 
-    def _step_doubtful(self, seen: ZoneObservation, now: float) -> bool:
-        failed = seen.log_ratio >= FAILED_RATIO and seen.failed_servers >= LEAST_FAILED_SERVERS
-        if failed and seen.may_exclude:
-            cause = f"{seen.failed_servers} hosts fail, ratio {seen.log_ratio:.1f}"
+    def _step_doubtful(self, observed: ZoneObservation, now: float) -> bool:
+        failed = observed.log_ratio >= FAILED_RATIO and observed.failed_servers >= LEAST_FAILED_SERVERS
+        if failed and observed.may_exclude:
+            cause = f"{observed.failed_servers} hosts fail, ratio {observed.log_ratio:.1f}"
             return self._enter(ZonePhase.EXCLUDED, now, cause)
-        if seen.log_ratio < DOUBT_RATIO:
+        if observed.log_ratio < DOUBT_RATIO:
             return self._enter(ZonePhase.HEALTHY, now, "it does no more")
         return False
 
-    def _step_excluded(self, seen: ZoneObservation, now: float) -> bool:
-        no_failure = seen.last_failed_at < now - STAGE_MS or seen.last_failed_at < self.since
+    def _step_excluded(self, observed: ZoneObservation, now: float) -> bool:
+        no_failure = observed.last_failed_at < now - STAGE_MS or observed.last_failed_at < self.since
         waited = now - self.since >= self.least_exclusion
-        if waited and seen.served_servers >= LEAST_SERVED_PROBES and no_failure:
+        if waited and observed.served_servers >= LEAST_SERVED_PROBES and no_failure:
             self.stage = 0
-            return self._enter(ZonePhase.RETURNING, now, f"{seen.served_servers} hosts served trials")
+            return self._enter(ZonePhase.RETURNING, now, f"{observed.served_servers} hosts served trials")
         return False
 
-    def _step_returning(self, seen: ZoneObservation, now: float) -> bool:
-        if seen.log_ratio >= RELAPSE_RATIO and seen.failed_servers >= LEAST_RELAPSED_SERVERS:
+    def _step_returning(self, observed: ZoneObservation, now: float) -> bool:
+        if observed.log_ratio >= RELAPSE_RATIO and observed.failed_servers >= LEAST_RELAPSED_SERVERS:
             self.relapses += 1
-            cause = f"{seen.failed_servers} hosts fail on its return, time {self.relapses}"
+            cause = f"{observed.failed_servers} hosts fail on its return, time {self.relapses}"
             return self._enter(ZonePhase.EXCLUDED, now, cause)
-        if now - self.since < STAGE_MS or not seen.served_servers:
+        if now - self.since < STAGE_MS or not observed.served_servers:
             return False
         if self.stage + 1 < len(STAGES):
             self.stage += 1
--- a/tests/balancer/test_reservations.py
+++ b/tests/balancer/test_reservations.py
@@ -13,17 +13,17 @@
 from heronlug.balancer.events import ListKind, ServerEntry, ServerListUpdate, ServerState
 from heronlug.balancer.model import Server
 from heronlug.balancer.reservations import (
-    CHECK_MS,
+    CHECK_INTERVAL_MS,
     COLD_PACE,
     HIGHEST_PACE,
-    OPEN_AT_A_TIME,
+    MAX_OPEN_RESERVATIONS,
+    MAX_RESERVATIONS_PER_REQUEST,
     WARM_PACE,
-    WIDEST_REQUEST,
     Reservations,
 )
 from heronlug.balancer.servers import ServerTable
 from heronlug.balancer.settings import RequestClass, Settings
-from heronlug.balancer.slow_start import BUDGET_MARGIN, FEW_DISPATCHERS, CapacityShares
+from heronlug.balancer.slow_start import BUDGET_MARGIN, MAX_DISPATCHERS_WITHOUT_LOANS, CapacityShares
 
 SPAN, TIP, SLOTS, USUAL, LOW, WHOLE, BORN = 1000.0, 3.0, 4.0, 450.0, 0.2, 20_000.0, 5000.0
 MANY = 200
@@ -89,27 +89,27 @@
     at = BORN
     while at < BORN + WHOLE:
         holders = [pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, at)]
-        assert len(holders) <= OPEN_AT_A_TIME
+        assert len(holders) <= MAX_OPEN_RESERVATIONS
         for tickets, there in holders:
             tickets.record_send(there, USUAL, at)
             assert not tickets.may_send(there, USUAL, at)
             sends += 1
         at += 10.0
-    assert abs(sends - jobs_given(at)) <= OPEN_AT_A_TIME
+    assert abs(sends - jobs_given(at)) <= MAX_OPEN_RESERVATIONS
 
 
 def test_a_turn_is_told_once_and_holds_until_it_is_used_or_over() -> None:
     dispatchers = fleet(20)
     tickets, there = next(pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, BORN))
-    assert tickets.turns(BORN) == [there]
-    assert tickets.turns(BORN + CHECK_MS) == []
-    assert tickets.may_send(there, USUAL, BORN + CHECK_MS)
-    passed = next(at for at in range(int(BORN), int(BORN + WHOLE), 10) if jobs_given(at) >= OPEN_AT_A_TIME)
+    assert tickets.newly_open_servers(BORN) == [there]
+    assert tickets.newly_open_servers(BORN + CHECK_INTERVAL_MS) == []
+    assert tickets.may_send(there, USUAL, BORN + CHECK_INTERVAL_MS)
+    passed = next(at for at in range(int(BORN), int(BORN + WHOLE), 10) if jobs_given(at) >= MAX_OPEN_RESERVATIONS)
     assert tickets.may_send(there, USUAL, passed - 20.0)
     assert not tickets.may_send(there, USUAL, passed + 10.0)
     again = next(at for at in range(int(passed), int(BORN + WHOLE), 10) if tickets.may_send(there, USUAL, at))
     assert jobs_given(again) >= 20
-    assert tickets.turns(again) == [there]
+    assert tickets.newly_open_servers(again) == [there]
 
 
 def test_a_new_process_has_tickets_of_its_own_and_a_warm_or_draining_one_has_none() -> None:
@@ -120,12 +120,12 @@
     tickets.add_warming(there, USUAL)
     assert tickets.may_send(there, USUAL, BORN + 100.0)
     there.state = ServerState.DRAINING
-    assert tickets.turns(BORN + 100.0) == []
+    assert tickets.newly_open_servers(BORN + 100.0) == []
     assert not tickets.may_send(there, USUAL, BORN + 100.0)
     there.state = ServerState.READY
     tickets.add_warming(there, USUAL)
     there.slow_start.work_budget = inf
-    assert tickets.turns(BORN + 200.0) == []
+    assert tickets.newly_open_servers(BORN + 200.0) == []
     assert not tickets.may_send(there, USUAL, BORN + 200.0)
 
 
@@ -136,7 +136,7 @@
     one, three = sends(USUAL), sends(3 * USUAL)
     assert three == one[::3]
     assert len(one) > 3
-    assert sends(WIDEST_REQUEST * USUAL + 1) == []
+    assert sends(MAX_RESERVATIONS_PER_REQUEST * USUAL + 1) == []
 
 
 def test_who_stands_little_gets_little() -> None:
@@ -208,7 +208,8 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "lends", "apart"), [(FEW_DISPATCHERS, False, False), (MANY, True, False), (MANY, False, True)]
+    ("count", "lends", "apart"),
+    [(MAX_DISPATCHERS_WITHOUT_LOANS, False, False), (MANY, True, False), (MANY, False, True)],
 )
 def test_turns_are_for_many_that_may_not_talk(count: int, lends: bool, apart: bool) -> None:
     table = ServerTable()
