--- a/tests/balancer/test_reservations.py
+++ b/tests/balancer/test_reservations.py
@@ -25,215 +25,249 @@
 from heronlug.balancer.settings import RequestClass, Settings
 from heronlug.balancer.slow_start import BUDGET_MARGIN, MAX_DISPATCHERS_WITHOUT_LOANS, CapacityShares
 
-SPAN, TIP, SLOTS, USUAL, LOW, WHOLE, BORN = 1000.0, 3.0, 4.0, 450.0, 0.2, 20_000.0, 5000.0
-MANY = 200
+WINDOW_MS, OVERLOAD_MULTIPLE, SLOTS, USUAL_WORK, INITIAL_CAPACITY, WARMUP_MS, STARTED_AT = (
+    1000.0,
+    3.0,
+    4.0,
+    450.0,
+    0.2,
+    20_000.0,
+    5000.0,
+)
+MANY_DISPATCHERS = 200
 
 
-def told(position: int, count: int = MANY, tip: float = TIP) -> Settings:
-    lane = RequestClass(latency_objective=USUAL, deadline=10_000.0)
+def make_settings(position: int, count: int = MANY_DISPATCHERS, multiple: float = OVERLOAD_MULTIPLE) -> Settings:
+    request_class = RequestClass(latency_objective=USUAL_WORK, deadline=10_000.0)
     return Settings(
-        (lane,),
+        (request_class,),
         instances=count,
         position=position,
-        warmup_capacity=LOW,
-        warmup_time=WHOLE,
-        overload_multiple=tip,
-        overload_window=SPAN,
+        warmup_capacity=INITIAL_CAPACITY,
+        warmup_time=WARMUP_MS,
+        overload_multiple=multiple,
+        overload_window=WINDOW_MS,
     )
 
 
-def worker(number: int = 7) -> Server:
-    return Server(ServerEntry(number, started_at=BORN), CapacityEstimate(SLOTS))
+def make_server(number: int = 7) -> Server:
+    return Server(ServerEntry(number, started_at=STARTED_AT), CapacityEstimate(SLOTS))
 
 
-def fleet(count: int = MANY, usual: float = USUAL, tip: float = TIP) -> list[tuple[Reservations, Server]]:
-    made = [(Reservations(told(position, count, tip), BUDGET_MARGIN), worker()) for position in range(count)]
-    for tickets, there in made:
-        there.slow_start.work_budget = 0.0
-        tickets.add_warming(there, usual)
-    return made
+def make_dispatchers(
+    count: int = MANY_DISPATCHERS, usual_work: float = USUAL_WORK, multiple: float = OVERLOAD_MULTIPLE
+) -> list[tuple[Reservations, Server]]:
+    dispatchers = [
+        (Reservations(make_settings(position, count, multiple), BUDGET_MARGIN), make_server())
+        for position in range(count)
+    ]
+    for reservations, server in dispatchers:
+        server.slow_start.work_budget = 0.0
+        reservations.add_warming(server, usual_work)
+    return dispatchers
 
 
-def warmth(at: float) -> float:
-    return LOW + (1 - LOW) * min(1.0, (at - BORN) / WHOLE)
+def capacity_fraction(at: float) -> float:
+    return INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * min(1.0, (at - STARTED_AT) / WARMUP_MS)
 
 
-def jobs_given(until: float) -> float:
+def expected_requests(until: float) -> float:
     """What such a worker is given by then, from its start on, added up step by step."""
     steps = 2000
-    each = (until - BORN) / steps
-    shares = [warmth(BORN + (n + 0.5) * each) for n in range(steps)]
-    return sum(SLOTS / USUAL * share * (COLD_PACE + (WARM_PACE - COLD_PACE) * share) * each for share in shares)
+    step_ms = (until - STARTED_AT) / steps
+    shares = [capacity_fraction(STARTED_AT + (n + 0.5) * step_ms) for n in range(steps)]
+    return sum(SLOTS / USUAL_WORK * share * (COLD_PACE + (WARM_PACE - COLD_PACE) * share) * step_ms for share in shares)
 
 
-def greedy(dispatchers: list[tuple[Reservations, Server]], work: float = USUAL) -> list[int]:
+def send_times(dispatchers: list[tuple[Reservations, Server]], work: float = USUAL_WORK) -> list[int]:
     """When they send while it is cold, all of them whatever they may."""
-    when = []
-    for at in range(int(BORN), int(BORN + WHOLE), 10):
-        for tickets, there in dispatchers:
-            if tickets.may_send(there, work, at):
-                tickets.record_send(there, work, at)
-                when.append(at)
-    return when
+    times = []
+    for at in range(int(STARTED_AT), int(STARTED_AT + WARMUP_MS), 10):
+        for reservations, server in dispatchers:
+            if reservations.may_send(server, work, at):
+                reservations.record_send(server, work, at)
+                times.append(at)
+    return times
 
 
-def stands(at: float) -> float:
+def max_requests_in_window(at: float) -> float:
     """Jobs of usual size that it stands within the span."""
-    mean = TIP * warmth(at) * SLOTS * SPAN / USUAL
+    mean = OVERLOAD_MULTIPLE * capacity_fraction(at) * SLOTS * WINDOW_MS / USUAL_WORK
     return mean + 3 * sqrt(mean) + 3
 
 
-def test_each_ticket_has_one_holder_and_few_are_open_at_a_time() -> None:
-    dispatchers = fleet()
+def test_each_reservation_has_one_holder_and_few_are_open_at_a_time() -> None:
+    dispatchers = make_dispatchers()
     sends = 0
-    at = BORN
-    while at < BORN + WHOLE:
-        holders = [pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, at)]
+    at = STARTED_AT
+    while at < STARTED_AT + WARMUP_MS:
+        holders = [pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL_WORK, at)]
         assert len(holders) <= MAX_OPEN_RESERVATIONS
-        for tickets, there in holders:
-            tickets.record_send(there, USUAL, at)
-            assert not tickets.may_send(there, USUAL, at)
+        for reservations, server in holders:
+            reservations.record_send(server, USUAL_WORK, at)
+            assert not reservations.may_send(server, USUAL_WORK, at)
             sends += 1
         at += 10.0
-    assert abs(sends - jobs_given(at)) <= MAX_OPEN_RESERVATIONS
-
-
-def test_a_turn_is_told_once_and_holds_until_it_is_used_or_over() -> None:
-    dispatchers = fleet(20)
-    tickets, there = next(pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL, BORN))
-    assert tickets.newly_open_servers(BORN) == [there]
-    assert tickets.newly_open_servers(BORN + CHECK_INTERVAL_MS) == []
-    assert tickets.may_send(there, USUAL, BORN + CHECK_INTERVAL_MS)
-    passed = next(at for at in range(int(BORN), int(BORN + WHOLE), 10) if jobs_given(at) >= MAX_OPEN_RESERVATIONS)
-    assert tickets.may_send(there, USUAL, passed - 20.0)
-    assert not tickets.may_send(there, USUAL, passed + 10.0)
-    again = next(at for at in range(int(passed), int(BORN + WHOLE), 10) if tickets.may_send(there, USUAL, at))
-    assert jobs_given(again) >= 20
-    assert tickets.newly_open_servers(again) == [there]
-
-
-def test_a_new_process_has_tickets_of_its_own_and_a_warm_or_draining_one_has_none() -> None:
-    tickets, there = next(pair for pair in fleet(20) if pair[0].may_send(pair[1], USUAL, BORN))
-    tickets.record_send(there, USUAL, BORN)
-    there.process_restarted(BORN + 100.0)
-    there.slow_start.work_budget = 0.0
-    tickets.add_warming(there, USUAL)
-    assert tickets.may_send(there, USUAL, BORN + 100.0)
-    there.state = ServerState.DRAINING
-    assert tickets.newly_open_servers(BORN + 100.0) == []
-    assert not tickets.may_send(there, USUAL, BORN + 100.0)
-    there.state = ServerState.READY
-    tickets.add_warming(there, USUAL)
-    there.slow_start.work_budget = inf
-    assert tickets.newly_open_servers(BORN + 200.0) == []
-    assert not tickets.may_send(there, USUAL, BORN + 200.0)
-
-
-def test_a_wide_job_takes_as_many_tickets_of_its_sender_and_one_too_wide_none() -> None:
+    assert abs(sends - expected_requests(at)) <= MAX_OPEN_RESERVATIONS
+
+
+def test_an_open_reservation_is_returned_once_and_stays_open_until_used_or_closed() -> None:
+    dispatchers = make_dispatchers(20)
+    reservations, server = next(pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL_WORK, STARTED_AT))
+    assert reservations.newly_open_servers(STARTED_AT) == [server]
+    assert reservations.newly_open_servers(STARTED_AT + CHECK_INTERVAL_MS) == []
+    assert reservations.may_send(server, USUAL_WORK, STARTED_AT + CHECK_INTERVAL_MS)
+    closed_at = next(
+        at
+        for at in range(int(STARTED_AT), int(STARTED_AT + WARMUP_MS), 10)
+        if expected_requests(at) >= MAX_OPEN_RESERVATIONS
+    )
+    assert reservations.may_send(server, USUAL_WORK, closed_at - 20.0)
+    assert not reservations.may_send(server, USUAL_WORK, closed_at + 10.0)
+    next_open_at = next(
+        at
+        for at in range(int(closed_at), int(STARTED_AT + WARMUP_MS), 10)
+        if reservations.may_send(server, USUAL_WORK, at)
+    )
+    assert expected_requests(next_open_at) >= 20
+    assert reservations.newly_open_servers(next_open_at) == [server]
+
+
+def test_a_restarted_server_has_new_reservations_and_a_warm_or_draining_server_has_none() -> None:
+    reservations, server = next(
+        pair for pair in make_dispatchers(20) if pair[0].may_send(pair[1], USUAL_WORK, STARTED_AT)
+    )
+    reservations.record_send(server, USUAL_WORK, STARTED_AT)
+    server.process_restarted(STARTED_AT + 100.0)
+    server.slow_start.work_budget = 0.0
+    reservations.add_warming(server, USUAL_WORK)
+    assert reservations.may_send(server, USUAL_WORK, STARTED_AT + 100.0)
+    server.state = ServerState.DRAINING
+    assert reservations.newly_open_servers(STARTED_AT + 100.0) == []
+    assert not reservations.may_send(server, USUAL_WORK, STARTED_AT + 100.0)
+    server.state = ServerState.READY
+    reservations.add_warming(server, USUAL_WORK)
+    server.slow_start.work_budget = inf
+    assert reservations.newly_open_servers(STARTED_AT + 200.0) == []
+    assert not reservations.may_send(server, USUAL_WORK, STARTED_AT + 200.0)
+
+
+def test_a_large_request_uses_several_reservations_and_a_too_large_request_is_not_sent() -> None:
     def sends(work: float) -> list[int]:
-        return greedy([next(pair for pair in fleet(20) if pair[0].may_send(pair[1], USUAL, BORN))], work)
+        return send_times(
+            [next(pair for pair in make_dispatchers(20) if pair[0].may_send(pair[1], USUAL_WORK, STARTED_AT))], work
+        )
 
-    one, three = sends(USUAL), sends(3 * USUAL)
-    assert three == one[::3]
-    assert len(one) > 3
-    assert sends(MAX_RESERVATIONS_PER_REQUEST * USUAL + 1) == []
+    single, triple = sends(USUAL_WORK), sends(3 * USUAL_WORK)
+    assert triple == single[::3]
+    assert len(single) > 3
+    assert sends(MAX_RESERVATIONS_PER_REQUEST * USUAL_WORK + 1) == []
 
 
-def test_who_stands_little_gets_little() -> None:
-    assert len(greedy(fleet(tip=0.5))) < 0.6 * len(greedy(fleet()))
+def test_a_server_with_a_small_overload_multiple_gets_fewer_requests() -> None:
+    assert len(send_times(make_dispatchers(multiple=0.5))) < 0.6 * len(send_times(make_dispatchers()))
 
 
-def disagreeing(seed: int, count: int) -> list[float]:
+def send_times_with_disagreement(seed: int, count: int) -> list[float]:
     """When they send: each takes another size for usual, which changes, some are started again, all want all."""
     rng = Random(seed)
-    usual = [USUAL * rng.uniform(0.7, 1.4) for _ in range(count)]
-    dispatchers = [(Reservations(told(p, count), BUDGET_MARGIN), worker()) for p in range(count)]
-    for _, there in dispatchers:
-        there.slow_start.work_budget = 0.0
+    usual_work = [USUAL_WORK * rng.uniform(0.7, 1.4) for _ in range(count)]
+    dispatchers = [
+        (Reservations(make_settings(position, count), BUDGET_MARGIN), make_server()) for position in range(count)
+    ]
+    for _, server in dispatchers:
+        server.slow_start.work_budget = 0.0
     sends: list[float] = []
-    at = BORN
-    while at < BORN + WHOLE:
-        for number, (tickets, there) in enumerate(dispatchers):
+    at = STARTED_AT
+    while at < STARTED_AT + WARMUP_MS:
+        for number, (reservations, server) in enumerate(dispatchers):
             if rng.random() < 0.02:
-                usual[number] *= rng.uniform(0.97, 1.03)
-                usual[number] = min(1.4 * USUAL, max(0.7 * USUAL, usual[number]))
+                usual_work[number] *= rng.uniform(0.97, 1.03)
+                usual_work[number] = min(1.4 * USUAL_WORK, max(0.7 * USUAL_WORK, usual_work[number]))
             if rng.random() < 0.0005:  # a new process, which knows nothing of what it has sent
-                tickets = Reservations(told(number, count), BUDGET_MARGIN)
-                dispatchers[number] = tickets, there
-            tickets.add_warming(there, usual[number])
-            if tickets.may_send(there, USUAL, at):
-                tickets.record_send(there, USUAL, at)
+                reservations = Reservations(make_settings(number, count), BUDGET_MARGIN)
+                dispatchers[number] = reservations, server
+            reservations.add_warming(server, usual_work[number])
+            if reservations.may_send(server, USUAL_WORK, at):
+                reservations.record_send(server, USUAL_WORK, at)
                 sends.append(at)
             if rng.random() < 0.02:  # it hears of starts, at once most often, as if the worker did more than it says
-                tickets.record_start(there, rng.choice((0.0, 0.0, 0.0, 0.0, 5000.0)))
+                reservations.record_start(server, rng.choice((0.0, 0.0, 0.0, 0.0, 5000.0)))
         at += 25.0
     return sends
 
 
-def too_many(sends: list[float]) -> list[tuple[float, int, float]]:
+def overloaded_windows(sends: list[float]) -> list[tuple[float, int, float]]:
     """The spans that see more than it stands: when they begin, what they see, and what it stands."""
-    counts = [bisect_left(sends, begin + SPAN) - bisect_left(sends, begin) for begin in sends]
-    spans = zip(sends, counts, map(stands, sends), strict=True)
-    return [span for span in spans if span[1] > span[2]]
+    counts = [bisect_left(sends, begin + WINDOW_MS) - bisect_left(sends, begin) for begin in sends]
+    windows = zip(sends, counts, map(max_requests_in_window, sends), strict=True)
+    return [window for window in windows if window[1] > window[2]]
 
 
 @settings(deadline=None, max_examples=10)
-@given(st.integers(0, 2**32), st.sampled_from([30, 80, MANY]))
-def test_no_span_sees_more_than_a_cold_worker_stands_though_nobody_agrees(seed: int, count: int) -> None:
-    sends = disagreeing(seed, count)
-    assert too_many(sends) == []
-    assert len(sends) > 0.5 * jobs_given(BORN + WHOLE)
+@given(st.integers(0, 2**32), st.sampled_from([30, 80, MANY_DISPATCHERS]))
+def test_no_window_exceeds_the_limit_when_dispatchers_disagree_on_estimates(seed: int, count: int) -> None:
+    sends = send_times_with_disagreement(seed, count)
+    assert overloaded_windows(sends) == []
+    assert len(sends) > 0.5 * expected_requests(STARTED_AT + WARMUP_MS)
 
 
-@pytest.mark.parametrize(("name", "instead"), [("may_send", lambda *_: True), ("record_send", lambda *_: None)])
-def test_no_turns_and_tickets_used_twice_are_found_out(
-    name: str, instead: Callable[..., bool | None], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("name", "replacement"), [("may_send", lambda *_: True), ("record_send", lambda *_: None)])
+def test_the_window_check_detects_ignored_turns_and_reused_reservations(
+    name: str, replacement: Callable[..., bool | None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The bound tells something."""
-    monkeypatch.setattr(Reservations, name, instead)
-    assert too_many(disagreeing(1, MANY))
+    monkeypatch.setattr(Reservations, name, replacement)
+    assert overloaded_windows(send_times_with_disagreement(1, MANY_DISPATCHERS))
 
 
-def test_starts_at_once_have_more_sent_and_waits_less_within_bounds() -> None:
+def test_starts_without_wait_raise_the_pace_and_waits_lower_it_within_bounds() -> None:
     def opened(waits: list[float]) -> float:
-        (tickets, there), *_ = fleet(20)
+        (reservations, server), *_ = make_dispatchers(20)
         for wait in waits:
-            tickets.record_start(there, wait)
-        return tickets._curve.work_opened(WHOLE / 2, tickets._pace)
-
-    assert opened([0.0] * 3) > opened([]) > opened([USUAL])
-    assert opened([USUAL] * 50) == opened([USUAL] * 40) > 0.6 * opened([])
-    assert opened([0.0] * 50) == opened([0.0] * 40) <= HIGHEST_PACE * (LOW + warmth(BORN + WHOLE / 2)) / 2 * WHOLE / 2
-    assert opened([USUAL, *[0.0] * 50]) == opened([0.0] * 50)  # what it has done is counted anew
+            reservations.record_start(server, wait)
+        return reservations._curve.work_opened(WARMUP_MS / 2, reservations._pace)
+
+    assert opened([0.0] * 3) > opened([]) > opened([USUAL_WORK])
+    assert opened([USUAL_WORK] * 50) == opened([USUAL_WORK] * 40) > 0.6 * opened([])
+    assert (
+        opened([0.0] * 50)
+        == opened([0.0] * 40)
+        <= HIGHEST_PACE * (INITIAL_CAPACITY + capacity_fraction(STARTED_AT + WARMUP_MS / 2)) / 2 * WARMUP_MS / 2
+    )
+    assert opened([USUAL_WORK, *[0.0] * 50]) == opened([0.0] * 50)  # what it has done is counted anew
 
 
 @pytest.mark.parametrize(
-    ("count", "lends", "apart"),
-    [(MAX_DISPATCHERS_WITHOUT_LOANS, False, False), (MANY, True, False), (MANY, False, True)],
+    ("count", "lends", "uses_reservations"),
+    [(MAX_DISPATCHERS_WITHOUT_LOANS, False, False), (MANY_DISPATCHERS, True, False), (MANY_DISPATCHERS, False, True)],
 )
-def test_turns_are_for_many_that_may_not_talk(count: int, lends: bool, apart: bool) -> None:
+def test_reservations_are_used_only_by_many_dispatchers_without_gossip(
+    count: int, lends: bool, uses_reservations: bool
+) -> None:
     table = ServerTable()
     table.capacities[0] = CapacityEstimate(SLOTS)
-    (there,) = table.apply_list(ServerListUpdate(ListKind.FULL, (ServerEntry(7, started_at=BORN),)), 0.0)
-    ours = 0
+    (server,) = table.apply_list(ServerListUpdate(ListKind.FULL, (ServerEntry(7, started_at=STARTED_AT),)), 0.0)
+    dispatchers_with_turn = 0
     for position in range(count):
-        lane = RequestClass(latency_objective=USUAL, deadline=10_000.0)
-        parts = CapacityShares(
+        request_class = RequestClass(latency_objective=USUAL_WORK, deadline=10_000.0)
+        shares = CapacityShares(
             Settings(
-                (lane,),
+                (request_class,),
                 instances=count,
                 position=position,
                 lends_capacity=lends,
                 gossip=lends,
-                warmup_capacity=LOW,
-                warmup_time=WHOLE,
-                overload_multiple=TIP,
-                overload_window=SPAN,
+                warmup_capacity=INITIAL_CAPACITY,
+                warmup_time=WARMUP_MS,
+                overload_multiple=OVERLOAD_MULTIPLE,
+                overload_window=WINDOW_MS,
             )
         )
-        there.slow_start.work_budget = parts.share(there, LOW, USUAL, BORN)
-        ours += bool(parts.reservation_turns(BORN))
-        assert not apart or (
-            there.slow_start.work_budget == 0.0 and parts.may_send(there, USUAL, BORN) == ((7 - position) % count == 0)
+        server.slow_start.work_budget = shares.share(server, INITIAL_CAPACITY, USUAL_WORK, STARTED_AT)
+        dispatchers_with_turn += bool(shares.reservation_turns(STARTED_AT))
+        assert not uses_reservations or (
+            server.slow_start.work_budget == 0.0
+            and shares.may_send(server, USUAL_WORK, STARTED_AT) == ((7 - position) % count == 0)
         )
-    assert ours == apart
+    assert dispatchers_with_turn == uses_reservations
--- a/tests/balancer/test_safety_rules.py
+++ b/tests/balancer/test_safety_rules.py
@@ -31,7 +31,7 @@
 OUTCOMES = [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
-def keyed(scope: KeyScope) -> RequestClass:
+def idempotent_by_key(scope: KeyScope) -> RequestClass:
     return RequestClass(
         latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT_BY_KEY, key_scope=scope, repeat_window=1500
     )
@@ -39,136 +39,144 @@
 
 @pytest.mark.parametrize("wait", [10.0, 990.0, 1010.0, 1490.0, 1600.0])
 @pytest.mark.parametrize("outcome", OUTCOMES)
-@pytest.mark.parametrize("lane", [SAFE, ONCE, keyed(KeyScope.ALL), keyed(KeyScope.ZONE), keyed(KeyScope.CELL)], ids=str)
-def test_effect_table(lane: RequestClass, outcome: Outcome, wait: float) -> None:
-    settings = with_settings(classes=(lane,))
-    last = lane.repeat_window - 2 * settings.dial_timeout  # the dial and the way there take some of the window
-    host = Host(settings, workers=0)
+@pytest.mark.parametrize(
+    "request_class",
+    [SAFE, ONCE, idempotent_by_key(KeyScope.ALL), idempotent_by_key(KeyScope.ZONE), idempotent_by_key(KeyScope.CELL)],
+    ids=str,
+)
+def test_the_effect_decides_whether_a_failed_attempt_is_retried(
+    request_class: RequestClass, outcome: Outcome, wait: float
+) -> None:
+    settings = with_settings(classes=(request_class,))
+    last_safe_wait = (
+        request_class.repeat_window - 2 * settings.dial_timeout
+    )  # the dial and the way there take some of the window
+    dispatcher_host = Host(settings, workers=0)
     zones = [ServerEntry(i, zone=i % 2, cell=i % 2 * 10 + i // 4) for i in range(1, 9)]
-    host.listed(ListKind.CACHED, tuple(zones))
-    job = host.job()
-    first = host.entry[host.sent[job][0]]
-    host.now += wait
-    actions = host.end(job, 0, outcome)
+    dispatcher_host.listed(ListKind.CACHED, tuple(zones))
+    request = dispatcher_host.job()
+    first = dispatcher_host.entry[dispatcher_host.sent[request][0]]
+    dispatcher_host.now += wait
+    actions = dispatcher_host.end(request, 0, outcome)
     sends = [a for a in actions if isinstance(a, StartAttempt)]
     may_have_run = outcome not in NEVER_RAN
-    if lane.effect is Effect.NON_IDEMPOTENT and may_have_run:
+    if request_class.effect is Effect.NON_IDEMPOTENT and may_have_run:
         assert not sends
-        assert Fail(job, GiveUpReason.MAY_HAVE_RUN) in actions
-    elif lane.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run and wait > last:
+        assert Fail(request, GiveUpReason.MAY_HAVE_RUN) in actions
+    elif request_class.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run and wait > last_safe_wait:
         assert not sends  # and what can never be sent again is not held
-        assert host.answered[job] == ("refused" if lane.key_scope is KeyScope.ALL else "failed")
+        assert dispatcher_host.answered[request] == ("refused" if request_class.key_scope is KeyScope.ALL else "failed")
     else:
         assert len(sends) == 1
         assert sends[0].server != first.server
-        second = host.entry[sends[0].server]
-        if lane.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run:
-            assert lane.key_scope is KeyScope.ALL or second.zone == first.zone
-            assert lane.key_scope is not KeyScope.CELL or second.cell == first.cell
+        second = dispatcher_host.entry[sends[0].server]
+        if request_class.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run:
+            assert request_class.key_scope is KeyScope.ALL or second.zone == first.zone
+            assert request_class.key_scope is not KeyScope.CELL or second.cell == first.cell
 
 
-def test_cap_of_attempts() -> None:
-    host = Host(with_settings(max_attempts=1))
-    job = host.job(2)
-    host.now += 5
-    assert Reject(job, GiveUpReason.NO_ATTEMPT) in host.end(job, 0, Outcome.FULL)
+def test_no_attempt_beyond_the_maximum() -> None:
+    dispatcher_host = Host(with_settings(max_attempts=1))
+    request = dispatcher_host.job(2)
+    dispatcher_host.now += 5
+    assert Reject(request, GiveUpReason.NO_ATTEMPT) in dispatcher_host.end(request, 0, Outcome.FULL)
 
 
-def test_no_copy_where_second_copies_are_forbidden() -> None:
-    host = Host(with_settings(reports_start=True, hedging=False))
-    job = host.job(0)
-    host.until(host.now + 1000)
-    assert len(host.sent[job]) == 1
+def test_no_hedge_where_hedging_is_disabled() -> None:
+    dispatcher_host = Host(with_settings(reports_start=True, hedging=False))
+    request = dispatcher_host.job(0)
+    dispatcher_host.until(dispatcher_host.now + 1000)
+    assert len(dispatcher_host.sent[request]) == 1
 
 
-def test_every_job_is_answered_without_workers() -> None:
-    host = Host(workers=0)
-    host.listed(ListKind.CACHED, ())
+def test_every_request_is_answered_without_servers() -> None:
+    dispatcher_host = Host(workers=0)
+    dispatcher_host.listed(ListKind.CACHED, ())
     for kind in (0, 1, 2):
-        host.job(kind)
-    host.finish()
-    assert set(host.answered.values()) == {"refused"}
+        dispatcher_host.job(kind)
+    dispatcher_host.finish()
+    assert set(dispatcher_host.answered.values()) == {"refused"}
 
 
-def test_job_that_no_listed_worker_can_run() -> None:
-    host = Host(with_settings(classes=(RequestClass(latency_objective=100, deadline=900, server_kind=7),)))
-    job = host.job()
-    assert job not in host.sent
-    host.finish()
+def test_a_request_without_a_server_of_its_kind_is_answered() -> None:
+    dispatcher_host = Host(with_settings(classes=(RequestClass(latency_objective=100, deadline=900, server_kind=7),)))
+    request = dispatcher_host.job()
+    assert request not in dispatcher_host.sent
+    dispatcher_host.finish()
 
 
-def test_silent_worker_ends_in_failure_in_time() -> None:
-    host = Host(workers=1)
-    job = host.job(2)
-    host.finish()
-    assert host.answered[job] == "failed"
+def test_a_request_at_a_silent_server_fails_in_time() -> None:
+    dispatcher_host = Host(workers=1)
+    request = dispatcher_host.job(2)
+    dispatcher_host.finish()
+    assert dispatcher_host.answered[request] == "failed"
 
 
-def test_nothing_goes_out_after_the_answer() -> None:
-    host = Host()
-    job = host.job(0, give_up_at=host.now + 50)
-    host.finish()
-    host.now += 100
-    assert not [a for a in host.end(job, 0, Outcome.ERROR) if isinstance(a, StartAttempt)]
+def test_no_attempt_starts_after_the_final_answer() -> None:
+    dispatcher_host = Host()
+    request = dispatcher_host.job(0, give_up_at=dispatcher_host.now + 50)
+    dispatcher_host.finish()
+    dispatcher_host.now += 100
+    assert not [a for a in dispatcher_host.end(request, 0, Outcome.ERROR) if isinstance(a, StartAttempt)]
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
-def test_draining_worker_gets_nothing_new(state: ServerState) -> None:
-    host = Host(workers=2)
-    host.listed(ListKind.CHANGES, (ServerEntry(1, state),))
+def test_draining_or_removed_servers_get_no_new_attempts(state: ServerState) -> None:
+    dispatcher_host = Host(workers=2)
+    dispatcher_host.listed(ListKind.CHANGES, (ServerEntry(1, state),))
     for _ in range(30):
-        host.job(0)
-    assert 1 not in {worker for sent in host.sent.values() for worker in sent}
-    host.listed(ListKind.FULL, entries(2)[:1])
-    host.job(0)
-    assert host.sent[max(host.sent)] == [1]
+        dispatcher_host.job(0)
+    assert 1 not in {server for sent in dispatcher_host.sent.values() for server in sent}
+    dispatcher_host.listed(ListKind.FULL, entries(2)[:1])
+    dispatcher_host.job(0)
+    assert dispatcher_host.sent[max(dispatcher_host.sent)] == [1]
 
 
 @pytest.mark.parametrize(("hint", "work"), [(0.0, 200), (50.0, 50)])
-def test_cold_worker_gets_at_most_its_share(hint: float, work: float) -> None:
+def test_a_warming_server_gets_at_most_the_dispatchers_share(hint: float, work: float) -> None:
     """Reckoned by hints where there are any: latencies hold waits, and would leave it half idle."""
-    host = Host(with_settings(instances=2), workers=0)
-    start = host.now
-    host.listed(ListKind.CACHED, (ServerEntry(1, started_at=start),))
+    dispatcher_host = Host(with_settings(instances=2), workers=0)
+    start = dispatcher_host.now
+    dispatcher_host.listed(ListKind.CACHED, (ServerEntry(1, started_at=start),))
     sent = 0
     for _ in range(200):
-        job = host.job(0, work_hint=hint)
-        if job in host.sent:
+        request = dispatcher_host.job(0, work_hint=hint)
+        if request in dispatcher_host.sent:
             sent += 1
-            host.now += 1
-            host.give(ClientGone(job))  # the slot is free again, and nothing is learned of running times
-            host.answered[job] = "left"
-            host.end(job, 0, Outcome.CANCELLED, (4.0,))
-            host.listed(ListKind.CHANGES, (ServerEntry(1, started_at=start),))  # the list is read anew
+            dispatcher_host.now += 1
+            dispatcher_host.give(ClientGone(request))  # the slot is free again, and nothing is learned of running times
+            dispatcher_host.answered[request] = "left"
+            dispatcher_host.end(request, 0, Outcome.CANCELLED, (4.0,))
+            dispatcher_host.listed(ListKind.CHANGES, (ServerEntry(1, started_at=start),))  # the list is read anew
     # its margin of 3 x a quarter of 4 slots x 2 s, shared by two; without a hint a job is reckoned at its aim
     assert BUDGET_MARGIN <= 0.75
     assert 0.8 <= sent / (BUDGET_MARGIN * 3 * 0.25 * 4 * 2000 / 2 / work) <= 1.3  # four free and one taken make five
 
 
-def test_of_many_dispatchers_some_warm_a_cold_worker() -> None:
+def test_some_of_many_dispatchers_send_to_a_warming_server() -> None:
     """Risk: with a part smaller than one job for each, all leave a fresh worker idle until it is warm."""
-    users = 0
+    sending_dispatchers = 0
     for position in range(18):
-        host = Host(with_settings(instances=18, position=position), workers=1)
+        dispatcher_host = Host(with_settings(instances=18, position=position), workers=1)
         for _ in range(3):
-            job = host.job(0)
-            host.until(host.now + 300)
-            host.end(job, 0, Outcome.SERVED, (4.0,))
-        host.listed(ListKind.FULL, (ServerEntry(9, started_at=host.now),))
-        users += host.job(0) in host.sent
+            request = dispatcher_host.job(0)
+            dispatcher_host.until(dispatcher_host.now + 300)
+            dispatcher_host.end(request, 0, Outcome.SERVED, (4.0,))
+        dispatcher_host.listed(ListKind.FULL, (ServerEntry(9, started_at=dispatcher_host.now),))
+        sending_dispatchers += dispatcher_host.job(0) in dispatcher_host.sent
     # 0.7 of 3 x a quarter of 4 slots x 2 s holds fourteen jobs of 300 ms
-    assert 1 <= users <= 14
+    assert 1 <= sending_dispatchers <= 14
 
 
-def test_list_is_asked_at_start_and_again_after_failures_only() -> None:
-    host = Host()
-    assert host.actions.count(Subscribe()) == 1
-    host.listed(ListKind.FAILED, ())
-    host.until(host.now + SETTINGS.poll_interval / 2)
-    assert host.actions.count(Subscribe()) == 2
-    host.listed(ListKind.FULL, entries(4))
-    host.until(host.now + 5 * SETTINGS.poll_interval)
-    assert host.actions.count(Subscribe()) == 2
+def test_the_endpoint_list_is_requested_at_start_and_after_failures_only() -> None:
+    dispatcher_host = Host()
+    assert dispatcher_host.actions.count(Subscribe()) == 1
+    dispatcher_host.listed(ListKind.FAILED, ())
+    dispatcher_host.until(dispatcher_host.now + SETTINGS.poll_interval / 2)
+    assert dispatcher_host.actions.count(Subscribe()) == 2
+    dispatcher_host.listed(ListKind.FULL, entries(4))
+    dispatcher_host.until(dispatcher_host.now + 5 * SETTINGS.poll_interval)
+    assert dispatcher_host.actions.count(Subscribe()) == 2
 
 
 SETTINGS_AT_LIMITS: list[dict[str, Any]] = [
@@ -176,31 +184,31 @@
     {"max_attempts": 1, "hedging": False, "report_fields": ()},
     {"hedging": False, "instances": 3, "gossip": True, "may_cancel": False},
     {"reports_start": True, "quotas": (2.0, 1.0), "answer_slack": 4.0, "drain_grace": 0.0},
-    {"classes": (SAFE, keyed(KeyScope.ALL), ONCE), "warmup_time": 0.0, "warmup_capacity": 1.0},
+    {"classes": (SAFE, idempotent_by_key(KeyScope.ALL), ONCE), "warmup_time": 0.0, "warmup_capacity": 1.0},
     {"classes": (ONCE, ONCE, ONCE), "list_pushed": True, "progress_interval": 1000.0},
 ]
 
 
-class Stress(Host):
+class RandomEvents(Host):
     """Random legal events."""
 
     def step(self, draw: Any) -> None:
         kind = draw(st.sampled_from("jjjjeeeeeenlpwwx"))
-        out = self.open_attempts()
+        open_attempts = self.open_attempts()
         if kind == "j":
             for _ in range(draw(st.sampled_from([1, 1, 1, 2, 40]))):
                 slots = draw(st.sampled_from([1.0, 1.0, 4.0]))
                 self.job(draw(st.integers(0, 2)), slots=slots, tenant=draw(st.integers(0, 3)))
-        elif kind == "e" and out:
-            job, attempt = draw(st.sampled_from(out))
+        elif kind == "e" and open_attempts:
+            request, attempt = draw(st.sampled_from(open_attempts))
             report = (draw(st.floats(0, 9)),) if self.settings.report_fields else ()
-            self.end(job, attempt, draw(st.sampled_from([Outcome.SERVED, *OUTCOMES])), report)
-        elif kind == "n" and out:
-            job, attempt = draw(st.sampled_from(out))
-            self.give(AttemptProgress(job, attempt, self.sent[job][attempt], ProgressKind.STARTED))
+            self.end(request, attempt, draw(st.sampled_from([Outcome.SERVED, *OUTCOMES])), report)
+        elif kind == "n" and open_attempts:
+            request, attempt = draw(st.sampled_from(open_attempts))
+            self.give(AttemptProgress(request, attempt, self.sent[request][attempt], ProgressKind.STARTED))
         elif kind == "l":
             count = draw(st.integers(0, 6))
-            news = tuple(
+            changed_entries = tuple(
                 ServerEntry(
                     draw(st.integers(1, 6)),
                     draw(st.sampled_from(ServerState)),
@@ -209,8 +217,8 @@
                 )
                 for _ in range(count)
             )
-            news = tuple({e.server: e._replace(cell=e.server // 2) for e in news}.values())
-            self.listed(draw(st.sampled_from([ListKind.CHANGES, ListKind.FULL, ListKind.FAILED])), news)
+            changed_entries = tuple({e.server: e._replace(cell=e.server // 2) for e in changed_entries}.values())
+            self.listed(draw(st.sampled_from([ListKind.CHANGES, ListKind.FULL, ListKind.FAILED])), changed_entries)
         elif kind == "p":
             self.give(PeerMessage(1, draw(st.binary(max_size=12))))
         elif kind == "w":
@@ -222,21 +230,21 @@
 @settings(derandomize=True, max_examples=120, deadline=None)
 @given(st.data(), st.sampled_from(SETTINGS_AT_LIMITS))
 def test_rules_under_random_events(data: st.DataObject, changes: dict[str, Any]) -> None:
-    host = Stress(with_settings(**changes), seed=data.draw(st.integers(0, 5)))
+    dispatcher_host = RandomEvents(with_settings(**changes), seed=data.draw(st.integers(0, 5)))
     for _ in range(data.draw(st.integers(5, 60))):
-        host.step(data.draw)
-    host.finish()
+        dispatcher_host.step(data.draw)
+    dispatcher_host.finish()
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.data())
 def test_same_events_give_the_same_actions(data: st.DataObject) -> None:
-    first = Stress(with_settings(reports_start=True), seed=7)
-    given_events: list[tuple[float, Any]] = []
+    first = RandomEvents(with_settings(reports_start=True), seed=7)
+    recorded_events: list[tuple[float, Any]] = []
     original = first.dispatcher.handle
 
     def recording(now: float, event: Any) -> Any:
-        given_events.append((now, event))
+        recorded_events.append((now, event))
         return original(now, event)
 
     first.dispatcher.handle = recording  # type: ignore[method-assign]
@@ -244,20 +252,25 @@
         first.step(data.draw)
     second = Host(with_settings(reports_start=True), seed=7)
     replayed = list(second.actions)
-    for now, event in given_events:
+    for now, event in recorded_events:
         replayed += second.dispatcher.handle(now, event)
     assert replayed == first.actions
 
 
-def test_odd_events_are_ignored() -> None:
-    host = Host()
-    job = host.job(0)
-    host.dispatcher.handle(host.now, host.jobs[job])  # a job known already
-    assert host.dispatcher.handle(host.now, host.jobs[job]._replace(request=99, request_class=9)) == []
-    assert host.dispatcher.handle(host.now, AttemptProgress(77, 0, 1, ProgressKind.STARTED)) == []
-    host.end(job, 0)
-    again = host.end(job, 0)  # the same outcome once more
+def test_unexpected_events_are_ignored() -> None:
+    dispatcher_host = Host()
+    request = dispatcher_host.job(0)
+    dispatcher_host.dispatcher.handle(dispatcher_host.now, dispatcher_host.jobs[request])  # a job known already
+    assert (
+        dispatcher_host.dispatcher.handle(
+            dispatcher_host.now, dispatcher_host.jobs[request]._replace(request=99, request_class=9)
+        )
+        == []
+    )
+    assert dispatcher_host.dispatcher.handle(dispatcher_host.now, AttemptProgress(77, 0, 1, ProgressKind.STARTED)) == []
+    dispatcher_host.end(request, 0)
+    again = dispatcher_host.end(request, 0)  # the same outcome once more
     assert not [a for a in again if isinstance(a, StartAttempt | Reject | Fail)]
-    late = host.job(0, give_up_at=host.now - 5)
-    assert host.answered[late] == "refused"
+    late_request = dispatcher_host.job(0, give_up_at=dispatcher_host.now - 5)
+    assert dispatcher_host.answered[late_request] == "refused"
     assert KEYED.key_scope is KeyScope.CELL
--- a/tests/balancer/test_zone_evidence.py
+++ b/tests/balancer/test_zone_evidence.py
@@ -16,22 +16,22 @@
 from heronlug.balancer.zone_failover.zone_state import DOUBT_RATIO, FAILED_RATIO
 
 
-def of(*halls: tuple[int, int]) -> dict[int, ZoneTally]:
+def zone_tallies(*zones: tuple[int, int]) -> dict[int, ZoneTally]:
     """Each hall as (tried, bad)."""
-    return {number: ZoneTally(*each) for number, each in enumerate(halls)}
+    return {number: ZoneTally(*counts) for number, counts in enumerate(zones)}
 
 
-def verdict(found: dict[int, ZoneTally], hall: int) -> float:
-    return failure_log_ratio(found[hall], failing_share_elsewhere(found, hall))
+def zone_log_ratio(by_zone: dict[int, ZoneTally], zone: int) -> float:
+    return failure_log_ratio(by_zone[zone], failing_share_elsewhere(by_zone, zone))
 
 
-def test_hosts_are_counted_by_hall_and_not_by_job() -> None:
-    found = tallies([ServerOutcome(0, True), ServerOutcome(0, False), ServerOutcome(3, True)])
-    assert (found[0].tried, found[0].failed, found[3].tried, found[3].failed) == (2, 1, 1, 1)
+def test_servers_are_counted_by_zone() -> None:
+    by_zone = tallies([ServerOutcome(0, True), ServerOutcome(0, False), ServerOutcome(3, True)])
+    assert (by_zone[0].tried, by_zone[0].failed, by_zone[3].tried, by_zone[3].failed) == (2, 1, 1, 1)
 
 
 @pytest.mark.parametrize(
-    ("halls", "left"),
+    ("zones", "excluded"),
     [
         (((3, 3), (9, 0), (9, 0), (9, 0)), True),  # three hosts of three
         (((5, 5), (0, 0), (0, 0), (0, 0)), True),  # nobody has tried elsewhere
@@ -42,25 +42,27 @@
         (((10, 6), (30, 0), (30, 0), (30, 0)), False),  # half of a hall: some of its racks
     ],
 )
-def test_a_hall_is_told_from_hosts_that_fail_each_for_itself(halls: tuple[tuple[int, int], ...], left: bool) -> None:
-    assert (verdict(of(*halls), 0) >= FAILED_RATIO) is left
+def test_a_zone_failure_is_distinguished_from_independent_server_failures(
+    zones: tuple[tuple[int, int], ...], excluded: bool
+) -> None:
+    assert (zone_log_ratio(zone_tallies(*zones), 0) >= FAILED_RATIO) is excluded
 
 
 @given(st.integers(1, 200), st.data())
-def test_one_more_bad_host_never_speaks_for_the_hall_s_health(tried: int, data: st.DataObject) -> None:
-    bad = data.draw(st.integers(0, tried - 1))
+def test_another_failed_server_always_raises_the_log_ratio(tried: int, data: st.DataObject) -> None:
+    failed = data.draw(st.integers(0, tried - 1))
     usual = data.draw(st.floats(0.05, 0.85))
-    assert failure_log_ratio(ZoneTally(tried, bad + 1), usual) > failure_log_ratio(ZoneTally(tried, bad), usual)
-    assert failure_log_ratio(ZoneTally(tried + 1, bad), usual) < failure_log_ratio(ZoneTally(tried, bad), usual)
+    assert failure_log_ratio(ZoneTally(tried, failed + 1), usual) > failure_log_ratio(ZoneTally(tried, failed), usual)
+    assert failure_log_ratio(ZoneTally(tried + 1, failed), usual) < failure_log_ratio(ZoneTally(tried, failed), usual)
 
 
-def test_independent_failures_of_up_to_a_quarter_of_all_hosts_leave_no_hall() -> None:
-    rng, left, doubtful = Random(7), 0, 0
-    for look in range(20_000):
-        rate = (0.02, 0.05, 0.1, 0.24)[look % 4]
-        found = of(*((12, sum(rng.random() < rate for _ in range(12))) for _ in range(4)))
-        worst = max(verdict(found, hall) for hall in found)
-        left += worst >= FAILED_RATIO
+def test_independent_failures_of_up_to_a_quarter_of_the_servers_exclude_no_zone() -> None:
+    rng, excluded, doubtful = Random(7), 0, 0
+    for check in range(20_000):
+        failure_rate = (0.02, 0.05, 0.1, 0.24)[check % 4]
+        by_zone = zone_tallies(*((12, sum(rng.random() < failure_rate for _ in range(12))) for _ in range(4)))
+        worst = max(zone_log_ratio(by_zone, zone) for zone in by_zone)
+        excluded += worst >= FAILED_RATIO
         doubtful += worst >= DOUBT_RATIO
-    assert left <= 2  # of 5,000 times that a quarter of 48 hosts failed at once
+    assert excluded <= 2  # of 5,000 times that a quarter of 48 hosts failed at once
     assert doubtful < 200
--- a/tests/balancer/test_zone_state.py
+++ b/tests/balancer/test_zone_state.py
@@ -21,105 +21,109 @@
     ZoneState,
 )
 
-DEAD = ZoneObservation(20.0, 8, True)
-SOUND = ZoneObservation(-10.0, 0, True, served_servers=5)
+ZONE_FAILED = ZoneObservation(20.0, 8, True)
+ZONE_HEALTHY = ZoneObservation(-10.0, 0, True, served_servers=5)
 
 
-def until(hall: ZoneState, phase: ZonePhase, view: ZoneObservation, now: float) -> float:
+def step_until(zone: ZoneState, phase: ZonePhase, observation: ZoneObservation, now: float) -> float:
     for _ in range(2000):
-        if hall.phase is phase:
+        if zone.phase is phase:
             return now
         now += 100.0
-        hall.step(view, now)
-    msg = f"never {phase}"
-    raise AssertionError(msg)
+        zone.step(observation, now)
+    message = f"never {phase}"
+    raise AssertionError(message)
 
 
-def test_every_state_that_can_be_reached_has_a_way_back_and_none_skips_a_stage() -> None:
-    views = [
-        ZoneObservation(value, bad, may, served, failed)
-        for value, bad, may, served, failed in product((-5.0, 3.0, 9.0), (0, 2, 3), (True, False), (0, 2), (0.0, 1.0))
+def test_every_reachable_transition_follows_the_state_table_without_skipping_stages() -> None:
+    observations = [
+        ZoneObservation(log_ratio, failing, may_exclude, served_servers, failed)
+        for log_ratio, failing, may_exclude, served_servers, failed in product(
+            (-5.0, 3.0, 9.0), (0, 2, 3), (True, False), (0, 2), (0.0, 1.0)
+        )
     ]
     steps = (100.0, STAGE_MS, 70_000.0)
     first = (ZonePhase.HEALTHY, 0, 0)
-    seen, todo = {first}, deque([first])
-    while todo:
-        phase, stage, falls = todo.popleft()
-        for view, step in product(views, steps):
-            hall = ZoneState(phase, 1000.0, stage, falls)
-            failed = 1000.0 + step if view.last_failed_at else 0.0
-            hall.step(replace(view, last_failed_at=failed), 1000.0 + step)
-            if hall.phase is ZonePhase.EXCLUDED and phase is not ZonePhase.EXCLUDED:
-                assert view.failed_servers >= LEAST_SERVED_PROBES
-                assert view.log_ratio > 0
+    visited, to_visit = {first}, deque([first])
+    while to_visit:
+        phase, stage, relapses = to_visit.popleft()
+        for observation, step in product(observations, steps):
+            zone = ZoneState(phase, 1000.0, stage, relapses)
+            failed = 1000.0 + step if observation.last_failed_at else 0.0
+            zone.step(replace(observation, last_failed_at=failed), 1000.0 + step)
+            if zone.phase is ZonePhase.EXCLUDED and phase is not ZonePhase.EXCLUDED:
+                assert observation.failed_servers >= LEAST_SERVED_PROBES
+                assert observation.log_ratio > 0
                 assert phase is ZonePhase.RETURNING or (
-                    view.failed_servers >= LEAST_FAILED_SERVERS and view.log_ratio >= FAILED_RATIO and view.may_exclude
+                    observation.failed_servers >= LEAST_FAILED_SERVERS
+                    and observation.log_ratio >= FAILED_RATIO
+                    and observation.may_exclude
                 )
-            if phase is ZonePhase.EXCLUDED and hall.phase is not ZonePhase.EXCLUDED:
-                assert hall.phase is ZonePhase.RETURNING
-                assert hall.stage == 0
-                assert view.served_servers >= LEAST_SERVED_PROBES
+            if phase is ZonePhase.EXCLUDED and zone.phase is not ZonePhase.EXCLUDED:
+                assert zone.phase is ZonePhase.RETURNING
+                assert zone.stage == 0
+                assert observation.served_servers >= LEAST_SERVED_PROBES
                 assert not failed
-                assert step >= hall.least_exclusion
-            if hall.phase is ZonePhase.RETURNING and phase is ZonePhase.RETURNING and hall.stage != stage:
-                assert hall.stage == stage + 1
+                assert step >= zone.least_exclusion
+            if zone.phase is ZonePhase.RETURNING and phase is ZonePhase.RETURNING and zone.stage != stage:
+                assert zone.stage == stage + 1
                 assert step >= STAGE_MS
-                assert view.served_servers
-            if hall.phase is ZonePhase.HEALTHY and phase is ZonePhase.RETURNING:
+                assert observation.served_servers
+            if zone.phase is ZonePhase.HEALTHY and phase is ZonePhase.RETURNING:
                 assert stage == len(STAGES) - 1
-            after = (hall.phase, hall.stage if hall.phase is ZonePhase.RETURNING else 0, min(hall.relapses, 3))
-            if after not in seen:
-                seen.add(after)
-                todo.append(after)
-    assert {phase for phase, _, _ in seen} == set(ZonePhase)
-    assert {stage for phase, stage, _ in seen if phase is ZonePhase.RETURNING} == set(range(len(STAGES)))
+            after = (zone.phase, zone.stage if zone.phase is ZonePhase.RETURNING else 0, min(zone.relapses, 3))
+            if after not in visited:
+                visited.add(after)
+                to_visit.append(after)
+    assert {phase for phase, _, _ in visited} == set(ZonePhase)
+    assert {stage for phase, stage, _ in visited if phase is ZonePhase.RETURNING} == set(range(len(STAGES)))
 
 
-def test_a_dead_hall_is_left_at_once_and_a_sound_one_has_all_its_work_again_within_a_stated_time() -> None:
-    hall = ZoneState()
-    left = until(hall, ZonePhase.EXCLUDED, DEAD, 0.0)
-    assert left <= 200.0
-    assert hall.offered_share == 0.0
-    back = until(hall, ZonePhase.HEALTHY, SOUND, left)
-    assert back - left <= FIRST_EXCLUSION_MS + len(STAGES) * (STAGE_MS + 200.0)
+def test_a_failed_zone_is_excluded_at_once_and_a_healthy_zone_returns_within_a_bound() -> None:
+    zone = ZoneState()
+    excluded_at = step_until(zone, ZonePhase.EXCLUDED, ZONE_FAILED, 0.0)
+    assert excluded_at <= 200.0
+    assert zone.offered_share == 0.0
+    healthy_at = step_until(zone, ZonePhase.HEALTHY, ZONE_HEALTHY, excluded_at)
+    assert healthy_at - excluded_at <= FIRST_EXCLUSION_MS + len(STAGES) * (STAGE_MS + 200.0)
 
 
-def test_each_fall_on_the_return_makes_the_wait_longer_up_to_a_bound_and_calm_forgets_it() -> None:
-    hall, now, waits = ZoneState(), 0.0, list[float]()
+def test_each_relapse_lengthens_the_exclusion_up_to_a_bound_and_relapses_are_forgotten() -> None:
+    zone, now, waits = ZoneState(), 0.0, list[float]()
     for _ in range(8):
-        now = until(hall, ZonePhase.EXCLUDED, DEAD, now)
+        now = step_until(zone, ZonePhase.EXCLUDED, ZONE_FAILED, now)
         began = now
-        now = until(hall, ZonePhase.RETURNING, SOUND, now)
+        now = step_until(zone, ZonePhase.RETURNING, ZONE_HEALTHY, now)
         waits.append(now - began)
     assert waits == sorted(waits)
     assert waits[-1] <= LONGEST_EXCLUSION_MS + 200.0
     assert waits[-1] > 10 * waits[0]
-    now = until(hall, ZonePhase.HEALTHY, SOUND, now)
-    hall.step(SOUND, now + RELAPSE_MEMORY_MS + 1)
-    assert hall.relapses == 0
+    now = step_until(zone, ZonePhase.HEALTHY, ZONE_HEALTHY, now)
+    zone.step(ZONE_HEALTHY, now + RELAPSE_MEMORY_MS + 1)
+    assert zone.relapses == 0
 
 
-def test_a_hall_that_may_not_be_left_stays_doubtful_and_one_held_by_hand_stays_as_it_is() -> None:
-    hall = ZoneState()
+def test_a_zone_that_may_not_be_excluded_stays_doubtful_and_a_held_zone_keeps_its_phase() -> None:
+    zone = ZoneState()
     for at in range(1, 50):
-        hall.step(ZoneObservation(50.0, 20, False), at * 100.0)
-    assert hall.offered_share == 1.0
-    assert hall.phase.value == "doubtful"
-    hall.hold(ZonePhase.EXCLUDED, 90_000.0, 5000.0)
+        zone.step(ZoneObservation(50.0, 20, False), at * 100.0)
+    assert zone.offered_share == 1.0
+    assert zone.phase.value == "doubtful"
+    zone.hold(ZonePhase.EXCLUDED, 90_000.0, 5000.0)
     for at in range(51, 900):
-        assert not hall.step(SOUND, at * 100.0)
-    assert hall.offered_share == 0.0
-    assert until(hall, ZonePhase.RETURNING, SOUND, 90_000.0) <= 90_200.0  # in stages, as after a failure
+        assert not zone.step(ZONE_HEALTHY, at * 100.0)
+    assert zone.offered_share == 0.0
+    assert step_until(zone, ZonePhase.RETURNING, ZONE_HEALTHY, 90_000.0) <= 90_200.0  # in stages, as after a failure
 
 
 @given(st.lists(st.tuples(st.floats(-20, 20), st.integers(0, 9), st.booleans(), st.integers(0, 9)), max_size=80))
-def test_whatever_is_seen_the_share_offered_rises_by_one_stage_at_a_time(
-    looks: list[tuple[float, int, bool, int]],
+def test_the_offered_share_rises_by_at_most_one_stage_at_a_time(
+    checks: list[tuple[float, int, bool, int]],
 ) -> None:
-    hall, now, shares = ZoneState(ZonePhase.EXCLUDED), 0.0, (0.0, *STAGES)
-    for value, bad, may, served in looks:
-        before = hall.offered_share
+    zone, now, shares = ZoneState(ZonePhase.EXCLUDED), 0.0, (0.0, *STAGES)
+    for log_ratio, failing, may_exclude, served_servers in checks:
+        before = zone.offered_share
         now += 700.0
-        hall.step(ZoneObservation(value, bad, may, served), now)
-        if hall.offered_share > before:
-            assert shares.index(hall.offered_share) <= shares.index(before) + 1
+        zone.step(ZoneObservation(log_ratio, failing, may_exclude, served_servers), now)
+        if zone.offered_share > before:
+            assert shares.index(zone.offered_share) <= shares.index(before) + 1
--- a/tests/scale/days.py
+++ b/tests/scale/days.py
@@ -42,7 +42,7 @@
     state: ServerState = ServerState.READY
     slots: int = 3
     busy: int = 0
-    bad: float = 0.0  # part of its attempts that fail
+    failure_share: float = 0.0  # part of its attempts that fail
     waiting: list[tuple[int, int, int]] = field(default_factory=list)  # dispatcher, request, attempt
 
     def entry(self) -> ServerEntry:
@@ -51,7 +51,7 @@
         return ServerEntry(number, self.state, number % 3, number % 2, number // 4, 1.0, self.started_at)
 
 
-def settings(rng: Random, instances: int, position: int, peers: bool) -> Settings:
+def draw_settings(rng: Random, instances: int, position: int, gossip: bool) -> Settings:
     """Settings of a deployment, the same for all positions if drawn alike."""
     effects = [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY]
     classes = tuple(
@@ -69,7 +69,7 @@
         )
         for effect in effects
     )
-    starts = rng.random() < 0.7
+    reports_start = rng.random() < 0.7
     return Settings(
         classes=classes,
         instances=instances,
@@ -77,10 +77,10 @@
         max_attempts=4,
         hedging=rng.random() < 0.7,
         may_cancel=True,
-        gossip=peers,
-        lends_capacity=peers and rng.random() < 0.7,
-        reports_start=starts,
-        progress_interval=500.0 if starts else 0.0,
+        gossip=gossip,
+        lends_capacity=gossip and rng.random() < 0.7,
+        reports_start=reports_start,
+        progress_interval=500.0 if reports_start else 0.0,
         drain_grace=2500,
         warmup_capacity=0.2,
         warmup_time=rng.choice([2000, 8000]),
@@ -90,121 +90,127 @@
         worst_class_weight=0.3,
         zone=position % 3,
         tick=2.0,
-        report_fields=() if starts or rng.random() < 0.5 else ("x0",),
+        report_fields=() if reports_start or rng.random() < 0.5 else ("x0",),
         zone_failover=rng.random() < 0.3,
         cpu_per_request=rng.choice([0.0, 10.0]),
         retry_burst=rng.choice([1.0, 3.0, 20.0]),
     )
 
 
-class Day:
+class RandomDay:
     """One day, played to its end by :meth:`run`."""
 
     def __init__(
         self, seed: int, *, make: Callable[[Settings, int], Any] = Dispatcher, servers: int = 60, instances: int = 0
     ) -> None:
         self.rng = Random(seed)
-        peers, draw = self.rng.random() < 0.6, self.rng.random()
+        gossip, settings_seed = self.rng.random() < 0.6, self.rng.random()
         self.now, self.record = 1000.0, list[tuple[float, int, Any]]()
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
+        self._callbacks: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
-        cold = 900.0 if self.rng.random() < 0.5 else 0.0
-        self.servers = {n * 97 + 5: Server(n * 97 + 5, cold) for n in range(servers)}
+        warming_since = 900.0 if self.rng.random() < 0.5 else 0.0
+        self.servers = {index * 97 + 5: Server(index * 97 + 5, warming_since) for index in range(servers)}
         self.next_server = servers
         for server in self.rng.sample(list(self.servers.values()), servers // 5):
-            server.bad = self.rng.random()
+            server.failure_share = self.rng.random()
         instances = instances or self.rng.choice([3, 12, 12])
-        self.dispatchers = [make(settings(Random(draw), instances, n, peers), seed + n) for n in range(instances)]
+        self.dispatchers = [
+            make(draw_settings(Random(settings_seed), instances, index, gossip), seed + index)
+            for index in range(instances)
+        ]
         self.requests = count(1)
-        self.gap = self.rng.choice([3.0, 8.0, 20.0])
+        self.mean_gap = self.rng.choice([3.0, 8.0, 20.0])
         self.attempts: dict[tuple[int, int], list[int]] = {}  # servers of a request's attempts; 0 once one has ended
 
-    def at(self, delay: float, act: Callable[[], None]) -> None:
+    def at(self, delay: float, callback: Callable[[], None]) -> None:
         """Do it after that time."""
-        heapq.heappush(self._heap, (self.now + delay, next(self._order), act))
+        heapq.heappush(self._callbacks, (self.now + delay, next(self._order), callback))
 
-    def run(self, span: float = 4000.0) -> list[tuple[float, int, Any]]:
+    def run(self, duration: float = 4000.0) -> list[tuple[float, int, Any]]:
         """Play it; returns each action with its time and dispatcher."""
-        everyone = tuple(server.entry() for server in self.servers.values())
-        for n in range(len(self.dispatchers)):
-            self.give(n, ServerListUpdate(ListKind.CACHED, everyone))
-            self.at(30.0, lambda n=n: self.give(n, ServerListUpdate(ListKind.FULL, everyone)))  # type: ignore[misc]
-        self.at(1.0, self._arrive)
-        self.at(500.0, self._change)
-        while self._heap and self._heap[0][0] <= 1000.0 + span:
-            self.now, _, act = heapq.heappop(self._heap)
-            act()
+        all_entries = tuple(server.entry() for server in self.servers.values())
+        for index in range(len(self.dispatchers)):
+            self.deliver(index, ServerListUpdate(ListKind.CACHED, all_entries))
+            self.at(30.0, lambda index=index: self.deliver(index, ServerListUpdate(ListKind.FULL, all_entries)))  # type: ignore[misc]
+        self.at(1.0, self._request_arrives)
+        self.at(500.0, self._change_servers)
+        while self._callbacks and self._callbacks[0][0] <= 1000.0 + duration:
+            self.now, _, callback = heapq.heappop(self._callbacks)
+            callback()
         return self.record
 
-    def give(self, n: int, event: Event) -> None:
+    def deliver(self, index: int, event: Event) -> None:
         """Hand an event to a dispatcher, and carry out what follows."""
-        for action in self.dispatchers[n].handle(self.now, event):
-            self.record.append((round(self.now, 6), n, action))
-            self._do(n, action)
+        for action in self.dispatchers[index].handle(self.now, event):
+            self.record.append((round(self.now, 6), index, action))
+            self._carry_out(index, action)
 
-    def _do(self, n: int, action: Action) -> None:
+    def _carry_out(self, index: int, action: Action) -> None:
         rng = self.rng
         if isinstance(action, StartAttempt):
-            attempts = self.attempts.setdefault((n, action.request), [])
+            attempts = self.attempts.setdefault((index, action.request), [])
             attempts.append(action.server)
             number = len(attempts) - 1
-            self.at(rng.uniform(1, 20), lambda: self._reach(n, action.request, number, action.server))
+            self.at(rng.uniform(1, 20), lambda: self._reach_server(index, action.request, number, action.server))
         elif isinstance(action, CancelAttempt):
-            self._end(n, action.request, action.attempt, Outcome.CANCELLED, 0.0)
+            self._end(index, action.request, action.attempt, Outcome.CANCELLED, 0.0)
         elif isinstance(action, SetTimer):
-            self.at(action.delay, lambda: self.give(n, TimerFired(action.token)))
+            self.at(action.delay, lambda: self.deliver(index, TimerFired(action.token)))
         elif isinstance(action, SendPeerMessage):
             others = range(len(self.dispatchers)) if action.peer < 0 else [action.peer]
             for other in others:
-                if other != n and rng.random() < 0.95:
-                    self.at(rng.uniform(1, 10), lambda o=other: self.give(o, PeerMessage(n, action.content)))  # type: ignore[misc]
+                if other != index and rng.random() < 0.95:
+                    self.at(rng.uniform(1, 10), lambda o=other: self.deliver(o, PeerMessage(index, action.content)))  # type: ignore[misc]
 
-    def _arrive(self) -> None:
-        n, request, rng = self.rng.randrange(len(self.dispatchers)), next(self.requests), self.rng
-        cls = rng.randrange(3)
+    def _request_arrives(self) -> None:
+        index, request, rng = self.rng.randrange(len(self.dispatchers)), next(self.requests), self.rng
+        class_index = rng.randrange(3)
         give_up = self.now + rng.uniform(200, 4000)
-        self.give(n, RequestArrived(request, cls, give_up, rng.choice([1.0, 1.0, 2.0]), 0.0, rng.choice([0.0, 150.0])))
+        self.deliver(
+            index,
+            RequestArrived(request, class_index, give_up, rng.choice([1.0, 1.0, 2.0]), 0.0, rng.choice([0.0, 150.0])),
+        )
         if rng.random() < 0.05:
-            self.at(rng.uniform(1, 500), lambda: self.give(n, ClientGone(request)))
-        self.at(rng.expovariate(1 / self.gap), self._arrive)
+            self.at(rng.uniform(1, 500), lambda: self.deliver(index, ClientGone(request)))
+        self.at(rng.expovariate(1 / self.mean_gap), self._request_arrives)
 
-    def _reach(self, n: int, request: int, number: int, worker: int) -> None:
-        server = self.servers.get(worker)
-        if not self.attempts[n, request][number]:
+    def _reach_server(self, index: int, request: int, number: int, server_number: int) -> None:
+        server = self.servers.get(server_number)
+        if not self.attempts[index, request][number]:
             return
         if server is None or server.state is ServerState.REMOVED:
-            self._end(n, request, number, Outcome.CONNECT_FAILED, 1.0)
-        elif self.rng.random() < server.bad:
-            self._end(n, request, number, self.rng.choice(FAILURES), 5.0)
+            self._end(index, request, number, Outcome.CONNECT_FAILED, 1.0)
+        elif self.rng.random() < server.failure_share:
+            self._end(index, request, number, self.rng.choice(FAILURES), 5.0)
         else:
-            server.waiting.append((n, request, number))
-            self._start(server)
+            server.waiting.append((index, request, number))
+            self._start_waiting(server)
 
-    def _start(self, server: Server) -> None:
+    def _start_waiting(self, server: Server) -> None:
         while server.waiting and server.busy < server.slots:
-            n, request, number = server.waiting.pop(0)
-            if not self.attempts[n, request][number]:
+            index, request, number = server.waiting.pop(0)
+            if not self.attempts[index, request][number]:
                 continue
             server.busy += 1
             run = self.rng.uniform(20, 250)
-            if self.dispatchers[n].settings.reports_start:
-                self.give(n, AttemptProgress(request, number, server.number, ProgressKind.STARTED))
-            self.at(run, lambda n=n, r=request, a=number: self._done(server, n, r, a))  # type: ignore[misc]
+            if self.dispatchers[index].settings.reports_start:
+                self.deliver(index, AttemptProgress(request, number, server.number, ProgressKind.STARTED))
+            self.at(run, lambda index=index, r=request, a=number: self._finish_run(server, index, r, a))  # type: ignore[misc]
 
-    def _done(self, server: Server, n: int, request: int, number: int) -> None:
+    def _finish_run(self, server: Server, index: int, request: int, number: int) -> None:
         server.busy -= 1
-        self._end(n, request, number, Outcome.SERVED, 120.0)
-        self._start(server)
+        self._end(index, request, number, Outcome.SERVED, 120.0)
+        self._start_waiting(server)
 
-    def _end(self, n: int, request: int, number: int, outcome: Outcome, latency: float) -> None:
-        attempts = self.attempts[n, request]
-        worker, attempts[number] = attempts[number], 0
-        if worker:
+    def _end(self, index: int, request: int, number: int, outcome: Outcome, latency: float) -> None:
+        attempts = self.attempts[index, request]
+        server_number, attempts[number] = attempts[number], 0
+        if server_number:
             final = outcome is Outcome.SERVED
-            report = (float(self.rng.randrange(3)),) if self.dispatchers[n].settings.report_fields else ()
-            self.give(n, AttemptEnded(request, number, worker, outcome, latency, final, report))
+            report = (float(self.rng.randrange(3)),) if self.dispatchers[index].settings.report_fields else ()
+            self.deliver(index, AttemptEnded(request, number, server_number, outcome, latency, final, report))
 
-    def _change(self) -> None:
+    def _change_servers(self) -> None:
         """Some servers drain, some are gone, some are new; the dispatchers hear of it soon."""
         rng, changed = self.rng, []
         for server in rng.sample(list(self.servers.values()), max(1, len(self.servers) // 8)):
@@ -215,10 +221,12 @@
             self.next_server += 1
             self.servers[number] = Server(number, self.now)
             changed.append(self.servers[number])
-        whole = rng.random() < 0.3
-        told = [s for s in self.servers.values() if s.state is not ServerState.REMOVED] if whole else changed
-        kind = ListKind.FULL if whole else ListKind.CHANGES
-        news = ServerListUpdate(kind, tuple(server.entry() for server in told))
-        for n in range(len(self.dispatchers)):
-            self.at(rng.uniform(1, 80), lambda n=n: self.give(n, news))  # type: ignore[misc]
-        self.at(rng.uniform(200, 1500), self._change)
+        is_full = rng.random() < 0.3
+        listed_servers = (
+            [s for s in self.servers.values() if s.state is not ServerState.REMOVED] if is_full else changed
+        )
+        kind = ListKind.FULL if is_full else ListKind.CHANGES
+        update = ServerListUpdate(kind, tuple(server.entry() for server in listed_servers))
+        for index in range(len(self.dispatchers)):
+            self.at(rng.uniform(1, 80), lambda index=index: self.deliver(index, update))  # type: ignore[misc]
+        self.at(rng.uniform(200, 1500), self._change_servers)
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -32,44 +32,44 @@
 
 from heronlug.standins.ports import free_port
 
-SHARE = 0.25  # of a core
-RUN = 1000.0  # ms that a server works on a request
+CPU_SHARE = 0.25  # of a core
+RUN_MS = 1000.0  # ms that a server works on a request
 DISPATCHERS = 1000
-STEPS = 8  # groups of servers that a release replaces one after the other
-RELAYS = 2  # dispatchers that sum up the load of all servers for the others
-AIM = 200.0  # ms within which an answer is wanted
-SUMMARY_GAP = AIM / 2  # ms between the summaries of one of them
-TURNS = 12  # of the loop, in which bytes on loopback have arrived and been answered
-LATE = 500.0  # ms after a request's time, up to which its answer is not lost
-GRACE = 2550.0  # ms after a drain was told, from which on no attempt may begin
-ANSWERS = (b"HTTP/1.1 200 ", b"HTTP/1.1 500 ", b"HTTP/1.1 503 ")
+RELEASE_STEPS = 8  # groups of servers that a release replaces one after the other
+AGGREGATORS = 2  # dispatchers that sum up the load of all servers for the others
+LATENCY_OBJECTIVE_MS = 200.0  # ms within which an answer is wanted
+SUMMARY_INTERVAL_MS = LATENCY_OBJECTIVE_MS / 2  # ms between the summaries of one of them
+LOOP_TURNS = 12  # of the loop, in which bytes on loopback have arrived and been answered
+ANSWER_SLACK_MS = 500.0  # ms after a request's time, up to which its answer is not lost
+DRAIN_GRACE_MS = 2550.0  # ms after a drain was told, from which on no attempt may begin
+FINAL_STATUS_LINES = (b"HTTP/1.1 200 ", b"HTTP/1.1 500 ", b"HTTP/1.1 503 ")
 
 
-class Metered(ManualClock):
+class CpuMeteredClock(ManualClock):
     """A clock that is moved by hand, and by processor time."""
 
     def __init__(self) -> None:
-        self._at, self._used = START_TIME, time.thread_time()
+        self._base_time, self._base_cpu = START_TIME, time.thread_time()
 
     @property
     def at(self) -> float:
-        return self._at + (time.thread_time() - self._used) * 1000 / SHARE
+        return self._base_time + (time.thread_time() - self._base_cpu) * 1000 / CPU_SHARE
 
     @at.setter
     def at(self, when: float) -> None:
-        self._at, self._used = max(self.at, when), time.thread_time()
+        self._base_time, self._base_cpu = max(self.at, when), time.thread_time()
 
     def now(self) -> float:
         return self.at
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     """A request as its client saw it."""
 
     name: str
     due: float
-    end: StandInConnection
+    connection: StandInConnection
     answered_at: float = 0.0
 
 
@@ -78,39 +78,41 @@
 
     def __init__(self, servers: int, *, peers: bool, started: float = 0.0) -> None:
         super().__init__(
-            STEPS + 1,
+            RELEASE_STEPS + 1,
             settings={
                 "instances": DISPATCHERS,
                 "position": 7,
-                "lanes": [{**lane, "goal_time": AIM} for lane in SETTINGS["lanes"]],
+                "lanes": [{**request_class, "goal_time": LATENCY_OBJECTIVE_MS} for request_class in SETTINGS["lanes"]],
             },
             limits={"second_copies": True, "attempts_cap": 6, "may_tell": peers, "max_open": 5000},
         )
-        self.clock = Metered()
-        self._relays = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(RELAYS)]
-        for sock in self._relays:
-            sock.bind(("127.0.0.1", 0))
+        self.clock = CpuMeteredClock()
+        self._aggregator_sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(AGGREGATORS)]
+        for aggregator_socket in self._aggregator_sockets:
+            aggregator_socket.bind(("127.0.0.1", 0))
         self._peer = ("127.0.0.1", free_port())
         if peers:
             own = f"{self._peer[0]}:{self._peer[1]}"
-            others = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in self._relays]
+            others = [
+                f"127.0.0.1:{aggregator_socket.getsockname()[1]}" for aggregator_socket in self._aggregator_sockets
+            ]
             self.raw["peer_listen"], self.raw["peers"] = own, [*others, *[own] * 6]
-        share = servers * 6 // 10 // STEPS
-        self.share = share
+        servers_per_step = servers * 6 // 10 // RELEASE_STEPS
+        self.servers_per_step = servers_per_step
         # the last address has all that are there at the end
-        self.address = {f"s-{n:08x}": f"h{min(n // share, STEPS) + 1}" for n in range(servers)}
+        self.address = {f"s-{n:08x}": f"h{min(n // servers_per_step, RELEASE_STEPS) + 1}" for n in range(servers)}
         self.server_names = list(self.address)
         self.raw["known"] = self.listing(3, self.server_names, started=started, whole=True)
-        self.begun: list[tuple[str, float]] = []  # attempts, by the stand-in that got them
-        self.told_off: dict[str, float] = {}  # when discovery wrote that all servers of a stand-in drain
-        self.asked: list[Asked] = []
-        self.turn_away = False  # servers turn away what comes
-        self._agenda: list[tuple[float, int, Callable[[], None]]] = []
+        self.attempts_received: list[tuple[str, float]] = []  # attempts, by the stand-in that got them
+        self.drained_at: dict[str, float] = {}  # when discovery wrote that all servers of a stand-in drain
+        self.client_requests: list[ClientRequest] = []
+        self.reject_all = False  # servers turn away what comes
+        self._callbacks: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self._version = 3
 
     def listing(
-        self, version: int, names: list[str], state: str = "active", started: float = 0.0, whole: bool = False
+        self, version: int, server_names: list[str], state: str = "active", started: float = 0.0, whole: bool = False
     ) -> dict[str, object]:
         """A list, or changes of it, in the form of discovery."""
         return {
@@ -127,42 +129,42 @@
                     "weight": 1.0,
                     "startedAtMs": started,
                 }
-                for name in names
+                for name in server_names
             ],
         }
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
+    def at(self, when: float, callback: Callable[[], None]) -> None:
         """Do it at that time, however far behind the daemon is."""
-        heapq.heappush(self._agenda, (when, next(self._order), act))
+        heapq.heappush(self._callbacks, (when, next(self._order), callback))
 
-    def later(self, delay: float, act: Callable[[], None]) -> None:
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
         """Do it after that time."""
-        self.at(self.clock.now() + delay, act)
+        self.at(self.clock.now() + delay, callback)
 
-    def tell(self, names: list[str], state: str, started: float = 0.0) -> None:
+    def send_list_changes(self, server_names: list[str], state: str, started: float = 0.0) -> None:
         """Discovery writes a change to the watch that waits for it."""
         self._version += 1
-        body = json.dumps(self.listing(self._version, names, state, started)).encode()
-        for end in self.discovery.connections:
-            if end.take_request() and not end.ended:
-                end.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        body = json.dumps(self.listing(self._version, server_names, state, started)).encode()
+        for connection in self.discovery.connections:
+            if connection.take_request() and not connection.ended:
+                connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def release(self, step: float) -> None:
         """Six in ten servers are replaced by new ones, in steps."""
-        for number in range(STEPS):
-            leaving = self.server_names[number * self.share : (number + 1) * self.share]
-            fresh = [f"r-{number}-{n:06x}" for n in range(self.share)]
-            self.address.update(dict.fromkeys(fresh, f"h{STEPS + 1}"))
-            self.later(number * step + step * 0.4, partial(self._drain, number, leaving))
-            self.later(number * step + step * 0.7, partial(self._start, fresh))
-            self.later(number * step + step * 0.9, partial(self.tell, leaving, "left"))
+        for number in range(RELEASE_STEPS):
+            leaving = self.server_names[number * self.servers_per_step : (number + 1) * self.servers_per_step]
+            new_servers = [f"r-{number}-{n:06x}" for n in range(self.servers_per_step)]
+            self.address.update(dict.fromkeys(new_servers, f"h{RELEASE_STEPS + 1}"))
+            self.call_later(number * step + step * 0.4, partial(self._drain, number, leaving))
+            self.call_later(number * step + step * 0.7, partial(self._start, new_servers))
+            self.call_later(number * step + step * 0.9, partial(self.send_list_changes, leaving, "left"))
 
-    def _drain(self, number: int, names: list[str]) -> None:
-        self.tell(names, "leaving")
-        self.told_off[f"h{number + 1}"] = self.clock.now()
+    def _drain(self, number: int, server_names: list[str]) -> None:
+        self.send_list_changes(server_names, "leaving")
+        self.drained_at[f"h{number + 1}"] = self.clock.now()
 
-    def _start(self, names: list[str]) -> None:
-        self.tell(names, "active", self.clock.now())
+    def _start(self, server_names: list[str]) -> None:
+        self.send_list_changes(server_names, "active", self.clock.now())
 
     def summarize(self, level: int) -> None:
         """From now on two dispatchers tell that all servers have this load level."""
@@ -170,10 +172,10 @@
 
     def _summarize(self, level: int, when: float) -> None:
         peers = self.application.core.dispatcher.state.peer_load
-        for sock in self._relays:
+        for aggregator_socket in self._aggregator_sockets:
             for part in peers.summary([level] * len(peers.servers_in_order)):
-                sock.sendto(part, self._peer)
-        self.at(when + SUMMARY_GAP, partial(self._summarize, level, when + SUMMARY_GAP))
+                aggregator_socket.sendto(part, self._peer)
+        self.at(when + SUMMARY_INTERVAL_MS, partial(self._summarize, level, when + SUMMARY_INTERVAL_MS))
 
     async def clients(self, count: int) -> list[StandInConnection]:
         """Clients that rest after a first request: who says nothing for long is closed."""
@@ -188,63 +190,69 @@
         """Clients hand in requests at a steady rate, each on a connection that is free."""
 
         def ask(number: int) -> None:
-            busy = {asked.end for asked in self.asked if not asked.answered_at}
-            free = [end for end in clients if end not in busy]
+            busy = {
+                client_request.connection for client_request in self.client_requests if not client_request.answered_at
+            }
+            free = [connection for connection in clients if connection not in busy]
             if free:
-                self.asked.append(Asked(f"t{number}", self.clock.now() + remaining, free[0]))
+                self.client_requests.append(ClientRequest(f"t{number}", self.clock.now() + remaining, free[0]))
                 free[0].send(request_bytes(f"t{number}", ("safe", "once", "keyed")[number % 3], remaining))
 
         for number in range(requests):
-            self.later(number * gap, partial(ask, number))
+            self.call_later(number * gap, partial(ask, number))
 
     def _serve(self) -> None:
         """The servers begin what has come, and each ends it after its run."""
         for standin in self.servers.values():
-            for end in standin.connections:
-                while request := end.take_request():
+            for connection in standin.connections:
+                while request := connection.take_request():
                     name = request_id_of(request)
-                    self.begun.append((standin.name, self.clock.now()))
-                    if self.turn_away:
-                        end.send(REJECTED_RESPONSE)
+                    self.attempts_received.append((standin.name, self.clock.now()))
+                    if self.reject_all:
+                        connection.send(REJECTED_RESPONSE)
                         continue
-                    end.send(RESPONSE_HEAD + progress_chunk(name, "started"))
-                    self.later(RUN, partial(end.send, progress_chunk(name, "done", "ok") + LAST_CHUNK))
+                    connection.send(RESPONSE_HEAD + progress_chunk(name, "started"))
+                    self.call_later(RUN_MS, partial(connection.send, progress_chunk(name, "done", "ok") + LAST_CHUNK))
 
     def _note_answers(self) -> None:
-        for asked in self.asked:
-            if not asked.answered_at and (answer := asked.end.take_request()):
-                assert answer.startswith(ANSWERS)
-                asked.answered_at = self.clock.now()
+        for client_request in self.client_requests:
+            if not client_request.answered_at and (answer := client_request.connection.take_request()):
+                assert answer.startswith(FINAL_STATUS_LINES)
+                client_request.answered_at = self.clock.now()
 
-    async def run_until(self, end: float) -> None:
+    async def run_until(self, end_at: float) -> None:
         """Let all happen that is due within so many ms after the start, in its order."""
-        end, deadlines = START_TIME + end, self.application.deadline_loop.deadlines
+        end_at, deadlines = START_TIME + end_at, self.application.deadline_loop.deadlines
         while True:
             head = deadlines.next_due()
-            act = self._agenda[0][0] if self._agenda else float("inf")
-            due = min(act, head if head is not None else float("inf"))
-            if due > end or self.clock.now() > 2 * end - START_TIME:
+            callback_at = self._callbacks[0][0] if self._callbacks else float("inf")
+            due = min(callback_at, head if head is not None else float("inf"))
+            if due > end_at or self.clock.now() > 2 * end_at - START_TIME:
                 break
             self.clock.at = due
-            if act <= due:
-                heapq.heappop(self._agenda)[2]()
+            if callback_at <= due:
+                heapq.heappop(self._callbacks)[2]()
             else:
                 self.application.turn()
-            for _ in range(TURNS):
+            for _ in range(LOOP_TURNS):
                 await asyncio.sleep(0)
             self._serve()
             self._note_answers()
 
     def lost(self) -> list[tuple[str, float, float]]:
         """Requests that got no final answer in their time, with that time and the answer's, in ms after the start."""
-        late = [a for a in self.asked if not a.answered_at or a.answered_at > a.due + LATE]
+        late = [a for a in self.client_requests if not a.answered_at or a.answered_at > a.due + ANSWER_SLACK_MS]
         return [(a.name, a.due - START_TIME, a.answered_at - START_TIME if a.answered_at else 0.0) for a in late]
 
     def sent_to_draining(self) -> list[tuple[str, float]]:
         """Attempts that a server got after it was told to drain, and past the grace."""
-        return [(name, at) for name, at in self.begun if at > self.told_off.get(name, float("inf")) + GRACE]
+        return [
+            (name, at)
+            for name, at in self.attempts_received
+            if at > self.drained_at.get(name, float("inf")) + DRAIN_GRACE_MS
+        ]
 
     def close(self) -> None:
         """Close what is not the daemon's."""
-        for sock in self._relays:
-            sock.close()
+        for aggregator_socket in self._aggregator_sockets:
+            aggregator_socket.close()
--- a/tests/scale/test_candidates.py
+++ b/tests/scale/test_candidates.py
@@ -7,7 +7,7 @@
 from heronlug import Dispatcher, ListKind, ServerEntry, ServerListUpdate, Settings
 from heronlug.balancer.model import Request, Server
 from heronlug.balancer.selection import Selection
-from scale.days import Day
+from scale.days import RandomDay
 
 
 class ScanningSelection(Selection):
@@ -21,49 +21,49 @@
         return list(reversed(servers)) if overdue else list(servers)
 
 
-def scanning(settings: Settings, seed: int) -> Dispatcher:
+def scanning_dispatcher(settings: Settings, seed: int) -> Dispatcher:
     dispatcher = Dispatcher(settings, seed)
     dispatcher.rules.selection.__class__ = ScanningSelection
     return dispatcher
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_the_index_chooses_what_a_scan_chooses(seed: int) -> None:
-    indexed, scanned = Day(seed).run(), Day(seed, make=scanning).run()
+def test_the_index_and_a_full_scan_give_the_same_actions(seed: int) -> None:
+    indexed, scanned = RandomDay(seed).run(), RandomDay(seed, make=scanning_dispatcher).run()
     first = next((pair for pair in zip(indexed, scanned, strict=False) if pair[0] != pair[1]), None)
     assert first is None
     assert len(indexed) == len(scanned) > 100
 
 
-def test_days_have_servers_that_do_not_fit() -> None:
+def test_random_days_include_servers_that_are_not_candidates() -> None:
     """A day on which all servers always fit would prove nothing of the index."""
     left_out = 0
 
-    class Watching(Selection):
+    class CountingSelection(Selection):
         __slots__ = ()
 
         def ranked_candidates(self, request: Request, overdue: bool, now: float) -> Iterable[Server]:
             nonlocal left_out
-            found = list(super().ranked_candidates(request, overdue, now))
-            left_out += len(self._ranking.servers) - len(found)
-            return found
+            candidates = list(super().ranked_candidates(request, overdue, now))
+            left_out += len(self._ranking.servers) - len(candidates)
+            return candidates
 
-    def watching(settings: Settings, seed: int) -> Dispatcher:
+    def counting_dispatcher(settings: Settings, seed: int) -> Dispatcher:
         dispatcher = Dispatcher(settings, seed)
-        dispatcher.rules.selection.__class__ = Watching
+        dispatcher.rules.selection.__class__ = CountingSelection
         return dispatcher
 
     for seed in range(4):
-        Day(seed, make=watching).run()
+        RandomDay(seed, make=counting_dispatcher).run()
     assert left_out > 10_000
 
 
-def test_what_is_known_of_servers_is_forgotten_once_they_are_long_gone() -> None:
+def test_removed_servers_are_deleted_from_the_server_table() -> None:
     """Risk: names of every release of a process's life; a hundred releases of 50 servers, and two are kept at most."""
-    settings = Settings(classes=Day(0).dispatchers[0].settings.classes)
+    settings = Settings(classes=RandomDay(0).dispatchers[0].settings.classes)
     dispatcher = Dispatcher(settings, 1)
     for release in range(100):
-        listed = tuple(ServerEntry(release * 50 + n) for n in range(50))
-        dispatcher.handle(release * 130_000.0, ServerListUpdate(ListKind.FULL, listed))
+        listed_entries = tuple(ServerEntry(release * 50 + n) for n in range(50))
+        dispatcher.handle(release * 130_000.0, ServerListUpdate(ListKind.FULL, listed_entries))
     assert len(dispatcher.state.servers.by_id) <= 100
     assert len(dispatcher.state.servers.removed_at) <= 50
--- a/tests/scale/test_release.py
+++ b/tests/scale/test_release.py
@@ -3,11 +3,11 @@
 import pytest
 from end_to_end.harness import START_TIME, run_async
 
-from scale.fleet import STEPS, LargeFleet
+from scale.fleet import RELEASE_STEPS, LargeFleet
 
 SERVERS = 3200  # sixteen times the usual number
-STEP = 1000.0  # ms between two steps of a release
-REMAINING = 2000  # ms that a client waits
+STEP_MS = 1000.0  # ms between two steps of a release
+REMAINING_MS = 2000  # ms that a client waits
 
 
 @pytest.mark.parametrize("peers", [True, False], ids=["peers", "apart"])
@@ -18,12 +18,12 @@
         harness = LargeFleet(SERVERS, peers=peers, started=START_TIME - 1)
         async with harness.open():
             clients = await harness.clients(40)
-            harness.release(STEP)
+            harness.release(STEP_MS)
             if peers:
                 harness.summarize(0)
-            harness.ask_in_turn(clients, 25.0, int((STEPS + 2) * STEP / 25.0), REMAINING)
-            await harness.run_until((STEPS + 2) * STEP + REMAINING + 1000)
-            assert len(harness.asked) > 100
+            harness.ask_in_turn(clients, 25.0, int((RELEASE_STEPS + 2) * STEP_MS / 25.0), REMAINING_MS)
+            await harness.run_until((RELEASE_STEPS + 2) * STEP_MS + REMAINING_MS + 1000)
+            assert len(harness.client_requests) > 100
             assert harness.lost() == []
             assert harness.sent_to_draining() == []
         harness.close()
@@ -31,7 +31,7 @@
     run_async(test)
 
 
-def test_no_request_is_lost_while_all_of_a_large_fleet_is_told_to_be_full() -> None:
+def test_no_request_is_lost_while_a_large_fleet_reports_full_load() -> None:
     """Requests wait, and each part of a summary of load has them looked at again: at the cost of that part alone."""
 
     async def test() -> None:
@@ -40,9 +40,9 @@
             clients = await harness.clients(20)
             harness.summarize(8)
             await harness.run_until(500)
-            harness.ask_in_turn(clients, 100.0, 100, REMAINING)
+            harness.ask_in_turn(clients, 100.0, 100, REMAINING_MS)
             await harness.run_until(15_000)
-            assert len(harness.asked) > 20
+            assert len(harness.client_requests) > 20
             assert harness.lost() == []
         harness.close()
 
@@ -55,12 +55,12 @@
 
     async def test() -> None:
         harness = LargeFleet(SERVERS, peers=peers)
-        harness.turn_away = True
+        harness.reject_all = True
         async with harness.open():
             clients = await harness.clients(60)
-            harness.ask_in_turn(clients, 25.0, 200, REMAINING)
+            harness.ask_in_turn(clients, 25.0, 200, REMAINING_MS)
             await harness.run_until(9_000)
-            assert len(harness.asked) > 60
+            assert len(harness.client_requests) > 60
             assert harness.lost() == []
         harness.close()
 
