--- a/tests/balancer/test_reservations.py
+++ b/tests/balancer/test_reservations.py
@@ -1,4 +1,4 @@
-"""Tickets of cold workers: all together send about what these can do, however little they agree, and nobody twice."""
+"""Tests that reservations limit the requests of all dispatchers together to what a warming server can serve."""
 
 from bisect import bisect_left
 from collections.abc import Callable
@@ -72,7 +72,7 @@
 
 
 def expected_requests(until: float) -> float:
-    """What such a worker is given by then, from its start on, added up step by step."""
+    """Returns the number of requests opened for the server until a time, by numeric integration."""
     steps = 2000
     step_ms = (until - STARTED_AT) / steps
     shares = [capacity_fraction(STARTED_AT + (n + 0.5) * step_ms) for n in range(steps)]
@@ -80,7 +80,7 @@
 
 
 def send_times(dispatchers: list[tuple[Reservations, Server]], work: float = USUAL_WORK) -> list[int]:
-    """When they send while it is cold, all of them whatever they may."""
+    """Returns the times in ms of all sends while the server warms up; every dispatcher sends whenever it may."""
     times = []
     for at in range(int(STARTED_AT), int(STARTED_AT + WARMUP_MS), 10):
         for reservations, server in dispatchers:
@@ -91,12 +91,16 @@
 
 
 def max_requests_in_window(at: float) -> float:
-    """Jobs of usual size that it stands within the span."""
+    """Returns the largest allowed number of usual requests in a window, with 3 standard deviations of margin."""
     mean = OVERLOAD_MULTIPLE * capacity_fraction(at) * SLOTS * WINDOW_MS / USUAL_WORK
     return mean + 3 * sqrt(mean) + 3
 
 
 def test_each_reservation_has_one_holder_and_few_are_open_at_a_time() -> None:
+    """Fails if two dispatchers may use the same reservation or if too many reservations are open at once.
+
+    A server that warms up would then be overloaded, or get its requests in bursts.
+    """
     dispatchers = make_dispatchers()
     sends = 0
     at = STARTED_AT
@@ -112,6 +116,10 @@
 
 
 def test_an_open_reservation_is_returned_once_and_stays_open_until_used_or_closed() -> None:
+    """Fails if a dispatcher is notified repeatedly of an open reservation or keeps one that has closed.
+
+    A late dispatcher would then send in addition to the holders of the later reservations.
+    """
     dispatchers = make_dispatchers(20)
     reservations, server = next(pair for pair in dispatchers if pair[0].may_send(pair[1], USUAL_WORK, STARTED_AT))
     assert reservations.newly_open_servers(STARTED_AT) == [server]
@@ -134,6 +142,7 @@
 
 
 def test_a_restarted_server_has_new_reservations_and_a_warm_or_draining_server_has_none() -> None:
+    """Fails if reservations of a former server process count for the new one, or a warm server still has any."""
     reservations, server = next(
         pair for pair in make_dispatchers(20) if pair[0].may_send(pair[1], USUAL_WORK, STARTED_AT)
     )
@@ -153,6 +162,8 @@
 
 
 def test_a_large_request_uses_several_reservations_and_a_too_large_request_is_not_sent() -> None:
+    """Fails if a large request counts as a single request, which would overload a server that warms up."""
+
     def sends(work: float) -> list[int]:
         return send_times(
             [next(pair for pair in make_dispatchers(20) if pair[0].may_send(pair[1], USUAL_WORK, STARTED_AT))], work
@@ -165,11 +176,16 @@
 
 
 def test_a_server_with_a_small_overload_multiple_gets_fewer_requests() -> None:
+    """Fails if the pace ignores the overload multiple, so that a sensitive server gets too many requests."""
     assert len(send_times(make_dispatchers(multiple=0.5))) < 0.6 * len(send_times(make_dispatchers()))
 
 
 def send_times_with_disagreement(seed: int, count: int) -> list[float]:
-    """When they send: each takes another size for usual, which changes, some are started again, all want all."""
+    """Returns the times of all sends while dispatchers disagree on the usual size.
+
+    Each dispatcher estimates another usual size, which drifts, and some dispatchers restart. Every dispatcher sends
+    whenever it may.
+    """
     rng = Random(seed)
     usual_work = [USUAL_WORK * rng.uniform(0.7, 1.4) for _ in range(count)]
     dispatchers = [
@@ -184,21 +200,21 @@
             if rng.random() < 0.02:
                 usual_work[number] *= rng.uniform(0.97, 1.03)
                 usual_work[number] = min(1.4 * USUAL_WORK, max(0.7 * USUAL_WORK, usual_work[number]))
-            if rng.random() < 0.0005:  # a new process, which knows nothing of what it has sent
+            if rng.random() < 0.0005:  # a new process has no record of earlier sends
                 reservations = Reservations(make_settings(number, count), BUDGET_MARGIN)
                 dispatchers[number] = reservations, server
             reservations.add_warming(server, usual_work[number])
             if reservations.may_send(server, USUAL_WORK, at):
                 reservations.record_send(server, USUAL_WORK, at)
                 sends.append(at)
-            if rng.random() < 0.02:  # it hears of starts, at once most often, as if the worker did more than it says
+            if rng.random() < 0.02:  # most attempts start without a wait, which raises the pace
                 reservations.record_start(server, rng.choice((0.0, 0.0, 0.0, 0.0, 5000.0)))
         at += 25.0
     return sends
 
 
 def overloaded_windows(sends: list[float]) -> list[tuple[float, int, float]]:
-    """The spans that see more than it stands: when they begin, what they see, and what it stands."""
+    """Returns the windows with too many requests as their start, their number of requests and the limit."""
     counts = [bisect_left(sends, begin + WINDOW_MS) - bisect_left(sends, begin) for begin in sends]
     windows = zip(sends, counts, map(max_requests_in_window, sends), strict=True)
     return [window for window in windows if window[1] > window[2]]
@@ -207,6 +223,11 @@
 @settings(deadline=None, max_examples=10)
 @given(st.integers(0, 2**32), st.sampled_from([30, 80, MANY_DISPATCHERS]))
 def test_no_window_exceeds_the_limit_when_dispatchers_disagree_on_estimates(seed: int, count: int) -> None:
+    """Fails if dispatchers with different estimates together overload a warming server.
+
+    Their reservation numbers differ then, so that two dispatchers may use the same reservation. At least half of the
+    expected requests have to be sent as well.
+    """
     sends = send_times_with_disagreement(seed, count)
     assert overloaded_windows(sends) == []
     assert len(sends) > 0.5 * expected_requests(STARTED_AT + WARMUP_MS)
@@ -216,12 +237,14 @@
 def test_the_window_check_detects_ignored_turns_and_reused_reservations(
     name: str, replacement: Callable[..., bool | None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The bound tells something."""
+    """Shows that the window check fails if every dispatcher may always send, or if sends are not recorded."""
     monkeypatch.setattr(Reservations, name, replacement)
     assert overloaded_windows(send_times_with_disagreement(1, MANY_DISPATCHERS))
 
 
 def test_starts_without_wait_raise_the_pace_and_waits_lower_it_within_bounds() -> None:
+    """Fails if the pace does not follow the waits of attempts, or if many equal waits move it beyond its bounds."""
+
     def opened(waits: list[float]) -> float:
         (reservations, server), *_ = make_dispatchers(20)
         for wait in waits:
@@ -235,7 +258,7 @@
         == opened([0.0] * 40)
         <= HIGHEST_PACE * (INITIAL_CAPACITY + capacity_fraction(STARTED_AT + WARMUP_MS / 2)) / 2 * WARMUP_MS / 2
     )
-    assert opened([USUAL_WORK, *[0.0] * 50]) == opened([0.0] * 50)  # what it has done is counted anew
+    assert opened([USUAL_WORK, *[0.0] * 50]) == opened([0.0] * 50)  # an early wait has no lasting effect
 
 
 @pytest.mark.parametrize(
@@ -245,6 +268,7 @@
 def test_reservations_are_used_only_by_many_dispatchers_without_gossip(
     count: int, lends: bool, uses_reservations: bool
 ) -> None:
+    """Fails if dispatchers that could lend shares use reservations, or if none or several have the first one."""
     table = ServerTable()
     table.capacities[0] = CapacityEstimate(SLOTS)
     (server,) = table.apply_list(ServerListUpdate(ListKind.FULL, (ServerEntry(7, started_at=STARTED_AT),)), 0.0)
--- a/tests/balancer/test_safety_rules.py
+++ b/tests/balancer/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""The four rules: the effect table, answers in time, drains, cold workers; then all under random stress."""
+"""Tests the safety rules (effects, final answers, draining, warming servers), also under random events."""
 
 from typing import Any
 
@@ -47,10 +47,14 @@
 def test_the_effect_decides_whether_a_failed_attempt_is_retried(
     request_class: RequestClass, outcome: Outcome, wait: float
 ) -> None:
+    """Fails if a request that may have run is sent again against its effect.
+
+    An idempotent-by-key request may run again only within its repeat window and within the scope of its key.
+    """
     settings = with_settings(classes=(request_class,))
     last_safe_wait = (
         request_class.repeat_window - 2 * settings.dial_timeout
-    )  # the dial and the way there take some of the window
+    )  # connecting and delivery take part of the repeat window
     dispatcher_host = Host(settings, workers=0)
     zones = [ServerEntry(i, zone=i % 2, cell=i % 2 * 10 + i // 4) for i in range(1, 9)]
     dispatcher_host.listed(ListKind.CACHED, tuple(zones))
@@ -64,7 +68,7 @@
         assert not sends
         assert Fail(request, GiveUpReason.MAY_HAVE_RUN) in actions
     elif request_class.effect is Effect.IDEMPOTENT_BY_KEY and may_have_run and wait > last_safe_wait:
-        assert not sends  # and what can never be sent again is not held
+        assert not sends  # a request that may not be sent again is not queued either
         assert dispatcher_host.answered[request] == ("refused" if request_class.key_scope is KeyScope.ALL else "failed")
     else:
         assert len(sends) == 1
@@ -76,6 +80,7 @@
 
 
 def test_no_attempt_beyond_the_maximum() -> None:
+    """Fails if a request gets more attempts than the settings allow."""
     dispatcher_host = Host(with_settings(max_attempts=1))
     request = dispatcher_host.job(2)
     dispatcher_host.now += 5
@@ -83,6 +88,7 @@
 
 
 def test_no_hedge_where_hedging_is_disabled() -> None:
+    """Fails if a slow request is hedged although the settings disable hedging."""
     dispatcher_host = Host(with_settings(reports_start=True, hedging=False))
     request = dispatcher_host.job(0)
     dispatcher_host.until(dispatcher_host.now + 1000)
@@ -90,6 +96,7 @@
 
 
 def test_every_request_is_answered_without_servers() -> None:
+    """Fails if a request gets no final answer while the endpoint list is empty."""
     dispatcher_host = Host(workers=0)
     dispatcher_host.listed(ListKind.CACHED, ())
     for kind in (0, 1, 2):
@@ -99,6 +106,7 @@
 
 
 def test_a_request_without_a_server_of_its_kind_is_answered() -> None:
+    """Fails if a request without a server of the required kind is sent or gets no final answer."""
     dispatcher_host = Host(with_settings(classes=(RequestClass(latency_objective=100, deadline=900, server_kind=7),)))
     request = dispatcher_host.job()
     assert request not in dispatcher_host.sent
@@ -106,6 +114,7 @@
 
 
 def test_a_request_at_a_silent_server_fails_in_time() -> None:
+    """Fails if a non-idempotent request at a server that never answers is not failed by its deadline."""
     dispatcher_host = Host(workers=1)
     request = dispatcher_host.job(2)
     dispatcher_host.finish()
@@ -113,6 +122,7 @@
 
 
 def test_no_attempt_starts_after_the_final_answer() -> None:
+    """Fails if the late end of an attempt starts a retry of a request that has its final answer."""
     dispatcher_host = Host()
     request = dispatcher_host.job(0, give_up_at=dispatcher_host.now + 50)
     dispatcher_host.finish()
@@ -122,6 +132,10 @@
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_draining_or_removed_servers_get_no_new_attempts(state: ServerState) -> None:
+    """Fails if a draining or removed server gets new attempts.
+
+    A server that is missing in a full list counts as removed.
+    """
     dispatcher_host = Host(workers=2)
     dispatcher_host.listed(ListKind.CHANGES, (ServerEntry(1, state),))
     for _ in range(30):
@@ -134,7 +148,11 @@
 
 @pytest.mark.parametrize(("hint", "work"), [(0.0, 200), (50.0, 50)])
 def test_a_warming_server_gets_at_most_the_dispatchers_share(hint: float, work: float) -> None:
-    """Reckoned by hints where there are any: latencies hold waits, and would leave it half idle."""
+    """Fails if a dispatcher sends more or far less than its share to a server that warms up.
+
+    Work hints are used where there are any, because latencies include waits: estimates from latencies would leave the
+    server half idle.
+    """
     dispatcher_host = Host(with_settings(instances=2), workers=0)
     start = dispatcher_host.now
     dispatcher_host.listed(ListKind.CACHED, (ServerEntry(1, started_at=start),))
@@ -144,17 +162,23 @@
         if request in dispatcher_host.sent:
             sent += 1
             dispatcher_host.now += 1
-            dispatcher_host.give(ClientGone(request))  # the slot is free again, and nothing is learned of running times
+            dispatcher_host.give(ClientGone(request))  # frees the slot without an effect on run times
             dispatcher_host.answered[request] = "left"
             dispatcher_host.end(request, 0, Outcome.CANCELLED, (4.0,))
-            dispatcher_host.listed(ListKind.CHANGES, (ServerEntry(1, started_at=start),))  # the list is read anew
-    # its margin of 3 x a quarter of 4 slots x 2 s, shared by two; without a hint a job is reckoned at its aim
+            dispatcher_host.listed(ListKind.CHANGES, (ServerEntry(1, started_at=start),))  # ranks the servers again
+    # The budget is BUDGET_MARGIN x 3 x a quarter of 4 slots x 2 s, shared by two dispatchers. A request without a hint
+    # counts as much work as its latency objective.
     assert BUDGET_MARGIN <= 0.75
-    assert 0.8 <= sent / (BUDGET_MARGIN * 3 * 0.25 * 4 * 2000 / 2 / work) <= 1.3  # four free and one taken make five
+    assert (
+        0.8 <= sent / (BUDGET_MARGIN * 3 * 0.25 * 4 * 2000 / 2 / work) <= 1.3
+    )  # a report of 4 free slots and 1 in use makes 5
 
 
 def test_some_of_many_dispatchers_send_to_a_warming_server() -> None:
-    """Risk: with a part smaller than one job for each, all leave a fresh worker idle until it is warm."""
+    """Fails if a new server stays idle until it is warm.
+
+    That happens if the budget is divided among all dispatchers, so that each share is smaller than a request.
+    """
     sending_dispatchers = 0
     for position in range(18):
         dispatcher_host = Host(with_settings(instances=18, position=position), workers=1)
@@ -164,11 +188,12 @@
             dispatcher_host.end(request, 0, Outcome.SERVED, (4.0,))
         dispatcher_host.listed(ListKind.FULL, (ServerEntry(9, started_at=dispatcher_host.now),))
         sending_dispatchers += dispatcher_host.job(0) in dispatcher_host.sent
-    # 0.7 of 3 x a quarter of 4 slots x 2 s holds fourteen jobs of 300 ms
+    # The budget, 0.7 x 3 x a quarter of 4 slots x 2 s, holds 14 requests of 300 ms.
     assert 1 <= sending_dispatchers <= 14
 
 
 def test_the_endpoint_list_is_requested_at_start_and_after_failures_only() -> None:
+    """Fails if the dispatcher polls for a list that it already has, or doesn't ask again after a failure."""
     dispatcher_host = Host()
     assert dispatcher_host.actions.count(Subscribe()) == 1
     dispatcher_host.listed(ListKind.FAILED, ())
@@ -190,9 +215,10 @@
 
 
 class RandomEvents(Host):
-    """Random legal events."""
+    """Hands random valid events to a dispatcher."""
 
     def step(self, draw: Any) -> None:
+        """Draws and handles the next event."""
         kind = draw(st.sampled_from("jjjjeeeeeenlpwwx"))
         open_attempts = self.open_attempts()
         if kind == "j":
@@ -230,6 +256,7 @@
 @settings(derandomize=True, max_examples=120, deadline=None)
 @given(st.data(), st.sampled_from(SETTINGS_AT_LIMITS))
 def test_rules_under_random_events(data: st.DataObject, changes: dict[str, Any]) -> None:
+    """Fails if any sequence of valid events breaks a rule that the test host checks."""
     dispatcher_host = RandomEvents(with_settings(**changes), seed=data.draw(st.integers(0, 5)))
     for _ in range(data.draw(st.integers(5, 60))):
         dispatcher_host.step(data.draw)
@@ -239,6 +266,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.data())
 def test_same_events_give_the_same_actions(data: st.DataObject) -> None:
+    """Fails if decisions depend on anything but the events and the seed, so that recorded streams can't be replayed."""
     first = RandomEvents(with_settings(reports_start=True), seed=7)
     recorded_events: list[tuple[float, Any]] = []
     original = first.dispatcher.handle
@@ -258,9 +286,10 @@
 
 
 def test_unexpected_events_are_ignored() -> None:
+    """Fails if events for unknown or finished requests cause actions, or an expired request gets no answer."""
     dispatcher_host = Host()
     request = dispatcher_host.job(0)
-    dispatcher_host.dispatcher.handle(dispatcher_host.now, dispatcher_host.jobs[request])  # a job known already
+    dispatcher_host.dispatcher.handle(dispatcher_host.now, dispatcher_host.jobs[request])  # a repeated arrival
     assert (
         dispatcher_host.dispatcher.handle(
             dispatcher_host.now, dispatcher_host.jobs[request]._replace(request=99, request_class=9)
@@ -269,7 +298,7 @@
     )
     assert dispatcher_host.dispatcher.handle(dispatcher_host.now, AttemptProgress(77, 0, 1, ProgressKind.STARTED)) == []
     dispatcher_host.end(request, 0)
-    again = dispatcher_host.end(request, 0)  # the same outcome once more
+    again = dispatcher_host.end(request, 0)  # the same outcome again
     assert not [a for a in again if isinstance(a, StartAttempt | Reject | Fail)]
     late_request = dispatcher_host.job(0, give_up_at=dispatcher_host.now - 5)
     assert dispatcher_host.answered[late_request] == "refused"
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Parts of cold workers and loans: whatever is lost, late or told twice, all together keep to what a worker stands."""
+"""Tests that shares and loans keep all dispatchers within the budget of a warming server despite message faults."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 @dataclass
 class SimulatedDispatcher:
-    """A dispatcher, as far as it has to do with parts."""
+    """The shares, the server table and the received loans of a dispatcher."""
 
     position: int
     count: int
@@ -82,7 +82,7 @@
 def lend_share(
     dispatchers: list[SimulatedDispatcher], now: float, work: float
 ) -> tuple[SimulatedDispatcher, SimulatedDispatcher, bytes, Server]:
-    """A stranger asks, its holder answers: both, the grant and the worker."""
+    """Requests and grants a loan; returns the borrower, the lender, the granting message and the server."""
     borrower = dispatcher_without_share(dispatchers)
     (outgoing,) = borrower.shares.request_loans([borrower.request(work)], borrower.servers, now)
     lender = dispatchers[outgoing.peer]
@@ -93,21 +93,26 @@
 
 
 def test_a_dispatcher_without_a_share_gets_a_loan_and_uses_it_once() -> None:
+    """Fails if a loan can be used twice, for example because the granting message arrives twice."""
     dispatchers = make_dispatchers(40)
     borrower, lender, grant, server = lend_share(dispatchers, 100.0, 250.0)
     assert not borrower.shares.may_send(server, 250.0, 110.0)
     assert not borrower.loans
     assert borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 110.0) == []
-    assert borrower.loans == [server]  # queued requests are looked at again
+    assert borrower.loans == [server]  # makes the dispatcher check queued requests again
     assert borrower.shares.may_send(server, 250.0, 110.0)
     borrower.shares.record_send(server, 250.0, 110.0)
     assert not borrower.shares.may_send(server, 1.0, 110.0)
-    borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 111.0)  # told twice
+    borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 111.0)  # the same message again
     assert not borrower.shares.may_send(server, 1.0, 111.0)
     assert (borrower.shares.loans_requested, lender.shares.loans_given, borrower.shares.loans_used) == (1, 1, 1)
 
 
 def test_a_loan_reduces_the_lenders_share_until_loan_and_window_are_over() -> None:
+    """Fails if the lender regains lent work too early.
+
+    The borrower may send until the loan ends, and that work counts for one more window.
+    """
     dispatchers = make_dispatchers(40)
     _, lender, _, server = lend_share(dispatchers, 100.0, 250.0)
     lender_server = lender.table.by_id[server.id]
@@ -117,10 +122,13 @@
 
 
 def test_a_loan_expires_and_is_invalid_after_a_server_restart() -> None:
+    """Fails if a loan can be used after its end, or at a new process of the server, whose budget is smaller."""
     dispatchers = make_dispatchers(40)
     borrower, lender, grant, server = lend_share(dispatchers, 100.0, 250.0)
     borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 101.0 + LOAN_MS)
-    assert not borrower.shares.may_send(server, 250.0, 101.0 + LOAN_MS)  # too late
+    assert not borrower.shares.may_send(
+        server, 250.0, 101.0 + LOAN_MS
+    )  # the granting message arrived after the end of the loan
     dispatchers = make_dispatchers(40)
     borrower, lender, grant, server = lend_share(dispatchers, 100.0, 250.0)
     borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 110.0)
@@ -146,6 +154,7 @@
     ],
 )
 def test_unrequested_or_malformed_messages_change_nothing(content: bytes) -> None:
+    """Fails if a malformed, unrequested or too large message changes what a dispatcher may send."""
     dispatchers = make_dispatchers(40)
     for dispatcher in dispatchers:
         assert dispatcher.shares.receive(PeerMessage(1, content), dispatcher.table.by_id, 100.0) == []
@@ -155,16 +164,23 @@
 
 
 def test_few_dispatchers_request_no_loans_and_a_server_is_requested_once_per_interval() -> None:
+    """Fails if few dispatchers, whose shares suffice, request loans, or if requests for a server repeat too soon."""
     few = make_dispatchers(4)[0]
     assert few.shares.request_loans([few.request(10.0)], few.servers, 100.0) == []
     borrower = dispatcher_without_share(make_dispatchers(40))
     requests = [borrower.request(10.0)] * 4
-    assert len(borrower.shares.request_loans(requests, borrower.servers, 100.0)) == 3  # three workers, each once
+    assert (
+        len(borrower.shares.request_loans(requests, borrower.servers, 100.0)) == 3
+    )  # one for each of the three servers
     assert borrower.shares.request_loans(requests, borrower.servers, 100.0 + ASK_AGAIN_MS - 1) == []
     assert len(borrower.shares.request_loans(requests, borrower.servers, 100.0 + ASK_AGAIN_MS)) == 3
 
 
 def test_the_share_of_a_restarted_dispatcher_grows_over_one_window() -> None:
+    """Fails if a restarted dispatcher uses its whole share at once.
+
+    Its earlier process may have used the share within the same window, so the server would be overloaded.
+    """
     restarted_holder, new_holder = (
         share_holder(make_dispatchers(40, restarted=True), 7),
         share_holder(make_dispatchers(40), 7),
@@ -177,7 +193,10 @@
 
 
 def largest_window_work(seed: int, loss: float, mean_delay: float, loan_ms: float = LOAN_MS) -> float:
-    """Forty dispatchers want all they can get for 9 s: the most that any span saw of a worker's whole budget."""
+    """Returns the most work that any window of a server gets from 40 dispatchers that send all they may for 9 s.
+
+    Messages are lost with probability ``loss``, arrive after ``mean_delay`` ms on average, and some arrive twice.
+    """
     rng, dispatchers, now = Random(seed), make_dispatchers(40), 10.0
     network: list[tuple[float, int, int, PeerMessage]] = []
     sends: dict[int, list[tuple[float, float]]] = {7: [], 8: [], 9: []}
@@ -200,7 +219,7 @@
                     )
         dispatcher, work = rng.choice(dispatchers), rng.uniform(20.0, 400.0)
         for outgoing in dispatcher.shares.request_loans([dispatcher.request(work)], dispatcher.servers, now):
-            for _ in range(rng.choice((1, 1, 2))):  # some come twice
+            for _ in range(rng.choice((1, 1, 2))):  # some messages arrive twice
                 sequence += 1
                 if rng.random() >= loss:
                     message = PeerMessage(dispatcher.position, outgoing.content)
@@ -222,10 +241,12 @@
 def test_all_dispatchers_stay_within_the_budget_with_lost_late_and_repeated_messages(
     seed: int, loss: float, mean_delay: float
 ) -> None:
+    """Fails if lost, late or repeated loan messages let all dispatchers together exceed the budget of a server."""
     assert largest_window_work(seed, loss, mean_delay) <= BUDGET + 1e-6
 
 
 def test_the_budget_check_detects_a_lender_that_records_no_loan(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shows that the budget check fails if lenders don't record the work that they lend."""
     real_receive = CapacityShares.receive
 
     def receive_without_recording(
--- a/tests/balancer/test_zone_evidence.py
+++ b/tests/balancer/test_zone_evidence.py
@@ -1,4 +1,4 @@
-"""What speaks for a hall that has failed, and what does not."""
+"""Tests which outcomes of servers count as evidence of a failed zone."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 def zone_tallies(*zones: tuple[int, int]) -> dict[int, ZoneTally]:
-    """Each hall as (tried, bad)."""
+    """Returns the tallies of zones that are given as (tried, failed)."""
     return {number: ZoneTally(*counts) for number, counts in enumerate(zones)}
 
 
@@ -26,6 +26,7 @@
 
 
 def test_servers_are_counted_by_zone() -> None:
+    """Fails if the outcomes of servers are counted for the wrong zone."""
     by_zone = tallies([ServerOutcome(0, True), ServerOutcome(0, False), ServerOutcome(3, True)])
     assert (by_zone[0].tried, by_zone[0].failed, by_zone[3].tried, by_zone[3].failed) == (2, 1, 1, 1)
 
@@ -33,23 +34,28 @@
 @pytest.mark.parametrize(
     ("zones", "excluded"),
     [
-        (((3, 3), (9, 0), (9, 0), (9, 0)), True),  # three hosts of three
-        (((5, 5), (0, 0), (0, 0), (0, 0)), True),  # nobody has tried elsewhere
-        (((10, 9), (30, 1), (30, 2), (30, 0)), True),  # one is well, or was just before
-        (((2, 2), (9, 0), (9, 0), (9, 0)), False),  # two are no hall
-        (((50, 12), (50, 11), (50, 13), (50, 12)), False),  # a quarter of all hosts died at once
-        (((50, 40), (50, 41), (50, 39), (50, 42)), False),  # a bad release everywhere, or an uplink of ours
-        (((10, 6), (30, 0), (30, 0), (30, 0)), False),  # half of a hall: some of its racks
+        (((3, 3), (9, 0), (9, 0), (9, 0)), True),  # three of three servers failed
+        (((5, 5), (0, 0), (0, 0), (0, 0)), True),  # no outcomes from other zones
+        (((10, 9), (30, 1), (30, 2), (30, 0)), True),  # one server still serves, or served just before the failure
+        (((2, 2), (9, 0), (9, 0), (9, 0)), False),  # two servers are too few to be a zone
+        (((50, 12), (50, 11), (50, 13), (50, 12)), False),  # a quarter of all servers failed at once
+        (
+            ((50, 40), (50, 41), (50, 39), (50, 42)),
+            False,
+        ),  # a bad release in all zones, or a broken uplink of this dispatcher
+        (((10, 6), (30, 0), (30, 0), (30, 0)), False),  # some racks, about half of the zone
     ],
 )
 def test_a_zone_failure_is_distinguished_from_independent_server_failures(
     zones: tuple[tuple[int, int], ...], excluded: bool
 ) -> None:
+    """Fails if a failed zone is missed, or if failures of single servers or of all zones count as a zone failure."""
     assert (zone_log_ratio(zone_tallies(*zones), 0) >= FAILED_RATIO) is excluded
 
 
 @given(st.integers(1, 200), st.data())
 def test_another_failed_server_always_raises_the_log_ratio(tried: int, data: st.DataObject) -> None:
+    """Fails if a further failed server lowers the evidence, or a further healthy server raises it."""
     failed = data.draw(st.integers(0, tried - 1))
     usual = data.draw(st.floats(0.05, 0.85))
     assert failure_log_ratio(ZoneTally(tried, failed + 1), usual) > failure_log_ratio(ZoneTally(tried, failed), usual)
@@ -57,6 +63,7 @@
 
 
 def test_independent_failures_of_up_to_a_quarter_of_the_servers_exclude_no_zone() -> None:
+    """Fails if random failures of servers, without a failed zone, often look like the failure of a zone."""
     rng, excluded, doubtful = Random(7), 0, 0
     for check in range(20_000):
         failure_rate = (0.02, 0.05, 0.1, 0.24)[check % 4]
@@ -64,5 +71,5 @@
         worst = max(zone_log_ratio(by_zone, zone) for zone in by_zone)
         excluded += worst >= FAILED_RATIO
         doubtful += worst >= DOUBT_RATIO
-    assert excluded <= 2  # of 5,000 times that a quarter of 48 hosts failed at once
+    assert excluded <= 2  # of 5,000 checks at which a quarter of the 48 servers failed
     assert doubtful < 200
--- a/tests/balancer/test_zone_failover.py
+++ b/tests/balancer/test_zone_failover.py
@@ -1,4 +1,4 @@
-"""A hall that dies, on the emulator: left by all, tried by few, returned to in stages; and what is no such hall."""
+"""Tests zone failover on the emulator: exclusion, probes, the return in stages, and faults that are no zone failure."""
 
 from pathlib import Path
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class ZoneRun:
-    """A run, with the relays into the hall that dies and what each dispatcher decided."""
+    """A run of a scenario with the times of the attempts at the failing zone."""
 
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
         self.sent: list[Sent] = []
@@ -26,9 +26,11 @@
         self.sent_to_failed_zone = [event.at for event in self.sent if zones[event.host.partition("+")[0]] == 1]
 
     def between(self, begin: float, end: float) -> int:
+        """Returns the number of attempts at the failing zone in a time range."""
         return sum(begin <= at < end for at in self.sent_to_failed_zone)
 
     def excluded_at(self, zone: int = 1) -> list[float]:
+        """Returns the first time at which each dispatcher excluded a zone; -1 for never."""
         changes = [dispatcher.core.dispatcher.rules.zone_failover.changes for dispatcher in self.world.dispatchers]
         times = (
             [state.since for n, state in each if n == zone and state.phase is ZonePhase.EXCLUDED] for each in changes
@@ -37,13 +39,17 @@
 
 
 def scenario(count: int, **changes: Any) -> Scenario:
-    """Half of the file's size."""
+    """Loads the scenario file at half its size."""
     half_size = {f"pool.{n}.count": 6 for n in range(4)} | {"arrivals.0.rate": 125, "arrivals.1.rate": 30}
     return load(SCENARIO_FILE, {"dispatchers.count": count, "span_s": 36, **half_size, **changes})
 
 
 @pytest.mark.parametrize("count", [4, 12])
 def test_a_failed_zone_is_excluded_probed_by_few_and_returns_without_overload(count: int) -> None:
+    """Fails if a failed zone keeps its traffic, is probed too often, or is overloaded by a sudden return.
+
+    Runs with and without zone failover are compared; the number of probes is bounded.
+    """
     with_failover, without_failover = ZoneRun(scenario(count)), ZoneRun(scenario(count, **{"dispatchers.halls": False}))
     assert all(FAILS_AT < at < FAILS_AT + 1000 for at in with_failover.excluded_at()), with_failover.excluded_at()
     assert with_failover.between(FAILS_AT + 1000, RECOVERS_AT) <= controller.PROBED_SERVERS * 11 + count
@@ -52,7 +58,7 @@
         with_failover.between(RECOVERS_AT, RECOVERS_AT + 1000)
         < without_failover.between(RECOVERS_AT, RECOVERS_AT + 1000) / 2
     )
-    assert with_failover.between(RECOVERS_AT + 10_000, RECOVERS_AT + 12_000) > 10  # it has work again
+    assert with_failover.between(RECOVERS_AT + 10_000, RECOVERS_AT + 12_000) > 10  # the zone gets requests again
     for zone_run in (with_failover, without_failover):
         assert sum(zone_run.figures.violations.values()) == 0
         assert all(
@@ -72,6 +78,7 @@
     ids=lambda fault: fault["what"],
 )
 def test_faults_that_are_not_zone_failures_exclude_no_zone(fault: dict[str, Any]) -> None:
+    """Fails if crashes, deploys, dispatcher restarts or pauses spread over all zones exclude a zone."""
     for count in (4, 12):
         zone_run = ZoneRun(scenario(count, trouble=[fault]))
         for zone in range(4):
@@ -79,6 +86,7 @@
 
 
 def test_at_most_half_of_the_servers_are_excluded() -> None:
+    """Fails if three of four failing zones are excluded together, which leaves too few servers."""
     faults = [
         {"what": "hall-dies", "at_s": 10 + n, "for_s": 20, "zone": zone, "share": 1.0} for n, zone in enumerate("abc")
     ]
@@ -92,6 +100,7 @@
 
 
 def test_a_zone_that_fails_during_its_return_is_excluded_again() -> None:
+    """Fails if a second failure during the return of a zone does not exclude the zone again."""
     faults = [{"what": "hall-dies", "at_s": at, "for_s": 6, "zone": "b", "share": 1.0} for at in (8, 18)]
     zone_run = ZoneRun(scenario(4, trouble=faults))
     for dispatcher in zone_run.world.dispatchers:
@@ -101,6 +110,10 @@
 
 
 def test_a_silent_zone_is_excluded_and_idempotent_requests_are_retried() -> None:
+    """Fails if a zone whose servers pause, and so report nothing, is not excluded.
+
+    Attempts of idempotent requests that are silent there are cancelled and retried, which serves more requests.
+    """
     faults = [{"what": "pause", "at_s": 10, "for_s": 12, "zone": "b", "share": 1.0}]
     with_failover, without_failover = (
         ZoneRun(scenario(4, trouble=faults, **{"dispatchers.halls": failover})) for failover in (True, False)
@@ -117,7 +130,7 @@
 
 
 def test_more_probes_or_a_return_without_stages_send_more_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each mechanism taken out: what the first test asks for does not hold."""
+    """Shows that the bounds of the first test depend on the limit of probes and on the return in stages."""
     few_probes = ZoneRun(scenario(4)).between(FAILS_AT + 1000, RECOVERS_AT)
     monkeypatch.setattr(controller, "PROBED_SERVERS", 48)
     monkeypatch.setattr(controller, "PROBE_TERM_MS", 100.0)
@@ -133,6 +146,7 @@
 
 
 def test_zone_states_are_restored_and_operator_orders_are_bounded() -> None:
+    """Fails if a new process loses the zone states, or if an operator may exclude more than half of the servers."""
     zone_run = ZoneRun(scenario(4, span_s=14))
     dispatcher = zone_run.world.dispatchers[0].core.dispatcher
     failover, now = dispatcher.rules.zone_failover, 14_000.0
--- a/tests/balancer/test_zone_state.py
+++ b/tests/balancer/test_zone_state.py
@@ -1,4 +1,4 @@
-"""The states of a hall: every state that can be reached, and what holds in each."""
+"""Tests the state machine of a zone: the transitions from all reachable states and what holds for each of them."""
 
 from collections import deque
 from dataclasses import replace
@@ -26,16 +26,21 @@
 
 
 def step_until(zone: ZoneState, phase: ZonePhase, observation: ZoneObservation, now: float) -> float:
+    """Repeats an observation until the zone reaches a phase; returns the time in ms."""
     for _ in range(2000):
         if zone.phase is phase:
             return now
         now += 100.0
         zone.step(observation, now)
-    message = f"never {phase}"
+    message = f"the zone did not reach {phase}"
     raise AssertionError(message)
 
 
 def test_every_reachable_transition_follows_the_state_table_without_skipping_stages() -> None:
+    """Fails if a reachable state has a transition against the state table, or if a phase or stage is unreachable.
+
+    A zone would then be excluded without evidence, or get all its traffic at once.
+    """
     observations = [
         ZoneObservation(log_ratio, failing, may_exclude, served_servers, failed)
         for log_ratio, failing, may_exclude, served_servers, failed in product(
@@ -80,6 +85,7 @@
 
 
 def test_a_failed_zone_is_excluded_at_once_and_a_healthy_zone_returns_within_a_bound() -> None:
+    """Fails if a failed zone keeps traffic, or a healthy zone returns later than its stages require."""
     zone = ZoneState()
     excluded_at = step_until(zone, ZonePhase.EXCLUDED, ZONE_FAILED, 0.0)
     assert excluded_at <= 200.0
@@ -89,6 +95,7 @@
 
 
 def test_each_relapse_lengthens_the_exclusion_up_to_a_bound_and_relapses_are_forgotten() -> None:
+    """Fails if a zone that keeps failing during its return is retried too often, or stays excluded without a bound."""
     zone, now, waits = ZoneState(), 0.0, list[float]()
     for _ in range(8):
         now = step_until(zone, ZonePhase.EXCLUDED, ZONE_FAILED, now)
@@ -104,6 +111,7 @@
 
 
 def test_a_zone_that_may_not_be_excluded_stays_doubtful_and_a_held_zone_keeps_its_phase() -> None:
+    """Fails if a zone is excluded although the others can't take its load, or if evidence overrides an operator."""
     zone = ZoneState()
     for at in range(1, 50):
         zone.step(ZoneObservation(50.0, 20, False), at * 100.0)
@@ -113,13 +121,16 @@
     for at in range(51, 900):
         assert not zone.step(ZONE_HEALTHY, at * 100.0)
     assert zone.offered_share == 0.0
-    assert step_until(zone, ZonePhase.RETURNING, ZONE_HEALTHY, 90_000.0) <= 90_200.0  # in stages, as after a failure
+    assert (
+        step_until(zone, ZonePhase.RETURNING, ZONE_HEALTHY, 90_000.0) <= 90_200.0
+    )  # the zone returns in stages, as after a failure
 
 
 @given(st.lists(st.tuples(st.floats(-20, 20), st.integers(0, 9), st.booleans(), st.integers(0, 9)), max_size=80))
 def test_the_offered_share_rises_by_at_most_one_stage_at_a_time(
     checks: list[tuple[float, int, bool, int]],
 ) -> None:
+    """Fails if any sequence of observations lets the traffic of a returning zone jump by more than one stage."""
     zone, now, shares = ZoneState(ZonePhase.EXCLUDED), 0.0, (0.0, *STAGES)
     for log_ratio, failing, may_exclude, served_servers in checks:
         before = zone.offered_share
--- a/tests/scale/days.py
+++ b/tests/scale/days.py
@@ -1,7 +1,7 @@
-"""Seeded virtual days of several dispatchers round the decision module: random fleets, lists, outcomes and troubles.
+"""Simulates random virtual days of several dispatchers around the decision module.
 
-Each action of each dispatcher is recorded, so that two ways to come to a decision can be held against each other, to
-the last one.
+Fleets, endpoint lists, outcomes and faults are random but seeded. Each action of each dispatcher is recorded, so that
+two implementations of a decision can be compared down to the last action.
 """
 
 import heapq
@@ -35,24 +35,34 @@
 
 @dataclass
 class Server:
-    """A server as the day has it."""
+    """A simulated server.
+
+    Attributes:
+        number: number of the server.
+        started_at: start time in ms, 0 if unknown.
+        state: state in the endpoint list.
+        slots: attempts that run at the same time.
+        busy: attempts that run now.
+        failure_share: share of attempts that fail.
+        waiting: dispatcher, request and attempt of each waiting attempt.
+    """
 
     number: int
     started_at: float
     state: ServerState = ServerState.READY
     slots: int = 3
     busy: int = 0
-    failure_share: float = 0.0  # part of its attempts that fail
-    waiting: list[tuple[int, int, int]] = field(default_factory=list)  # dispatcher, request, attempt
+    failure_share: float = 0.0
+    waiting: list[tuple[int, int, int]] = field(default_factory=list)
 
     def entry(self) -> ServerEntry:
-        """Its line of the list."""
+        """Returns the entry of the server in the endpoint list."""
         number = self.number
         return ServerEntry(number, self.state, number % 3, number % 2, number // 4, 1.0, self.started_at)
 
 
 def draw_settings(rng: Random, instances: int, position: int, gossip: bool) -> Settings:
-    """Settings of a deployment, the same for all positions if drawn alike."""
+    """Returns random settings of a deployment; equal generators give equal settings except for the position."""
     effects = [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY]
     classes = tuple(
         RequestClass(
@@ -98,7 +108,7 @@
 
 
 class RandomDay:
-    """One day, played to its end by :meth:`run`."""
+    """A random day, simulated by :meth:`run`."""
 
     def __init__(
         self, seed: int, *, make: Callable[[Settings, int], Any] = Dispatcher, servers: int = 60, instances: int = 0
@@ -120,14 +130,14 @@
         ]
         self.requests = count(1)
         self.mean_gap = self.rng.choice([3.0, 8.0, 20.0])
-        self.attempts: dict[tuple[int, int], list[int]] = {}  # servers of a request's attempts; 0 once one has ended
+        self.attempts: dict[tuple[int, int], list[int]] = {}  # servers of a request's attempts, 0 for an ended attempt
 
     def at(self, delay: float, callback: Callable[[], None]) -> None:
-        """Do it after that time."""
+        """Schedules a callback after a delay in ms."""
         heapq.heappush(self._callbacks, (self.now + delay, next(self._order), callback))
 
     def run(self, duration: float = 4000.0) -> list[tuple[float, int, Any]]:
-        """Play it; returns each action with its time and dispatcher."""
+        """Simulates ``duration`` ms of the day; returns each action with its time and dispatcher."""
         all_entries = tuple(server.entry() for server in self.servers.values())
         for index in range(len(self.dispatchers)):
             self.deliver(index, ServerListUpdate(ListKind.CACHED, all_entries))
@@ -140,7 +150,7 @@
         return self.record
 
     def deliver(self, index: int, event: Event) -> None:
-        """Hand an event to a dispatcher, and carry out what follows."""
+        """Hands an event to a dispatcher, and carries out the resulting actions."""
         for action in self.dispatchers[index].handle(self.now, event):
             self.record.append((round(self.now, 6), index, action))
             self._carry_out(index, action)
@@ -211,7 +221,7 @@
             self.deliver(index, AttemptEnded(request, number, server_number, outcome, latency, final, report))
 
     def _change_servers(self) -> None:
-        """Some servers drain, some are gone, some are new; the dispatchers hear of it soon."""
+        """Drains, removes, returns and adds random servers; the dispatchers are notified soon after."""
         rng, changed = self.rng, []
         for server in rng.sample(list(self.servers.values()), max(1, len(self.servers) // 8)):
             server.state = rng.choice([ServerState.DRAINING, ServerState.REMOVED, ServerState.READY])
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -1,9 +1,8 @@
-"""A dispatcher with a part of a core before a large fleet, on real sockets: its clock moves on by the CPU that it uses.
+"""Runs a dispatcher with a part of a core in front of a large fleet, on real sockets.
 
-The daemon, its clients, discovery and one listening stand-in for each group of servers run in this process.  Time jumps
-from event to event, and each second of processor time counts ``1 / SHARE`` seconds, as on the platform, which gives a
-dispatcher a part of a core.  So work that grows with the list of servers shows as what it is there: time in which no
-request is taken, answered or given up.
+Clients, service discovery and server stand-ins run in the same process. Time jumps from event to event, and CPU time
+advances the clock by ``1 / CPU_SHARE`` of its length. While work that grows with the number of servers runs, no request
+is accepted, answered or given up, as on the platform.
 """
 
 import asyncio
@@ -32,21 +31,21 @@
 
 from heronlug.standins.ports import free_port
 
-CPU_SHARE = 0.25  # of a core
-RUN_MS = 1000.0  # ms that a server works on a request
+CPU_SHARE = 0.25  # part of a core that the dispatcher gets
+RUN_MS = 1000.0  # run time of a request
 DISPATCHERS = 1000
 RELEASE_STEPS = 8  # groups of servers that a release replaces one after the other
-AGGREGATORS = 2  # dispatchers that sum up the load of all servers for the others
-LATENCY_OBJECTIVE_MS = 200.0  # ms within which an answer is wanted
-SUMMARY_INTERVAL_MS = LATENCY_OBJECTIVE_MS / 2  # ms between the summaries of one of them
-LOOP_TURNS = 12  # of the loop, in which bytes on loopback have arrived and been answered
-ANSWER_SLACK_MS = 500.0  # ms after a request's time, up to which its answer is not lost
-DRAIN_GRACE_MS = 2550.0  # ms after a drain was told, from which on no attempt may begin
+AGGREGATORS = 2  # dispatchers that send load summaries
+LATENCY_OBJECTIVE_MS = 200.0  # latency objective of the request classes
+SUMMARY_INTERVAL_MS = LATENCY_OBJECTIVE_MS / 2  # time between two summaries of an aggregator
+LOOP_TURNS = 12  # turns of the event loop that let bytes on loopback arrive and be answered
+ANSWER_SLACK_MS = 500.0  # time after the due time of a request up to which its answer is not lost
+DRAIN_GRACE_MS = 2550.0  # time after a notification to drain from which no attempt may begin
 FINAL_STATUS_LINES = (b"HTTP/1.1 200 ", b"HTTP/1.1 500 ", b"HTTP/1.1 503 ")
 
 
 class CpuMeteredClock(ManualClock):
-    """A clock that is moved by hand, and by processor time."""
+    """A clock that tests set and that also advances with the CPU time of the thread."""
 
     def __init__(self) -> None:
         self._base_time, self._base_cpu = START_TIME, time.thread_time()
@@ -65,7 +64,14 @@
 
 @dataclass
 class ClientRequest:
-    """A request as its client saw it."""
+    """A request as its client observes it.
+
+    Attributes:
+        name: request id.
+        due: time in ms by which the client expects the final answer.
+        connection: connection of the client.
+        answered_at: time in ms of the final answer, 0 if none.
+    """
 
     name: str
     due: float
@@ -74,7 +80,10 @@
 
 
 class LargeFleet(DispatcherHarness):
-    """The daemon before many servers.  A release replaces six in ten; these have an address for each step."""
+    """A dispatcher in front of many servers.
+
+    A release replaces 60% of the servers in steps; the servers of each step share an address.
+    """
 
     def __init__(self, servers: int, *, peers: bool, started: float = 0.0) -> None:
         super().__init__(
@@ -99,14 +108,14 @@
             self.raw["peer_listen"], self.raw["peers"] = own, [*others, *[own] * 6]
         servers_per_step = servers * 6 // 10 // RELEASE_STEPS
         self.servers_per_step = servers_per_step
-        # the last address has all that are there at the end
+        # the last address is shared by all servers that exist at the end of a release
         self.address = {f"s-{n:08x}": f"h{min(n // servers_per_step, RELEASE_STEPS) + 1}" for n in range(servers)}
         self.server_names = list(self.address)
         self.raw["known"] = self.listing(3, self.server_names, started=started, whole=True)
-        self.attempts_received: list[tuple[str, float]] = []  # attempts, by the stand-in that got them
-        self.drained_at: dict[str, float] = {}  # when discovery wrote that all servers of a stand-in drain
+        self.attempts_received: list[tuple[str, float]] = []  # stand-in and time of each attempt
+        self.drained_at: dict[str, float] = {}  # time of the notification that all servers of a stand-in drain
         self.client_requests: list[ClientRequest] = []
-        self.reject_all = False  # servers turn away what comes
+        self.reject_all = False  # whether servers reject every attempt
         self._callbacks: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self._version = 3
@@ -114,7 +123,7 @@
     def listing(
         self, version: int, server_names: list[str], state: str = "active", started: float = 0.0, whole: bool = False
     ) -> dict[str, object]:
-        """A list, or changes of it, in the form of discovery."""
+        """Returns a full list or a list of changes in the format of service discovery."""
         return {
             "generation": version,
             "reset": whole,
@@ -134,15 +143,15 @@
         }
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
-        """Do it at that time, however far behind the daemon is."""
+        """Schedules a callback at a time in ms, even if the dispatcher is behind that time."""
         heapq.heappush(self._callbacks, (when, next(self._order), callback))
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> None:
-        """Do it after that time."""
+        """Schedules a callback after a delay in ms."""
         self.at(self.clock.now() + delay, callback)
 
     def send_list_changes(self, server_names: list[str], state: str, started: float = 0.0) -> None:
-        """Discovery writes a change to the watch that waits for it."""
+        """Makes service discovery answer the waiting watch with changes of the list."""
         self._version += 1
         body = json.dumps(self.listing(self._version, server_names, state, started)).encode()
         for connection in self.discovery.connections:
@@ -150,7 +159,7 @@
                 connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def release(self, step: float) -> None:
-        """Six in ten servers are replaced by new ones, in steps."""
+        """Schedules a release that replaces 60% of the servers by new servers, in steps of ``step`` ms."""
         for number in range(RELEASE_STEPS):
             leaving = self.server_names[number * self.servers_per_step : (number + 1) * self.servers_per_step]
             new_servers = [f"r-{number}-{n:06x}" for n in range(self.servers_per_step)]
@@ -167,7 +176,7 @@
         self.send_list_changes(server_names, "active", self.clock.now())
 
     def summarize(self, level: int) -> None:
-        """From now on two dispatchers tell that all servers have this load level."""
+        """Makes two aggregators report this load level for all servers from now on."""
         self._summarize(level, self.clock.now())
 
     def _summarize(self, level: int, when: float) -> None:
@@ -178,7 +187,7 @@
         self.at(when + SUMMARY_INTERVAL_MS, partial(self._summarize, level, when + SUMMARY_INTERVAL_MS))
 
     async def clients(self, count: int) -> list[StandInConnection]:
-        """Clients that rest after a first request: who says nothing for long is closed."""
+        """Opens idle client connections, each after a first request because unused connections are closed."""
         clients = [await self.client() for _ in range(count)]
         for client in clients:
             client.send(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -187,7 +196,7 @@
         return clients
 
     def ask_in_turn(self, clients: list[StandInConnection], gap: float, requests: int, remaining: int) -> None:
-        """Clients hand in requests at a steady rate, each on a connection that is free."""
+        """Schedules requests at a steady rate, each on a free connection."""
 
         def ask(number: int) -> None:
             busy = {
@@ -202,7 +211,7 @@
             self.call_later(number * gap, partial(ask, number))
 
     def _serve(self) -> None:
-        """The servers begin what has come, and each ends it after its run."""
+        """Starts the attempts that have arrived at the servers; each ends after ``RUN_MS``."""
         for standin in self.servers.values():
             for connection in standin.connections:
                 while request := connection.take_request():
@@ -221,7 +230,7 @@
                 client_request.answered_at = self.clock.now()
 
     async def run_until(self, end_at: float) -> None:
-        """Let all happen that is due within so many ms after the start, in its order."""
+        """Handles all events in order until ``end_at`` ms after the start."""
         end_at, deadlines = START_TIME + end_at, self.application.deadline_loop.deadlines
         while True:
             head = deadlines.next_due()
@@ -240,12 +249,16 @@
             self._note_answers()
 
     def lost(self) -> list[tuple[str, float, float]]:
-        """Requests that got no final answer in their time, with that time and the answer's, in ms after the start."""
+        """Returns the requests without a final answer in time.
+
+        Returns:
+            For each request its name, its due time and the time of its answer (0 if none), in ms after the start.
+        """
         late = [a for a in self.client_requests if not a.answered_at or a.answered_at > a.due + ANSWER_SLACK_MS]
         return [(a.name, a.due - START_TIME, a.answered_at - START_TIME if a.answered_at else 0.0) for a in late]
 
     def sent_to_draining(self) -> list[tuple[str, float]]:
-        """Attempts that a server got after it was told to drain, and past the grace."""
+        """Returns attempts that a server received later than the grace time after its notification to drain."""
         return [
             (name, at)
             for name, at in self.attempts_received
@@ -253,6 +266,6 @@
         ]
 
     def close(self) -> None:
-        """Close what is not the daemon's."""
+        """Closes the sockets of the aggregators."""
         for aggregator_socket in self._aggregator_sockets:
             aggregator_socket.close()
--- a/tests/scale/test_candidates.py
+++ b/tests/scale/test_candidates.py
@@ -1,4 +1,4 @@
-"""The index of candidates: the same choice as a scan of the whole ranking, to the last decision of random days."""
+"""Tests that the candidate index chooses the same servers as a scan of the whole ranking."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 class ScanningSelection(Selection):
-    """Looks at every server of the ranking, as the paper has it."""
+    """Selects among all servers of the ranking, as the algorithm in the paper does."""
 
     __slots__ = ()
 
@@ -22,6 +22,7 @@
 
 
 def scanning_dispatcher(settings: Settings, seed: int) -> Dispatcher:
+    """Returns a dispatcher that scans the whole ranking."""
     dispatcher = Dispatcher(settings, seed)
     dispatcher.rules.selection.__class__ = ScanningSelection
     return dispatcher
@@ -29,6 +30,7 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_the_index_and_a_full_scan_give_the_same_actions(seed: int) -> None:
+    """Fails if the index leaves out a server that a scan of the whole ranking would choose."""
     indexed, scanned = RandomDay(seed).run(), RandomDay(seed, make=scanning_dispatcher).run()
     first = next((pair for pair in zip(indexed, scanned, strict=False) if pair[0] != pair[1]), None)
     assert first is None
@@ -36,7 +38,10 @@
 
 
 def test_random_days_include_servers_that_are_not_candidates() -> None:
-    """A day on which all servers always fit would prove nothing of the index."""
+    """Fails if the random days can't reveal an error of the index.
+
+    On a day on which every server is a candidate, the index and a scan see the same servers anyway.
+    """
     left_out = 0
 
     class CountingSelection(Selection):
@@ -59,7 +64,10 @@
 
 
 def test_removed_servers_are_deleted_from_the_server_table() -> None:
-    """Risk: names of every release of a process's life; a hundred releases of 50 servers, and two are kept at most."""
+    """Fails if a long-running process keeps the servers of every release, so that its memory grows.
+
+    Of a hundred releases of 50 servers, at most two may remain.
+    """
     settings = Settings(classes=RandomDay(0).dispatchers[0].settings.classes)
     dispatcher = Dispatcher(settings, 1)
     for release in range(100):
--- a/tests/scale/test_release.py
+++ b/tests/scale/test_release.py
@@ -1,18 +1,21 @@
-"""Large fleets: each request is answered in its time, whatever happens to the list, at a part of a core."""
+"""Tests that each request is answered in time in a large fleet, with a dispatcher on a part of a core."""
 
 import pytest
 from end_to_end.harness import START_TIME, run_async
 
 from scale.fleet import RELEASE_STEPS, LargeFleet
 
-SERVERS = 3200  # sixteen times the usual number
-STEP_MS = 1000.0  # ms between two steps of a release
-REMAINING_MS = 2000  # ms that a client waits
+SERVERS = 3200  # 16 times the usual number
+STEP_MS = 1000.0  # time between two steps of a release
+REMAINING_MS = 2000  # time that a client waits for its answer
 
 
-@pytest.mark.parametrize("peers", [True, False], ids=["peers", "apart"])
+@pytest.mark.parametrize("peers", [True, False], ids=["peers", "no-peers"])
 def test_no_request_is_lost_while_a_large_cold_fleet_is_replaced(peers: bool) -> None:
-    """All servers are cold, so requests wait here: to look at all servers for each of them takes all the CPU."""
+    """Fails if a release of a large fleet of warming servers makes requests miss their time.
+
+    Requests are queued because every server warms up; examining all servers for each request would use all the CPU.
+    """
 
     async def test() -> None:
         harness = LargeFleet(SERVERS, peers=peers, started=START_TIME - 1)
@@ -32,7 +35,10 @@
 
 
 def test_no_request_is_lost_while_a_large_fleet_reports_full_load() -> None:
-    """Requests wait, and each part of a summary of load has them looked at again: at the cost of that part alone."""
+    """Fails if queued requests miss their time while load summaries report that all servers are full.
+
+    Each part of a summary makes the queue check its requests again; the check may cost no more than that part.
+    """
 
     async def test() -> None:
         harness = LargeFleet(SERVERS, peers=True)
@@ -49,9 +55,12 @@
     run_async(test)
 
 
-@pytest.mark.parametrize("peers", [True, False], ids=["peers", "apart"])
+@pytest.mark.parametrize("peers", [True, False], ids=["peers", "no-peers"])
 def test_no_request_is_lost_while_retries_wait_for_their_budget(peers: bool) -> None:
-    """Attempts fail, and the budget of retries is spent: what waits for it is no reason to look at any server."""
+    """Fails if requests miss their time while failed attempts have used up the retry budget.
+
+    A request that waits for a token must not cause any server to be examined.
+    """
 
     async def test() -> None:
         harness = LargeFleet(SERVERS, peers=peers)
