--- a/heronlug/balancer/zone_failover/controller.py
+++ b/heronlug/balancer/zone_failover/controller.py
@@ -231,10 +231,10 @@
         peer_load = self._state.peer_load
         if not self._state.derived.aggregated:
             return True
-        heard = peer_load.aggregators_since(now - 2 * EVIDENCE_MS)
+        active_aggregators = peer_load.aggregators_since(now - 2 * EVIDENCE_MS)
         if peer_load.aggregating:
-            return all(peer > self._state.settings.position for peer in heard)
-        return not heard
+            return all(peer > self._state.settings.position for peer in active_aggregators)
+        return not active_aggregators
 
     def _decide(self, by_zone: dict[int, list[Server]], now: float) -> None:
         """Makes the transitions that follow from the evidence, starting with the zone with the most failures."""
