--- a/heronlug/balancer/queue.py
+++ b/heronlug/balancer/queue.py
@@ -68,7 +68,7 @@
         Returns:
             Whether that class has changed.
         """
-        overloaded = len(overdue) > 0 and overdue[0].priority < 0.0  # a late answer to the first one has a value
+        overloaded = len(overdue) > 0 and overdue[0].priority < 0.0  # a late answer to the first request has a value
         worst = self._class_values.worst_class() if overloaded else NO_CLASS
         changed = worst != self._worst_class
         self._worst_class = worst
--- a/tests/balancer/test_safety_rules.py
+++ b/tests/balancer/test_safety_rules.py
@@ -52,9 +52,8 @@
     An idempotent-by-key request may run again only within its repeat window and within the scope of its key.
     """
     settings = with_settings(classes=(request_class,))
-    last_safe_wait = (
-        request_class.repeat_window - 2 * settings.dial_timeout
-    )  # connecting and delivery take part of the repeat window
+    # Connecting and delivery take part of the repeat window.
+    last_safe_wait = request_class.repeat_window - 2 * settings.dial_timeout
     dispatcher_host = Host(settings, workers=0)
     zones = [ServerEntry(i, zone=i % 2, cell=i % 2 * 10 + i // 4) for i in range(1, 9)]
     dispatcher_host.listed(ListKind.CACHED, tuple(zones))
@@ -169,9 +168,8 @@
     # The budget is BUDGET_MARGIN x 3 x a quarter of 4 slots x 2 s, shared by two dispatchers. A request without a hint
     # counts as much work as its latency objective.
     assert BUDGET_MARGIN <= 0.75
-    assert (
-        0.8 <= sent / (BUDGET_MARGIN * 3 * 0.25 * 4 * 2000 / 2 / work) <= 1.3
-    )  # a report of 4 free slots and 1 in use makes 5
+    # The bounds allow for 5 slots instead of 4, because the report gives 4 free slots and 1 is in use.
+    assert 0.8 <= sent / (BUDGET_MARGIN * 3 * 0.25 * 4 * 2000 / 2 / work) <= 1.3
 
 
 def test_some_of_many_dispatchers_send_to_a_warming_server() -> None:
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -126,9 +126,8 @@
     dispatchers = make_dispatchers(40)
     borrower, lender, grant, server = lend_share(dispatchers, 100.0, 250.0)
     borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 101.0 + LOAN_MS)
-    assert not borrower.shares.may_send(
-        server, 250.0, 101.0 + LOAN_MS
-    )  # the granting message arrived after the end of the loan
+    # The granting message arrived after the end of the loan.
+    assert not borrower.shares.may_send(server, 250.0, 101.0 + LOAN_MS)
     dispatchers = make_dispatchers(40)
     borrower, lender, grant, server = lend_share(dispatchers, 100.0, 250.0)
     borrower.shares.receive(PeerMessage(lender.position, grant), borrower.table.by_id, 110.0)
@@ -169,9 +168,8 @@
     assert few.shares.request_loans([few.request(10.0)], few.servers, 100.0) == []
     borrower = dispatcher_without_share(make_dispatchers(40))
     requests = [borrower.request(10.0)] * 4
-    assert (
-        len(borrower.shares.request_loans(requests, borrower.servers, 100.0)) == 3
-    )  # one for each of the three servers
+    # A loan request for each of the three servers.
+    assert len(borrower.shares.request_loans(requests, borrower.servers, 100.0)) == 3
     assert borrower.shares.request_loans(requests, borrower.servers, 100.0 + ASK_AGAIN_MS - 1) == []
     assert len(borrower.shares.request_loans(requests, borrower.servers, 100.0 + ASK_AGAIN_MS)) == 3
 
--- a/tests/balancer/test_zone_state.py
+++ b/tests/balancer/test_zone_state.py
@@ -121,9 +121,8 @@
     for at in range(51, 900):
         assert not zone.step(ZONE_HEALTHY, at * 100.0)
     assert zone.offered_share == 0.0
-    assert (
-        step_until(zone, ZonePhase.RETURNING, ZONE_HEALTHY, 90_000.0) <= 90_200.0
-    )  # the zone returns in stages, as after a failure
+    # The zone returns in stages, as after a failure.
+    assert step_until(zone, ZonePhase.RETURNING, ZONE_HEALTHY, 90_000.0) <= 90_200.0
 
 
 @given(st.lists(st.tuples(st.floats(-20, 20), st.integers(0, 9), st.booleans(), st.integers(0, 9)), max_size=80))
