--- a/heronlug/balancer/zone_failover/controller.py
+++ b/heronlug/balancer/zone_failover/controller.py
@@ -1,14 +1,15 @@
-"""Which servers of each zone get traffic: what the state of a zone means for its servers.
-
-Who decides. Up to nine dispatchers hear of each other's ends, and each decides by them alone: the same evidence, the
-same states. Of more, aggregators sum up for all; the first of them that is heard decides, reports every server
-without traffic as excluded in its load summaries, and all others follow these reports. There are no further messages.
-A dispatcher that starts, or becomes an aggregator, reads the states off the last summaries. A dispatcher that
-receives no load summaries decides from its own observations.
-
-What it means. A server without traffic gets nothing. While its zone is excluded, a few dispatchers in turn may send
-single idempotent requests to single servers of it. A server that gets traffic again counts as warming up from then
-on, so that its budget over all dispatchers holds (:mod:`heronlug.balancer.slow_start`).
+"""Decides the state of each zone and applies it to the servers of the zone.
+
+Decision: up to nine dispatchers report the outcomes of their attempts to each other, so each dispatcher decides from
+the same evidence and reaches the same states. With more dispatchers, aggregators send load summaries to all; the active
+aggregator of the lowest position decides and reports every server without traffic as excluded in its load summaries,
+and all other dispatchers follow these reports. No further messages are sent. A dispatcher that starts or becomes an
+aggregator derives the states from the last summaries. A dispatcher that receives no load summaries decides from its own
+observations.
+
+Effect: a server without traffic gets no requests. While its zone is excluded, a few dispatchers in turn may send single
+idempotent probe requests to single servers of the zone. A server that gets traffic again counts as warming up from then
+on, so that its budget over all dispatchers is kept (:mod:`heronlug.balancer.slow_start`).
 """
 
 from collections.abc import Callable, Sequence
@@ -32,99 +33,110 @@
 from heronlug.balancer.zone_failover.stranded_attempts import StrandedAttempts
 from heronlug.balancer.zone_failover.zone_state import STAGES, UNTIL_RELEASED, ZoneObservation, ZonePhase, ZoneState
 
-CHECK_MS = 100.0
+CHECK_INTERVAL_MS = 100.0
 """Time between two checks."""
 
 EVIDENCE_MS = 3000.0
-"""Time for which an end counts as evidence."""
+"""Time for which the outcome of an attempt counts as evidence."""
 
 LARGEST_EXCLUDED_SHARE = 0.5
-"""Share of the ready servers that may be excluded: if more fail, the fault is this dispatcher's."""
+"""Largest share of the ready servers that may be excluded; if more fail, the cause is probably this dispatcher."""
 
 PROBE_TERM_MS = 1000.0
-"""Time for which a probe belongs to one dispatcher."""
+"""Time for which a server to probe is assigned to a dispatcher."""
 
 PROBED_SERVERS = 4
-"""Servers of an excluded zone that are probed in a term, by all dispatchers together."""
+"""Servers of an excluded zone that all dispatchers together probe per ``PROBE_TERM_MS``."""
 
 EXCLUDED_REPORT_SHARE = 0.8
-"""Share of a zone's servers that are reported as excluded, from which the zone is."""
+"""Share of a zone's servers reported as excluded from which the zone counts as excluded."""
 
 LEAST_EXCLUDED_REPORTS = 2
-"""Servers that have to be reported as excluded at least for that."""
+"""Least number of servers reported as excluded for which a zone counts as excluded."""
 
-REPORTS_GONE_MS = 3000.0
-"""Time for which a zone stays excluded after its reports have gone all at once."""
+MISSING_REPORTS_GRACE_MS = 3000.0
+"""Time for which a zone stays excluded after the reports of all its servers have ended at once."""
 
-CHANGES_KEPT = 64
-"""Changes of zones that are remembered."""
+MAX_CHANGES = 64
+"""Number of recent zone changes that are remembered."""
 
-NO_END = -1.0
-"""In a snapshot: the phase is held until released."""
+HELD_UNTIL_RELEASED = -1.0
+"""Value in a snapshot for a phase that is held until released."""
 
 
 class ZoneChange(NamedTuple):
-    """A zone that has changed, as it was then."""
+    """A copy of the state of a zone right after a change.
+
+    Attributes:
+        zone: number of the zone.
+        state: the state after the change.
+    """
 
     zone: int
     state: ZoneState
 
 
 class ZoneFailover:
-    """The states of all zones, as one dispatcher has them.
+    """Holds one dispatcher's states of all zones and applies them to the servers.
 
     Attributes:
-        zones: the state of each zone, by number.
-        changes: the last changes.
+        zones: state of each zone, by number.
+        changes: the last changes, oldest first.
     """
 
     __slots__ = ("_exploration", "_rerank", "_state", "_stranded", "changes", "zones")
 
     def __init__(self, state: BalancerState, exploration: Exploration, rerank: Callable[[float], None]) -> None:
-        """Make it; ``rerank`` is called when servers have got traffic again, as they warm up from then on."""
+        """Creates the controller.
+
+        Args:
+            state: shared state of the dispatcher.
+            exploration: gets the servers to probe.
+            rerank: called when servers get traffic again, because they warm up from then on.
+        """
         self._state, self._exploration, self._rerank = state, exploration, rerank
         self._stranded = StrandedAttempts(state)
         self.zones: dict[int, ZoneState] = {}
         self.changes: list[ZoneChange] = []
 
     def begin(self) -> None:
-        """Plan the first check, if the settings want zone failover."""
+        """Schedules the first check if the settings enable zone failover."""
         if self._state.settings.zone_failover:
             self._state.timers.call_at(0.0, self._on_timer, None)
 
     @property
     def zones_away(self) -> int:
-        """How many zones are excluded, or have not wholly returned."""
+        """The number of zones that are excluded or have not fully returned."""
         return sum(zone.phase in (ZonePhase.EXCLUDED, ZonePhase.RETURNING) for zone in self.zones.values())
 
     def check(self, now: float) -> None:
-        """Decide or follow for each zone, and have each of its servers get traffic or not."""
+        """Updates the state of each zone and applies it to the servers; does nothing with fewer than two zones."""
         by_zone = self._ready_by_zone()
         if len(by_zone) < 2:
             return
-        decides = self._decides(now)
-        if decides:
+        is_decider = self._is_decider(now)
+        if is_decider:
             self._decide(by_zone, now)
         else:
             self._follow(by_zone, now)
-        self._offer(by_zone, not decides, now)
+        self._apply_states(by_zone, not is_decider, now)
 
     def _on_timer(self, _: None, now: float) -> None:
-        known = len(self.changes)
+        known_changes = len(self.changes)
         self.check(now)
         self._stranded.report_silent_servers(now)
-        self._stranded.take_back(self._excluded_zones(), now)
-        for change in self.changes[known:]:
+        self._stranded.cancel_stranded(self._excluded_zones(), now)
+        for change in self.changes[known_changes:]:
             text = f"hall {change.zone} {change.state.phase.value}: {change.state.cause}"
             self._state.outbox.add(LogLine(text))
-        del self.changes[:-CHANGES_KEPT]
-        self._state.timers.call_at(now + CHECK_MS, self._on_timer, None)
+        del self.changes[:-MAX_CHANGES]
+        self._state.timers.call_at(now + CHECK_INTERVAL_MS, self._on_timer, None)
 
     # -- operators
 
     def overview(self, now: float) -> dict[int, dict[str, Any]]:
-        """Each zone that has ready servers, for people; the keys stand in operators' pages."""
-        decided_by = "here" if self._decides(now) else "whoever sums up"
+        """Returns the overview of each zone with ready servers, by number; operator tools rely on the keys."""
+        decided_by = "here" if self._is_decider(now) else "whoever sums up"
         return {
             number: overview(
                 self.zones.get(number, ZoneState()),
@@ -137,16 +149,16 @@
         }
 
     def order(self, number: int, phase: ZonePhase | None, until: float, now: float) -> None:
-        """Carry out an operator's order.
+        """Carries out an operator's order.
 
         Args:
-            number: the zone.
-            phase: excluded or healthy, held so; None to let observations decide again.
-            until: when the order ends.
-            now: the time.
+            number: number of the zone.
+            phase: phase to hold, excluded or healthy; None to let observations decide again.
+            until: time in ms at which the order ends.
+            now: current time in ms.
 
         Raises:
-            ZoneOrderError: more servers would be excluded than may be.
+            ZoneOrderError: if more than ``LARGEST_EXCLUDED_SHARE`` of the ready servers would be excluded.
         """
         if phase is ZonePhase.EXCLUDED:
             self._check_share(self._excluded_zones() | {number})
@@ -168,7 +180,7 @@
     # -- snapshots
 
     def snapshot(self) -> list[list[Any]]:
-        """The states as plain figures, for another process of this dispatcher."""
+        """Returns the states as plain values for another process of this dispatcher."""
         return [
             [
                 number,
@@ -176,29 +188,30 @@
                 zone.since,
                 zone.stage,
                 zone.relapses,
-                NO_END if zone.held_until == UNTIL_RELEASED else zone.held_until,
+                HELD_UNTIL_RELEASED if zone.held_until == UNTIL_RELEASED else zone.held_until,
             ]
             for number, zone in self.zones.items()
         ]
 
     def restore(self, snapshot: list[list[Any]]) -> None:
-        """Go on with the states of another process.
+        """Restores the states that another process saved.
 
         Raises:
-            ValueError: they make no sense.
+            SnapshotError: if a stage is out of range.
+            ValueError: if a value is malformed.
         """
         restored = {}
         for number, phase, since, stage, relapses, held_until in snapshot:
             if not 0 <= int(stage) < len(STAGES):
-                message = f"zone {number}: stage {stage} is not one of the {len(STAGES)} stages"
+                message = f"zone {number}: stage {stage} is out of range, expected 0 to {len(STAGES) - 1}"
                 raise SnapshotError(message)
-            until = UNTIL_RELEASED if held_until == NO_END else float(held_until)
+            until = UNTIL_RELEASED if held_until == HELD_UNTIL_RELEASED else float(held_until)
             restored[int(number)] = ZoneState(
                 ZonePhase(phase), float(since), int(stage), int(relapses), until, "taken up"
             )
         self.zones.update(restored)
 
-    # -- the states
+    # -- zone states
 
     def _ready_by_zone(self) -> dict[int, list[Server]]:
         found: dict[int, list[Server]] = {}
@@ -209,38 +222,42 @@
     def _excluded_zones(self) -> set[int]:
         return {number for number, zone in self.zones.items() if zone.phase is ZonePhase.EXCLUDED}
 
-    def _decides(self, now: float) -> bool:
-        """Whether this dispatcher decides: no other aggregator of a lower position does."""
+    def _is_decider(self, now: float) -> bool:
+        """Returns whether this dispatcher decides.
+
+        Without aggregators every dispatcher decides. Otherwise an aggregator decides if no other active aggregator has
+        a lower position, and another dispatcher decides if no aggregator is active.
+        """
         peer_load = self._state.peer_load
         if not self._state.derived.aggregated:
             return True
-        heard = peer_load.aggregators_since(now - 2 * EVIDENCE_MS)
+        active_aggregators = peer_load.aggregators_since(now - 2 * EVIDENCE_MS)
         if peer_load.aggregating:
-            return all(peer > self._state.settings.position for peer in heard)
-        return not heard
+            return all(peer > self._state.settings.position for peer in active_aggregators)
+        return not active_aggregators
 
     def _decide(self, by_zone: dict[int, list[Server]], now: float) -> None:
-        """Make the transitions that follow from the evidence, the zone with most failures first."""
-        fresh = now - EVIDENCE_MS
+        """Makes the transitions that follow from the evidence, starting with the zone with the most failures."""
+        evidence_since = now - EVIDENCE_MS
         found = tallies(
             ServerOutcome(number, server.outlier.last_ended_badly)
             for number, servers in by_zone.items()
             for server in servers
-            if server.outlier.last_ended_at >= fresh
+            if server.outlier.last_ended_at >= evidence_since
         )
         most_servers = LARGEST_EXCLUDED_SHARE * len(self._state.peer_load.servers_in_order)
         excluded = sum(len(by_zone.get(number, ())) for number in self._excluded_zones())
         for number in sorted(by_zone, key=lambda n: -found[n].failed if n in found else 0):
             zone, servers = self.zones.setdefault(number, ZoneState()), by_zone[number]
             may_exclude = excluded + len(servers) <= most_servers
-            seen = _observe(zone, servers, failing_share_elsewhere(found, number), may_exclude, fresh)
-            if self._step(number, zone, seen, now):
+            observed = _observe(zone, servers, failing_share_elsewhere(found, number), may_exclude, evidence_since)
+            if self._advance_zone(number, zone, observed, now):
                 excluded += len(servers)
 
-    def _step(self, number: int, zone: ZoneState, seen: ZoneObservation, now: float) -> bool:
-        """Make all transitions of a zone that one observation allows; returns whether it is excluded by them."""
+    def _advance_zone(self, number: int, zone: ZoneState, observed: ZoneObservation, now: float) -> bool:
+        """Makes all transitions that an observation allows; returns whether they exclude the zone."""
         excluded = False
-        while zone.step(seen, now):
+        while zone.step(observed, now):
             self.changes.append(ZoneChange(number, replace(zone)))
             excluded = excluded or zone.phase is ZonePhase.EXCLUDED
             if zone.phase is not ZonePhase.DOUBTFUL:
@@ -248,7 +265,7 @@
         return excluded
 
     def _follow(self, by_zone: dict[int, list[Server]], now: float) -> None:
-        """Read the states off the servers that load summaries report as excluded."""
+        """Derives the states from the servers that load summaries report as excluded."""
         for number, servers in by_zone.items():
             zone = self.zones.setdefault(number, ZoneState())
             if zone.is_held(now):
@@ -259,13 +276,13 @@
                 continue
             zone.relapses += zone.phase is ZonePhase.RETURNING and phase is ZonePhase.EXCLUDED
             zone.phase, zone.since = phase, now
-            zone.cause = f"{reported} of {len(servers)} marked"
+            zone.cause = f"{reported} of {len(servers)} servers reported as excluded"
             self.changes.append(ZoneChange(number, replace(zone)))
 
-    # -- what they mean for the servers
+    # -- effect on the servers
 
-    def _offer(self, by_zone: dict[int, list[Server]], following: bool, now: float) -> None:
-        """Have each server get traffic or not, and choose those that are ours to probe."""
+    def _apply_states(self, by_zone: dict[int, list[Server]], following: bool, now: float) -> None:
+        """Starts or stops the traffic of each server, and chooses the servers that this dispatcher probes."""
         excluded: set[int] = set()
         probes: list[Server] = []
         for number, servers in by_zone.items():
@@ -278,11 +295,11 @@
                 probes += self._probes(in_order, now)
         self._exploration.zone_probes = probes
         excluded -= {server.id for server in probes}
-        if self._apply(excluded, now):
+        if self._mark_servers(excluded, now):
             self._rerank(now)
 
-    def _apply(self, excluded: set[int], now: float) -> bool:
-        """Mark the servers; returns whether some got traffic again."""
+    def _mark_servers(self, excluded: set[int], now: float) -> bool:
+        """Marks each server as excluded or not; returns whether a server gets traffic again."""
         excluded_zones, got_traffic = self._excluded_zones(), False
         for server in self._state.peer_load.servers_in_order:
             standing = server.zone_standing
@@ -295,9 +312,9 @@
         return got_traffic
 
     def _probes(self, servers: Sequence[Server], now: float) -> list[Server]:
-        """Servers that are ours to probe in this term: each of a few belongs to one dispatcher."""
+        """Returns the servers that this dispatcher probes in this term; each of a few servers has one dispatcher."""
         term, instances = int(now / PROBE_TERM_MS), self._state.settings.instances
-        ours = []
+        own_probes = []
         for number in range(min(PROBED_SERVERS, len(servers))):
             turn = term * PROBED_SERVERS + number
             server = servers[turn % len(servers)]
@@ -306,11 +323,11 @@
             failed_lately = outlier.last_ended_at > now - PROBE_TERM_MS and outlier.last_ended_badly
             if is_ours and not failed_lately and not server.load.own_attempts:
                 self._begin_probe(server, now)
-                ours.append(server)
-        return ours
+                own_probes.append(server)
+        return own_probes
 
     def _begin_probe(self, server: Server, now: float) -> None:
-        """Have a server get the next idempotent request, as if it were half-open."""
+        """Makes a server half-open, so that the next idempotent request is sent there."""
         outlier = server.outlier
         outlier.trials_left = max(1, outlier.trials_left)
         outlier.ejections = max(1, outlier.ejections)
@@ -321,18 +338,23 @@
             self._exploration.visit([server])
 
 
-def _observe(zone: ZoneState, servers: list[Server], usual: float, may_exclude: bool, fresh: float) -> ZoneObservation:
-    """What the servers of a zone have shown since ``fresh``; of one that returns, those that get traffic again."""
+def _observe(
+    zone: ZoneState, servers: list[Server], usual: float, may_exclude: bool, evidence_since: float
+) -> ZoneObservation:
+    """Returns the evidence about a zone from outcomes since ``evidence_since``.
+
+    In a returning zone only servers that get traffic again count, from the time of their return.
+    """
     if zone.phase is ZonePhase.RETURNING:
-        seen = [
+        observed = [
             server.outlier
             for server in servers
             if not server.zone_standing.excluded
-            and server.outlier.last_ended_at >= max(fresh, server.zone_standing.recovery_began_at)
+            and server.outlier.last_ended_at >= max(evidence_since, server.zone_standing.recovery_began_at)
         ]
     else:
-        seen = [server.outlier for server in servers if server.outlier.last_ended_at >= fresh]
-    tally = ZoneTally(len(seen), sum(outlier.last_ended_badly for outlier in seen))
+        observed = [server.outlier for server in servers if server.outlier.last_ended_at >= evidence_since]
+    tally = ZoneTally(len(observed), sum(outlier.last_ended_badly for outlier in observed))
     since = [server.outlier for server in servers if server.outlier.last_ended_at > zone.since]
     return ZoneObservation(
         log_ratio=failure_log_ratio(tally, usual),
@@ -344,23 +366,24 @@
 
 
 def _reported_phase(zone: ZoneState, reported: int, servers: int, now: float) -> ZonePhase:
-    """The phase of a zone of which so many servers are reported as excluded.
+    """Returns the phase of a zone of whose servers ``reported`` are reported as excluded.
 
-    A zone returns in stages: reports that go all at once are of an aggregator that knows nothing yet.
+    A zone returns in stages, so reports that end for all its servers at once come from an aggregator that has just
+    started and has no evidence yet.
     """
-    was_away = zone.phase in (ZonePhase.EXCLUDED, ZonePhase.RETURNING)
-    all_gone = zone.phase is ZonePhase.EXCLUDED and not reported
-    if not all_gone:
+    was_excluded_or_returning = zone.phase in (ZonePhase.EXCLUDED, ZonePhase.RETURNING)
+    no_reports_left = zone.phase is ZonePhase.EXCLUDED and not reported
+    if not no_reports_left:
         zone.last_reported_at = now
     if reported >= max(LEAST_EXCLUDED_REPORTS, EXCLUDED_REPORT_SHARE * servers):
         return ZonePhase.EXCLUDED
-    if all_gone and now - zone.last_reported_at < REPORTS_GONE_MS:
+    if no_reports_left and now - zone.last_reported_at < MISSING_REPORTS_GRACE_MS:
         return ZonePhase.EXCLUDED
-    return ZonePhase.RETURNING if was_away and reported else ZonePhase.HEALTHY
+    return ZonePhase.RETURNING if was_excluded_or_returning and reported else ZonePhase.HEALTHY
 
 
 def _without_traffic(zone: ZoneState, servers: Sequence[Server], following: bool) -> list[int]:
-    """The servers of a zone that get no traffic, by its state or by the reports that are followed."""
+    """Returns the numbers of the servers without traffic, by the zone's state or by the reports that are followed."""
     if following and zone.phase is ZonePhase.RETURNING:
         return [server.id for server in servers if server.load.level == LEVEL_FAILING]
     return [server.id for server in servers[ceil(zone.offered_share * len(servers)) :]]
