--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -17,20 +17,20 @@
 def main() -> int:
     """Start; the exit status is 2 for a configuration that cannot be used."""
     if sys.argv[1:]:
-        from heronlug.cli import main as command
+        from heronlug.cli import main as run_command
 
-        return command()
+        return run_command()
     return start(Files.told())
 
 
-def start(files: Files, tell: Callable[[Config, State], None] = lambda config, desired: None) -> int:
+def start(files: Files, on_loaded: Callable[[Config, State], None] = lambda config, desired: None) -> int:
     """Serve as these files say; ``tell`` what they say before."""
     try:
         config, desired = files.load()
     except (ConfigError, StateError) as error:
         print("\n".join(f"heronlug: {line}" for line in str(error).splitlines()), file=sys.stderr)
         return 2
-    tell(config, desired)
+    on_loaded(config, desired)
     from heronlug.lifecycle.application import main as serve
 
     return serve(config, desired, files, os.environ.get("HERONLUG_CONTROL", ""))
--- a/heronlug/lifecycle/admin.py
+++ b/heronlug/lifecycle/admin.py
@@ -13,11 +13,11 @@
 from heronlug.requests.deadlines import Deadlines, Key
 from heronlug.requests.slots import SlotTable
 
-MAX_CALLERS = 16
+MAX_ADMIN_CONNECTIONS = 16
 """Connections at once; one more has the oldest closed."""
 CALL_TIMEOUT_MS = 2_000.0
 """A call must be complete within this time, in ms."""
-LINGER_MS = 500.0
+ANSWER_READ_TIMEOUT_MS = 500.0
 """Time for the caller to read the answer and close, in ms."""
 MAX_CALL_BYTES = 2 * http.MAX_HEAD
 """Bytes of a call at most."""
@@ -58,7 +58,7 @@
         self._parser: Any = httptools.HttpRequestParser(self)  # the package has no types
         self._target = b""
         self._received_bytes = 0
-        self._answered = False
+        self._is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """An operator has connected."""
@@ -70,7 +70,7 @@
     def data_received(self, data: bytes) -> None:
         """Bytes of the call; what follows it is not parsed."""
         self._received_bytes += len(data)
-        if not self._answered:
+        if not self._is_answered:
             self._parse(data)
         elif self._received_bytes > MAX_CALL_BYTES:
             self.abort()
@@ -89,7 +89,7 @@
 
     def on_message_complete(self) -> None:
         """The parser has read the whole call."""
-        if not self._answered:
+        if not self._is_answered:
             path = self._target.split(b"?", 1)[0]
             self._answer(self._endpoint.answer(CallKey(self._parser.get_method(), path)))
 
@@ -102,7 +102,7 @@
     def _parse(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
-            if self._received_bytes > MAX_CALL_BYTES and not self._answered:
+            if self._received_bytes > MAX_CALL_BYTES and not self._is_answered:
                 self._answer(Answer(413, b""))
         except httptools.HttpParserUpgrade:
             self._answer(Answer(400, b"no upgrades here\n"))
@@ -113,14 +113,14 @@
             self._answer(Answer(500, b""))
 
     def _answer(self, answer: Answer) -> None:
-        self._answered = True
+        self._is_answered = True
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(http.response(answer.status, answer.body, close=True))
         # Closing with input unread would reset the connection and lose the answer: the caller closes first.
         self._transport.write_eof()
         self._endpoint.deadlines.cancel(self.deadline)
-        self.deadline = self._endpoint.deadlines.call_after(LINGER_MS, self.abort)
+        self.deadline = self._endpoint.deadlines.call_after(ANSWER_READ_TIMEOUT_MS, self.abort)
 
 
 class AdminEndpoint:
@@ -146,7 +146,7 @@
 
     def add(self, connection: AdminConnection) -> None:
         """Hold a connection; past the limit the one that came first is closed, since a call takes little time."""
-        if len(self._connections) >= MAX_CALLERS:
+        if len(self._connections) >= MAX_ADMIN_CONNECTIONS:
             min(self._connections, key=lambda other: other.deadline or (0.0, 0)).abort()
         connection.handle = self._connections.add(connection)
 
@@ -159,7 +159,7 @@
         call = self._calls.get(key)
         if call is not None:
             return call()
-        methods = [known.method.decode() for known in self._calls if known.path == key.path]
+        methods = [known_key.method.decode() for known_key in self._calls if known_key.path == key.path]
         if not methods:
             return Answer(404, b"")
         return Answer(405, f"only {' and '.join(methods)} here\n".encode())
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -18,7 +18,7 @@
 from heronlug.config.reload import Reload, ReloadHooks
 from heronlug.frontends.http.frontend import HttpFrontend
 from heronlug.lifecycle import control
-from heronlug.lifecycle.admin import MAX_CALLERS, AdminEndpoint
+from heronlug.lifecycle.admin import MAX_ADMIN_CONNECTIONS, AdminEndpoint
 from heronlug.lifecycle.cluster_service import ClusterService
 from heronlug.lifecycle.configuration_changes import ConfigurationChanges
 from heronlug.lifecycle.deadline_loop import DeadlineLoop
@@ -27,7 +27,7 @@
 from heronlug.lifecycle.graceful_shutdown import GracefulShutdown, ShutdownHooks
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 from heronlug.lifecycle.log import Log
-from heronlug.lifecycle.operations import OperatorCalls, accept_figures
+from heronlug.lifecycle.operations import OperatorCalls, accept_failure_metrics
 from heronlug.lifecycle.peer_messages import PeerMessages
 from heronlug.lifecycle.readiness import Readiness
 from heronlug.lifecycle.running_state import RunningState
@@ -43,7 +43,7 @@
 """Memory that clients' bodies may take at least, in MB."""
 REQUESTS_PER_MB = 32
 """Open requests for each MB of memory; a request takes a few KB besides its body."""
-SPARE_DESCRIPTORS = 64
+RESERVED_DESCRIPTORS = 64
 """File descriptors for the event loop, the log, service discovery, the peers and the listeners."""
 MIN_CONNECTIONS = 16
 """Connections to clients, and as many to servers, that are allowed at least."""
@@ -151,12 +151,14 @@
         self.running_state = RunningState(changes)
         if config.paced:
             self.discovery.use_options({})
-        calls = OperatorCalls(self.shutdown, self.readiness.accepts_clients, self._cores, self.log, self._more_figures)
+        calls = OperatorCalls(
+            self.shutdown, self.readiness.accepts_clients, self._cores, self.log, self._additional_metrics
+        )
         self.admin = AdminEndpoint(calls.table(), deadlines, self.log, self.turn)
         self.admin_listener = Listener(Acceptor("operators", self.admin.protocol, self.log))
         hooks = ReloadHooks(
             read_files=partial(files.load, again=True),
-            use_config=self._use_reloaded,
+            use_config=self._use_reloaded_config,
             use_limits=self.running_state.limit,
             read_keys=self.cluster.read_keys,
             use_keys=self.cluster.use_keys,
@@ -179,7 +181,7 @@
         controller = await control.listen(control_path, self.running_state) if control_path else None
         self._serve()
         await self.stopped.wait()
-        await self._leave()
+        await self._finish_before_exit()
         self._close()
         if controller is not None:
             controller.close()
@@ -188,8 +190,8 @@
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._log_exception)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop)
 
     def _serve(self) -> None:
         """Accept clients, with the state that another process has given."""
@@ -198,7 +200,7 @@
         self.listener.accept()
         self.state_transfer.announce_serving()
         if self.config.admin is not None:
-            self.admin_listener.bind(self.config.admin, MAX_CALLERS)
+            self.admin_listener.bind(self.config.admin, MAX_ADMIN_CONNECTIONS)
             self.admin_listener.accept()
         gc.collect()
         gc.freeze()
@@ -220,7 +222,7 @@
         self.faktory.stop()
         self.turn()
 
-    async def _leave(self) -> None:
+    async def _finish_before_exit(self) -> None:
         """Finish what other processes and the disk have to know."""
         await self.cluster.leave()
         await self.discovery.close_cache()
@@ -238,8 +240,8 @@
 
     # -- what the parts ask
 
-    def _use_reloaded(self, config: Config) -> None:
-        self.discovery.use_reloaded(config)
+    def _use_reloaded_config(self, config: Config) -> None:
+        self.discovery.use_reloaded_config(config)
         self.turn()
 
     def _cores(self) -> list[Core]:
@@ -250,12 +252,12 @@
         jobs = sum(len(core.requests) for core in self._cores())
         return jobs + len(self.frontend.connections) + self.listener.has_pending_connection
 
-    def _more_figures(self) -> str:
+    def _additional_metrics(self) -> str:
         listeners = [self.listener, self.admin_listener]
         if self.faktory.listener is not None:
             listeners.append(self.faktory.listener)
         failures = {listener.acceptor.name: listener.acceptor.failures for listener in listeners}
-        return accept_figures(failures) + self.cluster.figures()
+        return accept_failure_metrics(failures) + self.cluster.metrics()
 
     def _log_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
@@ -265,7 +267,7 @@
 
 def _max_connections(config: Config) -> int:
     """Connections to clients, and as many to servers, that the descriptors allow."""
-    return max(MIN_CONNECTIONS, (config.sockets - SPARE_DESCRIPTORS) // 2)
+    return max(MIN_CONNECTIONS, (config.sockets - RESERVED_DESCRIPTORS) // 2)
 
 
 async def _serve(config: Config, files: Files, log: Log, desired: State, control_path: str) -> None:
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -24,7 +24,7 @@
 
 DEFAULT_STALE_AFTER_MS = 1500.0
 """Age at which the shared list is stale where the file gives none, in ms."""
-SHARES_ONE_LIST = "list"
+SHARE_ENDPOINT_LIST = "list"
 """The value of ``share`` with which one member reads the list for all."""
 
 
@@ -58,46 +58,48 @@
             OSError: if a key file cannot be read.
             ValueError: if a key is malformed.
         """
-        sharing = table["register"]
-        checking = table["probe"]
+        discovery_options = table["register"]
+        probe_options = table["probe"]
         deadlines = core.deadlines
-        view = ServerView(sharing.get("share", "none"), checking.get("panic_share", 1.0))
+        view = ServerView(discovery_options.get("share", "none"), probe_options.get("panic_share", 1.0))
         self._key_files = table["key_files"]
         self._discovery = discovery
         self._client = discovery.client
-        self._set_pace(sharing, core)
-        self._shared = SharedDiscovery(
+        self._configure_poll_pacing(discovery_options, core)
+        self._shared_discovery = SharedDiscovery(
             view,
             self._client,
             self._update,
             ServerRowCodec(config.zones, config.kinds),
             ReaderElection(
-                sharing.get("stale_after_ms", DEFAULT_STALE_AFTER_MS), len(table["seeds"]), Random().random()
+                discovery_options.get("stale_after_ms", DEFAULT_STALE_AFTER_MS), len(table["seeds"]), Random().random()
             ),
             deadlines,
             log,
         )
-        self._checker = HealthChecker(checking, view, self._update, deadlines, log, turn) if checking else None
-        self.cluster = ClusterTransport(table, deadlines, log, turn, self._shared, self._checker)
-        self._uses_view = bool(sharing or checking)
+        self._health_checker = (
+            HealthChecker(probe_options, view, self._update, deadlines, log, turn) if probe_options else None
+        )
+        self.cluster = ClusterTransport(table, deadlines, log, turn, self._shared_discovery, self._health_checker)
+        self._uses_view = bool(discovery_options or probe_options)
         servers = core.directory.by_number.values()
-        self._first_list = [server.entry for server in servers if server.entry.state is not ServerState.REMOVED]
-        self._first_kind = ListKind.FULL if self._client.watching else ListKind.CACHED
+        self._initial_entries = [server.entry for server in servers if server.entry.state is not ServerState.REMOVED]
+        self._initial_kind = ListKind.FULL if self._client.watching else ListKind.CACHED
 
     async def open(self) -> None:
         """Join the cluster; raises ``OSError``, and then nothing has changed."""
         await self.cluster.open()
         if not self._uses_view:
             return
-        if self._first_list or self._first_kind is ListKind.FULL:  # the dispatcher has served before it joins
-            self._shared.on_client_update(self._first_kind, self._first_list)
-        self._client.on_update = self._shared.on_client_update
+        if self._initial_entries or self._initial_kind is ListKind.FULL:  # the dispatcher has served before it joins
+            self._shared_discovery.on_client_update(self._initial_kind, self._initial_entries)
+        self._client.on_update = self._shared_discovery.on_client_update
         self._client.staleness.on_usable_change = None
 
     def subscribe(self) -> None:
         """The balancer wants the endpoint list."""
         if self._uses_view:
-            self._shared.subscribe()
+            self._shared_discovery.subscribe()
         else:
             self._client.subscribe()
 
@@ -105,16 +107,16 @@
         """The keys as their files have them now; raises ``OSError`` or ``ValueError``."""
         return cluster_section.read_keys(self._key_files)
 
-    def _set_pace(self, sharing: dict[str, Any], core: Core) -> None:
+    def _configure_poll_pacing(self, discovery_options: dict[str, Any], core: Core) -> None:
         """Pace the polls: a single reader polls alone; where all members read, each has its place."""
-        if not sharing:
+        if not discovery_options:
             return
-        one_reader = sharing["share"] == SHARES_ONE_LIST
-        if one_reader or self._client.pacer is None:
-            terms = PollTerms() if one_reader else PollTerms(core.settings.instances, core.settings.position)
-            self._client.pacer = PollPacer(terms, Random().random)
+        single_reader = discovery_options["share"] == SHARE_ENDPOINT_LIST
+        if single_reader or self._client.pacer is None:
+            pacing = PollTerms() if single_reader else PollTerms(core.settings.instances, core.settings.position)
+            self._client.pacer = PollPacer(pacing, Random().random)
 
     def _update(self, kind: ListKind, entries: list[ListedServer]) -> None:
         self._discovery.update(kind, entries)
-        if self._checker is not None:
-            self._checker.use_servers()
+        if self._health_checker is not None:
+            self._health_checker.use_servers()
--- a/heronlug/lifecycle/cluster_service.py
+++ b/heronlug/lifecycle/cluster_service.py
@@ -45,13 +45,13 @@
         self.member = member
         self._discovery.subscribe_through = member.subscribe
 
-    def view(self, what: str) -> list[dict[str, Any]]:
+    def view(self, view_name: str) -> list[dict[str, Any]]:
         """The rows of the members, or of the periodic tasks; raises :class:`StateError` where there is no cluster."""
         if self.member is None:
             msg = "there is no [cluster] in the file that runs"
             raise StateError(msg)
         cluster = self.member.cluster
-        return cluster.members() if what == "members" else cluster.leases()
+        return cluster.members() if view_name == "members" else cluster.leases()
 
     def read_keys(self) -> dict[int, bytes] | None:
         """The keys as their files have them now; None without a cluster.  Raises ``OSError`` or ``ValueError``."""
@@ -62,7 +62,7 @@
         if self.member is not None and keys is not None:
             self.member.cluster.replace_keys(keys)
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The figures of the cluster in Prometheus' text format; empty without one."""
         return str(self.member.cluster.metrics()) if self.member is not None else ""
 
--- a/heronlug/lifecycle/configuration_changes.py
+++ b/heronlug/lifecycle/configuration_changes.py
@@ -42,29 +42,29 @@
         self._faktory = faktory
         self._cluster = cluster
 
-    async def open_faktory(self, terms: dict[str, Any]) -> OpenedListener:
+    async def open_faktory(self, table: dict[str, Any]) -> OpenedListener:
         """Bind the address of the Faktory frontend; raises ``OSError`` or ``ValueError``."""
-        return await self._faktory.open(terms)
+        return await self._faktory.open(table)
 
     def use_faktory(self, listener: OpenedListener | None) -> None:
         """Serve the Faktory frontend on a listener; with None, only finish its jobs."""
         self._faktory.use(listener)
 
-    def drop_faktory(self, listener: OpenedListener) -> None:
+    def discard_faktory_listener(self, listener: OpenedListener) -> None:
         """Close a listener that was opened and is not in use."""
-        self._faktory.drop(listener)
+        self._faktory.discard(listener)
 
-    def use_register(self, terms: State) -> None:
+    def use_discovery_options(self, table: State) -> None:
         """Pace the polls of service discovery and cache its list, from the start on."""
-        self._discovery.use_options(terms)
+        self._discovery.use_options(table)
 
-    async def join_cluster(self, terms: State) -> None:
+    async def join_cluster(self, table: State) -> None:
         """Join a cluster; raises ``OSError`` or ``ValueError``."""
-        await self._cluster.join(terms)
+        await self._cluster.join(table)
 
-    def cluster_view(self, what: str) -> list[dict[str, Any]]:
+    def cluster_view(self, view_name: str) -> list[dict[str, Any]]:
         """The members or the periodic tasks of the cluster; raises :class:`StateError` where there is none."""
-        return self._cluster.view(what)
+        return self._cluster.view(view_name)
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """The zones, after an operator's order for one of them if that was asked; raises :class:`StateError`."""
@@ -91,7 +91,7 @@
         for core in self._cores():
             core.plugins = host
 
-    def use_level(self, level: str) -> None:
+    def use_log_level(self, level: str) -> None:
         """Log from this level on."""
         self.log.level = level
 
--- a/heronlug/lifecycle/control.py
+++ b/heronlug/lifecycle/control.py
@@ -15,9 +15,9 @@
 from heronlug.lifecycle.running_state import RunningState
 from heronlug.net.http import Lines
 
-ASK_TIMEOUT_S = 30.0
+COMMAND_TIMEOUT_S = 30.0
 """How long a command waits for the dispatcher, in seconds."""
-READ_BYTES = 65536
+READ_CHUNK_BYTES = 65536
 """Bytes that a command reads at a time."""
 
 
@@ -62,8 +62,8 @@
         match request["ask"]:
             case "state":
                 return {"state": self._running.state}
-            case "members" | "duties" as what:
-                return {what: self._running.cluster_view(what)}
+            case "members" | "duties" as view_name:
+                return {view_name: self._running.cluster_view(view_name)}
             case "halls" | "hall":
                 return {"halls": self._running.zones(request)}
             case "check":
@@ -77,11 +77,11 @@
 async def listen(path: str, running: RunningState) -> asyncio.AbstractServer:
     """Listen on a Unix socket that only processes of this user can open; raises ``OSError``."""
     Path(path).unlink(missing_ok=True)
-    mask = os.umask(0o177)
+    previous_umask = os.umask(0o177)
     try:
         return await asyncio.get_running_loop().create_unix_server(lambda: ControlConnection(running), path)
     finally:
-        os.umask(mask)
+        os.umask(previous_umask)
 
 
 def ask(path: str, request: dict[str, Any]) -> dict[str, Any]:
@@ -95,11 +95,11 @@
         raise StateError(msg)
     try:
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(ASK_TIMEOUT_S)
+            sock.settimeout(COMMAND_TIMEOUT_S)
             sock.connect(path)
             sock.sendall(orjson.dumps(request) + b"\n")
             data = b""
-            while chunk := sock.recv(READ_BYTES):
+            while chunk := sock.recv(READ_CHUNK_BYTES):
                 data += chunk
         answer = orjson.loads(data)
     except (OSError, ValueError) as error:
--- a/heronlug/lifecycle/discovery_service.py
+++ b/heronlug/lifecycle/discovery_service.py
@@ -66,7 +66,7 @@
         if self.cache is not None and kind is not ListKind.CACHED and entries:
             self.cache.on_change()
 
-    def use_reloaded(self, config: Config) -> None:
+    def use_reloaded_config(self, config: Config) -> None:
         """Use another address, or another configured list, of a configuration that was read again."""
         if config.discovery:
             self.client.move(config.discovery)
@@ -78,9 +78,9 @@
         from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 
         settings = self.core.settings
-        cost_ms = 1000 / table["calls_per_s"] if table.get("calls_per_s") else None
-        terms = PollTerms(settings.instances, settings.position, cost_ms)
-        self.client.pacer = PollPacer(terms, Random(self._config.seed or None).random)
+        ms_per_call = 1000 / table["calls_per_s"] if table.get("calls_per_s") else None
+        pacing = PollTerms(settings.instances, settings.position, ms_per_call)
+        self.client.pacer = PollPacer(pacing, Random(self._config.seed or None).random)
         if table.get("keep"):
             from heronlug.discovery.cache_file import CacheFile
 
--- a/heronlug/lifecycle/faktory_service.py
+++ b/heronlug/lifecycle/faktory_service.py
@@ -64,18 +64,18 @@
             OSError: if the address cannot be bound.
             ValueError: if the store is another one than that in use.
         """
-        wanted = _read_config(table)
-        if self.frontend is not None and self.frontend.config.store != wanted.store:
+        new_config = _read_config(table)
+        if self.frontend is not None and self.frontend.config.store != new_config.store:
             msg = "faktory: store: it changes with a restart alone"
             raise ValueError(msg)
         if self.frontend is None:
-            self.frontend = self._make_frontend(wanted)
+            self.frontend = self._make_frontend(new_config)
             self.frontend.recover()
-        if self.listener is not None and self.frontend.config.listen == wanted.listen:
-            return OpenedListener(wanted, self.listener)
+        if self.listener is not None and self.frontend.config.listen == new_config.listen:
+            return OpenedListener(new_config, self.listener)
         listener = Listener(Acceptor("faktory", self.frontend.protocol, self._log))
-        listener.bind(wanted.listen, LISTEN_BACKLOG)
-        return OpenedListener(wanted, listener)
+        listener.bind(new_config.listen, LISTEN_BACKLOG)
+        return OpenedListener(new_config, listener)
 
     def use(self, opened: OpenedListener | None) -> None:
         """Serve on an opened listener; without one, only the jobs that were taken are finished."""
@@ -93,7 +93,7 @@
             self.frontend.accept_jobs()
             listener.accept()
 
-    def drop(self, opened: OpenedListener) -> None:
+    def discard(self, opened: OpenedListener) -> None:
         """Close a listener that was opened and is not in use."""
         if opened.listener is not self.listener:
             opened.listener.close()
--- a/heronlug/lifecycle/graceful_shutdown.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -5,13 +5,13 @@
 
 from heronlug.requests.deadlines import Deadlines
 
-QUIET_MS = 700.0
+QUIET_PERIOD_MS = 700.0
 """No client may have come for this long before idle connections are closed, in ms.
 
 Clients still come for 0.2 to 0.4 s after the signal, until the platform's load balancer sends them elsewhere.
 """
 
-MAX_WAIT_FOR_QUIET_MS = 2000.0
+MAX_QUIET_WAIT_MS = 2000.0
 """After this time, in ms, clients that still come delay the stop no more: the load balancer does not send them."""
 
 KILL_GRACE_MS = 700.0
@@ -23,13 +23,13 @@
 ANSWER_MARGIN_MS = 250.0
 """All answers are sent this long before the kill, in ms."""
 
-LAST_ACCEPTED_MS = 1000.0
+CLOSE_BEFORE_LAST_ANSWER_MS = 1000.0
 """In the last such time before the last answer, in ms, clients are sent elsewhere: a request could hardly be served."""
 
 CHECK_INTERVAL_MS = 50.0
 """Between two checks of a drain or stop, in ms."""
 
-HANDOVER_INTERVAL_MS = 10.0
+HANDOVER_CHECK_INTERVAL_MS = 10.0
 """Between two checks while clients are handed over, in ms."""
 
 
@@ -78,7 +78,9 @@
         self._time_to_answer_ms = min(max_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS - ANSWER_MARGIN_MS
         self._drained_at: float | None = None
         self._stopped_at: float | None = None
-        self._hand_over: Callable[[], None] | None = None  # set while another process serves in place of this one
+        self._hand_over_clients: Callable[[], None] | None = (
+            None  # set while another process serves in place of this one
+        )
         self._checking = False
 
     @property
@@ -102,13 +104,13 @@
         True in a drain; in a stop while another dispatcher serves, and shortly before the last answer; never while
         clients are handed over to a successor.
         """
-        if self._hand_over is not None:
+        if self._hand_over_clients is not None:
             return False
         if self._drained_at is not None:
             return True
         if self._stopped_at is None:
             return False
-        return self._hooks.others_serve() or self._deadlines.clock() >= self.answer_by - LAST_ACCEPTED_MS
+        return self._hooks.others_serve() or self._deadlines.clock() >= self.answer_by - CLOSE_BEFORE_LAST_ANSWER_MS
 
     def drain(self) -> bool:
         """Begin a drain, on an operator's order; False when a drain or stop is under way."""
@@ -128,7 +130,7 @@
 
     def hand_over(self, hand_over: Callable[[], None] | None) -> None:
         """Another process serves in place of this one, and ``hand_over`` sends it clients; None when it has ended."""
-        self._hand_over = hand_over
+        self._hand_over_clients = hand_over
         self._begin_checks()
 
     def stop(self) -> bool:
@@ -147,7 +149,7 @@
 
     def _check(self) -> None:
         """Do what is due by now, and check again later while a drain, handover or stop is under way."""
-        hand_over = self._hand_over
+        hand_over = self._hand_over_clients
         self._checking = not self.accepts_clients or hand_over is not None
         if not self._checking:
             return
@@ -155,18 +157,18 @@
             hand_over()
         else:
             self._hooks.leave_peers()
-        quiet = hand_over is not None or self._is_quiet()
-        if quiet and self.sends_clients_away():
+        clients_ceased = hand_over is not None or self._new_clients_ceased()
+        if clients_ceased and self.sends_clients_away():
             self._hooks.close_idle()
-        if quiet and self.stopping and not self._hooks.open_work():
+        if clients_ceased and self.stopping and not self._hooks.open_work():
             self._hooks.stopped()
         else:
-            interval = CHECK_INTERVAL_MS if hand_over is None else HANDOVER_INTERVAL_MS
+            interval = CHECK_INTERVAL_MS if hand_over is None else HANDOVER_CHECK_INTERVAL_MS
             self._deadlines.call_after(interval, self._check)
 
-    def _is_quiet(self) -> bool:
+    def _new_clients_ceased(self) -> bool:
         """Whether no new clients come any more, so that those who lose an idle connection connect elsewhere."""
         now = self._deadlines.clock()
         began_at = max(self._drained_at or 0.0, self._stopped_at or 0.0)
         last_event_at = max(began_at, self._hooks.last_client_at())
-        return now - last_event_at >= QUIET_MS or now - began_at >= MAX_WAIT_FOR_QUIET_MS
+        return now - last_event_at >= QUIET_PERIOD_MS or now - began_at >= MAX_QUIET_WAIT_MS
--- a/heronlug/lifecycle/hot_restart/adopted_requests.py
+++ b/heronlug/lifecycle/hot_restart/adopted_requests.py
@@ -47,9 +47,11 @@
                 sock.close()
             self._log("handover_failed", error=repr(error))
             return
-        self._frontend.adopt(client, True, lambda connection: self._go_on(connection, handover, servers))
+        self._frontend.adopt(client, True, lambda connection: self._resume_request(connection, handover, servers))
 
-    def _go_on(self, connection: ClientConnection, handover: RequestHandover, servers: list[socket.socket]) -> None:
+    def _resume_request(
+        self, connection: ClientConnection, handover: RequestHandover, servers: list[socket.socket]
+    ) -> None:
         """The client's connection is ready: take the request over."""
         http_request = handover.request
         http_request.connection = connection
--- a/heronlug/lifecycle/hot_restart/channel.py
+++ b/heronlug/lifecycle/hot_restart/channel.py
@@ -29,9 +29,9 @@
 """Packets that are read before the loop runs other work."""
 LISTEN_BACKLOG = 4
 """Processes that may wait to be accepted."""
-MORE = b"+"
+PARTIAL_MARKER = b"+"
 """First byte of a packet that is followed by more of its message."""
-LAST = b"."
+FINAL_MARKER = b"."
 """First byte of the last packet of a message."""
 PEER_CREDENTIALS = struct.Struct("3i")
 """What ``SO_PEERCRED`` gives: process, user and group."""
@@ -56,8 +56,8 @@
     """A connection to the process that listens there; None if there is none."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
     try:
-        with _short_path(path) as short:
-            sock.connect(short)
+        with _short_path(path) as short_path:
+            sock.connect(short_path)
     except OSError:  # no file, a stale one, or a full backlog
         sock.close()
         return None
@@ -67,17 +67,17 @@
 def listen(path: str) -> socket.socket:
     """Listen there in place of whoever did before; only processes of this user can connect.  Raises ``OSError``."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
-    mask = os.umask(0o177)
+    previous_umask = os.umask(0o177)
     try:
-        with _short_path(path) as short:
+        with _short_path(path) as short_path:
             Path(path).unlink(missing_ok=True)
-            sock.bind(short)
+            sock.bind(short_path)
         sock.listen(LISTEN_BACKLOG)
     except OSError:
         sock.close()
         raise
     finally:
-        os.umask(mask)
+        os.umask(previous_umask)
     return sock
 
 
@@ -107,7 +107,7 @@
         self,
         sock: socket.socket,
         on_message: Callable[["PeerProcess", dict[str, Any], list[int]], None],
-        on_lost: Callable[["PeerProcess", str], None],
+        on_disconnected: Callable[["PeerProcess", str], None],
     ) -> None:
         """Read from a connected socket.
 
@@ -115,12 +115,12 @@
             sock: non-blocking, owned by this object.
             on_message: called with each message and its descriptors, which are the receiver's; what it raises ends
                 the connection.
-            on_lost: called once with the reason when the connection has ended, but not after :meth:`close`.
+            on_disconnected: called once with the reason when the connection has ended, but not after :meth:`close`.
         """
         self.closed = False
         self._sock = sock
         self._on_message = on_message
-        self._on_lost = on_lost
+        self._on_disconnected = on_disconnected
         self._loop = asyncio.get_running_loop()
         self._outgoing: deque[_Packet] = deque()
         self._fragments: list[bytes] = []
@@ -133,9 +133,9 @@
         data = orjson.dumps(message)
         copies = [os.dup(fd) for fd in fds or ()]
         while len(data) > MAX_FRAGMENT_BYTES:
-            self._outgoing.append(_Packet(MORE + data[:MAX_FRAGMENT_BYTES], []))
+            self._outgoing.append(_Packet(PARTIAL_MARKER + data[:MAX_FRAGMENT_BYTES], []))
             data = data[MAX_FRAGMENT_BYTES:]
-        self._outgoing.append(_Packet(LAST + data, copies))
+        self._outgoing.append(_Packet(FINAL_MARKER + data, copies))
         self._write()
 
     def close(self) -> None:
@@ -150,7 +150,7 @@
     def _end(self, reason: str) -> None:
         if not self.closed:
             self.close()
-            self._on_lost(self, reason)
+            self._on_disconnected(self, reason)
 
     def _drop_outgoing(self) -> None:
         for packet in self._outgoing:
@@ -200,7 +200,7 @@
     def _receive(self, data: bytes, fds: list[int]) -> None:
         """Collect a packet, and give its message out once it is complete."""
         try:
-            message = self._collect(data)
+            message = self._assemble(data)
         except ValueError:
             _close_all(fds)
             raise
@@ -209,14 +209,14 @@
             return
         self._on_message(self, message, fds)
 
-    def _collect(self, data: bytes) -> dict[str, Any] | None:
+    def _assemble(self, data: bytes) -> dict[str, Any] | None:
         """The message that this packet completes; None if more follows."""
         marker = data[:1]
         self._fragments.append(data[1:])
-        if marker not in (MORE, LAST) or sum(map(len, self._fragments)) > MAX_MESSAGE_BYTES:
-            msg = f"a packet begins with {MORE!r} or {LAST!r}, and its message is of limited size"
+        if marker not in (PARTIAL_MARKER, FINAL_MARKER) or sum(map(len, self._fragments)) > MAX_MESSAGE_BYTES:
+            msg = f"a packet begins with {PARTIAL_MARKER!r} or {FINAL_MARKER!r}, and its message is of limited size"
             raise MalformedMessageError(msg)
-        if marker == MORE:
+        if marker == PARTIAL_MARKER:
             return None
         message = orjson.loads(b"".join(self._fragments))
         self._fragments = []
--- a/heronlug/lifecycle/hot_restart/handed_over_requests.py
+++ b/heronlug/lifecycle/hot_restart/handed_over_requests.py
@@ -13,7 +13,7 @@
 from heronlug.requests.model import Request
 
 
-class _Pausable(NamedTuple):
+class _PausableConnections(NamedTuple):
     """The connections of a request that can all be handed over now."""
 
     client: ClientConnection
@@ -43,10 +43,10 @@
     def _hand_over_request(self, request: Request) -> None:
         """Hand a request over that may outlast this process."""
         attempts = self._core.attempt_snapshots(request)
-        connections = self._pausable(request)
+        connections = self._pausable_connections(request)
         if attempts is None or connections is None:
             return
-        paused = [exchange.pause_for_handover() for exchange in connections.servers]
+        paused_exchanges = [exchange.pause_for_handover() for exchange in connections.servers]
         handover = RequestHandover(
             request=request.payload,
             give_up_at=request.give_up_at,
@@ -54,17 +54,19 @@
             policy=request.policy,
             not_before=self._core.not_before(request),
             attempts=attempts,
-            exchanges=[ExchangeState(answered=connection.answered, last=connection.last) for connection in paused],
+            exchanges=[
+                ExchangeState(answered=connection.answered, last=connection.last) for connection in paused_exchanges
+            ],
         )
         message = handover.encode(self._config.zones, self._config.kinds)
-        server_fds = [connection.fd for connection in paused]
+        server_fds = [connection.fd for connection in paused_exchanges]
         self._session.hand_over_request(message, [connections.client.pause_for_handover(), *server_fds])
         self._core.hand_over(request)
         connections.client.detach()
         for exchange in connections.servers:
             exchange.detach()
 
-    def _pausable(self, request: Request) -> _Pausable | None:
+    def _pausable_connections(self, request: Request) -> _PausableConnections | None:
         """The connections of a request; None while one of them is in the middle of a read or write."""
         client = request.payload.connection
         servers = [attempt.exchange for attempt in request.attempts if attempt.in_flight]
@@ -72,4 +74,4 @@
             return None
         if not all(exchange is not None and exchange.can_hand_over() for exchange in servers):
             return None
-        return _Pausable(client, servers)
+        return _PausableConnections(client, servers)
--- a/heronlug/lifecycle/hot_restart/inherited_sockets.py
+++ b/heronlug/lifecycle/hot_restart/inherited_sockets.py
@@ -13,13 +13,13 @@
 from heronlug.peers.datagrams import PeerSocket
 from heronlug.requests.deadlines import Deadlines
 
-PEERS_RETRY_MS = 500.0
+PEER_SOCKET_RETRY_MS = 500.0
 """Until the peers' address is tried again where another process holds it, in ms."""
-LISTENER = "listen"
+LISTENER_SOCKET = "listen"
 """Name of the clients' socket in the state that a process tells."""
-PEERS = "peers"
+PEER_SOCKET = "peers"
 """Name of the peers' socket in the state that a process tells."""
-SOCKET_TYPES = {PEERS: socket.SOCK_DGRAM, LISTENER: socket.SOCK_STREAM}
+SOCKET_TYPES = {PEER_SOCKET: socket.SOCK_DGRAM, LISTENER_SOCKET: socket.SOCK_STREAM}
 
 
 class InheritedSockets:
@@ -60,7 +60,7 @@
 
     def open_listener(self) -> None:
         """Open the clients' socket: inherited from the parent, handed over, or bound; raises ``OSError``."""
-        fd = self._inherited.pop(LISTENER, None)
+        fd = self._inherited.pop(LISTENER_SOCKET, None)
         try:
             if self._config.inherited_fd is not None:
                 self._listener.use(self._config.inherited_fd)
@@ -69,34 +69,34 @@
             else:
                 self._listener.bind(self._config.listen)
         finally:
-            unused = [*([fd] if fd is not None else []), *self._inherited.values()]
-            for left_over in unused:
-                os.close(left_over)
+            unused_fds = [*([fd] if fd is not None else []), *self._inherited.values()]
+            for unused_fd in unused_fds:
+                os.close(unused_fd)
             self._inherited.clear()
 
-    async def open_peers(self, wanted: Callable[[], bool]) -> None:
+    async def open_peers(self, is_wanted: Callable[[], bool]) -> None:
         """Open the peers' socket, again and again while another process holds its address and ``wanted`` is true."""
-        fd = self._inherited.pop(PEERS, None)
+        fd = self._inherited.pop(PEER_SOCKET, None)
         address = self._config.peer_listen
-        if address is None or not self._config.settings.gossip or self._peers.is_open or not wanted():
+        if address is None or not self._config.settings.gossip or self._peers.is_open or not is_wanted():
             if fd is not None:
                 os.close(fd)
             return
         if fd is not None:
             sock = socket.socket(fileno=fd)
         else:
-            bound = self._bind_peers(address, wanted)
-            if bound is None:
+            bound_socket = self._bind_peers(address, is_wanted)
+            if bound_socket is None:
                 return
-            sock = bound
+            sock = bound_socket
         sock.setblocking(False)
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self._peers, sock=sock)
 
-    def open_peers_later(self, wanted: Callable[[], bool]) -> None:
+    def open_peers_later(self, is_wanted: Callable[[], bool]) -> None:
         """Open the peers' socket in a task of its own."""
-        self._start(self.open_peers(wanted))
+        self._start_task(self.open_peers(is_wanted))
 
-    def _bind_peers(self, address: tuple[str, int], wanted: Callable[[], bool]) -> socket.socket | None:
+    def _bind_peers(self, address: tuple[str, int], is_wanted: Callable[[], bool]) -> socket.socket | None:
         """A socket on the peers' address; None while another process holds it, and then it is tried again."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -107,13 +107,13 @@
             if error.errno != errno.EADDRINUSE:
                 raise
             self._log("peers_unavailable", error=str(error))
-            self._deadlines.call_after(PEERS_RETRY_MS, self.open_peers_later, wanted)
+            self._deadlines.call_after(PEER_SOCKET_RETRY_MS, self.open_peers_later, is_wanted)
             self._turn()
             return None
         return sock
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/heronlug/lifecycle/hot_restart/messages.py
+++ b/heronlug/lifecycle/hot_restart/messages.py
@@ -41,7 +41,7 @@
     """The old process hands over a client's connection."""
     REQUEST = "message"
     """The old process hands over a request in progress, with its connections."""
-    NEWS = "news"
+    REQUEST_UPDATE = "news"
     """Either process has accepted or finished requests, or counts its slots in flight."""
     GOODBYE = "bye"
     """The old process has handed over everything and ends."""
@@ -76,21 +76,21 @@
 
 def request_opened(request_id: str) -> Message:
     """Say that a request was accepted."""
-    return {"kind": MessageKind.NEWS, "opened": [request_id]}
+    return {"kind": MessageKind.REQUEST_UPDATE, "opened": [request_id]}
 
 
 def request_ended(request_id: str) -> Message:
     """Say that a request was forgotten."""
-    return {"kind": MessageKind.NEWS, "ended": [request_id]}
+    return {"kind": MessageKind.REQUEST_UPDATE, "ended": [request_id]}
 
 
 def slot_counts(content: bytes) -> Message:
     """Pass on a peer message with the slots in flight."""
-    return {"kind": MessageKind.NEWS, "counts": content.hex()}
+    return {"kind": MessageKind.REQUEST_UPDATE, "counts": content.hex()}
 
 
 @dataclass(frozen=True)
-class News:
+class RequestUpdate:
     """What the other process tells about its requests.
 
     Attributes:
@@ -104,7 +104,7 @@
     counts: bytes | None
 
     @classmethod
-    def decode(cls, message: Message) -> "News":
+    def decode(cls, message: Message) -> "RequestUpdate":
         """Read news; raises ``TypeError`` or ``ValueError``."""
         counts = bytes.fromhex(message["counts"]) if "counts" in message else None
         return cls(_strings(message.get("opened")), _strings(message.get("ended")), counts)
--- a/heronlug/lifecycle/hot_restart/session.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -59,7 +59,7 @@
     def predecessor_ended(self) -> None:
         """The process before this one has ended."""
 
-    def receive_news(self, message: Message) -> None:
+    def receive_request_update(self, message: Message) -> None:
         """The other process has accepted or finished requests; raises ``TypeError`` or ``ValueError``."""
 
     def adopt_client(self, fd: int, served: bool) -> None:
@@ -93,9 +93,9 @@
         self._deadlines = deadlines
         self._log = log
         self._turn = turn
-        self._listening: socket.socket | None = None
-        self._state: asyncio.Future[ReceivedMessage | None] | None = None
-        self._goodbye: asyncio.Future[None] | None = None
+        self._listening_socket: socket.socket | None = None
+        self._received_state: asyncio.Future[ReceivedMessage | None] | None = None
+        self._goodbye_done: asyncio.Future[None] | None = None
         self._joining: set[PeerProcess] = set()  # they have connected and do not serve yet
         self.predecessor: PeerProcess | None = None
         self.successor: PeerProcess | None = None
@@ -107,12 +107,12 @@
         sock = channel.connect(self._path) if self._path else None
         if sock is None:
             return None
-        self._state = asyncio.get_running_loop().create_future()
-        self.predecessor = PeerProcess(sock, self._receive, self._lose)
+        self._received_state = asyncio.get_running_loop().create_future()
+        self.predecessor = PeerProcess(sock, self._receive, self._handle_disconnect)
         self.predecessor.send(messages.hello(self._name))
-        timeout = self._deadlines.call_after(STATE_TIMEOUT_MS, self._time_out, self.predecessor)
+        timeout = self._deadlines.call_after(STATE_TIMEOUT_MS, self._handle_state_timeout, self.predecessor)
         self._turn()
-        state = await self._state
+        state = await self._received_state
         self._deadlines.cancel(timeout)
         return state
 
@@ -133,11 +133,11 @@
             return
         self._stop_listening()
         try:
-            self._listening = channel.listen(self._path)
+            self._listening_socket = channel.listen(self._path)
         except OSError as error:
             self._log("handover_unavailable", error=str(error))
             return
-        asyncio.get_running_loop().add_reader(self._listening.fileno(), self._accept, self._listening)
+        asyncio.get_running_loop().add_reader(self._listening_socket.fileno(), self._accept, self._listening_socket)
 
     # -- the old process
 
@@ -160,61 +160,61 @@
         """Wait until the successor has read everything, for what is unread could be lost with this process."""
         if self.successor is None:
             return
-        self._goodbye = asyncio.get_running_loop().create_future()
+        self._goodbye_done = asyncio.get_running_loop().create_future()
         self.successor.send(messages.goodbye())
         timeout = self._deadlines.call_after(GOODBYE_TIMEOUT_MS, self._end_goodbye)
         self._turn()
-        await self._goodbye
+        await self._goodbye_done
         self._deadlines.cancel(timeout)
 
     def _end_goodbye(self) -> None:
-        if self._goodbye is not None and not self._goodbye.done():
-            self._goodbye.set_result(None)
+        if self._goodbye_done is not None and not self._goodbye_done.done():
+            self._goodbye_done.set_result(None)
 
     # -- both
 
-    def send_news(self, message: Message) -> None:
+    def send_request_update(self, message: Message) -> None:
         """Tell every connected process about requests of this one."""
-        for peer in self._peers():
-            peer.send(message)
+        for process in self._connected_processes():
+            process.send(message)
 
     def close(self) -> None:
         """Close all connections. The socket's file stays: another process may have put its own there."""
         self._stop_listening()
-        for peer in self._peers():
-            peer.close()
+        for process in self._connected_processes():
+            process.close()
 
-    def _peers(self) -> list[PeerProcess]:
-        return [peer for peer in (self.predecessor, self.successor, *self._joining) if peer is not None]
+    def _connected_processes(self) -> list[PeerProcess]:
+        return [process for process in (self.predecessor, self.successor, *self._joining) if process is not None]
 
     def _stop_listening(self) -> None:
-        if self._listening is not None:
-            asyncio.get_running_loop().remove_reader(self._listening.fileno())
-            self._listening.close()
-            self._listening = None
+        if self._listening_socket is not None:
+            asyncio.get_running_loop().remove_reader(self._listening_socket.fileno())
+            self._listening_socket.close()
+            self._listening_socket = None
 
-    def _accept(self, listening: socket.socket) -> None:
+    def _accept(self, listening_socket: socket.socket) -> None:
         try:
-            sock, _ = listening.accept()
+            sock, _ = listening_socket.accept()
         except OSError:
             return
         sock.setblocking(False)
         if len(self._joining) >= MAX_JOINING or not channel.is_same_user(sock):
             sock.close()
         else:
-            self._joining.add(PeerProcess(sock, self._receive, self._lose))
+            self._joining.add(PeerProcess(sock, self._receive, self._handle_disconnect))
 
-    def _receive(self, peer: PeerProcess, message: Message, fds: list[int]) -> None:
+    def _receive(self, process: PeerProcess, message: Message, fds: list[int]) -> None:
         """Handle a message; raises what is wrong with it, and then the connection ends."""
         received = ReceivedMessage(message, fds)
         try:
             kind = message["kind"]
-            if kind == MessageKind.NEWS:
-                self._handler.receive_news(message)
-            elif peer is self.predecessor:
-                self._receive_from_predecessor(peer, kind, received)
-            elif peer in self._joining:
-                self._receive_from_joining(peer, kind, message)
+            if kind == MessageKind.REQUEST_UPDATE:
+                self._handler.receive_request_update(message)
+            elif process is self.predecessor:
+                self._receive_from_predecessor(process, kind, received)
+            elif process in self._joining:
+                self._receive_from_joining(process, kind, message)
             else:
                 msg = f"{kind!r} is not expected"
                 raise UnexpectedMessageError(msg)
@@ -222,55 +222,55 @@
             received.close()
         self._turn()
 
-    def _receive_from_predecessor(self, peer: PeerProcess, kind: object, received: ReceivedMessage) -> None:
+    def _receive_from_predecessor(self, process: PeerProcess, kind: object, received: ReceivedMessage) -> None:
         """Handle what the old process sends."""
         message = received.message
-        if kind == MessageKind.STATE and self._state is not None and not self._state.done():
-            self._state.set_result(ReceivedMessage(message, received.take_fds()))
+        if kind == MessageKind.STATE and self._received_state is not None and not self._received_state.done():
+            self._received_state.set_result(ReceivedMessage(message, received.take_fds()))
         elif kind == MessageKind.CLIENT and len(received.fds) == 1:
             self._handler.adopt_client(received.fds[0], message["served"] is True)
             received.take_fds()
         elif kind == MessageKind.REQUEST and received.fds:
             self._handler.adopt_request(message, received.take_fds())
         elif kind == MessageKind.GOODBYE:
-            peer.close()
-            self._lose(peer, "parted")
+            process.close()
+            self._handle_disconnect(process, "parted")
         else:
             msg = f"{kind!r} is not expected from the process before"
             raise UnexpectedMessageError(msg)
 
-    def _receive_from_joining(self, peer: PeerProcess, kind: object, message: Message) -> None:
+    def _receive_from_joining(self, process: PeerProcess, kind: object, message: Message) -> None:
         """Handle what a new process sends."""
         if kind == MessageKind.HELLO:
             messages.check_hello(message, self._name)
             state, sockets = self._handler.state()
-            peer.send(state, sockets)
+            process.send(state, sockets)
         elif kind == MessageKind.SERVING and self.successor is None:
-            self._joining.discard(peer)
-            self.successor = peer
+            self._joining.discard(process)
+            self.successor = process
             self._log("handed_over")
             self._handler.successor_serves()
         else:
             msg = f"{kind!r} is not expected from a process that starts"
             raise UnexpectedMessageError(msg)
 
-    def _lose(self, peer: PeerProcess, reason: str) -> None:
+    def _handle_disconnect(self, process: PeerProcess, reason: str) -> None:
         """The connection with a process has ended."""
-        self._joining.discard(peer)
-        if peer is self.predecessor:
+        self._joining.discard(process)
+        if process is self.predecessor:
             self.predecessor = None
             self._log("partner_gone", which="before", why=reason)
-            if self._state is not None and not self._state.done():
-                self._state.set_result(None)
+            if self._received_state is not None and not self._received_state.done():
+                self._received_state.set_result(None)
             self._handler.predecessor_ended()
-        elif peer is self.successor and self._goodbye is not None:
+        elif process is self.successor and self._goodbye_done is not None:
             self._end_goodbye()
-        elif peer is self.successor:
+        elif process is self.successor:
             self.successor = None
             self._log("partner_gone", which="after", why=reason)
             self._handler.successor_lost()
         self._turn()
 
-    def _time_out(self, peer: PeerProcess) -> None:
-        peer.close()
-        self._lose(peer, "silent")
+    def _handle_state_timeout(self, process: PeerProcess) -> None:
+        process.close()
+        self._handle_disconnect(process, "silent")
--- a/heronlug/lifecycle/hot_restart/state_transfer.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -15,8 +15,8 @@
 from heronlug.lifecycle.hot_restart.adopted_requests import RequestAdopter
 from heronlug.lifecycle.hot_restart.channel import socket_path
 from heronlug.lifecycle.hot_restart.handed_over_requests import RequestSender
-from heronlug.lifecycle.hot_restart.inherited_sockets import LISTENER, PEERS, InheritedSockets
-from heronlug.lifecycle.hot_restart.messages import Message, News, ProcessState
+from heronlug.lifecycle.hot_restart.inherited_sockets import LISTENER_SOCKET, PEER_SOCKET, InheritedSockets
+from heronlug.lifecycle.hot_restart.messages import Message, ProcessState, RequestUpdate
 from heronlug.lifecycle.hot_restart.session import HotRestart
 from heronlug.net.listener import Listener
 from heronlug.peers.datagrams import PeerSocket
@@ -70,12 +70,14 @@
         self._deadlines = deadlines
         self.session = HotRestart(self, config.name, path, deadlines, parts.log, parts.turn)
         self._sockets = InheritedSockets(config, parts.listener, parts.peers, deadlines, parts.log, parts.turn)
-        self._adopter = RequestAdopter(
+        self._request_adopter = RequestAdopter(
             parts.core, parts.frontend, parts.backend, parts.discovery.client.parse_list, parts.log
         )
-        self._sender = RequestSender(config, parts.core, parts.frontend, parts.shutdown, self.session)
-        self._limits = SharedLimits(parts.frontend.max_connections, parts.backend.max_connections, parts.core.max_open)
-        self._state: ProcessState | None = None  # told by the process before, until it is used
+        self._request_sender = RequestSender(config, parts.core, parts.frontend, parts.shutdown, self.session)
+        self._total_limits = SharedLimits(
+            parts.frontend.max_connections, parts.backend.max_connections, parts.core.max_open
+        )
+        self._predecessor_state: ProcessState | None = None  # told by the process before, until it is used
 
     # -- the start of a process
 
@@ -93,12 +95,12 @@
             self.session.abandon_predecessor()
             return
         self._parts.core.requests.peer_process_ids.update(state.request_ids)
-        self._state = state
-        self._share_limits(2)
+        self._predecessor_state = state
+        self._divide_limits(2)
 
     async def open_peers(self) -> None:
         """Open the peers' socket; while another process holds its address, go on without and try again."""
-        await self._sockets.open_peers(self._speaks_to_peers)
+        await self._sockets.open_peers(self._uses_peer_socket)
 
     def open_listener(self) -> None:
         """Open the clients' socket; raises ``OSError``."""
@@ -107,9 +109,9 @@
     def use_state(self) -> None:
         """Use the state of the process before, or the cached or configured list; the list is then confirmed."""
         client = self._parts.discovery.client
-        state = self._state
-        self._state = None
-        entries = self._read_first_list(state)
+        state = self._predecessor_state
+        self._predecessor_state = None
+        entries = self._read_initial_list(state)
         client.has_list = bool(entries)
         client.on_update(ListKind.CACHED, entries)
         client.begin_freshness(state.list_valid_ms if state is not None else 0.0)
@@ -121,16 +123,16 @@
         except (ValueError, OverflowError) as error:
             self._parts.log("handover_failed", error=str(error))
 
-    def _read_first_list(self, state: ProcessState | None) -> list[ListedServer]:
+    def _read_initial_list(self, state: ProcessState | None) -> list[ListedServer]:
         """The servers of the first list that can be read: handed over, cached, or configured."""
         discovery = self._parts.discovery
-        handed_over = state is not None and state.endpoint_list is not None
-        cached = discovery.cache.load() if discovery.cache is not None and not handed_over else None
-        told = state.endpoint_list if state is not None else None
-        for known in (told, cached, self._parts.config.known):
-            if known is not None:
+        list_handed_over = state is not None and state.endpoint_list is not None
+        cached_list = discovery.cache.load() if discovery.cache is not None and not list_handed_over else None
+        handed_over_list = state.endpoint_list if state is not None else None
+        for encoded_list in (handed_over_list, cached_list, self._parts.config.known):
+            if encoded_list is not None:
                 try:
-                    discovery.client.version, _, entries = discovery.client.parse_list(known)
+                    discovery.client.version, _, entries = discovery.client.parse_list(encoded_list)
                 except EndpointListError as error:
                     self._parts.log("bad_known_list", error=str(error))
                 else:
@@ -147,7 +149,7 @@
     def state(self) -> tuple[Message, list[int]]:
         """All that a new process needs to know, and the sockets that it can use."""
         parts = self._parts
-        sockets = {LISTENER: parts.listener.fileno(), PEERS: parts.peers.fileno()}
+        sockets = {LISTENER_SOCKET: parts.listener.fileno(), PEER_SOCKET: parts.peers.fileno()}
         open_sockets = {name: fd for name, fd in sockets.items() if fd >= 0}
         state = ProcessState(
             endpoint_list=write_current_list(parts.core, parts.discovery.client, parts.config),
@@ -160,11 +162,11 @@
 
     def successor_serves(self) -> None:
         """Another process serves: idle clients go to it, and requests in progress end here."""
-        self._share_limits(2)
+        self._divide_limits(2)
         self._parts.listener.pause()
         self._parts.peers.close()
         self._parts.backend.close_idle()
-        self._parts.shutdown.hand_over(self._sender.hand_over)
+        self._parts.shutdown.hand_over(self._request_sender.hand_over)
 
     def successor_lost(self) -> None:
         """The process that had taken over has ended before this one: serve again."""
@@ -172,41 +174,41 @@
         self._parts.shutdown.hand_over(None)
         if not self._parts.shutdown.stopping:
             self._parts.listener.accept()
-        self._sockets.open_peers_later(self._speaks_to_peers)
+        self._sockets.open_peers_later(self._uses_peer_socket)
         self.session.listen()  # the other process had put its own socket in the file's place
 
     def predecessor_ended(self) -> None:
         """There is no other process of this dispatcher any more."""
         self._parts.core.peer_process_ended()
-        self._share_limits(1)
+        self._divide_limits(1)
 
-    def receive_news(self, message: Message) -> None:
+    def receive_request_update(self, message: Message) -> None:
         """The other process has accepted or finished requests; raises ``TypeError`` or ``ValueError``."""
-        news = News.decode(message)
+        update = RequestUpdate.decode(message)
         core = self._parts.core
-        core.requests.peer_process_ids.update(news.opened)
-        core.requests.peer_process_ids.difference_update(news.ended)
-        if news.counts is not None:
-            core.peer_message(core.settings.position, news.counts)
+        core.requests.peer_process_ids.update(update.opened)
+        core.requests.peer_process_ids.difference_update(update.ended)
+        if update.counts is not None:
+            core.peer_message(core.settings.position, update.counts)
 
     def adopt_client(self, fd: int, served: bool) -> None:
         """Go on with a client's connection."""
-        self._adopter.adopt_client(fd, served)
+        self._request_adopter.adopt_client(fd, served)
 
     def adopt_request(self, message: Message, fds: list[int]) -> None:
         """Go on with a request in progress."""
-        self._adopter.adopt_request(message, fds)
+        self._request_adopter.adopt_request(message, fds)
 
     def request_id_changed(self, request_id: str, opened: bool) -> None:
         """A request of this process was accepted, or forgotten."""
-        change = messages.request_opened if opened else messages.request_ended
-        self.session.send_news(change(request_id))
+        make_update = messages.request_opened if opened else messages.request_ended
+        self.session.send_request_update(make_update(request_id))
 
-    def _speaks_to_peers(self) -> bool:
+    def _uses_peer_socket(self) -> bool:
         return not self.session.handed_over
 
-    def _share_limits(self, processes: int) -> None:
+    def _divide_limits(self, processes: int) -> None:
         """Take this process's share of the limits."""
-        self._parts.frontend.max_connections = self._limits.clients // processes
-        self._parts.backend.max_connections = self._limits.servers // processes
-        self._parts.core.max_open = self._limits.requests // processes
+        self._parts.frontend.max_connections = self._total_limits.clients // processes
+        self._parts.backend.max_connections = self._total_limits.servers // processes
+        self._parts.core.max_open = self._total_limits.requests // processes
--- a/heronlug/lifecycle/log.py
+++ b/heronlug/lifecycle/log.py
@@ -79,11 +79,11 @@
             self._wake.wait()
             self._wake.clear()
             while self._lines:
-                self._write_some()
+                self._write_batch()
             if self._closing:
                 return
 
-    def _write_some(self) -> None:
+    def _write_batch(self) -> None:
         count = min(LINES_PER_WRITE, len(self._lines))
         data = b"".join(self._lines.popleft() for _ in range(count))
         try:
--- a/heronlug/lifecycle/operations.py
+++ b/heronlug/lifecycle/operations.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Figure:
+class Metric:
     """A figure without its value; names and texts stand in the pages for operators."""
 
     name: str
@@ -19,73 +19,73 @@
     help: str
 
 
-ANSWER_FIGURES = {
-    FinalAnswer.SERVED: Figure("success", "counter", "jobs served"),
-    FinalAnswer.REFUSED: Figure("overload", "counter", "jobs refused"),
-    FinalAnswer.FAILED: Figure("error", "counter", "jobs failed"),
+ANSWER_METRICS = {
+    FinalAnswer.SERVED: Metric("success", "counter", "jobs served"),
+    FinalAnswer.REFUSED: Metric("overload", "counter", "jobs refused"),
+    FinalAnswer.FAILED: Metric("error", "counter", "jobs failed"),
 }
 """The figures that are given by class."""
-DISPATCHES = Figure("dispatches", "counter", "attempts written whole to runners")
-CONCURRENT = Figure("concurrent", "gauge", "jobs taken and not yet ended")
-SERVERS = Figure("targets", "gauge", "runners in the list")
-EXCLUDED_SERVERS = Figure("targets_disabled", "gauge", "listed runners that are avoided now")
-EXCLUDED_ZONES = Figure("halls_left", "gauge", "halls that have failed as one and get no work, or not all of it yet")
-LOANS_REQUESTED = Figure("parts_asked", "counter", "parts of cold runners asked for")
-LOANS_GIVEN = Figure("parts_lent", "counter", "parts of cold runners lent to others")
-LOANS_USED = Figure("parts_used", "counter", "jobs sent on parts that others lent")
-POSTPONED = Figure("attempts_postponed", "counter", "attempts that waited until a list that had come was read")
-SLOW_EVENTS = Figure("slow_events", "counter", "events that held the loop up for 100 ms or more")
-QUEUED = Figure("waiting", "gauge", "jobs that wait for a runner")
-
-
-def figures(cores: Iterable[Core]) -> str:
+DISPATCHES = Metric("dispatches", "counter", "attempts written whole to runners")
+CONCURRENT = Metric("concurrent", "gauge", "jobs taken and not yet ended")
+SERVERS = Metric("targets", "gauge", "runners in the list")
+EXCLUDED_SERVERS = Metric("targets_disabled", "gauge", "listed runners that are avoided now")
+EXCLUDED_ZONES = Metric("halls_left", "gauge", "halls that have failed as one and get no work, or not all of it yet")
+LOANS_REQUESTED = Metric("parts_asked", "counter", "parts of cold runners asked for")
+LOANS_GIVEN = Metric("parts_lent", "counter", "parts of cold runners lent to others")
+LOANS_USED = Metric("parts_used", "counter", "jobs sent on parts that others lent")
+POSTPONED = Metric("attempts_postponed", "counter", "attempts that waited until a list that had come was read")
+SLOW_EVENTS = Metric("slow_events", "counter", "events that held the loop up for 100 ms or more")
+QUEUED = Metric("waiting", "gauge", "jobs that wait for a runner")
+
+
+def format_metrics(cores: Iterable[Core]) -> str:
     """The figures of all frontends together; each class is named from the start."""
     cores = list(cores)
     lines = [*_answer_lines(cores)]
-    for figure, value in _totals(cores):
-        lines += [*_head(figure), f"svc_{figure.name} {value}"]
+    for metric, value in _total_values(cores):
+        lines += [*_metric_header(metric), f"svc_{metric.name} {value}"]
     return "\n".join([*lines, ""])
 
 
 def _answer_lines(cores: list[Core]) -> Iterator[str]:
     """The final answers by class."""
     class_names = cores[0].class_names
-    for final, figure in ANSWER_FIGURES.items():
+    for final, metric in ANSWER_METRICS.items():
         counts = dict.fromkeys(class_names, 0)
         for core in cores:
             for index, name in enumerate(core.class_names):
                 counts[name] += core.answer_counts[index][final]
-        yield from _head(figure)
-        yield from (f'svc_{figure.name}{{type="{name}"}} {count}' for name, count in counts.items())
+        yield from _metric_header(metric)
+        yield from (f'svc_{metric.name}{{type="{name}"}} {count}' for name, count in counts.items())
 
 
-def _totals(cores: list[Core]) -> Iterator[tuple[Figure, int]]:
+def _total_values(cores: list[Core]) -> Iterator[tuple[Metric, int]]:
     """The figures that have one value, summed over the frontends."""
     server_counts = [core.server_counts() for core in cores]
-    rules = [core.dispatcher.rules for core in cores]
+    rule_sets = [core.dispatcher.rules for core in cores]
     yield DISPATCHES, sum(core.dispatches for core in cores)
     yield CONCURRENT, sum(core.requests.open_count for core in cores)
     yield SERVERS, sum(listed for listed, _ in server_counts)
     yield EXCLUDED_SERVERS, sum(excluded for _, excluded in server_counts)
-    yield EXCLUDED_ZONES, sum(each.zone_failover.zones_away for each in rules)
-    yield LOANS_REQUESTED, sum(each.shares.loans_requested for each in rules)
-    yield LOANS_GIVEN, sum(each.shares.loans_given for each in rules)
-    yield LOANS_USED, sum(each.shares.loans_used for each in rules)
+    yield EXCLUDED_ZONES, sum(rule_set.zone_failover.zones_away for rule_set in rule_sets)
+    yield LOANS_REQUESTED, sum(rule_set.shares.loans_requested for rule_set in rule_sets)
+    yield LOANS_GIVEN, sum(rule_set.shares.loans_given for rule_set in rule_sets)
+    yield LOANS_USED, sum(rule_set.shares.loans_used for rule_set in rule_sets)
     yield POSTPONED, sum(core.postponed for core in cores)
     yield SLOW_EVENTS, sum(core.events.slow_events for core in cores)
     yield QUEUED, sum(core.dispatcher.queue_length for core in cores)
 
 
-def _head(figure: Figure) -> Iterator[str]:
-    yield f"# HELP svc_{figure.name} {figure.help}"
-    yield f"# TYPE svc_{figure.name} {figure.kind}"
+def _metric_header(metric: Metric) -> Iterator[str]:
+    yield f"# HELP svc_{metric.name} {metric.help}"
+    yield f"# TYPE svc_{metric.name} {metric.kind}"
 
 
-def accept_figures(failures: dict[str, int]) -> str:
+def accept_failure_metrics(failures: dict[str, int]) -> str:
     """The lines on failed calls of ``accept``, by listener."""
-    figure = Figure("accept_failures", "counter", "calls of accept that failed")
-    lines = [f'svc_{figure.name}{{listener="{name}"}} {count}' for name, count in failures.items()]
-    return "\n".join([*_head(figure), *lines, ""])
+    metric = Metric("accept_failures", "counter", "calls of accept that failed")
+    lines = [f'svc_{metric.name}{{listener="{name}"}} {count}' for name, count in failures.items()]
+    return "\n".join([*_metric_header(metric), *lines, ""])
 
 
 class OperatorCalls:
@@ -97,14 +97,14 @@
         accepts_clients: Callable[[], bool],
         cores: Callable[[], list[Core]],
         log: Callable[..., None],
-        more_figures: Callable[[], str],
+        additional_metrics: Callable[[], str],
     ) -> None:
         """Answer for these parts; ``more_figures`` gives the lines that don't come from the cores."""
         self._shutdown = shutdown
         self._accepts_clients = accepts_clients
         self._cores = cores
         self._log = log
-        self._more_figures = more_figures
+        self._additional_metrics = additional_metrics
 
     def table(self) -> Calls:
         """The calls of the admin endpoint."""
@@ -121,7 +121,7 @@
 
     def stats(self) -> Answer:
         """All figures."""
-        return Answer(200, (figures(self._cores()) + self._more_figures()).encode())
+        return Answer(200, (format_metrics(self._cores()) + self._additional_metrics()).encode())
 
     def drain(self) -> Answer:
         """Send clients elsewhere."""
--- a/heronlug/lifecycle/peer_messages.py
+++ b/heronlug/lifecycle/peer_messages.py
@@ -31,7 +31,7 @@
     def send(self, content: bytes, peer: int) -> None:
         """Send a message to a peer, -1 for all; through the process that has taken over, once there is one."""
         if self.hot_restart.handed_over:
-            self.hot_restart.send_news(slot_counts(content))
+            self.hot_restart.send_request_update(slot_counts(content))
         else:
             self.socket.send(content, peer)
 
--- a/heronlug/lifecycle/readiness.py
+++ b/heronlug/lifecycle/readiness.py
@@ -34,7 +34,7 @@
     def ready(self) -> bool:
         """Whether requests can be served, here or by the process that has taken over."""
         accepts_clients = self.shutdown.accepts_clients or self.hot_restart.handed_over
-        return accepts_clients and (self.core.directory.can_serve or self._serves_unconfirmed())
+        return accepts_clients and (self.core.directory.can_serve or self._accepts_with_unconfirmed_list())
 
     def accepts_clients(self) -> bool:
         """Whether this process itself takes new clients."""
@@ -44,7 +44,7 @@
         """Whether each client's connection is closed after its next answer."""
         return self.shutdown.sends_clients_away()
 
-    def _serves_unconfirmed(self) -> bool:
+    def _accepts_with_unconfirmed_list(self) -> bool:
         """Whether clients are taken although the list is not confirmed: their requests wait for the confirmation."""
         unconfirmed = self._discovery.freshness.state is FreshnessState.UNCONFIRMED
         waited_ms = self.core.deadlines.clock() - self._started_at
--- a/heronlug/lifecycle/running_state.py
+++ b/heronlug/lifecycle/running_state.py
@@ -35,25 +35,25 @@
     def log(self) -> Callable[..., None]:
         """Where events are logged."""
 
-    async def open_faktory(self, terms: dict[str, Any]) -> OpenedListener:
+    async def open_faktory(self, table: dict[str, Any]) -> OpenedListener:
         """Bind the Faktory frontend's address, which is not served yet; raises ``OSError`` or ``ValueError``."""
 
     def use_faktory(self, listener: OpenedListener | None) -> None:
         """Serve on a listener, or with None on none."""
 
-    def drop_faktory(self, listener: OpenedListener) -> None:
+    def discard_faktory_listener(self, listener: OpenedListener) -> None:
         """Close a listener that was opened and is not in use."""
 
-    async def join_cluster(self, terms: State) -> None:
+    async def join_cluster(self, table: State) -> None:
         """Join a cluster; raises ``OSError`` or ``ValueError``."""
 
-    def cluster_view(self, what: str) -> list[dict[str, Any]]:
+    def cluster_view(self, view_name: str) -> list[dict[str, Any]]:
         """The members, or the periodic tasks; raises :class:`StateError` where there is no cluster."""
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """The zones, after an order for one of them; raises :class:`StateError`."""
 
-    def use_register(self, terms: State) -> None:
+    def use_discovery_options(self, table: State) -> None:
         """Pace and cache service discovery, from the start on."""
 
     def load_plugins(self, plugins: dict[str, PluginModule]) -> "list[Plugin]":
@@ -62,7 +62,7 @@
     def use_plugins(self, loaded: "list[Plugin] | None") -> None:
         """Use loaded plug-ins in place of those before."""
 
-    def use_level(self, level: str) -> None:
+    def use_log_level(self, level: str) -> None:
         """Log from this level on."""
 
     def broken_limits(self, classes: State) -> list[BrokenLimit]:
@@ -119,7 +119,7 @@
             changes = await run_in_background(difference, self.state, desired)
             self._check_restart_only(desired)
             prepared = await self._prepare(desired)
-            self._use(desired, prepared, classes)
+            self._activate(desired, prepared, classes)
             self.state = desired
             self._parts.log("applied", changes=changes)
             return changes
@@ -134,9 +134,9 @@
                 self.state = {**self.state, "classes": classes}
             return changes
 
-    def cluster_view(self, what: str) -> list[dict[str, Any]]:
+    def cluster_view(self, view_name: str) -> list[dict[str, Any]]:
         """The members or the periodic tasks of the cluster."""
-        return self._parts.cluster_view(what)
+        return self._parts.cluster_view(view_name)
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """The zones, after an operator's order for one of them if that was asked."""
@@ -146,15 +146,15 @@
         """The rules that limits would break."""
         return await run_in_background(self._parts.broken_limits, classes) if classes else []
 
-    def _changes(self, desired: State, key: str) -> bool:
+    def _is_changed(self, desired: State, key: str) -> bool:
         return bool(self.state.get(key, {}) != desired.get(key, {}))  # plans of earlier versions lack some keys
 
     def _check_restart_only(self, desired: State) -> None:
         """Raise :class:`StateError` for a change that needs a restart."""
-        if self._changes(desired, "cluster") and self.state["cluster"]:
+        if self._is_changed(desired, "cluster") and self.state["cluster"]:
             msg = "cluster: it changes with a restart alone; keys are read again by SIGHUP"
             raise StateError(msg)
-        if self._changes(desired, "register") and self.state is not EMPTY:
+        if self._is_changed(desired, "register") and self.state is not EMPTY:
             msg = "register: it changes with a restart alone"
             raise StateError(msg)
 
@@ -170,28 +170,28 @@
         modules = {name: _read_module(name, plugin) for name, plugin in desired["plugins"].items()}
         prepared = _Prepared()
         try:
-            if self._changes(desired, "plugins") and modules:
+            if self._is_changed(desired, "plugins") and modules:
                 prepared.plugins = self._parts.load_plugins(modules)
-            if self._changes(desired, "faktory") and desired["faktory"]:
+            if self._is_changed(desired, "faktory") and desired["faktory"]:
                 prepared.listener = await self._parts.open_faktory(desired["faktory"])
-            if self._changes(desired, "cluster"):
+            if self._is_changed(desired, "cluster"):
                 await self._parts.join_cluster(desired["cluster"])
         except (ValueError, OSError) as error:
             if prepared.listener is not None:
-                self._parts.drop_faktory(prepared.listener)
+                self._parts.discard_faktory_listener(prepared.listener)
             raise StateError(" ".join(str(error).split())) from error
         return prepared
 
-    def _use(self, desired: State, prepared: _Prepared, classes: tuple[RequestClass, ...]) -> None:
+    def _activate(self, desired: State, prepared: _Prepared, classes: tuple[RequestClass, ...]) -> None:
         """Put a change to use; nothing here can fail."""
-        if self._changes(desired, "register"):
-            self._parts.use_register(desired.get("register", {}))
-        if self._changes(desired, "plugins"):
+        if self._is_changed(desired, "register"):
+            self._parts.use_discovery_options(desired.get("register", {}))
+        if self._is_changed(desired, "plugins"):
             self._parts.use_plugins(prepared.plugins)
-        if self._changes(desired, "faktory"):
+        if self._is_changed(desired, "faktory"):
             self._parts.use_faktory(prepared.listener)
-        self._parts.use_level(desired["log_level"])
-        if self._changes(desired, "classes"):
+        self._parts.use_log_level(desired["log_level"])
+        if self._is_changed(desired, "classes"):
             self._parts.use_limits(classes)
 
 
--- a/heronlug/lifecycle/startup_signals.py
+++ b/heronlug/lifecycle/startup_signals.py
@@ -23,9 +23,9 @@
 
     def listen(self) -> None:
         """Note SIGHUP from now on, until the event loop has a handler of its own."""
-        signal.signal(signal.SIGHUP, self._note)
+        signal.signal(signal.SIGHUP, self._record_reload)
 
-    def _note(self, number: int, frame: FrameType | None) -> None:
+    def _record_reload(self, number: int, frame: FrameType | None) -> None:
         self.reload_requested = True
 
 
--- a/heronlug/lifecycle/zone_commands.py
+++ b/heronlug/lifecycle/zone_commands.py
@@ -38,24 +38,24 @@
         StateError: if the order cannot be carried out; nothing has changed.
     """
     _check_enabled(core)
-    what = request["do"]
-    name = request["hall"]
-    seconds = request.get("for_s")
-    if name not in zones:
-        msg = f"hall {name!r}: none is called so; there are {', '.join(zones)}"
+    order_name = request["do"]
+    zone = request["hall"]
+    duration_s = request.get("for_s")
+    if zone not in zones:
+        msg = f"hall {zone!r}: none is called so; there are {', '.join(zones)}"
         raise StateError(msg)
-    if what not in (*ORDERED_PHASES, RELEASE):
-        msg = f"{what!r} is no order for a hall"
+    if order_name not in (*ORDERED_PHASES, RELEASE):
+        msg = f"{order_name!r} is no order for a hall"
         raise StateError(msg)
-    if seconds is not None and not 0 < float(seconds) <= MAX_ORDER_S:
-        msg = f"--for {seconds}: more than 0 and at most {MAX_ORDER_S:g} seconds"
+    if duration_s is not None and not 0 < float(duration_s) <= MAX_ORDER_S:
+        msg = f"--for {duration_s}: more than 0 and at most {MAX_ORDER_S:g} seconds"
         raise StateError(msg)
     now = core.deadlines.clock()
-    until = now + 1000.0 * float(seconds) if seconds is not None else float("inf")
+    until = now + 1000.0 * float(duration_s) if duration_s is not None else float("inf")
     try:
-        core.dispatcher.rules.zone_failover.order(zones.index(name), ORDERED_PHASES.get(what), until, now)
+        core.dispatcher.rules.zone_failover.order(zones.index(zone), ORDERED_PHASES.get(order_name), until, now)
     except ZoneOrderError as error:
-        msg = f"hall {name}: {error}"
+        msg = f"hall {zone}: {error}"
         raise StateError(msg) from error
     return view(core, zones)
 
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -27,84 +27,107 @@
 SETTINGS = with_settings(reports_start=True, report_fields=(), gossip=True, instances=2)
 
 
-def table(host: Host) -> Any:
+def decoded_snapshot(host: Host) -> Any:
     """What a host's dispatcher has learned, as it comes out at the other end."""
     return json.loads(json.dumps(host.dispatcher.snapshot()))
 
 
-class Learned(unittest.TestCase):
-    def busy(self) -> Host:
+class SnapshotTransfer(unittest.TestCase):
+    def host_with_traffic(self) -> Host:
         host = Host(SETTINGS, workers=4)
         for number in range(60):
-            job = host.job(0)
-            host.now += 5 + 10 * (host.sent[job][0] % 3)
+            request_id = host.job(0)
+            host.now += 5 + 10 * (host.sent[request_id][0] % 3)
             if number == 30:
-                host.end(job, 0, Outcome.ERROR)
-            host.end(job, len(host.sent[job]) - 1)
+                host.end(request_id, 0, Outcome.ERROR)
+            host.end(request_id, len(host.sent[request_id]) - 1)
         return host
 
-    def test_new_process_goes_on_as_the_old_one_would(self) -> None:
+    def test_new_process_resumes_with_the_learned_state_of_the_old_one(self) -> None:
         """Guards against an upgrade that begins by sending to what fails, or over a cold worker's budget."""
-        old, new = self.busy(), Host(SETTINGS, seed=2, workers=4)
-        job = old.job(2)
+        old, new = self.host_with_traffic(), Host(SETTINGS, seed=2, workers=4)
+        request_id = old.job(2)
         new.now = old.now
-        new.dispatcher.resume(table(old), new.now)
-        here, there = new.dispatcher, old.dispatcher
-        there.rules.rerank(old.now)
-        assert [w.id for w in here.rules.ranking.servers] == [w.id for w in there.rules.ranking.servers]
-        assert here.avoided_servers(new.now) == there.avoided_servers(old.now)
-        assert there.avoided_servers(old.now)
-        assert here.rules.retry_budget.level == there.rules.retry_budget.level
-        worker = old.sent[job][0]
-        assert here.state.servers.by_id[worker].load.peer_slots == 1  # what is out there is out here too
-        work = [host.dispatcher.state.servers.by_id[worker].slow_start.recent_work.total(0) for host in (old, new)]
-        assert work[0] == work[1]
+        new.dispatcher.resume(decoded_snapshot(old), new.now)
+        new_dispatcher, old_dispatcher = new.dispatcher, old.dispatcher
+        old_dispatcher.rules.rerank(old.now)
+        assert [server.id for server in new_dispatcher.rules.ranking.servers] == [
+            server.id for server in old_dispatcher.rules.ranking.servers
+        ]
+        assert new_dispatcher.avoided_servers(new.now) == old_dispatcher.avoided_servers(old.now)
+        assert old_dispatcher.avoided_servers(old.now)
+        assert new_dispatcher.rules.retry_budget.level == old_dispatcher.rules.retry_budget.level
+        server_id = old.sent[request_id][0]
+        assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 1  # what is out there is out here too
+        recent_work = [
+            host.dispatcher.state.servers.by_id[server_id].slow_start.recent_work.total(0) for host in (old, new)
+        ]
+        assert recent_work[0] == recent_work[1]
         new.give(PeerGone(SETTINGS.position))
-        assert here.state.servers.by_id[worker].load.peer_slots == 0
+        assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 0
 
-    def test_table_that_makes_no_sense_changes_nothing(self) -> None:
-        whole = table(self.busy())
+    def test_malformed_snapshot_changes_nothing(self) -> None:
+        valid_snapshot = decoded_snapshot(self.host_with_traffic())
         new = Host(SETTINGS, seed=2, workers=4)
-        before = table(new)
-        wrong: list[Any] = [None, [], {}, {**whole, "all": whole["all"][1:]}, {**whole, "retries": "many"}]
-        wrong += [{key: value for key, value in whole.items() if key != name} for name in whole if name != "halls"]
-        wrong += [{**whole, "workers": [[1, 0.0, 1, [], *["x"] * 8]]}, {**whole, "kinds": [[0, 1.0]]}]
-        wrong += [{**whole, "halls": [[0, phase, 1.0, stage, 0, 0.0]]} for phase, stage in (("lost", 0), ("left", 9))]
-        for each in wrong:
+        before = decoded_snapshot(new)
+        malformed_snapshots: list[Any] = [
+            None,
+            [],
+            {},
+            {**valid_snapshot, "all": valid_snapshot["all"][1:]},
+            {**valid_snapshot, "retries": "many"},
+        ]
+        malformed_snapshots += [
+            {key: value for key, value in valid_snapshot.items() if key != name}
+            for name in valid_snapshot
+            if name != "halls"
+        ]
+        malformed_snapshots += [
+            {**valid_snapshot, "workers": [[1, 0.0, 1, [], *["x"] * 8]]},
+            {**valid_snapshot, "kinds": [[0, 1.0]]},
+        ]
+        malformed_snapshots += [
+            {**valid_snapshot, "halls": [[0, phase, 1.0, stage, 0, 0.0]]} for phase, stage in (("lost", 0), ("left", 9))
+        ]
+        for malformed in malformed_snapshots:
             with pytest.raises(SnapshotError):
-                new.dispatcher.resume(each, new.now)
-        assert table(new) == before
+                new.dispatcher.resume(malformed, new.now)
+        assert decoded_snapshot(new) == before
 
 
-class Adopted(unittest.TestCase):
-    def test_running_job_goes_on_and_its_rules_with_it(self) -> None:
+class RequestAdoption(unittest.TestCase):
+    def test_adopted_request_keeps_its_attempt_and_its_retry_rules(self) -> None:
         """Guards against a second run of what must run once, and against a verdict on a host by who leaves."""
-        for lane, effect, again in ((0, Effect.IDEMPOTENT, True), (2, Effect.NON_IDEMPOTENT, False)):
+        for class_index, effect, retries in ((0, Effect.IDEMPOTENT, True), (2, Effect.NON_IDEMPOTENT, False)):
             old, new = Host(SETTINGS, workers=3), Host(SETTINGS, seed=2, workers=3)
-            job = old.job(lane)
-            passed = old.dispatcher.attempt_snapshots(job)
-            assert passed is not None
-            assert len(passed) == 1
-            n = {w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()}
-            old.give(RequestHandedOver(job))
-            assert [w.load.own_slots for w in old.dispatcher.state.servers.by_id.values()] == [0, 0, 0]
-            assert {w.id: w.payoff.count for w in old.dispatcher.state.servers.by_id.values()} == n
+            request_id = old.job(class_index)
+            handed_over = old.dispatcher.attempt_snapshots(request_id)
+            assert handed_over is not None
+            assert len(handed_over) == 1
+            payoff_counts = {server.id: server.payoff.count for server in old.dispatcher.state.servers.by_id.values()}
+            old.give(RequestHandedOver(request_id))
+            assert [server.load.own_slots for server in old.dispatcher.state.servers.by_id.values()] == [0, 0, 0]
+            assert {
+                server.id: server.payoff.count for server in old.dispatcher.state.servers.by_id.values()
+            } == payoff_counts
             old.until(old.now + 9000)
             assert not old.answered
-            arrived = RequestArrived(7, lane, new.now + 4000)
-            out = new.dispatcher.handle(new.now, RequestAdopted(arrived, new.now - 100, passed))
-            assert not [action for action in out if isinstance(action, StartAttempt)]
-            assert new.dispatcher.state.servers.by_id[passed[0].server].load.own_slots == 1
-            ended = AttemptEnded(7, 0, passed[0].server, Outcome.RESET, 100.0, False)
-            out = new.dispatcher.handle(new.now, ended)
-            assert any(isinstance(action, StartAttempt) for action in out) == again, effect
-
-    def test_job_without_an_attempt_is_placed(self) -> None:
+            arrived = RequestArrived(7, class_index, new.now + 4000)
+            actions = new.dispatcher.handle(new.now, RequestAdopted(arrived, new.now - 100, handed_over))
+            assert not [action for action in actions if isinstance(action, StartAttempt)]
+            assert new.dispatcher.state.servers.by_id[handed_over[0].server].load.own_slots == 1
+            ended = AttemptEnded(7, 0, handed_over[0].server, Outcome.RESET, 100.0, False)
+            actions = new.dispatcher.handle(new.now, ended)
+            assert any(isinstance(action, StartAttempt) for action in actions) == retries, effect
+
+    def test_adopted_request_without_an_attempt_is_placed(self) -> None:
         new = Host(SETTINGS, workers=3)
-        out = new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 2, new.now + 4000), new.now - 100, ()))
-        assert [action for action in out if isinstance(action, StartAttempt | Reject)]
+        actions = new.dispatcher.handle(
+            new.now, RequestAdopted(RequestArrived(7, 2, new.now + 4000), new.now - 100, ())
+        )
+        assert [action for action in actions if isinstance(action, StartAttempt | Reject)]
 
-    def test_request_comes_out_as_it_went_in(self) -> None:
+    def test_handed_over_request_is_decoded_unchanged(self) -> None:
         request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=%ff\xfe", bytes(range(256))
         request.headers, request.request_id, request.class_index = {b"x-txn": b"t", b"x-labels": b"\xe4=1"}, "t", 2
@@ -114,7 +137,7 @@
             assert getattr(other, name) == getattr(request, name)
 
 
-class Transport:
+class OpenTransport:
     """Takes all, and never closes."""
 
     def is_closing(self) -> bool:
@@ -133,7 +156,7 @@
         return self
 
 
-class TornAnswers(unittest.TestCase):
+class SplitAnswers(unittest.TestCase):
     LINES = (
         b'{"id":"t","state":"started"}\n',
         b'{"id":"t","state":"running","share":0.5}\n',
@@ -143,23 +166,23 @@
     def connection(self) -> tuple[Core, list[bytes], ServerConnection, Any]:
         now, answers = [1e12], list[bytes]()
 
-        class Front:
-            def send(self, relay: Any) -> None:
-                relays.append(relay)
+        class RecordingTransport:
+            def send(self, attempt: Any) -> None:
+                attempts.append(attempt)
 
-            def cancel(self, relay: Any) -> None:
+            def cancel(self, attempt: Any) -> None:
                 pass
 
-            def client_waits(self, message: Any) -> bool:
+            def client_waits(self, request: Any) -> bool:
                 return True
 
-            def answer(self, message: Any, final: Any, body: bytes, come_back: float) -> None:
+            def answer(self, request: Any, final: Any, body: bytes, retry_after: float) -> None:
                 answers.append(final.value.encode() + b" " + body)
 
-        relays: list[Any] = []
+        attempts: list[Any] = []
         deadlines = Deadlines(lambda: now[0])
-        lane = RequestClass(latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT)
-        core = Core(with_settings(classes=(lane,)), 1, cast(Any, Front()), deadlines)
+        request_class = RequestClass(latency_objective=200, deadline=5000, effect=Effect.IDEMPOTENT)
+        core = Core(with_settings(classes=(request_class,)), 1, cast(Any, RecordingTransport()), deadlines)
         pool = ConnectionPool(
             deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
         )
@@ -168,62 +191,62 @@
         request = HttpRequest()
         request.method, request.target, request.request_id, request.class_index = b"POST", b"/x", "t", 0
         core.accept(request, 0, 4000.0, request_id="t")
-        connection = ServerConnection(pool, relays[0].server, "127.0.0.1:9")
+        connection = ServerConnection(pool, attempts[0].server, "127.0.0.1:9")
         connection.handle = pool.connections.add(connection)
-        connection.transport = cast(Any, Transport())
-        return core, answers, connection, relays[0]
+        connection.transport = cast(Any, OpenTransport())
+        return core, answers, connection, attempts[0]
 
-    def test_wherever_it_is_read_on_the_answer_is_the_same(self) -> None:
+    def test_answer_is_the_same_wherever_the_handover_splits_the_response(self) -> None:
         """Guards against a line or a chunk torn between two processes, which would end the relay as an error."""
         first_line, *others = self.LINES
-        for pieces in (self.LINES, (first_line[:9], first_line[9:], *others)):
-            body = b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
+        for chunks in (self.LINES, (first_line[:9], first_line[9:], *others)):
+            body = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
             data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body + b"0\r\n\r\n"
-            passed = []
-            for cut in range(len(data)):
-                _, answers, first, relay = self.connection()
-                first.write(relay)
-                if cut:
-                    first.data_received(data[:cut])
-                if not first.can_hand_over():
+            handed_over = []
+            for split_at in range(len(data)):
+                _, answers, first_connection, attempt = self.connection()
+                first_connection.write(attempt)
+                if split_at:
+                    first_connection.data_received(data[:split_at])
+                if not first_connection.can_hand_over():
                     continue
-                passed.append(cut)
-                _, answers, second, relay = self.connection()
-                second.resume(relay, cut > 0, False)
-                second.data_received(data[cut:])
-                assert answers == [b"served ok"], cut
+                handed_over.append(split_at)
+                _, answers, second_connection, attempt = self.connection()
+                second_connection.resume(attempt, split_at > 0, False)
+                second_connection.data_received(data[split_at:])
+                assert answers == [b"served ok"], split_at
             head = data.index(b"\r\n\r\n") + 4
-            assert passed[:2] == [0, head]
-            assert len(passed) == 4  # before it, after the head, and after two lines; with the third it ends
+            assert handed_over[:2] == [0, head]
+            assert len(handed_over) == 4  # before it, after the head, and after two lines; with the third it ends
 
 
-class Parted(unittest.IsolatedAsyncioTestCase):
-    async def test_what_a_partner_passed_on_before_it_ended_is_not_lost(self) -> None:
+class ProcessEnd(unittest.IsolatedAsyncioTestCase):
+    async def test_messages_sent_before_the_other_process_ended_are_received(self) -> None:
         """A process that ends with news unread resets the socket, and the reset is told before what it has sent."""
         for sends in (False, True):
-            ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            ours.setblocking(False)
-            got: list[tuple[dict[str, Any], int]] = []
+            own_socket, other_socket = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+            own_socket.setblocking(False)
+            received: list[tuple[dict[str, Any], int]] = []
             ended = asyncio.get_running_loop().create_future()
 
-            def told(_: PeerProcess, message: dict[str, Any], fds: list[int], got: Any = got) -> None:
-                got.append((message, len(fds)))
+            def on_message(_: PeerProcess, message: dict[str, Any], fds: list[int], received: Any = received) -> None:
+                received.append((message, len(fds)))
                 for fd in fds:
                     os.close(fd)
 
-            partner = PeerProcess(ours, told, lambda _, why, ended=ended: ended.set_result(why))  # type: ignore[misc]
-            partner.send({"news": 1})
+            other_process = PeerProcess(own_socket, on_message, lambda _, why, ended=ended: ended.set_result(why))  # type: ignore[misc]
+            other_process.send({"news": 1})
             for number in range(3):
-                socket.send_fds(theirs, [b'.{"n":%d}' % number], [theirs.fileno()])
-            theirs.close()
+                socket.send_fds(other_socket, [b'.{"n":%d}' % number], [other_socket.fileno()])
+            other_socket.close()
             if sends:
-                partner.send({"news": 2})
+                other_process.send({"news": 2})
             assert await asyncio.wait_for(ended, 10) == "closed"
-            assert got == [({"n": number}, 1) for number in range(3)]
+            assert received == [({"n": number}, 1) for number in range(3)]
 
 
-class Peering(unittest.TestCase):
-    def test_counts_of_the_process_before_are_its_own(self) -> None:
+class PeerSlots(unittest.TestCase):
+    def test_slot_counts_of_the_predecessor_replace_the_handed_over_counts(self) -> None:
         """What it tells counts as told by ourselves, for no peer has our position."""
         new = Host(SETTINGS, workers=2)
         new.dispatcher.state.peer_load.set_counts(0, {1: 3}, new.dispatcher.state.servers.by_id, new.now)
@@ -234,9 +257,9 @@
         new.give(PeerMessage(0, content))
         assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 1
 
-    def test_attempt_at_a_worker_that_is_listed_no_more(self) -> None:
+    def test_adopted_attempt_counts_at_a_removed_server(self) -> None:
         new = Host(SETTINGS, workers=2)
         new.listed(ListKind.CHANGES, (ServerEntry(9), *entries(2)))
-        passed = (AttemptSnapshot(9, new.now, True, True, True, new.now),)
-        new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 0, new.now + 4000), new.now, passed))
+        handed_over = (AttemptSnapshot(9, new.now, True, True, True, new.now),)
+        new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 0, new.now + 4000), new.now, handed_over))
         assert new.dispatcher.state.servers.by_id[9].load.own_attempts == 1
--- a/tests/lifecycle/test_plan_and_apply.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -16,17 +16,21 @@
 from heronlug.requests.model import FinalAnswer
 from heronlug.standins.ports import free_port
 
-WORDS = (FOLDER / "words.txt").read_text()
-REFUSE_ONCE = """(module (func (export "admit") (param i32 f64 i32) (result i32) local.get 0 i32.const 1 i32.ne))"""
-TRAP = """(module (func (export "admit") (param i32 f64 i32) (result i32) unreachable))"""
-SPIN = """(module (func (export "observe") (param i32 i32 f64) (loop br 0)))"""
-GREEDY = """(module (memory 1) (func (export "admit") (param i32 f64 i32) (result i32) i32.const 1000 memory.grow))"""
-BIG = """(module (memory 1000) (func (export "observe") (param i32 i32 f64)))"""
-IMPORTS = """(module (import "env" "f" (func)) (func (export "observe") (param i32 i32 f64)))"""
-OTHER = """(module (func (export "admit") (param i32) (result i32) local.get 0))"""
-
-
-def load(text: str, fuel: int = 10_000) -> tuple[PluginHost, list[str]]:
+EXCHANGE_WORDS = (FOLDER / "words.txt").read_text()
+REJECT_CLASS_1_MODULE = (
+    """(module (func (export "admit") (param i32 f64 i32) (result i32) local.get 0 i32.const 1 i32.ne))"""
+)
+TRAP_MODULE = """(module (func (export "admit") (param i32 f64 i32) (result i32) unreachable))"""
+ENDLESS_LOOP_MODULE = """(module (func (export "observe") (param i32 i32 f64) (loop br 0)))"""
+MEMORY_GROWING_MODULE = (
+    """(module (memory 1) (func (export "admit") (param i32 f64 i32) (result i32) i32.const 1000 memory.grow))"""
+)
+LARGE_MEMORY_MODULE = """(module (memory 1000) (func (export "observe") (param i32 i32 f64)))"""
+IMPORTING_MODULE = """(module (import "env" "f" (func)) (func (export "observe") (param i32 i32 f64)))"""
+WRONG_SIGNATURE_MODULE = """(module (func (export "admit") (param i32) (result i32) local.get 0))"""
+
+
+def host_with_plugin(text: str, fuel: int = 10_000) -> tuple[PluginHost, list[str]]:
     """A host with one plug-in, and what it logs."""
     logged: list[str] = []
     host = PluginHost(lambda event, **fields: logged.append(event))
@@ -34,31 +38,31 @@
     return host, logged
 
 
-class Hooks(unittest.TestCase):
+class PluginHooks(unittest.TestCase):
     def test_admit_decides_by_class(self) -> None:
-        host, logged = load(REFUSE_ONCE)
-        assert [host.admit(lane, 500.0, 10) for lane in (0, 1, 2)] == [True, False, True]
+        host, logged = host_with_plugin(REJECT_CLASS_1_MODULE)
+        assert [host.admit(class_index, 500.0, 10) for class_index in (0, 1, 2)] == [True, False, True]
         host.observe(0, FinalAnswer.SERVED, 1.0)
         assert logged == []
 
-    def test_trap_and_spent_fuel_disable_the_plugin_and_admit(self) -> None:
-        for text in (TRAP, SPIN):
-            host, logged = load(text)
+    def test_plugin_that_traps_or_spends_its_fuel_is_disabled_and_requests_are_admitted(self) -> None:
+        for text in (TRAP_MODULE, ENDLESS_LOOP_MODULE):
+            host, logged = host_with_plugin(text)
             assert host.admit(1, 500.0, 10)
             host.observe(1, FinalAnswer.FAILED, 3.0)
             assert host.admit(1, 500.0, 10)
             assert logged == ["hook_disabled"]
 
     def test_memory_is_bounded(self) -> None:
-        host, _ = load(GREEDY)
+        host, _ = host_with_plugin(MEMORY_GROWING_MODULE)
         assert host.admit(1, 500.0, 10)  # growing fails with -1, which is not 0
         with pytest.raises(PluginError):
-            load(BIG)
+            host_with_plugin(LARGE_MEMORY_MODULE)
 
-    def test_what_cannot_be_used_is_not_loaded(self) -> None:
-        for text in (IMPORTS, OTHER, "(module)"):
+    def test_unusable_module_is_not_loaded(self) -> None:
+        for text in (IMPORTING_MODULE, WRONG_SIGNATURE_MODULE, "(module)"):
             with pytest.raises(PluginError):
-                load(text)
+                host_with_plugin(text)
 
 
 class PlanAndApply(unittest.TestCase):
@@ -68,59 +72,59 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        (self.folder / "p.wasm").write_bytes(wasmtime.wat2wasm(REFUSE_ONCE))
+        (self.folder / "p.wasm").write_bytes(wasmtime.wat2wasm(REJECT_CLASS_1_MODULE))
         self.port = free_port()
-        self.file = self.write("a.toml", self.port)
+        self.file = self.write_config("a.toml", self.port)
 
-    def write(self, name: str, port: int, rest: str = "") -> Path:
+    def write_config(self, name: str, port: int, rest: str = "") -> Path:
         path = self.folder / name
         plugin = '[[plugin]]\nname = "p"\nfile = "p.wasm"\n'
         path.write_text(f'log_level = "debug"\n[faktory]\nlisten = "127.0.0.1:{port}"\n{plugin}{rest}')
         return path
 
-    def call(self, *words: object) -> tuple[int, str, str]:
+    def run_command(self, *words: object) -> tuple[int, str, str]:
         environ = {**os.environ, "HERONLUG_CONTROL": self.player.control_path}
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "heronlug", *map(str, words)], env=environ, capture_output=True, text=True
         )
-        return done.returncode, done.stdout, done.stderr
+        return process.returncode, process.stdout, process.stderr
 
-    def test_plan_then_apply_then_nothing_to_do(self) -> None:
+    def test_applied_plan_leaves_nothing_to_do(self) -> None:
         plan = self.folder / "plan.json"
-        status, out, _ = self.call("plan", self.file, "--save", plan)
+        status, output, _ = self.run_command("plan", self.file, "--save", plan)
         assert status == 0
         assert (
-            out == "~ log_level: info -> debug\n+ faktory listener\n+ plugin p\n"
+            output == "~ log_level: info -> debug\n+ faktory listener\n+ plugin p\n"
             "Plan: 2 to add, 1 to change, 0 to remove.\n"
         )
-        assert "Applied." in self.call("apply", plan)[1]
-        assert self.call("apply", plan)[:2] == (0, "Nothing to do.\n")
-        assert self.call("plan", self.file)[1] == "Nothing to do.\n"
+        assert "Applied." in self.run_command("apply", plan)[1]
+        assert self.run_command("apply", plan)[:2] == (0, "Nothing to do.\n")
+        assert self.run_command("plan", self.file)[1] == "Nothing to do.\n"
         self.player.faktory_address = f"127.0.0.1:{self.port}"
         self.player.play(
-            WORDS + 'f1 < {hi}\nf1 > HELLO {"v":2}\\r\\n{push job-0001 once}\n'
+            EXCHANGE_WORDS + 'f1 < {hi}\nf1 > HELLO {"v":2}\\r\\n{push job-0001 once}\n'
             "f1 < +OK\\r\\n-ERR refused, come back later\\r\\n\n"  # the plug-in has it refused, on both fronts
             "c1 > {post t1 once 4000}\nc1 < {refused}\n"
         )
-        assert self.call("apply", self.write("b.toml", free_port()))[0] == 0
-        status, out, error = self.call("apply", plan)
-        assert (status, out) == (1, "")
+        assert self.run_command("apply", self.write_config("b.toml", free_port()))[0] == 0
+        status, output, error = self.run_command("apply", plan)
+        assert (status, output) == (1, "")
         assert error == "heronlug: the plan is stale: the running state has changed since it was made\n"
 
-    def test_all_or_nothing(self) -> None:
-        taken = self.player.standins.listeners["h1"].getsockname()[1]
-        status, _, error = self.call("apply", self.write("b.toml", taken))
+    def test_failed_apply_changes_nothing(self) -> None:
+        used_port = self.player.standins.listeners["h1"].getsockname()[1]
+        status, _, error = self.run_command("apply", self.write_config("b.toml", used_port))
         assert (status, error.count("\n")) == (1, 1)
-        out = self.call("plan", self.file)[1]
-        assert "Plan: 2 to add, 1 to change, 0 to remove." in out  # nothing of it has been done
+        output = self.run_command("plan", self.file)[1]
+        assert "Plan: 2 to add, 1 to change, 0 to remove." in output  # nothing of it has been done
 
     def test_changed_module_makes_the_plan_stale(self) -> None:
         plan = self.folder / "plan.json"
-        self.call("plan", self.file, "--save", plan)
-        (self.folder / "p.wasm").write_bytes(wasmtime.wat2wasm(TRAP))
-        assert "plugin p: the plan is stale" in self.call("apply", plan)[2]
+        self.run_command("plan", self.file, "--save", plan)
+        (self.folder / "p.wasm").write_bytes(wasmtime.wat2wasm(TRAP_MODULE))
+        assert "plugin p: the plan is stale" in self.run_command("apply", plan)[2]
 
-    def test_bad_file_names_file_and_key(self) -> None:
+    def test_error_for_a_bad_file_names_file_line_and_key(self) -> None:
         for rest, line, key in (
             ("fuel = 'x'", 7, "plugin.0.fuel: 'x' is no number"),
             ("fule = 1", 7, "plugin.0.fule: unknown key"),
@@ -130,15 +134,15 @@
             ("[class.once]\nattempts = 4", 8, "class.once.attempts: 4 attempts, and the site allows 3"),
             ("[class.none]\nattempts = 2", 7, "class.none: the site has no such class"),
         ):
-            path = self.write("bad.toml", self.port, rest)
-            status, _, error = self.call("plan", path)
+            path = self.write_config("bad.toml", self.port, rest)
+            status, _, error = self.run_command("plan", path)
             assert (status, error.count("\n")) == (1, 1)
             assert f"{path}:{line}: {key}" in error
         plan = self.folder / "plan.json"
         plan.write_text(json.dumps({"base": 1}))
-        assert self.call("apply", plan)[0] == 1
+        assert self.run_command("apply", plan)[0] == 1
 
-    def test_only_our_user_may_open_the_control_socket(self) -> None:
+    def test_only_the_same_user_can_open_the_control_socket(self) -> None:
         assert Path(self.player.control_path).stat().st_mode & 63 == 0
 
 
