--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m heronlug``: one real dispatcher, as the environment tells; with words, the command line."""
+"""Entry point of ``python -m heronlug``: runs a dispatcher as the environment configures, or a command."""
 
 import os
 import sys
@@ -7,7 +7,7 @@
 from heronlug.lifecycle.startup_signals import startup_signals
 
 if sys.argv[1:2] in ([], ["serve"]):
-    startup_signals.listen()  # before the imports below, which take most of the start
+    startup_signals.listen()  # before the imports below, which take most of the start-up time
 
 from heronlug.config.desired_state import State, StateError
 from heronlug.config.files import Files
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Start; the exit status is 2 for a configuration that cannot be used."""
+    """Runs the command of the arguments, or a dispatcher without arguments; returns the exit status."""
     if sys.argv[1:]:
         from heronlug.cli import main as run_command
 
@@ -24,7 +24,11 @@
 
 
 def start(files: Files, on_loaded: Callable[[Config, State], None] = lambda config, desired: None) -> int:
-    """Serve as these files say; ``tell`` what they say before."""
+    """Runs a dispatcher; calls ``on_loaded`` with the loaded configuration and state before.
+
+    Returns:
+        The exit status: 2 if the configuration is invalid, else that of the dispatcher.
+    """
     try:
         config, desired = files.load()
     except (ConfigError, StateError) as error:
--- a/heronlug/lifecycle/__init__.py
+++ b/heronlug/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, the log, the daemon, plan and apply."""
+"""Lifecycle of a dispatcher: start, logging, hot restart, graceful shutdown, and changes by plan and apply."""
--- a/heronlug/lifecycle/application.py
+++ b/heronlug/lifecycle/application.py
@@ -1,4 +1,4 @@
-"""One dispatcher: makes its parts in order, serves, and stops."""
+"""Creates the parts of a dispatcher in order, and runs the dispatcher from its start to its stop."""
 
 import asyncio
 import gc
@@ -38,22 +38,22 @@
 from heronlug.requests.core import Core
 
 PROGRAM_MB = 24.0
-"""Memory that the program takes by itself, in MB."""
+"""Memory of the program without requests, in MB."""
 MIN_BODIES_MB = 4.0
-"""Memory that clients' bodies may take at least, in MB."""
+"""Minimum memory for request bodies, in MB."""
 REQUESTS_PER_MB = 32
-"""Open requests for each MB of memory; a request takes a few KB besides its body."""
+"""Maximum number of open requests per MB of memory; a request takes a few KB in addition to its body."""
 RESERVED_DESCRIPTORS = 64
-"""File descriptors for the event loop, the log, service discovery, the peers and the listeners."""
+"""File descriptors reserved for the event loop, the log, service discovery, the peers and the listeners."""
 MIN_CONNECTIONS = 16
-"""Connections to clients, and as many to servers, that are allowed at least."""
+"""Minimum limit of client connections, and likewise of server connections."""
 
 
 class Application:
-    """The parts of one dispatcher, in the order in which they are made, and the steps of its start and stop."""
+    """A dispatcher: creates its parts in the order of their dependencies and runs the steps of its start and stop."""
 
     def __init__(self, config: Config, files: Files, log: Log) -> None:
-        """Make all parts; nothing is opened yet."""
+        """Creates all parts, without opening any socket or file."""
         self.config = config
         self.log = log
         self.stopped = asyncio.Event()
@@ -65,10 +65,10 @@
         self._make_shutdown()
         self._make_services(files)
 
-    # -- the parts
+    # -- creation of the parts
 
     def _make_backend(self) -> None:
-        """The connections to servers, service discovery and the peers' datagrams."""
+        """Creates the connection pool, the discovery service and the peer messages."""
         config = self.config
         deadlines = self.deadline_loop.deadlines
         self.backend = ConnectionPool(
@@ -84,7 +84,7 @@
         self.peers = self.peer_messages.socket
 
     def _make_core(self) -> None:
-        """The core of the HTTP frontend, given to the parts that were made before it."""
+        """Creates the core of the HTTP frontend and passes the core to the parts created earlier."""
         config = self.config
         self.transport = HttpTransport(self.backend)
         self.core = Core(
@@ -102,15 +102,17 @@
         self.backend.core = self.core
         self.discovery.core = self.core
         self.peer_messages.core = self.core
-        # The limit on a list's age is the platform's. Where the operators run service discovery themselves (`paced`),
-        # the last list is used until it is replaced, whatever its age.
+        # The maximum age of a list is a rule of the platform. If the operators run service discovery themselves
+        # (`paced`), the last list is used at any age until a new list replaces it.
         if not config.paced:
             self.discovery.client.staleness.on_usable_change = self.core.set_list_usable
 
     def _make_frontend(self) -> None:
-        """The clients' connections and the socket that they come to."""
+        """Creates the HTTP frontend and the listener for clients."""
         config = self.config
-        bodies_mb = max(MIN_BODIES_MB, (config.memory_mb - PROGRAM_MB) / 2)  # half of what the program leaves
+        bodies_mb = max(
+            MIN_BODIES_MB, (config.memory_mb - PROGRAM_MB) / 2
+        )  # half of the memory that remains besides the program
         self.readiness = Readiness(self.core, self.discovery.client, self.log)
         self.frontend = HttpFrontend(
             self.readiness, config.settings, _max_connections(config), int(bodies_mb * 1024 * 1024), self.turn
@@ -120,7 +122,7 @@
         self.listener.acceptor.on_exhausted = self.frontend.evict_one
 
     def _make_shutdown(self) -> None:
-        """The drain or stop, and the handover to and from another process."""
+        """Creates the graceful shutdown and the state transfer of hot restarts."""
         deadlines = self.deadline_loop.deadlines
         max_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         hooks = ShutdownHooks(
@@ -142,7 +144,7 @@
         self.readiness.hot_restart = self.hot_restart
 
     def _make_services(self, files: Files) -> None:
-        """What the operators configure: the Faktory frontend, the cluster, their calls, and changes of all these."""
+        """Creates the Faktory frontend, the cluster membership, the admin endpoint, and plan, apply and reload."""
         config = self.config
         deadlines = self.deadline_loop.deadlines
         self.faktory = FaktoryService(config, self.core, deadlines, self.log, self.turn)
@@ -168,7 +170,11 @@
     # -- start and stop
 
     async def run(self, desired: State, control_path: str) -> None:
-        """Serve until a planned stop is over.
+        """Serves until a planned stop has finished.
+
+        Args:
+            desired: The desired state at the start.
+            control_path: Path of the control socket; an empty path disables the control socket.
 
         Raises:
             StateError: if the desired state cannot be reached.
@@ -194,7 +200,7 @@
             loop.add_signal_handler(signal_number, self._stop)
 
     def _serve(self) -> None:
-        """Accept clients, with the state that another process has given."""
+        """Applies the handed-over state and starts to accept clients."""
         self.state_transfer.use_state()
         self.state_transfer.open_listener()
         self.listener.accept()
@@ -205,32 +211,35 @@
         gc.collect()
         gc.freeze()
         self.log("started", name=self.config.name, listen=":".join(map(str, self.config.listen)))
-        # a reload needs a running configuration; a signal that came earlier was noted
+        # A reload needs a running configuration, so earlier signals were only recorded.
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload.begin)
         if startup_signals.reload_requested:
             self.reload.begin()
         self.turn()
 
     def _stop(self) -> None:
-        """Begin a planned stop."""
+        """Begins a planned stop."""
         if self.shutdown.stop():
             self.log("stopping", messages=len(self.core.requests))
-            # Without a successor, requests that come from now on end in time. With one, requests that would last
-            # longer are handed over to it. What is left in either case is given up at answer_by by the shutdown.
+            # Without a successor, new requests end before `answer_by`. With a successor, requests that would take
+            # longer are handed over to the successor. The shutdown gives up requests still open at `answer_by`.
             if not self.hot_restart.handed_over:
                 self.core.answer_by = self.shutdown.answer_by
         self.faktory.stop()
         self.turn()
 
     async def _finish_before_exit(self) -> None:
-        """Finish what other processes and the disk have to know."""
+        """Leaves the cluster, writes the cached list, and waits until the successor has read all messages."""
         await self.cluster.leave()
         await self.discovery.close_cache()
         await self.hot_restart.say_goodbye()
         self.log("stopped", **{final.value: count for final, count in self.core.counts.items()})
 
     def _close(self) -> None:
-        """Close all sockets.  Until now the listener accepted clients that came late, unless a successor did."""
+        """Closes all sockets.
+
+        Until this step the listener has accepted late clients, unless a successor has accepted them.
+        """
         self.hot_restart.close()
         self.listener.close()
         self.admin_listener.close()
@@ -238,7 +247,7 @@
         self.discovery.client.stop()
         self.peers.close()
 
-    # -- what the parts ask
+    # -- callbacks of the parts
 
     def _use_reloaded_config(self, config: Config) -> None:
         self.discovery.use_reloaded_config(config)
@@ -248,7 +257,7 @@
         return [self.core, *self.faktory.cores]
 
     def _open_work(self) -> int:
-        """Requests, jobs and clients' connections that a stop waits for."""
+        """Returns the number of requests, jobs and client connections that a stop waits for."""
         jobs = sum(len(core.requests) for core in self._cores())
         return jobs + len(self.frontend.connections) + self.listener.has_pending_connection
 
@@ -266,7 +275,7 @@
 
 
 def _max_connections(config: Config) -> int:
-    """Connections to clients, and as many to servers, that the descriptors allow."""
+    """Returns the limit of client connections, and likewise of server connections, that the descriptors allow."""
     return max(MIN_CONNECTIONS, (config.sockets - RESERVED_DESCRIPTORS) // 2)
 
 
@@ -275,7 +284,11 @@
 
 
 def main(config: Config, desired: State, files: Files, control_path: str = "") -> int:
-    """Run a dispatcher in the foreground; the exit status is 2 when it cannot listen or load what it should."""
+    """Runs a dispatcher in the foreground.
+
+    Returns:
+        The exit status: 2 if an address cannot be bound or the desired state cannot be reached, else 0.
+    """
     log = Log(level=cast(str, desired["log_level"]))
     try:
         uvloop.run(_serve(config, files, log, desired, control_path))
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -1,6 +1,6 @@
-"""Membership in a cluster: joins its transport, shared service discovery and health checks with a dispatcher.
+"""Connects a dispatcher with the transport, the shared service discovery and the health checks of its cluster.
 
-Imported only where the files have ``[cluster]``.
+This module is imported only if the files have a ``[cluster]`` table.
 """
 
 from collections.abc import Callable
@@ -23,16 +23,16 @@
 from heronlug.requests.model import ListedServer
 
 DEFAULT_STALE_AFTER_MS = 1500.0
-"""Age at which the shared list is stale where the file gives none, in ms."""
+"""Default age from which the shared list is stale, in ms."""
 SHARE_ENDPOINT_LIST = "list"
-"""The value of ``share`` with which one member reads the list for all."""
+"""The value of ``share`` for which a single member reads the list for all members."""
 
 
 class ClusterMember:
-    """The membership of one dispatcher.
+    """The cluster membership of a dispatcher.
 
     Attributes:
-        cluster: the members' transport, with leases and replicated tables.
+        cluster: The transport between the members, with leases and replicated tables.
     """
 
     def __init__(
@@ -44,15 +44,15 @@
         log: Log,
         turn: Callable[[], None],
     ) -> None:
-        """Make a membership that is not joined yet.
+        """Creates a member that has not joined the cluster yet.
 
         Args:
-            table: ``[cluster]`` as its schema reads it.
-            config: of the platform.
-            core: of the HTTP frontend.
-            discovery: its client reads the list, and its update uses what the members share.
-            log: where events are logged.
-            turn: to be called after every event from outside.
+            table: The validated ``[cluster]`` table.
+            config: The configuration of the platform.
+            core: The core of the HTTP frontend.
+            discovery: Reads the endpoint list and applies the list that the members share.
+            log: Logs events.
+            turn: Runs the due deadlines; must be called after every external event.
 
         Raises:
             OSError: if a key file cannot be read.
@@ -87,28 +87,28 @@
         self._initial_kind = ListKind.FULL if self._client.watching else ListKind.CACHED
 
     async def open(self) -> None:
-        """Join the cluster; raises ``OSError``, and then nothing has changed."""
+        """Joins the cluster; raises ``OSError`` without any change if an address cannot be bound."""
         await self.cluster.open()
         if not self._uses_view:
             return
-        if self._initial_entries or self._initial_kind is ListKind.FULL:  # the dispatcher has served before it joins
+        if self._initial_entries or self._initial_kind is ListKind.FULL:  # the dispatcher served before it joined
             self._shared_discovery.on_client_update(self._initial_kind, self._initial_entries)
         self._client.on_update = self._shared_discovery.on_client_update
         self._client.staleness.on_usable_change = None
 
     def subscribe(self) -> None:
-        """The balancer wants the endpoint list."""
+        """Subscribes the balancer to the endpoint list, which the members may share."""
         if self._uses_view:
             self._shared_discovery.subscribe()
         else:
             self._client.subscribe()
 
     def read_keys(self) -> dict[int, bytes]:
-        """The keys as their files have them now; raises ``OSError`` or ``ValueError``."""
+        """Returns the current keys of the key files; raises ``OSError`` or ``ValueError``."""
         return cluster_section.read_keys(self._key_files)
 
     def _configure_poll_pacing(self, discovery_options: dict[str, Any], core: Core) -> None:
-        """Pace the polls: a single reader polls alone; where all members read, each has its place."""
+        """Configures the pacing of polls: a single reader polls alone, while several readers each have a position."""
         if not discovery_options:
             return
         single_reader = discovery_options["share"] == SHARE_ENDPOINT_LIST
--- a/heronlug/lifecycle/cluster_service.py
+++ b/heronlug/lifecycle/cluster_service.py
@@ -1,4 +1,4 @@
-"""Membership of a running dispatcher in a cluster, where its files configure one."""
+"""Manages the cluster membership of a running dispatcher if its files configure a cluster."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -14,16 +14,16 @@
 
 
 class ClusterService:
-    """Owner of the membership.
+    """Owns the cluster membership.
 
     Attributes:
-        member: the membership; None where no cluster is configured.
+        member: The membership; None if no cluster is configured.
     """
 
     def __init__(
         self, config: Config, core: Core, discovery: DiscoveryService, log: Log, turn: Callable[[], None]
     ) -> None:
-        """Make a service that is not a member yet."""
+        """Creates a service without a membership."""
         self.member: ClusterMember | None = None
         self._config = config
         self._core = core
@@ -32,7 +32,7 @@
         self._turn = turn
 
     async def join(self, table: State) -> None:
-        """Join the cluster of a ``[cluster]`` table; the code of clusters is imported only here.
+        """Joins the cluster of a ``[cluster]`` table; only this method imports the cluster code.
 
         Raises:
             OSError: if an address cannot be bound or a key file cannot be read.
@@ -46,27 +46,27 @@
         self._discovery.subscribe_through = member.subscribe
 
     def view(self, view_name: str) -> list[dict[str, Any]]:
-        """The rows of the members, or of the periodic tasks; raises :class:`StateError` where there is no cluster."""
+        """Returns the rows of the members or the periodic tasks; raises :class:`StateError` without a cluster."""
         if self.member is None:
-            msg = "there is no [cluster] in the file that runs"
+            msg = "cluster: not configured; the running configuration has no [cluster] table"
             raise StateError(msg)
         cluster = self.member.cluster
         return cluster.members() if view_name == "members" else cluster.leases()
 
     def read_keys(self) -> dict[int, bytes] | None:
-        """The keys as their files have them now; None without a cluster.  Raises ``OSError`` or ``ValueError``."""
+        """Returns the current keys of the key files, None without a cluster; raises ``OSError`` or ``ValueError``."""
         return self.member.read_keys() if self.member is not None else None
 
     def use_keys(self, keys: dict[int, bytes] | None) -> None:
-        """Use keys that were read again."""
+        """Replaces the keys of the cluster with reloaded keys."""
         if self.member is not None and keys is not None:
             self.member.cluster.replace_keys(keys)
 
     def metrics(self) -> str:
-        """The figures of the cluster in Prometheus' text format; empty without one."""
+        """Returns the metrics of the cluster in the Prometheus text format; an empty string without a cluster."""
         return str(self.member.cluster.metrics()) if self.member is not None else ""
 
     async def leave(self) -> None:
-        """Tell the other members that this one leaves."""
+        """Leaves the cluster and notifies the other members."""
         if self.member is not None:
             await self.member.cluster.leave()
--- a/heronlug/lifecycle/configuration_changes.py
+++ b/heronlug/lifecycle/configuration_changes.py
@@ -1,4 +1,4 @@
-"""What plan and apply change in a running dispatcher, each change handed to the part that it concerns."""
+"""Applies configuration changes to the parts of a running dispatcher."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -19,10 +19,10 @@
 
 
 class ConfigurationChanges:
-    """The parts of a dispatcher that can be changed while it runs.
+    """The parts of a dispatcher that plan and apply can change at run time.
 
     Attributes:
-        log: where events are logged.
+        log: Logs events.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         faktory: FaktoryService,
         cluster: ClusterService,
     ) -> None:
-        """Change these parts; ``core`` is that of the HTTP frontend."""
+        """Creates the changes for these parts; ``core`` is the core of the HTTP frontend."""
         self.log = log
         self._config = config
         self._core = core
@@ -43,31 +43,31 @@
         self._cluster = cluster
 
     async def open_faktory(self, table: dict[str, Any]) -> OpenedListener:
-        """Bind the address of the Faktory frontend; raises ``OSError`` or ``ValueError``."""
+        """Binds the address of the Faktory frontend; raises ``OSError`` or ``ValueError``."""
         return await self._faktory.open(table)
 
     def use_faktory(self, listener: OpenedListener | None) -> None:
-        """Serve the Faktory frontend on a listener; with None, only finish its jobs."""
+        """Serves the Faktory frontend on a listener; with None, only the accepted jobs are finished."""
         self._faktory.use(listener)
 
     def discard_faktory_listener(self, listener: OpenedListener) -> None:
-        """Close a listener that was opened and is not in use."""
+        """Closes a listener that was opened but is not in use."""
         self._faktory.discard(listener)
 
     def use_discovery_options(self, table: State) -> None:
-        """Pace the polls of service discovery and cache its list, from the start on."""
+        """Configures the pacing of the polls and the cached list of service discovery, from the start on."""
         self._discovery.use_options(table)
 
     async def join_cluster(self, table: State) -> None:
-        """Join a cluster; raises ``OSError`` or ``ValueError``."""
+        """Joins a cluster; raises ``OSError`` or ``ValueError``."""
         await self._cluster.join(table)
 
     def cluster_view(self, view_name: str) -> list[dict[str, Any]]:
-        """The members or the periodic tasks of the cluster; raises :class:`StateError` where there is none."""
+        """Returns the rows of the members or the periodic tasks; raises :class:`StateError` without a cluster."""
         return self._cluster.view(view_name)
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
-        """The zones, after an operator's order for one of them if that was asked; raises :class:`StateError`."""
+        """Executes the order for a zone, if the request has one, and returns all zones; raises :class:`StateError`."""
         if request["ask"] != "hall":
             return zone_commands.view(self._core, self._config.zones)
         rows = zone_commands.order(self._core, self._config.zones, request)
@@ -75,13 +75,16 @@
         return rows
 
     def load_plugins(self, plugins: dict[str, tuple[bytes, int, int]]) -> "list[Plugin]":
-        """Compile plug-ins; wasmtime is imported only here, since it takes much memory.  Raises ``ValueError``."""
+        """Compiles plug-ins; raises ``ValueError``.
+
+        Wasmtime is imported only if there are plug-ins, since wasmtime takes much memory.
+        """
         from heronlug.plugins.host import PluginHost
 
         return PluginHost.load(plugins)
 
     def use_plugins(self, loaded: "list[Plugin] | None") -> None:
-        """Use loaded plug-ins in place of those before; with None, none."""
+        """Replaces all plug-ins with loaded plug-ins; None removes all plug-ins."""
         host = None
         if loaded:
             from heronlug.plugins.host import PluginHost
@@ -92,11 +95,11 @@
             core.plugins = host
 
     def use_log_level(self, level: str) -> None:
-        """Log from this level on."""
+        """Logs only events of this level and above."""
         self.log.level = level
 
     def broken_limits(self, classes: State) -> list[BrokenLimit]:
-        """The rules that limits break here; the checker is imported only where there are limits to check."""
+        """Returns the rules that the limits break; the checker is imported only if there are limits to check."""
         from heronlug.config.limits.load import check
 
         return [
@@ -105,11 +108,11 @@
         ]
 
     def resolved_limits(self, classes: State) -> tuple[RequestClass, ...]:
-        """All classes under limits that break no rule."""
+        """Returns all request classes under valid limits."""
         return resolve(self._config.settings.classes, classes)
 
     def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
-        """Accept requests of both frontends under these limits from now on; open ones keep theirs."""
+        """Accepts new requests of both frontends under these limits; open requests keep their limits."""
         for core in self._cores():
             core.use_classes(classes)
 
--- a/heronlug/lifecycle/control.py
+++ b/heronlug/lifecycle/control.py
@@ -1,6 +1,6 @@
-"""The control socket: a Unix socket on which plan, apply and other commands talk to a running dispatcher.
+"""Connects commands such as plan and apply to a running dispatcher through a Unix socket, the control socket.
 
-A request and its answer are one line of JSON each; the connection ends with the answer.
+A request and its answer are one line of JSON each; the dispatcher closes the connection after the answer.
 """
 
 import asyncio
@@ -16,31 +16,33 @@
 from heronlug.net.http import Lines
 
 COMMAND_TIMEOUT_S = 30.0
-"""How long a command waits for the dispatcher, in seconds."""
+"""Time for which a command waits for the dispatcher, in seconds."""
 READ_CHUNK_BYTES = 65536
-"""Bytes that a command reads at a time."""
+"""Maximum number of bytes that a command reads at once."""
 
 
 class ControlConnection(asyncio.Protocol):
-    """A connection of one command."""
+    """A connection of a command to the dispatcher."""
 
     def __init__(self, running: RunningState) -> None:
-        """Answer from this state."""
+        """Creates a connection that answers requests from the running state."""
         self._running = running
         self._lines = Lines()
         self._transport: asyncio.Transport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A command has connected."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass
+        """Stores the transport of the new connection."""
+        self._transport = cast(
+            asyncio.Transport, transport
+        )  # the transport of uvloop is not a subclass of asyncio.Transport
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request."""
+        """Answers each request that the received bytes complete."""
         try:
             lines = self._lines.feed(data)
         except ValueError:
-            lines = [b"null"]  # answered as malformed
+            lines = [b"null"]  # answered as a malformed request
         for line in lines:
             task = asyncio.get_running_loop().create_task(self._answer(line))
             self._tasks.add(task)
@@ -58,7 +60,12 @@
             self._transport.close()
 
     async def _handle(self, request: dict[str, Any]) -> dict[str, Any]:
-        """The answer to a request; raises :class:`StateError`, or what is wrong with a malformed one."""
+        """Returns the answer to a request.
+
+        Raises:
+            StateError: if the request cannot be carried out.
+            ValueError, KeyError, TypeError, AttributeError: if the request is malformed.
+        """
         match request["ask"]:
             case "state":
                 return {"state": self._running.state}
@@ -75,7 +82,7 @@
 
 
 async def listen(path: str, running: RunningState) -> asyncio.AbstractServer:
-    """Listen on a Unix socket that only processes of this user can open; raises ``OSError``."""
+    """Starts to listen on a Unix socket that only processes of this user can open; raises ``OSError``."""
     Path(path).unlink(missing_ok=True)
     previous_umask = os.umask(0o177)
     try:
@@ -85,13 +92,13 @@
 
 
 def ask(path: str, request: dict[str, Any]) -> dict[str, Any]:
-    """Send a command's request to the dispatcher that listens on ``path``, and return the answer.
+    """Sends the request of a command to the dispatcher that listens on ``path``, and returns the answer.
 
     Raises:
-        StateError: if the dispatcher cannot be reached or refuses the request.
+        StateError: if ``path`` is empty, or the dispatcher cannot be reached or answers with an error.
     """
     if not path:
-        msg = "environment: HERONLUG_CONTROL: not set, and no --control"
+        msg = "environment: HERONLUG_CONTROL: not set; set the variable or pass --control"
         raise StateError(msg)
     try:
         with socket.socket(socket.AF_UNIX) as sock:
--- a/heronlug/lifecycle/deadline_loop.py
+++ b/heronlug/lifecycle/deadline_loop.py
@@ -1,4 +1,4 @@
-"""Runs the deadlines of the process on the event loop, with one timer for the earliest of them."""
+"""Runs the deadlines of the process on the event loop, with a single timer for the earliest deadline."""
 
 import asyncio
 
@@ -6,19 +6,19 @@
 from heronlug.requests.deadlines import Clock, Deadlines
 
 LATE_TIMER_MS = 250.0
-"""A timer that fires later than this is logged, in ms."""
+"""Lateness from which a timer is logged, in ms."""
 
 
 class DeadlineLoop:
-    """All deadlines of the process, and the timer that runs them.
+    """The deadlines of the process and the timer that runs them.
 
     Attributes:
-        clock: the time, in ms.
-        deadlines: the deadlines, ordered by time.
+        clock: The clock of the process, in ms.
+        deadlines: The deadlines, ordered by time.
     """
 
     def __init__(self, log: Log) -> None:
-        """Make a loop without deadlines; the timer needs a running event loop only once there is one."""
+        """Creates a loop without deadlines; an event loop must run by the time of the first deadline."""
         self.clock = Clock()
         self.deadlines = Deadlines(self.clock.now)
         self._log = log
@@ -26,10 +26,10 @@
         self._armed_for: float | None = None
 
     def turn(self) -> None:
-        """Run the deadlines that are due, and arm the timer for the next one."""
+        """Runs the due deadlines and sets the timer for the next deadline."""
         try:
             self.deadlines.run_due()
-        except Exception as error:  # a fault in one deadline must not stop the others
+        except Exception as error:  # an exception of one deadline must not stop the other deadlines
             self._log("exception", where="deadlines", error=repr(error))
         next_due = self.deadlines.next_due()
         self._log_lateness()
@@ -46,7 +46,7 @@
             self._timer = asyncio.get_running_loop().call_later(delay_s, self._fire)
 
     def _log_lateness(self) -> None:
-        """Log that the event loop was blocked, or that the process had no processor."""
+        """Logs a late timer, which shows that the event loop was blocked or the process got no CPU time."""
         lateness = self.deadlines.lateness
         if lateness >= LATE_TIMER_MS:
             self._log("late_turn", ms=round(lateness, 1), deadlines=len(self.deadlines))
--- a/heronlug/lifecycle/discovery_service.py
+++ b/heronlug/lifecycle/discovery_service.py
@@ -1,4 +1,4 @@
-"""Service discovery of a running dispatcher: the client, the cached list, and what a new list changes."""
+"""Manages the discovery client and the cached list of a running dispatcher, and applies new endpoint lists."""
 
 from collections.abc import Callable
 from functools import partial
@@ -21,13 +21,14 @@
 
 
 class DiscoveryService:
-    """Owner of the discovery client and of the file that caches its list.
+    """Owns the discovery client and the file of the cached list.
 
     Attributes:
-        client: reads the endpoint list.
-        cache: the file of the cached list; None where none is configured.
-        core: of the HTTP frontend, which gets each list; set once it is made, since it needs this service.
-        subscribe_through: what a subscription calls: the client, or the cluster where its members share a list.
+        client: Reads the endpoint list.
+        cache: The file of the cached list; None if no file is configured.
+        core: The core of the HTTP frontend, which receives each list; set after construction, since the core itself
+            needs this service.
+        subscribe_through: Subscribes through the client, or through the cluster if its members share a list.
     """
 
     core: Core
@@ -35,13 +36,13 @@
     def __init__(
         self, config: Config, backend: ConnectionPool, deadlines: Deadlines, log: Log, turn: Callable[[], None]
     ) -> None:
-        """Make a client that does not poll yet."""
+        """Creates a service whose client does not poll yet."""
         self._config = config
         self._backend = backend
         self._deadlines = deadlines
         self._log = log
         settings = config.settings
-        # the clock of the process is Unix time, in which the lists state theirs
+        # both the clock of the process and the times in the lists are Unix time
         parse_list = partial(read_list, zones=config.zones, kinds=config.kinds, to_clock=float)
         self.client = DiscoveryClient(
             DiscoveryTarget(config.discovery, 0, 1.0 - WAIT_SPREAD * settings.position / settings.instances),
@@ -56,25 +57,25 @@
         self.subscribe_through: Callable[[], None] = self.client.subscribe
 
     def subscribe(self) -> None:
-        """The balancer wants the endpoint list."""
+        """Subscribes the balancer to the endpoint list."""
         self.subscribe_through()
 
     def update(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """Use an endpoint list or a change of it."""
+        """Applies an endpoint list or changes of the list."""
         self.core.update_servers(kind, entries)
         self._backend.retire(self.core.directory.by_number)
         if self.cache is not None and kind is not ListKind.CACHED and entries:
             self.cache.on_change()
 
     def use_reloaded_config(self, config: Config) -> None:
-        """Use another address, or another configured list, of a configuration that was read again."""
+        """Applies the discovery address or the configured list of a reloaded configuration."""
         if config.discovery:
             self.client.move(config.discovery)
         elif config.known is not None:
             self.client.on_update(ListKind.FULL, self.client.parse_list(config.known).servers)
 
     def use_options(self, table: dict[str, Any]) -> None:
-        """Pace the polls, and cache the list, as a ``[register]`` table says; the code of both is imported here."""
+        """Configures poll pacing and the cached list by a ``[register]`` table; only this method imports their code."""
         from heronlug.discovery.poll_pacing import PollPacer, PollTerms
 
         settings = self.core.settings
@@ -94,12 +95,12 @@
             )
 
     async def close_cache(self) -> None:
-        """Write the cached list a last time."""
+        """Writes the cached list for the last time."""
         if self.cache is not None:
             await self.cache.close()
 
 
 def write_current_list(core: Core, client: DiscoveryClient, config: Config) -> dict[str, Any]:
-    """The endpoint list as it is held now, in the form in which service discovery gives it."""
+    """Returns the current endpoint list in the format of service discovery."""
     entries = [server.entry for server in core.directory.by_number.values()]
     return write_list(client.version or 0, entries, config.zones, config.kinds)
--- a/heronlug/lifecycle/faktory_service.py
+++ b/heronlug/lifecycle/faktory_service.py
@@ -1,4 +1,4 @@
-"""The Faktory frontend of a running dispatcher: opened, changed and closed by plan and apply."""
+"""Opens, changes and closes the Faktory frontend of a running dispatcher, as plan and apply request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -12,38 +12,38 @@
 from heronlug.requests.core import Core
 from heronlug.requests.deadlines import Deadlines
 
-if TYPE_CHECKING:  # loaded when it is first opened: a platform dispatcher runs without it, in little memory
+if TYPE_CHECKING:  # imported only when the frontend is first opened, to save memory in a dispatcher without Faktory
     from heronlug.frontends.faktory.config import FaktoryConfig
     from heronlug.frontends.faktory.frontend import FaktoryFrontend
 
 LISTEN_BACKLOG = 128
-"""Connections that may wait to be accepted."""
+"""Number of connections that may wait to be accepted."""
 RETRY_SHARE = 1e3
-"""Retries for each request: no limit in effect, since workers pull their jobs and retries cannot overload them."""
+"""Retries per request: in effect unlimited, since workers pull their jobs and retries cannot overload the workers."""
 RETRY_BURST = 1e6
-"""Retries that may come at once: no limit in effect; each request's maximum of attempts still holds."""
+"""Maximum burst of retries: in effect unlimited; the maximum number of attempts per request still applies."""
 
 
 @dataclass(frozen=True)
 class OpenedListener:
-    """A bound listener, and the configuration that it was bound for."""
+    """A bound listener with the configuration for which the listener was bound."""
 
     config: "FaktoryConfig"
     listener: Listener
 
 
 class FaktoryService:
-    """Owner of the Faktory frontend, its store and its listener.
+    """Owns the Faktory frontend, its store and its listener.
 
     Attributes:
-        frontend: made when it is first opened, and kept after that: it owns the jobs that it has taken.
-        listener: that it serves on; None while it only finishes the jobs that it has taken.
+        frontend: The frontend, created when first opened and never removed, since the frontend owns the accepted jobs.
+        listener: The listener of the frontend; None while the frontend only finishes the accepted jobs.
     """
 
     def __init__(
         self, config: Config, http_core: Core, deadlines: Deadlines, log: Log, turn: Callable[[], None]
     ) -> None:
-        """Make a service without a frontend; ``http_core`` gives the settings that both frontends share."""
+        """Creates a service without a frontend; ``http_core`` has the settings that both frontends share."""
         self.frontend: FaktoryFrontend | None = None
         self.listener: Listener | None = None
         self._config = config
@@ -54,19 +54,19 @@
 
     @property
     def cores(self) -> list[Core]:
-        """The core of the frontend, where there is one."""
+        """Returns a list with the core of the frontend; empty without a frontend."""
         return [self.frontend.core] if self.frontend is not None else []
 
     async def open(self, table: dict[str, Any]) -> OpenedListener:
-        """Bind the address of a ``[faktory]`` table, unless it is the one in use.
+        """Binds the address of a ``[faktory]`` table, unless the address is already in use by this frontend.
 
         Raises:
             OSError: if the address cannot be bound.
-            ValueError: if the store is another one than that in use.
+            ValueError: if the store differs from the store in use.
         """
         new_config = _read_config(table)
         if self.frontend is not None and self.frontend.config.store != new_config.store:
-            msg = "faktory: store: it changes with a restart alone"
+            msg = "faktory: store: cannot change while the dispatcher runs; restart the dispatcher"
             raise ValueError(msg)
         if self.frontend is None:
             self.frontend = self._make_frontend(new_config)
@@ -78,7 +78,7 @@
         return OpenedListener(new_config, listener)
 
     def use(self, opened: OpenedListener | None) -> None:
-        """Serve on an opened listener; without one, only the jobs that were taken are finished."""
+        """Serves on an opened listener; with None, only the accepted jobs are finished."""
         if self.frontend is None:
             return
         listener = opened.listener if opened is not None else None
@@ -94,23 +94,23 @@
             listener.accept()
 
     def discard(self, opened: OpenedListener) -> None:
-        """Close a listener that was opened and is not in use."""
+        """Closes a listener that was opened but is not in use."""
         if opened.listener is not self.listener:
             opened.listener.close()
 
     def stop(self) -> None:
-        """Take no more jobs; those that were taken are finished."""
+        """Stops accepting jobs; accepted jobs are finished."""
         if self.frontend is not None:
             self.frontend.stop_accepting_jobs()
 
     def close(self) -> None:
-        """Close the listener, all connections and the store."""
+        """Closes the listener, all connections and the store."""
         if self.frontend is not None:
             self.use(None)
             self.frontend.close()
 
     def _make_frontend(self, faktory_config: "FaktoryConfig") -> "FaktoryFrontend":
-        """Make the frontend with a core of its own: its workers cannot run HTTP requests, nor servers its jobs."""
+        """Creates the frontend with a separate core: workers cannot run HTTP requests, and servers cannot run jobs."""
         from heronlug.frontends.faktory.frontend import FaktoryFrontend
         from heronlug.frontends.faktory.recovery import open_store
 
--- a/heronlug/lifecycle/graceful_shutdown.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: a drain, which can be taken back, a hot restart, and a planned stop, which cannot."""
+"""Implements graceful shutdown: an operator's drain, which can be cancelled, a hot restart, and a planned stop."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,46 +6,52 @@
 from heronlug.requests.deadlines import Deadlines
 
 QUIET_PERIOD_MS = 700.0
-"""No client may have come for this long before idle connections are closed, in ms.
+"""Time without a new client before idle connections are closed, in ms.
 
-Clients still come for 0.2 to 0.4 s after the signal, until the platform's load balancer sends them elsewhere.
+New clients arrive for another 0.2 to 0.4 s after the signal, until the platform's load balancer redirects them.
 """
 
 MAX_QUIET_WAIT_MS = 2000.0
-"""After this time, in ms, clients that still come delay the stop no more: the load balancer does not send them."""
+"""Time after the start of a drain or stop from which new clients no longer delay the exit, in ms.
+
+Clients that arrive this late are not sent by the load balancer.
+"""
 
 KILL_GRACE_MS = 700.0
-"""The platform kills the process this long after the longest deadline has passed since SIGTERM, in ms."""
+"""Time from the end of the longest deadline after SIGTERM until the platform kills the process, in ms."""
 
 MAX_COUNTED_DEADLINE_MS = 3000.0
-"""A longest deadline above this counts as this one for the time of the kill, in ms."""
+"""Upper bound of the longest deadline in the platform's calculation of the time of the kill, in ms."""
 
 ANSWER_MARGIN_MS = 250.0
-"""All answers are sent this long before the kill, in ms."""
+"""Time before the kill by which all answers are sent, in ms."""
 
 CLOSE_BEFORE_LAST_ANSWER_MS = 1000.0
-"""In the last such time before the last answer, in ms, clients are sent elsewhere: a request could hardly be served."""
+"""Time before the last answer in which connections are closed after their answers, in ms.
+
+A request that arrives this late is unlikely to be served in time.
+"""
 
 CHECK_INTERVAL_MS = 50.0
-"""Between two checks of a drain or stop, in ms."""
+"""Interval between two checks of a drain or stop, in ms."""
 
 HANDOVER_CHECK_INTERVAL_MS = 10.0
-"""Between two checks while clients are handed over, in ms."""
+"""Interval between two checks while client connections are handed over, in ms."""
 
 
 @dataclass(frozen=True)
 class ShutdownHooks:
-    """What a shutdown asks of the other parts of a dispatcher, and what it makes them do.
+    """Callbacks with which a shutdown queries and controls the other parts of a dispatcher.
 
     Attributes:
         open_work: Returns the number of requests and connections that a stop waits for.
-        last_client_at: Returns when the last client came, in ms.
-        others_serve: Returns whether another dispatcher serves.
-        leave_peers: Tells the peers that this dispatcher leaves; called again and again.
-        rejoin_peers: Tells the peers that it serves on.
-        give_up_requests: Answers all open requests, because the time is over.
-        close_idle: Closes the clients' connections that have no open request.
-        stopped: Called when the process may end.
+        last_client_at: Returns the time at which the last client connected, in ms.
+        others_serve: Returns whether another dispatcher accepts clients.
+        leave_peers: Notifies the peers that this dispatcher leaves; called at every check.
+        rejoin_peers: Notifies the peers that this dispatcher accepts clients again.
+        give_up_requests: Answers all open requests, because the time to answer has ended.
+        close_idle: Closes the client connections that have no open request.
+        stopped: Called once the process may exit.
     """
 
     open_work: Callable[[], int]
@@ -59,50 +65,49 @@
 
 
 class GracefulShutdown:
-    """Whether clients are accepted, whether those connected are sent elsewhere, and when the process may end.
+    """Decides whether clients are accepted, when their connections are closed, and when the process may exit.
 
     There are three cases:
 
-    * A drain, which operators order and may take back. Other dispatchers serve, so clients are sent to them: each
-      connection is closed after its next answer, and idle ones once no new clients come.
-    * A planned stop. Clients are sent elsewhere as in a drain while another dispatcher serves. While none does, as when
-      the restarts of two dispatchers overlap, connected clients are served until shortly before the last answer.
-    * A hot restart: a successor serves in place of this process. Clients' connections are handed over to it and stay
-      open.
+    * A drain, which operators start and may cancel. Other dispatchers accept clients, so clients are made to reconnect:
+      each connection is closed after its next answer, and idle connections are closed once no new clients arrive.
+    * A planned stop, which cannot be cancelled. Connections are closed as in a drain while another dispatcher accepts
+      clients. While no other dispatcher does, as when the restarts of two dispatchers overlap, connected clients are
+      served until shortly before the last answer.
+    * A hot restart: a successor process accepts clients in place of this process. Client connections are handed over to
+      the successor and stay open.
     """
 
     def __init__(self, deadlines: Deadlines, max_deadline_ms: float, hooks: ShutdownHooks) -> None:
-        """Make a shutdown that has not begun; ``max_deadline_ms`` is the longest of all classes."""
+        """Creates a shutdown that has not begun; ``max_deadline_ms`` is the longest deadline of all request classes."""
         self._deadlines = deadlines
         self._hooks = hooks
         self._time_to_answer_ms = min(max_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS - ANSWER_MARGIN_MS
         self._drained_at: float | None = None
         self._stopped_at: float | None = None
-        self._hand_over_clients: Callable[[], None] | None = (
-            None  # set while another process serves in place of this one
-        )
+        self._hand_over_clients: Callable[[], None] | None = None  # set while a successor serves
         self._checking = False
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether new clients are welcome: neither a drain nor a stop is under way."""
+        """Returns whether new clients are accepted, that is, neither a drain nor a stop is in progress."""
         return self._drained_at is None and self._stopped_at is None
 
     @property
     def stopping(self) -> bool:
-        """Whether the process will end."""
+        """Returns whether a planned stop has begun."""
         return self._stopped_at is not None
 
     @property
     def answer_by(self) -> float:
-        """When the last answer must be sent, in ms; infinite until a stop has begun."""
+        """Returns the time by which the last answer must be sent, in ms; infinite until a stop has begun."""
         return float("inf") if self._stopped_at is None else self._stopped_at + self._time_to_answer_ms
 
     def sends_clients_away(self) -> bool:
-        """Whether clients are sent elsewhere: each connection is closed after its next answer.
+        """Returns whether each client connection is closed after its next answer so that the client moves elsewhere.
 
-        True in a drain; in a stop while another dispatcher serves, and shortly before the last answer; never while
-        clients are handed over to a successor.
+        True during a drain, and during a stop while another dispatcher accepts clients or shortly before the last
+        answer; always false while clients are handed over to a successor.
         """
         if self._hand_over_clients is not None:
             return False
@@ -113,7 +118,7 @@
         return self._hooks.others_serve() or self._deadlines.clock() >= self.answer_by - CLOSE_BEFORE_LAST_ANSWER_MS
 
     def drain(self) -> bool:
-        """Begin a drain, on an operator's order; False when a drain or stop is under way."""
+        """Begins a drain and returns True; returns False if a drain or stop is already in progress."""
         if not self.accepts_clients:
             return False
         self._drained_at = self._deadlines.clock()
@@ -121,7 +126,7 @@
         return True
 
     def undrain(self) -> bool:
-        """End a drain; False when there was none.  A stop goes on."""
+        """Ends a drain and returns True; returns False if there was none. A stop in progress continues."""
         drained = self._drained_at is not None
         self._drained_at = None
         if drained and self.accepts_clients:
@@ -129,12 +134,12 @@
         return drained
 
     def hand_over(self, hand_over: Callable[[], None] | None) -> None:
-        """Another process serves in place of this one, and ``hand_over`` sends it clients; None when it has ended."""
+        """Sets the function that hands clients over to the successor process; None once the successor has ended."""
         self._hand_over_clients = hand_over
         self._begin_checks()
 
     def stop(self) -> bool:
-        """Begin a planned stop; False when one is under way."""
+        """Begins a planned stop and returns True; returns False if a stop is already in progress."""
         if self.stopping:
             return False
         self._stopped_at = self._deadlines.clock()
@@ -148,7 +153,7 @@
             self._check()
 
     def _check(self) -> None:
-        """Do what is due by now, and check again later while a drain, handover or stop is under way."""
+        """Runs the steps that are due and schedules the next check while a drain, handover or stop is in progress."""
         hand_over = self._hand_over_clients
         self._checking = not self.accepts_clients or hand_over is not None
         if not self._checking:
@@ -167,7 +172,7 @@
             self._deadlines.call_after(interval, self._check)
 
     def _new_clients_ceased(self) -> bool:
-        """Whether no new clients come any more, so that those who lose an idle connection connect elsewhere."""
+        """Returns whether new clients have ceased to arrive, so that a client who reconnects arrives elsewhere."""
         now = self._deadlines.clock()
         began_at = max(self._drained_at or 0.0, self._stopped_at or 0.0)
         last_event_at = max(began_at, self._hooks.last_client_at())
--- a/heronlug/lifecycle/hot_restart/__init__.py
+++ b/heronlug/lifecycle/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: a new process takes over from the one that runs, and no client notices."""
+"""Hot restart: a new process takes over from the running process without interrupting any client."""
--- a/heronlug/lifecycle/hot_restart/adopted_requests.py
+++ b/heronlug/lifecycle/hot_restart/adopted_requests.py
@@ -1,4 +1,4 @@
-"""Requests and clients' connections that a new process adopts from the one before it."""
+"""Adopts the requests and client connections that the previous process hands over."""
 
 import socket
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class RequestAdopter:
-    """Goes on with what the process before has handed over."""
+    """Resumes the client connections and requests that the previous process has handed over."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         read_list: ReadList,
         log: Callable[..., None],
     ) -> None:
-        """Adopt into these parts; ``read_list`` reads the servers of a request's attempts."""
+        """Creates an adopter that uses these parts; ``read_list`` decodes the servers of a request's attempts."""
         self._core = core
         self._frontend = frontend
         self._backend = backend
@@ -30,13 +30,17 @@
         self._log = log
 
     def adopt_client(self, fd: int, served: bool) -> None:
-        """Go on with a client's connection; ``served`` says whether it has had an answer."""
+        """Adopts a client connection; ``served`` is true if an answer has already been sent on the connection."""
         self._frontend.adopt(socket.socket(fileno=fd), served)
 
     def adopt_request(self, message: Message, fds: list[int]) -> None:
-        """Go on with a request: the first descriptor is its client, the others the servers of its attempts in flight.
+        """Adopts a request in progress.
 
         A malformed message is logged, and its connections are closed.
+
+        Args:
+            message: The handed-over request.
+            fds: The descriptor of the client connection, then those of the servers of the attempts in flight.
         """
         client, *servers = [socket.socket(fileno=fd) for fd in fds]
         try:
@@ -52,7 +56,7 @@
     def _resume_request(
         self, connection: ClientConnection, handover: RequestHandover, servers: list[socket.socket]
     ) -> None:
-        """The client's connection is ready: take the request over."""
+        """Resumes the request once the client connection is ready."""
         http_request = handover.request
         http_request.connection = connection
         request = Request(
@@ -69,8 +73,8 @@
             connection.resume_request(request)
 
     def _adopt_exchanges(self, request: Request, handover: RequestHandover, servers: list[socket.socket]) -> None:
-        """Go on reading the servers' answers."""
-        # The balancer may have ended some attempts by now, or have begun one more, which has its own connection.
+        """Adopts the server connections of the attempts in flight, to read the rest of the answers."""
+        # By now the balancer may have ended some attempts, or started another attempt, which has its own connection.
         adopted = zip(request.attempts, handover.attempts, strict=False)
         in_flight = [attempt for attempt, (_, snapshot) in adopted if snapshot.in_flight]
         for attempt, sock, exchange in zip(in_flight, servers, handover.exchanges, strict=True):
--- a/heronlug/lifecycle/hot_restart/channel.py
+++ b/heronlug/lifecycle/hot_restart/channel.py
@@ -1,6 +1,7 @@
-"""The Unix socket between two processes of one dispatcher: complete messages, with descriptors beside them.
+"""Sends and receives messages and file descriptors on the Unix socket between two processes of one dispatcher.
 
-Asyncio's transports pass no descriptors, so the socket is read and written here when the loop says that it is ready.
+The transports of asyncio cannot pass descriptors, so this module reads and writes the socket itself whenever the event
+loop reports that the socket is ready.
 """
 
 import asyncio
@@ -20,31 +21,31 @@
 from heronlug.lifecycle.hot_restart.errors import MalformedMessageError
 
 MAX_FRAGMENT_BYTES = 32 * 1024
-"""Bytes of a message that one packet holds at most."""
+"""Maximum number of message bytes in one packet."""
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-"""Bytes of a message that is accepted at most."""
+"""Maximum size of an accepted message, in bytes."""
 MAX_FDS = 8
-"""Descriptors that come with a message at most."""
+"""Maximum number of descriptors that accompany a message."""
 PACKETS_PER_TURN = 64
-"""Packets that are read before the loop runs other work."""
+"""Number of packets read before control returns to the event loop."""
 LISTEN_BACKLOG = 4
-"""Processes that may wait to be accepted."""
+"""Number of processes that may wait for their connection to be accepted."""
 PARTIAL_MARKER = b"+"
-"""First byte of a packet that is followed by more of its message."""
+"""First byte of a packet whose message continues in the next packet."""
 FINAL_MARKER = b"."
 """First byte of the last packet of a message."""
 PEER_CREDENTIALS = struct.Struct("3i")
-"""What ``SO_PEERCRED`` gives: process, user and group."""
+"""Layout of the ``SO_PEERCRED`` option: process, user and group ids."""
 
 
 def socket_path(folder: str, name: str, listen: str) -> str:
-    """Where the processes of the dispatcher of this name and address find each other."""
+    """Returns the path of the Unix socket shared by all processes of the dispatcher with this name and address."""
     return str(Path(folder) / f"heronlug-{zlib.crc32(f'{name} {listen}'.encode()):08x}")
 
 
 @contextmanager
 def _short_path(path: str) -> Iterator[str]:
-    """A path to the same file that fits into a socket's address, however long the folder's name is."""
+    """Yields a path to the same file that fits into a socket address, however long the name of the folder is."""
     folder = os.open(os.path.dirname(path) or ".", os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{os.path.basename(path)}"
@@ -53,7 +54,7 @@
 
 
 def connect(path: str) -> socket.socket | None:
-    """A connection to the process that listens there; None if there is none."""
+    """Returns a connection to the process that listens on ``path``; None if there is no such process."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
     try:
         with _short_path(path) as short_path:
@@ -65,7 +66,11 @@
 
 
 def listen(path: str) -> socket.socket:
-    """Listen there in place of whoever did before; only processes of this user can connect.  Raises ``OSError``."""
+    """Returns a listening socket that replaces any earlier one at ``path``; only processes of this user can connect.
+
+    Raises:
+        OSError: if the socket cannot be created, bound or listened on.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
     previous_umask = os.umask(0o177)
     try:
@@ -82,7 +87,7 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end runs as the same user."""
+    """Returns whether the process at the other end runs as the same user."""
     data = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, user, _ = PEER_CREDENTIALS.unpack(data)
     return bool(user == os.getuid())
@@ -90,17 +95,17 @@
 
 @dataclass(frozen=True)
 class _Packet:
-    """A packet to send, and the descriptors that go with it, which are owned here."""
+    """A packet to send, with the descriptors that accompany and belong to the packet."""
 
     data: bytes
     fds: list[int]
 
 
 class PeerProcess:
-    """A connection with another process of this dispatcher.
+    """A connection to another process of this dispatcher.
 
     Attributes:
-        closed: this end is closed.
+        closed: Whether this end is closed.
     """
 
     def __init__(
@@ -109,13 +114,13 @@
         on_message: Callable[["PeerProcess", dict[str, Any], list[int]], None],
         on_disconnected: Callable[["PeerProcess", str], None],
     ) -> None:
-        """Read from a connected socket.
+        """Starts to read from a connected socket.
 
         Args:
-            sock: non-blocking, owned by this object.
-            on_message: called with each message and its descriptors, which are the receiver's; what it raises ends
-                the connection.
-            on_disconnected: called once with the reason when the connection has ended, but not after :meth:`close`.
+            sock: A non-blocking socket, owned by this object from now on.
+            on_message: Called with each message and its descriptors, which the callee then owns; an exception of the
+                callee ends the connection.
+            on_disconnected: Called once with the reason when the connection has ended, but not after :meth:`close`.
         """
         self.closed = False
         self._sock = sock
@@ -127,7 +132,7 @@
         self._loop.add_reader(sock.fileno(), self._read)
 
     def send(self, message: dict[str, Any], fds: list[int] | None = None) -> None:
-        """Send a message.  The descriptors are copied, so the caller may close its own at once."""
+        """Sends a message; the descriptors are duplicated, so the caller may close its own copies at once."""
         if self.closed:
             return
         data = orjson.dumps(message)
@@ -139,7 +144,7 @@
         self._write()
 
     def close(self) -> None:
-        """Close this end; what was not sent is dropped."""
+        """Closes this end and drops unsent messages."""
         if not self.closed:
             self.closed = True
             self._loop.remove_reader(self._sock.fileno())
@@ -168,7 +173,7 @@
         except (BlockingIOError, InterruptedError):
             self._loop.add_writer(self._sock.fileno(), self._write)
         except (BrokenPipeError, ConnectionResetError):
-            # The other process has ended; what it sent before may still be unread, and its end is read after that.
+            # The other process has ended. Its last packets may be unread; the reader detects the end after them.
             self._loop.remove_writer(self._sock.fileno())
             self._drop_outgoing()
         except OSError as error:
@@ -183,8 +188,9 @@
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionResetError:
-                # The other process has closed with something of ours unread. The kernel reports that before the
-                # packets that it sent, which are not lost: connections of clients may be among them.
+                # The other process closed the socket before it had read all packets of this process. The kernel reports
+                # the reset first, but the packets of the other process are still readable and may carry connections
+                # of clients.
                 continue
             except OSError as error:
                 self._end(repr(error))
@@ -194,34 +200,37 @@
                 return
             try:
                 self._receive(data, fds)
-            except Exception as error:  # bytes of another process must not end this one
+            except Exception as error:  # malformed data from another process must not end this process
                 self._end(repr(error))
 
     def _receive(self, data: bytes, fds: list[int]) -> None:
-        """Collect a packet, and give its message out once it is complete."""
+        """Handles a packet, and passes its message to the callback once the message is complete."""
         try:
             message = self._assemble(data)
         except ValueError:
             _close_all(fds)
             raise
         if message is None:
-            _close_all(fds)  # descriptors come with the last packet alone
+            _close_all(fds)  # only the last packet of a message carries valid descriptors
             return
         self._on_message(self, message, fds)
 
     def _assemble(self, data: bytes) -> dict[str, Any] | None:
-        """The message that this packet completes; None if more follows."""
+        """Returns the message that this packet completes; None if further packets follow."""
         marker = data[:1]
         self._fragments.append(data[1:])
         if marker not in (PARTIAL_MARKER, FINAL_MARKER) or sum(map(len, self._fragments)) > MAX_MESSAGE_BYTES:
-            msg = f"a packet begins with {PARTIAL_MARKER!r} or {FINAL_MARKER!r}, and its message is of limited size"
+            msg = (
+                f"malformed packet: expected {PARTIAL_MARKER!r} or {FINAL_MARKER!r} as its first byte, "
+                f"and a message of at most {MAX_MESSAGE_BYTES} bytes"
+            )
             raise MalformedMessageError(msg)
         if marker == PARTIAL_MARKER:
             return None
         message = orjson.loads(b"".join(self._fragments))
         self._fragments = []
         if not isinstance(message, dict):
-            msg = "a message is a JSON object"
+            msg = "malformed message: expected a JSON object"
             raise MalformedMessageError(msg)
         return message
 
--- a/heronlug/lifecycle/hot_restart/errors.py
+++ b/heronlug/lifecycle/hot_restart/errors.py
@@ -1,17 +1,17 @@
-"""Errors of a hot restart."""
+"""Errors in the messages of a hot restart."""
 
 
 class HotRestartError(ValueError):
-    """What the other process sent cannot be used."""
+    """A message of the other process cannot be used."""
 
 
 class MalformedMessageError(HotRestartError):
-    """Bytes or fields that are no message of a hot restart."""
+    """The received bytes or fields are not a valid hot-restart message."""
 
 
 class UnexpectedMessageError(HotRestartError):
-    """A message that the other process may not send now."""
+    """The other process sent a message that is not allowed in the current state."""
 
 
 class IncompatiblePeerError(HotRestartError):
-    """A process of another dispatcher, or one that speaks another version."""
+    """The other process belongs to another dispatcher or uses another version of the messages."""
--- a/heronlug/lifecycle/hot_restart/handed_over_requests.py
+++ b/heronlug/lifecycle/hot_restart/handed_over_requests.py
@@ -1,4 +1,4 @@
-"""Requests and clients' connections that an old process hands over to the one that has taken over."""
+"""Hands requests and client connections over to the successor process."""
 
 from typing import Any, NamedTuple
 
@@ -14,19 +14,19 @@
 
 
 class _PausableConnections(NamedTuple):
-    """The connections of a request that can all be handed over now."""
+    """The connections of a request, each of which can be handed over now."""
 
     client: ClientConnection
-    servers: list[Any]  # of the attempts in flight, in order
+    servers: list[Any]  # one connection per attempt in flight, in the order of the attempts
 
 
 class RequestSender:
-    """Hands over idle clients, and at a stop requests in progress too."""
+    """Hands over idle client connections and, during a planned stop, requests in progress."""
 
     def __init__(
         self, config: Config, core: Core, frontend: HttpFrontend, shutdown: GracefulShutdown, session: HotRestart
     ) -> None:
-        """Hand over from these parts, through this session."""
+        """Creates a sender that hands over the requests and connections of these parts through ``session``."""
         self._config = config
         self._core = core
         self._frontend = frontend
@@ -34,14 +34,14 @@
         self._session = session
 
     def hand_over(self) -> None:
-        """Hand over whatever can be handed over now; called again until nothing is left."""
+        """Hands over every connection and request that is ready; called repeatedly until the process has none left."""
         self._frontend.hand_over_idle(self._session.hand_over_client)
         if self._shutdown.stopping:
             for request in self._core.requests:
                 self._hand_over_request(request)
 
     def _hand_over_request(self, request: Request) -> None:
-        """Hand a request over that may outlast this process."""
+        """Hands over a request that may outlast this process; does nothing while a connection is not ready."""
         attempts = self._core.attempt_snapshots(request)
         connections = self._pausable_connections(request)
         if attempts is None or connections is None:
@@ -67,7 +67,7 @@
             exchange.detach()
 
     def _pausable_connections(self, request: Request) -> _PausableConnections | None:
-        """The connections of a request; None while one of them is in the middle of a read or write."""
+        """Returns the connections of a request; None while one connection is in the middle of a read or write."""
         client = request.payload.connection
         servers = [attempt.exchange for attempt in request.attempts if attempt.in_flight]
         if client is None or not client.can_hand_over() or len(servers) >= MAX_FDS:
--- a/heronlug/lifecycle/hot_restart/inherited_sockets.py
+++ b/heronlug/lifecycle/hot_restart/inherited_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets that a process serves on: taken over from the process before, or opened anew."""
+"""Opens the listening and peer sockets of a process, or takes them over from the previous process."""
 
 import asyncio
 import errno
@@ -14,16 +14,16 @@
 from heronlug.requests.deadlines import Deadlines
 
 PEER_SOCKET_RETRY_MS = 500.0
-"""Until the peers' address is tried again where another process holds it, in ms."""
+"""Delay before another attempt to bind the peer address while another process uses the address, in ms."""
 LISTENER_SOCKET = "listen"
-"""Name of the clients' socket in the state that a process tells."""
+"""Name of the client listening socket in a process state message."""
 PEER_SOCKET = "peers"
-"""Name of the peers' socket in the state that a process tells."""
+"""Name of the peer socket in a process state message."""
 SOCKET_TYPES = {PEER_SOCKET: socket.SOCK_DGRAM, LISTENER_SOCKET: socket.SOCK_STREAM}
 
 
 class InheritedSockets:
-    """Owner of the descriptors that the process before has given, until each is in use."""
+    """Owns the descriptors from the previous process until they are in use."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         log: Callable[..., None],
         turn: Callable[[], None],
     ) -> None:
-        """Start without inherited descriptors."""
+        """Creates an owner without inherited descriptors."""
         self._config = config
         self._listener = listener
         self._peers = peers
@@ -45,21 +45,25 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def inherit(self, names: tuple[str, ...], fds: list[int]) -> None:
-        """Own these descriptors.
+        """Takes ownership of the descriptors; if an error is raised, the caller still owns them.
+
+        Args:
+            names: The name of the socket behind each descriptor, in the order of ``fds``.
+            fds: The descriptors.
 
         Raises:
-            ValueError: if they are not of the expected kinds; then they are still the caller's.
-            OSError: if one is no socket; then they are still the caller's.
+            ValueError: if a name is unknown or repeated, or a socket is not of the type that its name requires.
+            OSError: if a descriptor is not a socket.
         """
         sockets = dict(zip(names, fds, strict=True))
         wrong_type = any(SOCKET_TYPES.get(name) != _socket_type(fd) for name, fd in sockets.items())
         if wrong_type or len(sockets) != len(fds):
-            msg = "sockets of the wrong kinds"
+            msg = "unexpected names or types of inherited sockets"
             raise MalformedMessageError(msg)
         self._inherited = sockets
 
     def open_listener(self) -> None:
-        """Open the clients' socket: inherited from the parent, handed over, or bound; raises ``OSError``."""
+        """Opens the client listening socket: inherited from the parent, handed over, or bound; raises ``OSError``."""
         fd = self._inherited.pop(LISTENER_SOCKET, None)
         try:
             if self._config.inherited_fd is not None:
@@ -75,7 +79,7 @@
             self._inherited.clear()
 
     async def open_peers(self, is_wanted: Callable[[], bool]) -> None:
-        """Open the peers' socket, again and again while another process holds its address and ``wanted`` is true."""
+        """Opens the peer socket; retries while another process uses the address and ``is_wanted`` returns true."""
         fd = self._inherited.pop(PEER_SOCKET, None)
         address = self._config.peer_listen
         if address is None or not self._config.settings.gossip or self._peers.is_open or not is_wanted():
@@ -93,11 +97,11 @@
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self._peers, sock=sock)
 
     def open_peers_later(self, is_wanted: Callable[[], bool]) -> None:
-        """Open the peers' socket in a task of its own."""
+        """Opens the peer socket in a separate task."""
         self._start_task(self.open_peers(is_wanted))
 
     def _bind_peers(self, address: tuple[str, int], is_wanted: Callable[[], bool]) -> socket.socket | None:
-        """A socket on the peers' address; None while another process holds it, and then it is tried again."""
+        """Returns a socket bound to the peer address; None if another process uses the address, with a retry later."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
@@ -119,6 +123,6 @@
 
 
 def _socket_type(fd: int) -> int:
-    """Which type of socket a descriptor is; raises ``OSError`` for what is none."""
+    """Returns the socket type of a descriptor; raises ``OSError`` if the descriptor is not a socket."""
     with socket.socket(fileno=os.dup(fd)) as sock:
         return sock.type
--- a/heronlug/lifecycle/hot_restart/messages.py
+++ b/heronlug/lifecycle/hot_restart/messages.py
@@ -1,7 +1,7 @@
-"""The messages that two processes of one dispatcher exchange during a hot restart.
+"""Encodes and decodes the messages that two processes of one dispatcher exchange during a hot restart.
 
-Processes of other versions read and write them too, so their words and the order of their keys stay as they are
-(``tests/compatibility``). Descriptors of sockets travel beside a message, see :mod:`.channel`.
+Processes of other versions read and write these messages too, so the names and the order of the keys must not change
+(``tests/compatibility``). Socket descriptors accompany a message without being part of the JSON, see :mod:`.channel`.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,83 +20,83 @@
 from heronlug.requests.model import ListedServer
 
 VERSION = 1
-"""Of the messages; processes with different versions restart without a handover."""
+"""Version of the messages; processes with different versions restart without a handover."""
 
 Message = dict[str, Any]
-"""A message as it is sent: JSON with its kind under ``kind``."""
+"""A message as sent: a JSON object with the message kind under ``kind``."""
 ReadList = Callable[[Any], tuple[int, bool, list[ListedServer]]]
-"""Reads an endpoint list: its version, whether it is complete, and its servers."""
+"""Decodes an endpoint list into its version, whether the list is complete, and its servers."""
 
 
 class MessageKind(StrEnum):
-    """What a message says, by the word on the socket."""
+    """The kinds of messages; the values are sent on the socket."""
 
     HELLO = "hello"
-    """The new process asks for the state."""
+    """The new process requests the state of the old process."""
     STATE = "state"
     """The old process answers with its state and sockets."""
     SERVING = "serving"
     """The new process accepts clients."""
     CLIENT = "client"
-    """The old process hands over a client's connection."""
+    """The old process hands over a client connection."""
     REQUEST = "message"
     """The old process hands over a request in progress, with its connections."""
     REQUEST_UPDATE = "news"
-    """Either process has accepted or finished requests, or counts its slots in flight."""
+    """Either process has accepted or finished requests, or reports its slots in flight."""
     GOODBYE = "bye"
-    """The old process has handed over everything and ends."""
+    """The old process has handed over everything and exits."""
 
 
 def hello(name: str) -> Message:
-    """Ask for the state of the dispatcher of this name."""
+    """Returns a request for the state of the dispatcher with this name."""
     return {"kind": MessageKind.HELLO, "version": VERSION, "name": name}
 
 
 def check_hello(message: Message, name: str) -> None:
-    """Raise :class:`IncompatiblePeerError` unless the message is from a process of this dispatcher and version."""
+    """Raises :class:`IncompatiblePeerError` if the message is from another dispatcher or another version."""
     if message["version"] != VERSION or message["name"] != name:
         msg = f"expected version {VERSION} of {name!r}, got version {message['version']!r} of {message['name']!r}"
         raise IncompatiblePeerError(msg)
 
 
 def serving() -> Message:
-    """Say that this process accepts clients."""
+    """Returns the message that this process accepts clients."""
     return {"kind": MessageKind.SERVING}
 
 
 def client(served: bool) -> Message:
-    """Hand over a client's connection; ``served`` says whether it has had an answer."""
+    """Returns the message for a client connection; ``served`` is true if an answer has been sent on the connection."""
     return {"kind": MessageKind.CLIENT, "served": served}
 
 
 def goodbye() -> Message:
-    """Say that nothing follows."""
+    """Returns the last message of the old process."""
     return {"kind": MessageKind.GOODBYE}
 
 
 def request_opened(request_id: str) -> Message:
-    """Say that a request was accepted."""
+    """Returns the update that a request was accepted."""
     return {"kind": MessageKind.REQUEST_UPDATE, "opened": [request_id]}
 
 
 def request_ended(request_id: str) -> Message:
-    """Say that a request was forgotten."""
+    """Returns the update that a request was removed from the request table."""
     return {"kind": MessageKind.REQUEST_UPDATE, "ended": [request_id]}
 
 
 def slot_counts(content: bytes) -> Message:
-    """Pass on a peer message with the slots in flight."""
+    """Returns the update with ``content``, a peer message of the slots in flight."""
     return {"kind": MessageKind.REQUEST_UPDATE, "counts": content.hex()}
 
 
 @dataclass(frozen=True)
 class RequestUpdate:
-    """What the other process tells about its requests.
+    """An update of the other process on its requests.
 
     Attributes:
-        opened: ids of requests that it has accepted.
-        ended: ids of requests that it has forgotten.
-        counts: a peer message with its slots in flight; None for none.
+        opened: Ids of the requests that the other process has accepted.
+        ended: Ids of the requests that the other process has removed.
+        counts: A peer message with the slots in flight of the other process; None if the update has no counts.
     """
 
     opened: tuple[str, ...]
@@ -105,21 +105,21 @@
 
     @classmethod
     def decode(cls, message: Message) -> "RequestUpdate":
-        """Read news; raises ``TypeError`` or ``ValueError``."""
+        """Decodes an update; raises ``TypeError`` or ``ValueError`` if the message is malformed."""
         counts = bytes.fromhex(message["counts"]) if "counts" in message else None
         return cls(_strings(message.get("opened")), _strings(message.get("ended")), counts)
 
 
 @dataclass(frozen=True)
 class ProcessState:
-    """What a new process needs to know of the one that runs.
+    """The state of the running process that a new process takes over.
 
     Attributes:
-        endpoint_list: the list as it is held, in the form of service discovery; None where none was told.
-        list_valid_ms: how long the list may still be used without confirmation, in ms.
-        learned: what the balancer has learned, see :mod:`heronlug.balancer.snapshot`.
-        request_ids: ids of the requests in progress.
-        socket_names: what each descriptor beside the message is.
+        endpoint_list: The current endpoint list in the format of service discovery; None if the message has no list.
+        list_valid_ms: Remaining time for which the list may be used without confirmation, in ms.
+        learned: The learned state of the balancer, see :mod:`heronlug.balancer.snapshot`.
+        request_ids: Ids of the requests in progress.
+        socket_names: Name of the socket behind each accompanying descriptor.
     """
 
     endpoint_list: Any
@@ -129,7 +129,7 @@
     socket_names: tuple[str, ...]
 
     def encode(self) -> Message:
-        """The message that tells it."""
+        """Returns the message with this state."""
         return {
             "kind": MessageKind.STATE,
             "known": self.endpoint_list,
@@ -141,7 +141,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> "ProcessState":
-        """Read the state; raises ``KeyError`` or ``TypeError``."""
+        """Decodes the state; raises ``KeyError`` or ``TypeError`` if the message is malformed."""
         return cls(
             endpoint_list=message.get("known"),
             list_valid_ms=_milliseconds(message.get("list_good_ms")),
@@ -153,11 +153,11 @@
 
 @dataclass(frozen=True)
 class ExchangeState:
-    """How far the exchange with a server is whose connection is handed over.
+    """Progress of the exchange with a server whose connection is handed over.
 
     Attributes:
-        answered: the server has begun its answer.
-        last: the connection ends with this answer.
+        answered: Whether the server has begun its answer.
+        last: Whether the connection ends with this answer.
     """
 
     answered: bool
@@ -166,16 +166,16 @@
 
 @dataclass(frozen=True)
 class RequestHandover:
-    """A request in progress.
+    """A request in progress that is handed over.
 
     Attributes:
-        request: as the client sent it.
-        give_up_at: its deadline, in ms.
-        accepted_at: when it was accepted, in ms.
-        policy: of its class, as it was when the request was accepted.
-        not_before: when its backoff ends, in ms; 0 for none.
-        attempts: all its attempts in order, each with its server.
-        exchanges: of the attempts in flight, in order.
+        request: The request as the client sent it.
+        give_up_at: Deadline of the request, in ms.
+        accepted_at: Time at which the request was accepted, in ms.
+        policy: Policy of the request class at the time of acceptance.
+        not_before: Time at which the backoff of the request ends, in ms; 0 without a backoff.
+        attempts: All attempts of the request in order, each with its server.
+        exchanges: Progress of the attempts in flight, in the order of the attempts.
     """
 
     request: HttpRequest
@@ -190,7 +190,13 @@
     def decode(
         cls, message: Message, connections: int, read_list: ReadList, classes: tuple[RequestClass, ...]
     ) -> "RequestHandover":
-        """Read a request that comes with this many connections to servers.
+        """Decodes a request in progress.
+
+        Args:
+            message: The message that hands the request over.
+            connections: Number of server connections that accompany the message.
+            read_list: Decodes the servers of the attempts.
+            classes: The configured request classes.
 
         Raises:
             KeyError, TypeError, ValueError, IndexError: if the message is malformed.
@@ -202,10 +208,13 @@
         exchanges = [_read_exchange(dict(exchange)) for exchange in message["wires"]]
         in_flight = sum(attempt.in_flight for attempt in snapshots)
         if len(exchanges) != connections or len(exchanges) != in_flight or version != 0:
-            msg = f"{in_flight} attempts in flight need as many connections, got {connections} for {len(exchanges)}"
+            msg = (
+                f"expected equal counts and list version 0, got {in_flight} attempts in flight, "
+                f"{connections} connections, {len(exchanges)} exchanges and list version {version}"
+            )
             raise MalformedMessageError(msg)
         policy = classes[request.class_index]
-        if "terms" in message:  # versions without limits don't tell them
+        if "terms" in message:  # absent in messages of versions without configurable limits
             policy = model.read(policy, message["terms"])
         return cls(
             request=request,
@@ -218,7 +227,7 @@
         )
 
     def encode(self, zones: list[str], kinds: list[str]) -> Message:
-        """The message that hands the request over; ``zones`` and ``kinds`` are the names in the endpoint list."""
+        """Returns the message that hands the request over; ``zones`` and ``kinds`` are names for the endpoint list."""
         servers = [entry for entry, _ in self.attempts]
         return {
             "kind": MessageKind.REQUEST,
@@ -242,7 +251,7 @@
 
 
 def _milliseconds(value: object) -> float:
-    """A time span that another process has told, 0 where it makes no sense."""
+    """Returns a time span from another process, in ms; 0 if the value is not a finite, non-negative number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
         return 0.0
     return max(0.0, float(value))
--- a/heronlug/lifecycle/hot_restart/session.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -1,7 +1,7 @@
-"""The conversation of a hot restart, between a process and the one before it, and the one after it.
+"""Runs the protocol of a hot restart between a process, its predecessor and its successor.
 
-The new process asks for the state and says when it serves; from then on the old process hands its clients over.
-When the connection between them fails, each goes on by itself.
+The new process requests the state and announces when it accepts clients. From then on the old process hands its client
+connections over. If the connection between the two processes fails, each process continues on its own.
 """
 
 import asyncio
@@ -18,63 +18,63 @@
 from heronlug.requests.deadlines import Deadlines
 
 STATE_TIMEOUT_MS = 1000.0
-"""How long a new process waits for the state of the old one, in ms."""
+"""Time for which a new process waits for the state of the old process, in ms."""
 GOODBYE_TIMEOUT_MS = 1000.0
-"""How long an old process waits until the new one has read all that was handed over, in ms."""
+"""Time for which an old process waits until the new process has read all handed-over messages, in ms."""
 MAX_JOINING = 2
-"""Processes that may have asked for the state and do not serve yet."""
+"""Maximum number of connected processes that do not accept clients yet."""
 
 
 @dataclass
 class ReceivedMessage:
-    """A message, and the descriptors that came with it until somebody else owns them."""
+    """A received message, which owns its descriptors until they are taken."""
 
     message: Message
     fds: list[int]
 
     def take_fds(self) -> list[int]:
-        """Give the descriptors to a new owner."""
+        """Returns the descriptors; the caller owns them from now on."""
         fds = self.fds
         self.fds = []
         return fds
 
     def close(self) -> None:
-        """Close the descriptors that nobody has taken."""
+        """Closes the descriptors that have not been taken."""
         for fd in self.take_fds():
             os.close(fd)
 
 
 class HandoverHandler(Protocol):
-    """What a session calls when the other process has sent something, or has ended."""
+    """Callbacks of a session for the messages and the end of another process."""
 
     def state(self) -> tuple[Message, list[int]]:
-        """All that a new process needs to know, and the sockets that it can use."""
+        """Returns the state message for a new process and the descriptors of the sockets that accompany the message."""
 
     def successor_serves(self) -> None:
-        """Another process serves: accept no clients, and leave the peers to it."""
+        """Stops accepting clients and closes the peer socket, since the successor now uses both."""
 
     def successor_lost(self) -> None:
-        """The process that had taken over has ended: serve again."""
+        """Accepts clients again after the successor has ended."""
 
     def predecessor_ended(self) -> None:
-        """The process before this one has ended."""
+        """Handles the end of the predecessor."""
 
     def receive_request_update(self, message: Message) -> None:
-        """The other process has accepted or finished requests; raises ``TypeError`` or ``ValueError``."""
+        """Applies a request update; raises ``TypeError`` or ``ValueError`` if the message is malformed."""
 
     def adopt_client(self, fd: int, served: bool) -> None:
-        """Go on with a client's connection."""
+        """Adopts a client connection; ``served`` is true if an answer has been sent on the connection."""
 
     def adopt_request(self, message: Message, fds: list[int]) -> None:
-        """Go on with a request in progress; owns the descriptors."""
+        """Adopts a request in progress and takes ownership of its descriptors."""
 
 
 class HotRestart:
-    """The connections of a process with its predecessor and its successor.
+    """The connections of a process to its predecessor and its successor.
 
     Attributes:
-        predecessor: the process that this one takes over from; None where there is none.
-        successor: the process that has taken over from this one; None where there is none.
+        predecessor: The process from which this process takes over; None if there is none.
+        successor: The process that has taken over from this process; None if there is none.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         log: Callable[..., None],
         turn: Callable[[], None],
     ) -> None:
-        """Make a session of the dispatcher ``name`` on the Unix socket ``path``; an empty path switches it off."""
+        """Creates a session of dispatcher ``name`` on the Unix socket ``path``; an empty path disables hot restarts."""
         self._handler = handler
         self._name = name
         self._path = path
@@ -96,14 +96,14 @@
         self._listening_socket: socket.socket | None = None
         self._received_state: asyncio.Future[ReceivedMessage | None] | None = None
         self._goodbye_done: asyncio.Future[None] | None = None
-        self._joining: set[PeerProcess] = set()  # they have connected and do not serve yet
+        self._joining: set[PeerProcess] = set()  # connected, but not accepting clients yet
         self.predecessor: PeerProcess | None = None
         self.successor: PeerProcess | None = None
 
     # -- the new process
 
     async def join(self) -> ReceivedMessage | None:
-        """Ask the process that runs for its state and sockets; None where there is no such process."""
+        """Requests and returns the state and sockets of the running process; None without such a process or answer."""
         sock = channel.connect(self._path) if self._path else None
         if sock is None:
             return None
@@ -117,18 +117,18 @@
         return state
 
     def abandon_predecessor(self) -> None:
-        """Start without the process before, whose state cannot be used."""
+        """Disconnects from the predecessor, whose state cannot be used."""
         if self.predecessor is not None:
             self.predecessor.close()
             self.predecessor = None
 
     def announce_serving(self) -> None:
-        """Tell the process before that this one accepts clients."""
+        """Notifies the predecessor that this process accepts clients."""
         if self.predecessor is not None:
             self.predecessor.send(messages.serving())
 
     def listen(self) -> None:
-        """Let the next process connect."""
+        """Starts to listen for a new process; a failure is logged."""
         if not self._path:
             return
         self._stop_listening()
@@ -143,21 +143,21 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether another process serves in place of this one."""
+        """Returns whether a successor accepts clients in place of this process."""
         return self.successor is not None
 
     def hand_over_client(self, fd: int, served: bool) -> None:
-        """Send a client's connection to the successor; ``served`` says whether it has had an answer."""
+        """Sends a client connection to the successor; ``served`` is true if an answer has been sent on it."""
         if self.successor is not None:
             self.successor.send(messages.client(served), [fd])
 
     def hand_over_request(self, message: Message, fds: list[int]) -> None:
-        """Send a request in progress to the successor."""
+        """Sends a request in progress to the successor."""
         if self.successor is not None:
             self.successor.send(message, fds)
 
     async def say_goodbye(self) -> None:
-        """Wait until the successor has read everything, for what is unread could be lost with this process."""
+        """Waits until the successor has read all messages, since unread messages could be lost at the exit."""
         if self.successor is None:
             return
         self._goodbye_done = asyncio.get_running_loop().create_future()
@@ -171,15 +171,15 @@
         if self._goodbye_done is not None and not self._goodbye_done.done():
             self._goodbye_done.set_result(None)
 
-    # -- both
+    # -- new and old process
 
     def send_request_update(self, message: Message) -> None:
-        """Tell every connected process about requests of this one."""
+        """Sends an update on the requests of this process to every connected process."""
         for process in self._connected_processes():
             process.send(message)
 
     def close(self) -> None:
-        """Close all connections. The socket's file stays: another process may have put its own there."""
+        """Closes all connections; the socket file stays, since the file may already belong to another process."""
         self._stop_listening()
         for process in self._connected_processes():
             process.close()
@@ -205,7 +205,7 @@
             self._joining.add(PeerProcess(sock, self._receive, self._handle_disconnect))
 
     def _receive(self, process: PeerProcess, message: Message, fds: list[int]) -> None:
-        """Handle a message; raises what is wrong with it, and then the connection ends."""
+        """Handles a message; an exception for a malformed or unexpected message ends the connection."""
         received = ReceivedMessage(message, fds)
         try:
             kind = message["kind"]
@@ -216,14 +216,14 @@
             elif process in self._joining:
                 self._receive_from_joining(process, kind, message)
             else:
-                msg = f"{kind!r} is not expected"
+                msg = f"message kind {kind!r} is not accepted from the successor"
                 raise UnexpectedMessageError(msg)
         finally:
             received.close()
         self._turn()
 
     def _receive_from_predecessor(self, process: PeerProcess, kind: object, received: ReceivedMessage) -> None:
-        """Handle what the old process sends."""
+        """Handles a message of the old process."""
         message = received.message
         if kind == MessageKind.STATE and self._received_state is not None and not self._received_state.done():
             self._received_state.set_result(ReceivedMessage(message, received.take_fds()))
@@ -236,11 +236,11 @@
             process.close()
             self._handle_disconnect(process, "parted")
         else:
-            msg = f"{kind!r} is not expected from the process before"
+            msg = f"message kind {kind!r} is not accepted from the predecessor"
             raise UnexpectedMessageError(msg)
 
     def _receive_from_joining(self, process: PeerProcess, kind: object, message: Message) -> None:
-        """Handle what a new process sends."""
+        """Handles a message of a new process that does not accept clients yet."""
         if kind == MessageKind.HELLO:
             messages.check_hello(message, self._name)
             state, sockets = self._handler.state()
@@ -251,11 +251,11 @@
             self._log("handed_over")
             self._handler.successor_serves()
         else:
-            msg = f"{kind!r} is not expected from a process that starts"
+            msg = f"message kind {kind!r} is not accepted from a starting process"
             raise UnexpectedMessageError(msg)
 
     def _handle_disconnect(self, process: PeerProcess, reason: str) -> None:
-        """The connection with a process has ended."""
+        """Handles the end of the connection to a process."""
         self._joining.discard(process)
         if process is self.predecessor:
             self.predecessor = None
--- a/heronlug/lifecycle/hot_restart/state_transfer.py
+++ b/heronlug/lifecycle/hot_restart/state_transfer.py
@@ -1,4 +1,4 @@
-"""What a process does in each step of a hot restart, as the new process and as the old one."""
+"""Implements the steps of a hot restart in the new process and in the old process."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 
 
 class RestartedParts(Protocol):
-    """The parts of a dispatcher that a hot restart concerns."""
+    """The parts of a dispatcher that take part in a hot restart."""
 
     config: Config
     core: Core
@@ -39,16 +39,22 @@
 
     @property
     def log(self) -> Callable[..., None]:
-        """Where events are logged."""
+        """Logs events."""
 
     @property
     def turn(self) -> Callable[[], None]:
-        """To be called after every event from outside."""
+        """Runs the due deadlines; must be called after every external event."""
 
 
 @dataclass(frozen=True)
 class SharedLimits:
-    """Limits that hold for all processes of a dispatcher together."""
+    """Limits that apply to all processes of a dispatcher together.
+
+    Attributes:
+        clients: Maximum number of client connections.
+        servers: Maximum number of server connections.
+        requests: Maximum number of open requests.
+    """
 
     clients: int
     servers: int
@@ -56,14 +62,20 @@
 
 
 class StateTransfer:
-    """Both sides of a hot restart: takes the state over at the start, and hands it over to the next process.
+    """Takes the state over from the predecessor at the start, and hands it over to the successor later.
 
     Attributes:
-        session: the conversation with the other process.
+        session: The session with the other processes of this dispatcher.
     """
 
     def __init__(self, parts: RestartedParts, deadlines: Deadlines, folder: str | None) -> None:
-        """Make the transfer of these parts; processes meet in ``folder``, and without one there is no hot restart."""
+        """Creates the state transfer of a dispatcher.
+
+        Args:
+            parts: The parts of the dispatcher.
+            deadlines: The deadlines of the process.
+            folder: The folder of the Unix socket; None disables hot restarts.
+        """
         config = parts.config
         path = socket_path(folder, config.name, ":".join(map(str, config.listen))) if folder else ""
         self._parts = parts
@@ -77,12 +89,12 @@
         self._total_limits = SharedLimits(
             parts.frontend.max_connections, parts.backend.max_connections, parts.core.max_open
         )
-        self._predecessor_state: ProcessState | None = None  # told by the process before, until it is used
+        self._predecessor_state: ProcessState | None = None  # None once the state has been used
 
     # -- the start of a process
 
     async def join(self) -> None:
-        """Ask the process that runs for its state, if there is one."""
+        """Takes over the state and sockets of the running process, if there is one."""
         received = await self.session.join()
         if received is None:
             return
@@ -99,15 +111,15 @@
         self._divide_limits(2)
 
     async def open_peers(self) -> None:
-        """Open the peers' socket; while another process holds its address, go on without and try again."""
+        """Opens the peer socket; while another process uses the address, starts without the socket and retries."""
         await self._sockets.open_peers(self._uses_peer_socket)
 
     def open_listener(self) -> None:
-        """Open the clients' socket; raises ``OSError``."""
+        """Opens the client listening socket; raises ``OSError`` if the address cannot be bound."""
         self._sockets.open_listener()
 
     def use_state(self) -> None:
-        """Use the state of the process before, or the cached or configured list; the list is then confirmed."""
+        """Applies the state of the predecessor, or else the cached or configured list, which is confirmed later."""
         client = self._parts.discovery.client
         state = self._predecessor_state
         self._predecessor_state = None
@@ -124,7 +136,7 @@
             self._parts.log("handover_failed", error=str(error))
 
     def _read_initial_list(self, state: ProcessState | None) -> list[ListedServer]:
-        """The servers of the first list that can be read: handed over, cached, or configured."""
+        """Returns the servers of the first valid list among the handed-over, the cached and the configured list."""
         discovery = self._parts.discovery
         list_handed_over = state is not None and state.endpoint_list is not None
         cached_list = discovery.cache.load() if discovery.cache is not None and not list_handed_over else None
@@ -140,14 +152,14 @@
         return []
 
     def announce_serving(self) -> None:
-        """Tell the process before that this one accepts clients, and let the next one connect."""
+        """Notifies the predecessor that this process accepts clients, and listens for a successor."""
         self.session.announce_serving()
         self.session.listen()
 
     # -- while there are two processes
 
     def state(self) -> tuple[Message, list[int]]:
-        """All that a new process needs to know, and the sockets that it can use."""
+        """Returns the state message for a new process and the descriptors of the sockets that accompany the message."""
         parts = self._parts
         sockets = {LISTENER_SOCKET: parts.listener.fileno(), PEER_SOCKET: parts.peers.fileno()}
         open_sockets = {name: fd for name, fd in sockets.items() if fd >= 0}
@@ -161,7 +173,7 @@
         return state.encode(), list(open_sockets.values())
 
     def successor_serves(self) -> None:
-        """Another process serves: idle clients go to it, and requests in progress end here."""
+        """Hands idle clients over to the successor; requests in progress end in this process unless a stop begins."""
         self._divide_limits(2)
         self._parts.listener.pause()
         self._parts.peers.close()
@@ -169,21 +181,21 @@
         self._parts.shutdown.hand_over(self._request_sender.hand_over)
 
     def successor_lost(self) -> None:
-        """The process that had taken over has ended before this one: serve again."""
+        """Accepts clients again after the successor has ended before this process."""
         self.predecessor_ended()
         self._parts.shutdown.hand_over(None)
         if not self._parts.shutdown.stopping:
             self._parts.listener.accept()
         self._sockets.open_peers_later(self._uses_peer_socket)
-        self.session.listen()  # the other process had put its own socket in the file's place
+        self.session.listen()  # the successor had replaced the socket file with its own
 
     def predecessor_ended(self) -> None:
-        """There is no other process of this dispatcher any more."""
+        """Discards the requests of the other process and restores the full limits, since no other process is left."""
         self._parts.core.peer_process_ended()
         self._divide_limits(1)
 
     def receive_request_update(self, message: Message) -> None:
-        """The other process has accepted or finished requests; raises ``TypeError`` or ``ValueError``."""
+        """Applies a request update; raises ``TypeError`` or ``ValueError`` if the message is malformed."""
         update = RequestUpdate.decode(message)
         core = self._parts.core
         core.requests.peer_process_ids.update(update.opened)
@@ -192,15 +204,15 @@
             core.peer_message(core.settings.position, update.counts)
 
     def adopt_client(self, fd: int, served: bool) -> None:
-        """Go on with a client's connection."""
+        """Adopts a client connection; ``served`` is true if an answer has been sent on the connection."""
         self._request_adopter.adopt_client(fd, served)
 
     def adopt_request(self, message: Message, fds: list[int]) -> None:
-        """Go on with a request in progress."""
+        """Adopts a request in progress and takes ownership of its descriptors."""
         self._request_adopter.adopt_request(message, fds)
 
     def request_id_changed(self, request_id: str, opened: bool) -> None:
-        """A request of this process was accepted, or forgotten."""
+        """Notifies the other processes that a request of this process was accepted or removed."""
         make_update = messages.request_opened if opened else messages.request_ended
         self.session.send_request_update(make_update(request_id))
 
@@ -208,7 +220,7 @@
         return not self.session.handed_over
 
     def _divide_limits(self, processes: int) -> None:
-        """Take this process's share of the limits."""
+        """Divides the limits equally among this many processes."""
         self._parts.frontend.max_connections = self._total_limits.clients // processes
         self._parts.backend.max_connections = self._total_limits.servers // processes
         self._parts.core.max_open = self._total_limits.requests // processes
--- a/heronlug/lifecycle/log.py
+++ b/heronlug/lifecycle/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line for each event, written by a thread of its own so that a full pipe never blocks the loop."""
+"""Writes the log, one JSON line per event, in a separate thread so that a full pipe never blocks the event loop."""
 
 import os
 import threading
@@ -10,7 +10,7 @@
 from heronlug.config.log_levels import LEVELS
 
 DEFAULT_LEVEL = LEVELS["info"]
-"""Level of the events that :data:`EVENT_LEVELS` doesn't name."""
+"""Level of the events that are not in :data:`EVENT_LEVELS`."""
 EVENT_LEVELS = {
     "taken": LEVELS["debug"],
     "client_gone": LEVELS["debug"],
@@ -26,25 +26,25 @@
     "late_turn": LEVELS["warning"],
     "accept_failed": LEVELS["warning"],
 }
-"""Levels of events by their name."""
+"""Levels of events by the name of the event."""
 MAX_BUFFERED_LINES = 4096
-"""Lines kept while the reader is slow; more are counted and dropped."""
+"""Maximum number of lines buffered while the reader is slow; further lines are dropped and counted."""
 LINES_PER_WRITE = 64
-"""Lines that are written at once at most."""
+"""Maximum number of lines per write."""
 CLOSE_TIMEOUT_S = 0.5
-"""How long closing waits for the reader, in seconds."""
+"""Time for which :meth:`Log.close` waits for the reader, in seconds."""
 
 
 class Log:
-    """Writes lines to a file descriptor.
+    """Writes log lines to a file descriptor.
 
     Attributes:
-        level: events below this level are not logged.
-        dropped: lines dropped since the last one that was kept.
+        level: Name of the lowest level that is logged.
+        dropped: Number of lines dropped since the last buffered line.
     """
 
     def __init__(self, descriptor: int = 1, level: str = "info") -> None:
-        """Start the thread that writes."""
+        """Starts the writing thread; ``descriptor`` 1 is standard output."""
         self.level = level
         self.dropped = 0
         self._descriptor = descriptor
@@ -55,7 +55,7 @@
         self._thread.start()
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """Log an event with its fields."""
+        """Logs an event with its fields."""
         if EVENT_LEVELS.get(event, DEFAULT_LEVEL) < LEVELS[self.level]:
             return
         if len(self._lines) >= MAX_BUFFERED_LINES:
@@ -69,7 +69,7 @@
         self._wake.set()
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Write the buffered lines, for this many seconds at most."""
+        """Writes the buffered lines and stops the thread; waits at most ``timeout_s`` seconds."""
         self._closing = True
         self._wake.set()
         self._thread.join(timeout_s)
@@ -89,5 +89,5 @@
         try:
             while data:
                 data = data[os.write(self._descriptor, data) :]
-        except OSError:  # the reader has closed the pipe, and nobody can read the rest
+        except OSError:  # the reader has closed the pipe, so no further line can be read
             self._lines.clear()
--- a/heronlug/lifecycle/operations.py
+++ b/heronlug/lifecycle/operations.py
@@ -1,4 +1,4 @@
-"""Operators' calls on the admin endpoint, and the figures in Prometheus' text format."""
+"""Answers the calls of operators on the admin endpoint, including the metrics in the Prometheus text format."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Metric:
-    """A figure without its value; names and texts stand in the pages for operators."""
+    """Name, type and help text of a metric; the documentation for operators lists the names and texts."""
 
     name: str
     kind: Literal["counter", "gauge"]
@@ -24,7 +24,7 @@
     FinalAnswer.REFUSED: Metric("overload", "counter", "jobs refused"),
     FinalAnswer.FAILED: Metric("error", "counter", "jobs failed"),
 }
-"""The figures that are given by class."""
+"""The metrics that have one value per request class, by final answer."""
 DISPATCHES = Metric("dispatches", "counter", "attempts written whole to runners")
 CONCURRENT = Metric("concurrent", "gauge", "jobs taken and not yet ended")
 SERVERS = Metric("targets", "gauge", "runners in the list")
@@ -39,7 +39,7 @@
 
 
 def format_metrics(cores: Iterable[Core]) -> str:
-    """The figures of all frontends together; each class is named from the start."""
+    """Returns the metrics of all frontends together; each class is listed even before its first request."""
     cores = list(cores)
     lines = [*_answer_lines(cores)]
     for metric, value in _total_values(cores):
@@ -48,7 +48,7 @@
 
 
 def _answer_lines(cores: list[Core]) -> Iterator[str]:
-    """The final answers by class."""
+    """Yields the lines that count the final answers per class."""
     class_names = cores[0].class_names
     for final, metric in ANSWER_METRICS.items():
         counts = dict.fromkeys(class_names, 0)
@@ -60,7 +60,7 @@
 
 
 def _total_values(cores: list[Core]) -> Iterator[tuple[Metric, int]]:
-    """The figures that have one value, summed over the frontends."""
+    """Yields the metrics that have a single value, summed over the frontends."""
     server_counts = [core.server_counts() for core in cores]
     rule_sets = [core.dispatcher.rules for core in cores]
     yield DISPATCHES, sum(core.dispatches for core in cores)
@@ -82,14 +82,14 @@
 
 
 def accept_failure_metrics(failures: dict[str, int]) -> str:
-    """The lines on failed calls of ``accept``, by listener."""
+    """Returns the lines that count the failed calls of ``accept`` per listener."""
     metric = Metric("accept_failures", "counter", "calls of accept that failed")
     lines = [f'svc_{metric.name}{{listener="{name}"}} {count}' for name, count in failures.items()]
     return "\n".join([*_metric_header(metric), *lines, ""])
 
 
 class OperatorCalls:
-    """What operators can call; each call may be repeated."""
+    """The calls of operators; each call is idempotent."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         log: Callable[..., None],
         additional_metrics: Callable[[], str],
     ) -> None:
-        """Answer for these parts; ``more_figures`` gives the lines that don't come from the cores."""
+        """Creates the calls; ``additional_metrics`` returns the metric lines that do not come from the cores."""
         self._shutdown = shutdown
         self._accepts_clients = accepts_clients
         self._cores = cores
@@ -107,7 +107,7 @@
         self._additional_metrics = additional_metrics
 
     def table(self) -> Calls:
-        """The calls of the admin endpoint."""
+        """Returns the table of calls for the admin endpoint."""
         return {
             CallKey(b"GET", b"/healthcheck"): self.health,
             CallKey(b"GET", b"/stats"): self.stats,
@@ -116,21 +116,21 @@
         }
 
     def health(self) -> Answer:
-        """Whether this process accepts clients."""
+        """Answers with 200 if this process accepts clients, else with 503."""
         return Answer(200, b"yes\n") if self._accepts_clients() else Answer(503, b"no\n")
 
     def stats(self) -> Answer:
-        """All figures."""
+        """Answers with the metrics of the dispatcher."""
         return Answer(200, (format_metrics(self._cores()) + self._additional_metrics()).encode())
 
     def drain(self) -> Answer:
-        """Send clients elsewhere."""
+        """Begins a drain."""
         if self._shutdown.drain():
             self._log("draining")
         return Answer(200, b"draining\n")
 
     def undrain(self) -> Answer:
-        """Accept clients again."""
+        """Ends a drain; answers with 409 during a planned stop."""
         if self._shutdown.stopping:
             return Answer(409, b"stopping: that cannot be taken back\n")
         if self._shutdown.undrain():
--- a/heronlug/lifecycle/peer_messages.py
+++ b/heronlug/lifecycle/peer_messages.py
@@ -1,4 +1,4 @@
-"""Gossip of a running dispatcher: received by the core, sent by whichever process speaks for the dispatcher."""
+"""Passes gossip between the core and the peers, directly or through the successor process."""
 
 from collections.abc import Callable
 
@@ -12,24 +12,24 @@
 
 
 class PeerMessages:
-    """Joins the core with the peers' datagrams.
+    """Connects the core with the datagram socket of the peers.
 
     Attributes:
-        socket: the datagrams.
-        core: of the HTTP frontend; set once it is made, since it sends through these messages.
-        hot_restart: the handover to another process; set once it is made.
+        socket: The datagram socket.
+        core: The core of the HTTP frontend; set after construction, since the core itself needs this object to send.
+        hot_restart: The hot-restart session with other processes; set after construction.
     """
 
     core: Core
     hot_restart: HotRestart
 
     def __init__(self, config: Config, deadlines: Deadlines, log: Log, turn: Callable[[], None]) -> None:
-        """Make messages whose socket is not open yet."""
+        """Creates the connection with a socket that is not open yet."""
         position = config.settings.position
         self.socket = PeerSocket(config.peers, config.peers_all, position, self._receive, log, turn, deadlines.clock)
 
     def send(self, content: bytes, peer: int) -> None:
-        """Send a message to a peer, -1 for all; through the process that has taken over, once there is one."""
+        """Sends a message to a peer, -1 for all peers; a successor, once there is one, sends the message instead."""
         if self.hot_restart.handed_over:
             self.hot_restart.send_request_update(slot_counts(content))
         else:
--- a/heronlug/lifecycle/running_state.py
+++ b/heronlug/lifecycle/running_state.py
@@ -1,4 +1,4 @@
-"""The configuration that runs, and how plan and apply change it: completely, or not at all."""
+"""Changes the running configuration for plan and apply, either completely or not at all."""
 
 import asyncio
 import hashlib
@@ -16,11 +16,11 @@
     from heronlug.plugins.host import Plugin
 
 PluginModule = tuple[bytes, int, int]
-"""A plug-in's WebAssembly module, its fuel, and its memory in KB."""
+"""The WebAssembly module of a plug-in, its fuel, and its memory in KB."""
 
 
 class BrokenLimit(NamedTuple):
-    """A rule that the limits of a request class break, in the order in which commands get the fields."""
+    """A rule that the limits of a request class break; commands receive the fields in this order."""
 
     class_name: str
     key: str
@@ -29,85 +29,85 @@
 
 
 class ConfigurableParts(Protocol):
-    """What of a dispatcher can be changed while it runs."""
+    """The parts of a dispatcher that can be changed at run time."""
 
     @property
     def log(self) -> Callable[..., None]:
-        """Where events are logged."""
+        """Logs events."""
 
     async def open_faktory(self, table: dict[str, Any]) -> OpenedListener:
-        """Bind the Faktory frontend's address, which is not served yet; raises ``OSError`` or ``ValueError``."""
+        """Binds the address of the Faktory frontend without serving yet; raises ``OSError`` or ``ValueError``."""
 
     def use_faktory(self, listener: OpenedListener | None) -> None:
-        """Serve on a listener, or with None on none."""
+        """Serves the Faktory frontend on a listener; with None, only the accepted jobs are finished."""
 
     def discard_faktory_listener(self, listener: OpenedListener) -> None:
-        """Close a listener that was opened and is not in use."""
+        """Closes a listener that was opened but is not in use."""
 
     async def join_cluster(self, table: State) -> None:
-        """Join a cluster; raises ``OSError`` or ``ValueError``."""
+        """Joins a cluster; raises ``OSError`` or ``ValueError``."""
 
     def cluster_view(self, view_name: str) -> list[dict[str, Any]]:
-        """The members, or the periodic tasks; raises :class:`StateError` where there is no cluster."""
+        """Returns the rows of the members or the periodic tasks; raises :class:`StateError` without a cluster."""
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
-        """The zones, after an order for one of them; raises :class:`StateError`."""
+        """Executes the order for a zone, if the request has one, and returns all zones; raises :class:`StateError`."""
 
     def use_discovery_options(self, table: State) -> None:
-        """Pace and cache service discovery, from the start on."""
+        """Configures the pacing of the polls and the cached list of service discovery, from the start on."""
 
     def load_plugins(self, plugins: dict[str, PluginModule]) -> "list[Plugin]":
-        """Load plug-ins; raises ``ValueError``."""
+        """Compiles plug-ins; raises ``ValueError``."""
 
     def use_plugins(self, loaded: "list[Plugin] | None") -> None:
-        """Use loaded plug-ins in place of those before."""
+        """Replaces all plug-ins with loaded plug-ins; None removes all plug-ins."""
 
     def use_log_level(self, level: str) -> None:
-        """Log from this level on."""
+        """Logs only events of this level and above."""
 
     def broken_limits(self, classes: State) -> list[BrokenLimit]:
-        """The rules that limits break here."""
+        """Returns the rules that the limits break."""
 
     def resolved_limits(self, classes: State) -> tuple[RequestClass, ...]:
-        """All classes under limits that break no rule."""
+        """Returns all request classes under valid limits."""
 
     def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
-        """Accept requests under these limits from now on."""
+        """Accepts new requests under these limits."""
 
 
 @dataclass
 class _Prepared:
-    """What was opened for a change and is not in use yet."""
+    """Resources opened for a change that are not in use yet."""
 
     plugins: "list[Plugin] | None" = None
     listener: OpenedListener | None = None
 
 
 class RunningState:
-    """The state that runs; one change at a time.
+    """The running state, which changes are applied to one at a time.
 
     Attributes:
-        state: as :func:`heronlug.config.desired_state.parse` gives it.
+        state: The running state, in the form that :func:`heronlug.config.desired_state.parse` returns.
     """
 
     def __init__(self, parts: ConfigurableParts) -> None:
-        """Begin with the empty state."""
+        """Creates the empty state."""
         self._parts = parts
         self.state: State = EMPTY
         self._lock = asyncio.Lock()
 
     async def apply(self, base: str, desired: State) -> list[str]:
-        """Change the running state to the desired one.
+        """Changes the running state to the desired state.
 
         Args:
-            base: digest of the state that the plan was made for.
-            desired: the new state.
+            base: Digest of the state for which the plan was made.
+            desired: The new state.
 
         Returns:
             A line for each change.
 
         Raises:
-            StateError: if the state cannot be reached; then nothing has changed.
+            StateError: if the desired state cannot be reached; the running state is then unchanged.
         """
         async with self._lock:
             if self.state == desired:
@@ -125,7 +125,7 @@
             return changes
 
     async def limit(self, classes: State) -> list[str]:
-        """Use other limits, and keep all else; returns a line for each change.  Raises :class:`StateError`."""
+        """Applies other limits without any other change and returns a line per change; raises :class:`StateError`."""
         async with self._lock:
             resolved = await self._resolve_limits(classes)
             changes = await run_in_background(changed_limits, self.state["classes"], classes)
@@ -135,38 +135,38 @@
             return changes
 
     def cluster_view(self, view_name: str) -> list[dict[str, Any]]:
-        """The members or the periodic tasks of the cluster."""
+        """Returns the rows of the members or the periodic tasks of the cluster."""
         return self._parts.cluster_view(view_name)
 
     def zones(self, request: dict[str, Any]) -> list[dict[str, Any]]:
-        """The zones, after an operator's order for one of them if that was asked."""
+        """Executes the order for a zone, if the request has one, and returns all zones."""
         return self._parts.zones(request)
 
     async def broken_limits(self, classes: State) -> list[BrokenLimit]:
-        """The rules that limits would break."""
+        """Returns the rules that the limits would break."""
         return await run_in_background(self._parts.broken_limits, classes) if classes else []
 
     def _is_changed(self, desired: State, key: str) -> bool:
         return bool(self.state.get(key, {}) != desired.get(key, {}))  # plans of earlier versions lack some keys
 
     def _check_restart_only(self, desired: State) -> None:
-        """Raise :class:`StateError` for a change that needs a restart."""
+        """Raises :class:`StateError` for a change that requires a restart."""
         if self._is_changed(desired, "cluster") and self.state["cluster"]:
-            msg = "cluster: it changes with a restart alone; keys are read again by SIGHUP"
+            msg = "cluster: cannot change while the dispatcher runs; restart the dispatcher (SIGHUP reloads keys)"
             raise StateError(msg)
         if self._is_changed(desired, "register") and self.state is not EMPTY:
-            msg = "register: it changes with a restart alone"
+            msg = "register: cannot change while the dispatcher runs; restart the dispatcher"
             raise StateError(msg)
 
     async def _resolve_limits(self, classes: State) -> tuple[RequestClass, ...]:
-        """All classes under limits, checked here: a file may have been checked against another site."""
+        """Returns all request classes under limits; checks the limits, since a plan may stem from another site."""
         if broken := await self.broken_limits(classes):
             lines = [f"class.{rule.class_name}.{rule.key}: {rule.wrong}, {rule.right}" for rule in broken]
             raise StateError("\n".join(lines))
         return await run_in_background(self._parts.resolved_limits, classes)
 
     async def _prepare(self, desired: State) -> _Prepared:
-        """Do all that can fail, which changes nothing that runs; raises :class:`StateError`."""
+        """Runs all steps that can fail, without affecting the running state; raises :class:`StateError`."""
         modules = {name: _read_module(name, plugin) for name, plugin in desired["plugins"].items()}
         prepared = _Prepared()
         try:
@@ -183,7 +183,7 @@
         return prepared
 
     def _activate(self, desired: State, prepared: _Prepared, classes: tuple[RequestClass, ...]) -> None:
-        """Put a change to use; nothing here can fail."""
+        """Activates a prepared change; none of these steps can fail."""
         if self._is_changed(desired, "register"):
             self._parts.use_discovery_options(desired.get("register", {}))
         if self._is_changed(desired, "plugins"):
@@ -196,7 +196,7 @@
 
 
 def _read_module(name: str, plugin: dict[str, Any]) -> PluginModule:
-    """Read a plug-in's file; raises :class:`StateError` unless it is the one that was planned."""
+    """Reads the file of a plug-in; raises :class:`StateError` if the file is unreadable or differs from the plan."""
     try:
         data = Path(plugin["file"]).read_bytes()
     except OSError as error:
--- a/heronlug/lifecycle/startup_signals.py
+++ b/heronlug/lifecycle/startup_signals.py
@@ -1,9 +1,9 @@
-"""SIGHUP before the event loop runs: by default it would end the process, and the reload would be lost.
+"""Records SIGHUP before the event loop runs, when the signal would end the process by default and lose the reload.
 
-An operator may write a new configuration and send the signal at any moment, also right after a restart, when the old
-file may have been read already. The signal is therefore noted from the first line of the program on, and the files are
-read once more when the process serves. Whoever starts the process holds a signal back that comes even earlier, as
-``deploy/balancer.toml`` does; the files are read later than that.
+An operator may write a new configuration and send the signal at any time, including right after a restart, when the
+process may already have read the old file. The program therefore records the signal from its first line on and reads
+the files again once the process accepts clients. A signal that arrives even earlier must be ignored by the command that
+starts the process, as in ``deploy/balancer.toml``; the process reads the files after that.
 """
 
 import signal
@@ -11,18 +11,18 @@
 
 
 class StartupSignals:
-    """Notes the signals of a start.
+    """Records the signals received during the start.
 
     Attributes:
-        reload_requested: SIGHUP has come.
+        reload_requested: Whether SIGHUP has been received.
     """
 
     def __init__(self) -> None:
-        """Note nothing yet."""
+        """Creates a record without signals."""
         self.reload_requested = False
 
     def listen(self) -> None:
-        """Note SIGHUP from now on, until the event loop has a handler of its own."""
+        """Records SIGHUP until the event loop installs its own handler."""
         signal.signal(signal.SIGHUP, self._record_reload)
 
     def _record_reload(self, number: int, frame: FrameType | None) -> None:
@@ -30,4 +30,4 @@
 
 
 startup_signals = StartupSignals()
-"""The signals of this process."""
+"""The recorded signals of this process."""
--- a/heronlug/lifecycle/zone_commands.py
+++ b/heronlug/lifecycle/zone_commands.py
@@ -1,4 +1,4 @@
-"""Operators' view of the zones, and their orders for one (``halls`` on the command line and in its answers)."""
+"""Shows the zones to operators and executes their orders for a zone (``hall`` on the command line and in answers)."""
 
 from typing import Any
 
@@ -8,18 +8,18 @@
 from heronlug.requests.core import Core
 
 MAX_ORDER_S = 7 * 86_400.0
-"""How long an order may hold at most, in seconds."""
+"""Maximum duration of an order, in seconds."""
 RELEASE = "release"
-"""The order that ends another: the balancer decides again."""
+"""The order that ends an earlier order, so that the balancer decides again."""
 ORDERED_PHASES = {"leave": ZonePhase.EXCLUDED, "return": ZonePhase.HEALTHY}
 """The phase that each order sets."""
 
 
 def view(core: Core, zones: list[str]) -> list[dict[str, Any]]:
-    """A row for each zone that has servers.
+    """Returns a row for each zone that has servers.
 
     Raises:
-        StateError: if zones don't fail over here.
+        StateError: if zone failover is disabled.
     """
     _check_enabled(core)
     rows = core.dispatcher.rules.zone_failover.overview(core.deadlines.clock())
@@ -27,28 +27,29 @@
 
 
 def order(core: Core, zones: list[str], request: dict[str, Any]) -> list[dict[str, Any]]:
-    """Exclude a zone, return to it, or let the balancer decide again; returns the rows of :func:`view`.
+    """Excludes a zone, returns traffic to the zone, or ends an earlier order; returns the rows of :func:`view`.
 
     Args:
-        core: of the HTTP frontend.
-        zones: the names, by number.
-        request: ``do`` has the order, ``hall`` the zone, ``for_s`` how long it holds in seconds, None for ever.
+        core: The core of the HTTP frontend.
+        zones: The names of the zones by number.
+        request: ``do`` has the order, ``hall`` the name of the zone, and ``for_s`` the duration in seconds, where None
+            is unlimited.
 
     Raises:
-        StateError: if the order cannot be carried out; nothing has changed.
+        StateError: if the order is invalid; no zone has changed.
     """
     _check_enabled(core)
     order_name = request["do"]
     zone = request["hall"]
     duration_s = request.get("for_s")
     if zone not in zones:
-        msg = f"hall {zone!r}: none is called so; there are {', '.join(zones)}"
+        msg = f"hall {zone!r}: unknown hall; there are {', '.join(zones)}"
         raise StateError(msg)
     if order_name not in (*ORDERED_PHASES, RELEASE):
-        msg = f"{order_name!r} is no order for a hall"
+        msg = f"order {order_name!r}: unknown; accepted are leave, return and release"
         raise StateError(msg)
     if duration_s is not None and not 0 < float(duration_s) <= MAX_ORDER_S:
-        msg = f"--for {duration_s}: more than 0 and at most {MAX_ORDER_S:g} seconds"
+        msg = f"--for {duration_s}: must be more than 0 and at most {MAX_ORDER_S:g} seconds"
         raise StateError(msg)
     now = core.deadlines.clock()
     until = now + 1000.0 * float(duration_s) if duration_s is not None else float("inf")
@@ -66,5 +67,5 @@
 
 def _check_enabled(core: Core) -> None:
     if not core.settings.zone_failover:
-        msg = "halls are not left as one here: [site] leave_halls is false"
+        msg = "zone failover is disabled: [site] leave_halls is false"
         raise StateError(msg)
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""What passes between two processes of one dispatcher, without a process."""
+"""Tests the messages, state and connections that a hot restart hands over, without starting a process."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 
 def decoded_snapshot(host: Host) -> Any:
-    """What a host's dispatcher has learned, as it comes out at the other end."""
+    """Returns the learned state of a host's dispatcher after JSON encoding and decoding."""
     return json.loads(json.dumps(host.dispatcher.snapshot()))
 
 
@@ -44,7 +44,7 @@
         return host
 
     def test_new_process_resumes_with_the_learned_state_of_the_old_one(self) -> None:
-        """Guards against an upgrade that begins by sending to what fails, or over a cold worker's budget."""
+        """Guards against a new process that sends to failing servers, or exceeds the slow start of a cold server."""
         old, new = self.host_with_traffic(), Host(SETTINGS, seed=2, workers=4)
         request_id = old.job(2)
         new.now = old.now
@@ -58,7 +58,8 @@
         assert old_dispatcher.avoided_servers(old.now)
         assert new_dispatcher.rules.retry_budget.level == old_dispatcher.rules.retry_budget.level
         server_id = old.sent[request_id][0]
-        assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 1  # what is out there is out here too
+        # the attempt in flight in the old process counts as a peer's
+        assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 1
         recent_work = [
             host.dispatcher.state.servers.by_id[server_id].slow_start.recent_work.total(0) for host in (old, new)
         ]
@@ -67,6 +68,7 @@
         assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 0
 
     def test_malformed_snapshot_changes_nothing(self) -> None:
+        """Guards against partly applied state when another process sends a snapshot with missing or invalid values."""
         valid_snapshot = decoded_snapshot(self.host_with_traffic())
         new = Host(SETTINGS, seed=2, workers=4)
         before = decoded_snapshot(new)
@@ -97,7 +99,7 @@
 
 class RequestAdoption(unittest.TestCase):
     def test_adopted_request_keeps_its_attempt_and_its_retry_rules(self) -> None:
-        """Guards against a second run of what must run once, and against a verdict on a host by who leaves."""
+        """Guards against a second execution of a non-idempotent request, and a payoff for handed-over attempts."""
         for class_index, effect, retries in ((0, Effect.IDEMPOTENT, True), (2, Effect.NON_IDEMPOTENT, False)):
             old, new = Host(SETTINGS, workers=3), Host(SETTINGS, seed=2, workers=3)
             request_id = old.job(class_index)
@@ -121,6 +123,7 @@
             assert any(isinstance(action, StartAttempt) for action in actions) == retries, effect
 
     def test_adopted_request_without_an_attempt_is_placed(self) -> None:
+        """Guards against a handed-over request that waits until its deadline because no attempt is started."""
         new = Host(SETTINGS, workers=3)
         actions = new.dispatcher.handle(
             new.now, RequestAdopted(RequestArrived(7, 2, new.now + 4000), new.now - 100, ())
@@ -128,6 +131,7 @@
         assert [action for action in actions if isinstance(action, StartAttempt | Reject)]
 
     def test_handed_over_request_is_decoded_unchanged(self) -> None:
+        """Guards against bytes outside ASCII, or fields, that are lost when a request is written as JSON."""
         request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=%ff\xfe", bytes(range(256))
         request.headers, request.request_id, request.class_index = {b"x-txn": b"t", b"x-labels": b"\xe4=1"}, "t", 2
@@ -138,7 +142,7 @@
 
 
 class OpenTransport:
-    """Takes all, and never closes."""
+    """A transport that discards all writes and never closes."""
 
     def is_closing(self) -> bool:
         return False
@@ -197,7 +201,7 @@
         return core, answers, connection, attempts[0]
 
     def test_answer_is_the_same_wherever_the_handover_splits_the_response(self) -> None:
-        """Guards against a line or a chunk torn between two processes, which would end the relay as an error."""
+        """Guards against a line or chunk split between two processes, which would end the attempt with an error."""
         first_line, *others = self.LINES
         for chunks in (self.LINES, (first_line[:9], first_line[9:], *others)):
             body = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
@@ -217,12 +221,16 @@
                 assert answers == [b"served ok"], split_at
             head = data.index(b"\r\n\r\n") + 4
             assert handed_over[:2] == [0, head]
-            assert len(handed_over) == 4  # before it, after the head, and after two lines; with the third it ends
+            # before the response, after the head, and after each of the first two lines; the third line is the answer
+            assert len(handed_over) == 4
 
 
 class ProcessEnd(unittest.IsolatedAsyncioTestCase):
     async def test_messages_sent_before_the_other_process_ended_are_received(self) -> None:
-        """A process that ends with news unread resets the socket, and the reset is told before what it has sent."""
+        """Guards against lost messages: a process that ends with unread input resets the socket.
+
+        The kernel reports the reset before the messages that the process has sent.
+        """
         for sends in (False, True):
             own_socket, other_socket = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             own_socket.setblocking(False)
@@ -247,7 +255,10 @@
 
 class PeerSlots(unittest.TestCase):
     def test_slot_counts_of_the_predecessor_replace_the_handed_over_counts(self) -> None:
-        """What it tells counts as told by ourselves, for no peer has our position."""
+        """Guards against slots counted twice.
+
+        The predecessor reports under the position of this dispatcher, which no other peer has.
+        """
         new = Host(SETTINGS, workers=2)
         new.dispatcher.state.peer_load.set_counts(0, {1: 3}, new.dispatcher.state.servers.by_id, new.now)
         assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 3
@@ -258,6 +269,7 @@
         assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 1
 
     def test_adopted_attempt_counts_at_a_removed_server(self) -> None:
+        """Guards against an error or a lost attempt when the server of a handed-over attempt is no longer listed."""
         new = Host(SETTINGS, workers=2)
         new.listed(ListKind.CHANGES, (ServerEntry(9), *entries(2)))
         handed_over = (AttemptSnapshot(9, new.now, True, True, True, new.now),)
--- a/tests/lifecycle/test_plan_and_apply.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -1,4 +1,4 @@
-"""Plan and apply against a running program, and plug-ins that misbehave."""
+"""Tests plan and apply against a running dispatcher, and the isolation of faulty plug-ins."""
 
 import json
 import os
@@ -31,7 +31,7 @@
 
 
 def host_with_plugin(text: str, fuel: int = 10_000) -> tuple[PluginHost, list[str]]:
-    """A host with one plug-in, and what it logs."""
+    """Returns a plug-in host with one plug-in, and the list of events that the host logs."""
     logged: list[str] = []
     host = PluginHost(lambda event, **fields: logged.append(event))
     host.use(PluginHost.load({"p": (bytes(wasmtime.wat2wasm(text)), fuel, 128)}))
@@ -40,12 +40,14 @@
 
 class PluginHooks(unittest.TestCase):
     def test_admit_decides_by_class(self) -> None:
+        """Guards against an ``admit`` result that is ignored or applied to another request class."""
         host, logged = host_with_plugin(REJECT_CLASS_1_MODULE)
         assert [host.admit(class_index, 500.0, 10) for class_index in (0, 1, 2)] == [True, False, True]
         host.observe(0, FinalAnswer.SERVED, 1.0)
         assert logged == []
 
     def test_plugin_that_traps_or_spends_its_fuel_is_disabled_and_requests_are_admitted(self) -> None:
+        """Guards against a faulty plug-in that rejects requests, blocks the dispatcher, or fails again at each call."""
         for text in (TRAP_MODULE, ENDLESS_LOOP_MODULE):
             host, logged = host_with_plugin(text)
             assert host.admit(1, 500.0, 10)
@@ -54,12 +56,14 @@
             assert logged == ["hook_disabled"]
 
     def test_memory_is_bounded(self) -> None:
+        """Guards against a plug-in that takes more memory than configured, at its start or later."""
         host, _ = host_with_plugin(MEMORY_GROWING_MODULE)
-        assert host.admit(1, 500.0, 10)  # growing fails with -1, which is not 0
+        assert host.admit(1, 500.0, 10)  # memory.grow fails with -1, which differs from 0 and therefore admits
         with pytest.raises(PluginError):
             host_with_plugin(LARGE_MEMORY_MODULE)
 
     def test_unusable_module_is_not_loaded(self) -> None:
+        """Guards against modules that import functions, or export no hook of the right signature."""
         for text in (IMPORTING_MODULE, WRONG_SIGNATURE_MODULE, "(module)"):
             with pytest.raises(PluginError):
                 host_with_plugin(text)
@@ -90,6 +94,7 @@
         return process.returncode, process.stdout, process.stderr
 
     def test_applied_plan_leaves_nothing_to_do(self) -> None:
+        """Guards against changes that are reported but not in effect, applied twice, or applied from a stale plan."""
         plan = self.folder / "plan.json"
         status, output, _ = self.run_command("plan", self.file, "--save", plan)
         assert status == 0
@@ -103,7 +108,7 @@
         self.player.faktory_address = f"127.0.0.1:{self.port}"
         self.player.play(
             EXCHANGE_WORDS + 'f1 < {hi}\nf1 > HELLO {"v":2}\\r\\n{push job-0001 once}\n'
-            "f1 < +OK\\r\\n-ERR refused, come back later\\r\\n\n"  # the plug-in has it refused, on both fronts
+            "f1 < +OK\\r\\n-ERR refused, come back later\\r\\n\n"  # the plug-in rejects the class in both frontends
             "c1 > {post t1 once 4000}\nc1 < {refused}\n"
         )
         assert self.run_command("apply", self.write_config("b.toml", free_port()))[0] == 0
@@ -112,19 +117,22 @@
         assert error == "heronlug: the plan is stale: the running state has changed since it was made\n"
 
     def test_failed_apply_changes_nothing(self) -> None:
+        """Guards against a partly applied change when the address of the Faktory frontend is already in use."""
         used_port = self.player.standins.listeners["h1"].getsockname()[1]
         status, _, error = self.run_command("apply", self.write_config("b.toml", used_port))
         assert (status, error.count("\n")) == (1, 1)
         output = self.run_command("plan", self.file)[1]
-        assert "Plan: 2 to add, 1 to change, 0 to remove." in output  # nothing of it has been done
+        assert "Plan: 2 to add, 1 to change, 0 to remove." in output  # no part of the failed change is in effect
 
     def test_changed_module_makes_the_plan_stale(self) -> None:
+        """Guards against a module that is loaded although its file has changed since the plan."""
         plan = self.folder / "plan.json"
         self.run_command("plan", self.file, "--save", plan)
         (self.folder / "p.wasm").write_bytes(wasmtime.wat2wasm(TRAP_MODULE))
         assert "plugin p: the plan is stale" in self.run_command("apply", plan)[2]
 
     def test_error_for_a_bad_file_names_file_line_and_key(self) -> None:
+        """Guards against errors from which an operator cannot find the invalid entry, and against a traceback."""
         for rest, line, key in (
             ("fuel = 'x'", 7, "plugin.0.fuel: 'x' is no number"),
             ("fule = 1", 7, "plugin.0.fule: unknown key"),
@@ -143,6 +151,7 @@
         assert self.run_command("apply", plan)[0] == 1
 
     def test_only_the_same_user_can_open_the_control_socket(self) -> None:
+        """Guards against a control socket that other users can open, for lack of a restrictive umask."""
         assert Path(self.player.control_path).stat().st_mode & 63 == 0
 
 
