--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Runs the command of the arguments, or a dispatcher without arguments; returns the exit status."""
+    """Runs the command named by the arguments, or a dispatcher if there are none; returns the exit status."""
     if sys.argv[1:]:
         from heronlug.cli import main as run_command
 
@@ -24,7 +24,7 @@
 
 
 def start(files: Files, on_loaded: Callable[[Config, State], None] = lambda config, desired: None) -> int:
-    """Runs a dispatcher; calls ``on_loaded`` with the loaded configuration and state before.
+    """Runs a dispatcher, after a call of ``on_loaded`` with the loaded configuration and desired state.
 
     Returns:
         The exit status: 2 if the configuration is invalid, else that of the dispatcher.
--- a/heronlug/lifecycle/graceful_shutdown.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -36,7 +36,7 @@
 """Interval between two checks of a drain or stop, in ms."""
 
 HANDOVER_CHECK_INTERVAL_MS = 10.0
-"""Interval between two checks while client connections are handed over, in ms."""
+"""Interval between two checks while clients are handed over to a successor, in ms."""
 
 
 @dataclass(frozen=True)
@@ -172,7 +172,7 @@
             self._deadlines.call_after(interval, self._check)
 
     def _new_clients_ceased(self) -> bool:
-        """Returns whether new clients have ceased to arrive, so that a client who reconnects arrives elsewhere."""
+        """Returns whether new clients have ceased to arrive, so that clients who reconnect arrive elsewhere."""
         now = self._deadlines.clock()
         began_at = max(self._drained_at or 0.0, self._stopped_at or 0.0)
         last_event_at = max(began_at, self._hooks.last_client_at())
--- a/heronlug/lifecycle/hot_restart/session.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -57,7 +57,7 @@
         """Accepts clients again after the successor has ended."""
 
     def predecessor_ended(self) -> None:
-        """Handles the end of the predecessor."""
+        """Restores the full limits of this process after the predecessor has ended."""
 
     def receive_request_update(self, message: Message) -> None:
         """Applies a request update; raises ``TypeError`` or ``ValueError`` if the message is malformed."""
@@ -103,7 +103,7 @@
     # -- the new process
 
     async def join(self) -> ReceivedMessage | None:
-        """Requests and returns the state and sockets of the running process; None without such a process or answer."""
+        """Requests and returns the state and sockets of the running process; None without a process or an answer."""
         sock = channel.connect(self._path) if self._path else None
         if sock is None:
             return None
