--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m heronlug``: one real dispatcher, as the environment tells; with words, the command line."""
+"""Entry point of ``python -m heronlug``: runs a dispatcher as the environment configures, or a command."""
 
 import os
 import sys
@@ -7,7 +7,7 @@
 from heronlug.lifecycle.startup_signals import startup_signals
 
 if sys.argv[1:2] in ([], ["serve"]):
-    startup_signals.listen()  # before the imports below, which take most of the start
+    startup_signals.listen()  # before the imports below, which take most of the start-up time
 
 from heronlug.config.desired_state import State, StateError
 from heronlug.config.files import Files
@@ -15,22 +15,26 @@
 
 
 def main() -> int:
-    """Start; the exit status is 2 for a configuration that cannot be used."""
+    """Runs the command named by the arguments, or a dispatcher if there are none; returns the exit status."""
     if sys.argv[1:]:
-        from heronlug.cli import main as command
+        from heronlug.cli import main as run_command
 
-        return command()
+        return run_command()
     return start(Files.told())
 
 
-def start(files: Files, tell: Callable[[Config, State], None] = lambda config, desired: None) -> int:
-    """Serve as these files say; ``tell`` what they say before."""
+def start(files: Files, on_loaded: Callable[[Config, State], None] = lambda config, desired: None) -> int:
+    """Runs a dispatcher, after a call of ``on_loaded`` with the loaded configuration and desired state.
+
+    Returns:
+        The exit status: 2 if the configuration is invalid, else that of the dispatcher.
+    """
     try:
         config, desired = files.load()
     except (ConfigError, StateError) as error:
         print("\n".join(f"heronlug: {line}" for line in str(error).splitlines()), file=sys.stderr)
         return 2
-    tell(config, desired)
+    on_loaded(config, desired)
     from heronlug.lifecycle.application import main as serve
 
     return serve(config, desired, files, os.environ.get("HERONLUG_CONTROL", ""))
