--- a/heronlug/adapter/frames.py
+++ b/heronlug/adapter/frames.py
@@ -201,8 +201,8 @@
     if kind > ListKind.FAILED:
         return None
     entries = tuple(
-        ServerEntry(server, ServerState(state), zone, sku, cell, weight, started)
-        for weight, sku, zone, cell, server, state, started in _ENTRY.iter_unpack(
+        ServerEntry(server, ServerState(state), zone, server_kind, cell, weight, started)
+        for weight, server_kind, zone, cell, server, state, started in _ENTRY.iter_unpack(
             record.from_tail(offset, count * ENTRY_SIZE, "list")
         )
         if state <= ServerState.DRAINING
@@ -225,13 +225,13 @@
 
 
 def _attempt_ended(record: _Record) -> WireEvent:
-    _, request, attempt, _, outcome, lag, final, server, load_count, *load = record.unpack(_ATTEMPT_ENDED)
-    return AttemptEnded(request, attempt, server, outcome, lag, final != 0, tuple(load[:load_count]))
+    _, request, attempt, _, outcome, latency, final, server, load_count, *load = record.unpack(_ATTEMPT_ENDED)
+    return AttemptEnded(request, attempt, server, outcome, latency, final != 0, tuple(load[:load_count]))
 
 
 def _probe_result(record: _Record) -> WireEvent:
-    _, server, outcome, lag, load_count, *load = record.unpack(_PROBE_RESULT)
-    return ProbeResult(server, outcome, lag, tuple(load[:load_count]))
+    _, server, outcome, latency, load_count, *load = record.unpack(_PROBE_RESULT)
+    return ProbeResult(server, outcome, latency, tuple(load[:load_count]))
 
 
 def _client_gone(record: _Record) -> WireEvent:
@@ -240,8 +240,8 @@
 
 
 def _answer_started(record: _Record) -> WireEvent:
-    _, request, server, lag, attempt = record.unpack(_ANSWER_STARTED)
-    return AnswerStarted(request, attempt, server, lag)
+    _, request, server, latency, attempt = record.unpack(_ANSWER_STARTED)
+    return AnswerStarted(request, attempt, server, latency)
 
 
 _DECODERS: dict[int, Callable[[_Record], WireEvent | None]] = {
--- a/heronlug/config/cluster_section.py
+++ b/heronlug/config/cluster_section.py
@@ -161,15 +161,15 @@
 def _task_problems(task: PeriodicTaskTable, index: int, known: list[str], source: Source) -> Problems:
     """What is wrong with the name and the times of a task."""
     problems: Problems = []
-    at = (SECTION, "duty", index)
+    key_path = (SECTION, "duty", index)
     if task.name == DISCOVERY_LEASE or task.name.startswith(HEALTH_CHECK_LEASE_PREFIX):
         wrong = f"{task.name!r} is a duty of the program's own"
-        problems.append(source.problem((*at, "name"), wrong, "another name"))
+        problems.append(source.problem((*key_path, "name"), wrong, "another name"))
     if task.name in known:
-        problems.append(source.problem((*at, "name"), f"{task.name!r} is there twice", "its own name"))
+        problems.append(source.problem((*key_path, "name"), f"{task.name!r} is there twice", "its own name"))
     if task.longest_s + task.jitter_s > task.every_s:
         wrong = f"a run of {task.longest_s:g} s, {task.jitter_s:g} s late, is not over when the next begins"
-        problems.append(source.problem((*at, "every_s"), wrong, "more than both together"))
+        problems.append(source.problem((*key_path, "every_s"), wrong, "more than both together"))
     return problems
 
 
@@ -180,11 +180,11 @@
         places.append(((SECTION, "advertise"), table.advertise))
     places += [((SECTION, "seeds", index), seed) for index, seed in enumerate(table.seeds)]
     problems: Problems = []
-    for at, address in places:
+    for key_path, address in places:
         try:
             split_address(address)
         except ValueError as error:
-            problems.append(source.problem(at, str(error), "such as 10.0.0.1:7946"))
+            problems.append(source.problem(key_path, str(error), "such as 10.0.0.1:7946"))
     return problems
 
 
--- a/heronlug/config/desired_state.py
+++ b/heronlug/config/desired_state.py
@@ -35,7 +35,7 @@
 
 State = dict[str, Any]
 EMPTY: State = {"log_level": "info", "faktory": {}, "plugins": {}, "classes": {}, "cluster": {}, "register": {}}
-FAKTORY: dict[str, Any] = {
+FAKTORY_DEFAULTS: dict[str, Any] = {
     "listen": "",
     "password": "",
     "beat_timeout_s": 60.0,
@@ -45,34 +45,36 @@
     "max_connections": 200,
     "store": "",
 }
-PLUGIN: dict[str, Any] = {"name": "", "file": "", "fuel": 100_000, "memory_kb": 1024}
-KEYS = ("log_level", "faktory", "plugin", "class", "cluster", "register")
-WHOLE = ("serve", "site", "host")  # what stands beside them in a file that is the whole configuration
-MAX_MODULE = 1024 * 1024
+PLUGIN_DEFAULTS: dict[str, Any] = {"name": "", "file": "", "fuel": 100_000, "memory_kb": 1024}
+STATE_KEYS = ("log_level", "faktory", "plugin", "class", "cluster", "register")
+SITE_KEYS = ("serve", "site", "host")  # what stands beside them in a file that is the whole configuration
+MAX_MODULE_BYTES = 1024 * 1024
 
 
 class StateError(ConfigurationError, ValueError):
     """A file or a change that cannot be had; the text has a line for each problem, with file, line and key."""
 
 
-def _checked(table: Any, form: Mapping[str, Any], source: Source, at: Keys, problems: list[ConfigProblem]) -> State:
+def _with_defaults(
+    table: Any, defaults: Mapping[str, Any], source: Source, key_path: Keys, problems: list[ConfigProblem]
+) -> State:
     """The table with what it leaves out; every key is known, and of its type."""
     if not isinstance(table, dict):
-        problems.append(source.problem(at, "not a table", f"[{at[0]}]"))
-        return dict(form)
+        problems.append(source.problem(key_path, "not a table", f"[{key_path[0]}]"))
+        return dict(defaults)
     for key, value in table.items():
-        if key not in form:
-            problems.append(source.problem((*at, key), "unknown key", "one of " + ", ".join(form)))
+        if key not in defaults:
+            problems.append(source.problem((*key_path, key), "unknown key", "one of " + ", ".join(defaults)))
             continue
-        number = isinstance(form[key], int | float)
+        number = isinstance(defaults[key], int | float)
         if isinstance(value, bool) or not isinstance(value, int | float if number else str):
             kind = "number" if number else "text"
-            problems.append(source.problem((*at, key), f"{value!r} is no {kind}", f"expected a {kind}"))
+            problems.append(source.problem((*key_path, key), f"{value!r} is no {kind}", f"expected a {kind}"))
         elif number and not 0 < value < 1e12:
             shown = value if isinstance(value, float) else "the number"
             right = "expected more than 0 and less than 1e12"
-            problems.append(source.problem((*at, key), f"{shown} is out of range", right))
-    return {**form, **table}
+            problems.append(source.problem((*key_path, key), f"{shown} is out of range", right))
+    return {**defaults, **table}
 
 
 def parse(source: Source, site: Settings | None = None) -> State:
@@ -81,12 +83,12 @@
     With a site its limits are checked against that too, else only their form.
     """
     table, problems = source.table, list[ConfigProblem]()
-    for key in table.keys() - {*KEYS, *WHOLE}:
-        problems.append(source.problem((key,), "unknown key", "one of " + ", ".join((*KEYS, *WHOLE))))
+    for key in table.keys() - {*STATE_KEYS, *SITE_KEYS}:
+        problems.append(source.problem((key,), "unknown key", "one of " + ", ".join((*STATE_KEYS, *SITE_KEYS))))
     level = table.get("log_level", "info")
     if not isinstance(level, str) or level not in LEVELS:
         problems.append(source.problem(("log_level",), f"{level!r} is no level", "one of " + ", ".join(LEVELS)))
-    faktory = _checked(table.get("faktory", {}), FAKTORY, source, ("faktory",), problems)
+    faktory = _with_defaults(table.get("faktory", {}), FAKTORY_DEFAULTS, source, ("faktory",), problems)
     if faktory["listen"] and isinstance(faktory["listen"], str):
         try:
             split_address(faktory["listen"])
@@ -94,7 +96,7 @@
             problems.append(source.problem(("faktory", "listen"), str(error), "such as 127.0.0.1:7419"))
     if faktory["store"] and isinstance(faktory["store"], str):
         faktory["store"] = str((Path(source.path).parent / faktory["store"]).resolve())
-    plugins = _plugins(table.get("plugin", []), source, problems)
+    plugins = _read_plugins(table.get("plugin", []), source, problems)
     classes: dict[str, Any] = {}
     if "class" in table:
         from heronlug.config.limits import load
@@ -107,11 +109,11 @@
 
         cluster, wrong = cluster_section.read(source)
         problems += wrong
-    register: State = {}
+    discovery: State = {}
     if "register" in table:
         from heronlug.config import discovery_section
 
-        register, wrong = discovery_section.read(source)
+        discovery, wrong = discovery_section.read(source)
         problems += wrong
     if problems:
         raise ConfigProblems(problems)
@@ -121,30 +123,30 @@
         "plugins": plugins,
         "classes": classes,
         "cluster": cluster,
-        "register": register,
+        "register": discovery,
     }
 
 
-def _plugins(listed: Any, source: Source, problems: list[ConfigProblem]) -> State:
+def _read_plugins(listed: Any, source: Source, problems: list[ConfigProblem]) -> State:
     if not isinstance(listed, list):
         problems.append(source.problem(("plugin",), "not a list of tables", "[[plugin]]"))
         return {}
     plugins: State = {}
     for number, entry in enumerate(listed):
-        at, before = ("plugin", number), len(problems)
-        plugin = _checked(entry, PLUGIN, source, at, problems)
+        key_path, before = ("plugin", number), len(problems)
+        plugin = _with_defaults(entry, PLUGIN_DEFAULTS, source, key_path, problems)
         if len(problems) > before:
             continue
         if not plugin["name"] or plugin["name"] in plugins:
-            problems.append(source.problem((*at, "name"), "missing, or there twice", "a name of its own"))
+            problems.append(source.problem((*key_path, "name"), "missing, or there twice", "a name of its own"))
         module = (Path(source.path).parent / plugin["file"]).resolve()
         try:
             data = module.read_bytes()
         except OSError as error:
-            problems.append(source.problem((*at, "file"), error.strerror or str(error), "a WebAssembly module"))
+            problems.append(source.problem((*key_path, "file"), error.strerror or str(error), "a WebAssembly module"))
             continue
-        if len(data) > MAX_MODULE:
-            problems.append(source.problem((*at, "file"), f"over {MAX_MODULE} bytes", "a smaller module"))
+        if len(data) > MAX_MODULE_BYTES:
+            problems.append(source.problem((*key_path, "file"), f"over {MAX_MODULE_BYTES} bytes", "a smaller module"))
         digest = hashlib.sha256(data).hexdigest()
         plugins[plugin.pop("name")] = {**plugin, "file": str(module), "sha256": digest}
     return plugins
@@ -172,7 +174,11 @@
                 continue
             sign = "~" if before and after else "+" if after else "-"
             keys = [key for key in sorted({**before, **after}) if before.get(key) != after.get(key)]
-            shown = [f"{key}: {_shown(key, before)} -> {_shown(key, after)}" for key in keys] if sign == "~" else []
+            shown = (
+                [f"{key}: {_format_value(key, before)} -> {_format_value(key, after)}" for key in keys]
+                if sign == "~"
+                else []
+            )
             lines.append(f"{sign} {what} {name}" + (" (" + "; ".join(shown) + ")" if shown else ""))
     return [*lines, *changed_limits(running["classes"], desired["classes"])]
 
@@ -183,17 +189,17 @@
     for name in sorted({**running, **desired}):
         before, after = running.get(name, {}), desired.get(name, {})
         for key in sorted({**before, **after}):
-            old, new = (_limit(given, key) for given in (before, after))
+            old, new = (_format_limit(given, key) for given in (before, after))
             if old != new:
                 lines.append(f"~ class {name} {key}: {old} -> {new}")
     return lines
 
 
-def _limit(given: Mapping[str, Any], key: str) -> str:
+def _format_limit(given: Mapping[str, Any], key: str) -> str:
     value = given.get(key, "the site's")
     return value if isinstance(value, str) else orjson.dumps(value).decode()
 
 
-def _shown(key: str, table: Mapping[str, Any]) -> str:
+def _format_value(key: str, table: Mapping[str, Any]) -> str:
     value = str(table.get(key, "nothing"))
     return "(hidden)" if key == "password" else value[:12] if key == "sha256" else value
--- a/heronlug/config/files.py
+++ b/heronlug/config/files.py
@@ -10,7 +10,7 @@
 from heronlug.config.platform import Config
 from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
 
-STATE = Path(__file__).parents[2] / "deploy" / "faktory.toml"
+DEFAULT_STATE_FILE = Path(__file__).parents[2] / "deploy" / "faktory.toml"
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     @classmethod
     def told(cls, environ: Mapping[str, str] = os.environ) -> "Files":
         """As the platform tells, by the environment."""
-        return cls(Path(environ.get("HERONLUG_STATE") or STATE), environ)
+        return cls(Path(environ.get("HERONLUG_STATE") or DEFAULT_STATE_FILE), environ)
 
     def load(self, again: bool = False) -> tuple[Config, State]:
         """Read and check everything, at a start or ``again``; raises :class:`ConfigError` or :class:`StateError`."""
--- a/heronlug/config/limits/__init__.py
+++ b/heronlug/config/limits/__init__.py
@@ -4,6 +4,6 @@
 only where there is one to check.
 """
 
-from heronlug.config.limits.model import KEYS, Given, resolve
+from heronlug.config.limits.model import KEYS, GivenLimits, resolve
 
-__all__ = ["KEYS", "Given", "resolve"]
+__all__ = ["KEYS", "GivenLimits", "resolve"]
--- a/heronlug/config/limits/load.py
+++ b/heronlug/config/limits/load.py
@@ -6,30 +6,30 @@
 import msgspec
 
 from heronlug.balancer.settings import Settings
-from heronlug.config.limits.model import KEYS, Given, limit
+from heronlug.config.limits.model import KEYS, GivenLimits, apply_limits
 from heronlug.config.limits.rules import RULES, ClassUnderCheck, notes
 from heronlug.config.limits.schema import ClassTable
 from heronlug.config.strict_toml import ConfigProblem, Source
 from heronlug.config.strict_toml.decode import decode
-from heronlug.config.strict_toml.errors import near
+from heronlug.config.strict_toml.errors import suggest
 
-AT = "class"  # the key of the tables
+SECTION = "class"  # the key of the tables
 
 
-def read(source: Source) -> tuple[dict[str, Given], list[ConfigProblem]]:
+def read(source: Source) -> tuple[dict[str, GivenLimits], list[ConfigProblem]]:
     """What a file gives for each class, and what is wrong with its form; a class with problems gives nothing."""
-    table = source.table.get(AT, {})
+    table = source.table.get(SECTION, {})
     if not isinstance(table, dict) or (table and not any(isinstance(value, dict) for value in table.values())):
-        return {}, [source.problem((AT,), "not a table of classes", "[class.NAME]")]
-    given: dict[str, Given] = {}
+        return {}, [source.problem((SECTION,), "not a table of classes", "[class.NAME]")]
+    given: dict[str, GivenLimits] = {}
     problems: list[ConfigProblem] = []
     for name, values in table.items():
-        decoded, wrong = decode(ClassTable, values, source, (AT, name))
+        decoded, wrong = decode(ClassTable, values, source, (SECTION, name))
         problems += wrong
         if values == {}:
-            problems.append(source.problem((AT, name), "it sets nothing", "at least one limit, or no table"))
-        asked = msgspec.structs.asdict(decoded) if decoded is not None else {}
-        given[name] = {key: value for key, value in asked.items() if value is not msgspec.UNSET}
+            problems.append(source.problem((SECTION, name), "it sets nothing", "at least one limit, or no table"))
+        limits = msgspec.structs.asdict(decoded) if decoded is not None else {}
+        given[name] = {key: value for key, value in limits.items() if value is not msgspec.UNSET}
     return given, problems
 
 
@@ -42,27 +42,27 @@
     right: str
 
 
-def check(site: Settings, given: Mapping[str, Given]) -> Iterator[Broken]:
+def check(site: Settings, given: Mapping[str, GivenLimits]) -> Iterator[Broken]:
     """All rules that these limits break at a site."""
     classes_by_name = {request_class.name: request_class for request_class in site.classes}
     for name, limits in given.items():
         request_class = classes_by_name.get(name)
         if request_class is None:
-            yield Broken(name, "", "the site has no such class", near(name, classes_by_name))
+            yield Broken(name, "", "the site has no such class", suggest(name, classes_by_name))
             continue
-        case = ClassUnderCheck(site, request_class, limits)
+        class_under_check = ClassUnderCheck(site, request_class, limits)
         for rule in RULES:
-            broken = rule(case)
+            broken = rule(class_under_check)
             if broken is not None:
                 yield Broken(name, *broken)
 
 
 def problems(source: Source, broken: Iterator[Broken]) -> list[ConfigProblem]:
     """Broken rules as problems of the file that gave the limits."""
-    return [source.problem((AT, b.name, b.key) if b.key else (AT, b.name), b.wrong, b.right) for b in broken]
+    return [source.problem((SECTION, b.name, b.key) if b.key else (SECTION, b.name), b.wrong, b.right) for b in broken]
 
 
-def advice(site: Settings, given: Mapping[str, Given]) -> list[str]:
+def advice(site: Settings, given: Mapping[str, GivenLimits]) -> list[str]:
     """Notes on limits that break no rule."""
     classes_by_name = {request_class.name: request_class for request_class in site.classes}
     return [
@@ -82,12 +82,12 @@
     origin: str
 
 
-def rows(site: Settings, given: Mapping[str, Given], origin: str) -> Iterator[Row]:
+def rows(site: Settings, given: Mapping[str, GivenLimits], origin: str) -> Iterator[Row]:
     """The resolved table: every limit of every class; ``origin`` names the file."""
     for request_class in site.classes:
         limits = given.get(request_class.name, {})
-        held = limit(request_class, limits)
-        absent = {
+        effective = apply_limits(request_class, limits)
+        site_values = {
             "attempts": (site.max_attempts, "site: attempts_cap"),
             "attempt_timeout_ms": ("as long as the job has", "default"),
             "after_timeout": ("end" if request_class.effect.value == "once" else "again", "default"),
@@ -98,9 +98,9 @@
             "give_up_ms": (request_class.deadline, "site: deadline"),
         }
         for key, field in KEYS.items():
-            value, whence = absent[key]
+            value, value_origin = site_values[key]
             if key in limits:
-                value, whence = getattr(held, field) if key != "after_timeout" else limits[key], origin
-            if key == "second_copy_after_ms" and not (held.hedge and absent["second_copy"][0]):
-                value, whence = "never", "no second copies"
-            yield Row(request_class.name, key, list(value) if isinstance(value, tuple) else value, whence)
+                value, value_origin = getattr(effective, field) if key != "after_timeout" else limits[key], origin
+            if key == "second_copy_after_ms" and not (effective.hedge and site_values["second_copy"][0]):
+                value, value_origin = "never", "no second copies"
+            yield Row(request_class.name, key, list(value) if isinstance(value, tuple) else value, value_origin)
--- a/heronlug/config/limits/model.py
+++ b/heronlug/config/limits/model.py
@@ -6,7 +6,7 @@
 
 from heronlug.balancer.settings import RequestClass
 
-Given = dict[str, Any]
+GivenLimits = dict[str, Any]
 """What a file gives for one class: the keys of ``KEYS`` with plain values; times in milliseconds."""
 
 KEYS = {
@@ -22,25 +22,25 @@
 """The keys of a ``[class]`` table, and the field of :class:`RequestClass` that each sets."""
 
 
-def _field(key: str, value: Any) -> Any:
+def _field_value(key: str, value: Any) -> Any:
     return value == "again" if key == "after_timeout" else tuple(value) if key == "wait_ms" else value
 
 
-def limit(request_class: RequestClass, given: Given) -> RequestClass:
+def apply_limits(request_class: RequestClass, given: GivenLimits) -> RequestClass:
     """The class under these limits; what is not given stays."""
     return (
-        replace(request_class, **{KEYS[key]: _field(key, value) for key, value in given.items()})
+        replace(request_class, **{KEYS[key]: _field_value(key, value) for key, value in given.items()})
         if given
         else request_class
     )
 
 
-def resolve(classes: Sequence[RequestClass], given: Mapping[str, Given]) -> tuple[RequestClass, ...]:
+def resolve(classes: Sequence[RequestClass], given: Mapping[str, GivenLimits]) -> tuple[RequestClass, ...]:
     """All classes, in their order, under the limits that a file gives for some of them by name."""
-    return tuple(limit(request_class, given.get(request_class.name, {})) for request_class in classes)
+    return tuple(apply_limits(request_class, given.get(request_class.name, {})) for request_class in classes)
 
 
-def write(request_class: RequestClass) -> Given:
+def write(request_class: RequestClass) -> GivenLimits:
     """All limits of a class, for another process to go on with."""
     values = {key: getattr(request_class, field) for key, field in KEYS.items()}
     return {
@@ -63,4 +63,4 @@
     if table["after_timeout"] not in ("again", "end") or not isinstance(table["second_copy"], bool):
         msg = "no table of limits"
         raise ValueError(msg)
-    return limit(request_class, table)
+    return apply_limits(request_class, table)
--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -19,7 +19,7 @@
     """A setting that cannot be used; the text names file and key."""
 
 
-FROM_ENVIRONMENT = {
+ENVIRONMENT_VARIABLES = {
     "name": "RELAY_NAME",
     "listen": "RELAY_LISTEN",
     "discovery": "RELAY_DISCOVERY",
@@ -86,18 +86,18 @@
     paced: bool = False
 
 
-def _table(raw: Mapping[str, Any], key: str, where: str) -> dict[str, Any]:
+def _object(raw: Mapping[str, Any], key: str, file_name: str) -> dict[str, Any]:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        msg = f"{where}: {key}: not an object"
+        msg = f"{file_name}: {key}: not an object"
         raise ConfigError(msg)
     return value
 
 
-def _number(table: Mapping[str, Any], key: str, default: float, where: str) -> float:
+def _number(table: Mapping[str, Any], key: str, default: float, file_name: str) -> float:
     value = table.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
-        msg = f"{where}: {key}: {value!r} is no figure of 0 or more"
+        msg = f"{file_name}: {key}: {value!r} is no figure of 0 or more"
         raise ConfigError(msg)
     return float(value)
 
@@ -105,8 +105,8 @@
 def _check(settings: Settings) -> None:
     """Check what is right by itself and wrong together; raises ``ValueError``."""
     names = [request_class.name for request_class in settings.classes]
-    if twice := next((name for name in names if names.count(name) > 1), None):
-        msg = f"lanes: two classes are named {twice!r}, each needs a name of its own"
+    if duplicate := next((name for name in names if names.count(name) > 1), None):
+        msg = f"lanes: two classes are named {duplicate!r}, each needs a name of its own"
         raise ValueError(msg)
     if settings.position >= settings.instances:
         right = f"of {settings.instances} instances it is 0 to {settings.instances - 1}"
@@ -121,17 +121,17 @@
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
     """Read the file that ``RELAY_CONFIG`` names; raises :class:`ConfigError`."""
-    where = environ.get("RELAY_CONFIG", "")
-    if not where:
+    file_name = environ.get("RELAY_CONFIG", "")
+    if not file_name:
         msg = "environment: RELAY_CONFIG: not set"
         raise ConfigError(msg)
     try:
-        raw = orjson.loads(Path(where).read_bytes())
+        raw = orjson.loads(Path(file_name).read_bytes())
     except (OSError, ValueError) as error:
-        msg = f"{where}: {error}"
+        msg = f"{file_name}: {error}"
         raise ConfigError(msg) from None
     if not isinstance(raw, dict):
-        msg = f"{where}: not an object"
+        msg = f"{file_name}: not an object"
         raise ConfigError(msg)
     inherited = environ.get("RELAY_INHERITED_FD", "")
     if inherited and not inherited.isdecimal():
@@ -139,42 +139,42 @@
         raise ConfigError(msg)
     raw = {
         **raw,
-        **{key: environ[variable] for key, variable in FROM_ENVIRONMENT.items() if environ.get(variable)},
+        **{key: environ[variable] for key, variable in ENVIRONMENT_VARIABLES.items() if environ.get(variable)},
     }
-    return replace(parse(raw, where), inherited_fd=int(inherited) if inherited else None)
+    return replace(parse(raw, file_name), inherited_fd=int(inherited) if inherited else None)
 
 
-def parse(raw: Mapping[str, Any], where: str, watched: bool = True) -> Config:
+def parse(raw: Mapping[str, Any], file_name: str, watched: bool = True) -> Config:
     """Read a configuration from its JSON object.
 
     Args:
         raw: the object.
-        where: the file's name, for errors.
+        file_name: the file's name, for errors.
         watched: whether service discovery gives the servers; else they are those of the file's list.
 
     Raises:
         ConfigError: if a key is missing or its value cannot be used; the text names the key.
     """
-    conf = _table(raw, "settings", where)
-    limits = _table(raw, "limits", where)
-    site = _table(conf, "limits", where)
-    with _naming(where, "listen"):
+    settings_object = _object(raw, "settings", file_name)
+    limits = _object(raw, "limits", file_name)
+    site_limits = _object(settings_object, "limits", file_name)
+    with _name_key_in_errors(file_name, "listen"):
         listen = split_address(str(raw["listen"]))
-    with _naming(where, "discovery"):
+    with _name_key_in_errors(file_name, "discovery"):
         discovery = _discovery(raw) if watched else ""
-    with _naming(where, "peer_listen"):
+    with _name_key_in_errors(file_name, "peer_listen"):
         peer_listen = _optional_address(raw, "peer_listen")
-    with _naming(where, "admin_addr"):
+    with _name_key_in_errors(file_name, "admin_addr"):
         admin = _optional_address(raw, "admin_addr")
-    with _naming(where, "peers"):
+    with _name_key_in_errors(file_name, "peers"):
         peers = [str(peer) for peer in raw.get("peers") or ()]
         peers_all = str(raw["peers_all"]) if raw.get("peers_all") else None
         for peer in [*peers, *([peers_all] if peers_all else [])]:
             split_address(peer)
-    with _naming(where, "seed"):
+    with _name_key_in_errors(file_name, "seed"):
         seed = int(str(raw.get("seed") or "0"), 16)
-    with _naming(where, "settings"):
-        settings = parse_settings(orjson.dumps(conf))
+    with _name_key_in_errors(file_name, "settings"):
+        settings = parse_settings(orjson.dumps(settings_object))
         _check(settings)
     return Config(
         name=str(raw.get("name", "")),
@@ -182,13 +182,13 @@
         discovery=discovery,
         seed=seed,
         settings=replace(settings, list_pushed=not watched),  # on sockets no list comes without a poll
-        sockets=int(_number(limits, "sockets", DEFAULT_SOCKETS, where)) or DEFAULT_SOCKETS,
-        memory_mb=_number(limits, "memory_mb", DEFAULT_MEMORY_MB, where),
-        conn_idle=_number(site, "conn_idle", DEFAULT_IDLE_MS, where),
-        max_open=int(_number(site, "max_open", DEFAULT_MAX_OPEN, where)),
-        max_come_back=_number(site, "max_retry_after", 0, where) if site.get("retry_after") else 0.0,
-        zones=[str(zone) for zone in conf.get("zones") or ()],
-        kinds=[str(kind) for kind in conf.get("skus") or ()],
+        sockets=int(_number(limits, "sockets", DEFAULT_SOCKETS, file_name)) or DEFAULT_SOCKETS,
+        memory_mb=_number(limits, "memory_mb", DEFAULT_MEMORY_MB, file_name),
+        conn_idle=_number(site_limits, "conn_idle", DEFAULT_IDLE_MS, file_name),
+        max_open=int(_number(site_limits, "max_open", DEFAULT_MAX_OPEN, file_name)),
+        max_come_back=_number(site_limits, "max_retry_after", 0, file_name) if site_limits.get("retry_after") else 0.0,
+        zones=[str(zone) for zone in settings_object.get("zones") or ()],
+        kinds=[str(kind) for kind in settings_object.get("skus") or ()],
         known=raw.get("known"),
         peer_listen=peer_listen,
         peers=peers,
@@ -199,12 +199,12 @@
 
 
 @contextmanager
-def _naming(where: str, key: str) -> Iterator[None]:
+def _name_key_in_errors(file_name: str, key: str) -> Iterator[None]:
     """Turn an error in reading a key into a :class:`ConfigError` that names it."""
     try:
         yield
     except (KeyError, ValueError, TypeError) as error:
-        msg = f"{where}: {key}: {error}"
+        msg = f"{file_name}: {key}: {error}"
         raise ConfigError(msg) from error
 
 
--- a/heronlug/config/settings_json.py
+++ b/heronlug/config/settings_json.py
@@ -10,7 +10,7 @@
 DEFAULT_POLL_INTERVAL = 10_000.0
 """Milliseconds between two polls of the endpoint list, where the settings give none."""
 
-KEYS = {
+KEYS_BY_FIELD = {
     "latency_objective": "goal_time",
     "latency_factor": "aim_stretch",
     "priority_weight": "worth",
@@ -44,7 +44,7 @@
     try:
         return _settings(table)
     except SettingsError as error:
-        raise SettingsError(KEYS.get(error.key, error.key), error.value) from error
+        raise SettingsError(KEYS_BY_FIELD.get(error.key, error.key), error.value) from error
 
 
 def _settings(table: Mapping[str, Any]) -> Settings:
@@ -54,9 +54,9 @@
     report = table.get("load_report") or {}
     prices = table.get("penalties") or {}
     goal = table.get("goal") or {}
-    lanes = _need(table, "lanes", "")
+    class_tables = _required(table, "lanes", "")
     return Settings(
-        classes=tuple(_request_class(lane, i, family) for i, lane in enumerate(lanes)),
+        classes=tuple(_request_class(class_table, i, family) for i, class_table in enumerate(class_tables)),
         instances=int(_number(table, "instances", 1)),
         position=int(_number(table, "position", 0)),
         zone=int(_number(table, "zone", 0)),
@@ -94,9 +94,9 @@
     try:
         return RequestClass(
             name=str(table.get("name", index)),
-            latency_objective=float(_need(table, "goal_time", where)),
-            deadline=float(_need(table, "deadline", where)),
-            effect=Effect(_need(table, "effect", where)),
+            latency_objective=float(_required(table, "goal_time", where)),
+            deadline=float(_required(table, "deadline", where)),
+            effect=Effect(_required(table, "effect", where)),
             latency_factor=float(table.get("aim_stretch") or (factors[index] if index < len(factors) else 0.0)),
             priority_weight=_number(table, "worth", 1.0),
             late_value=_number(table, "late_value", 0.0),
@@ -105,13 +105,13 @@
             server_kind=int(kinds[index]) if index < len(kinds) else -1,
         )
     except SettingsError as error:
-        raise SettingsError(where + KEYS.get(error.key, error.key), error.value) from error
+        raise SettingsError(where + KEYS_BY_FIELD.get(error.key, error.key), error.value) from error
     except (TypeError, ValueError) as error:
         text = str(error)
         raise ValueError(text if text.startswith(where) else f"{where}{text}") from error
 
 
-def _need(table: Mapping[str, Any], key: str, where: str) -> Any:
+def _required(table: Mapping[str, Any], key: str, where: str) -> Any:
     if key not in table:
         message = f"{where}{key}: required setting is missing"
         raise ValueError(message)
--- a/heronlug/config/site.py
+++ b/heronlug/config/site.py
@@ -24,7 +24,7 @@
 Names = Annotated[list[str], Meta(min_length=1, description="a list of at least one name")]
 
 
-class Serve(Struct, forbid_unknown_fields=True):
+class ServeTable(Struct, forbid_unknown_fields=True):
     """What the process is called, where it listens and what it may use."""
 
     listen: Address
@@ -37,7 +37,7 @@
     sockets: Annotated[int, Meta(ge=128, le=1_000_000, description="descriptors, 128 or more")] = 1024
 
 
-class SiteClass(Struct, forbid_unknown_fields=True):
+class SiteClassTable(Struct, forbid_unknown_fields=True):
     """One class of jobs: what an answer is worth and what its effect allows."""
 
     name: Text
@@ -51,7 +51,7 @@
     repeat_window_ms: Wait = 0.0
 
 
-class Site(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
+class SiteTable(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
     """What holds for all dispatchers of an installation; the safety figures are those of the four rules."""
 
     classes: Annotated[list[Any], Meta(min_length=1, description="at least one [[site.class]]")]
@@ -75,7 +75,7 @@
     overload_for_ms: Span = 3000.0
 
 
-class Host(Struct, forbid_unknown_fields=True):
+class ServerTable(Struct, forbid_unknown_fields=True):
     """One host that jobs may be sent to."""
 
     name: Text
@@ -102,24 +102,28 @@
     """The same as the platform's object, or all that is wrong with the file."""
     problems: list[ConfigProblem] = []
 
-    def form(kind: type[Any], table: Any, *at: str | int) -> Any:
-        decoded, wrong = decode(kind, table, source, at)
+    def decode_table(kind: type[Any], table: Any, *key_path: str | int) -> Any:
+        decoded, wrong = decode(kind, table, source, key_path)
         problems.extend(wrong)
         return decoded
 
-    serve = form(Serve, source.table.get("serve", {}), "serve")
-    site = form(Site, source.table.get("site", {}), "site")
+    serve = decode_table(ServeTable, source.table.get("serve", {}), "serve")
+    site = decode_table(SiteTable, source.table.get("site", {}), "site")
     listed = source.table.get("host", [])
     if not isinstance(listed, list):
         problems.append(source.problem(("host",), "not a list of tables", "[[host]]"))
         listed = []
-    hosts = [form(Host, table, "host", number) for number, table in enumerate(listed)]
-    classes = [form(SiteClass, t, "site", "class", n) for n, t in enumerate(site.classes)] if site is not None else []
+    servers = [decode_table(ServerTable, table, "host", number) for number, table in enumerate(listed)]
+    classes = (
+        [decode_table(SiteClassTable, t, "site", "class", n) for n, t in enumerate(site.classes)]
+        if site is not None
+        else []
+    )
     if serve is not None:
         for key in ("listen", "operators", "discovery"):
-            _address(getattr(serve, key), source, ("serve", key), problems)
+            _check_address(getattr(serve, key), source, ("serve", key), problems)
         for number, peer in enumerate(serve.peers):
-            _address(peer, source, ("serve", "peers", number), problems)
+            _check_address(peer, source, ("serve", "peers", number), problems)
         if site is not None and serve.peers and len(serve.peers) != site.dispatchers:
             wrong = f"{len(serve.peers)} addresses for {site.dispatchers} dispatchers"
             problems.append(source.problem(("serve", "peers"), wrong, "one for each, in the order of their positions"))
@@ -127,60 +131,66 @@
             wrong = f"{serve.position} is none of the positions of {site.dispatchers} dispatchers"
             problems.append(source.problem(("serve", "position"), wrong, f"0 to {site.dispatchers - 1}"))
     names: set[str] = set()
-    for number, host in enumerate(hosts):
-        if host is None:
+    for number, server in enumerate(servers):
+        if server is None:
             continue
-        at: Keys = ("host", number)
-        _address(host.address, source, (*at, "address"), problems)
-        if host.name in names:
-            problems.append(source.problem((*at, "name"), f"{host.name!r} is there twice", "a name of its own"))
-        names.add(host.name)
+        key_path: Keys = ("host", number)
+        _check_address(server.address, source, (*key_path, "address"), problems)
+        if server.name in names:
+            problems.append(source.problem((*key_path, "name"), f"{server.name!r} is there twice", "a name of its own"))
+        names.add(server.name)
         for key, known in (("zone", site.zones), ("kind", site.kinds)) if site is not None else ():
-            if getattr(host, key) not in ("", *known):
-                wrong = f"{getattr(host, key)!r} is none of the site's"
-                problems.append(source.problem((*at, key), wrong, "one of " + ", ".join(known)))
+            if getattr(server, key) not in ("", *known):
+                wrong = f"{getattr(server, key)!r} is none of the site's"
+                problems.append(source.problem((*key_path, key), wrong, "one of " + ", ".join(known)))
     names = set()
-    for number, lane in enumerate(classes):
-        if lane is None:
+    for number, request_class in enumerate(classes):
+        if request_class is None:
             continue
-        at = ("site", "class", number)
-        if lane.name in names:
-            problems.append(source.problem((*at, "name"), f"{lane.name!r} is there twice", "a name of its own"))
-        names.add(lane.name)
-        if lane.aim_ms > lane.deadline_ms:
-            wrong = f"{lane.aim_ms:g} ms is past the deadline"
-            problems.append(source.problem((*at, "aim_ms"), wrong, f"{lane.deadline_ms:g} at most"))
+        key_path = ("site", "class", number)
+        if request_class.name in names:
+            problems.append(
+                source.problem((*key_path, "name"), f"{request_class.name!r} is there twice", "a name of its own")
+            )
+        names.add(request_class.name)
+        if request_class.aim_ms > request_class.deadline_ms:
+            wrong = f"{request_class.aim_ms:g} ms is past the deadline"
+            problems.append(source.problem((*key_path, "aim_ms"), wrong, f"{request_class.deadline_ms:g} at most"))
     if problems:
         return None, problems
-    return _raw(serve, site, classes, hosts), []
+    return _platform_object(serve, site, classes, servers), []
 
 
-def _address(text: str | None, source: Source, at: tuple[str | int, ...], problems: list[ConfigProblem]) -> None:
+def _check_address(
+    text: str | None, source: Source, key_path: tuple[str | int, ...], problems: list[ConfigProblem]
+) -> None:
     try:
         if text is not None:
             split_address(text)
     except ValueError as error:
-        problems.append(source.problem(at, str(error), "such as 127.0.0.1:8081"))
+        problems.append(source.problem(key_path, str(error), "such as 127.0.0.1:8081"))
 
 
-def _raw(serve: Serve, site: Site, classes: list[SiteClass], hosts: list[Host]) -> dict[str, Any]:
+def _platform_object(
+    serve: ServeTable, site: SiteTable, classes: list[SiteClassTable], servers: list[ServerTable]
+) -> dict[str, Any]:
     """The same as the platform's object."""
-    lanes = [
+    class_objects = [
         {
-            "name": lane.name,
-            "effect": lane.effect,
-            "goal_time": lane.aim_ms,
-            "deadline": lane.deadline_ms,
-            "worth": lane.worth,
-            "late_value": lane.late_worth,
-            "aim_stretch": lane.stretch,
-            "key_scope": lane.key_scope,
-            "repeat_window": lane.repeat_window_ms,
+            "name": request_class.name,
+            "effect": request_class.effect,
+            "goal_time": request_class.aim_ms,
+            "deadline": request_class.deadline_ms,
+            "worth": request_class.worth,
+            "late_value": request_class.late_worth,
+            "aim_stretch": request_class.stretch,
+            "key_scope": request_class.key_scope,
+            "repeat_window": request_class.repeat_window_ms,
         }
-        for lane in classes
+        for request_class in classes
     ]
     settings = {
-        "lanes": lanes,
+        "lanes": class_objects,
         "zones": site.zones,
         "skus": site.kinds,
         "tick": 5.0,
@@ -210,16 +220,16 @@
     }
     instances = [
         {
-            "instanceId": host.name,
-            "hostPort": host.address,
-            "zone": host.zone or site.zones[0],
-            "machineType": host.kind or site.kinds[0],
-            "cell": host.cell,
-            "lifecycle": "leaving" if host.draining else "active",
+            "instanceId": server.name,
+            "hostPort": server.address,
+            "zone": server.zone or site.zones[0],
+            "machineType": server.kind or site.kinds[0],
+            "cell": server.cell,
+            "lifecycle": "leaving" if server.draining else "active",
             "weight": 1.0,
             "startedAtMs": 0,
         }
-        for host in hosts
+        for server in servers
     ]
     return {
         "name": serve.name,
--- a/heronlug/config/strict_toml/decode.py
+++ b/heronlug/config/strict_toml/decode.py
@@ -6,68 +6,76 @@
 
 import msgspec
 
-from heronlug.config.strict_toml.errors import ConfigProblem, near
+from heronlug.config.strict_toml.errors import ConfigProblem, suggest
 from heronlug.config.strict_toml.source import Keys, Source
 
-Form = TypeVar("Form", bound=msgspec.Struct)
-INSIDE = re.compile(r" - at `\$(.*)`$")
-STEP = re.compile(r"\[(\d+)\]|\.(\w+)")
+StructType = TypeVar("StructType", bound=msgspec.Struct)
+ERROR_PATH = re.compile(r" - at `\$(.*)`$")
+PATH_STEP = re.compile(r"\[(\d+)\]|\.(\w+)")
 
 
-def decode(form: type[Form], table: Any, source: Source, at: Keys) -> tuple[Form | None, list[ConfigProblem]]:
+def decode(
+    struct_type: type[StructType], table: Any, source: Source, key_path: Keys
+) -> tuple[StructType | None, list[ConfigProblem]]:
     """The struct of a table, or None with the problems that stood in its way.
 
     A field's ``Meta(description=...)`` says in an error what would be right.
     """
     if not isinstance(table, dict):
-        return None, [source.problem(at, f"{_shown(table)} is no table", f"[{'.'.join(map(str, at))}]")]
-    hints = get_type_hints(form, include_extras=True)
-    fields = {field.encode_name: field for field in msgspec.structs.fields(form)}
+        return None, [
+            source.problem(key_path, f"{_format_value(table)} is no table", f"[{'.'.join(map(str, key_path))}]")
+        ]
+    hints = get_type_hints(struct_type, include_extras=True)
+    fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
     problems: list[ConfigProblem] = []
     values: dict[str, Any] = {}
     for key, value in table.items():
         field = fields.get(key)
         if field is None:
-            problems.append(source.problem((*at, key), "unknown key", near(key, fields)))
+            problems.append(source.problem((*key_path, key), "unknown key", suggest(key, fields)))
             continue
-        kind, right = hints[field.name], _right(hints[field.name])
+        field_type, expected = hints[field.name], _expected(hints[field.name])
         try:
-            if not _finite(value):
+            if not _is_finite(value):
                 msg = "not finite"
                 raise msgspec.ValidationError(msg)
-            values[field.name] = msgspec.convert(value, kind, strict=True)
+            values[field.name] = msgspec.convert(value, field_type, strict=True)
         except (msgspec.ValidationError, OverflowError) as error:
-            inside = INSIDE.search(str(error))
-            steps: Keys = tuple(int(n) if n else name for n, name in STEP.findall(inside[1])) if inside else ()
-            shown = value
-            for step in steps:
-                shown = shown[step]
-            problems.append(source.problem((*at, key, *steps), f"{_shown(shown)} is not accepted", right))
+            error_path = ERROR_PATH.search(str(error))
+            inner_keys: Keys = (
+                tuple(int(n) if n else name for n, name in PATH_STEP.findall(error_path[1])) if error_path else ()
+            )
+            bad_value = value
+            for inner_key in inner_keys:
+                bad_value = bad_value[inner_key]
+            problems.append(
+                source.problem((*key_path, key, *inner_keys), f"{_format_value(bad_value)} is not accepted", expected)
+            )
     for key, field in fields.items():
         if field.required and key not in table:
-            problems.append(source.problem((*at, key), "missing", _right(hints[field.name])))
-    return (None, problems) if problems else (form(**values), [])
+            problems.append(source.problem((*key_path, key), "missing", _expected(hints[field.name])))
+    return (None, problems) if problems else (struct_type(**values), [])
 
 
-def _right(kind: Any) -> str:
+def _expected(field_type: Any) -> str:
     """What the form says of a field, else its bare type."""
-    if get_origin(kind) is Annotated:
-        for note in get_args(kind)[1:]:
-            if isinstance(note, msgspec.Meta) and note.description:
-                return f"expected {note.description}"
-    for part in get_args(kind):
-        if found := _right(part):
-            return found
-    return {int: "expected a whole number", float: "expected a number", str: "expected a text"}.get(kind, "")
+    if get_origin(field_type) is Annotated:
+        for annotation in get_args(field_type)[1:]:
+            if isinstance(annotation, msgspec.Meta) and annotation.description:
+                return f"expected {annotation.description}"
+    for argument in get_args(field_type):
+        if expectation := _expected(argument):
+            return expectation
+    return {int: "expected a whole number", float: "expected a number", str: "expected a text"}.get(field_type, "")
 
 
-def _finite(value: Any) -> bool:
+def _is_finite(value: Any) -> bool:
     if isinstance(value, list):
-        return all(map(_finite, value))
+        return all(map(_is_finite, value))
     return not isinstance(value, float) or math.isfinite(value)
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     try:
         text = repr(value)
     except ValueError:  # a whole number of more digits than Python writes out
--- a/heronlug/config/strict_toml/errors.py
+++ b/heronlug/config/strict_toml/errors.py
@@ -24,18 +24,18 @@
     right: str = ""
 
     def __str__(self) -> str:
-        place = f"{self.path}:{self.line}: " if self.line else f"{self.path}: "
+        location = f"{self.path}:{self.line}: " if self.line else f"{self.path}: "
         key = f"{self.key}: " if self.key else ""
-        return " ".join(f"{place}{key}{self.wrong}{', ' if self.right else ''}{self.right}".split())
+        return " ".join(f"{location}{key}{self.wrong}{', ' if self.right else ''}{self.right}".split())
 
 
-def near(word: str, known: Iterable[str]) -> str:
+def suggest(word: str, known: Iterable[str]) -> str:
     """What would be right in place of an unknown word."""
     from difflib import get_close_matches
 
-    words = list(known)
-    close = get_close_matches(word, words, 1)
-    return f"perhaps {close[0]}" if close else "one of " + ", ".join(words)
+    known_words = list(known)
+    matches = get_close_matches(word, known_words, 1)
+    return f"perhaps {matches[0]}" if matches else "one of " + ", ".join(known_words)
 
 
 class ConfigProblems(ConfigurationError, ValueError):
--- a/heronlug/config/strict_toml/key_lines.py
+++ b/heronlug/config/strict_toml/key_lines.py
@@ -5,71 +5,71 @@
 
 from heronlug.config.strict_toml.source import Keys
 
-PLAIN = {"bare_key", "quoted_key", "dotted_key"}
+KEY_NODE_TYPES = {"bare_key", "quoted_key", "dotted_key"}
 
 
-def places(text: str) -> dict[Keys, int]:
+def find_key_lines(text: str) -> dict[Keys, int]:
     """The lines, from 1, of all keys and tables; an element of a list of tables has its number in its path."""
     lines: dict[Keys, int] = {}
-    counts: dict[Keys, int] = {}
+    element_counts: dict[Keys, int] = {}
     root = Parser(Language(tree_sitter_toml.language())).parse(text.encode()).root_node
     for node in root.children:
         if node.type == "pair":
-            _pair(node, (), lines)
+            _record_pair(node, (), lines)
         elif node.type in ("table", "table_array_element"):
-            named = next((child for child in node.children if child.type in PLAIN), None)
-            if named is None:
+            key_node = next((child for child in node.children if child.type in KEY_NODE_TYPES), None)
+            if key_node is None:
                 continue
-            at = _inside(_names(named), counts)
+            key_path = _header_path(_key_names(key_node), element_counts)
             if node.type == "table_array_element":
-                number = counts[at] = counts.get(at, -1) + 1
-                _note(at, node, lines)
-                at = (*at, number)
-            _note(at, node, lines)
+                number = element_counts[key_path] = element_counts.get(key_path, -1) + 1
+                _record_path(key_path, node, lines)
+                key_path = (*key_path, number)
+            _record_path(key_path, node, lines)
             for child in node.children:
                 if child.type == "pair":
-                    _pair(child, at, lines)
+                    _record_pair(child, key_path, lines)
     return lines
 
 
-def _inside(names: Keys, counts: dict[Keys, int]) -> Keys:
+def _header_path(names: Keys, element_counts: dict[Keys, int]) -> Keys:
     """The path of a table's header, with the number of each list's last element that it goes through."""
-    at: Keys = ()
-    for place, name in enumerate(names):
-        at = (*at, name)
-        if at in counts and place < len(names) - 1:
-            at = (*at, counts[at])
-    return at
+    key_path: Keys = ()
+    for position, name in enumerate(names):
+        key_path = (*key_path, name)
+        if key_path in element_counts and position < len(names) - 1:
+            key_path = (*key_path, element_counts[key_path])
+    return key_path
 
 
-def _note(at: Keys, node: Node, lines: dict[Keys, int]) -> None:
-    for end in range(1, len(at) + 1):
-        lines.setdefault(at[:end], node.start_point[0] + 1)
+def _record_path(key_path: Keys, node: Node, lines: dict[Keys, int]) -> None:
+    for length in range(1, len(key_path) + 1):
+        lines.setdefault(key_path[:length], node.start_point[0] + 1)
 
 
-def _pair(node: Node, at: Keys, lines: dict[Keys, int]) -> None:
+def _record_pair(node: Node, key_path: Keys, lines: dict[Keys, int]) -> None:
     key, value = node.children[0], node.children[-1]
-    here = (*at, *_names(key))
-    _note(here, node, lines)
-    lines[here] = node.start_point[0] + 1
-    _value(value, here, lines)
+    pair_path = (*key_path, *_key_names(key))
+    _record_path(pair_path, node, lines)
+    lines[pair_path] = node.start_point[0] + 1
+    _record_elements(value, pair_path, lines)
 
 
-def _value(value: Node, at: Keys, lines: dict[Keys, int]) -> None:
+def _record_elements(value: Node, key_path: Keys, lines: dict[Keys, int]) -> None:
     if value.type == "inline_table":
         for child in value.children:
             if child.type == "pair":
-                _pair(child, at, lines)
+                _record_pair(child, key_path, lines)
     elif value.type == "array":
         elements = [child for child in value.children if child.is_named and child.type != "comment"]
         for number, element in enumerate(elements):
-            lines[*at, number] = element.start_point[0] + 1
-            _value(element, (*at, number), lines)
+            lines[*key_path, number] = element.start_point[0] + 1
+            _record_elements(element, (*key_path, number), lines)
 
 
-def _names(key: Node) -> Keys:
+def _key_names(key: Node) -> Keys:
     if key.type == "dotted_key":
-        return tuple(name for child in key.children if child.type in PLAIN for name in _names(child))
+        return tuple(name for child in key.children if child.type in KEY_NODE_TYPES for name in _key_names(child))
     text = (key.text or b"").decode()
     if key.type == "quoted_key":
         import tomllib
--- a/heronlug/config/strict_toml/source.py
+++ b/heronlug/config/strict_toml/source.py
@@ -37,7 +37,7 @@
     def read(cls, path: Path) -> "Source":
         """Read a file; raises :class:`ConfigProblems`."""
         try:
-            return cls.parse(str(path), _whole(path))
+            return cls.parse(str(path), _read_unchanged(path))
         except OSError as error:
             raise ConfigProblems(
                 [ConfigProblem(str(path), 0, "", error.strerror or str(error), "a file that can be read")]
@@ -61,7 +61,7 @@
         try:
             return cls(path, text, tomllib.loads(text))
         except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
-            wrong, line = _syntax(str(error) or "nested too deeply", text)
+            wrong, line = _syntax_error(str(error) or "nested too deeply", text)
             raise ConfigProblems([ConfigProblem(path, line, "", wrong, "TOML 1.0")]) from None
 
     def problem(self, keys: Keys, wrong: str, right: str = "") -> ConfigProblem:
@@ -71,15 +71,15 @@
     def line(self, keys: Keys) -> int:
         """The line of a key, or else of the nearest table round it; 0 if there is none."""
         if self._lines is None:
-            from heronlug.config.strict_toml.key_lines import places
+            from heronlug.config.strict_toml.key_lines import find_key_lines
 
-            self._lines = places(self.text)
+            self._lines = find_key_lines(self.text)
         while keys and keys not in self._lines:
             keys = keys[:-1]
         return self._lines.get(keys, 0)
 
 
-def _whole(path: Path) -> bytes:
+def _read_unchanged(path: Path) -> bytes:
     """The bytes of one state of a file: one that changes under the reading is read anew; raises ``OSError``."""
     data = b""
     for _ in range(MAX_READS):
@@ -92,11 +92,11 @@
     return data  # whoever writes it all the time has to live with what its checks say
 
 
-def _syntax(text: str, whole: str) -> tuple[str, int]:
+def _syntax_error(text: str, document: str) -> tuple[str, int]:
     """The parser's own words and the line in them."""
-    words, _, place = text.rpartition(" (at ")
-    if place.startswith("line "):
-        return words, int(place[5:].partition(",")[0])
-    if place.startswith("end of document"):
-        return words + " at the end of the file", whole.count("\n") + 1
+    description, _, location = text.rpartition(" (at ")
+    if location.startswith("line "):
+        return description, int(location[5:].partition(",")[0])
+    if location.startswith("end of document"):
+        return description + " at the end of the file", document.count("\n") + 1
     return text, 0
--- a/tests/adapter/test_frames.py
+++ b/tests/adapter/test_frames.py
@@ -44,7 +44,7 @@
 from heronlug.balancer.settings import Effect, KeyScope
 from heronlug.config.settings_json import parse_settings
 
-CONF: dict[str, Any] = {
+SETTINGS_OBJECT: dict[str, Any] = {
     "instances": 2,
     "lanes": [
         {"deadline": 5000.0, "effect": "once", "goal_time": 400.0, "worth": 2.0, "new_key": 1},
@@ -61,10 +61,10 @@
     "tick": 2.0,
     "zones": ["x", "y"],
 }
-CLOCK = "40c06e2000000000"
+CLOCK_HEX = "40c06e2000000000"
 
 
-def frame(records: list[str], tail: bytes = b"", size: int = 56, clock: str = CLOCK) -> bytes:
+def encode_frame(records: list[str], tail: bytes = b"", size: int = 56, clock: str = CLOCK_HEX) -> bytes:
     """A frame of records given as hexadecimal text."""
     body = b"".join(bytes.fromhex(r.replace(" ", "")).ljust(size, b"\0") for r in records)
     return struct.pack(">II", len(records), len(body) + len(tail)) + bytes.fromhex(clock) + body + tail
@@ -76,18 +76,20 @@
     return list(decode_events(count, data[HEADER.size :]))
 
 
-def test_worked_batch() -> None:
+def test_decodes_a_batch_of_request_timer_and_client_gone() -> None:
     request = "01 00000003 0007d1245d3a91c4 40000000 4028000000000000 91f03b7c55d20a64 0000"
     request += "40c0e62000000000 00 00000000 01"
-    reminder, aborted = "07 00000003 000000000000004d", "0a 00000005 0001788b0e6f2b19"
-    job, timer, gone = events_of(frame([request, reminder, aborted]))
-    arrived = RequestArrived(0x7D1245D3A91C4, 0, 8652.25, slots=2.0, work_hint=12.0, tenant=0, key=0x91F03B7C55D20A64)
-    assert job == (3, arrived)
-    assert timer == (3, TimerFired(77))
-    assert gone == (5, ClientGone(0x1788B0E6F2B19))
+    timer_fired, client_gone = "07 00000003 000000000000004d", "0a 00000005 0001788b0e6f2b19"
+    request_event, timer_event, client_gone_event = events_of(encode_frame([request, timer_fired, client_gone]))
+    expected_arrival = RequestArrived(
+        0x7D1245D3A91C4, 0, 8652.25, slots=2.0, work_hint=12.0, tenant=0, key=0x91F03B7C55D20A64
+    )
+    assert request_event == (3, expected_arrival)
+    assert timer_event == (3, TimerFired(77))
+    assert client_gone_event == (5, ClientGone(0x1788B0E6F2B19))
 
 
-def test_worked_outcome_note_peer_probe_and_start_of_answer() -> None:
+def test_decodes_outcome_progress_peer_message_probe_and_answer_start() -> None:
     records = [
         "08 00000003 0007d1245d3a91c4 00 00 0001 4032800000000000 01 03124a07 03 430c0000 40400000 3ecccccd",
         "02 00000003 0007d1245d3a91c4 00 03124a07 01 3f000000",
@@ -96,35 +98,37 @@
         "0b 00000003 0007d1245d3a91c4 03124a07 4022800000000000 00",
         "63 00000003",
     ]
-    ended, note, peer, probed, begun = (event for _, event in events_of(frame(records, b"hi 7")))
+    ended, progress, peer_message, probe_result, answer_started = (
+        event for _, event in events_of(encode_frame(records, b"hi 7"))
+    )
     assert ended[:6] == (0x7D1245D3A91C4, 0, 0x03124A07, Outcome.SERVED, 18.5, True)
     assert ended.report == pytest.approx((140.0, 3.0, 0.4))
-    assert note == AttemptProgress(0x7D1245D3A91C4, 0, 0x03124A07, ProgressKind.STARTED, 0.5)
-    assert peer == PeerMessage(2, b"hi 7")
-    assert probed.server == 0x2C9011F2
-    assert probed.latency == pytest.approx(1.4)
-    assert begun == AnswerStarted(0x7D1245D3A91C4, 0, 0x03124A07, 9.25)
+    assert progress == AttemptProgress(0x7D1245D3A91C4, 0, 0x03124A07, ProgressKind.STARTED, 0.5)
+    assert peer_message == PeerMessage(2, b"hi 7")
+    assert probe_result.server == 0x2C9011F2
+    assert probe_result.latency == pytest.approx(1.4)
+    assert answer_started == AnswerStarted(0x7D1245D3A91C4, 0, 0x03124A07, 9.25)
 
 
-def test_worked_list() -> None:
+def test_decodes_a_server_list() -> None:
     tail = "3f800000 00 0000 0000 03124a07 01 0000000000000000"
     tail += "3fc00000 00 0001 0000 2c9011f2 01 40b7d40000000000"
-    data = frame(["04 00000003 00 0000000000000029 00000000 00000002"], bytes.fromhex(tail.replace(" ", "")))
-    [(instance, news)] = events_of(data)
+    data = encode_frame(["04 00000003 00 0000000000000029 00000000 00000002"], bytes.fromhex(tail.replace(" ", "")))
+    [(instance, server_list)] = events_of(data)
     assert instance == 3
-    assert news.kind is ListKind.CACHED
-    assert news.entries == (
+    assert server_list.kind is ListKind.CACHED
+    assert server_list.entries == (
         ServerEntry(0x03124A07),
         ServerEntry(0x2C9011F2, zone=1, weight=1.5, started_at=6100.0),
     )
 
 
-def test_worked_reply() -> None:
+def test_encodes_a_reply() -> None:
     reply = Reply()
     reply.add(3, StartAttempt(0x7D1245D3A91C4, 0x03124A07))
     reply.add(3, SetTimer(500.0, 77))
     reply.add(5, LogLine("two servers known"))
-    expected = frame(
+    expected = encode_frame(
         [
             "01 00000003 0007d1245d3a91c4 03124a07 0000000000000000",
             "05 00000003 407f400000000000 000000000000004d",
@@ -136,7 +140,7 @@
     assert reply.encode() == expected[:8] + expected[16:]
 
 
-def test_other_actions() -> None:
+def test_encodes_the_other_actions() -> None:
     reply = Reply()
     reply.add(3, Reject(7))
     reply.add(3, Fail(8))
@@ -152,9 +156,9 @@
     assert data.endswith(b"hi")
 
 
-def test_settings() -> None:
-    got = parse_settings(json.dumps(CONF))
-    once, keyed = got.classes
+def test_parses_settings() -> None:
+    parsed = parse_settings(json.dumps(SETTINGS_OBJECT))
+    once, keyed = parsed.classes
     assert (once.effect, once.latency_objective, once.latency_factor, once.server_kind) == (
         Effect.NON_IDEMPOTENT,
         400.0,
@@ -162,13 +166,13 @@
         -1,
     )
     assert (keyed.key_scope, keyed.repeat_window, keyed.server_kind) == (KeyScope.CELL, 75.0, 1)
-    assert got.report_fields == ("tps", "x0")
-    assert got.quotas == (8.0,)
-    assert got.reports_start
-    assert not got.list_pushed
-    assert got.instances == 2
-    assert got.max_attempts == 4
-    assert got.worst_class_weight == pytest.approx(0.25)
+    assert parsed.report_fields == ("tps", "x0")
+    assert parsed.quotas == (8.0,)
+    assert parsed.reports_start
+    assert not parsed.list_pushed
+    assert parsed.instances == 2
+    assert parsed.max_attempts == 4
+    assert parsed.worst_class_weight == pytest.approx(0.25)
 
 
 @pytest.mark.parametrize(
@@ -183,39 +187,41 @@
         ({"safety": {"cold_from": 0.0}}, "cold_from"),
     ],
 )
-def test_bad_settings_name_the_key(change: dict[str, Any], text: str) -> None:
+def test_invalid_settings_name_the_key(change: dict[str, Any], text: str) -> None:
     with pytest.raises(ValueError, match=text):
-        parse_settings(json.dumps({**CONF, **change}))
+        parse_settings(json.dumps({**SETTINGS_OBJECT, **change}))
     with pytest.raises(ValueError, match="lanes"):
         parse_settings("{}")
 
 
-def start(conf: dict[str, Any] = CONF, count: int = 2) -> bytes:
+def start_batch(settings_object: dict[str, Any] = SETTINGS_OBJECT, count: int = 2) -> bytes:
     """A batch that starts instance 3 with a list of workers."""
-    text = json.dumps(conf).encode()
+    text = json.dumps(settings_object).encode()
     tail = text + b"".join(struct.pack(">fBHHIBd", 1.0, 0, 0, 0, i + 1, 1, 0.0) for i in range(count))
     spawn = f"06 00000003 0000000000000005 00000000 {len(text):08x}"
     listed = f"04 00000003 00 0000000000000029 {len(text):08x} {count:08x}"
-    return frame([spawn, listed], tail)
+    return encode_frame([spawn, listed], tail)
 
 
 REQUEST = "01 00000003 0007d1245d3a91c4 3f800000 0000000000000000 0000000000000000 0000 40c0e62000000000 00"
 
 
-def talk(data: bytes) -> "subprocess.CompletedProcess[bytes]":
+def run_adapter(data: bytes) -> "subprocess.CompletedProcess[bytes]":
     return subprocess.run([sys.executable, "-m", "heronlug.adapter"], input=data, capture_output=True)
 
 
 def test_exchange_with_the_process() -> None:
-    empty = frame([])
-    done = talk(empty + start() + frame([REQUEST]) + frame(["05 00000003"]) + frame([REQUEST]))
-    assert done.returncode == 0
-    assert done.stderr == b""
-    out, codes = done.stdout, []
-    while out:
-        count, length = struct.unpack(">II", out[:8])
-        codes.append([out[8 + i * 32] for i in range(count)])
-        out = out[8 + length :]
+    empty = encode_frame([])
+    process = run_adapter(
+        empty + start_batch() + encode_frame([REQUEST]) + encode_frame(["05 00000003"]) + encode_frame([REQUEST])
+    )
+    assert process.returncode == 0
+    assert process.stderr == b""
+    output, codes = process.stdout, []
+    while output:
+        count, length = struct.unpack(">II", output[:8])
+        codes.append([output[8 + i * 32] for i in range(count)])
+        output = output[8 + length :]
     assert codes == [[], [11], [1, 5], [], []]  # subscribe; send and a timer; nothing after the kill
 
 
@@ -223,27 +229,27 @@
     ("data", "text"),
     [
         (b"\0" * 7, b"header: 7 of 16 bytes"),
-        (start()[:-1], b"body: "),
-        (frame(["03 00000003 0002 00000000 00000009"], b"hi"), b"record at byte 0: message ends at byte 9"),
+        (start_batch()[:-1], b"body: "),
+        (encode_frame(["03 00000003 0002 00000000 00000009"], b"hi"), b"record at byte 0: message ends at byte 9"),
         (struct.pack(">IId", 9, 8, 0.0) + b"\0" * 8, b"header: 9 records do not fit"),
-        (start({**CONF, "instances": 0}), b"instances"),
+        (start_batch({**SETTINGS_OBJECT, "instances": 0}), b"instances"),
     ],
 )
-def test_malformed_input_ends_in_one_line_and_no_half_frame(data: bytes, text: bytes) -> None:
-    done = talk(frame([]) + data)
-    assert done.returncode == 1
-    assert text in done.stderr
-    assert done.stderr.count(b"\n") == 1
-    assert done.stdout == b"\0" * 8
+def test_malformed_input_ends_with_one_error_line_and_no_partial_frame(data: bytes, text: bytes) -> None:
+    process = run_adapter(encode_frame([]) + data)
+    assert process.returncode == 1
+    assert text in process.stderr
+    assert process.stderr.count(b"\n") == 1
+    assert process.stdout == b"\0" * 8
 
 
-def test_failing_module_dies_with_one_line(capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_failing_instance_is_reported_in_one_line(capfd: pytest.CaptureFixture[str]) -> None:
     host = InstanceHost()
-    batch = start()
+    batch = start_batch()
     count, _, now = decode_header(batch[:16])
     host.answer(count, now, batch[16:])
     host._instances[3]._handlers = {RequestArrived: lambda event, now: 1 / 0}  # type: ignore[dict-item]
-    request = frame([REQUEST])
+    request = encode_frame([REQUEST])
     reply = host.answer(1, now, request[16:])
     assert reply[8] == 10
     assert reply.endswith(b"ZeroDivisionError: division by zero")
@@ -252,7 +258,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 5))
-def test_any_bytes_end_in_events_or_a_plain_error(body: bytes, count: int) -> None:
+def test_any_bytes_decode_to_events_or_an_error(body: bytes, count: int) -> None:
     try:
         header = decode_header(struct.pack(">IId", count, len(body), 0.0))
         for _, event in decode_events(header[0], body):
@@ -264,8 +270,8 @@
     assert message
 
 
-def test_one_process_or_several_give_the_same_actions() -> None:
-    batch = start()
+def test_an_instance_acts_the_same_alone_or_beside_others() -> None:
+    batch = start_batch()
     count, _, now = decode_header(batch[:16])
     together, alone = InstanceHost(), InstanceHost()
     other = batch.replace(b"\x06\0\0\0\x03", b"\x06\0\0\0\x04").replace(
@@ -274,5 +280,5 @@
     together.answer(count, now, other[16:])
     first = together.answer(count, now, batch[16:])
     assert first == alone.answer(count, now, batch[16:])
-    request = frame([REQUEST])
+    request = encode_frame([REQUEST])
     assert together.answer(1, now, request[16:]) == alone.answer(1, now, request[16:])
--- a/tests/config/files.py
+++ b/tests/config/files.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-GOOD = """\
+VALID_FILE = """\
 log_level = "info"
 
 [serve]
@@ -73,155 +73,188 @@
 """
 
 
-class Wrong(NamedTuple):
+class ConfigFault(NamedTuple):
     """A fault: its name, the line that it stands in, the text there, and what the one fault must say."""
 
     name: str
     line: int
     text: str
     key: str
-    says: str
-    told_at: int = 0  # the line that is told, where it is not the same
-    also: tuple[tuple[int, str], ...] = ()  # further lines that have to change with it
+    message_part: str
+    reported_line: int = 0  # the line that is told, where it is not the same
+    other_changes: tuple[tuple[int, str], ...] = ()  # further lines that have to change with it
 
 
-HUGE = "9" * 400
-A, B, C = 37, 45, 53  # the lines of [class.rsvp], [class.invite] and [class.print]
-TYPES = {  # for each limit: what is no value of it
-    "attempts": ("0", "-1", "1.5", '"3"', "true", "[3]", "1001", HUGE, "nan"),
-    "attempt_timeout_ms": ("0", "-5", '"2s"', "false", "inf", "nan", "1e300", HUGE, "[1]"),
+HUGE_NUMBER = "9" * 400
+RSVP_LINE, INVITE_LINE, PRINT_LINE = 37, 45, 53  # the lines of [class.rsvp], [class.invite] and [class.print]
+WRONG_VALUES = {  # for each limit: what is no value of it
+    "attempts": ("0", "-1", "1.5", '"3"', "true", "[3]", "1001", HUGE_NUMBER, "nan"),
+    "attempt_timeout_ms": ("0", "-5", '"2s"', "false", "inf", "nan", "1e300", HUGE_NUMBER, "[1]"),
     "after_timeout": ('"never"', "1", "true"),
     "wait_ms": ("100", '"100"', "[-1]", "[nan]", "[[1]]", "[true]", "[1e300]"),
-    "second_copy_after_ms": ("0", "-1", '"x"', "inf", HUGE),
-    "give_up_ms": ("0", "-1", "nan", "inf", "-inf", "86400001", '"20s"', HUGE),
+    "second_copy_after_ms": ("0", "-1", '"x"', "inf", HUGE_NUMBER),
+    "give_up_ms": ("0", "-1", "nan", "inf", "-inf", "86400001", '"20s"', HUGE_NUMBER),
 }
-AT = {
-    "attempts": A + 1,
-    "attempt_timeout_ms": A + 2,
-    "after_timeout": A + 3,
-    "wait_ms": A + 4,
-    "second_copy_after_ms": A + 5,
-    "give_up_ms": A + 6,
+LIMIT_LINES = {
+    "attempts": RSVP_LINE + 1,
+    "attempt_timeout_ms": RSVP_LINE + 2,
+    "after_timeout": RSVP_LINE + 3,
+    "wait_ms": RSVP_LINE + 4,
+    "second_copy_after_ms": RSVP_LINE + 5,
+    "give_up_ms": RSVP_LINE + 6,
 }
-ELEMENTS = ("[-1]", "[[1]]", "[true]", "[1e300]")  # of these lists the element is told
-KINDS = [
-    Wrong(
+WRONG_ELEMENTS = ("[-1]", "[[1]]", "[true]", "[1e300]")  # of these lists the element is told
+TYPE_FAULTS = [
+    ConfigFault(
         f"type {key} {value[:9]}",
-        AT[key],
+        LIMIT_LINES[key],
         f"{key} = {value}",
-        f"class.rsvp.{key}{'.0' * (value in ELEMENTS)}",
+        f"class.rsvp.{key}{'.0' * (value in WRONG_ELEMENTS)}",
         "not accepted, expected",
     )
-    for key, values in TYPES.items()
+    for key, values in WRONG_VALUES.items()
     for value in values
 ]
-RULES = [
-    Wrong("cap", A + 1, "attempts = 7", "class.rsvp.attempts", "the site allows 6"),
-    Wrong("cap by far", A + 1, "attempts = 1000", "class.rsvp.attempts", "the site allows 6"),
-    Wrong("give up past site", A + 6, "give_up_ms = 10001", "class.rsvp.give_up_ms", "past the class's deadline"),
-    Wrong(
+RULE_FAULTS = [
+    ConfigFault("cap", RSVP_LINE + 1, "attempts = 7", "class.rsvp.attempts", "the site allows 6"),
+    ConfigFault("cap by far", RSVP_LINE + 1, "attempts = 1000", "class.rsvp.attempts", "the site allows 6"),
+    ConfigFault(
+        "give up past site", RSVP_LINE + 6, "give_up_ms = 10001", "class.rsvp.give_up_ms", "past the class's deadline"
+    ),
+    ConfigFault(
         "timeout past give up",
-        C + 2,
+        PRINT_LINE + 2,
         "attempt_timeout_ms = 24001",
         "class.print.attempt_timeout_ms",
         "waited for longer than its job",
     ),
-    Wrong(
+    ConfigFault(
         "cancel",
         13,
         "may_cancel = false",
         "class.rsvp.attempt_timeout_ms",
         "may not be cancelled",
-        A + 2,
-        ((B + 2, ""), (B + 3, ""), (C + 2, "")),
+        RSVP_LINE + 2,
+        ((INVITE_LINE + 2, ""), (INVITE_LINE + 3, ""), (PRINT_LINE + 2, "")),
+    ),
+    ConfigFault("again alone", RSVP_LINE + 2, "", "class.rsvp.after_timeout", "no attempt_timeout_ms", RSVP_LINE + 3),
+    ConfigFault(
+        "again for once", INVITE_LINE + 3, 'after_timeout = "again"', "class.invite.after_timeout", "must not run twice"
     ),
-    Wrong("again alone", A + 2, "", "class.rsvp.after_timeout", "no attempt_timeout_ms", A + 3),
-    Wrong("again for once", B + 3, 'after_timeout = "again"', "class.invite.after_timeout", "must not run twice"),
-    Wrong("copy of once", B + 5, "second_copy = true", "class.invite.second_copy", "no second copy"),
-    Wrong(
+    ConfigFault("copy of once", INVITE_LINE + 5, "second_copy = true", "class.invite.second_copy", "no second copy"),
+    ConfigFault(
         "timed copy of once",
-        B + 5,
+        INVITE_LINE + 5,
         "second_copy_after_ms = 900",
         "class.invite.second_copy_after_ms",
         "must not run twice",
     ),
-    Wrong(
+    ConfigFault(
         "copies at the site",
         12,
         "second_copies = false",
         "class.rsvp.second_copy_after_ms",
         "the site allows no second copies",
-        A + 5,
-        ((C + 4, ""),),
+        RSVP_LINE + 5,
+        ((PRINT_LINE + 4, ""),),
     ),
-    Wrong(
+    ConfigFault(
         "copy denied and timed",
-        C + 4,
+        PRINT_LINE + 4,
         "second_copy_after_ms = 5000\nsecond_copy = false",
         "class.print.second_copy_after_ms",
         "second_copy = false stands beside it",
     ),
-    Wrong(
+    ConfigFault(
         "copy without attempt",
-        C + 1,
+        PRINT_LINE + 1,
         "attempts = 1",
         "class.print.second_copy_after_ms",
         "there is only one",
-        C + 4,
-        ((C + 3, ""),),
+        PRINT_LINE + 4,
+        ((PRINT_LINE + 3, ""),),
     ),
-    Wrong(
+    ConfigFault(
         "copy past timeout",
-        A + 5,
+        RSVP_LINE + 5,
         "second_copy_after_ms = 2000",
         "class.rsvp.second_copy_after_ms",
         "timed out by then",
     ),
-    Wrong(
+    ConfigFault(
         "copy past give up",
-        C + 4,
+        PRINT_LINE + 4,
         "second_copy_after_ms = 24000",
         "class.print.second_copy_after_ms",
         "given up by then",
         0,
-        ((C + 2, ""),),
+        ((PRINT_LINE + 2, ""),),
+    ),
+    ConfigFault(
+        "window without key",
+        INVITE_LINE + 5,
+        "repeat_window_ms = 100",
+        "class.invite.repeat_window_ms",
+        "have no window",
+    ),
+    ConfigFault(
+        "window of repeatable", RSVP_LINE + 5, "repeat_window_ms = 100", "class.rsvp.repeat_window_ms", "have no window"
+    ),
+    ConfigFault(
+        "window past hosts",
+        PRINT_LINE + 5,
+        "repeat_window_ms = 40001",
+        "class.print.repeat_window_ms",
+        "one after that",
     ),
-    Wrong("window without key", B + 5, "repeat_window_ms = 100", "class.invite.repeat_window_ms", "have no window"),
-    Wrong("window of repeatable", A + 5, "repeat_window_ms = 100", "class.rsvp.repeat_window_ms", "have no window"),
-    Wrong("window past hosts", C + 5, "repeat_window_ms = 40001", "class.print.repeat_window_ms", "one after that"),
-    Wrong("window past use", C + 5, "repeat_window_ms = 9000", "class.print.repeat_window_ms", "allowed no more"),
-    Wrong("waits past attempts", A + 4, "wait_ms = [1, 2, 3, 4]", "class.rsvp.wait_ms", "before 3 further"),
-    Wrong("waits past give up", A + 4, "wait_ms = [3000]", "class.rsvp.wait_ms", "add up to 9000"),
-    Wrong("times past give up", A + 2, "attempt_timeout_ms = 2100", "class.rsvp.attempt_timeout_ms", "take 9100 ms"),
-    Wrong(
+    ConfigFault(
+        "window past use", PRINT_LINE + 5, "repeat_window_ms = 9000", "class.print.repeat_window_ms", "allowed no more"
+    ),
+    ConfigFault(
+        "waits past attempts", RSVP_LINE + 4, "wait_ms = [1, 2, 3, 4]", "class.rsvp.wait_ms", "before 3 further"
+    ),
+    ConfigFault("waits past give up", RSVP_LINE + 4, "wait_ms = [3000]", "class.rsvp.wait_ms", "add up to 9000"),
+    ConfigFault(
+        "times past give up",
+        RSVP_LINE + 2,
+        "attempt_timeout_ms = 2100",
+        "class.rsvp.attempt_timeout_ms",
+        "take 9100 ms",
+    ),
+    ConfigFault(
         "times of once past give up",
-        B + 2,
+        INVITE_LINE + 2,
         "attempt_timeout_ms = 19500",
         "class.invite.attempt_timeout_ms",
         "take 20500 ms",
     ),
-    Wrong(
-        "times of keyed past give up", C + 3, "wait_ms = [6001]", "class.print.attempt_timeout_ms", "take 24001", C + 2
+    ConfigFault(
+        "times of keyed past give up",
+        PRINT_LINE + 3,
+        "wait_ms = [6001]",
+        "class.print.attempt_timeout_ms",
+        "take 24001",
+        PRINT_LINE + 2,
     ),
 ]
-FORMS = [
-    Wrong("unknown class", A, "[class.rsvq]", "class.rsvq", "perhaps rsvp"),
-    Wrong("unknown limit", A + 1, "attemps = 4", "class.rsvp.attemps", "perhaps attempts"),
-    Wrong("unknown limit, nothing near", A + 1, "zzz = 4", "class.rsvp.zzz", "one of attempts, "),
-    Wrong("table twice", B, "[class.rsvp]", "", "TOML 1.0"),
-    Wrong("key twice", A + 2, "attempts = 5", "", "TOML 1.0"),
-    Wrong("no value", A + 1, "attempts =", "", "Invalid value"),
-    Wrong("no bracket", A, "[class.rsvp", "", "TOML 1.0"),
-    Wrong("half a text", 4, 'name = "t', "", "TOML 1.0"),
-    Wrong("unknown table", A, "[clas.rsvp]", "clas", "unknown key"),
-    Wrong("level", 1, 'log_level = "loud"', "log_level", "one of debug"),
-    Wrong("level no text", 1, "log_level = 3", "log_level", "is no level"),
-    Wrong("faktory key", 67, 'lissten = ""', "faktory.lissten", "unknown key"),
-    Wrong("faktory address", 67, 'listen = "here"', "faktory.listen", "no address"),
-    Wrong("faktory type", 67, "listen = 7419", "faktory.listen", "is no text"),
-    Wrong("faktory range", 67, "beat_timeout_s = -1", "faktory.beat_timeout_s", "out of range"),
-    Wrong("plugin no list", 66, "[plugin]", "plugin", "not a list"),
-    Wrong(
+FORM_FAULTS = [
+    ConfigFault("unknown class", RSVP_LINE, "[class.rsvq]", "class.rsvq", "perhaps rsvp"),
+    ConfigFault("unknown limit", RSVP_LINE + 1, "attemps = 4", "class.rsvp.attemps", "perhaps attempts"),
+    ConfigFault("unknown limit, nothing near", RSVP_LINE + 1, "zzz = 4", "class.rsvp.zzz", "one of attempts, "),
+    ConfigFault("table twice", INVITE_LINE, "[class.rsvp]", "", "TOML 1.0"),
+    ConfigFault("key twice", RSVP_LINE + 2, "attempts = 5", "", "TOML 1.0"),
+    ConfigFault("no value", RSVP_LINE + 1, "attempts =", "", "Invalid value"),
+    ConfigFault("no bracket", RSVP_LINE, "[class.rsvp", "", "TOML 1.0"),
+    ConfigFault("half a text", 4, 'name = "t', "", "TOML 1.0"),
+    ConfigFault("unknown table", RSVP_LINE, "[clas.rsvp]", "clas", "unknown key"),
+    ConfigFault("level", 1, 'log_level = "loud"', "log_level", "one of debug"),
+    ConfigFault("level no text", 1, "log_level = 3", "log_level", "is no level"),
+    ConfigFault("faktory key", 67, 'lissten = ""', "faktory.lissten", "unknown key"),
+    ConfigFault("faktory address", 67, 'listen = "here"', "faktory.listen", "no address"),
+    ConfigFault("faktory type", 67, "listen = 7419", "faktory.listen", "is no text"),
+    ConfigFault("faktory range", 67, "beat_timeout_s = -1", "faktory.beat_timeout_s", "out of range"),
+    ConfigFault("plugin no list", 66, "[plugin]", "plugin", "not a list"),
+    ConfigFault(
         "plugin without file",
         66,
         '[[plugin]]\nname = "p"\nfile = "none.wasm"\n[faktory]',
@@ -229,21 +262,21 @@
         "No such",
         68,
     ),
-    Wrong("listen missing", 5, "", "serve.listen", "missing", 3),
-    Wrong("listen no address", 5, 'listen = "8081"', "serve.listen", "no address"),
-    Wrong("operators no address", 6, 'operators = "x:y"', "serve.operators", "no address"),
-    Wrong("memory", 7, "memory_mb = 8", "serve.memory_mb", "32 or more"),
-    Wrong("sockets", 8, "sockets = 1.5", "serve.sockets", "descriptors"),
-    Wrong("cap of the site", 11, "attempts_cap = 0", "site.attempts_cap", "1 to 64"),
-    Wrong("dial", 14, "dial_timeout_ms = 0", "site.dial_timeout_ms", "milliseconds"),
-    Wrong("zones", 15, "zones = []", "site.zones", "at least one name"),
-    Wrong("zone no text", 15, "zones = [1]", "site.zones.0", "at least one name"),
-    Wrong("cold", 16, "cold_from = 2", "site.cold_from", "a share"),
-    Wrong("unknown of the site", 16, "cold_form = 0.2", "site.cold_form", "perhaps cold_from"),
-    Wrong("effect", 20, 'effect = "twice"', "site.class.0.effect", '"repeatable", "by_key" or "once"'),
-    Wrong("aim past deadline", 21, "aim_ms = 10001", "site.class.0.aim_ms", "past the deadline"),
-    Wrong("deadline missing", 22, "", "site.class.0.deadline_ms", "missing", 18),
-    Wrong(
+    ConfigFault("listen missing", 5, "", "serve.listen", "missing", 3),
+    ConfigFault("listen no address", 5, 'listen = "8081"', "serve.listen", "no address"),
+    ConfigFault("operators no address", 6, 'operators = "x:y"', "serve.operators", "no address"),
+    ConfigFault("memory", 7, "memory_mb = 8", "serve.memory_mb", "32 or more"),
+    ConfigFault("sockets", 8, "sockets = 1.5", "serve.sockets", "descriptors"),
+    ConfigFault("cap of the site", 11, "attempts_cap = 0", "site.attempts_cap", "1 to 64"),
+    ConfigFault("dial", 14, "dial_timeout_ms = 0", "site.dial_timeout_ms", "milliseconds"),
+    ConfigFault("zones", 15, "zones = []", "site.zones", "at least one name"),
+    ConfigFault("zone no text", 15, "zones = [1]", "site.zones.0", "at least one name"),
+    ConfigFault("cold", 16, "cold_from = 2", "site.cold_from", "a share"),
+    ConfigFault("unknown of the site", 16, "cold_form = 0.2", "site.cold_form", "perhaps cold_from"),
+    ConfigFault("effect", 20, 'effect = "twice"', "site.class.0.effect", '"repeatable", "by_key" or "once"'),
+    ConfigFault("aim past deadline", 21, "aim_ms = 10001", "site.class.0.aim_ms", "past the deadline"),
+    ConfigFault("deadline missing", 22, "", "site.class.0.deadline_ms", "missing", 18),
+    ConfigFault(
         "class twice",
         22,
         'deadline_ms = 10000\n[[site.class]]\nname = "rsvp"\neffect = "once"\naim_ms = 1\n' "deadline_ms = 2",
@@ -251,16 +284,16 @@
         "there twice",
         24,
     ),
-    Wrong(
+    ConfigFault(
         "class sets nothing",
-        B,
+        INVITE_LINE,
         "[class.invite]",
         "class.invite",
         "it sets nothing",
         0,
-        tuple((line, "") for line in range(B + 1, B + 7)),
+        tuple((line, "") for line in range(INVITE_LINE + 1, INVITE_LINE + 7)),
     ),
-    Wrong("host zone", 64, 'zone = "c"', "host.0.zone", "one of a, b"),
-    Wrong("host address", 63, 'address = "h1"', "host.0.address", "no address"),
-    Wrong("host twice", 64, '[[host]]\nname = "h1"\naddress = "127.0.0.1:1"', "host.1.name", "there twice", 65),
+    ConfigFault("host zone", 64, 'zone = "c"', "host.0.zone", "one of a, b"),
+    ConfigFault("host address", 63, 'address = "h1"', "host.0.address", "no address"),
+    ConfigFault("host twice", 64, '[[host]]\nname = "h1"\naddress = "127.0.0.1:1"', "host.1.name", "there twice", 65),
 ]
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from config.files import FORMS, GOOD, KINDS, RULES, Wrong
+from config.files import FORM_FAULTS, RULE_FAULTS, TYPE_FAULTS, VALID_FILE, ConfigFault
 from heronlug.cli import group
 from heronlug.cli.inspect import look
 from heronlug.config.desired_state import StateError
@@ -17,8 +17,8 @@
 from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
 from heronlug.config.strict_toml.source import MAX_BYTES
 
-BROKEN = [*KINDS, *RULES, *FORMS]
-RAW = {
+BROKEN_FILES = [*TYPE_FAULTS, *RULE_FAULTS, *FORM_FAULTS]
+UNREADABLE_FILES = {
     "bad UTF-8": (b'log_level = "info"\n[class.a]\n\xff = 1\n', 3, "byte 0xff is no UTF-8"),
     "half a character": (b'log_level = "\xc3"', 1, "is no UTF-8"),
     "empty": (b"", 0, "it is empty"),
@@ -33,96 +33,98 @@
 }
 
 
-def put(wrong: Wrong, text: str = GOOD) -> str:
+def apply_fault(fault: ConfigFault, text: str = VALID_FILE) -> str:
     """The good file with a fault in it."""
     lines = text.split("\n")
-    for line, changed in (*wrong.also, (wrong.line, wrong.text)):
+    for line, changed in (*fault.other_changes, (fault.line, fault.text)):
         lines[line - 1] = changed
     return "\n".join(lines)
 
 
-def told(path: Path, data: bytes | str) -> list[str]:
+def reported_problems(path: Path, data: bytes | str) -> list[str]:
     """The faults that are told of a file, one line each."""
     path.write_bytes(data.encode() if isinstance(data, str) else data)
-    faults = [str(fault) for fault in look(path, None)[2]]
-    assert all("\n" not in fault and fault.startswith(str(path)) for fault in faults)
-    return faults
+    problems = [str(problem) for problem in look(path, None)[2]]
+    assert all("\n" not in problem and problem.startswith(str(path)) for problem in problems)
+    return problems
 
 
-def test_there_are_a_hundred() -> None:
-    assert len(BROKEN) + len(RAW) >= 100
-    assert len({wrong.name for wrong in BROKEN}) == len(BROKEN)
+def test_there_are_at_least_a_hundred_broken_files() -> None:
+    assert len(BROKEN_FILES) + len(UNREADABLE_FILES) >= 100
+    assert len({fault.name for fault in BROKEN_FILES}) == len(BROKEN_FILES)
 
 
-@pytest.mark.parametrize("wrong", BROKEN, ids=lambda wrong: wrong.name)
-def test_a_broken_file_is_refused_with_its_own_reason(wrong: Wrong, tmp_path: Path) -> None:
+@pytest.mark.parametrize("fault", BROKEN_FILES, ids=lambda fault: fault.name)
+def test_a_broken_file_is_rejected_with_its_own_message(fault: ConfigFault, tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
-    faults = told(path, put(wrong))
-    assert len(faults) == 1, faults
-    key = f"{wrong.key}: " if wrong.key else ""
-    assert faults[0].startswith(f"{path}:{wrong.told_at or wrong.line}: {key}"), faults[0]
-    assert wrong.says in faults[0]
-    with pytest.raises(StateError) as refused:  # and what runs would refuse it with the same words
+    problems = reported_problems(path, apply_fault(fault))
+    assert len(problems) == 1, problems
+    key = f"{fault.key}: " if fault.key else ""
+    assert problems[0].startswith(f"{path}:{fault.reported_line or fault.line}: {key}"), problems[0]
+    assert fault.message_part in problems[0]
+    with pytest.raises(StateError) as rejected:  # and what runs would refuse it with the same words
         Files(path, {}).load()
-    assert str(refused.value) == faults[0]
+    assert str(rejected.value) == problems[0]
 
 
-@pytest.mark.parametrize("name", RAW)
-def test_what_is_no_such_file_at_all(name: str, tmp_path: Path) -> None:
-    data, line, says = RAW[name]
+@pytest.mark.parametrize("name", UNREADABLE_FILES)
+def test_a_file_that_cannot_be_parsed_is_rejected(name: str, tmp_path: Path) -> None:
+    data, line, message_part = UNREADABLE_FILES[name]
     path = tmp_path / "x.toml"
-    faults = told(path, data)
-    assert len(faults) == 1
-    assert says in faults[0]
-    assert faults[0].startswith(f"{path}:{line}: " if line else f"{path}: ")
+    problems = reported_problems(path, data)
+    assert len(problems) == 1
+    assert message_part in problems[0]
+    assert problems[0].startswith(f"{path}:{line}: " if line else f"{path}: ")
 
 
-def test_files_that_cannot_be_read(tmp_path: Path) -> None:
+def test_a_path_that_cannot_be_read_is_reported(tmp_path: Path) -> None:
     for path in (tmp_path, tmp_path / "none.toml"):
-        assert [f"{path}: " in str(fault) and fault.line == 0 for fault in look(path, None)[2]] == [True]
+        assert [f"{path}: " in str(problem) and problem.line == 0 for problem in look(path, None)[2]] == [True]
 
 
-def test_no_two_rules_say_the_same() -> None:
+def test_every_rule_has_a_message_of_its_own() -> None:
     """Each rule has a text of its own, so that none hides behind another."""
     from heronlug.config.limits import rules
 
-    assert {rule.__name__ for rule in rules.RULES} == COVERED
-    assert len(rules.RULES) == len(COVERED)
-    assert len({wrong.says for wrong in RULES}) >= len(COVERED)
+    assert {rule.__name__ for rule in rules.RULES} == RULE_NAMES
+    assert len(rules.RULES) == len(RULE_NAMES)
+    assert len({fault.message_part for fault in RULE_FAULTS}) >= len(RULE_NAMES)
 
 
-COVERED = {
-    "attempts_past_cap",
-    "give_up_past_site",
+RULE_NAMES = {
+    "attempts_above_cap",
+    "give_up_after_deadline",
     "timeout_without_cancel",
-    "timeout_past_give_up",
-    "again_without_timeout",
-    "again_for_once",
-    "copy_of_once",
-    "copies_not_allowed",
-    "copy_denied_and_timed",
-    "copy_without_attempt",
-    "copy_past_timeout",
-    "copy_past_give_up",
-    "window_without_key",
-    "window_past_hosts",
-    "window_past_use",
-    "waits_past_attempts",
-    "waits_past_give_up",
-    "times_past_give_up",
+    "timeout_after_give_up",
+    "after_timeout_without_timeout",
+    "retry_of_non_idempotent",
+    "hedge_of_non_idempotent",
+    "hedging_not_allowed",
+    "hedge_disabled_and_timed",
+    "hedge_without_second_attempt",
+    "hedge_after_attempt_timeout",
+    "hedge_after_give_up",
+    "repeat_window_without_key",
+    "repeat_window_above_servers",
+    "attempts_after_repeat_window",
+    "more_waits_than_retries",
+    "waits_exceed_give_up",
+    "attempts_exceed_give_up",
 }
 
 
 @settings(max_examples=120)
-@given(st.sets(st.sampled_from(KINDS), min_size=2, max_size=5))
-def test_all_faults_are_told_at_once(tmp_path_factory: pytest.TempPathFactory, wrongs: set[Wrong]) -> None:
+@given(st.sets(st.sampled_from(TYPE_FAULTS), min_size=2, max_size=5))
+def test_all_problems_are_reported_at_once(
+    tmp_path_factory: pytest.TempPathFactory, drawn_faults: set[ConfigFault]
+) -> None:
     """Faults of form in several places: each is told, in the order of the lines, and none twice."""
-    text, lines = GOOD, set()
-    for wrong in wrongs:
-        text = put(wrong, text)
-        lines.add(wrong.line)
-    faults = look_at(tmp_path_factory, text)
-    assert [fault.line for fault in faults] == sorted(lines)
+    text, lines = VALID_FILE, set()
+    for fault in drawn_faults:
+        text = apply_fault(fault, text)
+        lines.add(fault.line)
+    problems = problems_of_text(tmp_path_factory, text)
+    assert [problem.line for problem in problems] == sorted(lines)
 
 
 @settings(max_examples=200)
@@ -130,23 +132,23 @@
     st.sampled_from(["attempts", "attempt_timeout_ms", "wait_ms", "second_copy_after_ms", "give_up_ms"]),
     st.integers(0, 30_000),
 )
-def test_one_changed_limit_breaks_one_rule_a_key(
+def test_one_changed_limit_gives_one_problem_per_key(
     tmp_path_factory: pytest.TempPathFactory, key: str, value: int
 ) -> None:
     """Whatever one number becomes, no key has two faults: no rule repeats what another has said of it."""
     line = {"attempts": 38, "attempt_timeout_ms": 39, "wait_ms": 41, "second_copy_after_ms": 42, "give_up_ms": 43}[key]
-    text = put(Wrong("", line, f"{key} = [{value}]" if key == "wait_ms" else f"{key} = {value}", "", ""))
-    keys = [fault.key for fault in look_at(tmp_path_factory, text)]
+    text = apply_fault(ConfigFault("", line, f"{key} = [{value}]" if key == "wait_ms" else f"{key} = {value}", "", ""))
+    keys = [problem.key for problem in problems_of_text(tmp_path_factory, text)]
     assert len(keys) == len(set(keys))
 
 
-def look_at(factory: pytest.TempPathFactory, text: str) -> list[ConfigProblem]:
-    path = factory.getbasetemp() / "drawn.toml"
+def problems_of_text(tmp_path_factory: pytest.TempPathFactory, text: str) -> list[ConfigProblem]:
+    path = tmp_path_factory.getbasetemp() / "drawn.toml"
     path.write_text(text)
     return list(look(path, None)[2])
 
 
-GOODS = {
+VALID_CHANGES = {
     "as it is": [],
     "no limits": [(line, "") for line in range(37, 61)],
     "one attempt": [(38, "attempts = 1"), (41, ""), (42, "")],
@@ -169,65 +171,65 @@
     "quoted names": [(19, 'name = "rs vp"'), (37, '[class."rs vp"]')],
     "another order": [(64, 'zone = "b"\ndraining = true\ncell = 4')],
 }
-GOODS["inline tables"] = [(number, "") for number in range(38, 44)] + [(37, "[class]\nrsvp = { attempts = 2 }")]
+VALID_CHANGES["inline tables"] = [(number, "") for number in range(38, 44)] + [(37, "[class]\nrsvp = { attempts = 2 }")]
 
 
-@pytest.mark.parametrize("name", GOODS)
+@pytest.mark.parametrize("name", VALID_CHANGES)
 def test_a_good_file_is_accepted(name: str, tmp_path: Path) -> None:
-    text = GOOD
-    for line, changed in sorted(GOODS[name], reverse=True):
-        text = put(Wrong("", line, changed, "", ""), text)
+    text = VALID_FILE
+    for line, changed in sorted(VALID_CHANGES[name], reverse=True):
+        text = apply_fault(ConfigFault("", line, changed, "", ""), text)
     path = tmp_path / "x.toml"
-    assert told(path, text) == []
+    assert reported_problems(path, text) == []
     config, state = Files(path, {}).load()
-    assert [lane.name for lane in config.settings.classes][1:] == ["invite", "print"]
+    assert [request_class.name for request_class in config.settings.classes][1:] == ["invite", "print"]
     assert set(state["classes"]) <= {"rsvp", "rs vp", "invite", "print"}
 
 
-def test_check_and_show_on_the_command_line(tmp_path: Path) -> None:
+def test_check_and_limits_show_on_the_command_line(tmp_path: Path) -> None:
     path = tmp_path / "x.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_FILE)
     run = CliRunner().invoke
-    done = run(group, ["check", str(path)], standalone_mode=False)
-    assert done.return_value == 0
-    assert done.output.endswith("x.toml: good\n")
-    assert "note: class.invite.attempts: further ones are made only when all before provably never ran" in done.output
-    path.write_text(put(RULES[0]))
-    done = run(group, ["check", str(path), "--json"], standalone_mode=False)
-    answer = json.loads(done.output)
-    assert done.return_value == 1
+    result = run(group, ["check", str(path)], standalone_mode=False)
+    assert result.return_value == 0
+    assert result.output.endswith("x.toml: good\n")
+    assert "note: class.invite.attempts: further ones are made only when all before provably never ran" in result.output
+    path.write_text(apply_fault(RULE_FAULTS[0]))
+    result = run(group, ["check", str(path), "--json"], standalone_mode=False)
+    answer = json.loads(result.output)
+    assert result.return_value == 1
     assert not answer["ok"]
-    assert [(fault["line"], fault["key"]) for fault in answer["faults"]] == [(38, "class.rsvp.attempts")]
-    path.write_text(GOOD)
+    assert [(problem["line"], problem["key"]) for problem in answer["faults"]] == [(38, "class.rsvp.attempts")]
+    path.write_text(VALID_FILE)
     rows = json.loads(run(group, ["limits", "show", str(path), "--json"], standalone_mode=False).output)
-    held = {(row["name"], row["key"]): (row["value"], row["origin"]) for row in rows}
-    assert len(held) == 3 * 8
-    assert held["rsvp", "wait_ms"] == ([100.0, 200.0, 400.0], str(path))
-    assert held["invite", "second_copy_after_ms"] == ("never", "no second copies")
-    assert held["print", "attempts"] == (2, str(path))
-    assert held["invite", "repeat_window_ms"] == (0.0, "site: repeat_window")
+    rows_by_key = {(row["name"], row["key"]): (row["value"], row["origin"]) for row in rows}
+    assert len(rows_by_key) == 3 * 8
+    assert rows_by_key["rsvp", "wait_ms"] == ([100.0, 200.0, 400.0], str(path))
+    assert rows_by_key["invite", "second_copy_after_ms"] == ("never", "no second copies")
+    assert rows_by_key["print", "attempts"] == (2, str(path))
+    assert rows_by_key["invite", "repeat_window_ms"] == (0.0, "site: repeat_window")
 
 
-def test_a_file_that_is_replaced_while_it_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_file_that_changes_while_it_is_read_is_read_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Half of the old and half of the new would be a third file that nobody wrote: the reading is done again."""
-    path, reads = tmp_path / "x.toml", []
+    path, descriptors = tmp_path / "x.toml", []
     path.write_text('log_level = "info"\n')
-    stat = os.fstat
+    real_fstat = os.fstat
 
     def changing(fd: int) -> os.stat_result:
-        reads.append(fd)
-        if len(reads) == 2:  # after the first reading, before it is believed
+        descriptors.append(fd)
+        if len(descriptors) == 2:  # after the first reading, before it is believed
             path.write_text('log_level = "warning"\n')
-        return stat(fd)
+        return real_fstat(fd)
 
     monkeypatch.setattr(os, "fstat", changing)
     assert Source.read(path).table == {"log_level": "warning"}
-    assert len(reads) == 4
+    assert len(descriptors) == 4
 
 
-def test_the_line_of_a_key_that_is_absent_is_that_of_its_table() -> None:
+def test_an_absent_key_is_reported_at_the_line_of_its_table() -> None:
     source = Source.parse("x", b"a = 1\n\n[t.u]\nb.c = 2\n[[l]]\nx = 1\n[[l]]\n[l.m]\ny = [1,\n 2]\n")
-    wanted = {
+    expected_lines = {
         ("a",): 1,
         ("t",): 3,
         ("t", "u"): 3,
@@ -239,10 +241,10 @@
         ("l", 1, "m", "y", 1): 10,
         ("none",): 0,
     }
-    assert {keys: source.line(keys) for keys in wanted} == wanted
+    assert {keys: source.line(keys) for keys in expected_lines} == expected_lines
 
 
-def test_faults_are_in_the_order_of_their_lines() -> None:
+def test_problems_are_sorted_by_line() -> None:
     source = Source.parse("x", b"a = 1\nb = 2\n")
-    told_of = ConfigProblems([source.problem(("b",), "later"), source.problem(("a",), "first", "so")])
-    assert str(told_of) == "x:1: a: first, so\nx:2: b: later"
+    error = ConfigProblems([source.problem(("b",), "later"), source.problem(("a",), "first", "so")])
+    assert str(error) == "x:1: a: first, so\nx:2: b: later"
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -15,16 +15,16 @@
 from heronlug.standins.ports import free_port
 from heronlug.standins.server import Begun, Behaviour, StandInServer
 
-SETS = {  # attempts of a silent job under each; the last is no table at all, where no silent jobs are sent
+LIMIT_SETS = {  # attempts of a silent job under each; the last is no table at all, where no silent jobs are sent
     "two": (2, "attempts = 2\nattempt_timeout_ms = 1500\nwait_ms = [60]\nsecond_copy = false\n"),
     "five": (5, "attempts = 5\nattempt_timeout_ms = 900\nwait_ms = [30, 60]\nsecond_copy = false\n"),
     "one": (1, "attempts = 1\nattempt_timeout_ms = 2000\n"),
     "none": (0, ""),
 }
-ORDER = ["two", "five", "one", "two", "none", "five", "one", "none", "two", "five", "one"]
-RATE, SURGE, EVERY, HOSTS = 18, 200, 15, 8
-PATIENCE = 20.0
-SITE = """
+SET_ORDER = ["two", "five", "one", "two", "none", "five", "one", "none", "two", "five", "one"]
+REQUESTS_PER_SECOND, SURGE_REQUESTS, SILENT_EVERY, SERVER_COUNT = 18, 200, 15, 8
+TIMEOUT_S = 20.0
+SITE_TABLES = """
 [serve]
 name = "load"
 listen = "127.0.0.1:{port}"
@@ -44,144 +44,151 @@
 """
 
 
-class Sent(NamedTuple):
+class Result(NamedTuple):
     """A job that was handed in: under which sets it may have been accepted, and its answer."""
 
     txn: str
-    sets: set[str]
+    possible_sets: set[str]
     status: int
 
 
-def behave(begun: Begun) -> Behaviour:
+def choose_behaviour(begun: Begun) -> Behaviour:
     """Silent for those that say so, quick for the rest."""
     return Behaviour(0.0, "silent") if begun.txn.startswith("silent") else Behaviour(0.02)
 
 
-class Load:
+class LoadHarness:
     """The program, its hosts and its clients."""
 
     def __init__(self, folder: Path) -> None:
         self.path, self.log = folder / "site.toml", folder / "log"
         self.port = free_port()
-        self.hosts = [StandInServer(behave) for _ in range(HOSTS)]
-        self.listed = ""
-        self.current, self.coming = "two", "two"
-        self.tasks: list[asyncio.Task[Sent]] = []
+        self.servers = [StandInServer(choose_behaviour) for _ in range(SERVER_COUNT)]
+        self.server_tables = ""
+        self.current_set, self.next_set = "two", "two"
+        self.tasks: list[asyncio.Task[Result]] = []
         self.count = 0
 
     def write(self, name: str) -> None:
-        limits = SETS[name][1]
+        limits = LIMIT_SETS[name][1]
         table = f"[class.job]\n{limits}" if limits else ""
-        self.path.write_text(SITE.format(port=self.port) + table + self.listed)
+        self.path.write_text(SITE_TABLES.format(port=self.port) + table + self.server_tables)
 
     async def start(self) -> "subprocess.Popen[bytes]":
-        for number, host in enumerate(self.hosts):
-            port = await host.open()
-            self.listed += f'[[host]]\nname = "h{number}"\naddress = "127.0.0.1:{port}"\n'
+        for number, server in enumerate(self.servers):
+            port = await server.open()
+            self.server_tables += f'[[host]]\nname = "h{number}"\naddress = "127.0.0.1:{port}"\n'
         self.write("two")
         with self.log.open("wb") as log:
             program = subprocess.Popen(
                 [sys.executable, "-m", "heronlug", "serve", str(self.path)], stdout=log, stderr=subprocess.STDOUT
             )
-        await self.until('"started"', 1)
+        await self.wait_for_log('"started"', 1)
         return program
 
-    async def until(self, text: str, times: int) -> None:
-        end = time.monotonic() + PATIENCE
+    async def wait_for_log(self, text: str, times: int) -> None:
+        end = time.monotonic() + TIMEOUT_S
         while self.log.read_text().count(text) < times:
             assert time.monotonic() < end, self.log.read_text()[-2000:]
             await asyncio.sleep(0.01)
 
     def post(self, silent: bool) -> None:
         self.count += 1
-        lane = "once" if self.count % 4 == 0 and not silent else "job"
-        self.tasks.append(asyncio.create_task(self._post(f"{'silent' if silent else 'quick'}-{self.count}", lane)))
+        class_name = "once" if self.count % 4 == 0 and not silent else "job"
+        self.tasks.append(
+            asyncio.create_task(self._post(f"{'silent' if silent else 'quick'}-{self.count}", class_name))
+        )
 
-    async def _post(self, txn: str, lane: str) -> Sent:
-        sets = {self.current, self.coming}
+    async def _post(self, txn: str, class_name: str) -> Result:
+        possible_sets = {self.current_set, self.next_set}
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(
-            f"POST /{lane} HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: {lane}\r\nX-Remaining-Ms: 11000\r\n"
+            f"POST /{class_name} HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: {class_name}\r\nX-Remaining-Ms: 11000\r\n"
             "Content-Length: 2\r\n\r\nhi".encode()
         )
-        while txn.startswith("silent") and not any(host.begun[txn] for host in self.hosts):
+        while txn.startswith("silent") and not any(server.begun[txn] for server in self.servers):
             await asyncio.sleep(0.005)  # until it has begun somewhere, it may not have been accepted yet
-            sets |= {self.current, self.coming}
+            possible_sets |= {self.current_set, self.next_set}
         status = int((await reader.readline()).split()[1])
         writer.close()
-        return Sent(txn, sets, status)
+        return Result(txn, possible_sets, status)
 
 
-async def _run(folder: Path) -> tuple[Load, list[Sent]]:
-    load = Load(folder)
-    program = await load.start()
+async def _reload_under_load(folder: Path) -> tuple[LoadHarness, list[Result]]:
+    harness = LoadHarness(folder)
+    program = await harness.start()
     try:
-        for turn, name in enumerate(ORDER[1:], 1):
-            for tick in range(RATE // 2):
-                load.post(silent=load.count % EVERY == 0 and "none" not in (load.current, load.coming))
-                if turn == 4 and tick == 3:
-                    for _ in range(SURGE):
-                        load.post(silent=False)
-                await asyncio.sleep(0.5 / (RATE // 2))
-            load.write(name)
-            load.coming = name
+        for step, name in enumerate(SET_ORDER[1:], 1):
+            for tick in range(REQUESTS_PER_SECOND // 2):
+                harness.post(
+                    silent=harness.count % SILENT_EVERY == 0 and "none" not in (harness.current_set, harness.next_set)
+                )
+                if step == 4 and tick == 3:
+                    for _ in range(SURGE_REQUESTS):
+                        harness.post(silent=False)
+                await asyncio.sleep(0.5 / (REQUESTS_PER_SECOND // 2))
+            harness.write(name)
+            harness.next_set = name
             program.send_signal(signal.SIGHUP)
-            await load.until('"reloaded"', turn)
-            load.current = name
-        answers = await asyncio.wait_for(asyncio.gather(*load.tasks), PATIENCE)
+            await harness.wait_for_log('"reloaded"', step)
+            harness.current_set = name
+        answers = await asyncio.wait_for(asyncio.gather(*harness.tasks), TIMEOUT_S)
     finally:
         program.send_signal(signal.SIGTERM)
-        status = await asyncio.to_thread(program.wait, PATIENCE)
-        for host in load.hosts:
-            host.close()
+        status = await asyncio.to_thread(program.wait, TIMEOUT_S)
+        for server in harness.servers:
+            server.close()
     assert status == 0
-    return load, answers
+    return harness, answers
 
 
-def test_ten_reloads_change_no_answer_already_promised(tmp_path: Path) -> None:
-    load, answers = asyncio.run(_run(tmp_path))
-    assert len(answers) == load.count > SURGE + 80  # each has its one answer
-    quick = [sent for sent in answers if sent.txn.startswith("quick")]
-    silent = [sent for sent in answers if not sent.txn.startswith("quick")]
-    assert {sent.status for sent in quick} == {200}
-    assert {sent.status for sent in silent} == {503}
+def test_requests_keep_the_limits_that_they_were_accepted_under(tmp_path: Path) -> None:
+    harness, answers = asyncio.run(_reload_under_load(tmp_path))
+    assert len(answers) == harness.count > SURGE_REQUESTS + 80  # each has its one answer
+    quick = [result for result in answers if result.txn.startswith("quick")]
+    silent = [result for result in answers if not result.txn.startswith("quick")]
+    assert {result.status for result in quick} == {200}
+    assert {result.status for result in silent} == {503}
     assert len(silent) >= 5
-    tried = {sent.txn: sum(host.begun[sent.txn] for host in load.hosts) for sent in silent}
-    for sent in silent:
-        assert tried[sent.txn] in {SETS[name][0] for name in sent.sets}, (sent, tried[sent.txn])
-    assert len({tried[sent.txn] for sent in silent}) == 3  # under three sets, and each kept to
-    log = load.log.read_text()
-    assert log.count('"reloaded"') == len(ORDER) - 1
+    attempts = {result.txn: sum(server.begun[result.txn] for server in harness.servers) for result in silent}
+    for result in silent:
+        assert attempts[result.txn] in {LIMIT_SETS[name][0] for name in result.possible_sets}, (
+            result,
+            attempts[result.txn],
+        )
+    assert len({attempts[result.txn] for result in silent}) == 3  # under three sets, and each kept to
+    log = harness.log.read_text()
+    assert log.count('"reloaded"') == len(SET_ORDER) - 1
     assert "reload_failed" not in log
     assert "overdue" not in log
-    assert max(sum(host.begun[sent.txn] for host in load.hosts) for sent in quick) == 1
+    assert max(sum(server.begun[result.txn] for server in harness.servers) for result in quick) == 1
 
 
-async def _class_removed(folder: Path) -> tuple[list[int], str]:
-    load = Load(folder)
-    program = await load.start()
+async def _remove_class_while_serving(folder: Path) -> tuple[list[int], str]:
+    harness = LoadHarness(folder)
+    program = await harness.start()
     try:
-        whole = load.path.read_text()
-        running = [asyncio.create_task(load._post(f"{kind}-1", "once")) for kind in ("quick", "silent")]
+        file_text = harness.path.read_text()
+        first_posts = [asyncio.create_task(harness._post(f"{kind}-1", "once")) for kind in ("quick", "silent")]
         await asyncio.sleep(0.3)  # one has been answered, one runs
-        begin, end = whole.index('[[site.class]]\nname = "once"'), whole.index("[class.job]")
-        load.path.write_text(whole[:begin] + whole[end:])
+        begin, end = file_text.index('[[site.class]]\nname = "once"'), file_text.index("[class.job]")
+        harness.path.write_text(file_text[:begin] + file_text[end:])
         program.send_signal(signal.SIGHUP)
-        await load.until('"reloaded"', 1)
-        late = await load._post("quick-2", "once")
+        await harness.wait_for_log('"reloaded"', 1)
+        last_result = await harness._post("quick-2", "once")
         program.send_signal(signal.SIGTERM)  # what runs is answered by the planned stop
-        done = await asyncio.wait_for(asyncio.gather(*running), PATIENCE)
-        await asyncio.to_thread(program.wait, PATIENCE)
+        first_results = await asyncio.wait_for(asyncio.gather(*first_posts), TIMEOUT_S)
+        await asyncio.to_thread(program.wait, TIMEOUT_S)
     finally:
         program.kill()
-        for host in load.hosts:
-            host.close()
-    return [sent.status for sent in (*done, late)], load.log.read_text()
+        for server in harness.servers:
+            server.close()
+    return [result.status for result in (*first_results, last_result)], harness.log.read_text()
 
 
-def test_a_class_of_the_site_that_is_removed_stays_until_a_restart(tmp_path: Path) -> None:
+def test_a_class_removed_from_the_site_stays_until_a_restart(tmp_path: Path) -> None:
     """Risk: jobs of the class that run are lost, or the numbers of the classes after it shift under their jobs."""
-    statuses, log = asyncio.run(_class_removed(tmp_path))
+    statuses, log = asyncio.run(_remove_class_while_serving(tmp_path))
     assert statuses == [200, 500, 200]
     assert '"needs_restart":["settings"]' in log
     assert "exception" not in log
--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -29,7 +29,7 @@
 from heronlug.config.limits import model
 
 
-class Limited(Host):
+class LimitCheckingHost(Host):
     """A host that checks each class's limits as they were when a job came, and cancels as it is told."""
 
     def __init__(self, site: Settings, workers: int = 4, seed: int = 1) -> None:
@@ -51,156 +51,158 @@
         return actions
 
     def end(
-        self, job: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
+        self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
-        self.ended_at[job] = self.now
-        return super().end(job, attempt, outcome, report)
+        self.ended_at[request] = self.now
+        return super().end(request, attempt, outcome, report)
 
     def _check_send(self, send: StartAttempt) -> None:
-        terms = self.policies[send.request]
+        request_class = self.policies[send.request]
         sent = self.sent.get(send.request, [])
         out = [n for n in range(len(sent)) if (send.request, n) not in self.outcome]
-        assert len(sent) < (terms.max_attempts or self.settings.max_attempts), "past its attempts"
+        assert len(sent) < (request_class.max_attempts or self.settings.max_attempts), "past its attempts"
         if out:
-            assert terms.hedge, "a copy that its limits forbid"
+            assert request_class.hedge, "a copy that its limits forbid"
             last = max(self.sent_at[send.request, n] for n in out)
-            assert self.now >= last + terms.hedge_after, "a copy too early"
+            assert self.now >= last + request_class.hedge_after, "a copy too early"
         elif sent:
-            wait = terms.backoff_before(len(sent))
+            wait = request_class.backoff_before(len(sent))
             assert self.now >= self.ended_at[send.request] + wait, f"no wait of {wait} before attempt {len(sent) + 1}"
-        assert terms.retry_after_timeout or out or send.request not in self.overrun, "another attempt after a time-out"
+        assert (
+            request_class.retry_after_timeout or out or send.request not in self.overrun
+        ), "another attempt after a time-out"
         super()._check_send(send)
 
     def check_timeouts(self) -> None:
         """No attempt is waited for past its time-out."""
-        for job, attempt in self.open_attempts():
-            timeout = self.policies[job].attempt_timeout
-            assert job in self.answered or not timeout or self.now <= self.sent_at[job, attempt] + timeout + 5
+        for request, attempt in self.open_attempts():
+            timeout = self.policies[request].attempt_timeout
+            assert request in self.answered or not timeout or self.now <= self.sent_at[request, attempt] + timeout + 5
 
 
-def site(lane: RequestClass = SAFE, **limits: Any) -> Settings:
+def site(request_class: RequestClass = SAFE, **limits: Any) -> Settings:
     """The usual settings, with limits for one class."""
-    classes = tuple(replace(each, **limits) if each is lane else each for each in (SAFE, KEYED, ONCE))
+    classes = tuple(replace(each, **limits) if each is request_class else each for each in (SAFE, KEYED, ONCE))
     return with_settings(classes=classes, reports_start=True, progress_interval=100.0, report_fields=())
 
 
-def test_attempts_of_a_class() -> None:
+def test_a_request_has_the_attempts_that_its_class_allows() -> None:
     for attempts in (1, 2, 3, 0):
-        host = Limited(site(max_attempts=attempts), workers=6)
-        job = host.job(0)
-        while job not in host.answered:
-            host.end(job, len(host.sent[job]) - 1, Outcome.ERROR)
+        host = LimitCheckingHost(site(max_attempts=attempts), workers=6)
+        request = host.job(0)
+        while request not in host.answered:
+            host.end(request, len(host.sent[request]) - 1, Outcome.ERROR)
             host.until(host.now + 50)
-        assert len(host.sent[job]) == (attempts or 4)
-        assert host.answered[job] == "refused"
+        assert len(host.sent[request]) == (attempts or 4)
+        assert host.answered[request] == "refused"
 
 
-def test_a_job_waits_between_attempts() -> None:
-    host = Limited(site(retry_backoff=(100.0, 400.0)))
-    job = host.job(0)
+def test_a_retry_waits_for_its_backoff() -> None:
+    host = LimitCheckingHost(site(retry_backoff=(100.0, 400.0)))
+    request = host.job(0)
     for attempt, wait in enumerate((100, 400, 400)):
-        host.end(job, attempt, Outcome.CONNECT_FAILED)
+        host.end(request, attempt, Outcome.CONNECT_FAILED)
         host.until(host.now + wait - 2)
-        assert len(host.sent[job]) == attempt + 1
+        assert len(host.sent[request]) == attempt + 1
         host.until(host.now + 4)
-        assert len(host.sent[job]) == attempt + 2
-    host.end(job, 3, Outcome.SERVED)
-    assert host.answered[job] == "served"
+        assert len(host.sent[request]) == attempt + 2
+    host.end(request, 3, Outcome.SERVED)
+    assert host.answered[request] == "served"
 
 
-def test_a_wait_past_the_end_is_not_waited_for() -> None:
+def test_a_request_is_not_kept_for_a_backoff_past_its_deadline() -> None:
     """Risk: what is given up sits until near its deadline, and the client learns nothing meanwhile."""
-    host = Limited(site(retry_backoff=(4900.0,), hedge=False))
-    job = host.job(0)
+    host = LimitCheckingHost(site(retry_backoff=(4900.0,), hedge=False))
+    request = host.job(0)
     host.until(host.now + 200)
-    host.end(job, 0, Outcome.ERROR)
-    assert host.answered[job] == "refused"
+    host.end(request, 0, Outcome.ERROR)
+    assert host.answered[request] == "refused"
 
 
-def test_a_job_whose_client_leaves_while_it_waits_has_no_more_attempts() -> None:
+def test_a_client_that_leaves_during_the_backoff_ends_the_retries() -> None:
     from heronlug import ClientGone
 
-    host = Limited(site(retry_backoff=(100.0,)))
-    job = host.job(0)
-    host.end(job, 0, Outcome.ERROR)
-    host.give(ClientGone(job))
-    host.answered[job] = "gone"
+    host = LimitCheckingHost(site(retry_backoff=(100.0,)))
+    request = host.job(0)
+    host.end(request, 0, Outcome.ERROR)
+    host.give(ClientGone(request))
+    host.answered[request] = "gone"
     host.until(host.now + 300)
-    assert len(host.sent[job]) == 1
+    assert len(host.sent[request]) == 1
 
 
-def test_an_attempt_times_out_and_another_follows() -> None:
-    host = Limited(site(attempt_timeout=300.0, hedge=False))
-    job = host.job(0)
-    host.give(AttemptProgress(job, 0, host.sent[job][0], ProgressKind.STARTED))
+def test_an_attempt_that_times_out_is_retried() -> None:
+    host = LimitCheckingHost(site(attempt_timeout=300.0, hedge=False))
+    request = host.job(0)
+    host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
     host.until(host.now + 299)
-    assert host.open_attempts() == [(job, 0)]
+    assert host.open_attempts() == [(request, 0)]
     host.until(host.now + 2)
-    assert host.outcome[job, 0] == Outcome.CANCELLED
-    assert len(host.sent[job]) == 2
-    host.end(job, 1)
-    assert host.answered[job] == "served"
+    assert host.outcome[request, 0] == Outcome.CANCELLED
+    assert len(host.sent[request]) == 2
+    host.end(request, 1)
+    assert host.answered[request] == "served"
 
 
-def test_what_ends_with_its_timeout_has_no_other_attempt() -> None:
-    host = Limited(site(attempt_timeout=300.0, retry_after_timeout=False, hedge=False))
-    job = host.job(0)
+def test_no_retry_after_a_timeout_when_the_limits_forbid_it() -> None:
+    host = LimitCheckingHost(site(attempt_timeout=300.0, retry_after_timeout=False, hedge=False))
+    request = host.job(0)
     host.until(host.now + 301)
-    assert host.answered[job] == "refused"
-    assert len(host.sent[job]) == 1
+    assert host.answered[request] == "refused"
+    assert len(host.sent[request]) == 1
 
 
-def test_a_timeout_of_what_must_not_repeat_is_its_failure() -> None:
+def test_a_timeout_fails_a_non_idempotent_request() -> None:
     """Risk: the time-out of an attempt that may have run lets the class run twice."""
-    host = Limited(site(ONCE, attempt_timeout=300.0, max_attempts=4))
-    job = host.job(2)
+    host = LimitCheckingHost(site(ONCE, attempt_timeout=300.0, max_attempts=4))
+    request = host.job(2)
     host.until(host.now + 301)
-    assert host.answered[job] == "failed"
-    assert len(host.sent[job]) == 1
+    assert host.answered[request] == "failed"
+    assert len(host.sent[request]) == 1
 
 
-def test_what_never_ran_is_tried_again_under_its_waits() -> None:
-    host = Limited(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
-    job = host.job(2)
-    host.end(job, 0, Outcome.CONNECT_FAILED)
+def test_a_non_idempotent_request_that_never_ran_is_retried_after_its_backoff() -> None:
+    host = LimitCheckingHost(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
+    request = host.job(2)
+    host.end(request, 0, Outcome.CONNECT_FAILED)
     host.until(host.now + 60)
-    assert len(host.sent[job]) == 2
-    host.end(job, 1, Outcome.CONNECT_FAILED)
-    assert host.answered[job] == "refused"
+    assert len(host.sent[request]) == 2
+    host.end(request, 1, Outcome.CONNECT_FAILED)
+    assert host.answered[request] == "refused"
 
 
-def test_no_second_copy_for_a_class_that_wants_none() -> None:
+def test_a_class_with_hedging_disabled_is_not_hedged() -> None:
     """The same silent job is copied with the limit absent."""
     for second_copy, sent in ((True, 2), (False, 1)):
-        host = Limited(site(hedge=second_copy))
-        job = host.job(0)
-        host.give(AttemptProgress(job, 0, host.sent[job][0], ProgressKind.STARTED))
+        host = LimitCheckingHost(site(hedge=second_copy))
+        request = host.job(0)
+        host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
         for _ in range(40):
             host.until(host.now + 20)
             host.give(AttemptProgress(99, 0, 1, ProgressKind.PROGRESS))  # any event has the module look
-        assert len(host.sent[job]) == sent
+        assert len(host.sent[request]) == sent
         unstarted = host.job(0)
         host.until(host.now + 400)
         assert (len(host.sent[unstarted]) > 1) == second_copy
 
 
-def test_a_second_copy_after_its_time_and_not_before() -> None:
-    host = Limited(site(hedge_after=700.0))
-    job = host.job(0)
+def test_a_hedge_starts_at_its_time_and_not_before() -> None:
+    host = LimitCheckingHost(site(hedge_after=700.0))
+    request = host.job(0)
     host.until(host.now + 698)
-    assert len(host.sent[job]) == 1
+    assert len(host.sent[request]) == 1
     host.until(host.now + 4)
-    assert len(host.sent[job]) == 2
+    assert len(host.sent[request]) == 2
     host.until(host.now + 690)
-    assert len(host.sent[job]) == 2  # one copy at a time
-    host.end(job, 1)
-    assert host.outcome[job, 0] == Outcome.CANCELLED  # the loser
+    assert len(host.sent[request]) == 2  # one copy at a time
+    host.end(request, 1)
+    assert host.outcome[request, 0] == Outcome.CANCELLED  # the loser
 
 
-def test_a_job_keeps_the_limits_that_it_was_accepted_under() -> None:
+def test_a_request_keeps_the_limits_that_it_was_accepted_under() -> None:
     """The host says with each job under which terms it was taken; what the settings say later is no matter."""
     strict = replace(SAFE, max_attempts=1, retry_backoff=(1000.0,))
-    host = Limited(site())
+    host = LimitCheckingHost(site())
     first = host.job(0)
     second = host.job(0, policy=strict)
     host.end(second, 0, Outcome.ERROR)
@@ -211,25 +213,25 @@
     assert len(host.sent[first]) == 2
 
 
-def test_limits_go_over_to_another_process() -> None:
+def test_limits_are_handed_over_to_another_process() -> None:
     """A job that waits between attempts, and one with an attempt out, passed on in the middle."""
-    terms = replace(SAFE, max_attempts=2, attempt_timeout=300.0, retry_backoff=(200.0,), hedge=False)
-    passed = model.read(SAFE, model.write(terms))
-    assert passed == terms
-    new = Limited(site())
+    request_class = replace(SAFE, max_attempts=2, attempt_timeout=300.0, retry_backoff=(200.0,), hedge=False)
+    received = model.read(SAFE, model.write(request_class))
+    assert received == request_class
+    new = LimitCheckingHost(site())
     new.now = 5000.0
-    for job, attempt, not_before in (
+    for request, attempt, not_before in (
         (1, AttemptSnapshot(1, 4900.0, False, False, True, 4900.0), 5100.0),
         (2, AttemptSnapshot(2, 4900.0, True, False, True, 4900.0), 0.0),
     ):
-        event = RequestArrived(job, 0, 9000.0, policy=passed)
-        new.policies[job] = passed
-        new.jobs[job] = event
-        new.sent[job], new.sent_at[job, 0] = [attempt.server], attempt.sent_at
+        event = RequestArrived(request, 0, 9000.0, policy=received)
+        new.policies[request] = received
+        new.jobs[request] = event
+        new.sent[request], new.sent_at[request, 0] = [attempt.server], attempt.sent_at
         if not attempt.in_flight:
-            new.outcome[job, 0], new.ended_at[job] = Outcome.ERROR, 4900.0
+            new.outcome[request, 0], new.ended_at[request] = Outcome.ERROR, 4900.0
         new.give(RequestAdopted(event, 4900.0, (attempt,), not_before))
-    assert [len(new.sent[job]) for job in (1, 2)] == [1, 1]
+    assert [len(new.sent[request]) for request in (1, 2)] == [1, 1]
     new.until(5099.0)
     assert len(new.sent[1]) == 1
     new.until(5101.0)
@@ -257,12 +259,12 @@
         {**model.write(SAFE), "more": 1},
     ],
 )
-def test_limits_of_another_process_that_make_no_sense(table: Any) -> None:
+def test_malformed_limits_of_another_process_are_rejected(table: Any) -> None:
     with pytest.raises((ValueError, TypeError)):
         model.read(SAFE, table)
 
 
-LIMITS = st.fixed_dictionaries(
+LIMITS_STRATEGY = st.fixed_dictionaries(
     {},
     optional={
         "max_attempts": st.integers(1, 4),
@@ -276,37 +278,40 @@
 
 
 @settings(max_examples=60)
-@given(st.tuples(LIMITS, LIMITS, LIMITS), st.integers(0, 10_000))
-def test_any_limits_under_any_troubles(drawn: tuple[dict[str, Any], ...], seed: int) -> None:
+@given(st.tuples(LIMITS_STRATEGY, LIMITS_STRATEGY, LIMITS_STRATEGY), st.integers(0, 10_000))
+def test_any_limits_hold_under_any_faults(drawn_limits: tuple[dict[str, Any], ...], seed: int) -> None:
     """Whatever is set and whatever fails, :class:`Limited` finds no limit and no rule broken, and no job lost.
 
     Limits are changed while jobs are open: each keeps those that it came with.
     """
     rng = Random(seed)
-    plain = (SAFE, KEYED, ONCE)
-    host = Limited(site(), workers=6, seed=seed)
+    unlimited = (SAFE, KEYED, ONCE)
+    host = LimitCheckingHost(site(), workers=6, seed=seed)
     for _ in range(120):
-        classes = tuple(replace(lane, **limits) for lane, limits in zip(plain, rng.sample(drawn, 3), strict=True))
-        luck = rng.random()
-        if luck < 0.4:
-            lane = rng.randrange(3)
-            host.job(lane, policy=classes[lane])
-        elif luck < 0.8 and (out := host.open_attempts()):
-            job, attempt = rng.choice(out)
+        classes = tuple(
+            replace(request_class, **limits)
+            for request_class, limits in zip(unlimited, rng.sample(drawn_limits, 3), strict=True)
+        )
+        choice = rng.random()
+        if choice < 0.4:
+            class_number = rng.randrange(3)
+            host.job(class_number, policy=classes[class_number])
+        elif choice < 0.8 and (out := host.open_attempts()):
+            request, attempt = rng.choice(out)
             if rng.random() < 0.4:
-                host.give(AttemptProgress(job, attempt, host.sent[job][attempt], ProgressKind.STARTED))
+                host.give(AttemptProgress(request, attempt, host.sent[request][attempt], ProgressKind.STARTED))
             else:
-                host.end(job, attempt, rng.choice([1, 1, 2, 3, 5, 6]))
-        elif luck < 0.85:
+                host.end(request, attempt, rng.choice([1, 1, 2, 3, 5, 6]))
+        elif choice < 0.85:
             host.listed(ListKind.CHANGES, (ServerEntry(rng.randrange(1, 7), cell=rng.randrange(3)),))
         host.until(host.now + rng.expovariate(1 / 25))
         host.check_timeouts()
     host.finish()
 
 
-def test_fields_of_the_module_and_keys_of_the_file_are_the_same() -> None:
+def test_every_limit_is_handed_over() -> None:
     """A limit that a file may set and that does not pass to another process would be lost at an upgrade."""
-    lane = RequestClass(
+    request_class = RequestClass(
         latency_objective=1,
         deadline=9,
         effect=Effect.IDEMPOTENT_BY_KEY,
@@ -320,4 +325,4 @@
         repeat_window=7,
     )
     bare = RequestClass(latency_objective=1, deadline=9, effect=Effect.IDEMPOTENT_BY_KEY)
-    assert model.read(bare, model.write(lane)) == lane
+    assert model.read(bare, model.write(request_class)) == request_class
