--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -20,7 +20,7 @@
         from heronlug.cli import main as command
 
         return command()
-    return start(Files.told())
+    return start(Files.from_environment())
 
 
 def start(files: Files, tell: Callable[[Config, State], None] = lambda config, desired: None) -> int:
--- a/heronlug/cli/change.py
+++ b/heronlug/cli/change.py
@@ -26,7 +26,7 @@
         if state["classes"]:
             broken = ask(control, {"ask": "check", "classes": state["classes"]})["broken"]
             if broken:
-                raise ConfigProblems(load.problems(source, (load.Broken(*each) for each in broken)))
+                raise ConfigProblems(load.problems(source, (load.BrokenClassRule(*each) for each in broken)))
         return state
     except ConfigProblems as faults:
         raise StateError(str(faults)) from None
--- a/heronlug/cli/serve.py
+++ b/heronlug/cli/serve.py
@@ -23,7 +23,11 @@
     """
     from heronlug.__main__ import start
 
-    return start(Files(file, os.environ), partial(_announce, file)) if file is not None else start(Files.told())
+    return (
+        start(Files(file, os.environ), partial(_announce, file))
+        if file is not None
+        else start(Files.from_environment())
+    )
 
 
 def _announce(file: Path, config: Config, state: State) -> None:
--- a/heronlug/config/files.py
+++ b/heronlug/config/files.py
@@ -21,7 +21,7 @@
     environ: Mapping[str, str] = field(default_factory=lambda: os.environ)
 
     @classmethod
-    def told(cls, environ: Mapping[str, str] = os.environ) -> "Files":
+    def from_environment(cls, environ: Mapping[str, str] = os.environ) -> "Files":
         """As the platform tells, by the environment."""
         return cls(Path(environ.get("HERONLUG_STATE") or DEFAULT_STATE_FILE), environ)
 
--- a/heronlug/config/limits/load.py
+++ b/heronlug/config/limits/load.py
@@ -33,7 +33,7 @@
     return given, problems
 
 
-class Broken(NamedTuple):
+class BrokenClassRule(NamedTuple):
     """A rule that a class's limits break."""
 
     name: str
@@ -42,22 +42,22 @@
     right: str
 
 
-def check(site: Settings, given: Mapping[str, GivenLimits]) -> Iterator[Broken]:
+def check(site: Settings, given: Mapping[str, GivenLimits]) -> Iterator[BrokenClassRule]:
     """All rules that these limits break at a site."""
     classes_by_name = {request_class.name: request_class for request_class in site.classes}
     for name, limits in given.items():
         request_class = classes_by_name.get(name)
         if request_class is None:
-            yield Broken(name, "", "the site has no such class", suggest(name, classes_by_name))
+            yield BrokenClassRule(name, "", "the site has no such class", suggest(name, classes_by_name))
             continue
         class_under_check = ClassUnderCheck(site, request_class, limits)
         for rule in RULES:
             broken = rule(class_under_check)
             if broken is not None:
-                yield Broken(name, *broken)
+                yield BrokenClassRule(name, *broken)
 
 
-def problems(source: Source, broken: Iterator[Broken]) -> list[ConfigProblem]:
+def problems(source: Source, broken: Iterator[BrokenClassRule]) -> list[ConfigProblem]:
     """Broken rules as problems of the file that gave the limits."""
     return [source.problem((SECTION, b.name, b.key) if b.key else (SECTION, b.name), b.wrong, b.right) for b in broken]
 
