--- a/heronlug/adapter/__init__.py
+++ b/heronlug/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions behind the simulator's wire: many dispatchers in one process on standard input and output."""
+"""Connects the simulator to many dispatchers in one process over standard input and output."""
--- a/heronlug/adapter/__main__.py
+++ b/heronlug/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m heronlug.adapter``: the simulator starts the dispatchers of a run by this command."""
+"""Runs the adapter; the simulator starts the dispatchers of a run with ``python -m heronlug.adapter``."""
 
 import sys
 
--- a/heronlug/adapter/frames.py
+++ b/heronlug/adapter/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's wire to events of the balancer, and its actions to frames."""
+"""Decodes frames of the simulator into events of the balancer and encodes actions of the balancer into frames."""
 
 import struct
 from collections.abc import Callable, Iterable
@@ -34,15 +34,15 @@
 from heronlug.config.settings_json import parse_settings
 
 HEADER = struct.Struct(">IId")
-"""Of a batch: the number of records, the length of the body in bytes, and the clock in ms."""
+"""Header of a batch: the number of records, the length of the body in bytes and the clock in ms."""
 REPLY_HEADER = struct.Struct(">II")
-"""Of a reply: the number of records, and the length of the body in bytes."""
+"""Header of a reply: the number of records and the length of the body in bytes."""
 EVENT_SIZE = 56
-"""Bytes of an event's record."""
+"""Size of the record of an event in bytes."""
 ENTRY_SIZE = 22
-"""Bytes of a server's entry in a list."""
+"""Size of the entry of a server in a list in bytes."""
 
-# Layouts of records; each begins with the code, which ``x`` skips, and the instance.
+# Layouts of records. Each record begins with a code, which ``x`` skips in events, and the number of the instance.
 _INSTANCE = struct.Struct(">I")
 _SPAWN = struct.Struct(">xIQII")
 _SERVER_LIST = struct.Struct(">xIBQII")
@@ -64,20 +64,20 @@
 _SUBSCRIBE = struct.Struct(">BIB26x")
 
 EVERY_PEER = 0xFFFFFFFF
-"""The peer of a message to all of them."""
+"""The peer number of a message to all peers."""
 IMMEDIATELY = 0.0
-"""The delay of an attempt, in ms."""
+"""Delay of an attempt in ms: attempts start at once."""
 
 
 class RequestFlag(IntFlag):
-    """Flags of a request's record."""
+    """Flags in the record of a request."""
 
     HINT_VALID = 1
     CLIENT_RETRY = 2
 
 
 class EventCode(IntEnum):
-    """The first byte of an event's record."""
+    """First byte of the record of an event."""
 
     REQUEST_ARRIVED = 1
     ATTEMPT_PROGRESS = 2
@@ -93,7 +93,7 @@
 
 
 class ActionCode(IntEnum):
-    """The first byte of an action's record."""
+    """First byte of the record of an action."""
 
     START_ATTEMPT = 1
     REJECT = 2
@@ -107,11 +107,16 @@
 
 
 class WireError(ValueError):
-    """A frame that does not follow the protocol; the text says what and where."""
+    """Raised if a frame does not follow the protocol; the message says what is wrong and where."""
 
 
 class Spawn:
-    """A dispatcher starts: its seed and settings."""
+    """The event that starts a dispatcher.
+
+    Attributes:
+        seed: Seed of the random draws of the dispatcher.
+        settings: Settings of the dispatcher.
+    """
 
     __slots__ = ("seed", "settings")
 
@@ -121,7 +126,7 @@
 
 
 class Kill:
-    """A dispatcher is killed, with all that it held."""
+    """The event that kills a dispatcher; the state of the dispatcher is lost."""
 
     __slots__ = ()
 
@@ -133,9 +138,9 @@
     """The header of a batch.
 
     Attributes:
-        record_count: events in the body.
-        body_length: in bytes.
-        now: the clock, in ms.
+        record_count: Number of events in the body.
+        body_length: Length of the body in bytes.
+        now: The clock in ms.
     """
 
     record_count: int
@@ -144,7 +149,7 @@
 
 
 class InstanceEvent(NamedTuple):
-    """An event and the instance that it is for."""
+    """An event and the number of the instance that handles the event."""
 
     instance: int
     event: WireEvent
@@ -154,12 +159,12 @@
 
 
 class _Record(NamedTuple):
-    """An event's record in a batch.
+    """The record of an event in a batch.
 
     Attributes:
-        body: of the batch.
-        offset: of the record in the body.
-        tail: what follows the records: lists, messages and settings.
+        body: The body of the batch.
+        offset: Offset of the record in the body.
+        tail: The part of the body after the records: lists, messages and settings.
     """
 
     body: memoryview
@@ -167,11 +172,11 @@
     tail: memoryview
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The fields of the record."""
+        """Returns the fields of the record."""
         return layout.unpack_from(self.body, self.offset)
 
     def from_tail(self, offset: int, length: int, what: str) -> memoryview:
-        """A part of the tail; raises :class:`WireError` if it reaches beyond the tail."""
+        """Returns a part of the tail; raises :class:`WireError` if the part ends after the tail."""
         end, available = offset + length, len(self.tail)
         if end > available:
             msg = f"record at byte {self.offset}: {what} ends at byte {end} of a tail of {available} bytes"
@@ -260,7 +265,7 @@
 
 
 def decode_header(header: bytes) -> BatchHeader:
-    """The header of a batch; raises :class:`WireError` if it is cut short or its figures do not fit each other."""
+    """Returns the header of a batch; raises :class:`WireError` if the header is truncated or inconsistent."""
     if len(header) != HEADER.size:
         msg = f"header: {len(header)} of {HEADER.size} bytes"
         raise WireError(msg)
@@ -272,7 +277,7 @@
 
 
 def decode_events(count: int, body: bytes) -> Iterable[InstanceEvent]:
-    """The events of a batch with their instances, in order; unknown codes are skipped."""
+    """Yields the events of a batch with their instances, in order; records with unknown codes are skipped."""
     view = memoryview(body)
     tail = view[count * EVENT_SIZE :]
     for offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
@@ -286,7 +291,7 @@
 
 
 class Reply:
-    """Collects the actions of one batch."""
+    """Collects the actions of one batch and encodes them."""
 
     __slots__ = ("_records", "_tail")
 
@@ -295,15 +300,15 @@
         self._tail = bytearray()
 
     def add(self, instance: int, action: Action) -> None:
-        """Add an action of an instance."""
+        """Adds an action of an instance."""
         self._records.append(self._record(instance, action))
 
     def add_failure(self, instance: int, text: str) -> None:
-        """Report in one line that the decision code of an instance failed."""
+        """Adds a report that the dispatcher of an instance has raised an exception; ``text`` is one line."""
         self._records.append(self._text(ActionCode.INSTANCE_FAILED, instance, text))
 
     def encode(self) -> bytes:
-        """The whole frame."""
+        """Returns the reply as a frame."""
         records = b"".join(self._records)
         header = REPLY_HEADER.pack(len(self._records), len(records) + len(self._tail))
         return header + records + self._tail
@@ -339,7 +344,7 @@
         return _TEXT.pack(code, instance, self._add_to_tail(data), len(data))
 
     def _add_to_tail(self, data: bytes) -> int:
-        """Append to the tail; returns the offset."""
+        """Appends data to the tail; returns the offset of the data."""
         offset = len(self._tail)
         self._tail += data
         return offset
--- a/heronlug/adapter/host.py
+++ b/heronlug/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many dispatchers on standard input and output: ``python -m heronlug.adapter``."""
+"""Runs many dispatchers in one process and serves them on standard input and output."""
 
 import sys
 import traceback
@@ -9,13 +9,13 @@
 
 
 class InstanceHost:
-    """The instances of one process, each independent of the others."""
+    """The dispatchers of one process by instance number; each dispatcher is independent of the others."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Dispatcher] = {}
 
     def answer(self, count: int, now: float, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """Returns the reply to one batch; the batch ends early if an instance fails."""
         reply = Reply()
         instances = self._instances
         for instance, event in decode_events(count, body):
@@ -35,7 +35,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Read batches and write replies until the input ends; raises :class:`WireError` on a bad one."""
+    """Reads batches and writes replies until the input ends; raises :class:`WireError` if a batch is malformed."""
     host = InstanceHost()
     while header := source.read(HEADER.size):
         batch = decode_header(header)
@@ -48,7 +48,7 @@
 
 
 def main() -> int:
-    """Serve standard input; the exit status is 1 after a malformed frame."""
+    """Serves standard input; returns the exit status, which is 1 after a malformed frame or invalid settings."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
--- a/heronlug/config/__init__.py
+++ b/heronlug/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: files and environment, their schemas, validation and reload."""
+"""Reads, validates and reloads the configuration from files and the environment."""
--- a/heronlug/config/desired_state.py
+++ b/heronlug/config/desired_state.py
@@ -1,22 +1,25 @@
-"""The desired state of a daemon: what plan and apply compare, and what the deploy file says at the start.
+"""Reads the desired state of a dispatcher from the operators' file and compares the state with the running one.
+
+The file is read at the start and by the plan and apply commands:
 
     log_level = "info"
 
     [faktory]
-    listen = "127.0.0.1:7419"      # absent or empty: off
+    listen = "127.0.0.1:7419"      # absent or empty: no Faktory listener
     password = ""
     beat_timeout_s = 60
 
     [[plugin]]
     name = "audit"
-    file = "audit.wasm"            # beside this file
-    fuel = 100000                  # for one call
+    file = "audit.wasm"            # relative to this file
+    fuel = 100000                  # limit for each call
     memory_kb = 1024
 
-    [class.send-invites]           # limits, see docs/operators/limits.md
+    [class.send-invites]           # limits of a request class, see docs/operators/limits.md
     attempts = 3
 
-The platform's own file has no limits, and reading it loads no more than the standard library and this.
+The platform's own file has no limits; the modules that read classes, the cluster and service discovery are imported
+only if a file has their tables.
 """
 
 import hashlib
@@ -47,29 +50,33 @@
 }
 PLUGIN_DEFAULTS: dict[str, Any] = {"name": "", "file": "", "fuel": 100_000, "memory_kb": 1024}
 STATE_KEYS = ("log_level", "faktory", "plugin", "class", "cluster", "register")
-SITE_KEYS = ("serve", "site", "host")  # what stands beside them in a file that is the whole configuration
+SITE_KEYS = ("serve", "site", "host")  # further keys of a file that is the whole configuration
 MAX_MODULE_BYTES = 1024 * 1024
+"""Maximum size of the module of a plug-in."""
 
 
 class StateError(ConfigurationError, ValueError):
-    """A file or a change that cannot be had; the text has a line for each problem, with file, line and key."""
+    """Raised if a file is invalid or a change cannot be made.
+
+    The message has one line for each problem; a problem of a file names the file, the line and the key.
+    """
 
 
 def _with_defaults(
     table: Any, defaults: Mapping[str, Any], source: Source, key_path: Keys, problems: list[ConfigProblem]
 ) -> State:
-    """The table with what it leaves out; every key is known, and of its type."""
+    """Returns the table with defaults for absent keys; adds a problem for each unknown key and invalid value."""
     if not isinstance(table, dict):
-        problems.append(source.problem(key_path, "not a table", f"[{key_path[0]}]"))
+        problems.append(source.problem(key_path, "not a table", f"expected [{key_path[0]}]"))
         return dict(defaults)
     for key, value in table.items():
         if key not in defaults:
-            problems.append(source.problem((*key_path, key), "unknown key", "one of " + ", ".join(defaults)))
+            problems.append(source.problem((*key_path, key), "unknown key", "expected one of " + ", ".join(defaults)))
             continue
         number = isinstance(defaults[key], int | float)
         if isinstance(value, bool) or not isinstance(value, int | float if number else str):
-            kind = "number" if number else "text"
-            problems.append(source.problem((*key_path, key), f"{value!r} is no {kind}", f"expected a {kind}"))
+            kind = "number" if number else "string"
+            problems.append(source.problem((*key_path, key), f"{value!r} is not a {kind}", f"expected a {kind}"))
         elif number and not 0 < value < 1e12:
             shown = value if isinstance(value, float) else "the number"
             right = "expected more than 0 and less than 1e12"
@@ -78,22 +85,34 @@
 
 
 def parse(source: Source, site: Settings | None = None) -> State:
-    """The state that a file describes; raises :class:`ConfigProblems` with all that is wrong.
+    """Returns the state that an operators' file describes.
+
+    Args:
+        source: The file.
+        site: The settings against which the limits of the classes are checked; None checks the limits by their schema
+            only.
 
-    With a site its limits are checked against that too, else only their form.
+    Raises:
+        ConfigProblems: If the file is invalid; the error has all problems.
     """
     table, problems = source.table, list[ConfigProblem]()
     for key in table.keys() - {*STATE_KEYS, *SITE_KEYS}:
-        problems.append(source.problem((key,), "unknown key", "one of " + ", ".join((*STATE_KEYS, *SITE_KEYS))))
+        problems.append(
+            source.problem((key,), "unknown key", "expected one of " + ", ".join((*STATE_KEYS, *SITE_KEYS)))
+        )
     level = table.get("log_level", "info")
     if not isinstance(level, str) or level not in LEVELS:
-        problems.append(source.problem(("log_level",), f"{level!r} is no level", "one of " + ", ".join(LEVELS)))
+        problems.append(
+            source.problem(("log_level",), f"{level!r} is not a log level", "expected one of " + ", ".join(LEVELS))
+        )
     faktory = _with_defaults(table.get("faktory", {}), FAKTORY_DEFAULTS, source, ("faktory",), problems)
     if faktory["listen"] and isinstance(faktory["listen"], str):
         try:
             split_address(faktory["listen"])
         except ValueError as error:
-            problems.append(source.problem(("faktory", "listen"), str(error), "such as 127.0.0.1:7419"))
+            problems.append(
+                source.problem(("faktory", "listen"), str(error), "expected an address such as 127.0.0.1:7419")
+            )
     if faktory["store"] and isinstance(faktory["store"], str):
         faktory["store"] = str((Path(source.path).parent / faktory["store"]).resolve())
     plugins = _read_plugins(table.get("plugin", []), source, problems)
@@ -129,7 +148,7 @@
 
 def _read_plugins(listed: Any, source: Source, problems: list[ConfigProblem]) -> State:
     if not isinstance(listed, list):
-        problems.append(source.problem(("plugin",), "not a list of tables", "[[plugin]]"))
+        problems.append(source.problem(("plugin",), "not a list of tables", "expected [[plugin]]"))
         return {}
     plugins: State = {}
     for number, entry in enumerate(listed):
@@ -138,27 +157,37 @@
         if len(problems) > before:
             continue
         if not plugin["name"] or plugin["name"] in plugins:
-            problems.append(source.problem((*key_path, "name"), "missing, or there twice", "a name of its own"))
+            problems.append(
+                source.problem((*key_path, "name"), "the name is missing or used twice", "expected a unique name")
+            )
         module = (Path(source.path).parent / plugin["file"]).resolve()
         try:
             data = module.read_bytes()
         except OSError as error:
-            problems.append(source.problem((*key_path, "file"), error.strerror or str(error), "a WebAssembly module"))
+            problems.append(
+                source.problem((*key_path, "file"), error.strerror or str(error), "expected a WebAssembly module")
+            )
             continue
         if len(data) > MAX_MODULE_BYTES:
-            problems.append(source.problem((*key_path, "file"), f"over {MAX_MODULE_BYTES} bytes", "a smaller module"))
+            problems.append(
+                source.problem(
+                    (*key_path, "file"),
+                    f"the module has more than {MAX_MODULE_BYTES} bytes",
+                    "expected a smaller module",
+                )
+            )
         digest = hashlib.sha256(data).hexdigest()
         plugins[plugin.pop("name")] = {**plugin, "file": str(module), "sha256": digest}
     return plugins
 
 
 def digest(state: State) -> str:
-    """What a plan is based on."""
+    """Returns the SHA-256 digest of a state; a plan holds the digest of the running state that it applies to."""
     return hashlib.sha256(orjson.dumps(state, option=orjson.OPT_SORT_KEYS)).hexdigest()
 
 
 def difference(running: State, desired: State) -> list[str]:
-    """One line for each thing to add (+), change (~) or remove (-)."""
+    """Returns one line for each item that is added (+), changed (~) or removed (-)."""
     lines = []
     if running["log_level"] != desired["log_level"]:
         lines.append(f"~ log_level: {running['log_level']} -> {desired['log_level']}")
@@ -184,7 +213,7 @@
 
 
 def changed_limits(running: Mapping[str, Any], desired: Mapping[str, Any]) -> list[str]:
-    """One line for each limit that changes; one that is not given is the site's."""
+    """Returns one line for each limit that changes; a limit that is not given has the site's default."""
     lines = []
     for name in sorted({**running, **desired}):
         before, after = running.get(name, {}), desired.get(name, {})
@@ -196,7 +225,7 @@
 
 
 def _format_limit(given: Mapping[str, Any], key: str) -> str:
-    value = given.get(key, "the site's")
+    value = given.get(key, "site default")
     return value if isinstance(value, str) else orjson.dumps(value).decode()
 
 
--- a/heronlug/config/errors.py
+++ b/heronlug/config/errors.py
@@ -1,14 +1,18 @@
-"""Errors of the configuration."""
+"""Defines the base class of configuration errors and the error of a cluster key file."""
 
 
 class ConfigurationError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all configuration errors."""
 
 
 class KeyFileError(ConfigurationError, ValueError):
-    """A file whose key cannot be used."""
+    """Raised if the key in a cluster key file cannot be used.
+
+    Attributes:
+        path: Path of the key file.
+    """
 
     def __init__(self, path: str, reason: str) -> None:
-        """State what is wrong with the key of the file at ``path``."""
+        """Creates the error of the file at ``path``; ``reason`` says what is wrong with its key."""
         super().__init__(f"{path}: {reason}")
         self.path = path
--- a/heronlug/config/files.py
+++ b/heronlug/config/files.py
@@ -1,4 +1,4 @@
-"""The files that a dispatcher's settings come from, read together: all of them hold, or none does."""
+"""Loads the files with the settings of a dispatcher; the settings are used only if all files are valid."""
 
 import os
 from collections.abc import Callable, Mapping
@@ -11,22 +11,36 @@
 from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
 
 DEFAULT_STATE_FILE = Path(__file__).parents[2] / "deploy" / "faktory.toml"
+"""The operators' file that is used if ``HERONLUG_STATE`` names none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Files:
-    """The operators' file and, unless that is the whole configuration, the platform's in ``RELAY_CONFIG``."""
+    """The operators' file and, unless that is the whole configuration, the platform's file.
+
+    Attributes:
+        state: Path of the operators' file.
+        environ: Environment variables; ``RELAY_CONFIG`` names the platform's file.
+    """
 
     state: Path
     environ: Mapping[str, str] = field(default_factory=lambda: os.environ)
 
     @classmethod
     def from_environment(cls, environ: Mapping[str, str] = os.environ) -> "Files":
-        """As the platform tells, by the environment."""
+        """Returns the files that the environment variables name."""
         return cls(Path(environ.get("HERONLUG_STATE") or DEFAULT_STATE_FILE), environ)
 
     def load(self, again: bool = False) -> tuple[Config, State]:
-        """Read and check everything, at a start or ``again``; raises :class:`ConfigError` or :class:`StateError`."""
+        """Reads and checks all files.
+
+        Args:
+            again: Whether this is a reload instead of the first load at the start.
+
+        Raises:
+            ConfigError: If the platform's configuration is invalid.
+            StateError: If the operators' file is invalid.
+        """
         read = config.reload if again else config.load
         conf, state, problems = gather(self.state, lambda: read(self.environ))
         if conf is None or state is None or problems:
@@ -37,9 +51,12 @@
 def gather(
     path: Path, platform: Callable[[], Config | None]
 ) -> tuple[Config | None, State | None, list[ConfigProblem]]:
-    """The configuration and the state that a file holds, or all that is wrong with it, in the order of its lines.
+    """Returns the configuration and the state of an operators' file, and its problems in the order of their lines.
 
-    Where it is not the whole configuration, ``platform`` gives that; None checks the file by its form alone.
+    Args:
+        path: Path of the operators' file.
+        platform: Returns the platform's configuration if the file is not the whole configuration; if it returns None,
+            the file is checked without a site.
     """
     problems: list[ConfigProblem] = []
     conf: Config | None = None
--- a/heronlug/config/limits/__init__.py
+++ b/heronlug/config/limits/__init__.py
@@ -1,7 +1,7 @@
-"""Limits of each class: how often, how long, after which wait, and whether with a second copy.
+"""Limits of each request class: number of attempts, timeouts, backoff and hedging.
 
-``model`` is what runs everywhere; ``load``, ``schema`` and ``rules`` read and check an operators' file and are imported
-only where there is one to check.
+Every dispatcher imports ``model``.  ``load``, ``schema`` and ``rules`` read and check an operators' file and are
+imported only if there is a file to check.
 """
 
 from heronlug.config.limits.model import KEYS, GivenLimits, resolve
--- a/heronlug/config/limits/load.py
+++ b/heronlug/config/limits/load.py
@@ -1,4 +1,4 @@
-"""The ``[class]`` tables of a file: decoded, checked against a site, and explained."""
+"""Reads the ``[class.NAME]`` tables of a file, checks them against a site and lists the resulting limits."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
@@ -13,28 +13,40 @@
 from heronlug.config.strict_toml.decode import decode
 from heronlug.config.strict_toml.errors import suggest
 
-SECTION = "class"  # the key of the tables
+SECTION = "class"  # key of the tables in the file
 
 
 def read(source: Source) -> tuple[dict[str, GivenLimits], list[ConfigProblem]]:
-    """What a file gives for each class, and what is wrong with its form; a class with problems gives nothing."""
+    """Returns the limits that a file gives for each class, and the problems of the tables.
+
+    A class whose table has problems has no limits in the result.
+    """
     table = source.table.get(SECTION, {})
     if not isinstance(table, dict) or (table and not any(isinstance(value, dict) for value in table.values())):
-        return {}, [source.problem((SECTION,), "not a table of classes", "[class.NAME]")]
+        return {}, [source.problem((SECTION,), "not a table of classes", "expected [class.NAME]")]
     given: dict[str, GivenLimits] = {}
     problems: list[ConfigProblem] = []
     for name, values in table.items():
         decoded, wrong = decode(ClassTable, values, source, (SECTION, name))
         problems += wrong
         if values == {}:
-            problems.append(source.problem((SECTION, name), "it sets nothing", "at least one limit, or no table"))
+            problems.append(
+                source.problem((SECTION, name), "the table sets no limit", "expected at least one limit, or no table")
+            )
         limits = msgspec.structs.asdict(decoded) if decoded is not None else {}
         given[name] = {key: value for key, value in limits.items() if value is not msgspec.UNSET}
     return given, problems
 
 
 class BrokenClassRule(NamedTuple):
-    """A rule that a class's limits break."""
+    """A rule that the limits of a class break.
+
+    Attributes:
+        name: Name of the class.
+        key: Key of the limit; empty if the problem concerns the whole table.
+        wrong: What is wrong.
+        right: What is accepted.
+    """
 
     name: str
     key: str
@@ -43,7 +55,7 @@
 
 
 def check(site: Settings, given: Mapping[str, GivenLimits]) -> Iterator[BrokenClassRule]:
-    """All rules that these limits break at a site."""
+    """Yields all rules that the given limits break at a site."""
     classes_by_name = {request_class.name: request_class for request_class in site.classes}
     for name, limits in given.items():
         request_class = classes_by_name.get(name)
@@ -58,12 +70,12 @@
 
 
 def problems(source: Source, broken: Iterator[BrokenClassRule]) -> list[ConfigProblem]:
-    """Broken rules as problems of the file that gave the limits."""
+    """Returns broken rules as problems of the file with the limits."""
     return [source.problem((SECTION, b.name, b.key) if b.key else (SECTION, b.name), b.wrong, b.right) for b in broken]
 
 
 def advice(site: Settings, given: Mapping[str, GivenLimits]) -> list[str]:
-    """Notes on limits that break no rule."""
+    """Returns notes on limits that break no rule but may have a surprising effect."""
     classes_by_name = {request_class.name: request_class for request_class in site.classes}
     return [
         f"class.{name}.{note}"
@@ -74,7 +86,14 @@
 
 
 class Row(NamedTuple):
-    """One limit of a class as it holds, and where it comes from."""
+    """A limit of a class in effect.
+
+    Attributes:
+        name: Name of the class.
+        key: Key of the limit.
+        value: The value in effect.
+        origin: Where the value comes from: a file, the site or a default.
+    """
 
     name: str
     key: str
@@ -83,17 +102,17 @@
 
 
 def rows(site: Settings, given: Mapping[str, GivenLimits], origin: str) -> Iterator[Row]:
-    """The resolved table: every limit of every class; ``origin`` names the file."""
+    """Yields every limit of every class as in effect; ``origin`` names the file with the given limits."""
     for request_class in site.classes:
         limits = given.get(request_class.name, {})
         effective = apply_limits(request_class, limits)
         site_values = {
             "attempts": (site.max_attempts, "site: attempts_cap"),
-            "attempt_timeout_ms": ("as long as the job has", "default"),
+            "attempt_timeout_ms": ("until the request is given up", "default"),
             "after_timeout": ("end" if request_class.effect.value == "once" else "again", "default"),
             "wait_ms": ([], "default"),
             "second_copy": (site.hedging and request_class.effect.value != "once", "site: second_copies"),
-            "second_copy_after_ms": ("when it seems stuck", "default"),
+            "second_copy_after_ms": ("when the attempt seems stalled", "default"),
             "repeat_window_ms": (request_class.repeat_window, "site: repeat_window"),
             "give_up_ms": (request_class.deadline, "site: deadline"),
         }
@@ -102,5 +121,5 @@
             if key in limits:
                 value, value_origin = getattr(effective, field) if key != "after_timeout" else limits[key], origin
             if key == "second_copy_after_ms" and not (effective.hedge and site_values["second_copy"][0]):
-                value, value_origin = "never", "no second copies"
+                value, value_origin = "never", "hedging disabled"
             yield Row(request_class.name, key, list(value) if isinstance(value, tuple) else value, value_origin)
--- a/heronlug/config/limits/schema.py
+++ b/heronlug/config/limits/schema.py
@@ -1,11 +1,11 @@
-"""The form of a ``[class.NAME]`` table.  Ranges that hold for every site are here, what depends on one in ``rules``."""
+"""Defines the ``[class.NAME]`` table with the ranges that apply to every site; ``rules`` checks them against a site."""
 
 from typing import Annotated, Literal
 
 from msgspec import UNSET, Meta, Struct, UnsetType
 
-MAX_TIME_MS = 86_400_000.0  # ms; no limit may be longer
-MAX_ATTEMPTS = 1000  # attempts; the site's own cap is lower
+MAX_TIME_MS = 86_400_000.0  # a day, the longest time of a limit
+MAX_ATTEMPTS = 1000  # the cap of a site is lower
 
 Span = Annotated[
     float, Meta(gt=0, le=MAX_TIME_MS, description="milliseconds, more than 0 and at most a day (86400000)")
@@ -18,9 +18,9 @@
 
 
 class ClassTable(Struct, forbid_unknown_fields=True):
-    """One class's limits; what is absent stays as the site has it."""
+    """The limits of a request class; an absent limit has the site's default."""
 
-    attempts: Annotated[int, Meta(ge=1, le=MAX_ATTEMPTS, description="a whole number from 1 on")] | UnsetType = UNSET
+    attempts: Annotated[int, Meta(ge=1, le=MAX_ATTEMPTS, description="a whole number, 1 or more")] | UnsetType = UNSET
     attempt_timeout_ms: Span | UnsetType = UNSET
     after_timeout: Annotated[Literal["again", "end"], Meta(description='"again" or "end"')] | UnsetType = UNSET
     wait_ms: Waits | UnsetType = UNSET
--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the environment and the JSON file that it names, read and checked once."""
+"""Reads and checks the platform's configuration: the environment variables and the JSON file that they name."""
 
 import os
 from collections.abc import Iterator, Mapping
@@ -16,7 +16,7 @@
 
 
 class ConfigError(ConfigurationError, ValueError):
-    """A setting that cannot be used; the text names file and key."""
+    """Raised if a setting is invalid; the message names the file and the key."""
 
 
 ENVIRONMENT_VARIABLES = {
@@ -25,43 +25,46 @@
     "discovery": "RELAY_DISCOVERY",
     "admin_addr": "RELAY_ADMIN_ADDR",
 }
-"""Keys of the file that a variable of the environment overrides."""
+"""Keys of the file, each with the environment variable that overrides the key."""
 DEFAULT_SOCKETS = 1024
-"""File descriptors where the file gives none."""
+"""Maximum number of file descriptors if the file gives none."""
 DEFAULT_MEMORY_MB = 192
-"""Memory where the file gives none, in MB."""
+"""Memory limit in MB if the file gives none."""
 DEFAULT_IDLE_MS = 10_000
-"""How long an idle connection to a server is kept where the file says nothing, in ms."""
+"""Time after which servers close an idle connection, in ms, if the file gives none."""
 DEFAULT_MAX_OPEN = 20_000
-"""Open requests where the file gives no maximum."""
+"""Maximum number of open requests if the file gives none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a start needs. A reload logs the names of changed fields, so they keep their names.
+    """The configuration with which a dispatcher starts.
+
+    A reload logs the names of changed fields, so the field names must stay as they are.
 
     Attributes:
-        name: of the dispatcher.
-        listen: the clients' address.
-        discovery: address of service discovery; empty where the servers are listed in a file.
-        seed: of all random draws.
-        settings: of the balancer.
-        sockets: file descriptors that the process may use.
-        memory_mb: memory that it may use, in MB.
-        conn_idle: how long servers keep an idle connection, in ms.
-        max_open: open requests at most.
-        max_come_back: the longest Retry-After of a rejection, in ms; 0 for none.
-        zones: names of the zones, by number.
-        kinds: names of the server kinds, by number.
-        known: the endpoint list of the file; None where it gives none.
-        peer_listen: address of the peers' datagrams; None for none.
-        peers: addresses of all dispatchers, by position.
-        peers_all: the address that reaches all peers; None for none.
-        inherited_fd: the clients' listening socket, which other processes hold too; None where it is bound.
-        admin: address of the admin endpoint; None for none.
-        pushed: updates of the list count as notified at once, whether or not they are polled.
-        paced: the operators run service discovery: polls are paced, and the last list is used whatever its age. On the
-            platform the balancer alone decides when to poll.
+        name: Name of the dispatcher.
+        listen: Address on which clients connect.
+        discovery: Address of service discovery; empty if the servers are listed in a file.
+        seed: Seed of all random draws.
+        settings: Settings of the balancer.
+        sockets: Maximum number of file descriptors of the process.
+        memory_mb: Memory limit of the process, in MB.
+        conn_idle: Time after which servers close an idle connection, in ms.
+        max_open: Maximum number of open requests.
+        max_come_back: Longest Retry-After of a rejection, in ms; 0 if rejections have no Retry-After.
+        zones: Names of the zones, indexed by zone number.
+        kinds: Names of the server kinds, indexed by kind number.
+        known: The endpoint list in the file; None if the file has none.
+        peer_listen: Address on which datagrams of the peers arrive; None without peers.
+        peers: Addresses of all dispatchers, indexed by position.
+        peers_all: Address that reaches all peers; None if there is no such address.
+        inherited_fd: File descriptor of the listening socket for clients, which is shared with other processes; None if
+            the dispatcher binds the socket itself.
+        admin: Address of the admin endpoint; None if there is no admin endpoint.
+        pushed: Whether updates of the endpoint list count as notified at once, whether or not they are polled.
+        paced: Whether the operators run service discovery: then polls are paced, and the last list is used whatever its
+            age. On the platform the balancer alone decides when to poll.
     """
 
     name: str
@@ -89,7 +92,7 @@
 def _object(raw: Mapping[str, Any], key: str, file_name: str) -> dict[str, Any]:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        msg = f"{file_name}: {key}: not an object"
+        msg = f"{file_name}: {key}: not a JSON object"
         raise ConfigError(msg)
     return value
 
@@ -97,33 +100,33 @@
 def _number(table: Mapping[str, Any], key: str, default: float, file_name: str) -> float:
     value = table.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
-        msg = f"{file_name}: {key}: {value!r} is no figure of 0 or more"
+        msg = f"{file_name}: {key}: {value!r} is not a number, expected 0 or more"
         raise ConfigError(msg)
     return float(value)
 
 
 def _check(settings: Settings) -> None:
-    """Check what is right by itself and wrong together; raises ``ValueError``."""
+    """Raises ``ValueError`` if settings that are valid separately contradict each other."""
     names = [request_class.name for request_class in settings.classes]
     if duplicate := next((name for name in names if names.count(name) > 1), None):
-        msg = f"lanes: two classes are named {duplicate!r}, each needs a name of its own"
+        msg = f"lanes: two classes are named {duplicate!r}, expected a unique name for each class"
         raise ValueError(msg)
     if settings.position >= settings.instances:
-        right = f"of {settings.instances} instances it is 0 to {settings.instances - 1}"
-        msg = f"position: {settings.position}: {right}"
+        right = f"expected 0 to {settings.instances - 1} for {settings.instances} instances"
+        msg = f"position: {settings.position} is out of range, {right}"
         raise ValueError(msg)
 
 
 def reload(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again; its address of service discovery is newer than the one in the environment."""
+    """Reads the file again and ignores ``RELAY_DISCOVERY``: the address of service discovery in the file is newer."""
     return load({key: value for key, value in environ.items() if key != "RELAY_DISCOVERY"})
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that ``RELAY_CONFIG`` names; raises :class:`ConfigError`."""
+    """Reads the file that ``RELAY_CONFIG`` names; raises :class:`ConfigError` if the configuration is invalid."""
     file_name = environ.get("RELAY_CONFIG", "")
     if not file_name:
-        msg = "environment: RELAY_CONFIG: not set"
+        msg = "environment: RELAY_CONFIG: not set, expected the path of a JSON file"
         raise ConfigError(msg)
     try:
         raw = orjson.loads(Path(file_name).read_bytes())
@@ -131,11 +134,11 @@
         msg = f"{file_name}: {error}"
         raise ConfigError(msg) from None
     if not isinstance(raw, dict):
-        msg = f"{file_name}: not an object"
+        msg = f"{file_name}: not a JSON object"
         raise ConfigError(msg)
     inherited = environ.get("RELAY_INHERITED_FD", "")
     if inherited and not inherited.isdecimal():
-        msg = f"environment: RELAY_INHERITED_FD: {inherited!r} is no descriptor"
+        msg = f"environment: RELAY_INHERITED_FD: {inherited!r} is not a file descriptor, expected a number"
         raise ConfigError(msg)
     raw = {
         **raw,
@@ -145,15 +148,15 @@
 
 
 def parse(raw: Mapping[str, Any], file_name: str, watched: bool = True) -> Config:
-    """Read a configuration from its JSON object.
+    """Returns the configuration in a JSON object.
 
     Args:
-        raw: the object.
-        file_name: the file's name, for errors.
-        watched: whether service discovery gives the servers; else they are those of the file's list.
+        raw: The object.
+        file_name: Name of the file, for error messages.
+        watched: Whether service discovery gives the servers; otherwise the servers are those that the file lists.
 
     Raises:
-        ConfigError: if a key is missing or its value cannot be used; the text names the key.
+        ConfigError: If a key is missing or has an invalid value; the message names the key.
     """
     settings_object = _object(raw, "settings", file_name)
     limits = _object(raw, "limits", file_name)
@@ -181,7 +184,9 @@
         listen=listen,
         discovery=discovery,
         seed=seed,
-        settings=replace(settings, list_pushed=not watched),  # on sockets no list comes without a poll
+        settings=replace(
+            settings, list_pushed=not watched
+        ),  # service discovery sends the list only in answer to a poll
         sockets=int(_number(limits, "sockets", DEFAULT_SOCKETS, file_name)) or DEFAULT_SOCKETS,
         memory_mb=_number(limits, "memory_mb", DEFAULT_MEMORY_MB, file_name),
         conn_idle=_number(site_limits, "conn_idle", DEFAULT_IDLE_MS, file_name),
@@ -200,7 +205,7 @@
 
 @contextmanager
 def _name_key_in_errors(file_name: str, key: str) -> Iterator[None]:
-    """Turn an error in reading a key into a :class:`ConfigError` that names it."""
+    """Turns an error in the value of a key into a :class:`ConfigError` that names the file and the key."""
     try:
         yield
     except (KeyError, ValueError, TypeError) as error:
--- a/heronlug/config/reload.py
+++ b/heronlug/config/reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: reads the files again, and uses what can change while the dispatcher serves."""
+"""Reloads the configuration files on SIGHUP and applies the settings that can change without a restart."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,21 +9,21 @@
 from heronlug.net.background import run_in_background
 
 APPLIED_FIELD = "discovery"
-"""The field of the configuration that a reload changes."""
+"""The field of the configuration that a reload applies."""
 START_ONLY_FIELDS = {"seed", "known"}
-"""Fields that differ in each file, and are used at a start only."""
+"""Fields that differ in each file and are used only at the start; a reload does not compare them."""
 
 
 @dataclass(frozen=True)
 class ReloadHooks:
-    """What a reload does to the other parts of a dispatcher.
+    """Functions by which a reload reads the files and changes the other parts of a dispatcher.
 
     Attributes:
-        read_files: reads and checks all files; called in a thread.
-        use_config: uses what can change of the platform's configuration.
-        use_limits: uses the limits of the classes; returns a line for each change.
-        read_keys: reads the cluster's keys, None without a cluster; called in a thread.
-        use_keys: uses the keys.
+        read_files: Reads and checks all files; called in a thread.
+        use_config: Applies the part of the platform's configuration that can change without a restart.
+        use_limits: Applies the limits of the classes; returns a line for each change.
+        read_keys: Reads the keys of the cluster, None without a cluster; called in a thread.
+        use_keys: Applies the keys of the cluster.
     """
 
     read_files: Callable[[], tuple[Config, State]]
@@ -34,14 +34,14 @@
 
 
 class Reload:
-    """From the signal to the new settings; files that cannot be used, or break a rule, change nothing.
+    """Applies changed configuration files on request; files that are invalid or break a rule change nothing.
 
     Attributes:
-        config: the platform's configuration that was read last.
+        config: The platform's configuration of the start or of the last successful reload.
     """
 
     def __init__(self, config: Config, hooks: ReloadHooks, log: Callable[..., None]) -> None:
-        """Start with the configuration of the start."""
+        """Creates the reload with the configuration of the start; ``log`` writes a log event."""
         self.config = config
         self._hooks = hooks
         self._log = log
@@ -49,7 +49,7 @@
         self._requested = False
 
     def begin(self) -> None:
-        """The signal has come; one that comes during a reload has the files read once more after it."""
+        """Starts a reload; if one is in progress, the files are read once more after that reload."""
         self._requested = True
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
@@ -67,7 +67,7 @@
             config, state = await run_in_background(self._hooks.read_files)
         except (ConfigError, StateError) as error:
             self._log("reload_failed", error=str(error))
-        except Exception as error:  # a file that can be parsed but not used must not end the process either
+        except Exception as error:  # a file that is parsed but fails later must not end the process either
             self._log("reload_failed", error=repr(error))
         else:
             await self._use(config, state)
@@ -77,7 +77,7 @@
         try:
             keys = await run_in_background(self._hooks.read_keys)
             limits = await self._hooks.use_limits(state["classes"])
-        except (OSError, ValueError) as error:  # perhaps right for the site in the files, but not for the one that runs
+        except (OSError, ValueError) as error:  # the limits may suit the site in the files, but not the running site
             self._log("reload_failed", error=str(error))
             return
         self._hooks.use_keys(keys)
@@ -86,7 +86,7 @@
         self._hooks.use_config(config)
 
     def _changed_fields(self, config: Config) -> list[str]:
-        """The fields that differ from what runs and that only a restart changes."""
+        """Returns the names of the fields that differ from the running configuration and need a restart."""
         unchecked = {APPLIED_FIELD, *START_ONLY_FIELDS}
         names = [field.name for field in fields(Config) if field.name not in unchecked]
         return [name for name in names if getattr(config, name) != getattr(self.config, name)]
--- a/heronlug/config/settings_json.py
+++ b/heronlug/config/settings_json.py
@@ -1,4 +1,4 @@
-"""The platform's settings, as JSON: the one place where their keys are mapped to the balancer's settings."""
+"""Parses the platform's settings from JSON; no other module maps their keys to the balancer's settings."""
 
 import json
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 from heronlug.balancer.settings import Effect, KeyScope, RequestClass, Settings
 
 DEFAULT_POLL_INTERVAL = 10_000.0
-"""Milliseconds between two polls of the endpoint list, where the settings give none."""
+"""Interval between two polls of the endpoint list in ms, if the settings give none."""
 
 KEYS_BY_FIELD = {
     "latency_objective": "goal_time",
@@ -28,18 +28,18 @@
     "zone_failover": "halls",
     "worst_class_weight": "worst_class",
 }
-"""The key of the settings that gives a field of the balancer's settings, where the names differ."""
+"""Keys of the JSON settings by the field of the balancer's settings, for fields whose key has another name."""
 
 
 def parse_settings(text: bytes | str) -> Settings:
-    """Read the settings; unknown keys are skipped.
+    """Returns the settings in a JSON text; unknown keys are ignored.
 
     Raises:
-        ValueError: a key is missing or its value cannot be used; the text names the key.
+        ValueError: If a key is missing or has an invalid value; the message names the key.
     """
     table = json.loads(text)
     if not isinstance(table, dict):
-        message = "conf: not an object"
+        message = "settings: not a JSON object"
         raise ValueError(message)
     try:
         return _settings(table)
@@ -64,7 +64,7 @@
         quotas=tuple(_number(c, "quota_per_s", 0.0) for c in table.get("customers") or ()),
         report_fields=tuple(report.get("fields") or ()),
         list_pushed=table.get("discovery") == "pushed",
-        poll_interval=_number(safety, "ask_every", 0.0) or DEFAULT_POLL_INTERVAL,  # 0 where lists are pushed
+        poll_interval=_number(safety, "ask_every", 0.0) or DEFAULT_POLL_INTERVAL,  # the value is 0 if lists are pushed
         max_attempts=int(_number(limits, "attempts_cap", 1)),
         hedging=bool(limits.get("second_copies", False)),
         may_cancel=bool(limits.get("may_cancel", False)),
--- a/heronlug/config/site.py
+++ b/heronlug/config/site.py
@@ -1,6 +1,6 @@
-"""A file that is the whole configuration of a dispatcher: ``[serve]``, ``[site]``, ``[[site.class]]``, ``[[host]]``.
+"""Reads a file that is the whole configuration of a dispatcher: ``[serve]``, ``[site]`` and ``[[host]]`` tables.
 
-What it says becomes the object that the platform gives as JSON, so that there is one reading of that.
+The tables are converted to the JSON object of the platform's configuration, so that one function parses both forms.
 """
 
 from dataclasses import replace
@@ -25,48 +25,52 @@
 
 
 class ServeTable(Struct, forbid_unknown_fields=True):
-    """What the process is called, where it listens and what it may use."""
+    """The ``[serve]`` table: name, addresses and resource limits of the process."""
 
     listen: Address
     name: Text = "heronlug"
     operators: Address | None = None
-    discovery: Address | None = None  # the node register; without it the hosts are those that the file lists
-    peers: list[Address] = msgspec.field(default_factory=list)  # of all dispatchers by position, ours too; UDP
+    discovery: Address | None = None  # service discovery; without it the servers are those that the file lists
+    peers: list[Address] = msgspec.field(
+        default_factory=list
+    )  # UDP addresses of all dispatchers by position, including this one
     position: Annotated[int, Meta(ge=0, le=9999, description="a whole number, 0 to 9999")] = 0
     memory_mb: Annotated[float, Meta(ge=32, le=1e6, description="megabytes, 32 or more")] = 512.0
-    sockets: Annotated[int, Meta(ge=128, le=1_000_000, description="descriptors, 128 or more")] = 1024
+    sockets: Annotated[int, Meta(ge=128, le=1_000_000, description="file descriptors, 128 or more")] = 1024
 
 
 class SiteClassTable(Struct, forbid_unknown_fields=True):
-    """One class of jobs: what an answer is worth and what its effect allows."""
+    """A ``[[site.class]]`` table: objectives, weights and effect of a request class."""
 
     name: Text
     effect: Annotated[Literal["repeatable", "by_key", "once"], Meta(description='"repeatable", "by_key" or "once"')]
     aim_ms: Span
     deadline_ms: Span
     worth: Factor = 1.0
-    late_worth: Annotated[float, Meta(ge=0, le=1, description="a share of the worth, 0 to 1")] = 0.5
+    late_worth: Annotated[float, Meta(ge=0, le=1, description="a share of worth, 0 to 1")] = 0.5
     stretch: Factor = 0.0
     key_scope: Annotated[Literal["all", "zone", "cell"], Meta(description='"all", "zone" or "cell"')] = "all"
     repeat_window_ms: Wait = 0.0
 
 
 class SiteTable(Struct, forbid_unknown_fields=True, rename={"classes": "class"}):
-    """What holds for all dispatchers of an installation; the safety figures are those of the four rules."""
+    """The ``[site]`` table: settings that all dispatchers share, with the parameters of the four safety rules."""
 
     classes: Annotated[list[Any], Meta(min_length=1, description="at least one [[site.class]]")]
     zones: Names = msgspec.field(default_factory=lambda: ["here"])
     kinds: Names = msgspec.field(default_factory=lambda: ["any"])
     attempts_cap: Annotated[int, Meta(ge=1, le=64, description="a whole number, 1 to 64")] = 6
     second_copies: Annotated[bool, Meta(description="true or false")] = True
-    leave_halls: Annotated[bool, Meta(description="true or false")] = False  # as one; needs [serve] peers
+    leave_halls: Annotated[bool, Meta(description="true or false")] = (
+        False  # zone failover, on which all dispatchers agree; needs [serve] peers
+    )
     may_cancel: Annotated[bool, Meta(description="true or false")] = True
     tells_start: Annotated[bool, Meta(description="true or false")] = True
     progress_every_ms: Wait = 1000.0
     dial_timeout_ms: Span = 250.0
     conn_idle_ms: Span = 10_000.0
-    dispatchers: Annotated[int, Meta(ge=1, le=10_000, description="dispatchers that share the hosts, 1 or more")] = 1
-    max_open: Annotated[int, Meta(ge=1, le=1_000_000, description="open jobs, 1 or more")] = 20_000
+    dispatchers: Annotated[int, Meta(ge=1, le=10_000, description="dispatchers that share the servers, 1 or more")] = 1
+    max_open: Annotated[int, Meta(ge=1, le=1_000_000, description="open requests, 1 or more")] = 20_000
     retry_after_ms: Wait = 2000.0
     drain_grace_ms: Wait = 2500.0
     cold_from: Share = 0.15
@@ -76,7 +80,7 @@
 
 
 class ServerTable(Struct, forbid_unknown_fields=True):
-    """One host that jobs may be sent to."""
+    """A ``[[host]]`` table: a server to which requests may be sent."""
 
     name: Text
     address: Address
@@ -87,7 +91,7 @@
 
 
 def read_site(source: Source) -> tuple[Config | None, list[ConfigProblem]]:
-    """The configuration in a file, or all that is wrong with it."""
+    """Returns the configuration in a file, or None and all problems of the file."""
     raw, problems = read_object(source)
     if raw is None:
         return None, problems
@@ -99,7 +103,7 @@
 
 
 def read_object(source: Source) -> tuple[dict[str, Any] | None, list[ConfigProblem]]:
-    """The same as the platform's object, or all that is wrong with the file."""
+    """Returns the configuration as the platform's JSON object, or None and all problems of the file."""
     problems: list[ConfigProblem] = []
 
     def decode_table(kind: type[Any], table: Any, *key_path: str | int) -> Any:
@@ -111,7 +115,7 @@
     site = decode_table(SiteTable, source.table.get("site", {}), "site")
     listed = source.table.get("host", [])
     if not isinstance(listed, list):
-        problems.append(source.problem(("host",), "not a list of tables", "[[host]]"))
+        problems.append(source.problem(("host",), "not a list of tables", "expected [[host]]"))
         listed = []
     servers = [decode_table(ServerTable, table, "host", number) for number, table in enumerate(listed)]
     classes = (
@@ -125,11 +129,13 @@
         for number, peer in enumerate(serve.peers):
             _check_address(peer, source, ("serve", "peers", number), problems)
         if site is not None and serve.peers and len(serve.peers) != site.dispatchers:
-            wrong = f"{len(serve.peers)} addresses for {site.dispatchers} dispatchers"
-            problems.append(source.problem(("serve", "peers"), wrong, "one for each, in the order of their positions"))
+            wrong = f"{len(serve.peers)} addresses are listed for {site.dispatchers} dispatchers"
+            problems.append(
+                source.problem(("serve", "peers"), wrong, "expected one for each, in the order of their positions")
+            )
         if site is not None and serve.position >= site.dispatchers:
-            wrong = f"{serve.position} is none of the positions of {site.dispatchers} dispatchers"
-            problems.append(source.problem(("serve", "position"), wrong, f"0 to {site.dispatchers - 1}"))
+            wrong = f"{serve.position} is not a position of {site.dispatchers} dispatchers"
+            problems.append(source.problem(("serve", "position"), wrong, f"expected 0 to {site.dispatchers - 1}"))
     names: set[str] = set()
     for number, server in enumerate(servers):
         if server is None:
@@ -137,12 +143,14 @@
         key_path: Keys = ("host", number)
         _check_address(server.address, source, (*key_path, "address"), problems)
         if server.name in names:
-            problems.append(source.problem((*key_path, "name"), f"{server.name!r} is there twice", "a name of its own"))
+            problems.append(
+                source.problem((*key_path, "name"), f"{server.name!r} is used twice", "expected a unique name")
+            )
         names.add(server.name)
         for key, known in (("zone", site.zones), ("kind", site.kinds)) if site is not None else ():
             if getattr(server, key) not in ("", *known):
-                wrong = f"{getattr(server, key)!r} is none of the site's"
-                problems.append(source.problem((*key_path, key), wrong, "one of " + ", ".join(known)))
+                wrong = f"{getattr(server, key)!r} is not a {key} of the site"
+                problems.append(source.problem((*key_path, key), wrong, "expected one of " + ", ".join(known)))
     names = set()
     for number, request_class in enumerate(classes):
         if request_class is None:
@@ -150,12 +158,14 @@
         key_path = ("site", "class", number)
         if request_class.name in names:
             problems.append(
-                source.problem((*key_path, "name"), f"{request_class.name!r} is there twice", "a name of its own")
+                source.problem((*key_path, "name"), f"{request_class.name!r} is used twice", "expected a unique name")
             )
         names.add(request_class.name)
         if request_class.aim_ms > request_class.deadline_ms:
             wrong = f"{request_class.aim_ms:g} ms is past the deadline"
-            problems.append(source.problem((*key_path, "aim_ms"), wrong, f"{request_class.deadline_ms:g} at most"))
+            problems.append(
+                source.problem((*key_path, "aim_ms"), wrong, f"expected at most {request_class.deadline_ms:g} ms")
+            )
     if problems:
         return None, problems
     return _platform_object(serve, site, classes, servers), []
@@ -168,13 +178,13 @@
         if text is not None:
             split_address(text)
     except ValueError as error:
-        problems.append(source.problem(key_path, str(error), "such as 127.0.0.1:8081"))
+        problems.append(source.problem(key_path, str(error), "expected an address such as 127.0.0.1:8081"))
 
 
 def _platform_object(
     serve: ServeTable, site: SiteTable, classes: list[SiteClassTable], servers: list[ServerTable]
 ) -> dict[str, Any]:
-    """The same as the platform's object."""
+    """Returns the tables as the platform's JSON object."""
     class_objects = [
         {
             "name": request_class.name,
--- a/heronlug/config/strict_toml/__init__.py
+++ b/heronlug/config/strict_toml/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' files: TOML read whole, decoded strictly, and every problem told with its line."""
+"""Reads operators' TOML files, decodes them strictly and reports all problems with their lines."""
 
 from heronlug.config.strict_toml.errors import ConfigProblem, ConfigProblems
 from heronlug.config.strict_toml.source import Source
--- a/heronlug/config/strict_toml/decode.py
+++ b/heronlug/config/strict_toml/decode.py
@@ -1,4 +1,4 @@
-"""A table against its form, a msgspec struct: every key that is wrong is told, not only the first."""
+"""Decodes a TOML table into a msgspec struct and reports all invalid keys of the table instead of the first only."""
 
 import math
 import re
@@ -17,13 +17,19 @@
 def decode(
     struct_type: type[StructType], table: Any, source: Source, key_path: Keys
 ) -> tuple[StructType | None, list[ConfigProblem]]:
-    """The struct of a table, or None with the problems that stood in its way.
+    """Returns the struct of a table, or None and the problems of the table.
 
-    A field's ``Meta(description=...)`` says in an error what would be right.
+    Args:
+        struct_type: The struct; ``Meta(description=...)`` of a field says in a problem which values are accepted.
+        table: The value that should be a table.
+        source: The file of the table.
+        key_path: The path of the table in the file.
     """
     if not isinstance(table, dict):
         return None, [
-            source.problem(key_path, f"{_format_value(table)} is no table", f"[{'.'.join(map(str, key_path))}]")
+            source.problem(
+                key_path, f"{_format_value(table)} is not a table", f"expected [{'.'.join(map(str, key_path))}]"
+            )
         ]
     hints = get_type_hints(struct_type, include_extras=True)
     fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
@@ -58,7 +64,7 @@
 
 
 def _expected(field_type: Any) -> str:
-    """What the form says of a field, else its bare type."""
+    """Returns which values a field accepts: the description of the field if there is one, otherwise the plain type."""
     if get_origin(field_type) is Annotated:
         for annotation in get_args(field_type)[1:]:
             if isinstance(annotation, msgspec.Meta) and annotation.description:
@@ -66,7 +72,7 @@
     for argument in get_args(field_type):
         if expectation := _expected(argument):
             return expectation
-    return {int: "expected a whole number", float: "expected a number", str: "expected a text"}.get(field_type, "")
+    return {int: "expected a whole number", float: "expected a number", str: "expected a string"}.get(field_type, "")
 
 
 def _is_finite(value: Any) -> bool:
@@ -78,6 +84,6 @@
 def _format_value(value: Any) -> str:
     try:
         text = repr(value)
-    except ValueError:  # a whole number of more digits than Python writes out
+    except ValueError:  # repr() rejects an integer with more digits than Python converts
         text = f"a whole number of {value.bit_length()} bits"
     return text if len(text) <= 60 else text[:57] + "..."
--- a/heronlug/config/strict_toml/errors.py
+++ b/heronlug/config/strict_toml/errors.py
@@ -1,4 +1,4 @@
-"""Problems of an operators' file, and the error that carries them."""
+"""Defines a problem of an operators' file and the error that holds all problems of a file."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class ConfigProblem(NamedTuple):
-    """One thing that is wrong with a file.
+    """A problem of a file.
 
     Attributes:
-        path: of the file.
-        line: counted from 1; 0 where no line can be named.
-        key: dotted, as in ``class.send-invites.attempts``; empty for the file as a whole.
-        wrong: what is wrong.
-        right: what would be right; empty where that is plain.
+        path: Path of the file.
+        line: Line number, starting at 1; 0 if the problem has no line.
+        key: Dotted key, such as ``class.send-invites.attempts``; empty if the problem concerns the whole file.
+        wrong: What is wrong.
+        right: What is accepted; empty if ``wrong`` says that too.
     """
 
     path: str
@@ -30,19 +30,19 @@
 
 
 def suggest(word: str, known: Iterable[str]) -> str:
-    """What would be right in place of an unknown word."""
+    """Returns what is accepted in place of an unknown word: the closest known word if there is one, or all."""
     from difflib import get_close_matches
 
     known_words = list(known)
     matches = get_close_matches(word, known_words, 1)
-    return f"perhaps {matches[0]}" if matches else "one of " + ", ".join(known_words)
+    return f"did you mean {matches[0]}?" if matches else "expected one of " + ", ".join(known_words)
 
 
 class ConfigProblems(ConfigurationError, ValueError):
-    """All problems of a file, one line each, in the order of their lines.
+    """Raised with all problems of a file; the message has one line for each problem.
 
     Attributes:
-        problems: in that order.
+        problems: The problems, sorted by path, line and key.
     """
 
     def __init__(self, problems: Iterable[ConfigProblem]) -> None:
--- a/heronlug/config/strict_toml/key_lines.py
+++ b/heronlug/config/strict_toml/key_lines.py
@@ -1,4 +1,4 @@
-"""Where the keys of a TOML text stand, by the tree-sitter grammar: tomllib tells no lines of what it accepts."""
+"""Finds the lines of the keys in a TOML text with the tree-sitter grammar; tomllib gives no lines of valid keys."""
 
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
@@ -9,7 +9,10 @@
 
 
 def find_key_lines(text: str) -> dict[Keys, int]:
-    """The lines, from 1, of all keys and tables; an element of a list of tables has its number in its path."""
+    """Returns the line numbers, starting at 1, of all keys and tables.
+
+    The path of an element of a list contains the index of the element.
+    """
     lines: dict[Keys, int] = {}
     element_counts: dict[Keys, int] = {}
     root = Parser(Language(tree_sitter_toml.language())).parse(text.encode()).root_node
@@ -33,7 +36,7 @@
 
 
 def _header_path(names: Keys, element_counts: dict[Keys, int]) -> Keys:
-    """The path of a table's header, with the number of each list's last element that it goes through."""
+    """Returns the path of a table header; each list of tables in the path is followed by its last index."""
     key_path: Keys = ()
     for position, name in enumerate(names):
         key_path = (*key_path, name)
--- a/heronlug/config/strict_toml/source.py
+++ b/heronlug/config/strict_toml/source.py
@@ -1,4 +1,4 @@
-"""A TOML file as it was read at one moment, and where each of its keys stands."""
+"""Reads and parses a TOML file in one consistent state and gives the line of each key."""
 
 import os
 import tomllib
@@ -8,26 +8,26 @@
 from heronlug.config.strict_toml.errors import ConfigProblem, ConfigProblems
 
 MAX_BYTES = 1024 * 1024
-"""Size of a file at most, in bytes."""
+"""Maximum size of a file in bytes."""
 MAX_READS = 5
-"""How often a file that changes while it is read is read anew."""
+"""Maximum number of reads of a file that changes while it is read."""
 Keys = tuple[str | int, ...]
-"""The path of a key: names, and numbers in lists."""
+"""Path of a key: names of keys, and indexes of list elements."""
 
 
 class Source:
-    """The text of a file, the table in it, and the lines of its keys.
+    """The text of a file, the parsed table and the lines of its keys.
 
-    The lines are found only when a problem is reported: the parser for that is not imported before.
+    The lines are found only when a problem is reported, so that the parser for them is not imported before.
 
     Attributes:
-        path: of the file, as the operator gave it.
-        text: of the file.
-        table: what the text says.
+        path: Path of the file, as the operator gave it.
+        text: Text of the file.
+        table: The parsed text.
     """
 
     def __init__(self, path: str, text: str, table: dict[str, Any]) -> None:
-        """Hold a file that was parsed."""
+        """Creates the source of a parsed file."""
         self.path = path
         self.text = text
         self.table = table
@@ -35,41 +35,47 @@
 
     @classmethod
     def read(cls, path: Path) -> "Source":
-        """Read a file; raises :class:`ConfigProblems`."""
+        """Reads and parses a file; raises :class:`ConfigProblems` if the file cannot be read or parsed."""
         try:
             return cls.parse(str(path), _read_unchanged(path))
         except OSError as error:
             raise ConfigProblems(
-                [ConfigProblem(str(path), 0, "", error.strerror or str(error), "a file that can be read")]
+                [ConfigProblem(str(path), 0, "", error.strerror or str(error), "expected a readable file")]
             ) from None
 
     @classmethod
     def parse(cls, path: str, data: bytes) -> "Source":
-        """A file's bytes; raises :class:`ConfigProblems`."""
+        """Parses the bytes of a file; raises :class:`ConfigProblems` if the bytes are not valid."""
         if len(data) > MAX_BYTES:
-            right = f"{MAX_BYTES} bytes at most"
-            raise ConfigProblems([ConfigProblem(path, 0, "", f"it holds more than {MAX_BYTES} bytes", right)])
-        if not data.strip():  # perhaps it is just being written; all that it set would be taken back
-            raise ConfigProblems([ConfigProblem(path, 0, "", "it is empty", 'at least log_level = "info"')])
+            right = f"expected at most {MAX_BYTES} bytes"
+            raise ConfigProblems([ConfigProblem(path, 0, "", f"the file has more than {MAX_BYTES} bytes", right)])
+        if not data.strip():  # a file that is being written may be empty; accepting it would reset all settings
+            raise ConfigProblems(
+                [ConfigProblem(path, 0, "", "the file is empty", 'expected at least log_level = "info"')]
+            )
         try:
             text = data.decode()
         except UnicodeDecodeError as error:
             line = data.count(b"\n", 0, error.start) + 1
             raise ConfigProblems(
-                [ConfigProblem(path, line, "", f"byte {data[error.start]:#04x} is no UTF-8", "UTF-8 text")]
+                [
+                    ConfigProblem(
+                        path, line, "", f"byte {data[error.start]:#04x} is not valid UTF-8", "expected UTF-8 text"
+                    )
+                ]
             ) from None
         try:
             return cls(path, text, tomllib.loads(text))
         except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
-            wrong, line = _syntax_error(str(error) or "nested too deeply", text)
-            raise ConfigProblems([ConfigProblem(path, line, "", wrong, "TOML 1.0")]) from None
+            wrong, line = _syntax_error(str(error) or "the document is nested too deeply", text)
+            raise ConfigProblems([ConfigProblem(path, line, "", wrong, "expected TOML 1.0")]) from None
 
     def problem(self, keys: Keys, wrong: str, right: str = "") -> ConfigProblem:
-        """A problem at a key; an absent key has the line of the table that it should be in."""
+        """Returns a problem at a key; the line of an absent key is that of the enclosing table."""
         return ConfigProblem(self.path, self.line(keys), ".".join(map(str, keys)), wrong, right)
 
     def line(self, keys: Keys) -> int:
-        """The line of a key, or else of the nearest table round it; 0 if there is none."""
+        """Returns the line of a key or, if the key is absent, of the nearest enclosing table; 0 if there is none."""
         if self._lines is None:
             from heronlug.config.strict_toml.key_lines import find_key_lines
 
@@ -80,7 +86,11 @@
 
 
 def _read_unchanged(path: Path) -> bytes:
-    """The bytes of one state of a file: one that changes under the reading is read anew; raises ``OSError``."""
+    """Returns the bytes of a file and reads the file again if it has changed meanwhile.
+
+    Raises:
+        OSError: If the file cannot be read.
+    """
     data = b""
     for _ in range(MAX_READS):
         with path.open("rb") as file:
@@ -89,11 +99,11 @@
             after = os.fstat(file.fileno())
         if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size):
             return data
-    return data  # whoever writes it all the time has to live with what its checks say
+    return data  # the file changed during each read; the checks of its content decide whether it is accepted
 
 
 def _syntax_error(text: str, document: str) -> tuple[str, int]:
-    """The parser's own words and the line in them."""
+    """Returns the description in an error of the TOML parser and the line number, 0 if the error has none."""
     description, _, location = text.rpartition(" (at ")
     if location.startswith("line "):
         return description, int(location[5:].partition(",")[0])
--- a/tests/adapter/test_frames.py
+++ b/tests/adapter/test_frames.py
@@ -1,4 +1,4 @@
-"""The wire: worked frames, settings, malformed input, and the host as a process."""
+"""Tests the frames of the adapter, the settings, malformed input and the adapter as a process."""
 
 import json
 import struct
@@ -65,7 +65,7 @@
 
 
 def encode_frame(records: list[str], tail: bytes = b"", size: int = 56, clock: str = CLOCK_HEX) -> bytes:
-    """A frame of records given as hexadecimal text."""
+    """Returns a frame with records that are given as hexadecimal text."""
     body = b"".join(bytes.fromhex(r.replace(" ", "")).ljust(size, b"\0") for r in records)
     return struct.pack(">II", len(records), len(body) + len(tail)) + bytes.fromhex(clock) + body + tail
 
@@ -195,7 +195,7 @@
 
 
 def start_batch(settings_object: dict[str, Any] = SETTINGS_OBJECT, count: int = 2) -> bytes:
-    """A batch that starts instance 3 with a list of workers."""
+    """Returns a batch that starts instance 3 with a list of servers."""
     text = json.dumps(settings_object).encode()
     tail = text + b"".join(struct.pack(">fBHHIBd", 1.0, 0, 0, 0, i + 1, 1, 0.0) for i in range(count))
     spawn = f"06 00000003 0000000000000005 00000000 {len(text):08x}"
@@ -222,7 +222,7 @@
         count, length = struct.unpack(">II", output[:8])
         codes.append([output[8 + i * 32] for i in range(count)])
         output = output[8 + length :]
-    assert codes == [[], [11], [1, 5], [], []]  # subscribe; send and a timer; nothing after the kill
+    assert codes == [[], [11], [1, 5], [], []]  # subscribe, then an attempt and a timer, then nothing after the kill
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_register.py
+++ b/tests/cluster/test_register.py
@@ -268,7 +268,12 @@
         ('[cluster.register]\nshare = "all"\n', 2, "cluster.register.share", '"list" or "news"'),
         ("[cluster.register]\n", 1, "cluster.register.share", "missing"),
         ('[cluster.register]\nshare = "list"\nstale_after_ms = 100\n', 3, "cluster.register.stale_after_ms", "600"),
-        ("[cluster.probe]\nevery_s = 0.2\ntimeout_ms = 300\n", 3, "cluster.probe.timeout_ms", "200 at most"),
+        (
+            "[cluster.probe]\nevery_s = 0.2\ntimeout_ms = 300\n",
+            3,
+            "cluster.probe.timeout_ms",
+            "expected at most 200 ms",
+        ),
         ('[cluster.probe]\npath = "health"\n', 2, "cluster.probe.path", "/health"),
         ("[cluster.probe]\nshards = 0\n", 2, "cluster.probe.shards", "1 to 64"),
         ("[cluster.probe]\nevry_s = 2\n", 2, "cluster.probe.evry_s", "every_s"),
@@ -298,4 +303,4 @@
     text = FILE.format(name="a", http=1, operators=2, port=3, seeds="[]", discovery=4, position=3, more="")
     path.write_text(text.split("[cluster]")[0])
     _, _, faults = gather(path, lambda: None)
-    assert [(fault.key, fault.right) for fault in faults] == [("serve.position", "0 to 2")]
+    assert [(fault.key, fault.right) for fault in faults] == [("serve.position", "expected 0 to 2")]
--- a/tests/config/files.py
+++ b/tests/config/files.py
@@ -1,4 +1,4 @@
-"""One good file, and the faults that are put into it: what is written where, and what has to be told of it."""
+"""Provides a valid file and faults to put into that file, each with the problem that must be reported."""
 
 from typing import NamedTuple
 
@@ -74,20 +74,30 @@
 
 
 class ConfigFault(NamedTuple):
-    """A fault: its name, the line that it stands in, the text there, and what the one fault must say."""
+    """A change that makes the valid file invalid.
+
+    Attributes:
+        name: Name of the fault, unique.
+        line: Line that is changed, starting at 1.
+        text: New text of the line.
+        key: Key of the reported problem.
+        message_part: Text that the reported problem must contain.
+        reported_line: Line of the reported problem; 0 if it is the changed line.
+        other_changes: Further lines that change with the fault, and their new texts.
+    """
 
     name: str
     line: int
     text: str
     key: str
     message_part: str
-    reported_line: int = 0  # the line that is told, where it is not the same
-    other_changes: tuple[tuple[int, str], ...] = ()  # further lines that have to change with it
+    reported_line: int = 0
+    other_changes: tuple[tuple[int, str], ...] = ()
 
 
 HUGE_NUMBER = "9" * 400
 RSVP_LINE, INVITE_LINE, PRINT_LINE = 37, 45, 53  # the lines of [class.rsvp], [class.invite] and [class.print]
-WRONG_VALUES = {  # for each limit: what is no value of it
+WRONG_VALUES = {  # invalid values of each limit
     "attempts": ("0", "-1", "1.5", '"3"', "true", "[3]", "1001", HUGE_NUMBER, "nan"),
     "attempt_timeout_ms": ("0", "-5", '"2s"', "false", "inf", "nan", "1e300", HUGE_NUMBER, "[1]"),
     "after_timeout": ('"never"', "1", "true"),
@@ -103,7 +113,7 @@
     "second_copy_after_ms": RSVP_LINE + 5,
     "give_up_ms": RSVP_LINE + 6,
 }
-WRONG_ELEMENTS = ("[-1]", "[[1]]", "[true]", "[1e300]")  # of these lists the element is told
+WRONG_ELEMENTS = ("[-1]", "[[1]]", "[true]", "[1e300]")  # lists whose problem is reported at the element
 TYPE_FAULTS = [
     ConfigFault(
         f"type {key} {value[:9]}",
@@ -117,16 +127,20 @@
 ]
 RULE_FAULTS = [
     ConfigFault("cap", RSVP_LINE + 1, "attempts = 7", "class.rsvp.attempts", "the site allows 6"),
-    ConfigFault("cap by far", RSVP_LINE + 1, "attempts = 1000", "class.rsvp.attempts", "the site allows 6"),
+    ConfigFault("cap by a wide margin", RSVP_LINE + 1, "attempts = 1000", "class.rsvp.attempts", "the site allows 6"),
     ConfigFault(
-        "give up past site", RSVP_LINE + 6, "give_up_ms = 10001", "class.rsvp.give_up_ms", "past the class's deadline"
+        "give up past site",
+        RSVP_LINE + 6,
+        "give_up_ms = 10001",
+        "class.rsvp.give_up_ms",
+        "past the deadline of the class",
     ),
     ConfigFault(
         "timeout past give up",
         PRINT_LINE + 2,
         "attempt_timeout_ms = 24001",
         "class.print.attempt_timeout_ms",
-        "waited for longer than its job",
+        "could take longer than its request",
     ),
     ConfigFault(
         "cancel",
@@ -163,14 +177,14 @@
         PRINT_LINE + 4,
         "second_copy_after_ms = 5000\nsecond_copy = false",
         "class.print.second_copy_after_ms",
-        "second_copy = false stands beside it",
+        "second_copy = false is also set",
     ),
     ConfigFault(
         "copy without attempt",
         PRINT_LINE + 1,
         "attempts = 1",
         "class.print.second_copy_after_ms",
-        "there is only one",
+        "only one attempt is allowed",
         PRINT_LINE + 4,
         ((PRINT_LINE + 3, ""),),
     ),
@@ -195,24 +209,30 @@
         INVITE_LINE + 5,
         "repeat_window_ms = 100",
         "class.invite.repeat_window_ms",
-        "have no window",
+        "no repeat window applies",
     ),
     ConfigFault(
-        "window of repeatable", RSVP_LINE + 5, "repeat_window_ms = 100", "class.rsvp.repeat_window_ms", "have no window"
+        "window of repeatable",
+        RSVP_LINE + 5,
+        "repeat_window_ms = 100",
+        "class.rsvp.repeat_window_ms",
+        "no repeat window applies",
     ),
     ConfigFault(
         "window past hosts",
         PRINT_LINE + 5,
         "repeat_window_ms = 40001",
         "class.print.repeat_window_ms",
-        "one after that",
-    ),
-    ConfigFault(
-        "window past use", PRINT_LINE + 5, "repeat_window_ms = 9000", "class.print.repeat_window_ms", "allowed no more"
+        "a later repeat runs twice",
     ),
     ConfigFault(
-        "waits past attempts", RSVP_LINE + 4, "wait_ms = [1, 2, 3, 4]", "class.rsvp.wait_ms", "before 3 further"
+        "window past use",
+        PRINT_LINE + 5,
+        "repeat_window_ms = 9000",
+        "class.print.repeat_window_ms",
+        "no longer allowed",
     ),
+    ConfigFault("waits past attempts", RSVP_LINE + 4, "wait_ms = [1, 2, 3, 4]", "class.rsvp.wait_ms", "for 3 further"),
     ConfigFault("waits past give up", RSVP_LINE + 4, "wait_ms = [3000]", "class.rsvp.wait_ms", "add up to 9000"),
     ConfigFault(
         "times past give up",
@@ -238,22 +258,24 @@
     ),
 ]
 FORM_FAULTS = [
-    ConfigFault("unknown class", RSVP_LINE, "[class.rsvq]", "class.rsvq", "perhaps rsvp"),
-    ConfigFault("unknown limit", RSVP_LINE + 1, "attemps = 4", "class.rsvp.attemps", "perhaps attempts"),
-    ConfigFault("unknown limit, nothing near", RSVP_LINE + 1, "zzz = 4", "class.rsvp.zzz", "one of attempts, "),
+    ConfigFault("unknown class", RSVP_LINE, "[class.rsvq]", "class.rsvq", "did you mean rsvp?"),
+    ConfigFault("unknown limit", RSVP_LINE + 1, "attemps = 4", "class.rsvp.attemps", "did you mean attempts?"),
+    ConfigFault(
+        "unknown limit, nothing near", RSVP_LINE + 1, "zzz = 4", "class.rsvp.zzz", "expected one of attempts, "
+    ),
     ConfigFault("table twice", INVITE_LINE, "[class.rsvp]", "", "TOML 1.0"),
     ConfigFault("key twice", RSVP_LINE + 2, "attempts = 5", "", "TOML 1.0"),
     ConfigFault("no value", RSVP_LINE + 1, "attempts =", "", "Invalid value"),
     ConfigFault("no bracket", RSVP_LINE, "[class.rsvp", "", "TOML 1.0"),
-    ConfigFault("half a text", 4, 'name = "t', "", "TOML 1.0"),
+    ConfigFault("unterminated string", 4, 'name = "t', "", "TOML 1.0"),
     ConfigFault("unknown table", RSVP_LINE, "[clas.rsvp]", "clas", "unknown key"),
-    ConfigFault("level", 1, 'log_level = "loud"', "log_level", "one of debug"),
-    ConfigFault("level no text", 1, "log_level = 3", "log_level", "is no level"),
+    ConfigFault("level", 1, 'log_level = "loud"', "log_level", "expected one of debug"),
+    ConfigFault("level is a number", 1, "log_level = 3", "log_level", "is not a log level"),
     ConfigFault("faktory key", 67, 'lissten = ""', "faktory.lissten", "unknown key"),
     ConfigFault("faktory address", 67, 'listen = "here"', "faktory.listen", "no address"),
-    ConfigFault("faktory type", 67, "listen = 7419", "faktory.listen", "is no text"),
+    ConfigFault("faktory type", 67, "listen = 7419", "faktory.listen", "is not a string"),
     ConfigFault("faktory range", 67, "beat_timeout_s = -1", "faktory.beat_timeout_s", "out of range"),
-    ConfigFault("plugin no list", 66, "[plugin]", "plugin", "not a list"),
+    ConfigFault("plugin is not a list", 66, "[plugin]", "plugin", "not a list"),
     ConfigFault(
         "plugin without file",
         66,
@@ -270,9 +292,9 @@
     ConfigFault("cap of the site", 11, "attempts_cap = 0", "site.attempts_cap", "1 to 64"),
     ConfigFault("dial", 14, "dial_timeout_ms = 0", "site.dial_timeout_ms", "milliseconds"),
     ConfigFault("zones", 15, "zones = []", "site.zones", "at least one name"),
-    ConfigFault("zone no text", 15, "zones = [1]", "site.zones.0", "at least one name"),
+    ConfigFault("zone is a number", 15, "zones = [1]", "site.zones.0", "at least one name"),
     ConfigFault("cold", 16, "cold_from = 2", "site.cold_from", "a share"),
-    ConfigFault("unknown of the site", 16, "cold_form = 0.2", "site.cold_form", "perhaps cold_from"),
+    ConfigFault("unknown of the site", 16, "cold_form = 0.2", "site.cold_form", "did you mean cold_from?"),
     ConfigFault("effect", 20, 'effect = "twice"', "site.class.0.effect", '"repeatable", "by_key" or "once"'),
     ConfigFault("aim past deadline", 21, "aim_ms = 10001", "site.class.0.aim_ms", "past the deadline"),
     ConfigFault("deadline missing", 22, "", "site.class.0.deadline_ms", "missing", 18),
@@ -281,7 +303,7 @@
         22,
         'deadline_ms = 10000\n[[site.class]]\nname = "rsvp"\neffect = "once"\naim_ms = 1\n' "deadline_ms = 2",
         "site.class.1.name",
-        "there twice",
+        "is used twice",
         24,
     ),
     ConfigFault(
@@ -289,11 +311,11 @@
         INVITE_LINE,
         "[class.invite]",
         "class.invite",
-        "it sets nothing",
+        "the table sets no limit",
         0,
         tuple((line, "") for line in range(INVITE_LINE + 1, INVITE_LINE + 7)),
     ),
-    ConfigFault("host zone", 64, 'zone = "c"', "host.0.zone", "one of a, b"),
+    ConfigFault("host zone", 64, 'zone = "c"', "host.0.zone", "expected one of a, b"),
     ConfigFault("host address", 63, 'address = "h1"', "host.0.address", "no address"),
-    ConfigFault("host twice", 64, '[[host]]\nname = "h1"\naddress = "127.0.0.1:1"', "host.1.name", "there twice", 65),
+    ConfigFault("host twice", 64, '[[host]]\nname = "h1"\naddress = "127.0.0.1:1"', "host.1.name", "is used twice", 65),
 ]
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -1,4 +1,4 @@
-"""A hundred broken files, each refused with its own reason; good ones accepted; a fault put in is told alone."""
+"""Tests that each of a hundred broken files is rejected with its own message, and that valid files are accepted."""
 
 import json
 import os
@@ -19,14 +19,14 @@
 
 BROKEN_FILES = [*TYPE_FAULTS, *RULE_FAULTS, *FORM_FAULTS]
 UNREADABLE_FILES = {
-    "bad UTF-8": (b'log_level = "info"\n[class.a]\n\xff = 1\n', 3, "byte 0xff is no UTF-8"),
-    "half a character": (b'log_level = "\xc3"', 1, "is no UTF-8"),
-    "empty": (b"", 0, "it is empty"),
-    "nothing in it": (b" \n\n", 0, "it is empty"),
+    "bad UTF-8": (b'log_level = "info"\n[class.a]\n\xff = 1\n', 3, "byte 0xff is not valid UTF-8"),
+    "half a character": (b'log_level = "\xc3"', 1, "is not valid UTF-8"),
+    "empty": (b"", 0, "the file is empty"),
+    "white space only": (b" \n\n", 0, "the file is empty"),
     "zeros": (b"\0" * 64, 1, "TOML 1.0"),
     "60 MB": (b"#" * (60 * 1024 * 1024), 0, f"more than {MAX_BYTES} bytes"),
-    "a limit over": (b"\n" * (MAX_BYTES + 1), 0, f"more than {MAX_BYTES} bytes"),
-    "deep": (b"a = " + b"[" * 5000 + b"]" * 5000, 0, "TOML 1.0"),
+    "one byte too many": (b"\n" * (MAX_BYTES + 1), 0, f"more than {MAX_BYTES} bytes"),
+    "nested too deeply": (b"a = " + b"[" * 5000 + b"]" * 5000, 0, "TOML 1.0"),
     "class a number": (b"class = 3\n", 1, "class: not a table of classes"),
     "classes without names": (b"\n[class]\nattempts = 3\n", 2, "class: not a table of classes"),
     "class a list": (b"[[class]]\nattempts = 3\n", 1, "class: not a table of classes"),
@@ -34,7 +34,7 @@
 
 
 def apply_fault(fault: ConfigFault, text: str = VALID_FILE) -> str:
-    """The good file with a fault in it."""
+    """Returns the valid file with a fault in it."""
     lines = text.split("\n")
     for line, changed in (*fault.other_changes, (fault.line, fault.text)):
         lines[line - 1] = changed
@@ -42,7 +42,7 @@
 
 
 def reported_problems(path: Path, data: bytes | str) -> list[str]:
-    """The faults that are told of a file, one line each."""
+    """Returns the problems that are reported for a file, one line each."""
     path.write_bytes(data.encode() if isinstance(data, str) else data)
     problems = [str(problem) for problem in look(path, None)[2]]
     assert all("\n" not in problem and problem.startswith(str(path)) for problem in problems)
@@ -62,7 +62,7 @@
     key = f"{fault.key}: " if fault.key else ""
     assert problems[0].startswith(f"{path}:{fault.reported_line or fault.line}: {key}"), problems[0]
     assert fault.message_part in problems[0]
-    with pytest.raises(StateError) as rejected:  # and what runs would refuse it with the same words
+    with pytest.raises(StateError) as rejected:  # a dispatcher rejects the file with the same message
         Files(path, {}).load()
     assert str(rejected.value) == problems[0]
 
@@ -83,7 +83,7 @@
 
 
 def test_every_rule_has_a_message_of_its_own() -> None:
-    """Each rule has a text of its own, so that none hides behind another."""
+    """Guards against two rules with the same message, of which one could stop working unnoticed."""
     from heronlug.config.limits import rules
 
     assert {rule.__name__ for rule in rules.RULES} == RULE_NAMES
@@ -118,7 +118,7 @@
 def test_all_problems_are_reported_at_once(
     tmp_path_factory: pytest.TempPathFactory, drawn_faults: set[ConfigFault]
 ) -> None:
-    """Faults of form in several places: each is told, in the order of the lines, and none twice."""
+    """Guards against a problem that hides others: invalid values in several lines are each reported once, by line."""
     text, lines = VALID_FILE, set()
     for fault in drawn_faults:
         text = apply_fault(fault, text)
@@ -135,7 +135,7 @@
 def test_one_changed_limit_gives_one_problem_per_key(
     tmp_path_factory: pytest.TempPathFactory, key: str, value: int
 ) -> None:
-    """Whatever one number becomes, no key has two faults: no rule repeats what another has said of it."""
+    """Guards against two rules that report the same problem: no value of a limit gives two problems for one key."""
     line = {"attempts": 38, "attempt_timeout_ms": 39, "wait_ms": 41, "second_copy_after_ms": 42, "give_up_ms": 43}[key]
     text = apply_fault(ConfigFault("", line, f"{key} = [{value}]" if key == "wait_ms" else f"{key} = {value}", "", ""))
     keys = [problem.key for problem in problems_of_text(tmp_path_factory, text)]
@@ -193,7 +193,10 @@
     result = run(group, ["check", str(path)], standalone_mode=False)
     assert result.return_value == 0
     assert result.output.endswith("x.toml: good\n")
-    assert "note: class.invite.attempts: further ones are made only when all before provably never ran" in result.output
+    assert (
+        "note: class.invite.attempts: a further attempt is made only if all earlier attempts provably never ran"
+        in result.output
+    )
     path.write_text(apply_fault(RULE_FAULTS[0]))
     result = run(group, ["check", str(path), "--json"], standalone_mode=False)
     answer = json.loads(result.output)
@@ -205,20 +208,20 @@
     rows_by_key = {(row["name"], row["key"]): (row["value"], row["origin"]) for row in rows}
     assert len(rows_by_key) == 3 * 8
     assert rows_by_key["rsvp", "wait_ms"] == ([100.0, 200.0, 400.0], str(path))
-    assert rows_by_key["invite", "second_copy_after_ms"] == ("never", "no second copies")
+    assert rows_by_key["invite", "second_copy_after_ms"] == ("never", "hedging disabled")
     assert rows_by_key["print", "attempts"] == (2, str(path))
     assert rows_by_key["invite", "repeat_window_ms"] == (0.0, "site: repeat_window")
 
 
 def test_a_file_that_changes_while_it_is_read_is_read_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Half of the old and half of the new would be a third file that nobody wrote: the reading is done again."""
+    """Guards against reading half of the old and half of the new text, which together are a file that nobody wrote."""
     path, descriptors = tmp_path / "x.toml", []
     path.write_text('log_level = "info"\n')
     real_fstat = os.fstat
 
     def changing(fd: int) -> os.stat_result:
         descriptors.append(fd)
-        if len(descriptors) == 2:  # after the first reading, before it is believed
+        if len(descriptors) == 2:  # after the first read, before its result is used
             path.write_text('log_level = "warning"\n')
         return real_fstat(fd)
 
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -1,7 +1,7 @@
-"""Reload under load: 18 jobs a second and a surge of 200 while the limits are changed ten times.
+"""Tests reloads under load: 18 requests a second and a surge of 200 while the limits change ten times.
 
-Every fifteenth job falls on hosts that never answer it: it is tried as often as the limits say under which it was
-accepted, which its hosts count.  Jobs whose acceptance crosses a reload may have either set.
+Servers never answer every fifteenth request and count its attempts: there must be as many as the limits allow under
+which the request was accepted.  A request that is accepted during a reload may have the old or the new limits.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from heronlug.standins.ports import free_port
 from heronlug.standins.server import Begun, Behaviour, StandInServer
 
-LIMIT_SETS = {  # attempts of a silent job under each; the last is no table at all, where no silent jobs are sent
+LIMIT_SETS = {  # attempts of a silent request under each set; without a table no silent requests are sent
     "two": (2, "attempts = 2\nattempt_timeout_ms = 1500\nwait_ms = [60]\nsecond_copy = false\n"),
     "five": (5, "attempts = 5\nattempt_timeout_ms = 900\nwait_ms = [30, 60]\nsecond_copy = false\n"),
     "one": (1, "attempts = 1\nattempt_timeout_ms = 2000\n"),
@@ -45,7 +45,13 @@
 
 
 class Result(NamedTuple):
-    """A job that was handed in: under which sets it may have been accepted, and its answer."""
+    """A request that was sent.
+
+    Attributes:
+        txn: Id of the request.
+        possible_sets: Names of the limit sets under which the request may have been accepted.
+        status: HTTP status of the answer.
+    """
 
     txn: str
     possible_sets: set[str]
@@ -53,12 +59,12 @@
 
 
 def choose_behaviour(begun: Begun) -> Behaviour:
-    """Silent for those that say so, quick for the rest."""
+    """Returns no answer for requests whose id starts with ``silent``, and a quick answer for the others."""
     return Behaviour(0.0, "silent") if begun.txn.startswith("silent") else Behaviour(0.02)
 
 
 class LoadHarness:
-    """The program, its hosts and its clients."""
+    """Runs the dispatcher, its servers and its clients."""
 
     def __init__(self, folder: Path) -> None:
         self.path, self.log = folder / "site.toml", folder / "log"
@@ -107,7 +113,7 @@
             "Content-Length: 2\r\n\r\nhi".encode()
         )
         while txn.startswith("silent") and not any(server.begun[txn] for server in self.servers):
-            await asyncio.sleep(0.005)  # until it has begun somewhere, it may not have been accepted yet
+            await asyncio.sleep(0.005)  # before its first attempt the request may not have been accepted yet
             possible_sets |= {self.current_set, self.next_set}
         status = int((await reader.readline()).split()[1])
         writer.close()
@@ -144,7 +150,7 @@
 
 def test_requests_keep_the_limits_that_they_were_accepted_under(tmp_path: Path) -> None:
     harness, answers = asyncio.run(_reload_under_load(tmp_path))
-    assert len(answers) == harness.count > SURGE_REQUESTS + 80  # each has its one answer
+    assert len(answers) == harness.count > SURGE_REQUESTS + 80  # each request has exactly one answer
     quick = [result for result in answers if result.txn.startswith("quick")]
     silent = [result for result in answers if not result.txn.startswith("quick")]
     assert {result.status for result in quick} == {200}
@@ -156,7 +162,7 @@
             result,
             attempts[result.txn],
         )
-    assert len({attempts[result.txn] for result in silent}) == 3  # under three sets, and each kept to
+    assert len({attempts[result.txn] for result in silent}) == 3  # three limit sets were in use, and each was followed
     log = harness.log.read_text()
     assert log.count('"reloaded"') == len(SET_ORDER) - 1
     assert "reload_failed" not in log
@@ -170,13 +176,13 @@
     try:
         file_text = harness.path.read_text()
         first_posts = [asyncio.create_task(harness._post(f"{kind}-1", "once")) for kind in ("quick", "silent")]
-        await asyncio.sleep(0.3)  # one has been answered, one runs
+        await asyncio.sleep(0.3)  # one request is answered, the other one runs
         begin, end = file_text.index('[[site.class]]\nname = "once"'), file_text.index("[class.job]")
         harness.path.write_text(file_text[:begin] + file_text[end:])
         program.send_signal(signal.SIGHUP)
         await harness.wait_for_log('"reloaded"', 1)
         last_result = await harness._post("quick-2", "once")
-        program.send_signal(signal.SIGTERM)  # what runs is answered by the planned stop
+        program.send_signal(signal.SIGTERM)  # the graceful shutdown answers the running request
         first_results = await asyncio.wait_for(asyncio.gather(*first_posts), TIMEOUT_S)
         await asyncio.to_thread(program.wait, TIMEOUT_S)
     finally:
@@ -187,7 +193,10 @@
 
 
 def test_a_class_removed_from_the_site_stays_until_a_restart(tmp_path: Path) -> None:
-    """Risk: jobs of the class that run are lost, or the numbers of the classes after it shift under their jobs."""
+    """Guards against a reload that removes a class while its requests run.
+
+    Running requests of the class could be lost, or the numbers of later classes could shift for their requests.
+    """
     statuses, log = asyncio.run(_remove_class_while_serving(tmp_path))
     assert statuses == [200, 500, 200]
     assert '"needs_restart":["settings"]' in log
--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -1,4 +1,4 @@
-"""The limits act in the module: seen from outside, in virtual time."""
+"""Tests in virtual time that the dispatcher follows the limits of each class."""
 
 from dataclasses import replace
 from random import Random
@@ -30,12 +30,12 @@
 
 
 class LimitCheckingHost(Host):
-    """A host that checks each class's limits as they were when a job came, and cancels as it is told."""
+    """A host that cancels attempts on request and checks each request against the limits of its arrival."""
 
     def __init__(self, site: Settings, workers: int = 4, seed: int = 1) -> None:
         self.policies: dict[int, RequestClass] = {}
-        self.ended_at: dict[int, float] = {}  # when the last attempt of a job ended
-        self.overrun: set[int] = set()  # jobs with an attempt that timed out
+        self.ended_at: dict[int, float] = {}  # when the last attempt of a request ended
+        self.overrun: set[int] = set()  # requests with an attempt that timed out
         super().__init__(site, seed, workers)
 
     def give(self, event: Any) -> list[Action]:
@@ -60,28 +60,30 @@
         request_class = self.policies[send.request]
         sent = self.sent.get(send.request, [])
         out = [n for n in range(len(sent)) if (send.request, n) not in self.outcome]
-        assert len(sent) < (request_class.max_attempts or self.settings.max_attempts), "past its attempts"
+        assert len(sent) < (
+            request_class.max_attempts or self.settings.max_attempts
+        ), "more attempts than its limits allow"
         if out:
-            assert request_class.hedge, "a copy that its limits forbid"
+            assert request_class.hedge, "a hedged request that its limits forbid"
             last = max(self.sent_at[send.request, n] for n in out)
-            assert self.now >= last + request_class.hedge_after, "a copy too early"
+            assert self.now >= last + request_class.hedge_after, "a hedged request that starts too early"
         elif sent:
             wait = request_class.backoff_before(len(sent))
             assert self.now >= self.ended_at[send.request] + wait, f"no wait of {wait} before attempt {len(sent) + 1}"
         assert (
             request_class.retry_after_timeout or out or send.request not in self.overrun
-        ), "another attempt after a time-out"
+        ), "a retry after a timeout that its limits forbid"
         super()._check_send(send)
 
     def check_timeouts(self) -> None:
-        """No attempt is waited for past its time-out."""
+        """Asserts that no attempt runs longer than its timeout, with 5 ms of tolerance."""
         for request, attempt in self.open_attempts():
             timeout = self.policies[request].attempt_timeout
             assert request in self.answered or not timeout or self.now <= self.sent_at[request, attempt] + timeout + 5
 
 
 def site(request_class: RequestClass = SAFE, **limits: Any) -> Settings:
-    """The usual settings, with limits for one class."""
+    """Returns the usual settings, with limits for one class."""
     classes = tuple(replace(each, **limits) if each is request_class else each for each in (SAFE, KEYED, ONCE))
     return with_settings(classes=classes, reports_start=True, progress_interval=100.0, report_fields=())
 
@@ -111,7 +113,7 @@
 
 
 def test_a_request_is_not_kept_for_a_backoff_past_its_deadline() -> None:
-    """Risk: what is given up sits until near its deadline, and the client learns nothing meanwhile."""
+    """Guards against a request that waits until near its deadline although no further attempt can be made."""
     host = LimitCheckingHost(site(retry_backoff=(4900.0,), hedge=False))
     request = host.job(0)
     host.until(host.now + 200)
@@ -153,7 +155,7 @@
 
 
 def test_a_timeout_fails_a_non_idempotent_request() -> None:
-    """Risk: the time-out of an attempt that may have run lets the class run twice."""
+    """Guards against a retry of an attempt that timed out and may have run, which would run the request twice."""
     host = LimitCheckingHost(site(ONCE, attempt_timeout=300.0, max_attempts=4))
     request = host.job(2)
     host.until(host.now + 301)
@@ -172,14 +174,16 @@
 
 
 def test_a_class_with_hedging_disabled_is_not_hedged() -> None:
-    """The same silent job is copied with the limit absent."""
+    """The same silent request is hedged if the limit allows hedging."""
     for second_copy, sent in ((True, 2), (False, 1)):
         host = LimitCheckingHost(site(hedge=second_copy))
         request = host.job(0)
         host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
         for _ in range(40):
             host.until(host.now + 20)
-            host.give(AttemptProgress(99, 0, 1, ProgressKind.PROGRESS))  # any event has the module look
+            host.give(
+                AttemptProgress(99, 0, 1, ProgressKind.PROGRESS)
+            )  # any event makes the dispatcher check for hedges
         assert len(host.sent[request]) == sent
         unstarted = host.job(0)
         host.until(host.now + 400)
@@ -194,13 +198,13 @@
     host.until(host.now + 4)
     assert len(host.sent[request]) == 2
     host.until(host.now + 690)
-    assert len(host.sent[request]) == 2  # one copy at a time
+    assert len(host.sent[request]) == 2  # one hedge at a time
     host.end(request, 1)
-    assert host.outcome[request, 0] == Outcome.CANCELLED  # the loser
+    assert host.outcome[request, 0] == Outcome.CANCELLED  # the attempt that the hedge has overtaken
 
 
 def test_a_request_keeps_the_limits_that_it_was_accepted_under() -> None:
-    """The host says with each job under which terms it was taken; what the settings say later is no matter."""
+    """Guards against changed settings that affect open requests: each request keeps the limits of its arrival."""
     strict = replace(SAFE, max_attempts=1, retry_backoff=(1000.0,))
     host = LimitCheckingHost(site())
     first = host.job(0)
@@ -214,7 +218,7 @@
 
 
 def test_limits_are_handed_over_to_another_process() -> None:
-    """A job that waits between attempts, and one with an attempt out, passed on in the middle."""
+    """Hands over one request that waits for a retry and one with a running attempt."""
     request_class = replace(SAFE, max_attempts=2, attempt_timeout=300.0, retry_backoff=(200.0,), hedge=False)
     received = model.read(SAFE, model.write(request_class))
     assert received == request_class
@@ -236,7 +240,7 @@
     assert len(new.sent[1]) == 1
     new.until(5101.0)
     assert len(new.sent[1]) == 2
-    new.until(5202.0)  # its time-out runs from when it was sent, in the other process
+    new.until(5202.0)  # the timeout starts when the other process sent the attempt
     assert new.outcome[2, 0] == Outcome.CANCELLED
     new.until(5410.0)
     assert len(new.sent[2]) == 2
@@ -280,9 +284,9 @@
 @settings(max_examples=60)
 @given(st.tuples(LIMITS_STRATEGY, LIMITS_STRATEGY, LIMITS_STRATEGY), st.integers(0, 10_000))
 def test_any_limits_hold_under_any_faults(drawn_limits: tuple[dict[str, Any], ...], seed: int) -> None:
-    """Whatever is set and whatever fails, :class:`Limited` finds no limit and no rule broken, and no job lost.
+    """Guards against a broken limit, a broken rule or a lost request under random limits and failures.
 
-    Limits are changed while jobs are open: each keeps those that it came with.
+    Limits change while requests are open; each request keeps the limits of its arrival.
     """
     rng = Random(seed)
     unlimited = (SAFE, KEYED, ONCE)
@@ -310,7 +314,7 @@
 
 
 def test_every_limit_is_handed_over() -> None:
-    """A limit that a file may set and that does not pass to another process would be lost at an upgrade."""
+    """Guards against a limit that is missing from the handover table and so is lost by a hot restart."""
     request_class = RequestClass(
         latency_objective=1,
         deadline=9,
--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -115,7 +115,7 @@
     ({"lanes": [*SECOND["settings"]["lanes"], FIRST["settings"]["lanes"][0]]}, "two classes are named 'letters'"),
     ({"lanes": [{"name": "a", "deadline": -1.0, "effect": "once", "goal_time": 1.0}]}, "lanes[0].deadline"),
     ({"lanes": [{"name": "a", "deadline": 1.0, "effect": "twice", "goal_time": 1.0}]}, "lanes[0]."),
-    ({"instances": 3, "position": 3}, "position: 3: of 3 instances it is 0 to 2"),
+    ({"instances": 3, "position": 3}, "position: 3 is out of range, expected 0 to 2 for 3 instances"),
     ({"safety": {"cold_from": 0.0}}, "cold_from"),
 ]
 
--- a/tests/lifecycle/test_plan_and_apply.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -122,12 +122,12 @@
 
     def test_bad_file_names_file_and_key(self) -> None:
         for rest, line, key in (
-            ("fuel = 'x'", 7, "plugin.0.fuel: 'x' is no number"),
+            ("fuel = 'x'", 7, "plugin.0.fuel: 'x' is not a number"),
             ("fule = 1", 7, "plugin.0.fule: unknown key"),
             ("[[plugin]]\nname = 'q'\nfile = 'none'", 9, "plugin.1.file: No such file or directory"),
             ("[other]", 7, "other: unknown key"),
             ("= 1", 7, "Invalid statement"),
-            ("[class.once]\nattempts = 4", 8, "class.once.attempts: 4 attempts, and the site allows 3"),
+            ("[class.once]\nattempts = 4", 8, "class.once.attempts: 4 attempts are requested but the site allows 3"),
             ("[class.none]\nattempts = 2", 7, "class.none: the site has no such class"),
         ):
             path = self.write("bad.toml", self.port, rest)
