--- a/heronlug/config/cluster_section.py
+++ b/heronlug/config/cluster_section.py
@@ -45,7 +45,7 @@
     jitter_s: Annotated[float, Meta(ge=0, le=86_400, description="seconds, 0 to a day")] = 0.0
 
 
-class SweepTable(Struct, forbid_unknown_fields=True):
+class FileDeletionTable(Struct, forbid_unknown_fields=True):
     """A periodic task that deletes old files in a folder that all members share."""
 
     folder: Text
@@ -157,11 +157,11 @@
         return task
     if task.sweep is None:
         return task
-    sweep, found = decode(SweepTable, task.sweep, source, (SECTION, "duty", index, "sweep"))
+    deletion, found = decode(FileDeletionTable, task.sweep, source, (SECTION, "duty", index, "sweep"))
     problems += found
-    if sweep is None:
+    if deletion is None:
         return task
-    return structs.replace(task, sweep={**structs.asdict(sweep), "folder": _absolute(sweep.folder, source)})
+    return structs.replace(task, sweep={**structs.asdict(deletion), "folder": _absolute(deletion.folder, source)})
 
 
 def _task_problems(task: PeriodicTaskTable, index: int, known: list[str], source: Source) -> Problems:
