--- a/heronlug/config/site.py
+++ b/heronlug/config/site.py
@@ -107,6 +107,7 @@
     problems: list[ConfigProblem] = []
 
     def decode_table(kind: type[Any], table: Any, *key_path: str | int) -> Any:
+        """Returns the struct of a table, or None if the table is invalid; adds the problems of the table."""
         decoded, wrong = decode(kind, table, source, key_path)
         problems.extend(wrong)
         return decoded
--- a/tests/adapter/test_frames.py
+++ b/tests/adapter/test_frames.py
@@ -71,12 +71,14 @@
 
 
 def events_of(data: bytes) -> list[tuple[int, Any]]:
+    """Returns the events in a frame with their instances."""
     count, length, _ = decode_header(data[: HEADER.size])
     assert length == len(data) - HEADER.size
     return list(decode_events(count, data[HEADER.size :]))
 
 
 def test_decodes_a_batch_of_request_timer_and_client_gone() -> None:
+    """Guards against changed layouts of these records, by a frame that was encoded by hand."""
     request = "01 00000003 0007d1245d3a91c4 40000000 4028000000000000 91f03b7c55d20a64 0000"
     request += "40c0e62000000000 00 00000000 01"
     timer_fired, client_gone = "07 00000003 000000000000004d", "0a 00000005 0001788b0e6f2b19"
@@ -90,6 +92,7 @@
 
 
 def test_decodes_outcome_progress_peer_message_probe_and_answer_start() -> None:
+    """Guards against changed layouts of these records and against an error at an unknown code."""
     records = [
         "08 00000003 0007d1245d3a91c4 00 00 0001 4032800000000000 01 03124a07 03 430c0000 40400000 3ecccccd",
         "02 00000003 0007d1245d3a91c4 00 03124a07 01 3f000000",
@@ -111,6 +114,7 @@
 
 
 def test_decodes_a_server_list() -> None:
+    """Guards against a changed layout of the entries in the tail."""
     tail = "3f800000 00 0000 0000 03124a07 01 0000000000000000"
     tail += "3fc00000 00 0001 0000 2c9011f2 01 40b7d40000000000"
     data = encode_frame(["04 00000003 00 0000000000000029 00000000 00000002"], bytes.fromhex(tail.replace(" ", "")))
@@ -124,6 +128,7 @@
 
 
 def test_encodes_a_reply() -> None:
+    """Guards against changed layouts of the actions, by a reply that was encoded by hand."""
     reply = Reply()
     reply.add(3, StartAttempt(0x7D1245D3A91C4, 0x03124A07))
     reply.add(3, SetTimer(500.0, 77))
@@ -141,6 +146,7 @@
 
 
 def test_encodes_the_other_actions() -> None:
+    """Guards against wrong codes of actions and a wrong peer number of a message to all peers."""
     reply = Reply()
     reply.add(3, Reject(7))
     reply.add(3, Fail(8))
@@ -157,6 +163,7 @@
 
 
 def test_parses_settings() -> None:
+    """Guards against settings that are read from the wrong key, and against an error at an unknown key."""
     parsed = parse_settings(json.dumps(SETTINGS_OBJECT))
     once, keyed = parsed.classes
     assert (once.effect, once.latency_objective, once.latency_factor, once.server_kind) == (
@@ -188,6 +195,7 @@
     ],
 )
 def test_invalid_settings_name_the_key(change: dict[str, Any], text: str) -> None:
+    """Guards against an error that does not say which setting is invalid."""
     with pytest.raises(ValueError, match=text):
         parse_settings(json.dumps({**SETTINGS_OBJECT, **change}))
     with pytest.raises(ValueError, match="lanes"):
@@ -207,10 +215,12 @@
 
 
 def run_adapter(data: bytes) -> "subprocess.CompletedProcess[bytes]":
+    """Runs the adapter as a process with this input."""
     return subprocess.run([sys.executable, "-m", "heronlug.adapter"], input=data, capture_output=True)
 
 
 def test_exchange_with_the_process() -> None:
+    """Guards against wrong replies over standard output, and actions of an instance after its kill."""
     empty = encode_frame([])
     process = run_adapter(
         empty + start_batch() + encode_frame([REQUEST]) + encode_frame(["05 00000003"]) + encode_frame([REQUEST])
@@ -236,6 +246,7 @@
     ],
 )
 def test_malformed_input_ends_with_one_error_line_and_no_partial_frame(data: bytes, text: bytes) -> None:
+    """Guards against a traceback or a partial frame after malformed input."""
     process = run_adapter(encode_frame([]) + data)
     assert process.returncode == 1
     assert text in process.stderr
@@ -244,6 +255,7 @@
 
 
 def test_a_failing_instance_is_reported_in_one_line(capfd: pytest.CaptureFixture[str]) -> None:
+    """Guards against an exception of an instance that ends the process without a report."""
     host = InstanceHost()
     batch = start_batch()
     count, _, now = decode_header(batch[:16])
@@ -259,6 +271,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 5))
 def test_any_bytes_decode_to_events_or_an_error(body: bytes, count: int) -> None:
+    """Guards against exceptions other than ``WireError`` and ``ValueError`` for random bytes."""
     try:
         header = decode_header(struct.pack(">IId", count, len(body), 0.0))
         for _, event in decode_events(header[0], body):
@@ -271,6 +284,7 @@
 
 
 def test_an_instance_acts_the_same_alone_or_beside_others() -> None:
+    """Guards against state that instances of one process share."""
     batch = start_batch()
     count, _, now = decode_header(batch[:16])
     together, alone = InstanceHost(), InstanceHost()
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -50,12 +50,14 @@
 
 
 def test_there_are_at_least_a_hundred_broken_files() -> None:
+    """Guards against broken files that drop out of the tests, such as by a repeated name."""
     assert len(BROKEN_FILES) + len(UNREADABLE_FILES) >= 100
     assert len({fault.name for fault in BROKEN_FILES}) == len(BROKEN_FILES)
 
 
 @pytest.mark.parametrize("fault", BROKEN_FILES, ids=lambda fault: fault.name)
 def test_a_broken_file_is_rejected_with_its_own_message(fault: ConfigFault, tmp_path: Path) -> None:
+    """Guards against a fault that is accepted, reported twice or reported at the wrong line or key."""
     path = tmp_path / "x.toml"
     problems = reported_problems(path, apply_fault(fault))
     assert len(problems) == 1, problems
@@ -69,6 +71,7 @@
 
 @pytest.mark.parametrize("name", UNREADABLE_FILES)
 def test_a_file_that_cannot_be_parsed_is_rejected(name: str, tmp_path: Path) -> None:
+    """Guards against a traceback for bytes that are not TOML, too many bytes or tables of the wrong type."""
     data, line, message_part = UNREADABLE_FILES[name]
     path = tmp_path / "x.toml"
     problems = reported_problems(path, data)
@@ -78,6 +81,7 @@
 
 
 def test_a_path_that_cannot_be_read_is_reported(tmp_path: Path) -> None:
+    """Guards against a traceback for a folder or a missing file in place of the file."""
     for path in (tmp_path, tmp_path / "none.toml"):
         assert [f"{path}: " in str(problem) and problem.line == 0 for problem in look(path, None)[2]] == [True]
 
@@ -143,6 +147,7 @@
 
 
 def problems_of_text(tmp_path_factory: pytest.TempPathFactory, text: str) -> list[ConfigProblem]:
+    """Returns the problems of a file with this text."""
     path = tmp_path_factory.getbasetemp() / "drawn.toml"
     path.write_text(text)
     return list(look(path, None)[2])
@@ -176,6 +181,7 @@
 
 @pytest.mark.parametrize("name", VALID_CHANGES)
 def test_a_good_file_is_accepted(name: str, tmp_path: Path) -> None:
+    """Guards against rules that reject valid values at or near their bounds."""
     text = VALID_FILE
     for line, changed in sorted(VALID_CHANGES[name], reverse=True):
         text = apply_fault(ConfigFault("", line, changed, "", ""), text)
@@ -187,6 +193,7 @@
 
 
 def test_check_and_limits_show_on_the_command_line(tmp_path: Path) -> None:
+    """Guards against commands that report other problems, notes or limits than the dispatcher uses."""
     path = tmp_path / "x.toml"
     path.write_text(VALID_FILE)
     run = CliRunner().invoke
@@ -220,6 +227,7 @@
     real_fstat = os.fstat
 
     def changing(fd: int) -> os.stat_result:
+        """Changes the file between the two calls of fstat around the first read."""
         descriptors.append(fd)
         if len(descriptors) == 2:  # after the first read, before its result is used
             path.write_text('log_level = "warning"\n')
@@ -231,6 +239,7 @@
 
 
 def test_an_absent_key_is_reported_at_the_line_of_its_table() -> None:
+    """Guards against wrong lines of nested tables, lists of tables and absent keys."""
     source = Source.parse("x", b"a = 1\n\n[t.u]\nb.c = 2\n[[l]]\nx = 1\n[[l]]\n[l.m]\ny = [1,\n 2]\n")
     expected_lines = {
         ("a",): 1,
@@ -248,6 +257,7 @@
 
 
 def test_problems_are_sorted_by_line() -> None:
+    """Guards against problems in the order of the checks, which is not that of the lines."""
     source = Source.parse("x", b"a = 1\nb = 2\n")
     error = ConfigProblems([source.problem(("b",), "later"), source.problem(("a",), "first", "so")])
     assert str(error) == "x:1: a: first, so\nx:2: b: later"
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -76,11 +76,13 @@
         self.count = 0
 
     def write(self, name: str) -> None:
+        """Writes the file with one of the limit sets."""
         limits = LIMIT_SETS[name][1]
         table = f"[class.job]\n{limits}" if limits else ""
         self.path.write_text(SITE_TABLES.format(port=self.port) + table + self.server_tables)
 
     async def start(self) -> "subprocess.Popen[bytes]":
+        """Starts the servers and the dispatcher."""
         for number, server in enumerate(self.servers):
             port = await server.open()
             self.server_tables += f'[[host]]\nname = "h{number}"\naddress = "127.0.0.1:{port}"\n'
@@ -93,12 +95,14 @@
         return program
 
     async def wait_for_log(self, text: str, times: int) -> None:
+        """Waits until the log contains the text so many times."""
         end = time.monotonic() + TIMEOUT_S
         while self.log.read_text().count(text) < times:
             assert time.monotonic() < end, self.log.read_text()[-2000:]
             await asyncio.sleep(0.01)
 
     def post(self, silent: bool) -> None:
+        """Starts a client with one request; every fourth request that is answered is of the class ``once``."""
         self.count += 1
         class_name = "once" if self.count % 4 == 0 and not silent else "job"
         self.tasks.append(
@@ -149,6 +153,7 @@
 
 
 def test_requests_keep_the_limits_that_they_were_accepted_under(tmp_path: Path) -> None:
+    """Guards against a reload that changes the limits of open requests, or loses or repeats a request."""
     harness, answers = asyncio.run(_reload_under_load(tmp_path))
     assert len(answers) == harness.count > SURGE_REQUESTS + 80  # each request has exactly one answer
     quick = [result for result in answers if result.txn.startswith("quick")]
--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -39,6 +39,7 @@
         super().__init__(site, seed, workers)
 
     def give(self, event: Any) -> list[Action]:
+        """Records the limits of new requests and cancels attempts as the dispatcher asks."""
         if isinstance(event, RequestArrived):
             self.policies[event.request] = event.policy or self.settings.classes[event.request_class]
         actions = super().give(event)
@@ -53,6 +54,7 @@
     def end(
         self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
+        """Ends an attempt and records the time."""
         self.ended_at[request] = self.now
         return super().end(request, attempt, outcome, report)
 
@@ -89,6 +91,7 @@
 
 
 def test_a_request_has_the_attempts_that_its_class_allows() -> None:
+    """Guards against more or fewer attempts than the class allows; 0 means the cap of the site."""
     for attempts in (1, 2, 3, 0):
         host = LimitCheckingHost(site(max_attempts=attempts), workers=6)
         request = host.job(0)
@@ -100,6 +103,7 @@
 
 
 def test_a_retry_waits_for_its_backoff() -> None:
+    """Guards against a retry before or long after its backoff; the last backoff applies to all further retries."""
     host = LimitCheckingHost(site(retry_backoff=(100.0, 400.0)))
     request = host.job(0)
     for attempt, wait in enumerate((100, 400, 400)):
@@ -122,6 +126,7 @@
 
 
 def test_a_client_that_leaves_during_the_backoff_ends_the_retries() -> None:
+    """Guards against attempts for a client that has gone."""
     from heronlug import ClientGone
 
     host = LimitCheckingHost(site(retry_backoff=(100.0,)))
@@ -134,6 +139,7 @@
 
 
 def test_an_attempt_that_times_out_is_retried() -> None:
+    """Guards against an attempt that is not cancelled at its timeout, or not retried after it."""
     host = LimitCheckingHost(site(attempt_timeout=300.0, hedge=False))
     request = host.job(0)
     host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
@@ -147,6 +153,7 @@
 
 
 def test_no_retry_after_a_timeout_when_the_limits_forbid_it() -> None:
+    """Guards against a retry after a timeout although the class ends with the timeout."""
     host = LimitCheckingHost(site(attempt_timeout=300.0, retry_after_timeout=False, hedge=False))
     request = host.job(0)
     host.until(host.now + 301)
@@ -164,6 +171,7 @@
 
 
 def test_a_non_idempotent_request_that_never_ran_is_retried_after_its_backoff() -> None:
+    """Guards against failing a request whose connection failed, so that it certainly never ran."""
     host = LimitCheckingHost(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
     request = host.job(2)
     host.end(request, 0, Outcome.CONNECT_FAILED)
@@ -191,6 +199,7 @@
 
 
 def test_a_hedge_starts_at_its_time_and_not_before() -> None:
+    """Guards against a hedge before its time, a second hedge, and a slower attempt that is not cancelled."""
     host = LimitCheckingHost(site(hedge_after=700.0))
     request = host.job(0)
     host.until(host.now + 698)
@@ -264,6 +273,7 @@
     ],
 )
 def test_malformed_limits_of_another_process_are_rejected(table: Any) -> None:
+    """Guards against a handover that accepts missing, unknown or invalid limits."""
     with pytest.raises((ValueError, TypeError)):
         model.read(SAFE, table)
 
