--- a/heronlug/config/desired_state.py
+++ b/heronlug/config/desired_state.py
@@ -182,7 +182,7 @@
 
 
 def digest(state: State) -> str:
-    """Returns the SHA-256 digest of a state; a plan holds the digest of the running state that it applies to."""
+    """Returns the SHA-256 digest of a state; a plan contains the digest of the state from which the plan starts."""
     return hashlib.sha256(orjson.dumps(state, option=orjson.OPT_SORT_KEYS)).hexdigest()
 
 
--- a/heronlug/config/limits/rules.py
+++ b/heronlug/config/limits/rules.py
@@ -217,7 +217,7 @@
     """Reports a repeat window for a class whose requests servers do not recognize by a key."""
     if case.idempotent_by_key or not case.given.get("repeat_window_ms"):
         return None
-    wrong = f"the class is {case.request_class.effect.value}, so no repeat window applies"
+    wrong = f"the effect of the class is {case.request_class.effect.value}, so no repeat window applies"
     return BrokenRule("repeat_window_ms", wrong, "expected no repeat_window_ms")
 
 
--- a/heronlug/config/platform.py
+++ b/heronlug/config/platform.py
@@ -100,7 +100,7 @@
 def _number(table: Mapping[str, Any], key: str, default: float, file_name: str) -> float:
     value = table.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
-        msg = f"{file_name}: {key}: {value!r} is not a number, expected 0 or more"
+        msg = f"{file_name}: {key}: {value!r} is not accepted, expected a number of 0 or more"
         raise ConfigError(msg)
     return float(value)
 
@@ -184,9 +184,7 @@
         listen=listen,
         discovery=discovery,
         seed=seed,
-        settings=replace(
-            settings, list_pushed=not watched
-        ),  # service discovery sends the list only in answer to a poll
+        settings=replace(settings, list_pushed=not watched),  # service discovery sends a list only in answer to a poll
         sockets=int(_number(limits, "sockets", DEFAULT_SOCKETS, file_name)) or DEFAULT_SOCKETS,
         memory_mb=_number(limits, "memory_mb", DEFAULT_MEMORY_MB, file_name),
         conn_idle=_number(site_limits, "conn_idle", DEFAULT_IDLE_MS, file_name),
--- a/heronlug/config/strict_toml/errors.py
+++ b/heronlug/config/strict_toml/errors.py
@@ -30,7 +30,7 @@
 
 
 def suggest(word: str, known: Iterable[str]) -> str:
-    """Returns what is accepted in place of an unknown word: the closest known word if there is one, or all."""
+    """Returns what is accepted in place of an unknown word: the closest known word if any, otherwise all of them."""
     from difflib import get_close_matches
 
     known_words = list(known)
