--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -20,7 +20,7 @@
         from heronlug.cli import main as run_command
 
         return run_command()
-    return start(Files.told())
+    return start(Files.from_environment())
 
 
 def start(files: Files, on_loaded: Callable[[Config, State], None] = lambda config, desired: None) -> int:
--- a/heronlug/config/settings_json.py
+++ b/heronlug/config/settings_json.py
@@ -1,4 +1,4 @@
-"""The platform's settings, as JSON: the one place where their keys are mapped to the balancer's settings."""
+"""Parses the platform's settings from JSON; no other module maps their keys to the balancer's settings."""
 
 import json
 from collections.abc import Mapping
@@ -8,9 +8,9 @@
 from heronlug.balancer.settings import Effect, KeyScope, RequestClass, Settings
 
 DEFAULT_POLL_INTERVAL = 10_000.0
-"""Milliseconds between two polls of the endpoint list, where the settings give none."""
+"""Interval between two polls of the endpoint list in ms, if the settings give none."""
 
-KEYS = {
+KEYS_BY_FIELD = {
     "latency_objective": "goal_time",
     "latency_factor": "aim_stretch",
     "priority_weight": "worth",
@@ -28,23 +28,23 @@
     "zone_failover": "halls",
     "worst_class_weight": "worst_class",
 }
-"""The key of the settings that gives a field of the balancer's settings, where the names differ."""
+"""Keys of the JSON settings by the field of the balancer's settings, for fields whose key has another name."""
 
 
 def parse_settings(text: bytes | str) -> Settings:
-    """Read the settings; unknown keys are skipped.
+    """Returns the settings in a JSON text; unknown keys are ignored.
 
     Raises:
-        ValueError: a key is missing or its value cannot be used; the text names the key.
+        ValueError: If a key is missing or has an invalid value; the message names the key.
     """
     table = json.loads(text)
     if not isinstance(table, dict):
-        message = "conf: not an object"
+        message = "settings: not a JSON object"
         raise ValueError(message)
     try:
         return _settings(table)
     except SettingsError as error:
-        raise SettingsError(KEYS.get(error.key, error.key), error.value) from error
+        raise SettingsError(KEYS_BY_FIELD.get(error.key, error.key), error.value) from error
 
 
 def _settings(table: Mapping[str, Any]) -> Settings:
@@ -54,9 +54,9 @@
     report = table.get("load_report") or {}
     prices = table.get("penalties") or {}
     goal = table.get("goal") or {}
-    lanes = _need(table, "lanes", "")
+    class_tables = _required(table, "lanes", "")
     return Settings(
-        classes=tuple(_request_class(lane, i, family) for i, lane in enumerate(lanes)),
+        classes=tuple(_request_class(class_table, i, family) for i, class_table in enumerate(class_tables)),
         instances=int(_number(table, "instances", 1)),
         position=int(_number(table, "position", 0)),
         zone=int(_number(table, "zone", 0)),
@@ -64,7 +64,7 @@
         quotas=tuple(_number(c, "quota_per_s", 0.0) for c in table.get("customers") or ()),
         report_fields=tuple(report.get("fields") or ()),
         list_pushed=table.get("discovery") == "pushed",
-        poll_interval=_number(safety, "ask_every", 0.0) or DEFAULT_POLL_INTERVAL,  # 0 where lists are pushed
+        poll_interval=_number(safety, "ask_every", 0.0) or DEFAULT_POLL_INTERVAL,  # the value is 0 if lists are pushed
         max_attempts=int(_number(limits, "attempts_cap", 1)),
         hedging=bool(limits.get("second_copies", False)),
         may_cancel=bool(limits.get("may_cancel", False)),
@@ -94,9 +94,9 @@
     try:
         return RequestClass(
             name=str(table.get("name", index)),
-            latency_objective=float(_need(table, "goal_time", where)),
-            deadline=float(_need(table, "deadline", where)),
-            effect=Effect(_need(table, "effect", where)),
+            latency_objective=float(_required(table, "goal_time", where)),
+            deadline=float(_required(table, "deadline", where)),
+            effect=Effect(_required(table, "effect", where)),
             latency_factor=float(table.get("aim_stretch") or (factors[index] if index < len(factors) else 0.0)),
             priority_weight=_number(table, "worth", 1.0),
             late_value=_number(table, "late_value", 0.0),
@@ -105,13 +105,13 @@
             server_kind=int(kinds[index]) if index < len(kinds) else -1,
         )
     except SettingsError as error:
-        raise SettingsError(where + KEYS.get(error.key, error.key), error.value) from error
+        raise SettingsError(where + KEYS_BY_FIELD.get(error.key, error.key), error.value) from error
     except (TypeError, ValueError) as error:
         text = str(error)
         raise ValueError(text if text.startswith(where) else f"{where}{text}") from error
 
 
-def _need(table: Mapping[str, Any], key: str, where: str) -> Any:
+def _required(table: Mapping[str, Any], key: str, where: str) -> Any:
     if key not in table:
         message = f"{where}{key}: required setting is missing"
         raise ValueError(message)
