--- a/heronlug/faults/direction.py
+++ b/heronlug/faults/direction.py
@@ -18,14 +18,14 @@
     """The faults on what goes one way.
 
     Attributes:
-        held: nothing comes through; bytes are kept, datagrams are lost.
+        stalled: nothing comes through; bytes are kept, datagrams are lost.
         delay_ms: by which all comes later.
         bytes_per_second: at most, on each connection; 0 for no bound.
         reset_after_bytes: of each connection, which is then reset; 0 for never.
         loss: the share of datagrams that is lost.
     """
 
-    held: bool = False
+    stalled: bool = False
     delay_ms: float = 0.0
     bytes_per_second: int = 0
     reset_after_bytes: int = 0
@@ -33,7 +33,7 @@
 
     def heal(self) -> None:
         """End all faults."""
-        self.held = False
+        self.stalled = False
         self.delay_ms = 0.0
         self.bytes_per_second = 0
         self.reset_after_bytes = 0
--- a/heronlug/faults/dispatchers.py
+++ b/heronlug/faults/dispatchers.py
@@ -9,10 +9,10 @@
 from heronlug.conformance import Event, Started, Stopped
 from heronlug.faults.history import History
 from heronlug.faults.network import FaultyNetwork
-from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
+from heronlug.faults.observed_discovery import DISCOVERY_PARTY, ObservedDiscovery
 from heronlug.faults.ordering import OrderedEnds
-from heronlug.faults.plan import FaultPlan, Step, choose
-from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
+from heronlug.faults.plan import FaultPlan, Step, select_parties
+from heronlug.faults.processes import Process, write_file, write_known_list, write_platform_files
 from heronlug.standins.ports import free_port, free_ports
 
 MAX_GRACE_S = 3.0
@@ -25,7 +25,7 @@
 """Processes whose figures are read at once."""
 FILES_BEFORE_YIELD = 20
 """Dispatchers whose files are written before the event loop has its turn."""
-SIGNALS = {"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}
+STEP_SIGNALS = {"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}
 """The signal of each step that does no more than send one."""
 
 
@@ -71,25 +71,29 @@
         ports = free_ports(4 * count)
         self.frontend_ports = dict(zip(names, ports[:count], strict=True))
         admin_ports = dict(zip(names, ports[count : 2 * count], strict=True))
-        peers = dict(zip(names, ports[2 * count : 3 * count], strict=True))
-        members = dict(zip(names, ports[3 * count :], strict=True))
+        peer_ports = dict(zip(names, ports[2 * count : 3 * count], strict=True))
+        member_ports = dict(zip(names, ports[3 * count :], strict=True))
         relayed = "peers" in plan.relays
-        seen_peers = await self._network.proxy_datagrams(peers) if relayed and plan.dispatchers.peers else peers
+        advertised_peer_ports = (
+            await self._network.proxy_datagrams(peer_ports) if relayed and plan.dispatchers.peers else peer_ports
+        )
         proxy_members = relayed and plan.dispatchers.cluster
-        seen_members = await self._network.proxy_datagrams(members) if proxy_members else members
+        advertised_member_ports = await self._network.proxy_datagrams(member_ports) if proxy_members else member_ports
         self._discovery.dispatcher_names = names
         for number, name in enumerate(names):
             process = self.processes[name] = Process(name, self._folder, admin_ports[name], source)
-            addresses = [f"127.0.0.1:{peers[each] if each == name else seen_peers[each]}" for each in names]
+            addresses = [
+                f"127.0.0.1:{peer_ports[each] if each == name else advertised_peer_ports[each]}" for each in names
+            ]
             write_file(
                 process,
                 plan,
-                door=self.frontend_ports[name],
+                frontend_port=self.frontend_ports[name],
                 discovery=await self._discovery_address(name),
-                member=members[name],
+                member_port=member_ports[name],
                 peers=addresses if plan.dispatchers.peers and count > 1 else [],
-                advertised=seen_members[name],
-                seeds=[seen_members[each] for each in names[: plan.dispatchers.seeds] if each != name],
+                advertised_port=advertised_member_ports[name],
+                seeds=[advertised_member_ports[each] for each in names[: plan.dispatchers.seeds] if each != name],
             )
             if plan.dispatchers.platform:
                 write_platform_files(process, self._discovery.initial_list(name))
@@ -99,15 +103,15 @@
     async def _discovery_address(self, name: str) -> str:
         port = await self._discovery.stand_in.open(port=free_port(), caller=name)
         address = f"127.0.0.1:{port}"
-        if PARTY in self._plan.relays:
-            return self._network.proxy_connections(name, PARTY, lambda: address)
+        if DISCOVERY_PARTY in self._plan.relays:
+            return self._network.proxy_connections(name, DISCOVERY_PARTY, lambda: address)
         return address
 
     # -- starts and ends
 
     async def start_all(self) -> None:
         """Start all but those that a step starts."""
-        later = set(choose(self._plan.dispatchers.later, self._plan, Random(self._plan.seed)))
+        later = set(select_parties(self._plan.dispatchers.later, self._plan, Random(self._plan.seed)))
         for name in self.processes:
             if name not in later:
                 self._start(name)
@@ -126,12 +130,12 @@
         elif step.do == "term":
             await self._terminate(process)
         else:
-            process.signal(SIGNALS[step.do])
+            process.signal(STEP_SIGNALS[step.do])
         return lambda: process.signal(signal.SIGCONT)
 
     def report_end(self, event: Event) -> None:
         """Record an end after all that was written before it and is still unread."""
-        self._ordered_ends.report(lambda: self._history.see(event))
+        self._ordered_ends.report(lambda: self._history.record(event))
 
     def close(self) -> None:
         """Kill all that run."""
@@ -141,14 +145,14 @@
                 process.signal(signal.SIGKILL)
 
     def _start(self, name: str) -> None:
-        self._history.see(Started(self._history.now(), name))
+        self._history.record(Started(self._history.now(), name))
         self.processes[name].start()
 
     async def _restart(self, name: str) -> None:
-        await self._ordered_ends.caught_up()  # with the end of the process before
+        await self._ordered_ends.wait_until_caught_up()  # with the end of the process before
         known = self._discovery.last_written_list(name)
         if known is not None:
-            write_known(self.processes[name], known)
+            write_known_list(self.processes[name], known)
         self._start(name)
 
     def _kill(self, process: Process) -> None:
@@ -160,20 +164,20 @@
     async def _terminate(self, process: Process) -> None:
         process.signal(signal.SIGTERM)
         await asyncio.to_thread(process.wait_or_kill)
-        await self._ordered_ends.caught_up()  # its last answers have been read
+        await self._ordered_ends.wait_until_caught_up()  # its last answers have been read
         self.report_end(Stopped(self._history.now(), process.name, False))
 
     async def _replace(self, process: Process) -> None:
         """A planned restart whose kill comes as early as it may; one that comes meanwhile is a second signal alone."""
-        incarnation, first = process.incarnation, process.should_run
+        incarnation, first_signal = process.incarnation, process.should_run
         process.signal(signal.SIGTERM)
-        if not first:
+        if not first_signal:
             return
         await asyncio.sleep(min(self._plan.longest_deadline_s, MAX_GRACE_S) + KILL_AFTER_S)
         if process.incarnation != incarnation:
             return
         process.signal(signal.SIGKILL)
-        await self._ordered_ends.caught_up()
+        await self._ordered_ends.wait_until_caught_up()
         self.report_end(Stopped(self._history.now(), process.name, False))
         await self._restart(process.name)
 
@@ -195,12 +199,12 @@
             waiting = [process for name, process in processes if name not in self.listed_after and process.running]
             for start in range(0, len(waiting), LIST_POLL_BATCH):
                 batch = waiting[start : start + LIST_POLL_BATCH]
-                for process, has in zip(batch, await asyncio.gather(*map(self._has_list, batch)), strict=True):
-                    if has:
+                for process, has_list in zip(batch, await asyncio.gather(*map(self._has_list, batch)), strict=True):
+                    if has_list:
                         self.listed_after[process.name] = self._history.elapsed_s()
             await asyncio.sleep(interval_s)
 
-    async def lists(self) -> dict[str, bool]:
+    async def list_completeness(self) -> dict[str, bool]:
         """Of all that run, whether they have the complete list."""
         running = [process for process in self.processes.values() if process.should_run and process.running]
         return {process.name: await self._has_list(process) for process in running}
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -111,7 +111,7 @@
             load = self._tasks.spawn(self._load())
             if self.plan.begin == "listed":
                 await _wait_until(self._dispatchers.all_listed, LISTED_WITHIN_S)
-                self.history.began = self.history.now()
+                self.history.began_at_ms = self.history.now()
             for step in self.plan.step:
                 self._tasks.spawn(self._steps.run(step))
             self._tasks.spawn(self._dispatchers.watch_processes(self._tasks.failures))
@@ -128,7 +128,7 @@
         await self._dispatchers.open(self._source)
         if self.plan.register.down:
             self.set_discovery_down(True)
-        self.history.began = self.history.now()
+        self.history.began_at_ms = self.history.now()
         await self._dispatchers.start_all()
 
     async def _load(self) -> None:
@@ -150,15 +150,15 @@
         return sorted(planned, key=lambda each: each.due_at)
 
     async def _finish(self) -> FinishedRun:
-        reading = self.reading()
-        listed = await self._dispatchers.lists()
-        await self._ordered_ends.caught_up()
+        watching = self.reading()
+        listed = await self._dispatchers.list_completeness()
+        await self._ordered_ends.wait_until_caught_up()
         return FinishedRun(
             self.plan,
             self.history,
             self.processes,
             self.clients.tallies.values(),
-            reading,
+            watching,
             listed,
             self.listed_after,
             self.clients.lost_count,
@@ -192,12 +192,12 @@
     plan: FaultPlan, folder: Path | None = None, events: Path | None = None, source: Path | None = None
 ) -> Verdict:
     """Play a plan in a folder, or in one that is deleted afterwards; raises ``OSError``."""
-    where = folder or Path(tempfile.mkdtemp(prefix="heronlug-rig-"))
+    run_folder = folder or Path(tempfile.mkdtemp(prefix="heronlug-rig-"))
     try:
-        return asyncio.run(_play(plan, where, events, source))
+        return asyncio.run(_play(plan, run_folder, events, source))
     finally:
         if folder is None:
-            shutil.rmtree(where, ignore_errors=True)
+            shutil.rmtree(run_folder, ignore_errors=True)
 
 
 async def _play(plan: FaultPlan, folder: Path, events: Path | None, source: Path | None) -> Verdict:
--- a/heronlug/faults/history.py
+++ b/heronlug/faults/history.py
@@ -12,7 +12,7 @@
     def __init__(self, checker: Checker, path: Path | None = None) -> None:
         self.checker = checker
         self.steps: list[tuple[float, str]] = []  # what the script did, for people
-        self.began = time.time() * 1000
+        self.began_at_ms = time.time() * 1000
         self._offset = time.time_ns() - time.monotonic_ns()
         self._file = path.open("wb") if path is not None else None
 
@@ -22,17 +22,17 @@
 
     def elapsed_s(self) -> float:
         """Seconds since the run began."""
-        return (self.now() - self.began) / 1000
+        return (self.now() - self.began_at_ms) / 1000
 
-    def see(self, event: Event) -> None:
+    def record(self, event: Event) -> None:
         """One event."""
         self.checker.see(event)
         if self._file is not None:
             self._file.write(write(event))
 
-    def step(self, what: str) -> None:
+    def record_step(self, title: str) -> None:
         """The script has done something."""
-        self.steps.append((self.now() - self.began, what))
+        self.steps.append((self.now() - self.began_at_ms, title))
 
     def close(self) -> None:
         """No more."""
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -26,7 +26,7 @@
 """Connections that fill the queue of a socket with a backlog of 0."""
 TRICKLE_INTERVAL_S = 0.05
 """Seconds between two writes where the rate is bounded."""
-MAX_HELD_BYTES = 1 << 20
+MAX_PENDING_BYTES = 1 << 20
 """Bytes that are held in one direction of a connection before its sender is made to wait."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """The value of ``SO_LINGER`` with which a close sends a reset."""
@@ -67,13 +67,13 @@
     @property
     def blocked(self) -> bool:
         """Whether nothing gets through to the target, or nothing back."""
-        return self.refusing or self.queue_full or self.silent or self.forward.held or self.backward.held
+        return self.refusing or self.queue_full or self.silent or self.forward.stalled or self.backward.stalled
 
     def dial_outcome(self) -> DialOutcome:
         """What becomes of a new connection."""
         if self.refusing or self.target_gone:
             return DialOutcome.REFUSED
-        cut = (self.forward.held or self.backward.held) and not self.silent
+        cut = (self.forward.stalled or self.backward.stalled) and not self.silent
         return DialOutcome.UNANSWERED if self.queue_full or cut else DialOutcome.ACCEPTED
 
     def heal(self) -> None:
@@ -212,36 +212,36 @@
         """Bytes to pass on."""
         if self is self.connection.source_end and self.connection.listener is not None:
             self.connection.listener.bytes_written(data)
-        self._put(data)
+        self._enqueue(data)
 
     def eof_received(self) -> bool:
         """The end of what comes from here; the other way may go on."""
-        self._put(b"")
+        self._enqueue(b"")
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """This end has gone: a clean end has been passed on as such, a reset goes on as one, unless it is held."""
         self.transport = None
         if not self.ended:
-            self._put(b"")
+            self._enqueue(b"")
         self.connection.end_lost(self)
 
-    def take(self, size: int) -> None:
+    def remove_forwarded(self, size: int) -> None:
         """Remove bytes that have been forwarded, and read on where there is room again."""
         due_at, data = self.pending.popleft()
         if size < len(data):
             self.pending.appendleft((due_at, data[size:]))
         self.passed_bytes += size
         self.pending_bytes -= size
-        if self.transport is not None and self.pending_bytes <= MAX_HELD_BYTES // 2:
+        if self.transport is not None and self.pending_bytes <= MAX_PENDING_BYTES // 2:
             self.transport.resume_reading()
 
-    def _put(self, data: bytes) -> None:
+    def _enqueue(self, data: bytes) -> None:
         self.ended = self.ended or not data
-        when = asyncio.get_running_loop().time() + self.direction.delay_ms / 1000
-        self.pending.append((when, data))
+        due_at = asyncio.get_running_loop().time() + self.direction.delay_ms / 1000
+        self.pending.append((due_at, data))
         self.pending_bytes += len(data)
-        if self.pending_bytes > MAX_HELD_BYTES and self.transport is not None:
+        if self.pending_bytes > MAX_PENDING_BYTES and self.transport is not None:
             self.transport.pause_reading()
         self.connection.pump()
 
@@ -278,14 +278,14 @@
         """A side has gone; the other one hears of it as soon as its bytes have come through."""
         if side.other.transport is None:
             self.path.connections.discard(self)
-        elif not side.pending and not side.direction.held:
+        elif not side.pending and not side.direction.stalled:
             side.other.transport.abort()
         self.pump()
 
     def _forward(self, end: ConnectionEnd) -> float | None:
         """Forward what was read at an end; seconds until more may be forwarded, None for no more by itself."""
         direction, loop = end.direction, asyncio.get_running_loop()
-        while end.pending and not direction.held and end.other.transport is not None:
+        while end.pending and not direction.stalled and end.other.transport is not None:
             due_at, data = end.pending[0]
             if (wait := due_at - loop.time()) > 0:
                 return wait
@@ -296,7 +296,7 @@
             size = self._allowed_bytes(end, len(data))
             if size:
                 end.other.transport.write(data[:size])
-                end.take(size)
+                end.remove_forwarded(size)
             if direction.reset_after_bytes and end.passed_bytes >= direction.reset_after_bytes:
                 self.reset()
                 return None
@@ -342,14 +342,14 @@
             path.listener = ListeningProxy(path, address)
         return f"127.0.0.1:{path.listener.port}"
 
-    async def proxy_datagrams(self, real: dict[str, int]) -> dict[str, int]:
+    async def proxy_datagrams(self, party_ports: dict[str, int]) -> dict[str, int]:
         """A relay for each of these parties; the ports at which the others find them.
 
         What comes in at the relay of X is sent on to X from the relay of whoever sent it, so answers take the same way.
         """
-        ports = DatagramPorts({port: name for name, port in real.items()}, real)
+        ports = DatagramPorts({port: name for name, port in party_ports.items()}, party_ports)
         proxies: dict[str, DatagramProxy] = {}
-        for name in real:
+        for name in party_ports:
             proxy = DatagramProxy(name, ports, proxies, self)
             await asyncio.get_running_loop().create_datagram_endpoint(lambda proxy=proxy: proxy, ("127.0.0.1", 0))  # type: ignore[misc]
             proxies[name] = proxy
@@ -359,18 +359,18 @@
     def datagram_delay_ms(self, source: str, target: str) -> float | None:
         """By how much a datagram comes later; None where it is lost."""
         direction = self.path_between(source, target).forward
-        if direction.held or (direction.loss > 0 and self._random.random() < direction.loss):
+        if direction.stalled or (direction.loss > 0 and self._random.random() < direction.loss):
             return None
         return direction.delay_ms
 
     def paths_between(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[NetworkPath, bool]]:
         """The paths between these, each with whether it goes from a source to a target or back."""
-        froms, tos = set(sources), set(targets)
+        source_names, target_names = set(sources), set(targets)
         chosen = []
         for (source, target), path in self._paths.items():
-            if source in froms and target in tos:
+            if source in source_names and target in target_names:
                 chosen.append((path, True))
-            elif source in tos and target in froms:
+            elif source in target_names and target in source_names:
                 chosen.append((path, False))
         return chosen
 
--- a/heronlug/faults/observed_discovery.py
+++ b/heronlug/faults/observed_discovery.py
@@ -11,9 +11,9 @@
 from heronlug.faults.tasks import BackgroundTasks
 from heronlug.standins.discovery import Call, StandInDiscovery
 
-PARTY = "register"
+DISCOVERY_PARTY = "register"
 """The name of service discovery in a test plan."""
-STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
+CHECKER_STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
 """The checker's word for each lifecycle of the endpoint list."""
 
 
@@ -55,7 +55,7 @@
         self._tasks = tasks
         self._down = False
         self._unreachable: set[str] = set()
-        self._written: dict[str, WrittenList] = {}
+        self._written_lists: dict[str, WrittenList] = {}
 
     def set_down(self, down: bool) -> None:
         """End the service's process, or start it again; connections are refused meanwhile."""
@@ -63,14 +63,14 @@
         self.record_reachability(self.dispatcher_names)
         if down:
             self.stand_in.close()
-            self._network.set_target_gone(PARTY, True)
+            self._network.set_target_gone(DISCOVERY_PARTY, True)
         else:
             self._tasks.spawn(self._reopen())
 
     def record_reachability(self, names: Iterable[str]) -> None:
         """Record for which of these dispatchers discovery has become reachable, or is no longer."""
         for name in names:
-            cut = PARTY in self._plan.relays and self._network.path_between(name, PARTY).blocked
+            cut = DISCOVERY_PARTY in self._plan.relays and self._network.path_between(name, DISCOVERY_PARTY).blocked
             reachable = not self._down and not cut
             if reachable is (name not in self._unreachable):
                 continue
@@ -78,14 +78,14 @@
                 self._unreachable.discard(name)
             else:
                 self._unreachable.add(name)
-            self._history.see(Reachable(self._history.now(), name, reachable))
+            self._history.record(Reachable(self._history.now(), name, reachable))
 
     def record_shared_change(self, server: str, state: str) -> None:
         """Count a change as notified to all members of a cluster, also to those that do not poll, after a while."""
 
         def record() -> None:
             for name in self.dispatcher_names:
-                self._history.see(Listed(self._history.now(), name, server, STATES[state]))
+                self._history.record(Listed(self._history.now(), name, server, CHECKER_STATES[state]))
 
         if self._plan.dispatchers.cluster:
             asyncio.get_running_loop().call_later(self._plan.told_after_ms / 1000, record)
@@ -94,14 +94,14 @@
         """The whole list, as the platform gives it to a dispatcher before its first start."""
         instances = list(self.stand_in.instances.values())
         version = self.stand_in.version
-        self._written[name] = WrittenList(version, {each["instanceId"]: dict(each) for each in instances})
+        self._written_lists[name] = WrittenList(version, {each["instanceId"]: dict(each) for each in instances})
         return self.stand_in.table(name, version, instances, True)
 
     def last_written_list(self, name: str) -> dict[str, Any] | None:
         """The list as a dispatcher last held it; None where the platform does not give it one."""
-        if name not in self._written:
+        if name not in self._written_lists:
             return None
-        version, instances = self._written[name]
+        version, instances = self._written_lists[name]
         return self.stand_in.table(name, version, list(instances.values()), True)
 
     def listed_count(self) -> int:
@@ -111,26 +111,26 @@
     async def _reopen(self) -> None:
         for name in self.dispatcher_names:
             await self.stand_in.open(caller=name)
-        self._network.set_target_gone(PARTY, False)
+        self._network.set_target_gone(DISCOVERY_PARTY, False)
 
     def _record_call(self, call: Call) -> None:
-        self._history.see(Called(self._history.now(), call.caller, call.complete, call.rejected, call.waited_ms))
+        self._history.record(Called(self._history.now(), call.caller, call.complete, call.rejected, call.waited_ms))
 
     def _record_watch(self, caller: str, call: int, wait_ms: float) -> None:
-        self._history.see(Watching(self._history.now(), caller, call, wait_ms))
+        self._history.record(Watching(self._history.now(), caller, call, wait_ms))
         self.watched_after.setdefault(caller, self._history.elapsed_s())
 
     def _record_watch_end(self, caller: str, call: int) -> None:
-        self._history.see(WatchOver(self._history.now(), caller, call))
+        self._history.record(WatchOver(self._history.now(), caller, call))
 
     def _record_change(self, name: str, lifecycle: str) -> None:
-        self._history.see(Changed(self._history.now(), name, STATES[lifecycle]))
+        self._history.record(Changed(self._history.now(), name, CHECKER_STATES[lifecycle]))
 
     def _record_list(self, caller: str, instances: list[dict[str, Any]], complete: bool) -> None:
         now = self._history.now()
         if self._plan.dispatchers.platform:
-            before = {} if complete or caller not in self._written else self._written[caller].instances
+            previous = {} if complete or caller not in self._written_lists else self._written_lists[caller].instances
             update = {each["instanceId"]: dict(each) for each in instances}
-            self._written[caller] = WrittenList(self.stand_in.version, before | update)
+            self._written_lists[caller] = WrittenList(self.stand_in.version, previous | update)
         for instance in instances:
-            self._history.see(Listed(now, caller, instance["instanceId"], STATES[instance["lifecycle"]]))
+            self._history.record(Listed(now, caller, instance["instanceId"], CHECKER_STATES[instance["lifecycle"]]))
--- a/heronlug/faults/observed_load.py
+++ b/heronlug/faults/observed_load.py
@@ -42,7 +42,7 @@
         self.incarnation_of[job.txn] = self._dispatchers.processes[name].incarnation
         remaining_ms = max(1.0, request_class.deadline_ms - (self.now() - job.due.due_at))
         once = request_class.effect == "once"
-        self._history.see(Taken(now, name, job.txn, request_class.name, once, now + remaining_ms))
+        self._history.record(Taken(now, name, job.txn, request_class.name, once, now + remaining_ms))
 
     def ended(self, job: SentRequest, how: str) -> None:
         """A request is over."""
--- a/heronlug/faults/ordering.py
+++ b/heronlug/faults/ordering.py
@@ -20,7 +20,7 @@
 """The name of the path of the marks; no party of a test plan has it."""
 
 
-class _Mark(asyncio.Protocol):
+class _MarkReceiver(asyncio.Protocol):
     def __init__(self, received: Callable[[], None]) -> None:
         self._mark_received = received
 
@@ -33,7 +33,7 @@
 
     def __init__(self, network: FaultyNetwork) -> None:
         self._network = network
-        self._waiting: deque[Callable[[], None]] = deque()
+        self._pending_ends: deque[Callable[[], None]] = deque()
         self._covered_count = 0  # of these, what was there when the latest mark was sent
         self._mark_socket: socket.socket | None = None
         self._server: asyncio.Server | None = None
@@ -42,7 +42,7 @@
     async def open(self) -> None:
         """Listen for marks; raises ``OSError``."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Mark(self._mark_received), "127.0.0.1", 0)
+        self._server = await loop.create_server(lambda: _MarkReceiver(self._mark_received), "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self._address = split_address(
             self._network.proxy_connections(MARK_PARTY, MARK_PARTY, lambda: f"127.0.0.1:{port}")
@@ -50,10 +50,10 @@
 
     def report(self, end: Callable[[], None]) -> None:
         """Call ``end`` when all that has come by now has been read, after all ends that were reported before."""
-        self._waiting.append(end)
+        self._pending_ends.append(end)
         self._send_mark()
 
-    async def caught_up(self) -> None:
+    async def wait_until_caught_up(self) -> None:
         """Wait until all that has come by now has been read and recorded."""
         recorded = asyncio.Event()
         self.report(recorded.set)
@@ -61,14 +61,14 @@
 
     def close(self) -> None:
         """Record what still waits, and send no more marks."""
-        self._covered_count = len(self._waiting)
+        self._covered_count = len(self._pending_ends)
         self._mark_received()
         if self._server is not None:
             self._server.close()
 
     def _send_mark(self) -> None:
-        if self._mark_socket is None and self._waiting:
-            self._covered_count = len(self._waiting)
+        if self._mark_socket is None and self._pending_ends:
+            self._covered_count = len(self._pending_ends)
             self._mark_socket = socket.create_connection(self._address)  # on loopback, with room in the queue: at once
             self._mark_socket.send(b"\0")
 
@@ -78,6 +78,6 @@
             self._mark_socket = None
         while self._covered_count:
             self._covered_count -= 1
-            self._waiting.popleft()()
+            self._pending_ends.popleft()()
         if self._server is not None and self._server.is_serving():
             self._send_mark()
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -20,16 +20,16 @@
 Count = Annotated[int, Meta(ge=0, le=4000, description="a whole number, 0 to 4000")]
 Millis = Annotated[float, Meta(ge=0, le=3_600_000, description="milliseconds, 0 to an hour")]
 Seconds = Annotated[float, Meta(ge=0, le=3600, description="seconds, 0 to an hour")]
-Most = Annotated[float, Meta(ge=0, le=1e9, description="a figure, 0 or more")]
-Names = Annotated[list[str], Meta(min_length=1, description="a list of names")]
+NonNegative = Annotated[float, Meta(ge=0, le=1e9, description="a figure, 0 or more")]
+NameList = Annotated[list[str], Meta(min_length=1, description="a list of names")]
 Flag = Annotated[bool, Meta(description="true or false")]
 
-PROCESS = ("kill", "stop", "go", "start", "term", "replace", "hup")  # of dispatchers
-BETWEEN = ("cut", "silent", "refuse", "full", "reset", "delay", "loss", "trickle", "half", "heal")  # of paths
-REGISTER = ("down", "up", "hang", "speak", "anew", "costs", "turn")  # of the register itself
-HOSTS = ("die", "back", "list", "slow")  # of runners
-DOING = (*PROCESS, *BETWEEN, *REGISTER, *HOSTS)
-LASTING = {  # what ``for_s`` takes back
+DISPATCHER_ACTIONS = ("kill", "stop", "go", "start", "term", "replace", "hup")  # of dispatchers
+PATH_ACTIONS = ("cut", "silent", "refuse", "full", "reset", "delay", "loss", "trickle", "half", "heal")  # of paths
+DISCOVERY_ACTIONS = ("down", "up", "hang", "speak", "anew", "costs", "turn")  # of the register itself
+SERVER_ACTIONS = ("die", "back", "list", "slow")  # of runners
+ACTIONS = (*DISPATCHER_ACTIONS, *PATH_ACTIONS, *DISCOVERY_ACTIONS, *SERVER_ACTIONS)
+TIMED_ACTIONS = {  # what ``for_s`` takes back
     "cut",
     "silent",
     "refuse",
@@ -96,14 +96,14 @@
     work_ms: Millis = 50.0  # the mean; each job's is drawn from 0.5 to 1.5 times that
     aim_ms: Millis = 1000.0
     deadline_ms: Millis = 5000.0
-    worth: Most = 1.0
+    worth: NonNegative = 1.0
 
 
 class Step(Struct, forbid_unknown_fields=True, rename={"source": "from", "target": "to"}):
     """One thing that happens."""
 
     at_s: Seconds
-    do: Annotated[Literal[DOING], Meta(description="one of " + ", ".join(DOING))]  # type: ignore[valid-type]
+    do: Annotated[Literal[ACTIONS], Meta(description="one of " + ", ".join(ACTIONS))]  # type: ignore[valid-type]
     who: list[str] = field(default_factory=list)  # whom it befalls
     source: list[str] = field(default_factory=lambda: ["*"])  # of paths
     target: list[str] = field(default_factory=lambda: ["*"])
@@ -130,11 +130,11 @@
 class ExpectTable(Struct, forbid_unknown_fields=True):
     """What has to hold beside the four rules.  What is absent is not asked for."""
 
-    calls_most: Most | None = None
-    calls_in_1s_most: Most | None = None
-    calls_in_100ms_most: Most | None = None
-    dials_in_1s_most: Most | None = None  # at any one runner
-    turned_most: Most | None = None
+    calls_most: NonNegative | None = None
+    calls_in_1s_most: NonNegative | None = None
+    calls_in_100ms_most: NonNegative | None = None
+    dials_in_1s_most: NonNegative | None = None  # at any one runner
+    turned_most: NonNegative | None = None
     listed: Flag = False  # every dispatcher that lives has the whole list in the end
     reading: list[int] | None = None  # at least and at most so many watch the register in the end
     served_least: Share | None = None  # of the jobs whose clients did not lose their dispatcher
@@ -150,7 +150,7 @@
     dispatchers: Any
     seed: Annotated[int, Meta(ge=0, le=2**31, description="a whole number, 0 or more")] = 1
     begin: Annotated[Literal["start", "listed"], Meta(description='"start" or "listed"')] = "start"
-    halls: Names = field(default_factory=lambda: ["a"])
+    halls: NameList = field(default_factory=lambda: ["a"])
     slack_ms: Millis = 1000.0  # granted to answers and to drains, for clocks and a busy machine
     told_after_ms: Millis = 4000.0  # who does not read itself counts as told of a change after this
     relays: Annotated[
@@ -173,7 +173,7 @@
         dispatchers = [f"d{number}" for number in range(self.dispatchers.count)]
         return [*dispatchers, *(f"r{number}" for number in range(self.runners.count)), "register", "clients"]
 
-    def names(self, party: str) -> bool:
+    def has_party(self, party: str) -> bool:
         """Whether it is the name of a party, with no look at all the others."""
         count = {"d": self.dispatchers.count, "r": self.runners.count}.get(party[:1], 0)
         number = party[1:]
@@ -181,7 +181,7 @@
             return party in ("register", "clients")
         return int(number) < int(count)
 
-    def hall(self, party: str) -> str:
+    def zone_of(self, party: str) -> str:
         """Where a party stands; the register and the clients stand nowhere."""
         return self.halls[int(party[1:]) % len(self.halls)] if party[1:].isdigit() else ""
 
@@ -202,36 +202,36 @@
 
 def parse(source: Source) -> FaultPlan:
     """The script of a file; raises :class:`ConfigProblems`."""
-    script, faults = decode(FaultPlan, source.table, source, ())
-    if script is None:
-        raise ConfigProblems(faults)
-    for key, kind in TABLES.items():
-        made, wrong = decode(kind, getattr(script, key), source, (key,))
-        setattr(script, key, made)
-        faults += wrong
-    for key, kind in LISTS.items():
+    plan, problems = decode(FaultPlan, source.table, source, ())
+    if plan is None:
+        raise ConfigProblems(problems)
+    for key, table_type in TABLES.items():
+        decoded, found = decode(table_type, getattr(plan, key), source, (key,))
+        setattr(plan, key, decoded)
+        problems += found
+    for key, table_type in LISTS.items():
         attribute = "classes" if key == "class" else key
         listed = []
-        for number, table in enumerate(getattr(script, attribute)):
-            made, wrong = decode(kind, table, source, (key, number))
-            listed.append(made)
-            faults += wrong
-        setattr(script, attribute, listed)
-    if not faults:
-        faults = _wrong(script, source)
-    if faults:
-        raise ConfigProblems(faults)
-    return script
-
-
-def _wrong(plan: FaultPlan, source: Source) -> list[ConfigProblem]:
+        for number, table in enumerate(getattr(plan, attribute)):
+            decoded, found = decode(table_type, table, source, (key, number))
+            listed.append(decoded)
+            problems += found
+        setattr(plan, attribute, listed)
+    if not problems:
+        problems = _cross_table_problems(plan, source)
+    if problems:
+        raise ConfigProblems(problems)
+    return plan
+
+
+def _cross_table_problems(plan: FaultPlan, source: Source) -> list[ConfigProblem]:
     """What is wrong among the tables."""
     problems: list[ConfigProblem] = []
     for number, step in enumerate(plan.step):
         problems += _step_problems(step, number, plan, source)
-    for place, selector in enumerate(plan.dispatchers.later):
-        if not choose([selector], plan, Random(1)):
-            problems.append(source.problem(("dispatchers", "later", place), f"{selector!r} names nobody", "such as d3"))
+    for index, selector in enumerate(plan.dispatchers.later):
+        if not select_parties([selector], plan, Random(1)):
+            problems.append(source.problem(("dispatchers", "later", index), f"{selector!r} names nobody", "such as d3"))
     bounds = plan.expect.reading
     if bounds is not None and (len(bounds) != 2 or bounds[0] > bounds[1]):
         problems.append(source.problem(("expect", "reading"), f"{bounds} is no span", "such as [1, 2]"))
@@ -244,47 +244,47 @@
 def _step_problems(step: Step, number: int, plan: FaultPlan, source: Source) -> list[ConfigProblem]:
     """What is wrong with one step, which is the ``number``-th of the file."""
     problems = []
-    at = ("step", number)
+    step_key = ("step", number)
     if step.at_s >= plan.span_s:
-        problems.append(source.problem((*at, "at_s"), "after the end", f"less than {plan.span_s:g}"))
-    if step.do in (*PROCESS, *HOSTS) and not step.who:
-        problems.append(source.problem((*at, "who"), "nobody", 'such as ["d0"]'))
-    if step.for_s is not None and step.do not in LASTING:
-        right = "no for_s; it can be taken back of " + ", ".join(sorted(LASTING))
-        problems.append(source.problem((*at, "for_s"), f"{step.do!r} is over at once", right))
+        problems.append(source.problem((*step_key, "at_s"), "after the end", f"less than {plan.span_s:g}"))
+    if step.do in (*DISPATCHER_ACTIONS, *SERVER_ACTIONS) and not step.who:
+        problems.append(source.problem((*step_key, "who"), "nobody", 'such as ["d0"]'))
+    if step.for_s is not None and step.do not in TIMED_ACTIONS:
+        accepted = "no for_s; it can be taken back of " + ", ".join(sorted(TIMED_ACTIONS))
+        problems.append(source.problem((*step_key, "for_s"), f"{step.do!r} is over at once", accepted))
     for key, selectors in (("who", step.who), ("from", step.source), ("to", step.target)):
-        for place, selector in enumerate(selectors):
-            if selector != "reading" and not choose([selector], plan, Random(1), ["d0"]):
+        for index, selector in enumerate(selectors):
+            if selector != "reading" and not select_parties([selector], plan, Random(1), ["d0"]):
                 wrong = f"{selector!r} names nobody"
-                problems.append(source.problem((*at, key, place), wrong, "a party of the script"))
+                problems.append(source.problem((*step_key, key, index), wrong, "a party of the script"))
     return problems
 
 
-def choose(selectors: list[str], script: FaultPlan, rng: Random, reading: list[str] | None = None) -> list[str]:
+def select_parties(selectors: list[str], plan: FaultPlan, rng: Random, reading: list[str] | None = None) -> list[str]:
     """The parties that selectors name, each once, in order."""
     chosen: dict[str, None] = {}
     for selector in selectors:
-        chosen.update(dict.fromkeys(_chosen(selector, script, rng, reading or [])))
+        chosen.update(dict.fromkeys(_parties_of(selector, plan, rng, reading or [])))
     return list(chosen)
 
 
-def _chosen(selector: str, script: FaultPlan, rng: Random, reading: list[str]) -> list[str]:
+def _parties_of(selector: str, plan: FaultPlan, rng: Random, reading: list[str]) -> list[str]:
     if selector == "reading":
         return reading
-    if script.names(selector):
+    if plan.has_party(selector):
         return [selector]
     head, colon, rest = selector.partition(":")
     value, _, pattern = rest.partition("/")
     if colon and head == "hall":
-        return [p for p in script.parties if script.hall(p) == value and fnmatchcase(p, pattern or "*")]
+        return [p for p in plan.parties if plan.zone_of(p) == value and fnmatchcase(p, pattern or "*")]
     if colon and head == "share":
-        there = [p for p in script.parties if fnmatchcase(p, pattern or "d*")]
+        candidates = [p for p in plan.parties if fnmatchcase(p, pattern or "d*")]
         try:
-            count = round(float(value) * len(there))
+            count = round(float(value) * len(candidates))
         except ValueError:
             return []
-        return sorted(rng.sample(there, min(len(there), max(0, count))), key=there.index)
+        return sorted(rng.sample(candidates, min(len(candidates), max(0, count))), key=candidates.index)
     if colon and head == "but":
         names = rest.split(",")
-        return [p for p in script.parties if p.startswith("d") and not any(fnmatchcase(p, n) for n in names)]
-    return [p for p in script.parties if fnmatchcase(p, selector)]
+        return [p for p in plan.parties if p.startswith("d") and not any(fnmatchcase(p, n) for n in names)]
+    return [p for p in plan.parties if fnmatchcase(p, selector)]
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -17,50 +17,50 @@
 from heronlug.faults.plan import FaultPlan
 from heronlug.standins.ports import starting
 
-HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
+SIGHUP_IGNORING_EXEC = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
 UTIME = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
 STOP_WITHIN_S = 15.0
 """Seconds within which a process ends after SIGTERM; then it is killed."""
-LOG_LOST = 0.2  # s before the end of a log that is cut off, in which lines may be missing
+LOG_LOSS_WINDOW_S = 0.2  # s before the end of a log that is cut off, in which lines may be missing
 
-FILE = Template("""\
-log_level = "{{ 'debug' if s.dispatchers.log_taken else 'info' }}"
+CONFIG_TEMPLATE = Template("""\
+log_level = "{{ 'debug' if plan.dispatchers.log_taken else 'info' }}"
 [serve]
 name = "{{ name }}"
-listen = "127.0.0.1:{{ door }}"
-operators = "127.0.0.1:{{ operators }}"
+listen = "127.0.0.1:{{ frontend_port }}"
+operators = "127.0.0.1:{{ admin_port }}"
 discovery = "{{ discovery }}"
 position = {{ position }}
 peers = [{% for address in peers %}"{{ address }}", {% endfor %}]
 sockets = 1024
 memory_mb = 256
 [site]
-dispatchers = {{ s.dispatchers.count }}
-zones = [{% for hall in s.halls %}"{{ hall }}", {% endfor %}]
-{% if s.dispatchers.leave_halls %}leave_halls = true{% endif %}
+dispatchers = {{ plan.dispatchers.count }}
+zones = [{% for zone in plan.halls %}"{{ zone }}", {% endfor %}]
+{% if plan.dispatchers.leave_halls %}leave_halls = true{% endif %}
 kinds = ["m1"]
-cold_from = {{ s.runners.cold_from }}
-warm_after_ms = {{ s.runners.warm_after_ms }}
-tip_multiple = {{ s.runners.tip_multiple }}
-overload_for_ms = {{ s.runners.overload_for_ms }}
-{% for lane in s.classes or [none] %}
+cold_from = {{ plan.runners.cold_from }}
+warm_after_ms = {{ plan.runners.warm_after_ms }}
+tip_multiple = {{ plan.runners.tip_multiple }}
+overload_for_ms = {{ plan.runners.overload_for_ms }}
+{% for request_class in plan.classes or [none] %}
 [[site.class]]
-name = "{{ lane.name if lane else 'job' }}"
-effect = "{{ lane.effect if lane else 'repeatable' }}"
-aim_ms = {{ lane.aim_ms if lane else 500 }}
-deadline_ms = {{ lane.deadline_ms if lane else 5000 }}
-worth = {{ lane.worth if lane else 1 }}
-{% if lane and lane.effect == "by_key" %}repeat_window_ms = {{ lane.deadline_ms }}{% endif %}
+name = "{{ request_class.name if request_class else 'job' }}"
+effect = "{{ request_class.effect if request_class else 'repeatable' }}"
+aim_ms = {{ request_class.aim_ms if request_class else 500 }}
+deadline_ms = {{ request_class.deadline_ms if request_class else 5000 }}
+worth = {{ request_class.worth if request_class else 1 }}
+{% if request_class and request_class.effect == "by_key" %}repeat_window_ms = {{ request_class.deadline_ms }}{% endif %}
 {% endfor %}
-{% if s.dispatchers.cluster %}
+{% if plan.dispatchers.cluster %}
 [cluster]
 name = "{{ name }}"
-listen = "127.0.0.1:{{ member }}"
-advertise = "127.0.0.1:{{ advertised }}"
+listen = "127.0.0.1:{{ member_port }}"
+advertise = "127.0.0.1:{{ advertised_port }}"
 seeds = [{% for seed in seeds %}"127.0.0.1:{{ seed }}", {% endfor %}]
 key_files = ["key"]
 [cluster.register]
-share = "{{ s.dispatchers.cluster }}"
+share = "{{ plan.dispatchers.cluster }}"
 {% endif %}
 {{ more }}
 """)
@@ -77,9 +77,9 @@
 class Process:
     """One dispatcher: its file, and at most one process of it."""
 
-    def __init__(self, name: str, folder: Path, operators: int, source: Path | None = None) -> None:
+    def __init__(self, name: str, folder: Path, admin_port: int, source: Path | None = None) -> None:
         """``source`` is the folder of another version of the program, in place of this one."""
-        self.name, self.folder, self.admin_port, self.source = name, folder, operators, source
+        self.name, self.folder, self.admin_port, self.source = name, folder, admin_port, source
         self.child: subprocess.Popen[bytes] | None = None
         self.should_run = False  # it should run
         self.stop_requested_at_s: float | None = None  # when it was told to end, on the monotonic clock
@@ -98,18 +98,29 @@
             return
         self.should_run, self.stop_requested_at_s = True, None
         self.incarnation += 1
-        private = self.folder / f"{self.name}.tmp{self.incarnation}"
-        private.mkdir()
+        temporary_folder = self.folder / f"{self.name}.tmp{self.incarnation}"
+        temporary_folder.mkdir()
         with (self.folder / f"{self.name}.log").open("ab") as log, starting:
             file, platform = str(self.folder / f"{self.name}.toml"), self.folder / f"{self.name}.json"
-            told = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
+            platform_environment = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
             self.child = subprocess.Popen(
-                [*HOLD_OFF, sys.executable, "-m", "heronlug", *(() if told else ("serve", file))],
+                [
+                    *SIGHUP_IGNORING_EXEC,
+                    sys.executable,
+                    "-m",
+                    "heronlug",
+                    *(() if platform_environment else ("serve", file)),
+                ],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
                 cwd=self.source,
-                env={**os.environ, "TMPDIR": str(private), "HERONLUG_CONTROL": str(private / "control"), **told},
+                env={
+                    **os.environ,
+                    "TMPDIR": str(temporary_folder),
+                    "HERONLUG_CONTROL": str(temporary_folder / "control"),
+                    **platform_environment,
+                },
             )
 
     def signal(self, number: signal.Signals) -> None:
@@ -170,8 +181,8 @@
     def logged_events(self, event: str) -> list[dict[str, Any]]:
         """The lines of its log that tell of such an event."""
         text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
-        told = [orjson.loads(line) for line in text.splitlines() if f'"event":"{event}"'.encode() in line]
-        return [line for line in told if line["event"] == event]
+        matching = [orjson.loads(line) for line in text.splitlines() if f'"event":"{event}"'.encode() in line]
+        return [line for line in matching if line["event"] == event]
 
     def unanswered_requests(self) -> list[str]:
         """What it has taken and neither answered nor seen its client leave, but in lives that were killed outright.
@@ -179,19 +190,21 @@
         A log's last lines may be lost with the process, so what it took just before them is not counted.
         """
         text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
-        lives: list[list[dict[str, Any]]] = []
+        incarnations: list[list[dict[str, Any]]] = []
         for line in (orjson.loads(line) for line in text.splitlines() if line.startswith(b"{") and line.endswith(b"}")):
             if line["event"] == "started":
-                lives.append([])
-            elif line["event"] in ("taken", "answer", "client_gone") and lives:
-                lives[-1].append(line)
-        found = []
-        for life in (life for number, life in enumerate(lives, 1) if life and number not in self.killed_incarnations):
-            over = {line["id"] for line in life if line["event"] != "taken"}
-            sure = life[-1]["at"] - LOG_LOST
-            taken = [line["id"] for line in life if line["event"] == "taken" and line["at"] < sure]
-            found += [name for name in taken if name not in over]
-        return found
+                incarnations.append([])
+            elif line["event"] in ("taken", "answer", "client_gone") and incarnations:
+                incarnations[-1].append(line)
+        unanswered = []
+        for lines in (
+            lines for number, lines in enumerate(incarnations, 1) if lines and number not in self.killed_incarnations
+        ):
+            ended = {line["id"] for line in lines if line["event"] != "taken"}
+            complete_until_s = lines[-1]["at"] - LOG_LOSS_WINDOW_S
+            taken = [line["id"] for line in lines if line["event"] == "taken" and line["at"] < complete_until_s]
+            unanswered += [name for name in taken if name not in ended]
+        return unanswered
 
     def log_errors(self) -> list[str]:
         """What no log may hold."""
@@ -203,26 +216,26 @@
     process: Process,
     plan: FaultPlan,
     *,
-    door: int,
+    frontend_port: int,
     discovery: str,
     peers: list[str],
-    member: int,
-    advertised: int,
+    member_port: int,
+    advertised_port: int,
     seeds: list[int],
 ) -> None:
     """The operators' file of a dispatcher."""
     position = int(process.name[1:])
     more = plan.dispatchers.more.replace("{name}", process.name).replace("{folder}", str(process.folder))
-    text = FILE.render(
-        s=plan,
+    text = CONFIG_TEMPLATE.render(
+        plan=plan,
         name=process.name,
-        door=door,
-        operators=process.admin_port,
+        frontend_port=frontend_port,
+        admin_port=process.admin_port,
         position=position,
         discovery=discovery,
         peers=peers,
-        member=member,
-        advertised=advertised,
+        member_port=member_port,
+        advertised_port=advertised_port,
         seeds=seeds,
         more=more,
     )
@@ -236,15 +249,15 @@
     """
     path = process.folder / f"{process.name}.toml"
     source = Source.read(path)
-    raw, faults = read_object(source)
+    raw, problems = read_object(source)
     if raw is None:
-        raise ConfigProblems(faults)
+        raise ConfigProblems(problems)
     (process.folder / f"{process.name}.json").write_bytes(orjson.dumps(raw))
-    write_known(process, known)
+    write_known_list(process, known)
     path.write_text(f'log_level = "{source.table["log_level"]}"\n')
 
 
-def write_known(process: Process, known: dict[str, Any]) -> None:
+def write_known_list(process: Process, known: dict[str, Any]) -> None:
     """Another ``known`` list, for the process's next start."""
     path = process.folder / f"{process.name}.json"
     path.write_bytes(orjson.dumps({**orjson.loads(path.read_bytes()), "known": known}))
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -12,8 +12,8 @@
 from heronlug.faults.history import History
 from heronlug.faults.plan import FaultPlan
 from heronlug.standins.discovery import StandInDiscovery
-from heronlug.standins.fleet import Server
-from heronlug.standins.live import LiveLine
+from heronlug.standins.fleet import ServerEndpoint
+from heronlug.standins.live import LiveTimeline
 from heronlug.standins.ports import free_port
 
 MACHINE_TYPE = "m1"
@@ -22,23 +22,23 @@
 def load_classes_of(plan: FaultPlan) -> dict[str, ClassTable]:
     """The script's classes as the stand-ins know them."""
     return {
-        lane.name: ClassTable(
-            lane.name,
-            lane.effect,
-            lane.aim_ms,
-            lane.deadline_ms,
+        request_class.name: ClassTable(
+            request_class.name,
+            request_class.effect,
+            request_class.aim_ms,
+            request_class.deadline_ms,
             {"dist": "uniform"},
-            lane.worth,
+            request_class.worth,
         )
-        for lane in plan.classes
+        for request_class in plan.classes
     }
 
 
 class RequestListener:
     """Hears the requests of one connection as they are written, though a cut may hold them."""
 
-    def __init__(self, written: Callable[[str], None]) -> None:
-        self._written, self._txn = written, ""
+    def __init__(self, on_request_written: Callable[[str], None]) -> None:
+        self._on_request_written, self._txn = on_request_written, ""
         self._parser: Any = httptools.HttpRequestParser(self)
 
     def bytes_written(self, data: bytes) -> None:
@@ -56,7 +56,7 @@
 
     def on_message_complete(self) -> None:
         """The last byte has been written."""
-        self._written(self._txn)
+        self._on_request_written(self._txn)
 
 
 class StandInServers:
@@ -65,19 +65,19 @@
     def __init__(
         self,
         plan: FaultPlan,
-        register: StandInDiscovery,
+        discovery: StandInDiscovery,
         history: History,
-        sender: Callable[[str], str],
-        gone: Callable[[str, bool], None],
+        dispatcher_of: Callable[[str], str],
+        set_gone: Callable[[str, bool], None],
     ) -> None:
         """``sender`` knows the dispatcher that a request was handed to; ``gone`` hears of processes that end."""
-        self.plan, self.register, self.history = plan, register, history
-        self.lanes = load_classes_of(plan)
-        self.works: dict[str, Draws] = {}  # each job brings its own
-        self.line = LiveLine()
+        self.plan, self.discovery, self.history = plan, discovery, history
+        self.request_classes = load_classes_of(plan)
+        self.work_draws: dict[str, Draws] = {}  # each job brings its own
+        self.timeline = LiveTimeline()
         self.emulated_servers: dict[str, EmulatedServer] = {}
-        self.endpoints: dict[str, Server] = {}
-        self._sender, self._gone = sender, gone
+        self.endpoints: dict[str, ServerEndpoint] = {}
+        self._dispatcher_of, self._set_gone = dispatcher_of, set_gone
         table = plan.runners
         self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
 
@@ -87,13 +87,13 @@
         for number in range(table.count):
             name = f"r{number}"
             kind = ServerKind(MACHINE_TYPE, table.slots, 1.0, table.queue)
-            host = self.emulated_servers[name] = EmulatedServer(
-                name, kind, number % len(self.plan.halls), self.line, self._warmth
+            server = self.emulated_servers[name] = EmulatedServer(
+                name, kind, number % len(self.plan.halls), self.timeline, self._warmth
             )
-            host.on_overload, host.on_execution_start = self._tipped, self._began
+            server.on_overload, server.on_execution_start = self._handle_overload, self._record_execution_start
             if table.cold:
-                host.start()
-            self.endpoints[name] = Server(self, host)
+                server.start()
+            self.endpoints[name] = ServerEndpoint(self, server)
             self.endpoints[name].port = free_port()
             await self.endpoints[name].open()
             self.list_as(name, "active")
@@ -104,12 +104,12 @@
 
     def list_as(self, name: str, state: str) -> None:
         """The register has it so."""
-        host = self.emulated_servers[name]
-        started = round(self._unix(host.started_at)) if host.started_at else 0
-        self.register.put(
+        server = self.emulated_servers[name]
+        started = round(self._unix_ms(server.started_at)) if server.started_at else 0
+        self.discovery.put(
             name,
             hostPort=self.address(name),
-            zone=self.plan.halls[host.zone],
+            zone=self.plan.halls[server.zone],
             machineType=MACHINE_TYPE,
             lifecycle=state,
             startedAtMs=started,
@@ -119,49 +119,51 @@
         """Its process ends."""
         self.emulated_servers[name].stop()
         self.endpoints[name].close()
-        self._gone(name, True)
+        self._set_gone(name, True)
 
     async def restart(self, name: str, cold: bool) -> None:
         """A new process at the same address."""
-        host = self.emulated_servers[name]
+        server = self.emulated_servers[name]
         if cold:
-            host.start()
+            server.start()
         else:
-            host.up = True
-        self._gone(name, False)
+            server.up = True
+        self._set_gone(name, False)
         await self.endpoints[name].open()
         self.list_as(name, "active")
 
     def close(self) -> None:
         """End all."""
-        for server in self.endpoints.values():
-            server.close()
+        for endpoint in self.endpoints.values():
+            endpoint.close()
 
     # -- what the sockets tell
 
-    def dialled(self, host: EmulatedServer) -> None:
+    def connection_accepted(self, server: EmulatedServer) -> None:
         """A connection has come up."""
-        self.history.see(Dialled(self.history.now(), host.name))
+        self.history.record(Dialled(self.history.now(), server.name))
 
-    def came(self, host: EmulatedServer, txn: str) -> None:
+    def request_received(self, server: EmulatedServer, txn: str) -> None:
         """A whole request has come; where a relay stands before the runner, it was sent when that heard it."""
         if "runners" not in self.plan.relays:
-            self.request_sent(host.name, txn)
+            self.request_sent(server.name, txn)
 
     def request_sent(self, name: str, txn: str) -> None:
         """A dispatcher has written a whole request."""
-        self.history.see(Sent(self.history.now(), self._sender(txn), txn, name))
+        self.history.record(Sent(self.history.now(), self._dispatcher_of(txn), txn, name))
 
     # -- inside
 
-    def _unix(self, at: float) -> float:
-        return self.history.now() - (self.line.now - at)
+    def _unix_ms(self, at: float) -> float:
+        return self.history.now() - (self.timeline.now - at)
 
-    def _began(self, host: EmulatedServer, run: Execution) -> None:
-        request: Any = run.owner
-        self.history.see(Began(self.history.now(), host.name, request.txn))
+    def _record_execution_start(self, server: EmulatedServer, execution: Execution) -> None:
+        request: Any = execution.owner
+        self.history.record(Began(self.history.now(), server.name, request.txn))
 
-    def _tipped(self, host: EmulatedServer) -> None:
-        stands = self._warmth.overload_multiple * host.capacity()
-        self.history.see(Load(self.history.now(), host.name, host.occupied_slots / stands, host.warming_up))
-        self.stop(host.name)
+    def _handle_overload(self, server: EmulatedServer) -> None:
+        overload_slots = self._warmth.overload_multiple * server.capacity()
+        self.history.record(
+            Load(self.history.now(), server.name, server.occupied_slots / overload_slots, server.warming_up)
+        )
+        self.stop(server.name)
--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -20,44 +20,46 @@
     Step,
 )
 
-SPAN = 18.0  # s
-FIRST, LAST = 1.0, 9.0  # s: when steps begin
-PLATFORM = 0.8  # of all runs
+SPAN_S = 18.0  # s
+FIRST_STEP_S, LAST_STEP_S = 1.0, 9.0  # s: when steps begin
+PLATFORM_SHARE = 0.8  # of all runs
 EFFECTS: tuple[Literal["repeatable", "by_key", "once"], ...] = ("repeatable", "by_key", "once")
 
 
 def draw(seed: int) -> FaultPlan:
     """The plan of a seed."""
     rng = Random(seed)
-    dispatchers, runners = rng.randint(2, 4), rng.randint(3, 8)
+    dispatcher_count, server_count = rng.randint(2, 4), rng.randint(3, 8)
     plan = FaultPlan(
         name=f"soak-{seed}",
-        span_s=SPAN,
+        span_s=SPAN_S,
         seed=seed,
         halls=["a", "b"][: rng.randint(1, 2)],
         dispatchers=DispatchersTable(
-            count=dispatchers, peers=rng.random() < 0.5, log_taken=True, platform=rng.random() < PLATFORM
+            count=dispatcher_count, peers=rng.random() < 0.5, log_taken=True, platform=rng.random() < PLATFORM_SHARE
         ),
         register=RegisterTable(call_ms=rng.choice([0.0, 5.0, 150.0])),
-        runners=RunnersTable(count=runners, slots=rng.randint(2, 6), warm_after_ms=5000.0, cold=rng.random() < 0.3),
+        runners=RunnersTable(
+            count=server_count, slots=rng.randint(2, 6), warm_after_ms=5000.0, cold=rng.random() < 0.3
+        ),
         classes=[_class(rng, number) for number in range(rng.randint(1, 3))],
         expect=ExpectTable(),
     )
     for _ in range(rng.randint(3, 7)):
-        plan.step += rng.choice(FAULTS)(rng, rng.uniform(FIRST, LAST), plan)
+        plan.step += rng.choice(FAULTS)(rng, rng.uniform(FIRST_STEP_S, LAST_STEP_S), plan)
     plan.step.sort(key=lambda step: step.at_s)
     return plan
 
 
 def _class(rng: Random, number: int) -> ClassTable:
-    deadline = rng.choice([1500.0, 2500.0, 3000.0])
+    deadline_ms = rng.choice([1500.0, 2500.0, 3000.0])
     return ClassTable(
         name=f"class{number}",
         rate=rng.uniform(4, 15),
         effect=rng.choice(EFFECTS),
         work_ms=rng.choice([30.0, 80.0, 300.0]),
-        aim_ms=deadline / 3,
-        deadline_ms=deadline,
+        aim_ms=deadline_ms / 3,
+        deadline_ms=deadline_ms,
     )
 
 
@@ -65,139 +67,139 @@
     return [f"d{rng.randrange(plan.dispatchers.count)}"]
 
 
-def _some_runners(rng: Random, plan: FaultPlan) -> list[str]:
+def _some_servers(rng: Random, plan: FaultPlan) -> list[str]:
     count = rng.randint(1, max(1, plan.runners.count // 2))
     return [f"r{number}" for number in rng.sample(range(plan.runners.count), count)]
 
 
-def _killed(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _dispatcher_killed(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="kill", who=_dispatcher(rng, plan), for_s=rng.uniform(0.1, 2))]
 
 
-def _replaced(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _dispatchers_replaced(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """One after the other, and signals in series: a second SIGTERM changes nothing."""
     who = [f"d{number}" for number in range(plan.dispatchers.count)][: rng.randint(1, 2)]
     return [Step(at_s=at + 2.0 * number, do="replace", who=[name]) for number, name in enumerate(who)]
 
 
-def _held_up(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _dispatcher_paused(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="stop", who=_dispatcher(rng, plan), for_s=rng.choice([0.1, 0.15]))]
 
 
-def _reloaded(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _dispatchers_reloaded(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at + 0.3 * number, do="hup", who=["d*"]) for number in range(rng.randint(1, 3))]
 
 
-def _register_down(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _discovery_down(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="down", for_s=rng.uniform(0.5, 5))]
 
 
-def _register_silent(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    what, span = rng.choice(["silent", "cut"]), rng.uniform(1, 4)
-    return [Step(at_s=at, do=what, source=["d*"], target=["register"], for_s=span)]
+def _discovery_silent(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+    fault, span_s = rng.choice(["silent", "cut"]), rng.uniform(1, 4)
+    return [Step(at_s=at, do=fault, source=["d*"], target=["register"], for_s=span_s)]
 
 
-def _register_slow(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _discovery_slow(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="delay", source=["d*"], target=["register"], ms=rng.uniform(20, 400), for_s=3.0)]
 
 
-def _register_reset(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _discovery_reset(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [Step(at_s=at, do="reset", source=["d*"], target=["register"])]
 
 
-def _register_refuses(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _discovery_rejects(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """It is at hand and turns calls away, while watches break and servers drain."""
-    refused = Step(at_s=at, do="turn", share=rng.choice([0.7, 1.0]), for_s=rng.uniform(2, 12))
-    return [refused, *_register_reset(rng, at + 0.1, plan), *_runners_drain(rng, at + 0.3, plan)]
+    rejecting = Step(at_s=at, do="turn", share=rng.choice([0.7, 1.0]), for_s=rng.uniform(2, 12))
+    return [rejecting, *_discovery_reset(rng, at + 0.1, plan), *_servers_drain(rng, at + 0.3, plan)]
 
 
-def _register_hangs(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _discovery_hangs(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """It takes calls and says nothing, while watches break and servers drain."""
-    hung = Step(at_s=at, do="hang", for_s=rng.uniform(2, 12))
-    return [hung, *_register_reset(rng, at + 0.1, plan), *_runners_drain(rng, at + 0.3, plan)]
+    hanging = Step(at_s=at, do="hang", for_s=rng.uniform(2, 12))
+    return [hanging, *_discovery_reset(rng, at + 0.1, plan), *_servers_drain(rng, at + 0.3, plan)]
 
 
-def _register_in_half(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _discovery_answers_cut(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """Answers stop half-way, or drip."""
-    what, size = rng.choice([("half", 120), ("trickle", 400)])
-    return [Step(at_s=at, do=what, source=["d*"], target=["register"], bytes=size, for_s=rng.uniform(1, 5))]
+    fault, size = rng.choice([("half", 120), ("trickle", 400)])
+    return [Step(at_s=at, do=fault, source=["d*"], target=["register"], bytes=size, for_s=rng.uniform(1, 5))]
 
 
-def _away(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _dispatcher_misses_removal(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """Dispatchers are away while servers leave, and come back with the list of before."""
-    who, since = _dispatcher(rng, plan), min(at, 4.0)
-    gone = Step(at_s=since + 0.4, do="list", who=_some_runners(rng, plan), state="left")
-    return [Step(at_s=since, do="kill", who=who, for_s=rng.uniform(7, 10)), gone]
+    who, since_s = _dispatcher(rng, plan), min(at, 4.0)
+    removed = Step(at_s=since_s + 0.4, do="list", who=_some_servers(rng, plan), state="left")
+    return [Step(at_s=since_s, do="kill", who=who, for_s=rng.uniform(7, 10)), removed]
 
 
-def _runners_reset(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _servers_reset(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [
-        Step(at_s=at + 0.2 * number, do="reset", source=["d*"], target=_some_runners(rng, plan))
+        Step(at_s=at + 0.2 * number, do="reset", source=["d*"], target=_some_servers(rng, plan))
         for number in range(rng.randint(1, 4))
     ]
 
 
-def _runners_cut(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _servers_cut(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [
         Step(
             at_s=at,
             do=rng.choice(["cut", "silent", "refuse"]),
             source=["d*"],
-            target=_some_runners(rng, plan),
+            target=_some_servers(rng, plan),
             for_s=rng.uniform(0.5, 3),
         )
     ]
 
 
-def _runners_late(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _servers_delayed(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     return [
         Step(
             at_s=at,
             do="delay",
             source=["d*"],
-            target=_some_runners(rng, plan),
+            target=_some_servers(rng, plan),
             ms=rng.uniform(20, 700),
             for_s=rng.uniform(0.5, 3),
         )
     ]
 
 
-def _runners_die(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    return [Step(at_s=at, do="die", who=_some_runners(rng, plan), for_s=rng.uniform(0.5, 4))]
+def _servers_die(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+    return [Step(at_s=at, do="die", who=_some_servers(rng, plan), for_s=rng.uniform(0.5, 4))]
 
 
-def _runners_drain(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+def _servers_drain(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
     """They begin to drain, and have left later."""
-    who = _some_runners(rng, plan)
+    who = _some_servers(rng, plan)
     return [
         Step(at_s=at, do="list", who=who, state="leaving"),
         Step(at_s=at + rng.uniform(0.2, 4), do="list", who=who, state=rng.choice(["left", "active"])),
     ]
 
 
-def _runners_slow(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    return [Step(at_s=at, do="slow", who=_some_runners(rng, plan), factor=rng.uniform(2, 20), for_s=3.0)]
+def _servers_slow(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
+    return [Step(at_s=at, do="slow", who=_some_servers(rng, plan), factor=rng.uniform(2, 20), for_s=3.0)]
 
 
 FAULTS: tuple[Any, ...] = (
-    _killed,
-    _replaced,
-    _replaced,
-    _held_up,
-    _reloaded,
-    _register_down,
-    _register_silent,
-    _register_slow,
-    _register_reset,
-    _register_refuses,
-    _register_hangs,
-    _register_in_half,
-    _away,
-    _runners_reset,
-    _runners_cut,
-    _runners_late,
-    _runners_die,
-    _runners_drain,
-    _runners_drain,
-    _runners_slow,
+    _dispatcher_killed,
+    _dispatchers_replaced,
+    _dispatchers_replaced,
+    _dispatcher_paused,
+    _dispatchers_reloaded,
+    _discovery_down,
+    _discovery_silent,
+    _discovery_slow,
+    _discovery_reset,
+    _discovery_rejects,
+    _discovery_hangs,
+    _discovery_answers_cut,
+    _dispatcher_misses_removal,
+    _servers_reset,
+    _servers_cut,
+    _servers_delayed,
+    _servers_die,
+    _servers_drain,
+    _servers_drain,
+    _servers_slow,
 )
--- a/heronlug/faults/steps.py
+++ b/heronlug/faults/steps.py
@@ -8,8 +8,16 @@
 from heronlug.faults.dispatchers import Dispatchers
 from heronlug.faults.history import History
 from heronlug.faults.network import FaultyNetwork, NetworkPath
-from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
-from heronlug.faults.plan import HOSTS, LASTING, PROCESS, REGISTER, FaultPlan, Step, choose
+from heronlug.faults.observed_discovery import DISCOVERY_PARTY, ObservedDiscovery
+from heronlug.faults.plan import (
+    DISCOVERY_ACTIONS,
+    DISPATCHER_ACTIONS,
+    SERVER_ACTIONS,
+    TIMED_ACTIONS,
+    FaultPlan,
+    Step,
+    select_parties,
+)
 from heronlug.faults.servers import StandInServers
 from heronlug.faults.tasks import BackgroundTasks
 
@@ -46,27 +54,27 @@
         for number, name in enumerate(parties or [""]):
             if number and step.every_s:
                 await asyncio.sleep(step.every_s)
-            self._history.step(f"{step.do} {name}".strip())
+            self._history.record_step(f"{step.do} {name}".strip())
             undo = await self._apply(step, name)
-            if step.for_s is not None and step.do in LASTING:
+            if step.for_s is not None and step.do in TIMED_ACTIONS:
                 self._tasks.spawn(self._undo_later(step.for_s, f"end of {step.do} {name}".strip(), undo))
 
     def _choose(self, selectors: list[str]) -> list[str]:
-        return choose(selectors, self._plan, self._random, self._discovery.stand_in.watching())
+        return select_parties(selectors, self._plan, self._random, self._discovery.stand_in.watching())
 
     async def _undo_later(self, seconds: float, title: str, undo: Undo) -> None:
         await asyncio.sleep(seconds)
-        self._history.step(title)
+        self._history.record_step(title)
         done = undo()
         if done is not None:
             await done
 
     async def _apply(self, step: Step, name: str) -> Undo:
-        if step.do in PROCESS:
+        if step.do in DISPATCHER_ACTIONS:
             return await self._dispatchers.apply(step, name)
-        if step.do in HOSTS:
+        if step.do in SERVER_ACTIONS:
             return await self._apply_to_server(step, name)
-        if step.do in REGISTER:
+        if step.do in DISCOVERY_ACTIONS:
             return self._apply_to_discovery(step)
         return self._apply_to_paths(step)
 
@@ -107,7 +115,7 @@
         def set_faults(active: bool) -> None:
             for path, forward in chosen:
                 _set_fault(step, path, forward, active)
-                if path.name[1] == PARTY:
+                if path.name[1] == DISCOVERY_PARTY:
                     self._discovery.record_reachability([path.name[0]])
 
         set_faults(True)
@@ -136,7 +144,7 @@
 
 def _set_direction_fault(step: Step, direction: Direction, active: bool) -> None:
     if step.do in ("cut", "silent"):
-        direction.held = active
+        direction.stalled = active
     elif step.do == "delay":
         direction.delay_ms = step.ms if active else 0.0
     elif step.do == "loss":
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -42,10 +42,10 @@
     history: History
     processes: Mapping[str, Process]
     tallies: Iterable[Tally]
-    reading: list[str]  # dispatchers that watched discovery in the end
+    watching: list[str]  # dispatchers that watched discovery in the end
     listed: dict[str, bool]  # of those that ran in the end, whether they had the whole list
     listed_after: dict[str, float]  # s until a dispatcher had its list
-    lost_with: int  # requests that ended with their dispatcher
+    lost_with_dispatcher: int  # requests that ended with their dispatcher
     list_bytes: int
     failures: list[str]  # of the rig, and processes that ended by themselves
 
@@ -55,8 +55,8 @@
     checker = run.history.checker
     verdict = Verdict(run.plan.name, checker.finish(run.history.now()), list(run.failures))
     verdict.steps, verdict.figures = run.history.steps, _figures(run)
-    verdict.faults += _missed(run, verdict.figures)
-    verdict.faults += _failed_relays(run, verdict.figures)
+    verdict.faults += _unmet_expectations(run, verdict.figures)
+    verdict.faults += _failed_attempts(run, verdict.figures)
     for process in run.processes.values():
         if run.plan.dispatchers.log_taken:
             verdict.faults += [
@@ -68,7 +68,7 @@
 
 def _figures(run: FinishedRun) -> dict[str, Any]:
     checker, tallies = run.history.checker, list(run.tallies)
-    dials = {host: rush.most for host, rush in checker.statistics.dial_peaks.items()}
+    dials = {server: peak.most for server, peak in checker.statistics.dial_peaks.items()}
     after = sorted(run.listed_after.values())
     used = [process.usage() for process in run.processes.values() if process.running]
     return {
@@ -77,13 +77,13 @@
         "calls turned away": checker.statistics.rejected_calls,
         "most calls in 100 ms": checker.statistics.short_call_peak.most,
         "most calls in 1 s": checker.statistics.long_call_peak.most,
-        "reading in the end": len(run.reading),
+        "reading in the end": len(run.watching),
         "listed in the end": sum(run.listed.values()),
         "running in the end": len(run.listed),
         "first and last listed after s": (round(after[0], 2), round(after[-1], 2)) if after else None,
         "jobs": sum(tally.request_count for tally in tallies),
         "served": sum(tally.outcomes["on_time"] + tally.outcomes["late"] for tally in tallies),
-        "lost with their dispatcher": run.lost_with,
+        "lost with their dispatcher": run.lost_with_dispatcher,
         "most dials at a runner in 1 s": max(dials.values(), default=0),
         "dials": sum(checker.statistics.dials.values()),
         "most of what a cold runner stands": round(checker.statistics.warmup_peak_load, 2),
@@ -104,29 +104,29 @@
     }
 
 
-def _missed(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
+def _unmet_expectations(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
     """What was expected of the figures and is not so."""
     expect, faults = run.plan.expect, []
     for name, most in _bounds(expect).items():
         if most is not None and figures[name] > most:
             faults.append(f"{name}: {figures[name]}, at most {most:g} expected")
     if expect.listed and not all(run.listed.values()):
-        without = [name for name, has in run.listed.items() if not has]
+        without = [name for name, has_list in run.listed.items() if not has_list]
         faults.append(f"without the whole list in the end: {', '.join(without)}")
-    if expect.reading is not None and not expect.reading[0] <= len(run.reading) <= expect.reading[1]:
-        faults.append(f"reading in the end: {', '.join(run.reading) or 'nobody'}; {expect.reading} expected")
-    counted = figures["jobs"] - run.lost_with
+    if expect.reading is not None and not expect.reading[0] <= len(run.watching) <= expect.reading[1]:
+        faults.append(f"reading in the end: {', '.join(run.watching) or 'nobody'}; {expect.reading} expected")
+    counted = figures["jobs"] - run.lost_with_dispatcher
     if expect.served_least is not None and figures["served"] < expect.served_least * counted:
         share = f"at least {expect.served_least:g} of them expected"
         faults.append(f"served: {figures['served']} of {counted}, {share}")
     return faults
 
 
-def _failed_relays(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
+def _failed_attempts(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
     """The bounds on attempts into a zone that fail; their counts go into the figures."""
     faults = []
     for table in run.plan.expect.failed:
-        count = sum(_failures(run, process, table) for process in run.processes.values())
+        count = sum(_count_failed_attempts(run, process, table) for process in run.processes.values())
         name = f"failed relays into {table.hall}, {table.from_s:g} to {table.to_s:g} s"
         figures[name] = count
         if count > table.most:
@@ -134,11 +134,11 @@
     return faults
 
 
-def _failures(run: FinishedRun, process: Process, table: FailedTable) -> int:
+def _count_failed_attempts(run: FinishedRun, process: Process, table: FailedTable) -> int:
     """How many attempts a dispatcher began into a zone between two times that it says have failed."""
     count = 0
     for line in process.logged_events("relay_ended"):
-        at = (line["at"] * 1000 - line["ms"] - run.history.began) / 1000
-        there = run.plan.hall(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
-        count += there and table.from_s <= at < table.to_s
+        at = (line["at"] * 1000 - line["ms"] - run.history.began_at_ms) / 1000
+        counts = run.plan.zone_of(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
+        count += counts and table.from_s <= at < table.to_s
     return count
--- a/heronlug/standins/discovery.py
+++ b/heronlug/standins/discovery.py
@@ -81,14 +81,16 @@
         self.reject_share = 0.0
         self.connections: set[Connection] = set()
         self.on_poll: Callable[[Call], None] = lambda call: None
-        self.on_list_written: Callable[[str, list[dict[str, Any]], bool], None] = lambda caller, instances, whole: None
+        self.on_list_written: Callable[[str, list[dict[str, Any]], bool], None] = (
+            lambda caller, instances, complete: None
+        )
         self.on_watch: Callable[[str, int, float], None] = lambda caller, call, wait_ms: None
         self.on_watch_end: Callable[[str, int], None] = lambda caller, call: None
         self.on_change: Callable[[str, str], None] = lambda name, lifecycle: None
         self.address_of: Callable[[str, str, str], str] = lambda caller, name, address: address
         self._random = Random(seed)
-        self._free_at = 0.0
-        self._watches = 0
+        self._idle_at_ms = 0.0
+        self._watch_count = 0
         self._changed: list[tuple[int, str]] = []
         self._servers: dict[str, asyncio.AbstractServer] = {}
         self._ports: dict[str, int] = {}
@@ -115,14 +117,14 @@
         for server in self._servers.values():
             server.close()
         self._servers.clear()
-        self._free_at = 0.0
+        self._idle_at_ms = 0.0
         for connection in list(self.connections):
             connection.abort()
 
     def put(self, name: str, **fields: Any) -> None:
         """A new instance, or other values of one: ``hostPort``, ``zone``, ``machineType``, ``lifecycle`` and so on."""
-        given = {"instanceId": name, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0, "cell": 0}
-        self.instances[name] = {**given, **self.instances.get(name, {}), **fields}
+        defaults = {"instanceId": name, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0, "cell": 0}
+        self.instances[name] = {**defaults, **self.instances.get(name, {}), **fields}
         self.version += 1
         self.on_change(name, self.instances[name]["lifecycle"])
         self._changed.append((self.version, name))
@@ -132,9 +134,9 @@
 
     def begin_watch(self, connection: "Connection") -> None:
         """A call begins to wait."""
-        self._watches += 1
-        connection.call = self._watches
-        self.on_watch(connection.caller, connection.call, connection.wait)
+        self._watch_count += 1
+        connection.call_number = self._watch_count
+        self.on_watch(connection.caller, connection.call_number, connection.wait_ms)
 
     def restart_versions(self) -> None:
         """Versions begin again, as after a restart that lost them."""
@@ -143,19 +145,19 @@
 
     def list_after(self, after: int | None, caller: str = "") -> bytes:
         """What is newer than a version, or all."""
-        kept = not self._changed or after is None or self._changed[0][0] <= after + 1
-        if after is None or after > self.version or not kept:
-            instances, whole = [*self.instances.values()], True
+        covered = not self._changed or after is None or self._changed[0][0] <= after + 1
+        if after is None or after > self.version or not covered:
+            instances, complete = [*self.instances.values()], True
         else:
             names = dict.fromkeys(name for version, name in self._changed if version > after)
-            instances, whole = [self.instances[name] for name in names], False
-        self.on_list_written(caller, instances, whole)
-        return orjson.dumps(self.table(caller, self.version, instances, whole))
+            instances, complete = [self.instances[name] for name in names], False
+        self.on_list_written(caller, instances, complete)
+        return orjson.dumps(self.table(caller, self.version, instances, complete))
 
-    def table(self, caller: str, version: int, instances: list[dict[str, Any]], whole: bool) -> dict[str, Any]:
+    def table(self, caller: str, version: int, instances: list[dict[str, Any]], complete: bool) -> dict[str, Any]:
         """A list in the protocol's form, as a caller sees the addresses."""
-        there = [{**i, "hostPort": self.address_of(caller, i["instanceId"], i["hostPort"])} for i in instances]
-        return {"generation": version, "reset": whole, "instances": there}
+        visible = [{**i, "hostPort": self.address_of(caller, i["instanceId"], i["hostPort"])} for i in instances]
+        return {"generation": version, "reset": complete, "instances": visible}
 
     def watching(self) -> list[str]:
         """The callers whose watch waits for news now."""
@@ -163,13 +165,13 @@
 
     def enqueue_poll(self) -> float | None:
         """A call has come: ms until it has been worked through, or None where it is turned away."""
-        now = time.monotonic() * 1000
-        wait = max(0.0, self._free_at - now)
-        if wait > self.max_wait_ms or (self.reject_share and self._random.random() < self.reject_share):
-            self._free_at = max(now, self._free_at) + self.reject_cost_ms
+        now_ms = time.monotonic() * 1000
+        queue_ms = max(0.0, self._idle_at_ms - now_ms)
+        if queue_ms > self.max_wait_ms or (self.reject_share and self._random.random() < self.reject_share):
+            self._idle_at_ms = max(now_ms, self._idle_at_ms) + self.reject_cost_ms
             return None
-        self._free_at = now + wait + self.call_ms
-        return wait + self.call_ms
+        self._idle_at_ms = now_ms + queue_ms + self.call_ms
+        return queue_ms + self.call_ms
 
 
 class Connection(asyncio.Protocol):
@@ -181,11 +183,11 @@
         self._transport: asyncio.Transport | None = None
         self._target = b""
         self._after: int | None = None
-        self.wait = 0.0
+        self.wait_ms = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._unanswered = False  # a call waits for its answer
+        self._call_pending = False  # a call waits for its answer
         self.watching = False  # it waits for something new
-        self.call = 0  # the number of the call that waits for an answer; 0 for none
+        self.call_number = 0  # the number of the call that waits for an answer; 0 for none
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A dispatcher has connected."""
@@ -196,7 +198,7 @@
         """It has gone."""
         self._discovery.connections.discard(self)
         self._end_call()
-        self.watching = self._unanswered = False
+        self.watching = self._call_pending = False
         if self._timer is not None:
             self._timer.cancel()
 
@@ -224,49 +226,49 @@
             self._write(http.response(404))
             return
         self._after = int(query["after"]) if "after" in query else None
-        self.wait = min(MAX_WATCH_MS, float(query.get("wait_ms", 0)))
-        self._unanswered = True
-        wait = self._discovery.enqueue_poll()
-        whole = not self._after or self._after > self._discovery.version
-        self._discovery.on_poll(Call(self.caller, whole, wait is None, wait or 0.0))
-        if wait is None:
-            self._unanswered = False
+        self.wait_ms = min(MAX_WATCH_MS, float(query.get("wait_ms", 0)))
+        self._call_pending = True
+        queue_ms = self._discovery.enqueue_poll()
+        complete = not self._after or self._after > self._discovery.version
+        self._discovery.on_poll(Call(self.caller, complete, queue_ms is None, queue_ms or 0.0))
+        if queue_ms is None:
+            self._call_pending = False
             self._write(http.response(503, retry_after=self._discovery.retry_after_ms))
-        elif wait > 0:
-            self._timer = asyncio.get_running_loop().call_later(wait / 1000, self._work)
+        elif queue_ms > 0:
+            self._timer = asyncio.get_running_loop().call_later(queue_ms / 1000, self._process_call)
         else:
-            self._work()
+            self._process_call()
 
     def update_available(self) -> None:
         """Something is new."""
         if self.watching:
             self._answer()
 
-    def _work(self) -> None:
+    def _process_call(self) -> None:
         """Its turn has come: answered at once, or it waits for something new."""
         self._timer = None
-        if self._after is None or self.wait <= 0 or self._discovery.version != self._after:
+        if self._after is None or self.wait_ms <= 0 or self._discovery.version != self._after:
             self._answer()
-        elif self._unanswered:
+        elif self._call_pending:
             self.watching = True
             self._discovery.begin_watch(self)
-            self._timer = asyncio.get_running_loop().call_later(self.wait / 1000, self._answer)
+            self._timer = asyncio.get_running_loop().call_later(self.wait_ms / 1000, self._answer)
 
     def _answer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer, self.watching = None, False  # who is silent now has fallen silent for good
-        if self._unanswered and not self._discovery.silent:
-            self._unanswered = False
+        if self._call_pending and not self._discovery.silent:
+            self._call_pending = False
             self._discovery.answered_polls += 1
             self._write(http.response(200, self._discovery.list_after(self._after, self.caller)))
             self._end_call()
 
     def _end_call(self) -> None:
         """The call that waited is answered, or can be no more."""
-        if self.call:
-            self._discovery.on_watch_end(self.caller, self.call)
-            self.call = 0
+        if self.call_number:
+            self._discovery.on_watch_end(self.caller, self.call_number)
+            self.call_number = 0
 
     def _write(self, data: bytes) -> None:
         self._discovery.written_bytes += len(data)
--- a/heronlug/standins/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -20,25 +20,25 @@
 from heronlug.emulator.scenario import ClassTable, Scenario
 from heronlug.emulator.servers import EmulatedServer, Execution, ExecutionState, ServerKind, WarmupModel
 from heronlug.standins.discovery import StandInDiscovery
-from heronlug.standins.live import LiveLine
+from heronlug.standins.live import LiveTimeline
 
-WORDS = {state: word for word, state in STATES.items()}
-PROGRESS = 1000.0  # ms between words of a job that runs
-ELSEWHERE = ("partition", "dispatcher-kill")  # troubles that no fleet of hosts can play
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+LIFECYCLES = {state: word for word, state in STATES.items()}
+PROGRESS_INTERVAL_MS = 1000.0  # ms between words of a job that runs
+UNSUPPORTED_FAULTS = ("partition", "dispatcher-kill")  # troubles that no fleet of hosts can play
+REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Owner(Protocol):
+class EndpointOwner(Protocol):
     """What a host's socket has to know of the fleet that it belongs to."""
 
-    lanes: dict[str, ClassTable]
-    works: dict[str, Draws]
-    line: LiveLine
+    request_classes: dict[str, ClassTable]
+    work_draws: dict[str, Draws]
+    timeline: LiveTimeline
 
-    def dialled(self, host: EmulatedServer) -> None:
+    def connection_accepted(self, server: EmulatedServer) -> None:
         """A connection to it has come up."""
 
-    def came(self, host: EmulatedServer, txn: str) -> None:
+    def request_received(self, server: EmulatedServer, txn: str) -> None:
         """A whole request has come to it."""
 
 
@@ -49,127 +49,136 @@
         self, scenario: Scenario, seed: int | None = None, record: Callable[[Event], None] | None = None
     ) -> None:
         self.scenario, self.seed = scenario, scenario.seed if seed is None else seed
-        self.line: LiveLine
-        self.troubles: ServerFaultInjector
-        self.register, self.hosts = StandInDiscovery(), dict[str, EmulatedServer]()
-        self.servers: dict[str, Server] = {}
+        self.timeline: LiveTimeline
+        self.fault_injector: ServerFaultInjector
+        self.discovery, self.hosts = StandInDiscovery(), dict[str, EmulatedServer]()
+        self.endpoints: dict[str, ServerEndpoint] = {}
         self._record = record
         safety = scenario.safety
         self._warmth = WarmupModel(safety.cold_from, safety.warm_after_ms, safety.tip_multiple, safety.overload_for_ms)
-        self.lanes = {lane.name: lane for lane in scenario.classes}
-        self.works = {
-            lane.name: Draws(distribution(lane.work), stream(self.seed, "work", lane.name)) for lane in scenario.classes
+        self.request_classes = {request_class.name: request_class for request_class in scenario.classes}
+        self.work_draws = {
+            request_class.name: Draws(distribution(request_class.work), stream(self.seed, "work", request_class.name))
+            for request_class in scenario.classes
         }
         self._began_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
-        self.fell = 0
+        self.overload_count = 0
 
     async def open(self, port: int = 0) -> int:
         """Start all hosts and the register; returns the register's port.  Raises ``OSError``."""
-        self.line = LiveLine()
+        self.timeline = LiveTimeline()
         for pool_number, pool in enumerate(self.scenario.pool):
             kind = next(each for each in self.scenario.kind if each.name == pool.kind)
             zone = self.scenario.zones.index(pool.zone) if pool.zone else 0
-            made = ServerKind(kind.name, kind.slots, kind.speed, kind.queue, kind.order)
+            server_kind = ServerKind(kind.name, kind.slots, kind.speed, kind.queue, kind.order)
             for number in range(pool.count):
-                await self._add(f"{pool.kind}-{pool_number}-{number}", made, zone)
-        return await self.register.open(port=port)
+                await self._add(f"{pool.kind}-{pool_number}-{number}", server_kind, zone)
+        return await self.discovery.open(port=port)
 
     def begin(self) -> None:
         """The scenario's time starts: its troubles come from now on."""
-        self.line._began = LiveLine()._began
-        self.troubles = _fault_injector(self)
+        self.timeline._began_ns = LiveTimeline()._began_ns
+        self.fault_injector = _fault_injector(self)
 
     def close(self) -> None:
         """End everything."""
         for task in self._tasks:
             task.cancel()
-        for server in self.servers.values():
-            server.close()
-        self.register.close()
+        for endpoint in self.endpoints.values():
+            endpoint.close()
+        self.discovery.close()
 
     # -- what troubles ask
 
-    def lose(self, host: EmulatedServer) -> None:
+    def stop_server(self, server: EmulatedServer) -> None:
         """Its process ends: connections are reset, new ones refused."""
-        host.stop()
-        self.servers[host.name].close()
+        server.stop()
+        self.endpoints[server.name].close()
 
-    def list_host(self, host: EmulatedServer, state: ServerState) -> None:
+    def list_server(self, server: EmulatedServer, state: ServerState) -> None:
         """The register has it so."""
-        kind = host.kind.name
-        started = host.started_at and self.unix(host.started_at)
-        self.register.put(
-            host.name,
-            hostPort=f"127.0.0.1:{self.servers[host.name].port}",
-            zone=self.scenario.zones[host.zone],
+        kind = server.kind.name
+        started = server.started_at and self.unix_ms(server.started_at)
+        self.discovery.put(
+            server.name,
+            hostPort=f"127.0.0.1:{self.endpoints[server.name].port}",
+            zone=self.scenario.zones[server.zone],
             machineType=kind,
-            lifecycle=WORDS[state],
+            lifecycle=LIFECYCLES[state],
             startedAtMs=round(started),
         )
-        if state is ServerState.READY and not self.servers[host.name].listening:
-            self._do(self.servers[host.name].open())
+        if state is ServerState.READY and not self.endpoints[server.name].listening:
+            self._spawn(self.endpoints[server.name].open())
 
-    def replace(self, host: EmulatedServer) -> None:
+    def replace_server(self, server: EmulatedServer) -> None:
         """A cold successor under a name of its own."""
-        base, _, number = host.name.partition("+")
-        self._do(self._succeed(f"{base}+{int(number or 0) + 1}", host))
+        base, _, number = server.name.partition("+")
+        self._spawn(self._start_successor(f"{base}+{int(number or 0) + 1}", server))
 
-    def unix(self, at: float) -> float:
+    def unix_ms(self, at: float) -> float:
         """A time of the line as Unix milliseconds."""
-        return time.time() * 1000 - (self.line.now - at)
+        return time.time() * 1000 - (self.timeline.now - at)
 
-    def tell(self, event: Event) -> None:
+    def record_event(self, event: Event) -> None:
         """For whoever records."""
         if self._record is not None:
             self._record(event)
 
-    def dialled(self, host: EmulatedServer) -> None:
+    def connection_accepted(self, server: EmulatedServer) -> None:
         """A connection to a host has come up."""
-        self.tell(Dialled(self.unix(self.line.now), host.name))
+        self.record_event(Dialled(self.unix_ms(self.timeline.now), server.name))
 
-    def came(self, host: EmulatedServer, txn: str) -> None:
+    def request_received(self, server: EmulatedServer, txn: str) -> None:
         """Who sent it is not known here."""
 
     # -- inside
 
-    def _do(self, work: Any) -> None:
+    def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _add(self, name: str, kind: ServerKind, zone: int) -> EmulatedServer:
-        host = self.hosts[name] = EmulatedServer(name, kind, zone, self.line, self._warmth)
-        host.on_overload, host.on_execution_start = self._tipped, self._began
-        server = self.servers[name] = Server(self, host)
-        await server.open()
-        self.list_host(host, ServerState.READY)
-        return host
-
-    async def _succeed(self, name: str, host: EmulatedServer) -> None:
-        self.hosts.pop(host.name, None)
-        successor = await self._add(name, host.kind, host.zone)
-        successor.slowdown = host.slowdown
+        server = self.hosts[name] = EmulatedServer(name, kind, zone, self.timeline, self._warmth)
+        server.on_overload, server.on_execution_start = self._handle_overload, self._record_execution_start
+        endpoint = self.endpoints[name] = ServerEndpoint(self, server)
+        await endpoint.open()
+        self.list_server(server, ServerState.READY)
+        return server
+
+    async def _start_successor(self, name: str, server: EmulatedServer) -> None:
+        self.hosts.pop(server.name, None)
+        successor = await self._add(name, server.kind, server.zone)
+        successor.slowdown = server.slowdown
         successor.start()
-        self.list_host(successor, ServerState.READY)
-
-    def _tipped(self, host: EmulatedServer) -> None:
-        self.fell += 1
-        stands = self._warmth.overload_multiple * host.capacity()
-        self.tell(Load(self.unix(self.line.now), host.name, host.occupied_slots / stands, host.warming_up))
-        self.troubles.crash_server(host)
+        self.list_server(successor, ServerState.READY)
+
+    def _handle_overload(self, server: EmulatedServer) -> None:
+        self.overload_count += 1
+        overload_slots = self._warmth.overload_multiple * server.capacity()
+        self.record_event(
+            Load(
+                self.unix_ms(self.timeline.now), server.name, server.occupied_slots / overload_slots, server.warming_up
+            )
+        )
+        self.fault_injector.crash_server(server)
 
-    def _began(self, host: EmulatedServer, run: Execution) -> None:
-        self.tell(Began(self.unix(self.line.now), host.name, run.owner.txn))
+    def _record_execution_start(self, server: EmulatedServer, execution: Execution) -> None:
+        self.record_event(Began(self.unix_ms(self.timeline.now), server.name, execution.owner.txn))
 
 
 class _FaultTarget:
     """A fleet on sockets, as faults are injected into it."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.timeline, self.servers = fleet.line, fleet.hosts
-        self.stop_server, self.list_server, self.replace_server = fleet.lose, fleet.list_host, fleet.replace
-        self._discovery = fleet.register
+        self.timeline, self.servers = fleet.timeline, fleet.hosts
+        self.stop_server, self.list_server, self.replace_server = (
+            fleet.stop_server,
+            fleet.list_server,
+            fleet.replace_server,
+        )
+        self._discovery = fleet.discovery
 
     def silence_discovery(self) -> None:
         """Let service discovery answer nothing."""
@@ -183,15 +192,15 @@
 def _fault_injector(fleet: Fleet) -> ServerFaultInjector:
     """Injects the faults of the fleet's scenario that a fleet of servers can have."""
     scenario = fleet.scenario
-    faults = [fault for fault in scenario.trouble if fault.what not in ELSEWHERE]
+    faults = [fault for fault in scenario.trouble if fault.what not in UNSUPPORTED_FAULTS]
     return ServerFaultInjector(_FaultTarget(fleet), faults, scenario.zones, fleet.seed)
 
 
-class Server:
+class ServerEndpoint:
     """One host's listening socket; the port stays the same for its next process."""
 
-    def __init__(self, fleet: Owner, host: EmulatedServer) -> None:
-        self.fleet, self.host = fleet, host
+    def __init__(self, owner: EndpointOwner, server: EmulatedServer) -> None:
+        self.owner, self.server = owner, server
         self.port = 0
         self.connections: set[Connection] = set()
         self._server: asyncio.AbstractServer | None = None
@@ -221,27 +230,27 @@
 class Connection(asyncio.Protocol):
     """One connection of a dispatcher: one request at a time."""
 
-    def __init__(self, server: Server) -> None:
-        self.server = server
+    def __init__(self, endpoint: ServerEndpoint) -> None:
+        self.endpoint = endpoint
         self.txn = ""
         self._parser: Any = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._headers: dict[bytes, bytes] = {}
         self._body = b""
-        self._run: Execution | None = None
+        self._execution: Execution | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A dispatcher has dialled."""
         self._transport = cast(asyncio.Transport, transport)
-        self.server.connections.add(self)
-        self.server.fleet.dialled(self.server.host)
+        self.endpoint.connections.add(self)
+        self.endpoint.owner.connection_accepted(self.endpoint.server)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Gone: what waits or runs for it is dropped."""
-        self.server.connections.discard(self)
-        run, self._run = self._run, None
-        if run is not None:
-            self.server.host.cancel(run)
+        self.endpoint.connections.discard(self)
+        execution, self._execution = self._execution, None
+        if execution is not None:
+            self.endpoint.server.cancel(execution)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of a request; what is no HTTP ends the connection."""
@@ -273,52 +282,54 @@
 
     def on_message_complete(self) -> None:
         """The last byte: the job is here."""
-        fleet, host = self.server.fleet, self.server.host
-        lane = fleet.lanes.get(self._headers.get(b"x-lane", b"").decode("latin-1"))
+        owner, server = self.endpoint.owner, self.endpoint.server
+        request_class = owner.request_classes.get(self._headers.get(b"x-lane", b"").decode("latin-1"))
         self.txn = self._headers.get(b"x-txn", b"").decode("latin-1")
-        if lane is None or not self.txn:
+        if request_class is None or not self.txn:
             self._write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
             return
-        fleet.came(host, self.txn)
+        owner.request_received(server, self.txn)
         try:
             work = min(1e7, max(0.0, float(self._body)))
         except ValueError:
-            work = fleet.works[lane.name].next()
-        run = self._run = Execution(self, work, float(lane.slots), lane.worth, self._told)
+            work = owner.work_draws[request_class.name].next()
+        execution = self._execution = Execution(
+            self, work, float(request_class.slots), request_class.worth, self._execution_changed
+        )
         # the head goes out first: what is begun at once tells of it within take
-        if len(host.queued) >= host.kind.queue_length and host.used_slots + run.slots > host.capacity():
-            self._run = None
-            self._write(TURNED_AWAY)
+        if len(server.queued) >= server.kind.queue_length and server.used_slots + execution.slots > server.capacity():
+            self._execution = None
+            self._write(REJECTED_RESPONSE)
             return
         self._write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        if not host.accept(run):
-            self._run = None
-            self._line("returned")
+        if not server.accept(execution):
+            self._execution = None
+            self._write_line("returned")
             self._write(b"0\r\n\r\n")
 
-    def _told(self, run: Execution, what: ExecutionState) -> None:
-        if run is not self._run:
+    def _execution_changed(self, execution: Execution, state: ExecutionState) -> None:
+        if execution is not self._execution:
             return
-        if what is ExecutionState.STARTED:
-            self._line("started")
-            self.server.fleet.line.schedule_after(PROGRESS, self._progress, run)
-        elif what is ExecutionState.DONE:
-            self._run = None
-            self._line("done", result=f"{self.server.host.name} {self.txn}")
+        if state is ExecutionState.STARTED:
+            self._write_line("started")
+            self.endpoint.owner.timeline.schedule_after(PROGRESS_INTERVAL_MS, self._progress, execution)
+        elif state is ExecutionState.DONE:
+            self._execution = None
+            self._write_line("done", result=f"{self.endpoint.server.name} {self.txn}")
             self._write(b"0\r\n\r\n")
 
-    def _progress(self, run: Execution) -> None:
-        if run is self._run:
-            host = self.server.host
-            if run.completion is not None and not host.unresponsive:
-                whole = host.duration_ms(run)
-                share = (self.server.fleet.line.now - run.started_at) / whole if whole else 0.0
-                self._line("running", share=round(min(0.99, share), 3))
-            self.server.fleet.line.schedule_after(PROGRESS, self._progress, run)
-
-    def _line(self, state: str, **more: Any) -> None:
-        table = {"id": self.txn, "from": self.server.host.name, "state": state, **more}
-        line = orjson.dumps(table, option=orjson.OPT_APPEND_NEWLINE)
+    def _progress(self, execution: Execution) -> None:
+        if execution is self._execution:
+            server = self.endpoint.server
+            if execution.completion is not None and not server.unresponsive:
+                duration_ms = server.duration_ms(execution)
+                share = (self.endpoint.owner.timeline.now - execution.started_at) / duration_ms if duration_ms else 0.0
+                self._write_line("running", share=round(min(0.99, share), 3))
+            self.endpoint.owner.timeline.schedule_after(PROGRESS_INTERVAL_MS, self._progress, execution)
+
+    def _write_line(self, state: str, **fields: Any) -> None:
+        message = {"id": self.txn, "from": self.endpoint.server.name, "state": state, **fields}
+        line = orjson.dumps(message, option=orjson.OPT_APPEND_NEWLINE)
         self._write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def _write(self, data: bytes) -> None:
--- a/heronlug/standins/live.py
+++ b/heronlug/standins/live.py
@@ -8,20 +8,20 @@
 from heronlug.emulator.timeline import ScheduledEvent, Timeline
 
 
-class LiveLine(Timeline):
+class LiveTimeline(Timeline):
     """Milliseconds since it was made."""
 
-    __slots__ = ("_began", "_loop")
+    __slots__ = ("_began_ns", "_loop")
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._began = time.monotonic_ns()
+        self._began_ns = time.monotonic_ns()
         self.event_count = 0
 
     @property
     def now(self) -> float:  # type: ignore[override]
         """The time now."""
-        return (time.monotonic_ns() - self._began) / 1e6
+        return (time.monotonic_ns() - self._began_ns) / 1e6
 
     def schedule_at(self, time: float, callback: Callable[..., object], *args: Any) -> ScheduledEvent:
         """Schedule a call, see :meth:`Timeline.schedule_at`."""
--- a/heronlug/standins/ports.py
+++ b/heronlug/standins/ports.py
@@ -6,8 +6,10 @@
 from collections.abc import Iterator
 from contextlib import suppress
 
-FIRST, MANY = 12_000, 20_000  # below the ports of outgoing connections
-BLOCK = 100  # ports that one process claims at a time, so that no other one takes what is only free between two uses
+FIRST_PORT, PORT_COUNT = 12_000, 20_000  # below the ports of outgoing connections
+BLOCK_SIZE = (
+    100  # ports that one process claims at a time, so that no other one takes what is only free between two uses
+)
 _claims: list[socket.socket] = []  # held until this process ends
 # A process that is started holds copies of all our sockets for a moment, until its exec has closed them; whoever starts
 # processes beside other threads holds this meanwhile, so that no port that was just tried is still in use.
@@ -16,9 +18,9 @@
 
 def _claim_block() -> Iterator[int]:
     """The ports of a block that no other process has claimed; raises ``OSError`` where there is none."""
-    blocks = MANY // BLOCK
-    for number in range(blocks):
-        block = (os.getpid() + number) % blocks
+    block_count = PORT_COUNT // BLOCK_SIZE
+    for number in range(block_count):
+        block = (os.getpid() + number) % block_count
         claim = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
             claim.bind(f"\0heronlug-ports-{block}")  # a name in the kernel alone, which goes with the process
@@ -26,12 +28,12 @@
             claim.close()
             continue
         _claims.append(claim)
-        return iter(range(FIRST + block * BLOCK, FIRST + (block + 1) * BLOCK))
+        return iter(range(FIRST_PORT + block * BLOCK_SIZE, FIRST_PORT + (block + 1) * BLOCK_SIZE))
     msg = "all blocks of ports are claimed"
     raise OSError(msg)
 
 
-def _ports() -> Iterator[int]:
+def _claimed_ports() -> Iterator[int]:
     """Ports of our blocks, each once as long as there are blocks that nobody has claimed; then ours again."""
     used: list[int] = []
     while True:
@@ -47,7 +49,7 @@
         yield from block
 
 
-_numbers = _ports()
+_candidate_ports = _claimed_ports()
 
 
 def free_port() -> int:
@@ -57,8 +59,8 @@
     have taken it before somebody listens there, or while nobody does for a while.
     """
     with starting:
-        for _ in range(MANY):
-            port = next(_numbers)
+        for _ in range(PORT_COUNT):
+            port = next(_candidate_ports)
             with socket.socket() as stream, socket.socket(type=socket.SOCK_DGRAM) as datagrams, suppress(OSError):
                 stream.bind(("127.0.0.1", port))
                 datagrams.bind(("127.0.0.1", port))
--- a/heronlug/standins/server.py
+++ b/heronlug/standins/server.py
@@ -12,13 +12,13 @@
 import httptools
 import orjson
 
-NAME = "stand-in"
+SERVER_NAME = "stand-in"
 
 
 class Behaviour(NamedTuple):
     """What becomes of one request."""
 
-    run: float = 0.02  # seconds
+    run_s: float = 0.02  # seconds
     end: str = "done"  # or failed, returned, lost (by the protocol), turned_away, reset, silent
 
 
@@ -26,8 +26,8 @@
     """A request whose last byte has come."""
 
     txn: str
-    lane: str
-    number: int  # of those of the same X-Txn here, from 1
+    request_class: str
+    execution_number: int  # of those of the same X-Txn here, from 1
 
 
 class StandInServer:
@@ -97,37 +97,37 @@
     def on_message_complete(self) -> None:
         """The last byte: the job begins."""
         txn = self._headers.get(b"x-txn", b"").decode()
-        lane = self._headers.get(b"x-lane", b"").decode()
+        request_class = self._headers.get(b"x-lane", b"").decode()
         self.server.begun[txn] += 1
-        how = self.server.behave(Begun(txn, lane, self.server.begun[txn]))
-        if how.end == "turned_away":
+        behaviour = self.server.behave(Begun(txn, request_class, self.server.begun[txn]))
+        if behaviour.end == "turned_away":
             self.server.begun[txn] -= 1  # it never ran
             self._write(b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
             return
         self.server.running += 1
         self.server.max_running = max(self.server.max_running, self.server.running)
         self._write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._line({"id": txn, "from": NAME, "state": "started"})
-        if how.end == "silent":
-            self._timer = asyncio.get_running_loop().call_later(3600, self._end, txn, how)
+        self._write_line({"id": txn, "from": SERVER_NAME, "state": "started"})
+        if behaviour.end == "silent":
+            self._timer = asyncio.get_running_loop().call_later(3600, self._end, txn, behaviour)
         else:
-            self._timer = asyncio.get_running_loop().call_later(how.run, self._end, txn, how)
+            self._timer = asyncio.get_running_loop().call_later(behaviour.run_s, self._end, txn, behaviour)
 
-    def _end(self, txn: str, how: Behaviour) -> None:
+    def _end(self, txn: str, behaviour: Behaviour) -> None:
         self._timer = None
         self.server.running -= 1
-        if how.end == "reset":
+        if behaviour.end == "reset":
             if self.transport is not None:
                 self.transport.abort()
             return
-        if how.end == "returned":
+        if behaviour.end == "returned":
             self.server.begun[txn] -= 1
-        result = {"result": f"run {self.server.begun[txn]} of {txn}"} if how.end == "done" else {}
-        self._line({"id": txn, "from": NAME, "state": how.end, **result})
+        result = {"result": f"run {self.server.begun[txn]} of {txn}"} if behaviour.end == "done" else {}
+        self._write_line({"id": txn, "from": SERVER_NAME, "state": behaviour.end, **result})
         self._write(b"0\r\n\r\n")
 
-    def _line(self, table: dict[str, Any]) -> None:
-        line = orjson.dumps(table, option=orjson.OPT_APPEND_NEWLINE)
+    def _write_line(self, message: dict[str, Any]) -> None:
+        line = orjson.dumps(message, option=orjson.OPT_APPEND_NEWLINE)
         self._write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def _write(self, data: bytes) -> None:
--- a/tests/faults/test_harness.py
+++ b/tests/faults/test_harness.py
@@ -9,61 +9,61 @@
 from heronlug.faults.harness import play
 from heronlug.faults.plan import FaultPlan, parse
 
-HEAD = """
+PLAN_HEAD = """
 name = "x"
 span_s = {span}
 [dispatchers]
 count = 2
 peers = false
 """
-CLASS = '[[class]]\nname = "job"\nrate = 20\nwork_ms = 20\ndeadline_ms = 2000\n'
+REQUEST_CLASS = '[[class]]\nname = "job"\nrate = 20\nwork_ms = 20\ndeadline_ms = 2000\n'
 
 
-def script(text: str, span: float = 4) -> FaultPlan:
-    return parse(Source.parse("x.toml", (HEAD.format(span=span) + text).encode()))
+def parse_plan(text: str, span: float = 4) -> FaultPlan:
+    return parse(Source.parse("x.toml", (PLAN_HEAD.format(span=span) + text).encode()))
 
 
-def test_a_quiet_run_keeps_all_and_a_run_that_expects_too_much_does_not() -> None:
-    quiet = script(CLASS + "[expect]\nlisted = true\nreading = [2, 2]\nserved_least = 0.9\ncalls_most = 1\n")
-    quiet.begin = "listed"  # a slow start of the processes is no lack of service
-    verdict = play(quiet)
+def test_run_without_faults_keeps_rules_and_exceeded_bound_is_reported() -> None:
+    plan = parse_plan(REQUEST_CLASS + "[expect]\nlisted = true\nreading = [2, 2]\nserved_least = 0.9\ncalls_most = 1\n")
+    plan.begin = "listed"  # a slow start of the processes is no lack of service
+    verdict = play(plan)
     assert not verdict.violations
     assert verdict.figures["jobs"] > 0
     assert [fault.partition(":")[0] for fault in verdict.faults] == ["calls"]
 
 
-def test_a_cold_runner_that_is_pushed_over_is_told(tmp_path: Path) -> None:
+def test_overload_of_a_warming_up_server_breaks_rule_4(tmp_path: Path) -> None:
     """Jobs reach it past all dispatchers, as a dispatcher without its own bounds would send them."""
     import asyncio
     import socket
 
     from heronlug.faults.harness import FaultHarness
 
-    table = "[runners]\ncount = 1\nslots = 4\ncold = true\noverload_for_ms = 200\n" + CLASS
+    table = "[runners]\ncount = 1\nslots = 4\ncold = true\noverload_for_ms = 200\n" + REQUEST_CLASS
 
     async def run() -> list[int]:
-        rig = FaultHarness(script(table, 2), tmp_path)
-        playing = asyncio.create_task(rig.play())
-        while not rig.processes:
+        harness = FaultHarness(parse_plan(table, 2), tmp_path)
+        playing = asyncio.create_task(harness.play())
+        while not harness.processes:
             await asyncio.sleep(0.05)
-        socks = []
+        sockets = []
         for number in range(8):
-            sock = socket.create_connection(("127.0.0.1", rig.servers.endpoints["r0"].port))
+            sock = socket.create_connection(("127.0.0.1", harness.servers.endpoints["r0"].port))
             sock.sendall(b"POST /job HTTP/1.1\r\nX-Txn: t%d\r\nX-Lane: job\r\nContent-Length: 4\r\n\r\n9000" % number)
-            socks.append(sock)
+            sockets.append(sock)
         verdict = await playing
-        for sock in socks:
+        for sock in sockets:
             sock.close()
         return [violation.rule for violation in verdict.violations]
 
     assert 4 in asyncio.run(run())
 
 
-def test_a_process_that_ends_by_itself_is_told(tmp_path: Path) -> None:
+def test_unexpected_process_exit_is_reported(tmp_path: Path) -> None:
     (tmp_path / "heronlug").mkdir()
     (tmp_path / "heronlug" / "__init__.py").write_text("")
     (tmp_path / "heronlug" / "__main__.py").write_text("raise SystemExit(3)")
-    verdict = play(script("", 1.5), source=tmp_path)
+    verdict = play(parse_plan("", 1.5), source=tmp_path)
     assert sorted(verdict.faults) == [f"d{number} ended by itself with status 3" for number in range(2)]
 
 
@@ -79,22 +79,24 @@
         ("[register]\ncallms = 3\n", 8, "register.callms"),
     ],
 )
-def test_faults_of_a_script_are_told_with_their_line(text: str, line: int, key: str) -> None:
+def test_plan_problems_name_line_and_key(text: str, line: int, key: str) -> None:
     with pytest.raises(ConfigProblems) as caught:
-        script(text)
+        parse_plan(text)
     assert [(fault.line, fault.key) for fault in caught.value.problems] == [(line, key)], caught.value.problems
 
 
-def test_the_command_says_what_it_did_and_how_it_ended(tmp_path: Path) -> None:
+def test_fleet_command_prints_steps_and_verdict(tmp_path: Path) -> None:
     import subprocess
 
     path = tmp_path / "x.toml"
-    path.write_text(HEAD.format(span=2) + "[[step]]\nat_s = 1\ndo = 'kill'\nwho = ['d0']\n[expect]\ncalls_most = 0\n")
-    words = [sys.executable, "-m", "heronlug", "fleet", str(path), "--events", str(tmp_path / "events")]
-    done = subprocess.run(words, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 1, done
-    assert "kill d0" in done.stdout, done
-    assert "x: BROKEN" in done.stdout, done
+    path.write_text(
+        PLAN_HEAD.format(span=2) + "[[step]]\nat_s = 1\ndo = 'kill'\nwho = ['d0']\n[expect]\ncalls_most = 0\n"
+    )
+    command = [sys.executable, "-m", "heronlug", "fleet", str(path), "--events", str(tmp_path / "events")]
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60)
+    assert completed.returncode == 1, completed
+    assert "kill d0" in completed.stdout, completed
+    assert "x: BROKEN" in completed.stdout, completed
     rules = subprocess.run(
         [sys.executable, "-m", "heronlug", "rules", "check", str(tmp_path / "events")],
         capture_output=True,
--- a/tests/faults/test_mutants.py
+++ b/tests/faults/test_mutants.py
@@ -7,7 +7,7 @@
 from heronlug.faults.plan import load
 
 ROOT = Path(__file__).parents[2]
-BROKEN = {  # script: file, what stands there, what is put in its place, and a word of the fault that has to be told
+MUTANTS = {  # script: file, what stands there, what is put in its place, and a word of the fault that has to be told
     "own-told": (
         "discovery/poll_pacing.py",
         "if self.terms.cost_ms is None or self.terms.dispatchers == 1:",
@@ -35,21 +35,23 @@
 }
 
 
-def broken(folder: Path, file: str, stands: str, instead: str) -> Path:
+def mutated_program(folder: Path, file: str, original: str, replacement: str) -> Path:
     shutil.copytree(ROOT / "heronlug", folder / "heronlug", ignore=shutil.ignore_patterns("__pycache__"))
     path = folder / "heronlug" / file
     text = path.read_text()
-    assert text.count(stands) == 1, f"{file} has changed: {stands}"
-    path.write_text(text.replace(stands, instead))
+    assert text.count(original) == 1, f"{file} has changed: {original}"
+    path.write_text(text.replace(original, replacement))
     return folder
 
 
-def test_a_mechanism_that_is_taken_out_is_missed(tmp_path: Path) -> None:
-    def tried(name: str) -> list[str]:
-        file, stands, instead, _ = BROKEN[name]
-        script = load(ROOT / "scenarios" / "rig" / f"{name}.toml")
-        return play(script, source=broken(tmp_path / name, file, stands, instead)).faults
+def test_plan_detects_removed_mechanism(tmp_path: Path) -> None:
+    def faults_of_mutant(name: str) -> list[str]:
+        file, original, replacement, _ = MUTANTS[name]
+        plan = load(ROOT / "scenarios" / "rig" / f"{name}.toml")
+        return play(plan, source=mutated_program(tmp_path / name, file, original, replacement)).faults
 
-    found = {name: tried(name) for name in BROKEN}  # in turn: beside the others, calls depend on the machine's pace
-    for name, (*_, word) in BROKEN.items():
-        assert any(word in fault for fault in found[name]), (name, found[name])
+    found = {
+        name: faults_of_mutant(name) for name in MUTANTS
+    }  # in turn: beside the others, calls depend on the machine's pace
+    for name, (*_, expected) in MUTANTS.items():
+        assert any(expected in fault for fault in found[name]), (name, found[name])
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -11,56 +11,58 @@
 from heronlug.faults.plan import parse
 
 
-class Heard(asyncio.Protocol):
+class FirstBytesRecorder(asyncio.Protocol):
     """Tells of the first bytes of a connection."""
 
-    def __init__(self, told: list[str], what: str, behind: OrderedEnds | None = None) -> None:
-        self.told, self.what, self.behind = told, what, behind
+    def __init__(self, recorded: list[str], label: str, ordered_ends: OrderedEnds | None = None) -> None:
+        self.recorded, self.label, self.ordered_ends = recorded, label, ordered_ends
 
     def data_received(self, data: bytes) -> None:
         """What it is for."""
-        if self.behind is None:
-            self.told.append(self.what)
+        if self.ordered_ends is None:
+            self.recorded.append(self.label)
         else:
-            self.behind.report(lambda: self.told.append(self.what))
+            self.ordered_ends.report(lambda: self.recorded.append(self.label))
 
 
-async def listening(told: list[str], what: str, behind: OrderedEnds | None = None) -> int:
+async def open_listener(recorded: list[str], label: str, ordered_ends: OrderedEnds | None = None) -> int:
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: Heard(told, what, behind), "127.0.0.1", 0)
+    server = await loop.create_server(lambda: FirstBytesRecorder(recorded, label, ordered_ends), "127.0.0.1", 0)
     return int(server.sockets[0].getsockname()[1])
 
 
-def answer_after(relayed: bool) -> list[str]:
+def recorded_order(proxied: bool) -> list[str]:
     """A request on a new connection and then an answer on an open one, both written before anything is read."""
 
     async def run() -> list[str]:
-        told: list[str] = []
-        paths = FaultyNetwork(1)
-        behind = OrderedEnds(paths)
-        await behind.open()
-        answers = socket.create_connection(("127.0.0.1", await listening(told, "answered", behind)))
-        runner = await listening(told, "sent")
-        if relayed:
-            paths.path_between("d0", "r0").make_connection_listener = lambda: RecordingListener(told)
-            runner = int(paths.proxy_connections("d0", "r0", lambda: f"127.0.0.1:{unheard}").rpartition(":")[2])
-            unheard = await listening([], "come")
+        recorded: list[str] = []
+        network = FaultyNetwork(1)
+        ordered_ends = OrderedEnds(network)
+        await ordered_ends.open()
+        answers = socket.create_connection(("127.0.0.1", await open_listener(recorded, "answered", ordered_ends)))
+        server_port = await open_listener(recorded, "sent")
+        if proxied:
+            network.path_between("d0", "r0").make_connection_listener = lambda: RecordingListener(recorded)
+            server_port = int(
+                network.proxy_connections("d0", "r0", lambda: f"127.0.0.1:{target_port}").rpartition(":")[2]
+            )
+            target_port = await open_listener([], "come")
         await asyncio.sleep(0.05)  # the connection of the answers has been accepted, which the order hangs on nowhere
-        request = socket.create_connection(("127.0.0.1", runner))
+        request = socket.create_connection(("127.0.0.1", server_port))
         request.send(b"request")
         answers.send(b"answer")
         async with asyncio.timeout(10):
-            while len(told) < 2:
+            while len(recorded) < 2:
                 await asyncio.sleep(0)
-            later = socket.create_connection(("127.0.0.1", runner))
+            later = socket.create_connection(("127.0.0.1", server_port))
             later.send(b"another")
-            while len(told) < 3:
+            while len(recorded) < 3:
                 await asyncio.sleep(0)
-        behind.close()
-        paths.close()
+        ordered_ends.close()
+        network.close()
         for sock in (answers, request, later):
             sock.close()
-        return told
+        return recorded
 
     return asyncio.run(run())
 
@@ -68,39 +70,39 @@
 class RecordingListener:
     """Records that bytes were written into a connection."""
 
-    def __init__(self, told: list[str]) -> None:
-        self.told = told
+    def __init__(self, recorded: list[str]) -> None:
+        self.recorded = recorded
 
     def bytes_written(self, data: bytes) -> None:
         """A request has been written."""
-        self.told.append("sent")
+        self.recorded.append("sent")
 
 
-def test_what_was_written_before_an_answer_is_told_before_it_though_it_is_read_later() -> None:
-    assert answer_after(relayed=False) == ["sent", "answered", "sent"]
-    assert answer_after(relayed=True) == ["sent", "answered", "sent"]
+def test_request_written_before_an_answer_is_recorded_before_it() -> None:
+    assert recorded_order(proxied=False) == ["sent", "answered", "sent"]
+    assert recorded_order(proxied=True) == ["sent", "answered", "sent"]
 
 
-def test_ends_keep_their_order_and_what_waits_at_the_close_is_told() -> None:
+def test_ends_keep_their_order_and_close_records_pending_ends() -> None:
     async def run() -> list[int]:
-        told: list[int] = []
-        paths = FaultyNetwork(1)
-        behind = OrderedEnds(paths)
-        await behind.open()
+        recorded: list[int] = []
+        network = FaultyNetwork(1)
+        ordered_ends = OrderedEnds(network)
+        await ordered_ends.open()
         for number in range(5):
-            behind.report(lambda number=number: told.append(number))  # type: ignore[misc]
-        assert not told
-        await asyncio.wait_for(behind.caught_up(), 10)
-        assert told == [0, 1, 2, 3, 4]
-        behind.report(lambda: told.append(5))
-        behind.close()
-        paths.close()
-        return told
+            ordered_ends.report(lambda number=number: recorded.append(number))  # type: ignore[misc]
+        assert not recorded
+        await asyncio.wait_for(ordered_ends.wait_until_caught_up(), 10)
+        assert recorded == [0, 1, 2, 3, 4]
+        ordered_ends.report(lambda: recorded.append(5))
+        ordered_ends.close()
+        network.close()
+        return recorded
 
     assert asyncio.run(run()) == [0, 1, 2, 3, 4, 5]
 
 
-def test_a_job_that_is_sent_after_its_answer_breaks_the_rule(tmp_path: Path) -> None:
+def test_request_sent_after_its_answer_breaks_a_rule(tmp_path: Path) -> None:
     """Past the dispatcher, as one would that goes on after the end."""
     text = b"""
 name = "x"
@@ -118,14 +120,14 @@
 """
 
     async def run() -> list[str]:
-        rig = FaultHarness(parse(Source.parse("x.toml", text)), tmp_path)
-        playing = asyncio.create_task(rig.play())
-        over: set[str] = set()
-        while not over and not playing.done():
+        harness = FaultHarness(parse(Source.parse("x.toml", text)), tmp_path)
+        playing = asyncio.create_task(harness.play())
+        answered: set[str] = set()
+        while not answered and not playing.done():
             await asyncio.sleep(0.02)
-            over = rig.checker._answered_requests.get("d0", set())
-        txn = min(over)
-        with socket.create_connection(("127.0.0.1", rig.servers.endpoints["r0"].port)) as sock:
+            answered = harness.checker._answered_requests.get("d0", set())
+        txn = min(answered)
+        with socket.create_connection(("127.0.0.1", harness.servers.endpoints["r0"].port)) as sock:
             head = f"POST /job HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: job\r\nContent-Length: 2\r\n\r\n20"
             sock.send(head.encode())
             verdict = await playing
--- a/tests/faults/test_plans.py
+++ b/tests/faults/test_plans.py
@@ -14,17 +14,17 @@
 from heronlug.faults.verdict import Verdict
 
 FOLDER = Path(__file__).parents[2] / "scenarios" / "rig"
-SOAK: set[str] = set()  # what ``make soak`` alone plays
-SCRIPTS = [path for path in sorted(FOLDER.glob("*.toml")) if path.stem not in SOAK or os.environ.get("RIG_ALL")]
-AT_ONCE = 3
-_pool = ThreadPoolExecutor(AT_ONCE)
+SOAK_ONLY: set[str] = set()  # what ``make soak`` alone plays
+PLANS = [path for path in sorted(FOLDER.glob("*.toml")) if path.stem not in SOAK_ONLY or os.environ.get("RIG_ALL")]
+CONCURRENT_RUNS = 3
+_pool = ThreadPoolExecutor(CONCURRENT_RUNS)
 _verdicts: dict[Path, Future[Verdict]] = {}
 
 
-@pytest.mark.parametrize("path", SCRIPTS, ids=lambda path: path.stem)
-def test_a_script_keeps_the_rules_and_what_it_expects(path: Path) -> None:
+@pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
+def test_plan_keeps_rules_and_expectations(path: Path) -> None:
     if not _verdicts:
-        _verdicts.update({each: _pool.submit(play, load(each)) for each in SCRIPTS})
+        _verdicts.update({each: _pool.submit(play, load(each)) for each in PLANS})
     verdict = _verdicts[path].result(240)
     assert verdict.kept, verdict.text()
     assert verdict.figures["running in the end"] > 0
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -5,19 +5,19 @@
 import pytest
 
 from heronlug.faults.harness import play
-from heronlug.faults.plan import DOING
-from heronlug.faults.soak import LAST, draw
+from heronlug.faults.plan import ACTIONS
+from heronlug.faults.soak import LAST_STEP_S, draw
 
 SEEDS = (11, 14, 19, 23, 31, 42)
-AT_ONCE = 6
+CONCURRENT_RUNS = 6
 
 
 @pytest.fixture(scope="module")
 def verdicts() -> dict[int, str]:
     """What came of each seed: nothing, or its report."""
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        played = list(pool.map(lambda seed: play(draw(seed)), SEEDS))
-    return {seed: "" if verdict.kept else verdict.text() for seed, verdict in zip(SEEDS, played, strict=True)}
+    with ThreadPoolExecutor(CONCURRENT_RUNS) as pool:
+        results = list(pool.map(lambda seed: play(draw(seed)), SEEDS))
+    return {seed: "" if verdict.kept else verdict.text() for seed, verdict in zip(SEEDS, results, strict=True)}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -25,12 +25,12 @@
     assert verdicts[seed] == ""
 
 
-def test_a_seed_draws_the_same_script_and_many_draw_each_kind_of_fault() -> None:
+def test_seed_determines_plan_and_seeds_cover_each_kind_of_fault() -> None:
     assert draw(3) == draw(3) != draw(4)
     drawn = {step.do for seed in range(100) for step in draw(seed).step}
     assert (
         drawn
-        == set(DOING) & drawn
+        == set(ACTIONS) & drawn
         >= {
             "kill",
             "replace",
@@ -51,4 +51,4 @@
             "trickle",
         }
     )
-    assert all(step.at_s <= 2 * LAST for seed in range(100) for step in draw(seed).step)
+    assert all(step.at_s <= 2 * LAST_STEP_S for seed in range(100) for step in draw(seed).step)
