--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -13,11 +13,11 @@
 from heronlug.faults.harness import play
 from heronlug.faults.plan import (
     ClassTable,
+    DiscoveryTable,
     DispatchersTable,
     ExpectTable,
     FaultPlan,
-    RegisterTable,
-    RunnersTable,
+    ServersTable,
     Step,
 )
 from heronlug.faults.verdict import Verdict
@@ -58,8 +58,8 @@
         begin="listed",
         relays=["register"],
         dispatchers=DispatchersTable(count=DISPATCHERS, peers=peers),
-        register=RegisterTable(),
-        runners=RunnersTable(count=servers, slots=max(1, SLOTS // servers), warm_after_ms=5000.0),
+        register=DiscoveryTable(),
+        runners=ServersTable(count=servers, slots=max(1, SLOTS // servers), warm_after_ms=5000.0),
         classes=[
             ClassTable(name="safe", rate=20, work_ms=100, deadline_ms=3000),
             ClassTable(name="once", effect="once", rate=10, work_ms=200, deadline_ms=3000),
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -22,7 +22,7 @@
 
 import click
 
-from heronlug.faults.processes import UTIME
+from heronlug.faults.processes import UTIME_FIELD
 from heronlug.standins.discovery import StandInDiscovery
 from heronlug.standins.ports import free_port
 from heronlug.standins.server import StandInServer
@@ -108,7 +108,7 @@
 
 def _cpu_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return sum(map(int, fields[UTIME : UTIME + 2])) / os.sysconf("SC_CLK_TCK")
+    return sum(map(int, fields[UTIME_FIELD : UTIME_FIELD + 2])) / os.sysconf("SC_CLK_TCK")
 
 
 async def play(shim: Path, rule: str, source: Path | None) -> Result:
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -90,7 +90,7 @@
     async def play() -> None:
         fleet = Fleet(scenario)
         found = await fleet.open(port)
-        print(f"register 127.0.0.1:{found}, {len(fleet.hosts)} hosts", flush=True)
+        print(f"register 127.0.0.1:{found}, {len(fleet.emulated_servers)} hosts", flush=True)
         fleet.begin()
         over = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -62,7 +62,7 @@
     later: list[str] = field(default_factory=list)  # selectors of those that a step starts
 
 
-class RegisterTable(Struct, forbid_unknown_fields=True):
+class DiscoveryTable(Struct, forbid_unknown_fields=True):
     """The node register: it works through calls one after another."""
 
     call_ms: Millis = 0.0  # what a call costs it
@@ -72,7 +72,7 @@
     down: Flag = False  # at the start
 
 
-class RunnersTable(Struct, forbid_unknown_fields=True):
+class ServersTable(Struct, forbid_unknown_fields=True):
     """Stand-in runners."""
 
     count: Count = 4
@@ -188,8 +188,8 @@
 
 TABLES: dict[str, type[Struct]] = {
     "dispatchers": DispatchersTable,
-    "register": RegisterTable,
-    "runners": RunnersTable,
+    "register": DiscoveryTable,
+    "runners": ServersTable,
     "expect": ExpectTable,
 }
 LISTS: dict[str, type[Struct]] = {"class": ClassTable, "step": Step}
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -15,10 +15,10 @@
 from heronlug.config.site import read_object
 from heronlug.config.strict_toml import ConfigProblems, Source
 from heronlug.faults.plan import FaultPlan
-from heronlug.standins.ports import starting
+from heronlug.standins.ports import process_start_lock
 
 SIGHUP_IGNORING_EXEC = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
-UTIME = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
+UTIME_FIELD = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
 STOP_WITHIN_S = 15.0
 """Seconds within which a process ends after SIGTERM; then it is killed."""
 LOG_LOSS_WINDOW_S = 0.2  # s before the end of a log that is cut off, in which lines may be missing
@@ -100,7 +100,7 @@
         self.incarnation += 1
         temporary_folder = self.folder / f"{self.name}.tmp{self.incarnation}"
         temporary_folder.mkdir()
-        with (self.folder / f"{self.name}.log").open("ab") as log, starting:
+        with (self.folder / f"{self.name}.log").open("ab") as log, process_start_lock:
             file, platform = str(self.folder / f"{self.name}.toml"), self.folder / f"{self.name}.json"
             platform_environment = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
             self.child = subprocess.Popen(
@@ -173,7 +173,7 @@
             return Usage()
         proc = Path(f"/proc/{self.child.pid}")
         fields = (proc / "stat").read_text().rpartition(")")[2].split()
-        ticks = int(fields[UTIME]) + int(fields[UTIME + 1])
+        ticks = int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])
         peak = next(line for line in (proc / "status").read_text().splitlines() if line.startswith("VmHWM:"))
         descriptors = len(list((proc / "fd").iterdir()))
         return Usage(ticks / os.sysconf("SC_CLK_TCK"), int(peak.split()[1]) / 1024, descriptors)
--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -12,11 +12,11 @@
 
 from heronlug.faults.plan import (
     ClassTable,
+    DiscoveryTable,
     DispatchersTable,
     ExpectTable,
     FaultPlan,
-    RegisterTable,
-    RunnersTable,
+    ServersTable,
     Step,
 )
 
@@ -38,8 +38,8 @@
         dispatchers=DispatchersTable(
             count=dispatcher_count, peers=rng.random() < 0.5, log_taken=True, platform=rng.random() < PLATFORM_SHARE
         ),
-        register=RegisterTable(call_ms=rng.choice([0.0, 5.0, 150.0])),
-        runners=RunnersTable(
+        register=DiscoveryTable(call_ms=rng.choice([0.0, 5.0, 150.0])),
+        runners=ServersTable(
             count=server_count, slots=rng.randint(2, 6), warm_after_ms=5000.0, cold=rng.random() < 0.3
         ),
         classes=[_class(rng, number) for number in range(rng.randint(1, 3))],
--- a/heronlug/standins/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -51,7 +51,7 @@
         self.scenario, self.seed = scenario, scenario.seed if seed is None else seed
         self.timeline: LiveTimeline
         self.fault_injector: ServerFaultInjector
-        self.discovery, self.hosts = StandInDiscovery(), dict[str, EmulatedServer]()
+        self.discovery, self.emulated_servers = StandInDiscovery(), dict[str, EmulatedServer]()
         self.endpoints: dict[str, ServerEndpoint] = {}
         self._record = record
         safety = scenario.safety
@@ -140,7 +140,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _add(self, name: str, kind: ServerKind, zone: int) -> EmulatedServer:
-        server = self.hosts[name] = EmulatedServer(name, kind, zone, self.timeline, self._warmth)
+        server = self.emulated_servers[name] = EmulatedServer(name, kind, zone, self.timeline, self._warmth)
         server.on_overload, server.on_execution_start = self._handle_overload, self._record_execution_start
         endpoint = self.endpoints[name] = ServerEndpoint(self, server)
         await endpoint.open()
@@ -148,7 +148,7 @@
         return server
 
     async def _start_successor(self, name: str, server: EmulatedServer) -> None:
-        self.hosts.pop(server.name, None)
+        self.emulated_servers.pop(server.name, None)
         successor = await self._add(name, server.kind, server.zone)
         successor.slowdown = server.slowdown
         successor.start()
@@ -172,7 +172,7 @@
     """A fleet on sockets, as faults are injected into it."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.timeline, self.servers = fleet.timeline, fleet.hosts
+        self.timeline, self.servers = fleet.timeline, fleet.emulated_servers
         self.stop_server, self.list_server, self.replace_server = (
             fleet.stop_server,
             fleet.list_server,
--- a/heronlug/standins/ports.py
+++ b/heronlug/standins/ports.py
@@ -13,7 +13,7 @@
 _claims: list[socket.socket] = []  # held until this process ends
 # A process that is started holds copies of all our sockets for a moment, until its exec has closed them; whoever starts
 # processes beside other threads holds this meanwhile, so that no port that was just tried is still in use.
-starting = threading.Lock()
+process_start_lock = threading.Lock()
 
 
 def _claim_block() -> Iterator[int]:
@@ -58,7 +58,7 @@
     It is none of those that the system gives to outgoing connections: one of these, also of the program itself, may
     have taken it before somebody listens there, or while nobody does for a while.
     """
-    with starting:
+    with process_start_lock:
         for _ in range(PORT_COUNT):
             port = next(_candidate_ports)
             with socket.socket() as stream, socket.socket(type=socket.SOCK_DGRAM) as datagrams, suppress(OSError):
--- a/tests/cli/test_zones.py
+++ b/tests/cli/test_zones.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from heronlug.standins.ports import free_ports, starting
+from heronlug.standins.ports import free_ports, process_start_lock
 
 FILE = """\
 [serve]
@@ -38,7 +38,7 @@
     ports = free_ports(7)
     hosts = "".join(HOST.format(n, ports[n + 1], "abc"[n % 3]) for n in range(6))
     (folder / "site.toml").write_text(FILE.format(ports[0], leaves) + hosts)
-    with starting:
+    with process_start_lock:
         process = subprocess.Popen(
             [sys.executable, "-m", "heronlug", "serve", str(folder / "site.toml")],
             stdout=subprocess.DEVNULL,
