--- a/heronlug/faults/__init__.py
+++ b/heronlug/faults/__init__.py
@@ -1,6 +1,6 @@
-"""The fault-injection harness: many processes of the program with faults between them, played by a test plan.
+"""Fault-injection harness: runs several dispatcher processes and injects faults between them as a test plan says.
 
-It serves tests, benchmarks and ``heronlug fleet``. What is started (:mod:`dispatchers`, :mod:`servers`), the faults
-(:mod:`network`, :mod:`steps`) and the history of what happened (:mod:`history`) stand apart from the checker that
-judges the history and knows nothing of the program (:mod:`heronlug.conformance`).
+Tests, benchmarks and ``heronlug fleet`` use the harness. Processes and stand-ins (:mod:`dispatchers`, :mod:`servers`),
+faults (:mod:`network`, :mod:`steps`) and the recorded history (:mod:`history`) are separate from the conformance
+checker (:mod:`heronlug.conformance`), which judges the history and does not depend on the program under test.
 """
--- a/heronlug/faults/datagram_proxy.py
+++ b/heronlug/faults/datagram_proxy.py
@@ -1,4 +1,4 @@
-"""Proxies of datagrams between the parties of a run."""
+"""Proxies that forward, delay or drop UDP datagrams between the parties of a run."""
 
 import asyncio
 from collections.abc import Mapping
@@ -6,18 +6,18 @@
 
 
 class DatagramFaults(Protocol):
-    """Decides on the fate of each datagram."""
+    """Decides whether a datagram is dropped, delayed or forwarded at once."""
 
     def datagram_delay_ms(self, source: str, target: str) -> float | None:
-        """By how much a datagram comes later; None where it is lost."""
+        """Returns the delay of a datagram in milliseconds, or None if the datagram is lost."""
 
 
 class DatagramPorts(NamedTuple):
-    """The parties' own ports.
+    """The UDP ports on which the parties themselves listen.
 
     Attributes:
-        names: of the parties, by port.
-        ports: of the parties, by name.
+        names: name of each party by port.
+        ports: port of each party by name.
     """
 
     names: Mapping[int, str]
@@ -25,11 +25,11 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """Receives the datagrams for one party, and sends each on from the proxy of its sender.
+    """Receives the datagrams for one party and forwards each from the proxy of its sender.
 
     Attributes:
-        transport: the open socket.
-        port: where the other parties find this one.
+        transport: transport of the open socket.
+        port: port to which the other parties send datagrams for this party.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         self._faults = faults
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Stores the transport and its port."""
         self.transport = cast(asyncio.DatagramTransport, transport)
         self.port = transport.get_extra_info("sockname")[1]
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram for the owner; one from no party is dropped."""
+        """Forwards a datagram to the owner; a datagram from an unknown port is dropped."""
         sender = self._ports.names.get(addr[1])
         if sender is None:
             return
@@ -61,7 +61,7 @@
             self._forward(sender, data)
 
     def error_received(self, exc: Exception) -> None:
-        """The party does not listen, which its datagrams need not know."""
+        """Ignores the error that the socket reports if the receiving party does not listen."""
 
     def _forward(self, sender: str, data: bytes) -> None:
         transport = self._proxies[sender].transport
--- a/heronlug/faults/direction.py
+++ b/heronlug/faults/direction.py
@@ -1,4 +1,4 @@
-"""The faults on what goes one way through a path, and what becomes of its new connections."""
+"""Faults on one direction of a network path, and the outcomes of new connections."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class DialOutcome(Enum):
-    """What becomes of a new connection."""
+    """Outcome of an attempt to connect through a path."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True)
 class Direction:
-    """The faults on what goes one way.
+    """Faults on one direction of a path.
 
     Attributes:
-        stalled: nothing comes through; bytes are kept, datagrams are lost.
-        delay_ms: by which all comes later.
-        bytes_per_second: at most, on each connection; 0 for no bound.
-        reset_after_bytes: of each connection, which is then reset; 0 for never.
-        loss: the share of datagrams that is lost.
+        stalled: whether nothing is forwarded; bytes of connections are kept, datagrams are lost.
+        delay_ms: delay of all bytes and datagrams.
+        bytes_per_second: maximum rate of each connection; 0 means no limit.
+        reset_after_bytes: bytes that a connection forwards before it is reset; 0 means that it is never reset.
+        loss: share of datagrams that is lost, 0 to 1.
     """
 
     stalled: bool = False
@@ -32,7 +32,7 @@
     loss: float = 0.0
 
     def heal(self) -> None:
-        """End all faults."""
+        """Ends all faults."""
         self.stalled = False
         self.delay_ms = 0.0
         self.bytes_per_second = 0
@@ -41,7 +41,7 @@
 
 
 class ConnectionListener(Protocol):
-    """Is told of the bytes that the source writes into one connection."""
+    """Receives the bytes that the source writes into one connection."""
 
     def bytes_written(self, data: bytes) -> None:
-        """Bytes have been written, whenever they come through."""
+        """Handles bytes at the time of writing, even if the path forwards them later."""
--- a/heronlug/faults/dispatchers.py
+++ b/heronlug/faults/dispatchers.py
@@ -1,4 +1,4 @@
-"""The dispatchers of a run: their files, and the starts and ends of their processes."""
+"""Manages the dispatchers of a run: their config files, and the starts and ends of their processes."""
 
 import asyncio
 import signal
@@ -16,26 +16,26 @@
 from heronlug.standins.ports import free_port, free_ports
 
 MAX_GRACE_S = 3.0
-"""So much of the longest deadline counts, in seconds, for the kill of a planned restart."""
+"""Maximum seconds that a planned restart waits for the longest deadline before it kills the old process."""
 KILL_AFTER_S = 0.7
-"""Seconds by which that kill comes later."""
+"""Seconds between the end of that wait and the kill."""
 WATCH_INTERVAL_S = 0.02
-"""Seconds between two looks at the processes."""
+"""Seconds between two checks for processes that have exited."""
 LIST_POLL_BATCH = 16
-"""Processes whose figures are read at once."""
+"""Number of processes whose figures are read concurrently."""
 FILES_BEFORE_YIELD = 20
-"""Dispatchers whose files are written before the event loop has its turn."""
+"""Number of dispatchers whose files are written before other tasks of the event loop run."""
 STEP_SIGNALS = {"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}
-"""The signal of each step that does no more than send one."""
+"""Signal by step action, for steps that only send a signal."""
 
 
 class Dispatchers:
-    """All dispatchers of a run.
+    """The dispatchers of a run.
 
     Attributes:
-        processes: by name.
-        frontend_ports: by name, where clients connect.
-        listed_after: by name, seconds from the beginning until the dispatcher had its list.
+        processes: process of each dispatcher by name.
+        frontend_ports: port to which clients connect, by dispatcher name.
+        listed_after: seconds from the start of the run until the dispatcher had the endpoint list, by dispatcher name.
     """
 
     def __init__(
@@ -57,13 +57,16 @@
         self._ordered_ends = ordered_ends
         self._discovery = discovery
 
-    # -- files
+    # -- config files
 
     async def open(self, source: Path | None) -> None:
-        """Write all files, and listen for the calls of each; ``source`` is the folder of another version to run.
+        """Writes the files of all dispatchers and opens a discovery listener for each.
+
+        Args:
+            source: folder of another version of the program to run; None runs this version.
 
         Raises:
-            OSError: a file cannot be written, or a port not be had.
+            OSError: if a file cannot be written or no port is free.
         """
         plan, count = self._plan, self._plan.dispatchers.count
         (self._folder / "key").write_text("a key that is long enough")
@@ -110,7 +113,7 @@
     # -- starts and ends
 
     async def start_all(self) -> None:
-        """Start all but those that a step starts."""
+        """Starts all dispatchers except those that a step of the plan starts later."""
         later = set(select_parties(self._plan.dispatchers.later, self._plan, Random(self._plan.seed)))
         for name in self.processes:
             if name not in later:
@@ -118,7 +121,7 @@
                 await asyncio.sleep(0)
 
     async def apply(self, step: Step, name: str) -> Callable[[], Awaitable[None] | None]:
-        """Carry out a step on one dispatcher; returns what takes it back."""
+        """Applies a step to one dispatcher; returns a function that reverts the step."""
         process = self.processes[name]
         if step.do == "start":
             await self._restart(name)
@@ -134,11 +137,11 @@
         return lambda: process.signal(signal.SIGCONT)
 
     def report_end(self, event: Event) -> None:
-        """Record an end after all that was written before it and is still unread."""
+        """Records an end after all events that were written earlier and are still unread."""
         self._ordered_ends.report(lambda: self._history.record(event))
 
     def close(self) -> None:
-        """Kill all that run."""
+        """Kills all running processes."""
         for process in self.processes.values():
             if process.running:
                 process.signal(signal.SIGCONT)
@@ -149,7 +152,7 @@
         self.processes[name].start()
 
     async def _restart(self, name: str) -> None:
-        await self._ordered_ends.wait_until_caught_up()  # with the end of the process before
+        await self._ordered_ends.wait_until_caught_up()  # records the end of the previous process first
         known = self._discovery.last_written_list(name)
         if known is not None:
             write_known_list(self.processes[name], known)
@@ -164,11 +167,14 @@
     async def _terminate(self, process: Process) -> None:
         process.signal(signal.SIGTERM)
         await asyncio.to_thread(process.wait_or_kill)
-        await self._ordered_ends.wait_until_caught_up()  # its last answers have been read
+        await self._ordered_ends.wait_until_caught_up()  # the last answers of the process are recorded first
         self.report_end(Stopped(self._history.now(), process.name, False))
 
     async def _replace(self, process: Process) -> None:
-        """A planned restart whose kill comes as early as it may; one that comes meanwhile is a second signal alone."""
+        """Performs a planned restart with the earliest permitted kill.
+
+        A replacement of a process that is already stopping only sends another SIGTERM.
+        """
         incarnation, first_signal = process.incarnation, process.should_run
         process.signal(signal.SIGTERM)
         if not first_signal:
@@ -181,10 +187,10 @@
         self.report_end(Stopped(self._history.now(), process.name, False))
         await self._restart(process.name)
 
-    # -- what is seen of them
+    # -- observation
 
     async def watch_processes(self, failures: list[str]) -> None:
-        """Add a line to ``failures`` for each process that ends by itself."""
+        """Adds a line to ``failures`` for each process that exits although no step ended it."""
         while True:
             for name, process in self.processes.items():
                 if (status := process.unexpected_exit_status()) is not None:
@@ -193,7 +199,7 @@
             await asyncio.sleep(WATCH_INTERVAL_S)
 
     async def watch_lists(self, interval_s: float) -> None:
-        """Note when each dispatcher has its list, read off its figures."""
+        """Records when each dispatcher first reports the complete endpoint list in its figures."""
         while len(self.listed_after) < len(self.processes):
             processes = self.processes.items()
             waiting = [process for name, process in processes if name not in self.listed_after and process.running]
@@ -205,12 +211,12 @@
             await asyncio.sleep(interval_s)
 
     async def list_completeness(self) -> dict[str, bool]:
-        """Of all that run, whether they have the complete list."""
+        """Returns, for each running dispatcher, whether it has the complete endpoint list."""
         running = [process for process in self.processes.values() if process.should_run and process.running]
         return {process.name: await self._has_list(process) for process in running}
 
     async def all_listed(self) -> bool:
-        """Whether some run, and all of these have the complete list."""
+        """Returns whether at least one dispatcher runs and every running one has the complete endpoint list."""
         running = [process for process in self.processes.values() if process.running]
         return bool(running) and all([await self._has_list(process) for process in running])
 
--- a/heronlug/faults/harness.py
+++ b/heronlug/faults/harness.py
@@ -1,4 +1,4 @@
-"""Plays a test plan: starts everything, carries out the steps, watches, and judges."""
+"""Runs a test plan: starts all parties, applies the steps, records events and judges the result."""
 
 import asyncio
 import shutil
@@ -25,38 +25,38 @@
 from heronlug.standins.discovery import StandInDiscovery
 
 LIST_POLL_INTERVAL_S = 0.25
-"""Seconds between two looks at the dispatchers' figures."""
+"""Seconds between two reads of the dispatchers' figures."""
 LISTED_WITHIN_S = 60.0
-"""Seconds for which a run waits until all dispatchers have their list."""
+"""Maximum seconds that a run waits for all dispatchers to have the endpoint list."""
 ANSWERS_WITHIN_S = 5.0
-"""Seconds beyond the longest deadline for which a run waits for its last answers."""
+"""Seconds beyond the longest deadline that a run waits for its last answers."""
 LOAD_MARGIN_S = 60.0
-"""Seconds beyond the plan's span after which the load gives up."""
+"""Seconds beyond the plan's span after which the load generator gives up."""
 DRAIN_GRACE_MS = 2500.0
-"""Milliseconds that a drain may take beside the plan's slack."""
+"""Milliseconds that a drain may take in addition to the plan's slack."""
 
 
 class FaultHarness:
     """One run of a test plan in a folder of its own.
 
     Attributes:
-        plan: what is played.
-        checker: the judge of the four rules.
-        history: all that was seen.
-        network: the paths between the parties.
-        discovery: the stand-in of service discovery.
-        servers: the stand-in servers.
-        clients: the load, once it has begun.
+        plan: test plan of the run.
+        checker: conformance checker of the four rules.
+        history: recorded events.
+        network: network paths between the parties.
+        discovery: stand-in for service discovery.
+        servers: stand-in servers.
+        clients: load generator; set when the load begins.
     """
 
     def __init__(self, plan: FaultPlan, folder: Path, events: Path | None = None, source: Path | None = None) -> None:
-        """Wire the parts of a run.
+        """Connects the parts of a run.
 
         Args:
-            plan: what to play.
-            folder: where the processes have their files.
-            events: file for the history, if it is wanted.
-            source: folder of another version of the program, in place of this one.
+            plan: test plan to run.
+            folder: folder for the files of the processes.
+            events: file to which the history is written; None writes no file.
+            source: folder of another version of the program to run; None runs this version.
         """
         self.plan = plan
         self.checker = Checker(slack=plan.slack_ms, drain_grace=DRAIN_GRACE_MS + plan.slack_ms)
@@ -79,32 +79,32 @@
 
     @property
     def processes(self) -> dict[str, Process]:
-        """The dispatchers by name."""
+        """Process of each dispatcher by name."""
         return self._dispatchers.processes
 
     @property
     def listed_after(self) -> dict[str, float]:
-        """By dispatcher, seconds from the beginning until it had its list."""
+        """Seconds from the start of the run until the dispatcher had the endpoint list, by dispatcher name."""
         return self._dispatchers.listed_after
 
     @property
     def watched_after(self) -> dict[str, float]:
-        """By dispatcher, seconds from the beginning until its first watch waited for an update."""
+        """Seconds from the start of the run until the dispatcher's first watch was waiting, by dispatcher name."""
         return self._discovery.watched_after
 
     def reading(self) -> list[str]:
-        """The dispatchers that watch service discovery now, as it sees them."""
+        """Returns the dispatchers that have a watch open at service discovery now."""
         return self.discovery.watching()
 
     def set_discovery_down(self, down: bool) -> None:
-        """End the process of service discovery, or start it again."""
+        """Stops the stand-in for service discovery, or starts it again."""
         self._discovery.set_down(down)
 
     async def play(self) -> Verdict:
-        """Play the whole plan.
+        """Runs the whole plan and returns its verdict.
 
         Raises:
-            OSError: something could not be started.
+            OSError: if a party could not be started.
         """
         try:
             await self._open()
@@ -140,7 +140,7 @@
         await self.clients.run(self._planned_requests())
 
     def _planned_requests(self) -> list[PlannedRequest]:
-        """All requests of the run in the order of their arrival; the last ones can still be answered in its span."""
+        """Returns all requests of the run by arrival time; the last deadlines lie within the span of the plan."""
         classes, random, span_ms = load_classes_of(self.plan), Random(self.plan.seed), self.plan.span_s * 1000
         planned = []
         for table in self.plan.classes:
@@ -180,7 +180,7 @@
         return self.clients.dispatcher_of.get(txn, "")
 
     def _address_of(self, caller: str, name: str, address: str) -> str:
-        """The address at which a dispatcher finds a server: that of the proxy between them, if there is one."""
+        """Returns the address that a dispatcher uses for a server; with a proxy between them, the proxy's address."""
         if "runners" not in self.plan.relays or name not in self.servers.endpoints:
             return address
         path = self.network.path_between(caller, name)
@@ -191,7 +191,17 @@
 def play(
     plan: FaultPlan, folder: Path | None = None, events: Path | None = None, source: Path | None = None
 ) -> Verdict:
-    """Play a plan in a folder, or in one that is deleted afterwards; raises ``OSError``."""
+    """Runs a test plan and returns its verdict.
+
+    Args:
+        plan: test plan to run.
+        folder: folder for the files of the processes; None uses a temporary folder that is deleted afterwards.
+        events: file to which the history is written; None writes no file.
+        source: folder of another version of the program to run; None runs this version.
+
+    Raises:
+        OSError: if a party could not be started.
+    """
     run_folder = folder or Path(tempfile.mkdtemp(prefix="heronlug-rig-"))
     try:
         return asyncio.run(_play(plan, run_folder, events, source))
@@ -205,7 +215,7 @@
 
 
 async def _wait_until(condition: Callable[[], Awaitable[bool]], seconds: float) -> bool:
-    """Whether a condition has become true within this time."""
+    """Waits for a condition; returns whether the condition became true within the given seconds."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while not await condition():
--- a/heronlug/faults/history.py
+++ b/heronlug/faults/history.py
@@ -1,4 +1,4 @@
-"""What happened, in order, from outside the program: what clients, runners and the register saw of it."""
+"""Records the events of a run in order, as clients, servers and service discovery observe them."""
 
 import time
 from pathlib import Path
@@ -7,35 +7,41 @@
 
 
 class History:
-    """Events as they come, to the checker and, if wanted, to a file.  Times are Unix milliseconds."""
+    """Passes each event to the conformance checker and, if a path is given, writes the event to a file.
+
+    Attributes:
+        checker: conformance checker that receives each event.
+        steps: applied steps, each with its milliseconds since the start of the run, for the printed report.
+        began_at_ms: start of the run in Unix milliseconds.
+    """
 
     def __init__(self, checker: Checker, path: Path | None = None) -> None:
         self.checker = checker
-        self.steps: list[tuple[float, str]] = []  # what the script did, for people
+        self.steps: list[tuple[float, str]] = []
         self.began_at_ms = time.time() * 1000
         self._offset = time.time_ns() - time.monotonic_ns()
         self._file = path.open("wb") if path is not None else None
 
     def now(self) -> float:
-        """Unix milliseconds that only go forward."""
+        """Returns the current Unix time in milliseconds; the value never decreases."""
         return (time.monotonic_ns() + self._offset) / 1e6
 
     def elapsed_s(self) -> float:
-        """Seconds since the run began."""
+        """Returns the seconds since the run began."""
         return (self.now() - self.began_at_ms) / 1000
 
     def record(self, event: Event) -> None:
-        """One event."""
+        """Records an event."""
         self.checker.see(event)
         if self._file is not None:
             self._file.write(write(event))
 
     def record_step(self, title: str) -> None:
-        """The script has done something."""
+        """Records a step of the test plan that has been applied or reverted."""
         self.steps.append((self.now() - self.began_at_ms, title))
 
     def close(self) -> None:
-        """No more."""
+        """Closes the file of events, if there is one."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -1,9 +1,9 @@
-"""Proxies between any two parties, over TCP and UDP on loopback, and the faults on them.
+"""TCP and UDP proxies on loopback between any two parties, with faults on the paths that they form.
 
-A path has a source and a target. What goes from the source to the target is ``forward``, what comes back is
-``backward``. Bytes that a cut holds are kept, as a sender's machine would send them again, and go on when it is over;
-datagrams are lost. A new connection through a cut never comes up: the listening socket's queue is filled and nothing is
-accepted from it.
+A path has a source and a target; ``forward`` is the direction to the target, ``backward`` the direction to the source.
+During a cut, bytes of open connections are kept and forwarded when the cut ends, as TCP would retransmit them, and
+datagrams are lost. A new connection through a cut is never established: the backlog of the listening socket is filled
+and the proxy accepts nothing from it.
 """
 
 import asyncio
@@ -21,34 +21,34 @@
 from heronlug.standins.ports import free_port
 
 LISTEN_BACKLOG = 512
-"""Connections that may wait to be accepted."""
+"""Backlog of a listening socket that accepts connections."""
 FILLER_COUNT = 3
-"""Connections that fill the queue of a socket with a backlog of 0."""
+"""Number of connections that fill the queue of a socket with a backlog of 0."""
 TRICKLE_INTERVAL_S = 0.05
-"""Seconds between two writes where the rate is bounded."""
+"""Seconds between two writes on a connection with a limited rate."""
 MAX_PENDING_BYTES = 1 << 20
-"""Bytes that are held in one direction of a connection before its sender is made to wait."""
+"""Bytes queued in one direction of a connection above which reading from its sender pauses."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""The value of ``SO_LINGER`` with which a close sends a reset."""
+"""``SO_LINGER`` value that makes close() send a TCP reset."""
 PathName = tuple[str, str]
-"""The source and the target of a path."""
+"""Source and target of a path."""
 
 
 class NetworkPath:
-    """The path from a source to a target, with its faults and all that goes through it.
+    """Path from a source to a target, with its faults and open connections.
 
     Attributes:
-        name: the source and the target.
-        forward: the faults on what goes to the target.
-        backward: the faults on what comes back.
-        refusing: new connections are refused.
-        queue_full: new connections are left unanswered.
-        silent: new connections are accepted, and then nothing comes through.
-        target_gone: the target's process has ended.
-        dial_count: new connections so far.
-        connections: all that are open.
-        listener: accepts new connections, if any go through here.
-        make_connection_listener: makes the listener of each new connection, if one is wanted.
+        name: source and target.
+        forward: faults on the direction to the target.
+        backward: faults on the direction to the source.
+        refusing: whether new connections are refused.
+        queue_full: whether new connections are left unanswered.
+        silent: whether new connections are accepted but nothing is forwarded.
+        target_gone: whether the target's process has ended.
+        dial_count: number of connections accepted so far.
+        connections: open connections.
+        listener: proxy that accepts new connections; None if no connections take this path.
+        make_connection_listener: creates the listener of each new connection; None for no listeners.
     """
 
     def __init__(self, name: PathName) -> None:
@@ -66,29 +66,29 @@
 
     @property
     def blocked(self) -> bool:
-        """Whether nothing gets through to the target, or nothing back."""
+        """Whether at least one direction forwards nothing or new connections fail."""
         return self.refusing or self.queue_full or self.silent or self.forward.stalled or self.backward.stalled
 
     def dial_outcome(self) -> DialOutcome:
-        """What becomes of a new connection."""
+        """Returns the outcome of a new connection under the current faults."""
         if self.refusing or self.target_gone:
             return DialOutcome.REFUSED
         cut = (self.forward.stalled or self.backward.stalled) and not self.silent
         return DialOutcome.UNANSWERED if self.queue_full or cut else DialOutcome.ACCEPTED
 
     def heal(self) -> None:
-        """End all faults."""
+        """Ends all faults."""
         self.refusing = self.queue_full = self.silent = False
         self.forward.heal()
         self.backward.heal()
 
     def reset_connections(self) -> None:
-        """Reset all connections through it."""
+        """Resets all open connections of the path."""
         for connection in list(self.connections):
             connection.reset()
 
     def apply_faults(self) -> None:
-        """Apply faults that have changed to the listening socket and to open connections."""
+        """Applies changed faults to the listening socket and to open connections."""
         if self.listener is not None:
             self.listener.set_dial_outcome(self.dial_outcome())
         for connection in list(self.connections):
@@ -96,7 +96,7 @@
 
 
 class ListeningProxy:
-    """A listening socket whose new connections are accepted, refused or left unanswered."""
+    """Listening socket whose new connections are accepted, refused or left unanswered."""
 
     def __init__(self, path: NetworkPath, target: Callable[[], str]) -> None:
         self._path, self._target = path, target
@@ -105,11 +105,11 @@
         self._filler_ports: set[int] = set()
         self._outcome = DialOutcome.REFUSED
         self._tasks: set[asyncio.Task[None]] = set()
-        self.port = free_port()  # it is closed for a while, and has to be had again
+        self.port = free_port()  # the socket may close and must be able to bind this port again
         self.set_dial_outcome(DialOutcome.ACCEPTED)
 
     def set_dial_outcome(self, outcome: DialOutcome) -> None:
-        """Accept, refuse or leave unanswered all new connections from now on."""
+        """Sets the outcome of all new connections."""
         if outcome is self._outcome:
             return
         self._stop_accepting()
@@ -129,7 +129,7 @@
             self._fill()
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops listening and cancels the connections that are being established."""
         self.set_dial_outcome(DialOutcome.REFUSED)
         for task in self._tasks:
             task.cancel()
@@ -162,7 +162,7 @@
                 sock, (_, sender) = self._socket.accept()
             except OSError:
                 return
-            if sender in self._filler_ports:  # it filled the queue, and is no dial
+            if sender in self._filler_ports:  # this connection only filled the queue
                 self._filler_ports.discard(sender)
                 sock.close()
                 continue
@@ -189,19 +189,31 @@
 
 
 class ConnectionEnd(asyncio.Protocol):
-    """One end of a connection."""
+    """One end of a proxied connection.
+
+    Attributes:
+        connection: connection that the end belongs to.
+        direction: faults on the bytes that are read at this end.
+        transport: open transport; None before the end is connected and after it is lost.
+        other: opposite end.
+        pending: unforwarded data, each with the event-loop time from which it may be forwarded; empty bytes mark the
+            end of the stream.
+        pending_bytes: size of ``pending``.
+        passed_bytes: bytes forwarded so far.
+        ended: whether the end of the stream has been read.
+    """
 
     def __init__(self, connection: "ProxiedConnection", direction: Direction) -> None:
         self.connection = connection
-        self.direction = direction  # of what is read here
+        self.direction = direction
         self.transport: asyncio.Transport | None = None
         self.other: ConnectionEnd
-        self.pending: deque[tuple[float, bytes]] = deque()  # when it may go on, and what; empty bytes are the end
+        self.pending: deque[tuple[float, bytes]] = deque()
         self.pending_bytes = self.passed_bytes = 0
         self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Open."""
+        """Stores the transport and forwards pending bytes; closing the socket will send a reset."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -209,25 +221,29 @@
         self.connection.pump()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes to pass on."""
+        """Queues the bytes for the other end."""
         if self is self.connection.source_end and self.connection.listener is not None:
             self.connection.listener.bytes_written(data)
         self._enqueue(data)
 
     def eof_received(self) -> bool:
-        """The end of what comes from here; the other way may go on."""
+        """Queues the end of the stream; the opposite direction stays open."""
         self._enqueue(b"")
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """This end has gone: a clean end has been passed on as such, a reset goes on as one, unless it is held."""
+        """Handles the loss of this end.
+
+        A clean end of stream has already been queued. A reset reaches the other end as a reset, unless the direction
+        is stalled.
+        """
         self.transport = None
         if not self.ended:
             self._enqueue(b"")
         self.connection.end_lost(self)
 
     def remove_forwarded(self, size: int) -> None:
-        """Remove bytes that have been forwarded, and read on where there is room again."""
+        """Removes forwarded bytes and resumes reading if at most half of ``MAX_PENDING_BYTES`` is queued."""
         due_at, data = self.pending.popleft()
         if size < len(data):
             self.pending.appendleft((due_at, data[size:]))
@@ -247,7 +263,7 @@
 
 
 class ProxiedConnection:
-    """A connection through a path."""
+    """Connection through a path, made of a source end and a target end."""
 
     def __init__(self, path: NetworkPath) -> None:
         self.path = path
@@ -257,7 +273,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def pump(self) -> None:
-        """Pass on what may go."""
+        """Forwards the bytes that the faults permit and schedules the next attempt."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -266,7 +282,7 @@
             self._timer = asyncio.get_running_loop().call_later(max(0.001, min(waits)), self.pump)
 
     def reset(self) -> None:
-        """End both sides at once."""
+        """Resets both ends and discards pending bytes."""
         self.path.connections.discard(self)
         for side in (self.source_end, self.target_end):
             side.pending.clear()
@@ -275,7 +291,7 @@
                 side.transport.abort()
 
     def end_lost(self, side: ConnectionEnd) -> None:
-        """A side has gone; the other one hears of it as soon as its bytes have come through."""
+        """Handles the loss of one end; the other end is aborted after the pending bytes were forwarded."""
         if side.other.transport is None:
             self.path.connections.discard(self)
         elif not side.pending and not side.direction.stalled:
@@ -283,7 +299,7 @@
         self.pump()
 
     def _forward(self, end: ConnectionEnd) -> float | None:
-        """Forward what was read at an end; seconds until more may be forwarded, None for no more by itself."""
+        """Forwards pending bytes; returns the seconds until the next attempt, or None if no timer is needed."""
         direction, loop = end.direction, asyncio.get_running_loop()
         while end.pending and not direction.stalled and end.other.transport is not None:
             due_at, data = end.pending[0]
@@ -306,7 +322,7 @@
 
     @staticmethod
     def _allowed_bytes(end: ConnectionEnd, size: int) -> int:
-        """How many of the next bytes may be forwarded at once."""
+        """Returns how many of the next ``size`` bytes may be forwarded now."""
         direction = end.direction
         if direction.bytes_per_second:
             size = min(size, max(1, round(direction.bytes_per_second * TRICKLE_INTERVAL_S)))
@@ -317,14 +333,14 @@
     @staticmethod
     def _forward_end(end: ConnectionEnd, target: asyncio.Transport) -> None:
         if end.transport is None:
-            target.abort()  # the sender's connection is closed altogether
+            target.abort()  # the sender's connection is closed in both directions
         elif target.can_write_eof():
-            with suppress(OSError):  # the target has reset it, and its end is about to be told so
+            with suppress(OSError):  # the target has reset the connection; connection_lost follows
                 target.write_eof()
 
 
 class FaultyNetwork:
-    """All paths between the parties of a run."""
+    """Network paths between the parties of a run."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -332,20 +348,30 @@
         self._datagram_proxies: list[DatagramProxy] = []
 
     def path_between(self, source: str, target: str) -> NetworkPath:
-        """The path from one to another."""
+        """Returns the path from a source to a target; the path is created on first use."""
         return self._paths.setdefault((source, target), NetworkPath((source, target)))
 
     def proxy_connections(self, source: str, target: str, address: Callable[[], str]) -> str:
-        """The address at which the source finds the target; ``address`` is where it really is."""
+        """Returns the proxy address that the source uses for the target.
+
+        Args:
+            source: party that connects.
+            target: party that is connected to.
+            address: returns the target's own address, ``host:port``.
+        """
         path = self.path_between(source, target)
         if path.listener is None:
             path.listener = ListeningProxy(path, address)
         return f"127.0.0.1:{path.listener.port}"
 
     async def proxy_datagrams(self, party_ports: dict[str, int]) -> dict[str, int]:
-        """A relay for each of these parties; the ports at which the others find them.
+        """Opens a datagram proxy for each party; returns the port of each proxy by party.
+
+        The proxy of X receives datagrams for X and forwards each from the proxy of its sender, so that replies take the
+        same path back.
 
-        What comes in at the relay of X is sent on to X from the relay of whoever sent it, so answers take the same way.
+        Args:
+            party_ports: port on which each party itself listens, by name.
         """
         ports = DatagramPorts({port: name for name, port in party_ports.items()}, party_ports)
         proxies: dict[str, DatagramProxy] = {}
@@ -357,14 +383,14 @@
         return {name: proxy.port for name, proxy in proxies.items()}
 
     def datagram_delay_ms(self, source: str, target: str) -> float | None:
-        """By how much a datagram comes later; None where it is lost."""
+        """Returns the delay of a datagram in milliseconds, or None if the datagram is lost."""
         direction = self.path_between(source, target).forward
         if direction.stalled or (direction.loss > 0 and self._random.random() < direction.loss):
             return None
         return direction.delay_ms
 
     def paths_between(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[NetworkPath, bool]]:
-        """The paths between these, each with whether it goes from a source to a target or back."""
+        """Returns the paths between sources and targets, each with whether it runs from a source to a target."""
         source_names, target_names = set(sources), set(targets)
         chosen = []
         for (source, target), path in self._paths.items():
@@ -375,7 +401,7 @@
         return chosen
 
     def set_target_gone(self, target: str, gone: bool) -> None:
-        """A target's process has ended, or is there again: its connections are reset, and dials refused."""
+        """Sets whether a target's process has ended; if so, resets its connections and refuses new ones."""
         for (_, name), path in self._paths.items():
             if name == target:
                 path.target_gone = gone
@@ -385,7 +411,7 @@
                 path.apply_faults()
 
     def close(self) -> None:
-        """End everything."""
+        """Closes all proxies and resets all connections."""
         for path in self._paths.values():
             if path.listener is not None:
                 path.listener.close()
--- a/heronlug/faults/observed_discovery.py
+++ b/heronlug/faults/observed_discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery of a run: a stand-in whose calls, watches and lists are recorded in the history."""
+"""Runs the stand-in for service discovery and records its calls, watches and lists in the history."""
 
 import asyncio
 from collections.abc import Iterable
@@ -14,15 +14,15 @@
 DISCOVERY_PARTY = "register"
 """The name of service discovery in a test plan."""
 CHECKER_STATES = {"active": "ready", "leaving": "draining", "left": "gone"}
-"""The checker's word for each lifecycle of the endpoint list."""
+"""State name that the conformance checker uses, by lifecycle in the endpoint list."""
 
 
 class WrittenList(NamedTuple):
-    """An endpoint list as it was last written to a dispatcher.
+    """Endpoint list that was last sent to a dispatcher.
 
     Attributes:
-        version: of the list.
-        instances: by instance id, in the protocol's form.
+        version: version of the list.
+        instances: servers by instance id, in the format of the protocol.
     """
 
     version: int
@@ -30,12 +30,13 @@
 
 
 class ObservedDiscovery:
-    """The stand-in discovery of a run.
+    """The stand-in for service discovery in a run, with its events recorded.
 
     Attributes:
-        stand_in: the service itself.
-        watched_after: by dispatcher, seconds from the beginning until its first watch waited for an update.
-        dispatcher_names: all dispatchers of the run, once they are known.
+        stand_in: stand-in service.
+        watched_after: seconds from the start of the run until the dispatcher's first watch was waiting for an update,
+            by dispatcher name.
+        dispatcher_names: dispatchers of the run; empty until their files have been written.
     """
 
     def __init__(self, plan: FaultPlan, history: History, network: FaultyNetwork, tasks: BackgroundTasks) -> None:
@@ -58,7 +59,7 @@
         self._written_lists: dict[str, WrittenList] = {}
 
     def set_down(self, down: bool) -> None:
-        """End the service's process, or start it again; connections are refused meanwhile."""
+        """Stops the service, or starts it again; connections are refused while the service is down."""
         self._down = down
         self.record_reachability(self.dispatcher_names)
         if down:
@@ -68,7 +69,7 @@
             self._tasks.spawn(self._reopen())
 
     def record_reachability(self, names: Iterable[str]) -> None:
-        """Record for which of these dispatchers discovery has become reachable, or is no longer."""
+        """Records each of the given dispatchers for which service discovery became reachable or unreachable."""
         for name in names:
             cut = DISCOVERY_PARTY in self._plan.relays and self._network.path_between(name, DISCOVERY_PARTY).blocked
             reachable = not self._down and not cut
@@ -81,7 +82,10 @@
             self._history.record(Reachable(self._history.now(), name, reachable))
 
     def record_shared_change(self, server: str, state: str) -> None:
-        """Count a change as notified to all members of a cluster, also to those that do not poll, after a while."""
+        """Records a change as notified to every member of a cluster after the plan's ``told_after_ms``.
+
+        Members that do not poll service discovery themselves are included.
+        """
 
         def record() -> None:
             for name in self.dispatcher_names:
@@ -91,21 +95,21 @@
             asyncio.get_running_loop().call_later(self._plan.told_after_ms / 1000, record)
 
     def initial_list(self, name: str) -> dict[str, Any]:
-        """The whole list, as the platform gives it to a dispatcher before its first start."""
+        """Returns the complete list that the platform gives to a dispatcher before its first start."""
         instances = list(self.stand_in.instances.values())
         version = self.stand_in.version
         self._written_lists[name] = WrittenList(version, {each["instanceId"]: dict(each) for each in instances})
         return self.stand_in.table(name, version, instances, True)
 
     def last_written_list(self, name: str) -> dict[str, Any] | None:
-        """The list as a dispatcher last held it; None where the platform does not give it one."""
+        """Returns the list that a dispatcher last received; None if the platform gives the dispatcher no list."""
         if name not in self._written_lists:
             return None
         version, instances = self._written_lists[name]
         return self.stand_in.table(name, version, list(instances.values()), True)
 
     def listed_count(self) -> int:
-        """How many servers the list has that have not left."""
+        """Returns the number of listed servers whose lifecycle is not ``left``."""
         return sum(each["lifecycle"] != "left" for each in self.stand_in.instances.values())
 
     async def _reopen(self) -> None:
--- a/heronlug/faults/observed_load.py
+++ b/heronlug/faults/observed_load.py
@@ -1,4 +1,4 @@
-"""Clients of a run: load over HTTP whose requests and answers are recorded in the history."""
+"""Generates the HTTP load of a run and records its requests and answers in the history."""
 
 import time
 
@@ -9,16 +9,16 @@
 from heronlug.loadgen.tally import Tally
 
 FRONT_NOTICES_AFTER_S = 0.4
-"""Seconds after SIGTERM in which the platform's front still opens new connections to a dispatcher."""
+"""Seconds after SIGTERM during which the platform's front end still opens new connections to a dispatcher."""
 
 
 class ObservedLoad(HttpLoad):
     """Load on all dispatchers of a run.
 
     Attributes:
-        dispatcher_of: by request, the dispatcher that it was handed to.
-        incarnation_of: by request, which of that dispatcher's processes it was handed to.
-        lost_count: requests that ended with their dispatcher.
+        dispatcher_of: dispatcher that received the request, by request id.
+        incarnation_of: incarnation of that dispatcher at the time, by request id.
+        lost_count: requests that were lost because their dispatcher ended.
     """
 
     def __init__(self, dispatchers: Dispatchers, history: History, tallies: dict[str, Tally], seconds: float) -> None:
@@ -31,12 +31,15 @@
         self._history = history
 
     def takes(self, door: int) -> bool:
-        """Whether new connections go to a dispatcher: not to one that was told to stop, as soon as that is noticed."""
+        """Returns whether new connections go to a dispatcher.
+
+        They stop ``FRONT_NOTICES_AFTER_S`` after the dispatcher received SIGTERM.
+        """
         requested_at_s = self._dispatchers.processes[f"d{door}"].stop_requested_at_s
         return requested_at_s is None or time.monotonic() - requested_at_s < FRONT_NOTICES_AFTER_S
 
     def handed(self, job: SentRequest, door: int) -> None:
-        """A request goes to a dispatcher."""
+        """Records that a dispatcher received a request."""
         now, name, request_class = self._history.now(), f"d{door}", job.due.request_class
         self.dispatcher_of[job.txn] = name
         self.incarnation_of[job.txn] = self._dispatchers.processes[name].incarnation
@@ -45,14 +48,14 @@
         self._history.record(Taken(now, name, job.txn, request_class.name, once, now + remaining_ms))
 
     def ended(self, job: SentRequest, how: str) -> None:
-        """A request is over."""
+        """Records the end of a request, unless its dispatcher had been killed before the answer was read."""
         super().ended(job, how)
         name = self.dispatcher_of.get(job.txn)
         if name is None:
             return
         process = self._dispatchers.processes[name]
         if how != "lost":
-            # an answer on its way when its dispatcher was killed: the history has the request as over with that
+            # The kill of a dispatcher already ended its requests in the history, so an answer read later is skipped.
             if process.last_ended_incarnation < self.incarnation_of[job.txn]:
                 self._dispatchers.report_end(Answered(self._history.now(), name, job.txn, how))
         elif not process.should_run or not process.running:
--- a/heronlug/faults/ordering.py
+++ b/heronlug/faults/ordering.py
@@ -1,11 +1,11 @@
-"""Records ends after all that was written before them, whichever connection is read first.
+"""Records the end of a request after all events that were written before it, whichever connection is read first.
 
-A dispatcher sends a hedged request, receives the first attempt's answer and forwards it. The answer comes on a
-connection long open; the hedge may lie unread at that time, on one that has not even been accepted, and the slower this
-machine the longer. Recorded as they are read, the hedge would seem to be sent after the request's end.
+A dispatcher may send a hedged request, receive the answer of the first attempt and forward it. The answer arrives on an
+established connection, while the hedge may still be unread on a connection that has not been accepted; the delay grows
+with the load of the machine. Recorded in reading order, the hedge would appear to be sent after the end of its request.
 
-So an end waits for a mark: a connection of our own, opened when the end is read, through one of the proxies, which is
-the longest way that anything takes here. Once its byte has come, all that lay there before has been read.
+Each end therefore waits for a mark: a connection that this module opens when the end is read. The mark goes through a
+proxy, the longest path in the harness, so once its byte arrives, everything written before the mark has been read.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from heronlug.net.http import split_address
 
 MARK_PARTY = "mark"
-"""The name of the path of the marks; no party of a test plan has it."""
+"""Name of the path that marks take; no party of a test plan has this name."""
 
 
 class _MarkReceiver(asyncio.Protocol):
@@ -29,18 +29,22 @@
 
 
 class OrderedEnds:
-    """Ends that wait for a mark, in order; one mark is on its way at a time."""
+    """Queue of ends that wait for a mark; at most one mark is in transit."""
 
     def __init__(self, network: FaultyNetwork) -> None:
         self._network = network
         self._pending_ends: deque[Callable[[], None]] = deque()
-        self._covered_count = 0  # of these, what was there when the latest mark was sent
+        self._covered_count = 0  # number of pending ends when the latest mark was sent
         self._mark_socket: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._address = ("", 0)
 
     async def open(self) -> None:
-        """Listen for marks; raises ``OSError``."""
+        """Starts to listen for marks.
+
+        Raises:
+            OSError: if no port is free.
+        """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _MarkReceiver(self._mark_received), "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
@@ -49,18 +53,18 @@
         )
 
     def report(self, end: Callable[[], None]) -> None:
-        """Call ``end`` when all that has come by now has been read, after all ends that were reported before."""
+        """Calls ``end`` after all bytes that have arrived by now were read, in the order of the reports."""
         self._pending_ends.append(end)
         self._send_mark()
 
     async def wait_until_caught_up(self) -> None:
-        """Wait until all that has come by now has been read and recorded."""
+        """Waits until all bytes that have arrived by now were read and recorded."""
         recorded = asyncio.Event()
         self.report(recorded.set)
         await recorded.wait()
 
     def close(self) -> None:
-        """Record what still waits, and send no more marks."""
+        """Records the pending ends and stops sending marks."""
         self._covered_count = len(self._pending_ends)
         self._mark_received()
         if self._server is not None:
@@ -69,7 +73,7 @@
     def _send_mark(self) -> None:
         if self._mark_socket is None and self._pending_ends:
             self._covered_count = len(self._pending_ends)
-            self._mark_socket = socket.create_connection(self._address)  # on loopback, with room in the queue: at once
+            self._mark_socket = socket.create_connection(self._address)  # does not block: loopback with a free backlog
             self._mark_socket.send(b"\0")
 
     def _mark_received(self) -> None:
--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program: their files, their starts and ends, and what they say of themselves."""
+"""Runs dispatcher processes: writes their files, starts and ends them, and reads their figures and logs."""
 
 import asyncio
 import os
@@ -17,11 +17,14 @@
 from heronlug.faults.plan import FaultPlan
 from heronlug.standins.ports import process_start_lock
 
-SIGHUP_IGNORING_EXEC = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
-UTIME_FIELD = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
+SIGHUP_IGNORING_EXEC = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')
+"""Command prefix that ignores SIGHUP until the program installs its own handler, as in the deployment."""
+UTIME_FIELD = 11
+"""Index of the user CPU time in /proc/PID/stat after the program's name; the system CPU time follows."""
 STOP_WITHIN_S = 15.0
-"""Seconds within which a process ends after SIGTERM; then it is killed."""
-LOG_LOSS_WINDOW_S = 0.2  # s before the end of a log that is cut off, in which lines may be missing
+"""Seconds after SIGTERM after which a process that still runs is killed."""
+LOG_LOSS_WINDOW_S = 0.2
+"""Seconds before the end of a truncated log in which lines may be missing."""
 
 CONFIG_TEMPLATE = Template("""\
 log_level = "{{ 'debug' if plan.dispatchers.log_taken else 'info' }}"
@@ -67,7 +70,13 @@
 
 
 class Usage(NamedTuple):
-    """What a process has used."""
+    """Resources that a process has used.
+
+    Attributes:
+        cpu_s: user and system CPU time in seconds.
+        peak_mb: peak resident memory in MB.
+        descriptors: open file descriptors.
+    """
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
@@ -75,25 +84,37 @@
 
 
 class Process:
-    """One dispatcher: its file, and at most one process of it."""
+    """A dispatcher: its files and at most one running process.
+
+    Attributes:
+        name: name of the dispatcher.
+        folder: folder of its files.
+        admin_port: port of its admin endpoint.
+        source: folder of another version of the program to run; None runs this version.
+        child: latest process; None before the first start.
+        should_run: whether the process is expected to run.
+        stop_requested_at_s: time of the first SIGTERM on the monotonic clock, in seconds; None without one.
+        incarnation: number of starts so far.
+        killed_incarnations: starts whose process a step killed outright.
+        last_ended_incarnation: latest start whose process was killed or exited unexpectedly.
+    """
 
     def __init__(self, name: str, folder: Path, admin_port: int, source: Path | None = None) -> None:
-        """``source`` is the folder of another version of the program, in place of this one."""
         self.name, self.folder, self.admin_port, self.source = name, folder, admin_port, source
         self.child: subprocess.Popen[bytes] | None = None
-        self.should_run = False  # it should run
-        self.stop_requested_at_s: float | None = None  # when it was told to end, on the monotonic clock
+        self.should_run = False
+        self.stop_requested_at_s: float | None = None
         self.incarnation = 0
-        self.killed_incarnations: set[int] = set()  # those of its starts that a step killed outright
-        self.last_ended_incarnation = 0  # how often it had been started when it was last killed, or ended by itself
+        self.killed_incarnations: set[int] = set()
+        self.last_ended_incarnation = 0
 
     @property
     def running(self) -> bool:
-        """Whether there is a process."""
+        """Whether the process is running."""
         return self.child is not None and self.child.poll() is None
 
     def start(self) -> None:
-        """Start it."""
+        """Starts the process, unless it is running."""
         if self.running:
             return
         self.should_run, self.stop_requested_at_s = True, None
@@ -124,7 +145,7 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal; after SIGKILL and SIGTERM it is not wanted any more."""
+        """Sends a signal to a running process; after SIGKILL and SIGTERM the process is expected to end."""
         if self.child is None or not self.running:
             return
         if number in (signal.SIGKILL, signal.SIGTERM):
@@ -137,7 +158,7 @@
             self.child.wait()
 
     def wait_or_kill(self) -> None:
-        """Wait for its end, which a stop has been requested for; one that takes too long is killed."""
+        """Waits for the process to end after SIGTERM and kills it after ``STOP_WITHIN_S``."""
         if self.child is None:
             return
         try:
@@ -147,14 +168,14 @@
             self.child.wait()
 
     def unexpected_exit_status(self) -> int | None:
-        """Its status if it has ended though it should run, which is told once."""
+        """Returns the exit status if the process ended unexpectedly, once per process; otherwise None."""
         if not self.should_run or self.child is None or self.child.poll() is None:
             return None
         self.should_run, self.last_ended_incarnation = False, self.incarnation
         return self.child.returncode
 
     async def figures(self) -> dict[str, float]:
-        """What an operator reads; nothing where it does not answer."""
+        """Returns the figures of the admin endpoint; empty if the endpoint does not answer."""
         try:
             async with asyncio.timeout(2):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
@@ -168,7 +189,7 @@
         return {name: float(value) for name, value in pairs}
 
     def usage(self) -> Usage:
-        """What it has used so far; nothing where it does not run."""
+        """Returns the resources used so far; zeros if the process is not running."""
         if self.child is None or not self.running:
             return Usage()
         proc = Path(f"/proc/{self.child.pid}")
@@ -179,15 +200,16 @@
         return Usage(ticks / os.sysconf("SC_CLK_TCK"), int(peak.split()[1]) / 1024, descriptors)
 
     def logged_events(self, event: str) -> list[dict[str, Any]]:
-        """The lines of its log that tell of such an event."""
+        """Returns the log lines of an event."""
         text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
         matching = [orjson.loads(line) for line in text.splitlines() if f'"event":"{event}"'.encode() in line]
         return [line for line in matching if line["event"] == event]
 
     def unanswered_requests(self) -> list[str]:
-        """What it has taken and neither answered nor seen its client leave, but in lives that were killed outright.
+        """Returns ids of requests that were taken but neither answered nor abandoned by their client, as logged.
 
-        A log's last lines may be lost with the process, so what it took just before them is not counted.
+        Incarnations that a step killed outright are skipped. The last lines of a log may be lost with the process, so
+        requests taken within ``LOG_LOSS_WINDOW_S`` of its end are not counted.
         """
         text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
         incarnations: list[list[dict[str, Any]]] = []
@@ -207,7 +229,7 @@
         return unanswered
 
     def log_errors(self) -> list[str]:
-        """What no log may hold."""
+        """Returns the log lines with an exception or a traceback, which are always a fault."""
         text = (self.folder / f"{self.name}.log").read_text(errors="replace") if self.incarnation else ""
         return [line for line in text.splitlines() if '"exception"' in line or "Traceback" in line]
 
@@ -223,7 +245,7 @@
     advertised_port: int,
     seeds: list[int],
 ) -> None:
-    """The operators' file of a dispatcher."""
+    """Writes the config file of a dispatcher."""
     position = int(process.name[1:])
     more = plan.dispatchers.more.replace("{name}", process.name).replace("{folder}", str(process.folder))
     text = CONFIG_TEMPLATE.render(
@@ -243,9 +265,12 @@
 
 
 def write_platform_files(process: Process, known: dict[str, Any]) -> None:
-    """The same dispatcher as the platform configures it: its object with a ``known`` list, and a file of its own state.
+    """Converts a dispatcher's config file to the files of the platform.
+
+    They are the platform's JSON object with the ``known`` list, and a config file that keeps only the log level.
 
-    Raises :class:`ConfigProblems` where its operators' file has any.
+    Raises:
+        ConfigProblems: if the config file is invalid.
     """
     path = process.folder / f"{process.name}.toml"
     source = Source.read(path)
@@ -258,6 +283,6 @@
 
 
 def write_known_list(process: Process, known: dict[str, Any]) -> None:
-    """Another ``known`` list, for the process's next start."""
+    """Replaces the ``known`` list in the platform's JSON object, for the next start of the process."""
     path = process.folder / f"{process.name}.json"
     path.write_bytes(orjson.dumps({**orjson.loads(path.read_bytes()), "known": known}))
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -1,4 +1,4 @@
-"""The rig's runners: the emulator's hosts behind sockets, with what they see told to the history."""
+"""Runs the stand-in servers of a test plan: emulated servers behind sockets, with events recorded in the history."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,10 +17,11 @@
 from heronlug.standins.ports import free_port
 
 MACHINE_TYPE = "m1"
+"""Machine type of every stand-in server."""
 
 
 def load_classes_of(plan: FaultPlan) -> dict[str, ClassTable]:
-    """The script's classes as the stand-ins know them."""
+    """Returns the request classes of a plan, by name, as the load generator and the stand-in servers use them."""
     return {
         request_class.name: ClassTable(
             request_class.name,
@@ -35,14 +36,14 @@
 
 
 class RequestListener:
-    """Hears the requests of one connection as they are written, though a cut may hold them."""
+    """Reports each request at the time it is written into a connection, even if a cut delays its bytes."""
 
     def __init__(self, on_request_written: Callable[[str], None]) -> None:
         self._on_request_written, self._txn = on_request_written, ""
         self._parser: Any = httptools.HttpRequestParser(self)
 
     def bytes_written(self, data: bytes) -> None:
-        """Bytes of requests; what is no HTTP is heard no further."""
+        """Parses bytes of requests; parsing stops at the first bytes that are not valid HTTP."""
         try:
             if self._parser is not None:
                 self._parser.feed_data(data)
@@ -50,17 +51,28 @@
             self._parser = None
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Stores the request id from the ``X-Txn`` header."""
         if name.lower() == b"x-txn":
             self._txn = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """The last byte has been written."""
+        """Reports a request whose last byte has been written."""
         self._on_request_written(self._txn)
 
 
 class StandInServers:
-    """All runners by name; the register lists them."""
+    """The stand-in servers of a run, listed in the stand-in for service discovery.
+
+    Attributes:
+        plan: test plan of the run.
+        discovery: stand-in that lists the servers.
+        history: recorded events.
+        request_classes: request classes by name.
+        work_draws: empty, since each request states its own work.
+        timeline: real-time timeline of the emulated servers.
+        emulated_servers: emulated servers by name.
+        endpoints: listening sockets of the servers by name.
+    """
 
     def __init__(
         self,
@@ -70,10 +82,18 @@
         dispatcher_of: Callable[[str], str],
         set_gone: Callable[[str, bool], None],
     ) -> None:
-        """``sender`` knows the dispatcher that a request was handed to; ``gone`` hears of processes that end."""
+        """Prepares the servers without starting them.
+
+        Args:
+            plan: test plan of the run.
+            discovery: stand-in that lists the servers.
+            history: recorded events.
+            dispatcher_of: returns the name of the dispatcher that received a request, by request id.
+            set_gone: called with a server's name and whether its process has ended.
+        """
         self.plan, self.discovery, self.history = plan, discovery, history
         self.request_classes = load_classes_of(plan)
-        self.work_draws: dict[str, Draws] = {}  # each job brings its own
+        self.work_draws: dict[str, Draws] = {}
         self.timeline = LiveTimeline()
         self.emulated_servers: dict[str, EmulatedServer] = {}
         self.endpoints: dict[str, ServerEndpoint] = {}
@@ -82,7 +102,11 @@
         self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
 
     async def open(self) -> None:
-        """Start and list all of them, each at a port of its own; raises ``OSError``."""
+        """Starts and lists all servers, each on its own port.
+
+        Raises:
+            OSError: if no port is free.
+        """
         table = self.plan.runners
         for number in range(table.count):
             name = f"r{number}"
@@ -99,11 +123,11 @@
             self.list_as(name, "active")
 
     def address(self, name: str) -> str:
-        """Where it really is."""
+        """Returns a server's own address, without a proxy."""
         return f"127.0.0.1:{self.endpoints[name].port}"
 
     def list_as(self, name: str, state: str) -> None:
-        """The register has it so."""
+        """Lists a server in service discovery with the given lifecycle."""
         server = self.emulated_servers[name]
         started = round(self._unix_ms(server.started_at)) if server.started_at else 0
         self.discovery.put(
@@ -116,13 +140,13 @@
         )
 
     def stop(self, name: str) -> None:
-        """Its process ends."""
+        """Ends a server's process."""
         self.emulated_servers[name].stop()
         self.endpoints[name].close()
         self._set_gone(name, True)
 
     async def restart(self, name: str, cold: bool) -> None:
-        """A new process at the same address."""
+        """Starts a new process of a server at the same address; a cold one warms up first."""
         server = self.emulated_servers[name]
         if cold:
             server.start()
@@ -133,26 +157,26 @@
         self.list_as(name, "active")
 
     def close(self) -> None:
-        """End all."""
+        """Closes the sockets of all servers."""
         for endpoint in self.endpoints.values():
             endpoint.close()
 
-    # -- what the sockets tell
+    # -- events of the sockets
 
     def connection_accepted(self, server: EmulatedServer) -> None:
-        """A connection has come up."""
+        """Records a new connection to a server."""
         self.history.record(Dialled(self.history.now(), server.name))
 
     def request_received(self, server: EmulatedServer, txn: str) -> None:
-        """A whole request has come; where a relay stands before the runner, it was sent when that heard it."""
+        """Records a complete request as sent; with a proxy, :class:`RequestListener` has already reported it."""
         if "runners" not in self.plan.relays:
             self.request_sent(server.name, txn)
 
     def request_sent(self, name: str, txn: str) -> None:
-        """A dispatcher has written a whole request."""
+        """Records a complete request that a dispatcher wrote to a server."""
         self.history.record(Sent(self.history.now(), self._dispatcher_of(txn), txn, name))
 
-    # -- inside
+    # -- internal
 
     def _unix_ms(self, at: float) -> float:
         return self.history.now() - (self.timeline.now - at)
--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -1,10 +1,10 @@
-"""Random scripts from a seed: fleets, classes and faults, to find what no plan that somebody wrote has.
+"""Draws random test plans from a seed, to find fault combinations that the written plans do not cover.
 
-Faults come one upon the other: processes are killed, replaced with the earliest kill, held up, away while servers
-leave; service discovery is down, slow, silent, refuses, or answers in half; paths are cut, silent, slow or reset;
-servers die, drain and come back cold.  Clients use each connection until it is closed.  The four rules, read off what
-clients, servers and discovery saw, have to hold.  Most runs are configured as on the platform, where each change of
-the list counts as notified in its time; the others as by operators' files.
+Faults overlap: dispatchers are killed, replaced with the earliest permitted kill, paused, or down while servers are
+removed; service discovery is down, slow, silent, rejects calls or truncates its answers; paths are cut, silent, slow or
+reset; servers crash, drain and restart while they warm up. Clients reuse each connection until it is closed. The four
+rules must hold for the events that clients, servers and service discovery observe. Most runs are configured as on the
+platform, where each list change must be notified in time; the other runs use an operator's config file.
 """
 
 from random import Random
@@ -20,14 +20,16 @@
     Step,
 )
 
-SPAN_S = 18.0  # s
-FIRST_STEP_S, LAST_STEP_S = 1.0, 9.0  # s: when steps begin
-PLATFORM_SHARE = 0.8  # of all runs
+SPAN_S = 18.0
+FIRST_STEP_S, LAST_STEP_S = 1.0, 9.0
+"""Earliest and latest time at which a drawn fault begins, in seconds."""
+PLATFORM_SHARE = 0.8
+"""Share of plans that are configured as on the platform."""
 EFFECTS: tuple[Literal["repeatable", "by_key", "once"], ...] = ("repeatable", "by_key", "once")
 
 
 def draw(seed: int) -> FaultPlan:
-    """The plan of a seed."""
+    """Returns the test plan that a seed determines."""
     rng = Random(seed)
     dispatcher_count, server_count = rng.randint(2, 4), rng.randint(3, 8)
     plan = FaultPlan(
@@ -77,7 +79,7 @@
 
 
 def _dispatchers_replaced(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """One after the other, and signals in series: a second SIGTERM changes nothing."""
+    """Replaces one or two dispatchers, 2 s apart; a second SIGTERM to the same process must change nothing."""
     who = [f"d{number}" for number in range(plan.dispatchers.count)][: rng.randint(1, 2)]
     return [Step(at_s=at + 2.0 * number, do="replace", who=[name]) for number, name in enumerate(who)]
 
@@ -108,25 +110,25 @@
 
 
 def _discovery_rejects(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """It is at hand and turns calls away, while watches break and servers drain."""
+    """Service discovery is up but rejects calls while watches break and servers drain."""
     rejecting = Step(at_s=at, do="turn", share=rng.choice([0.7, 1.0]), for_s=rng.uniform(2, 12))
     return [rejecting, *_discovery_reset(rng, at + 0.1, plan), *_servers_drain(rng, at + 0.3, plan)]
 
 
 def _discovery_hangs(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """It takes calls and says nothing, while watches break and servers drain."""
+    """Service discovery accepts calls without answering while watches break and servers drain."""
     hanging = Step(at_s=at, do="hang", for_s=rng.uniform(2, 12))
     return [hanging, *_discovery_reset(rng, at + 0.1, plan), *_servers_drain(rng, at + 0.3, plan)]
 
 
 def _discovery_answers_cut(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """Answers stop half-way, or drip."""
+    """Answers of service discovery are reset half-way or arrive slowly."""
     fault, size = rng.choice([("half", 120), ("trickle", 400)])
     return [Step(at_s=at, do=fault, source=["d*"], target=["register"], bytes=size, for_s=rng.uniform(1, 5))]
 
 
 def _dispatcher_misses_removal(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """Dispatchers are away while servers leave, and come back with the list of before."""
+    """A dispatcher is down while servers are removed, and restarts with its earlier list."""
     who, since_s = _dispatcher(rng, plan), min(at, 4.0)
     removed = Step(at_s=since_s + 0.4, do="list", who=_some_servers(rng, plan), state="left")
     return [Step(at_s=since_s, do="kill", who=who, for_s=rng.uniform(7, 10)), removed]
@@ -169,7 +171,7 @@
 
 
 def _servers_drain(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """They begin to drain, and have left later."""
+    """Servers begin to drain and are later removed or active again."""
     who = _some_servers(rng, plan)
     return [
         Step(at_s=at, do="list", who=who, state="leaving"),
--- a/heronlug/faults/steps.py
+++ b/heronlug/faults/steps.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of a test plan, and takes back those that last for a time."""
+"""Applies the steps of a test plan and reverts those that have a duration."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,11 +22,11 @@
 from heronlug.faults.tasks import BackgroundTasks
 
 Undo = Callable[[], Awaitable[None] | None]
-"""Takes a step back."""
+"""Function that reverts a step."""
 
 
 class StepRunner:
-    """Carries out steps on the dispatchers, servers, discovery and network of a run."""
+    """Applies steps to the dispatchers, servers, service discovery and network of a run."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._random = Random(plan.seed)
 
     async def run(self, step: Step) -> None:
-        """Wait until a step is due, and carry it out on each party that it names."""
+        """Waits until a step is due and applies the step to each party that its selectors name."""
         await asyncio.sleep(max(0.0, step.at_s - self._history.elapsed_s()))
         parties = self._choose(step.who)
         for number, name in enumerate(parties or [""]):
@@ -123,7 +123,14 @@
 
 
 def _set_fault(step: Step, path: NetworkPath, forward: bool, active: bool) -> None:
-    """Begin or end the fault of a step on one path; ``forward`` tells that the path has the step's direction."""
+    """Begins or ends the fault of a step on one path.
+
+    Args:
+        step: step whose fault is set.
+        path: path on which the fault is set.
+        forward: whether the path runs from the step's source to its target, and not back.
+        active: whether the fault begins; otherwise it ends.
+    """
     if step.do == "heal":
         path.heal()
     elif step.do == "refuse":
@@ -152,7 +159,7 @@
 
 
 def _limit_answers(direction: Direction, step: Step, active: bool) -> None:
-    """Bound what the target answers: by its rate, or by the bytes of each connection after which it is reset."""
+    """Limits the target's answers: ``trickle`` limits the rate, ``half`` the bytes before a connection is reset."""
     limit = step.bytes if active else 0
     if step.do == "trickle":
         direction.bytes_per_second = limit
--- a/heronlug/faults/tasks.py
+++ b/heronlug/faults/tasks.py
@@ -1,14 +1,14 @@
-"""Background tasks of a run, with one owner."""
+"""Owns the background tasks of a run."""
 
 import asyncio
 from collections.abc import Coroutine
 
 
 class BackgroundTasks:
-    """Tasks that end with the run; what fails in one of them is a failure of the harness, not of the program.
+    """Tasks that end with the run; an exception in a task is a failure of the harness, not of the program under test.
 
     Attributes:
-        failures: what went wrong in the run itself, a line each.
+        failures: failures of the run itself, one line each.
     """
 
     def __init__(self) -> None:
@@ -16,17 +16,17 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Coroutine[object, object, None]) -> "asyncio.Task[None]":
-        """Run a coroutine until it ends or the run does."""
+        """Runs a coroutine until it or the run ends; returns its task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._record_failure)
         return task
 
     def close(self) -> None:
-        """Cancel all of them."""
+        """Cancels all tasks."""
         for task in self._tasks:
             task.cancel()
 
     def _record_failure(self, task: "asyncio.Task[None]") -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.failures.append(f"the rig: {error!r}")
+            self.failures.append(f"fault harness: background task failed: {error!r}")
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -1,4 +1,4 @@
-"""What came of a run: rules that were broken, expectations that were not met, and figures."""
+"""Judges a finished run: broken rules, unmet expectations and figures."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -13,21 +13,29 @@
 
 @dataclass
 class Verdict:
-    """What came of a run."""
+    """Result of a run.
+
+    Attributes:
+        name: name of the test plan.
+        violations: violations of the four rules.
+        faults: unmet expectations and failures of processes or of the harness, one line each.
+        figures: figures of the run by name.
+        steps: steps as applied, each with its milliseconds since the start of the run.
+    """
 
     name: str
     violations: list[Violation] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # what was expected and is not so
+    faults: list[str] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
     steps: list[tuple[float, str]] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
-        """Whether all rules and expectations were kept."""
+        """Whether all rules and expectations were met."""
         return not self.violations and not self.faults
 
     def text(self) -> str:
-        """For people."""
+        """Returns the verdict as readable text, with at most 20 violations."""
         lines = [f"{self.name}: {'kept' if self.kept else 'BROKEN'}"]
         lines += [f"  rule {v.rule}: {v.what}" for v in self.violations[:20]]
         lines += [f"  {fault}" for fault in self.faults]
@@ -36,22 +44,35 @@
 
 
 class FinishedRun(NamedTuple):
-    """A run that is over, as the rig saw it."""
+    """Observations of a finished run.
+
+    Attributes:
+        plan: test plan of the run.
+        history: recorded events.
+        processes: dispatchers by name.
+        tallies: counts of the load generator, one tally per request class.
+        watching: dispatchers that had a watch open at service discovery at the end.
+        listed: whether each dispatcher that ran at the end had the complete list, by name.
+        listed_after: seconds until each dispatcher had its list, by name.
+        lost_with_dispatcher: requests lost because their dispatcher ended.
+        list_bytes: bytes of all responses of service discovery.
+        failures: failures of the harness, and processes that exited unexpectedly.
+    """
 
     plan: FaultPlan
     history: History
     processes: Mapping[str, Process]
     tallies: Iterable[Tally]
-    watching: list[str]  # dispatchers that watched discovery in the end
-    listed: dict[str, bool]  # of those that ran in the end, whether they had the whole list
-    listed_after: dict[str, float]  # s until a dispatcher had its list
-    lost_with_dispatcher: int  # requests that ended with their dispatcher
+    watching: list[str]
+    listed: dict[str, bool]
+    listed_after: dict[str, float]
+    lost_with_dispatcher: int
     list_bytes: int
-    failures: list[str]  # of the rig, and processes that ended by themselves
+    failures: list[str]
 
 
 def judge(run: FinishedRun) -> Verdict:
-    """The verdict of a run."""
+    """Returns the verdict of a finished run."""
     checker = run.history.checker
     verdict = Verdict(run.plan.name, checker.finish(run.history.now()), list(run.failures))
     verdict.steps, verdict.figures = run.history.steps, _figures(run)
@@ -105,14 +126,14 @@
 
 
 def _unmet_expectations(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
-    """What was expected of the figures and is not so."""
+    """Returns a line for each expectation that the figures do not meet."""
     expect, faults = run.plan.expect, []
     for name, most in _bounds(expect).items():
         if most is not None and figures[name] > most:
             faults.append(f"{name}: {figures[name]}, at most {most:g} expected")
     if expect.listed and not all(run.listed.values()):
         without = [name for name, has_list in run.listed.items() if not has_list]
-        faults.append(f"without the whole list in the end: {', '.join(without)}")
+        faults.append(f"dispatchers without the complete list in the end: {', '.join(without)}")
     if expect.reading is not None and not expect.reading[0] <= len(run.watching) <= expect.reading[1]:
         faults.append(f"reading in the end: {', '.join(run.watching) or 'nobody'}; {expect.reading} expected")
     counted = figures["jobs"] - run.lost_with_dispatcher
@@ -123,7 +144,7 @@
 
 
 def _failed_attempts(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
-    """The bounds on attempts into a zone that fail; their counts go into the figures."""
+    """Returns a line for each exceeded bound on failed attempts into a zone; adds the counts to the figures."""
     faults = []
     for table in run.plan.expect.failed:
         count = sum(_count_failed_attempts(run, process, table) for process in run.processes.values())
@@ -135,7 +156,7 @@
 
 
 def _count_failed_attempts(run: FinishedRun, process: Process, table: FailedTable) -> int:
-    """How many attempts a dispatcher began into a zone between two times that it says have failed."""
+    """Returns the number of failed attempts into a zone that a dispatcher logged and began within the time span."""
     count = 0
     for line in process.logged_events("relay_ended"):
         at = (line["at"] * 1000 - line["ms"] - run.history.began_at_ms) / 1000
