--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -267,7 +267,7 @@
 def write_platform_files(process: Process, known: dict[str, Any]) -> None:
     """Converts a dispatcher's config file to the files of the platform.
 
-    They are the platform's JSON object with the ``known`` list, and a config file that keeps only the log level.
+    Writes the platform's JSON object, which has the ``known`` list, and a config file that keeps only the log level.
 
     Raises:
         ConfigProblems: if the config file is invalid.
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -81,7 +81,7 @@
     for process in run.processes.values():
         if run.plan.dispatchers.log_taken:
             verdict.faults += [
-                f"{process.name} took {name} and never answered" for name in process.unanswered_requests()
+                f"{process.name} took request {name} and never answered it" for name in process.unanswered_requests()
             ]
         verdict.faults += [f"{process.name}: {line[:400]}" for line in process.log_errors()]
     return verdict
@@ -135,7 +135,7 @@
         without = [name for name, has_list in run.listed.items() if not has_list]
         faults.append(f"dispatchers without the complete list in the end: {', '.join(without)}")
     if expect.reading is not None and not expect.reading[0] <= len(run.watching) <= expect.reading[1]:
-        faults.append(f"reading in the end: {', '.join(run.watching) or 'nobody'}; {expect.reading} expected")
+        faults.append(f"reading in the end: {', '.join(run.watching) or 'no dispatcher'}; {expect.reading} expected")
     counted = figures["jobs"] - run.lost_with_dispatcher
     if expect.served_least is not None and figures["served"] < expect.served_least * counted:
         share = f"at least {expect.served_least:g} of them expected"
--- a/heronlug/standins/__init__.py
+++ b/heronlug/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of outside systems, for trying the program out, for its tests and its benchmarks."""
+"""Stand-ins for external systems, used by demos, tests and benchmarks of the program."""
--- a/heronlug/standins/discovery.py
+++ b/heronlug/standins/discovery.py
@@ -1,8 +1,8 @@
-"""A stand-in of service discovery: the whole list, and watches that wait for something new.
+"""Stand-in for service discovery: serves the complete endpoint list and watches for changes.
 
-PROTOCOL, *Dispatchers to the register*: ``GET /registry/instances``, with ``after`` and ``wait_ms`` for a watch. It is
-one service for all and works through calls one after another: with a cost a call there is a queue, and what would wait
-in it for too long is turned away.
+See PROTOCOL, *Dispatchers to the register*: ``GET /registry/instances``, with ``after`` and ``wait_ms`` for a watch.
+One service answers all dispatchers and processes calls one after another. If calls have a processing time, they queue,
+and a call that would wait too long is rejected.
 """
 
 import asyncio
@@ -18,23 +18,23 @@
 from heronlug.net import http
 
 MAX_WATCH_MS = 60_000.0
-"""Milliseconds for which a watch waits at most."""
+"""Maximum milliseconds that a watch waits."""
 MAX_CHANGES = 4096
-"""Changes that a watch may ask for; from further back it gets the whole list."""
+"""Number of latest changes that are kept; a watch from an older version receives the complete list."""
 BIND_RETRIES = 20
-"""Further attempts to listen on a port that listened before."""
+"""Retries to listen on a port that the service used before."""
 BIND_RETRY_S = 0.05
-"""Seconds between two of these attempts."""
+"""Seconds between these retries."""
 
 
 class Call(NamedTuple):
-    """A call that was worked through, or rejected.
+    """A call that was processed or rejected.
 
     Attributes:
-        caller: the dispatcher.
-        complete: it asks for the whole list.
-        rejected: it was not worked through.
-        waited_ms: milliseconds in the queue and in work.
+        caller: name of the dispatcher.
+        complete: whether the call receives the complete list.
+        rejected: whether the call was rejected.
+        waited_ms: milliseconds in the queue and in processing.
     """
 
     caller: str
@@ -44,26 +44,27 @@
 
 
 class StandInDiscovery:
-    """Instances by name, and a version that each change raises by one.
+    """Servers by instance id, with a list version that each change increments.
 
     Attributes:
-        instances: by name, in the protocol's form.
-        version: of the list.
-        answered_polls: calls that have been answered.
-        written_bytes: of all responses.
-        silent: calls are read and not answered.
-        call_ms: milliseconds that a call costs.
-        max_wait_ms: a call that would wait longer is rejected.
-        reject_cost_ms: milliseconds that a rejected call costs.
-        retry_after_ms: of the response to a rejected call; 0 for none.
-        reject_share: of all calls, rejected whatever the load.
-        connections: all that are open.
+        instances: servers by instance id, in the format of the protocol.
+        version: version of the list.
+        answered_polls: number of calls that have been answered.
+        written_bytes: bytes of all responses.
+        silent: whether calls are read without being answered.
+        call_ms: processing time of a call in milliseconds.
+        max_wait_ms: milliseconds in the queue above which a call is rejected.
+        reject_cost_ms: processing time of a rejected call in milliseconds.
+        retry_after_ms: ``Retry-After`` of a rejection in milliseconds; 0 sends none.
+        reject_share: share of calls that are rejected at any load, 0 to 1.
+        connections: open connections.
         on_poll: called for each call.
-        on_list_written: called with the caller, the instances and whether they are the whole list.
-        on_watch: called with the caller, the number of the call and the milliseconds that it waits.
-        on_watch_end: called with the caller and the number of a call that is answered, or whose connection is closed.
-        on_change: called with the name and the lifecycle of an instance that has changed.
-        address_of: the address at which a caller finds an instance, from the caller, its name and its own address.
+        on_list_written: called with the caller, the instances and whether they are the complete list.
+        on_watch: called with the caller, the call number and the milliseconds that the watch waits.
+        on_watch_end: called with the caller and the call number when a watch is answered or its connection closes.
+        on_change: called with the instance id and the lifecycle of a changed server.
+        address_of: returns the address that a caller uses for a server, from the caller, the instance id and the
+            server's own address.
     """
 
     def __init__(
@@ -96,15 +97,19 @@
         self._ports: dict[str, int] = {}
 
     async def open(self, host: str = "127.0.0.1", port: int = 0, caller: str = "") -> int:
-        """Listen for a caller, again on the port that it had; returns the port.  Raises ``OSError``."""
+        """Starts to listen for a caller, on the port of its previous listener if there was one; returns the port.
+
+        Raises:
+            OSError: if the port cannot be bound after ``BIND_RETRIES`` retries.
+        """
         if caller in self._servers:
-            return self._ports[caller]  # it is up already
+            return self._ports[caller]  # already listening
         loop, wanted = asyncio.get_running_loop(), port or self._ports.get(caller, 0)
         for retries_left in range(BIND_RETRIES, -1, -1):
             try:
                 server = await loop.create_server(lambda: Connection(self, caller), host, wanted, backlog=512)
                 break
-            except OSError:  # somebody tries whether the port is free, for an instant
+            except OSError:  # free_port() binds a port briefly to test it
                 if not retries_left:
                     raise
                 await asyncio.sleep(BIND_RETRY_S)
@@ -113,7 +118,7 @@
         return self._ports[caller]
 
     def close(self) -> None:
-        """Listen no more, and reset all connections."""
+        """Stops listening, resets all connections and empties the queue."""
         for server in self._servers.values():
             server.close()
         self._servers.clear()
@@ -122,7 +127,7 @@
             connection.abort()
 
     def put(self, name: str, **fields: Any) -> None:
-        """A new instance, or other values of one: ``hostPort``, ``zone``, ``machineType``, ``lifecycle`` and so on."""
+        """Adds a server or changes fields of one, such as ``hostPort``, ``zone``, ``machineType`` and ``lifecycle``."""
         defaults = {"instanceId": name, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0, "cell": 0}
         self.instances[name] = {**defaults, **self.instances.get(name, {}), **fields}
         self.version += 1
@@ -133,18 +138,18 @@
             connection.update_available()
 
     def begin_watch(self, connection: "Connection") -> None:
-        """A call begins to wait."""
+        """Numbers a call that begins to wait and reports it."""
         self._watch_count += 1
         connection.call_number = self._watch_count
         self.on_watch(connection.caller, connection.call_number, connection.wait_ms)
 
     def restart_versions(self) -> None:
-        """Versions begin again, as after a restart that lost them."""
+        """Restarts versions at 1, as a service does that lost its state."""
         self.version = 1
         self._changed = [(1, name) for name in self.instances]
 
     def list_after(self, after: int | None, caller: str = "") -> bytes:
-        """What is newer than a version, or all."""
+        """Returns the encoded changes after a version, or the complete list if these are not known."""
         covered = not self._changed or after is None or self._changed[0][0] <= after + 1
         if after is None or after > self.version or not covered:
             instances, complete = [*self.instances.values()], True
@@ -155,16 +160,16 @@
         return orjson.dumps(self.table(caller, self.version, instances, complete))
 
     def table(self, caller: str, version: int, instances: list[dict[str, Any]], complete: bool) -> dict[str, Any]:
-        """A list in the protocol's form, as a caller sees the addresses."""
+        """Returns a list in the format of the protocol, with the addresses that the caller uses."""
         visible = [{**i, "hostPort": self.address_of(caller, i["instanceId"], i["hostPort"])} for i in instances]
         return {"generation": version, "reset": complete, "instances": visible}
 
     def watching(self) -> list[str]:
-        """The callers whose watch waits for news now."""
+        """Returns the callers that have a watch waiting for a change, sorted."""
         return sorted(connection.caller for connection in self.connections if connection.watching)
 
     def enqueue_poll(self) -> float | None:
-        """A call has come: ms until it has been worked through, or None where it is turned away."""
+        """Queues a call; returns the milliseconds until it is processed, or None if it is rejected."""
         now_ms = time.monotonic() * 1000
         queue_ms = max(0.0, self._idle_at_ms - now_ms)
         if queue_ms > self.max_wait_ms or (self.reject_share and self._random.random() < self.reject_share):
@@ -175,7 +180,14 @@
 
 
 class Connection(asyncio.Protocol):
-    """One dispatcher's connection."""
+    """Connection of a dispatcher.
+
+    Attributes:
+        caller: name of the dispatcher.
+        wait_ms: milliseconds that the latest call may wait for a change.
+        watching: whether a call waits for a change.
+        call_number: number of the watch that waits for an answer; 0 for none.
+    """
 
     def __init__(self, discovery: StandInDiscovery, caller: str = "") -> None:
         self._discovery, self.caller = discovery, caller
@@ -185,17 +197,17 @@
         self._after: int | None = None
         self.wait_ms = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._call_pending = False  # a call waits for its answer
-        self.watching = False  # it waits for something new
-        self.call_number = 0  # the number of the call that waits for an answer; 0 for none
+        self._call_pending = False
+        self.watching = False
+        self.call_number = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A dispatcher has connected."""
+        """Registers the new connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._discovery.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has gone."""
+        """Ends the call that waits on the connection."""
         self._discovery.connections.discard(self)
         self._end_call()
         self.watching = self._call_pending = False
@@ -203,23 +215,23 @@
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a call."""
+        """Parses bytes of a call; invalid HTTP resets the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError):
             self.abort()
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Resets the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Path and query, perhaps in pieces."""
+        """Appends a piece of the path and query."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """The call is whole."""
+        """Queues, rejects or processes a complete call."""
         parts, self._target = urlsplit(self._target.decode("ascii", "replace")), b""
         query = {key: values[-1] for key, values in parse_qs(parts.query).items()}
         if parts.path != "/registry/instances":
@@ -240,12 +252,12 @@
             self._process_call()
 
     def update_available(self) -> None:
-        """Something is new."""
+        """Answers a waiting watch after a change of the list."""
         if self.watching:
             self._answer()
 
     def _process_call(self) -> None:
-        """Its turn has come: answered at once, or it waits for something new."""
+        """Answers a call whose turn in the queue has come, or starts its wait for a change."""
         self._timer = None
         if self._after is None or self.wait_ms <= 0 or self._discovery.version != self._after:
             self._answer()
@@ -257,7 +269,7 @@
     def _answer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer, self.watching = None, False  # who is silent now has fallen silent for good
+        self._timer, self.watching = None, False  # a call that is due while the service is silent is never answered
         if self._call_pending and not self._discovery.silent:
             self._call_pending = False
             self._discovery.answered_polls += 1
@@ -265,7 +277,7 @@
             self._end_call()
 
     def _end_call(self) -> None:
-        """The call that waited is answered, or can be no more."""
+        """Reports the end of a watch that was answered or whose connection closed."""
         if self.call_number:
             self._discovery.on_watch_end(self.caller, self.call_number)
             self.call_number = 0
--- a/heronlug/standins/first_request.py
+++ b/heronlug/standins/first_request.py
@@ -1,4 +1,4 @@
-"""A first job of each class for a dispatcher that somebody has just started."""
+"""Sends one request of each class to a dispatcher that has just been started."""
 
 import asyncio
 import http.client
@@ -10,11 +10,16 @@
 from heronlug.net.http import split_address
 from heronlug.standins.server import StandInServer
 
-START_TIMEOUT_S = 10.0  # s, for the dispatcher to come up
+START_TIMEOUT_S = 10.0
+"""Seconds to wait for the dispatcher to start."""
 
 
 def _post(config: Config, request_class: str, seconds: float) -> tuple[int, str]:
-    """One job; returns status and body.  Raises ``OSError``."""
+    """Sends a request; returns the status and body of the response.
+
+    Raises:
+        OSError: if the dispatcher cannot be reached or does not answer in time.
+    """
     connection = http.client.HTTPConnection(*config.listen, timeout=seconds + 1)
     try:
         headers = {
@@ -31,7 +36,7 @@
 
 
 async def _open_stand_ins(config: Config) -> list[StandInServer]:
-    """A stand-in at each listed loopback address that nobody listens at."""
+    """Opens a stand-in server at each listed loopback address where nothing listens yet."""
     stand_ins = []
     for instance in (config.known or {}).get("instances", ()):
         address, port = split_address(instance["hostPort"])
@@ -42,7 +47,7 @@
             except OSError:
                 continue
             stand_ins.append(stand_in)
-            print(f"a stand-in host answers at {instance['hostPort']} meanwhile", file=sys.stderr)
+            print(f"a stand-in server answers at {instance['hostPort']} during this command", file=sys.stderr)
     return stand_ins
 
 
@@ -67,5 +72,5 @@
 
 
 def run(config: Config, seconds: float) -> int:
-    """Play it; the exit status is 1 unless every class was served."""
+    """Sends the requests; returns the exit status, 1 unless every class was served."""
     return asyncio.run(_send_requests(config, seconds))
--- a/heronlug/standins/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -1,7 +1,8 @@
-"""A whole fleet of stand-in hosts on loopback, as a scenario describes it, and the register that lists them.
+"""Runs the servers of a scenario as stand-ins on loopback, together with the service discovery that lists them.
 
-The hosts are the emulator's own model (slots, queues, cold starts, tipping over), in real time and behind sockets that
-speak PROTOCOL, *Dispatchers to runners*. A job's body may name its work in milliseconds; else it is drawn.
+The servers use the emulator's model (slots, queues, warm-up, overload) in real time behind sockets that implement
+PROTOCOL, *Dispatchers to runners*. A request's body may state its work in milliseconds; otherwise the work is drawn
+from the distribution of its class.
 """
 
 import asyncio
@@ -23,27 +24,49 @@
 from heronlug.standins.live import LiveTimeline
 
 LIFECYCLES = {state: word for word, state in STATES.items()}
-PROGRESS_INTERVAL_MS = 1000.0  # ms between words of a job that runs
-UNSUPPORTED_FAULTS = ("partition", "dispatcher-kill")  # troubles that no fleet of hosts can play
+"""Lifecycle in the endpoint list by server state."""
+PROGRESS_INTERVAL_MS = 1000.0
+"""Milliseconds between progress lines of a running request."""
+UNSUPPORTED_FAULTS = ("partition", "dispatcher-kill")
+"""Faults of a scenario that affect dispatchers, which a fleet of servers cannot inject."""
 REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class EndpointOwner(Protocol):
-    """What a host's socket has to know of the fleet that it belongs to."""
+    """Owner of server endpoints: supplies their configuration and receives their events.
+
+    Attributes:
+        request_classes: request classes by name.
+        work_draws: distribution of the work by class name, for requests that do not state their work.
+        timeline: real-time timeline of the emulated servers.
+    """
 
     request_classes: dict[str, ClassTable]
     work_draws: dict[str, Draws]
     timeline: LiveTimeline
 
     def connection_accepted(self, server: EmulatedServer) -> None:
-        """A connection to it has come up."""
+        """Handles a new connection to a server."""
 
     def request_received(self, server: EmulatedServer, txn: str) -> None:
-        """A whole request has come to it."""
+        """Handles a complete request that a server received."""
 
 
 class Fleet:
-    """All hosts, by the names in the register."""
+    """Stand-in servers of a scenario and the stand-in for service discovery.
+
+    Attributes:
+        scenario: scenario that describes the servers and faults.
+        seed: seed of the random draws; by default the scenario's.
+        timeline: real-time timeline of the emulated servers; set by :meth:`open`.
+        fault_injector: injects the scenario's faults; set by :meth:`begin`.
+        discovery: stand-in that lists the servers.
+        emulated_servers: emulated servers by instance id.
+        endpoints: listening sockets by instance id.
+        request_classes: request classes by name.
+        work_draws: distribution of the work by class name.
+        overload_count: number of servers that crashed under overload.
+    """
 
     def __init__(
         self, scenario: Scenario, seed: int | None = None, record: Callable[[Event], None] | None = None
@@ -66,7 +89,11 @@
         self.overload_count = 0
 
     async def open(self, port: int = 0) -> int:
-        """Start all hosts and the register; returns the register's port.  Raises ``OSError``."""
+        """Starts all servers and service discovery; returns the port of service discovery.
+
+        Raises:
+            OSError: if a port cannot be bound.
+        """
         self.timeline = LiveTimeline()
         for pool_number, pool in enumerate(self.scenario.pool):
             kind = next(each for each in self.scenario.kind if each.name == pool.kind)
@@ -77,27 +104,27 @@
         return await self.discovery.open(port=port)
 
     def begin(self) -> None:
-        """The scenario's time starts: its troubles come from now on."""
+        """Starts the scenario's clock and the injection of its faults."""
         self.timeline._began_ns = LiveTimeline()._began_ns
         self.fault_injector = _fault_injector(self)
 
     def close(self) -> None:
-        """End everything."""
+        """Stops all servers, tasks and service discovery."""
         for task in self._tasks:
             task.cancel()
         for endpoint in self.endpoints.values():
             endpoint.close()
         self.discovery.close()
 
-    # -- what troubles ask
+    # -- actions of the fault injector
 
     def stop_server(self, server: EmulatedServer) -> None:
-        """Its process ends: connections are reset, new ones refused."""
+        """Ends a server's process: open connections are reset and new ones refused."""
         server.stop()
         self.endpoints[server.name].close()
 
     def list_server(self, server: EmulatedServer, state: ServerState) -> None:
-        """The register has it so."""
+        """Lists a server in the given state; a ready server also listens."""
         kind = server.kind.name
         started = server.started_at and self.unix_ms(server.started_at)
         self.discovery.put(
@@ -112,27 +139,27 @@
             self._spawn(self.endpoints[server.name].open())
 
     def replace_server(self, server: EmulatedServer) -> None:
-        """A cold successor under a name of its own."""
+        """Replaces a server by a cold successor with a new instance id, such as ``name+1``."""
         base, _, number = server.name.partition("+")
         self._spawn(self._start_successor(f"{base}+{int(number or 0) + 1}", server))
 
     def unix_ms(self, at: float) -> float:
-        """A time of the line as Unix milliseconds."""
+        """Returns a time of the timeline as Unix milliseconds."""
         return time.time() * 1000 - (self.timeline.now - at)
 
     def record_event(self, event: Event) -> None:
-        """For whoever records."""
+        """Passes an event to the recorder, if there is one."""
         if self._record is not None:
             self._record(event)
 
     def connection_accepted(self, server: EmulatedServer) -> None:
-        """A connection to a host has come up."""
+        """Records a new connection to a server."""
         self.record_event(Dialled(self.unix_ms(self.timeline.now), server.name))
 
     def request_received(self, server: EmulatedServer, txn: str) -> None:
-        """Who sent it is not known here."""
+        """Does nothing, since the fleet cannot tell which dispatcher sent the request."""
 
-    # -- inside
+    # -- internal
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -169,7 +196,7 @@
 
 
 class _FaultTarget:
-    """A fleet on sockets, as faults are injected into it."""
+    """Adapts a fleet to the interface of the emulator's fault injector."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.timeline, self.servers = fleet.timeline, fleet.emulated_servers
@@ -181,23 +208,30 @@
         self._discovery = fleet.discovery
 
     def silence_discovery(self) -> None:
-        """Let service discovery answer nothing."""
+        """Makes service discovery leave calls unanswered."""
         self._discovery.silent = True
 
     def end_discovery_silence(self) -> None:
-        """Let service discovery answer again."""
+        """Makes service discovery answer calls again."""
         self._discovery.silent = False
 
 
 def _fault_injector(fleet: Fleet) -> ServerFaultInjector:
-    """Injects the faults of the fleet's scenario that a fleet of servers can have."""
+    """Returns an injector for the faults of the scenario that a fleet of servers supports."""
     scenario = fleet.scenario
     faults = [fault for fault in scenario.trouble if fault.what not in UNSUPPORTED_FAULTS]
     return ServerFaultInjector(_FaultTarget(fleet), faults, scenario.zones, fleet.seed)
 
 
 class ServerEndpoint:
-    """One host's listening socket; the port stays the same for its next process."""
+    """Listening socket of an emulated server; a restarted server keeps its port.
+
+    Attributes:
+        owner: receiver of the events.
+        server: emulated server behind the socket.
+        port: port of the socket; 0 before it is first opened, unless set.
+        connections: open connections.
+    """
 
     def __init__(self, owner: EndpointOwner, server: EmulatedServer) -> None:
         self.owner, self.server = owner, server
@@ -207,11 +241,15 @@
 
     @property
     def listening(self) -> bool:
-        """Whether it takes connections."""
+        """Whether the socket accepts connections."""
         return self._server is not None
 
     async def open(self) -> None:
-        """Listen, unless it does; raises ``OSError``."""
+        """Starts to listen, unless the socket is open.
+
+        Raises:
+            OSError: if the port cannot be bound.
+        """
         if self.listening:
             return
         loop = asyncio.get_running_loop()
@@ -219,7 +257,7 @@
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Listen no more, and reset all connections."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -228,7 +266,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a dispatcher: one request at a time."""
+    """Connection of a dispatcher, which carries one request at a time.
+
+    Attributes:
+        endpoint: socket that accepted the connection.
+        txn: id of the latest request.
+    """
 
     def __init__(self, endpoint: ServerEndpoint) -> None:
         self.endpoint = endpoint
@@ -240,48 +283,48 @@
         self._execution: Execution | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A dispatcher has dialled."""
+        """Registers and reports the new connection."""
         self._transport = cast(asyncio.Transport, transport)
         self.endpoint.connections.add(self)
         self.endpoint.owner.connection_accepted(self.endpoint.server)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Gone: what waits or runs for it is dropped."""
+        """Cancels the request that is queued or running for this connection."""
         self.endpoint.connections.discard(self)
         execution, self._execution = self._execution, None
         if execution is not None:
             self.endpoint.server.cancel(execution)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request; what is no HTTP ends the connection."""
+        """Parses bytes of a request; invalid HTTP resets the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def eof_received(self) -> bool:
-        """The dispatcher has ended its sending: it gives the attempt up."""
+        """Closes the connection: a dispatcher that ends its stream has cancelled the attempt."""
         return False
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Resets the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Clears the headers and body of the previous request."""
         self._headers, self._body = {}, b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Stores a header."""
         self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Appends a piece of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """The last byte: the job is here."""
+        """Accepts, queues or rejects the request, whose last byte has arrived."""
         owner, server = self.endpoint.owner, self.endpoint.server
         request_class = owner.request_classes.get(self._headers.get(b"x-lane", b"").decode("latin-1"))
         self.txn = self._headers.get(b"x-txn", b"").decode("latin-1")
@@ -296,7 +339,7 @@
         execution = self._execution = Execution(
             self, work, float(request_class.slots), request_class.worth, self._execution_changed
         )
-        # the head goes out first: what is begun at once tells of it within take
+        # The response head is written first, since accept() may start the execution and write its first line at once.
         if len(server.queued) >= server.kind.queue_length and server.used_slots + execution.slots > server.capacity():
             self._execution = None
             self._write(REJECTED_RESPONSE)
--- a/heronlug/standins/live.py
+++ b/heronlug/standins/live.py
@@ -1,4 +1,4 @@
-"""The emulator's timeline on a running loop: what is modelled in virtual time there happens in real time here."""
+"""Runs the emulator's scheduled events in real time on an asyncio event loop."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 
 class LiveTimeline(Timeline):
-    """Milliseconds since it was made."""
+    """Timeline in real time; its times are milliseconds since its creation."""
 
     __slots__ = ("_began_ns", "_loop")
 
@@ -20,17 +20,17 @@
 
     @property
     def now(self) -> float:  # type: ignore[override]
-        """The time now."""
+        """Milliseconds since the timeline was created."""
         return (time.monotonic_ns() - self._began_ns) / 1e6
 
     def schedule_at(self, time: float, callback: Callable[..., object], *args: Any) -> ScheduledEvent:
-        """Schedule a call, see :meth:`Timeline.schedule_at`."""
+        """Schedules a call as :meth:`Timeline.schedule_at` does; a time in the past runs at once."""
         event = _LiveEvent(time, callback, args)
         event.timer = self._loop.call_later(max(0.0, time - self.now) / 1000, self._call, event)
         return event
 
     def run(self, until: float) -> None:
-        """Not supported: the event loop runs it."""
+        """Raises ``NotImplementedError``, since the event loop runs the scheduled calls."""
         raise NotImplementedError
 
     def _call(self, event: ScheduledEvent) -> None:
@@ -48,6 +48,6 @@
     timer: asyncio.TimerHandle
 
     def cancel(self) -> None:
-        """Keep it from being called."""
+        """Cancels the call and its timer."""
         super().cancel()
         self.timer.cancel()
--- a/heronlug/standins/ports.py
+++ b/heronlug/standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports for stand-ins, and for processes of the program that are started beside them."""
+"""Hands out free ports for stand-ins and for the processes that tests start beside them."""
 
 import os
 import socket
@@ -6,35 +6,43 @@
 from collections.abc import Iterator
 from contextlib import suppress
 
-FIRST_PORT, PORT_COUNT = 12_000, 20_000  # below the ports of outgoing connections
-BLOCK_SIZE = (
-    100  # ports that one process claims at a time, so that no other one takes what is only free between two uses
-)
-_claims: list[socket.socket] = []  # held until this process ends
-# A process that is started holds copies of all our sockets for a moment, until its exec has closed them; whoever starts
-# processes beside other threads holds this meanwhile, so that no port that was just tried is still in use.
+FIRST_PORT, PORT_COUNT = 12_000, 20_000
+"""Range of the ports, below the ports that the system gives to outgoing connections."""
+BLOCK_SIZE = 100
+"""Ports that one process claims at a time, so that other processes do not take a port that is free between two uses."""
+_claims: list[socket.socket] = []
+"""Sockets that keep the claimed blocks until this process ends."""
 process_start_lock = threading.Lock()
+"""Lock held while a process is started.
+
+Between fork and exec, a child process has copies of all open sockets, so a port that another thread has just tested
+would still be in use.
+"""
 
 
 def _claim_block() -> Iterator[int]:
-    """The ports of a block that no other process has claimed; raises ``OSError`` where there is none."""
+    """Claims a block for this process and returns its ports.
+
+    Raises:
+        OSError: if all blocks are claimed.
+    """
     block_count = PORT_COUNT // BLOCK_SIZE
     for number in range(block_count):
         block = (os.getpid() + number) % block_count
         claim = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
-            claim.bind(f"\0heronlug-ports-{block}")  # a name in the kernel alone, which goes with the process
+            claim.bind(f"\0heronlug-ports-{block}")  # abstract socket name, released when the process ends
         except OSError:
             claim.close()
             continue
         _claims.append(claim)
         return iter(range(FIRST_PORT + block * BLOCK_SIZE, FIRST_PORT + (block + 1) * BLOCK_SIZE))
-    msg = "all blocks of ports are claimed"
+    msg = "no block of ports is free; other processes have claimed all of them"
     raise OSError(msg)
 
 
 def _claimed_ports() -> Iterator[int]:
-    """Ports of our blocks, each once as long as there are blocks that nobody has claimed; then ours again."""
+    """Yields ports of newly claimed blocks; once all blocks are claimed, repeats the ports of this process."""
     used: list[int] = []
     while True:
         try:
@@ -53,10 +61,13 @@
 
 
 def free_port() -> int:
-    """A port that nothing listens on, each once; raises ``OSError`` where there is none.
+    """Returns a port that is free for TCP and UDP on loopback; ports repeat only when no unclaimed block is left.
+
+    The port is outside the range of outgoing connections. Otherwise an outgoing connection, also one of the program
+    itself, could take the port before its listener opens or while the listener is closed.
 
-    It is none of those that the system gives to outgoing connections: one of these, also of the program itself, may
-    have taken it before somebody listens there, or while nobody does for a while.
+    Raises:
+        OSError: if no port is free.
     """
     with process_start_lock:
         for _ in range(PORT_COUNT):
@@ -65,10 +76,10 @@
                 stream.bind(("127.0.0.1", port))
                 datagrams.bind(("127.0.0.1", port))
                 return port
-    msg = "no port is free"
+    msg = "no port is free on 127.0.0.1 in the range for stand-ins"
     raise OSError(msg)
 
 
 def free_ports(count: int) -> list[int]:
-    """So many, all different."""
+    """Returns the given number of different free ports."""
     return [free_port() for _ in range(count)]
--- a/heronlug/standins/server.py
+++ b/heronlug/standins/server.py
@@ -1,7 +1,7 @@
-"""A stand-in server of the platform's protocol: it runs what it is sent for a while, and keeps a ledger of that.
+"""Stand-in server for the platform's protocol: runs each request for a given time and counts its executions.
 
-PROTOCOL, *Dispatchers to runners*: a request begins when its last byte has come; the answer is 200 in chunks with one
-JSON object a line, or a 503 with ``X-Turned-Away``.
+See PROTOCOL, *Dispatchers to runners*: a request begins when its last byte arrives; the answer is a chunked 200 with
+one JSON object per line, or a 503 with ``X-Turned-Away``.
 """
 
 import asyncio
@@ -16,38 +16,62 @@
 
 
 class Behaviour(NamedTuple):
-    """What becomes of one request."""
+    """How the stand-in treats a request.
 
-    run_s: float = 0.02  # seconds
-    end: str = "done"  # or failed, returned, lost (by the protocol), turned_away, reset, silent
+    Attributes:
+        run_s: seconds of execution.
+        end: state that ends the request in the protocol (``done``, ``failed``, ``returned`` or ``lost``), or
+            ``turned_away`` (503), ``reset`` (connection reset) or ``silent`` (no end).
+    """
+
+    run_s: float = 0.02
+    end: str = "done"
 
 
 class Begun(NamedTuple):
-    """A request whose last byte has come."""
+    """A request whose last byte has arrived.
+
+    Attributes:
+        txn: request id from ``X-Txn``.
+        request_class: request class from ``X-Lane``.
+        execution_number: number of this execution among those of the same id on this server, from 1.
+    """
 
     txn: str
     request_class: str
-    execution_number: int  # of those of the same X-Txn here, from 1
+    execution_number: int
 
 
 class StandInServer:
-    """A listening stand-in; ``behave`` is asked for each request."""
+    """Listening stand-in server.
+
+    Attributes:
+        behave: returns the behaviour for each request.
+        begun: executions by request id, without rejected and returned ones.
+        running: requests that run now.
+        max_running: highest number of requests that ran at the same time.
+        connections: open connections.
+    """
 
     def __init__(self, behave: Callable[[Begun], Behaviour] = lambda begun: Behaviour()) -> None:
         self.behave = behave
-        self.begun: Counter[str] = Counter()  # by X-Txn
+        self.begun: Counter[str] = Counter()
         self.running = self.max_running = 0
         self.connections: set[Connection] = set()
         self._server: asyncio.AbstractServer | None = None
 
     async def open(self, host: str = "127.0.0.1", port: int = 0) -> int:
-        """Listen; returns the port.  Raises ``OSError``."""
+        """Starts to listen and returns the port.
+
+        Raises:
+            OSError: if the address cannot be bound.
+        """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Connection(self), host, port, backlog=512)
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Listen no more, and reset all connections."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -56,7 +80,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a dispatcher: one request at a time."""
+    """Connection of a dispatcher, which carries one request at a time."""
 
     def __init__(self, server: StandInServer) -> None:
         self.server = server
@@ -66,12 +90,12 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A dispatcher has dialled."""
+        """Registers the new connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request; what is no HTTP ends the connection."""
+        """Parses bytes of a request; invalid HTTP resets the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -79,7 +103,7 @@
                 self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Gone: what ran here is cancelled."""
+        """Cancels the request that runs for this connection."""
         self.server.connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
@@ -87,21 +111,21 @@
             self.server.running -= 1
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Clears the headers of the previous request."""
         self._headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Stores a header."""
         self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """The last byte: the job begins."""
+        """Starts or rejects the request, whose last byte has arrived."""
         txn = self._headers.get(b"x-txn", b"").decode()
         request_class = self._headers.get(b"x-lane", b"").decode()
         self.server.begun[txn] += 1
         behaviour = self.server.behave(Begun(txn, request_class, self.server.begun[txn]))
         if behaviour.end == "turned_away":
-            self.server.begun[txn] -= 1  # it never ran
+            self.server.begun[txn] -= 1  # a rejected request does not run
             self._write(b"HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
             return
         self.server.running += 1
--- a/tests/faults/test_harness.py
+++ b/tests/faults/test_harness.py
@@ -1,4 +1,4 @@
-"""The rig judges: a run that keeps the rules passes, one made to break a rule or an expectation does not."""
+"""Tests that the fault harness passes a correct run and reports broken rules, expectations and invalid plans."""
 
 import sys
 from pathlib import Path
@@ -24,8 +24,9 @@
 
 
 def test_run_without_faults_keeps_rules_and_exceeded_bound_is_reported() -> None:
+    """Guards against a verdict that reports violations of a correct run or ignores a missed expectation."""
     plan = parse_plan(REQUEST_CLASS + "[expect]\nlisted = true\nreading = [2, 2]\nserved_least = 0.9\ncalls_most = 1\n")
-    plan.begin = "listed"  # a slow start of the processes is no lack of service
+    plan.begin = "listed"  # a slow start of the processes must not lower the served share
     verdict = play(plan)
     assert not verdict.violations
     assert verdict.figures["jobs"] > 0
@@ -33,7 +34,11 @@
 
 
 def test_overload_of_a_warming_up_server_breaks_rule_4(tmp_path: Path) -> None:
-    """Jobs reach it past all dispatchers, as a dispatcher without its own bounds would send them."""
+    """Guards against an overload that the checker misses.
+
+    The test sends requests directly to the server, as a dispatcher would that ignores the capacity of a server that is
+    warming up.
+    """
     import asyncio
     import socket
 
@@ -60,6 +65,7 @@
 
 
 def test_unexpected_process_exit_is_reported(tmp_path: Path) -> None:
+    """Guards against a run that passes although its dispatchers exit, here with status 3 right after their start."""
     (tmp_path / "heronlug").mkdir()
     (tmp_path / "heronlug" / "__init__.py").write_text("")
     (tmp_path / "heronlug" / "__main__.py").write_text("raise SystemExit(3)")
@@ -80,12 +86,14 @@
     ],
 )
 def test_plan_problems_name_line_and_key(text: str, line: int, key: str) -> None:
+    """Guards against an invalid plan that runs, or whose problem is reported at another line or key."""
     with pytest.raises(ConfigProblems) as caught:
         parse_plan(text)
     assert [(fault.line, fault.key) for fault in caught.value.problems] == [(line, key)], caught.value.problems
 
 
 def test_fleet_command_prints_steps_and_verdict(tmp_path: Path) -> None:
+    """Guards against a failed run with exit status 0, and against an events file that ``rules check`` cannot read."""
     import subprocess
 
     path = tmp_path / "x.toml"
--- a/tests/faults/test_mutants.py
+++ b/tests/faults/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each mechanism, taken out of the program, is missed by the script that guards it."""
+"""Tests that a test plan fails when the mechanism that the plan guards is disabled in the program."""
 
 import shutil
 from pathlib import Path
@@ -7,7 +7,8 @@
 from heronlug.faults.plan import load
 
 ROOT = Path(__file__).parents[2]
-MUTANTS = {  # script: file, what stands there, what is put in its place, and a word of the fault that has to be told
+# By plan: source file, original text, replacement, and a text that a reported fault must contain.
+MUTANTS = {
     "own-told": (
         "discovery/poll_pacing.py",
         "if self.terms.cost_ms is None or self.terms.dispatchers == 1:",
@@ -45,13 +46,14 @@
 
 
 def test_plan_detects_removed_mechanism(tmp_path: Path) -> None:
+    """Guards against plans that pass although the mechanism under test does nothing."""
+
     def faults_of_mutant(name: str) -> list[str]:
         file, original, replacement, _ = MUTANTS[name]
         plan = load(ROOT / "scenarios" / "rig" / f"{name}.toml")
         return play(plan, source=mutated_program(tmp_path / name, file, original, replacement)).faults
 
-    found = {
-        name: faults_of_mutant(name) for name in MUTANTS
-    }  # in turn: beside the others, calls depend on the machine's pace
+    # One plan at a time: with concurrent runs, the number of calls depends on the speed of the machine.
+    found = {name: faults_of_mutant(name) for name in MUTANTS}
     for name, (*_, expected) in MUTANTS.items():
         assert any(expected in fault for fault in found[name]), (name, found[name])
--- a/tests/faults/test_network.py
+++ b/tests/faults/test_network.py
@@ -1,4 +1,4 @@
-"""Each fault of a relay does what it says: against a plain echo, without the program.  No speed is asserted."""
+"""Tests each fault of the network proxies against an echo server, without the program and without speed limits."""
 
 import asyncio
 import socket
@@ -8,11 +8,12 @@
 
 from heronlug.faults.network import RESET_ON_CLOSE, FaultyNetwork, NetworkPath
 
-SILENCE_S = 0.3  # s within which nothing may come
+SILENCE_S = 0.3
+"""Seconds during which nothing may arrive."""
 
 
 class Echo:
-    """Sends back what it gets."""
+    """Echo server that counts its connections."""
 
     def __init__(self) -> None:
         self.accepted = 0
@@ -57,7 +58,7 @@
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(3), SILENCE_S)
-        with pytest.raises(TimeoutError):  # a dial through a cut neither comes up nor is refused
+        with pytest.raises(TimeoutError):  # a connection through a cut is neither established nor refused
             await asyncio.wait_for(asyncio.shield(asyncio.ensure_future(connect(address))), SILENCE_S)
         path.forward.stalled = path.backward.stalled = False
         path.apply_faults()
@@ -92,7 +93,7 @@
         path.apply_faults()
         with pytest.raises(ConnectionRefusedError):
             await connect(address)
-        assert await send_and_read_echo(reader, writer, b"y") == b"y"  # what is open stays
+        assert await send_and_read_echo(reader, writer, b"y") == b"y"  # open connections are not affected
         for connection in list(path.connections):
             connection.reset()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
@@ -115,7 +116,7 @@
         path.backward.reset_after_bytes, path.backward.bytes_per_second = 0, 40
         started_at = asyncio.get_running_loop().time()
         assert await send_and_read_echo(*await connect(address), b"12345678") == b"12345678"
-        assert asyncio.get_running_loop().time() - started_at > 0.1  # never sooner
+        assert asyncio.get_running_loop().time() - started_at > 0.1  # 8 bytes at 40 bytes/s cannot arrive at once
 
     run_steps(steps)
 
@@ -137,7 +138,7 @@
         reader, writer = await connect(address)
         await send_and_read_echo(reader, writer, b"x")
         writer.write_eof()
-        assert await asyncio.wait_for(reader.read(), 10) == b""  # the echo closes, and so is this closed
+        assert await asyncio.wait_for(reader.read(), 10) == b""  # the echo server closes, so the proxy closes this end
         path.target_gone = True
         path.apply_faults()
         with pytest.raises(ConnectionRefusedError):
@@ -173,6 +174,8 @@
 
 
 def test_end_of_stream_to_a_reset_target_raises_no_error() -> None:
+    """Guards against an OSError in the proxy when the target resets a connection just before its end of stream."""
+
     async def run() -> None:
         network, target = FaultyNetwork(1), socket.create_server(("127.0.0.1", 0))
         port = target.getsockname()[1]
@@ -188,7 +191,7 @@
                 await asyncio.sleep(0)
         accepted_socket, _ = target.accept()
         accepted_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        accepted_socket.close()  # its reset lies unread while the end goes on
+        accepted_socket.close()  # the proxy has not yet read the reset when it forwards the end of the stream
         path.forward.stalled = False
         path.apply_faults()
         target.close()
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -1,4 +1,4 @@
-"""The rig tells an end behind what was written before it, though that is read later, and misses nothing after it."""
+"""Tests that the harness records the end of a request after earlier events and still reports later violations."""
 
 import asyncio
 import socket
@@ -12,13 +12,13 @@
 
 
 class FirstBytesRecorder(asyncio.Protocol):
-    """Tells of the first bytes of a connection."""
+    """Records the first bytes of a connection, through ``ordered_ends`` if given."""
 
     def __init__(self, recorded: list[str], label: str, ordered_ends: OrderedEnds | None = None) -> None:
         self.recorded, self.label, self.ordered_ends = recorded, label, ordered_ends
 
     def data_received(self, data: bytes) -> None:
-        """What it is for."""
+        """Records the label."""
         if self.ordered_ends is None:
             self.recorded.append(self.label)
         else:
@@ -32,7 +32,10 @@
 
 
 def recorded_order(proxied: bool) -> list[str]:
-    """A request on a new connection and then an answer on an open one, both written before anything is read."""
+    """Returns the recorded order of a request on a new connection and an answer on an open one.
+
+    The request and then the answer are written before either is read; another request follows.
+    """
 
     async def run() -> list[str]:
         recorded: list[str] = []
@@ -47,7 +50,7 @@
                 network.proxy_connections("d0", "r0", lambda: f"127.0.0.1:{target_port}").rpartition(":")[2]
             )
             target_port = await open_listener([], "come")
-        await asyncio.sleep(0.05)  # the connection of the answers has been accepted, which the order hangs on nowhere
+        await asyncio.sleep(0.05)  # the answer connection is accepted by now; the order must not depend on this
         request = socket.create_connection(("127.0.0.1", server_port))
         request.send(b"request")
         answers.send(b"answer")
@@ -74,11 +77,12 @@
         self.recorded = recorded
 
     def bytes_written(self, data: bytes) -> None:
-        """A request has been written."""
+        """Records that a request was written."""
         self.recorded.append("sent")
 
 
 def test_request_written_before_an_answer_is_recorded_before_it() -> None:
+    """Guards against a false violation: a hedge that is read after the answer would seem to be sent after the end."""
     assert recorded_order(proxied=False) == ["sent", "answered", "sent"]
     assert recorded_order(proxied=True) == ["sent", "answered", "sent"]
 
@@ -103,7 +107,10 @@
 
 
 def test_request_sent_after_its_answer_breaks_a_rule(tmp_path: Path) -> None:
-    """Past the dispatcher, as one would that goes on after the end."""
+    """Guards against a dispatcher that sends an attempt after the final answer of its request.
+
+    The test sends such an attempt directly to the server; the checker must report the violation.
+    """
     text = b"""
 name = "x"
 span_s = 6
--- a/tests/faults/test_plans.py
+++ b/tests/faults/test_plans.py
@@ -1,6 +1,6 @@
-"""The scripts of scenarios/rig: several processes of the program with faults between them, each with its verdict.
+"""Runs the test plans of scenarios/rig, each with several processes of the program and faults between them.
 
-Some play at once, since most of their time is waiting; nothing is asserted on speed.
+Several plans run concurrently, since a plan mostly waits; no test asserts on speed.
 """
 
 import os
@@ -14,7 +14,7 @@
 from heronlug.faults.verdict import Verdict
 
 FOLDER = Path(__file__).parents[2] / "scenarios" / "rig"
-SOAK_ONLY: set[str] = set()  # what ``make soak`` alone plays
+SOAK_ONLY: set[str] = set()  # plans that only ``make soak`` runs
 PLANS = [path for path in sorted(FOLDER.glob("*.toml")) if path.stem not in SOAK_ONLY or os.environ.get("RIG_ALL")]
 CONCURRENT_RUNS = 3
 _pool = ThreadPoolExecutor(CONCURRENT_RUNS)
@@ -23,6 +23,7 @@
 
 @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
 def test_plan_keeps_rules_and_expectations(path: Path) -> None:
+    """Guards against a plan whose faults make the program break a rule or miss an expectation."""
     if not _verdicts:
         _verdicts.update({each: _pool.submit(play, load(each)) for each in PLANS})
     verdict = _verdicts[path].result(240)
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of fixed seeds, and what the soak would see: real processes under faults that nobody wrote down."""
+"""Runs random test plans of a few fixed seeds with real processes and checks how plans are drawn."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture(scope="module")
 def verdicts() -> dict[int, str]:
-    """What came of each seed: nothing, or its report."""
+    """Returns the report of each seed whose run failed, and an empty string for the others."""
     with ThreadPoolExecutor(CONCURRENT_RUNS) as pool:
         results = list(pool.map(lambda seed: play(draw(seed)), SEEDS))
     return {seed: "" if verdict.kept else verdict.text() for seed, verdict in zip(SEEDS, results, strict=True)}
