--- a/heronlug/faults/dispatchers.py
+++ b/heronlug/faults/dispatchers.py
@@ -1,4 +1,4 @@
-"""The dispatchers of a run: their files, and the starts and ends of their processes."""
+"""Manages the dispatchers of a run: their config files, and the starts and ends of their processes."""
 
 import asyncio
 import signal
@@ -9,33 +9,33 @@
 from heronlug.conformance import Event, Started, Stopped
 from heronlug.faults.history import History
 from heronlug.faults.network import FaultyNetwork
-from heronlug.faults.observed_discovery import PARTY, ObservedDiscovery
+from heronlug.faults.observed_discovery import DISCOVERY_PARTY, ObservedDiscovery
 from heronlug.faults.ordering import OrderedEnds
-from heronlug.faults.plan import FaultPlan, Step, choose
-from heronlug.faults.processes import Process, write_file, write_known, write_platform_files
+from heronlug.faults.plan import FaultPlan, Step, select_parties
+from heronlug.faults.processes import Process, write_file, write_known_list, write_platform_files
 from heronlug.standins.ports import free_port, free_ports
 
 MAX_GRACE_S = 3.0
-"""So much of the longest deadline counts, in seconds, for the kill of a planned restart."""
+"""Maximum seconds that a planned restart waits for the longest deadline before it kills the old process."""
 KILL_AFTER_S = 0.7
-"""Seconds by which that kill comes later."""
+"""Seconds between the end of that wait and the kill."""
 WATCH_INTERVAL_S = 0.02
-"""Seconds between two looks at the processes."""
+"""Seconds between two checks for processes that have exited."""
 LIST_POLL_BATCH = 16
-"""Processes whose figures are read at once."""
+"""Number of processes whose figures are read concurrently."""
 FILES_BEFORE_YIELD = 20
-"""Dispatchers whose files are written before the event loop has its turn."""
-SIGNALS = {"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}
-"""The signal of each step that does no more than send one."""
+"""Number of dispatchers whose files are written before other tasks of the event loop run."""
+STEP_SIGNALS = {"stop": signal.SIGSTOP, "go": signal.SIGCONT, "hup": signal.SIGHUP}
+"""Signal by step action, for steps that only send a signal."""
 
 
 class Dispatchers:
-    """All dispatchers of a run.
+    """The dispatchers of a run.
 
     Attributes:
-        processes: by name.
-        frontend_ports: by name, where clients connect.
-        listed_after: by name, seconds from the beginning until the dispatcher had its list.
+        processes: process of each dispatcher by name.
+        frontend_ports: port to which clients connect, by dispatcher name.
+        listed_after: seconds from the start of the run until the dispatcher had the endpoint list, by dispatcher name.
     """
 
     def __init__(
@@ -57,13 +57,16 @@
         self._ordered_ends = ordered_ends
         self._discovery = discovery
 
-    # -- files
+    # -- config files
 
     async def open(self, source: Path | None) -> None:
-        """Write all files, and listen for the calls of each; ``source`` is the folder of another version to run.
+        """Writes the files of all dispatchers and opens a discovery listener for each.
+
+        Args:
+            source: folder of another version of the program to run; None runs this version.
 
         Raises:
-            OSError: a file cannot be written, or a port not be had.
+            OSError: if a file cannot be written or no port is free.
         """
         plan, count = self._plan, self._plan.dispatchers.count
         (self._folder / "key").write_text("a key that is long enough")
@@ -71,25 +74,29 @@
         ports = free_ports(4 * count)
         self.frontend_ports = dict(zip(names, ports[:count], strict=True))
         admin_ports = dict(zip(names, ports[count : 2 * count], strict=True))
-        peers = dict(zip(names, ports[2 * count : 3 * count], strict=True))
-        members = dict(zip(names, ports[3 * count :], strict=True))
+        peer_ports = dict(zip(names, ports[2 * count : 3 * count], strict=True))
+        member_ports = dict(zip(names, ports[3 * count :], strict=True))
         relayed = "peers" in plan.relays
-        seen_peers = await self._network.proxy_datagrams(peers) if relayed and plan.dispatchers.peers else peers
+        advertised_peer_ports = (
+            await self._network.proxy_datagrams(peer_ports) if relayed and plan.dispatchers.peers else peer_ports
+        )
         proxy_members = relayed and plan.dispatchers.cluster
-        seen_members = await self._network.proxy_datagrams(members) if proxy_members else members
+        advertised_member_ports = await self._network.proxy_datagrams(member_ports) if proxy_members else member_ports
         self._discovery.dispatcher_names = names
         for number, name in enumerate(names):
             process = self.processes[name] = Process(name, self._folder, admin_ports[name], source)
-            addresses = [f"127.0.0.1:{peers[each] if each == name else seen_peers[each]}" for each in names]
+            addresses = [
+                f"127.0.0.1:{peer_ports[each] if each == name else advertised_peer_ports[each]}" for each in names
+            ]
             write_file(
                 process,
                 plan,
-                door=self.frontend_ports[name],
+                frontend_port=self.frontend_ports[name],
                 discovery=await self._discovery_address(name),
-                member=members[name],
+                member_port=member_ports[name],
                 peers=addresses if plan.dispatchers.peers and count > 1 else [],
-                advertised=seen_members[name],
-                seeds=[seen_members[each] for each in names[: plan.dispatchers.seeds] if each != name],
+                advertised_port=advertised_member_ports[name],
+                seeds=[advertised_member_ports[each] for each in names[: plan.dispatchers.seeds] if each != name],
             )
             if plan.dispatchers.platform:
                 write_platform_files(process, self._discovery.initial_list(name))
@@ -99,22 +106,22 @@
     async def _discovery_address(self, name: str) -> str:
         port = await self._discovery.stand_in.open(port=free_port(), caller=name)
         address = f"127.0.0.1:{port}"
-        if PARTY in self._plan.relays:
-            return self._network.proxy_connections(name, PARTY, lambda: address)
+        if DISCOVERY_PARTY in self._plan.relays:
+            return self._network.proxy_connections(name, DISCOVERY_PARTY, lambda: address)
         return address
 
     # -- starts and ends
 
     async def start_all(self) -> None:
-        """Start all but those that a step starts."""
-        later = set(choose(self._plan.dispatchers.later, self._plan, Random(self._plan.seed)))
+        """Starts all dispatchers except those that a step of the plan starts later."""
+        later = set(select_parties(self._plan.dispatchers.later, self._plan, Random(self._plan.seed)))
         for name in self.processes:
             if name not in later:
                 self._start(name)
                 await asyncio.sleep(0)
 
     async def apply(self, step: Step, name: str) -> Callable[[], Awaitable[None] | None]:
-        """Carry out a step on one dispatcher; returns what takes it back."""
+        """Applies a step to one dispatcher; returns a function that reverts the step."""
         process = self.processes[name]
         if step.do == "start":
             await self._restart(name)
@@ -126,29 +133,29 @@
         elif step.do == "term":
             await self._terminate(process)
         else:
-            process.signal(SIGNALS[step.do])
+            process.signal(STEP_SIGNALS[step.do])
         return lambda: process.signal(signal.SIGCONT)
 
     def report_end(self, event: Event) -> None:
-        """Record an end after all that was written before it and is still unread."""
-        self._ordered_ends.report(lambda: self._history.see(event))
+        """Records an end after all events that were written earlier and are still unread."""
+        self._ordered_ends.report(lambda: self._history.record(event))
 
     def close(self) -> None:
-        """Kill all that run."""
+        """Kills all running processes."""
         for process in self.processes.values():
             if process.running:
                 process.signal(signal.SIGCONT)
                 process.signal(signal.SIGKILL)
 
     def _start(self, name: str) -> None:
-        self._history.see(Started(self._history.now(), name))
+        self._history.record(Started(self._history.now(), name))
         self.processes[name].start()
 
     async def _restart(self, name: str) -> None:
-        await self._ordered_ends.caught_up()  # with the end of the process before
+        await self._ordered_ends.wait_until_caught_up()  # records the end of the previous process first
         known = self._discovery.last_written_list(name)
         if known is not None:
-            write_known(self.processes[name], known)
+            write_known_list(self.processes[name], known)
         self._start(name)
 
     def _kill(self, process: Process) -> None:
@@ -160,27 +167,30 @@
     async def _terminate(self, process: Process) -> None:
         process.signal(signal.SIGTERM)
         await asyncio.to_thread(process.wait_or_kill)
-        await self._ordered_ends.caught_up()  # its last answers have been read
+        await self._ordered_ends.wait_until_caught_up()  # the last answers of the process are recorded first
         self.report_end(Stopped(self._history.now(), process.name, False))
 
     async def _replace(self, process: Process) -> None:
-        """A planned restart whose kill comes as early as it may; one that comes meanwhile is a second signal alone."""
-        incarnation, first = process.incarnation, process.should_run
+        """Performs a planned restart with the earliest permitted kill.
+
+        A replacement of a process that is already stopping only sends another SIGTERM.
+        """
+        incarnation, first_signal = process.incarnation, process.should_run
         process.signal(signal.SIGTERM)
-        if not first:
+        if not first_signal:
             return
         await asyncio.sleep(min(self._plan.longest_deadline_s, MAX_GRACE_S) + KILL_AFTER_S)
         if process.incarnation != incarnation:
             return
         process.signal(signal.SIGKILL)
-        await self._ordered_ends.caught_up()
+        await self._ordered_ends.wait_until_caught_up()
         self.report_end(Stopped(self._history.now(), process.name, False))
         await self._restart(process.name)
 
-    # -- what is seen of them
+    # -- observation
 
     async def watch_processes(self, failures: list[str]) -> None:
-        """Add a line to ``failures`` for each process that ends by itself."""
+        """Adds a line to ``failures`` for each process that exits although no step ended it."""
         while True:
             for name, process in self.processes.items():
                 if (status := process.unexpected_exit_status()) is not None:
@@ -189,24 +199,24 @@
             await asyncio.sleep(WATCH_INTERVAL_S)
 
     async def watch_lists(self, interval_s: float) -> None:
-        """Note when each dispatcher has its list, read off its figures."""
+        """Records when each dispatcher first reports the complete endpoint list in its figures."""
         while len(self.listed_after) < len(self.processes):
             processes = self.processes.items()
             waiting = [process for name, process in processes if name not in self.listed_after and process.running]
             for start in range(0, len(waiting), LIST_POLL_BATCH):
                 batch = waiting[start : start + LIST_POLL_BATCH]
-                for process, has in zip(batch, await asyncio.gather(*map(self._has_list, batch)), strict=True):
-                    if has:
+                for process, has_list in zip(batch, await asyncio.gather(*map(self._has_list, batch)), strict=True):
+                    if has_list:
                         self.listed_after[process.name] = self._history.elapsed_s()
             await asyncio.sleep(interval_s)
 
-    async def lists(self) -> dict[str, bool]:
-        """Of all that run, whether they have the complete list."""
+    async def list_completeness(self) -> dict[str, bool]:
+        """Returns, for each running dispatcher, whether it has the complete endpoint list."""
         running = [process for process in self.processes.values() if process.should_run and process.running]
         return {process.name: await self._has_list(process) for process in running}
 
     async def all_listed(self) -> bool:
-        """Whether some run, and all of these have the complete list."""
+        """Returns whether at least one dispatcher runs and every running one has the complete endpoint list."""
         running = [process for process in self.processes.values() if process.running]
         return bool(running) and all([await self._has_list(process) for process in running])
 
--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -1,4 +1,4 @@
-"""The rig's runners: the emulator's hosts behind sockets, with what they see told to the history."""
+"""Runs the stand-in servers of a test plan: emulated servers behind sockets, with events recorded in the history."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,37 +12,38 @@
 from heronlug.faults.history import History
 from heronlug.faults.plan import FaultPlan
 from heronlug.standins.discovery import StandInDiscovery
-from heronlug.standins.fleet import Server
-from heronlug.standins.live import LiveLine
+from heronlug.standins.fleet import ServerEndpoint
+from heronlug.standins.live import LiveTimeline
 from heronlug.standins.ports import free_port
 
 MACHINE_TYPE = "m1"
+"""Machine type of every stand-in server."""
 
 
 def load_classes_of(plan: FaultPlan) -> dict[str, ClassTable]:
-    """The script's classes as the stand-ins know them."""
+    """Returns the request classes of a plan, by name, as the load generator and the stand-in servers use them."""
     return {
-        lane.name: ClassTable(
-            lane.name,
-            lane.effect,
-            lane.aim_ms,
-            lane.deadline_ms,
+        request_class.name: ClassTable(
+            request_class.name,
+            request_class.effect,
+            request_class.aim_ms,
+            request_class.deadline_ms,
             {"dist": "uniform"},
-            lane.worth,
+            request_class.worth,
         )
-        for lane in plan.classes
+        for request_class in plan.classes
     }
 
 
 class RequestListener:
-    """Hears the requests of one connection as they are written, though a cut may hold them."""
+    """Reports each request at the time it is written into a connection, even if a cut delays its bytes."""
 
-    def __init__(self, written: Callable[[str], None]) -> None:
-        self._written, self._txn = written, ""
+    def __init__(self, on_request_written: Callable[[str], None]) -> None:
+        self._on_request_written, self._txn = on_request_written, ""
         self._parser: Any = httptools.HttpRequestParser(self)
 
     def bytes_written(self, data: bytes) -> None:
-        """Bytes of requests; what is no HTTP is heard no further."""
+        """Parses bytes of requests; parsing stops at the first bytes that are not valid HTTP."""
         try:
             if self._parser is not None:
                 self._parser.feed_data(data)
@@ -50,118 +51,143 @@
             self._parser = None
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Stores the request id from the ``X-Txn`` header."""
         if name.lower() == b"x-txn":
             self._txn = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """The last byte has been written."""
-        self._written(self._txn)
+        """Reports a request whose last byte has been written."""
+        self._on_request_written(self._txn)
 
 
 class StandInServers:
-    """All runners by name; the register lists them."""
+    """The stand-in servers of a run, listed in the stand-in for service discovery.
+
+    Attributes:
+        plan: test plan of the run.
+        discovery: stand-in that lists the servers.
+        history: recorded events.
+        request_classes: request classes by name.
+        work_draws: empty, since each request states its own work.
+        timeline: real-time timeline of the emulated servers.
+        emulated_servers: emulated servers by name.
+        endpoints: listening sockets of the servers by name.
+    """
 
     def __init__(
         self,
         plan: FaultPlan,
-        register: StandInDiscovery,
+        discovery: StandInDiscovery,
         history: History,
-        sender: Callable[[str], str],
-        gone: Callable[[str, bool], None],
+        dispatcher_of: Callable[[str], str],
+        set_gone: Callable[[str, bool], None],
     ) -> None:
-        """``sender`` knows the dispatcher that a request was handed to; ``gone`` hears of processes that end."""
-        self.plan, self.register, self.history = plan, register, history
-        self.lanes = load_classes_of(plan)
-        self.works: dict[str, Draws] = {}  # each job brings its own
-        self.line = LiveLine()
+        """Prepares the servers without starting them.
+
+        Args:
+            plan: test plan of the run.
+            discovery: stand-in that lists the servers.
+            history: recorded events.
+            dispatcher_of: returns the name of the dispatcher that received a request, by request id.
+            set_gone: called with a server's name and whether its process has ended.
+        """
+        self.plan, self.discovery, self.history = plan, discovery, history
+        self.request_classes = load_classes_of(plan)
+        self.work_draws: dict[str, Draws] = {}
+        self.timeline = LiveTimeline()
         self.emulated_servers: dict[str, EmulatedServer] = {}
-        self.endpoints: dict[str, Server] = {}
-        self._sender, self._gone = sender, gone
+        self.endpoints: dict[str, ServerEndpoint] = {}
+        self._dispatcher_of, self._set_gone = dispatcher_of, set_gone
         table = plan.runners
         self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
 
     async def open(self) -> None:
-        """Start and list all of them, each at a port of its own; raises ``OSError``."""
+        """Starts and lists all servers, each on its own port.
+
+        Raises:
+            OSError: if no port is free.
+        """
         table = self.plan.runners
         for number in range(table.count):
             name = f"r{number}"
             kind = ServerKind(MACHINE_TYPE, table.slots, 1.0, table.queue)
-            host = self.emulated_servers[name] = EmulatedServer(
-                name, kind, number % len(self.plan.halls), self.line, self._warmth
+            server = self.emulated_servers[name] = EmulatedServer(
+                name, kind, number % len(self.plan.halls), self.timeline, self._warmth
             )
-            host.on_overload, host.on_execution_start = self._tipped, self._began
+            server.on_overload, server.on_execution_start = self._handle_overload, self._record_execution_start
             if table.cold:
-                host.start()
-            self.endpoints[name] = Server(self, host)
+                server.start()
+            self.endpoints[name] = ServerEndpoint(self, server)
             self.endpoints[name].port = free_port()
             await self.endpoints[name].open()
             self.list_as(name, "active")
 
     def address(self, name: str) -> str:
-        """Where it really is."""
+        """Returns a server's own address, without a proxy."""
         return f"127.0.0.1:{self.endpoints[name].port}"
 
     def list_as(self, name: str, state: str) -> None:
-        """The register has it so."""
-        host = self.emulated_servers[name]
-        started = round(self._unix(host.started_at)) if host.started_at else 0
-        self.register.put(
+        """Lists a server in service discovery with the given lifecycle."""
+        server = self.emulated_servers[name]
+        started = round(self._unix_ms(server.started_at)) if server.started_at else 0
+        self.discovery.put(
             name,
             hostPort=self.address(name),
-            zone=self.plan.halls[host.zone],
+            zone=self.plan.halls[server.zone],
             machineType=MACHINE_TYPE,
             lifecycle=state,
             startedAtMs=started,
         )
 
     def stop(self, name: str) -> None:
-        """Its process ends."""
+        """Ends a server's process."""
         self.emulated_servers[name].stop()
         self.endpoints[name].close()
-        self._gone(name, True)
+        self._set_gone(name, True)
 
     async def restart(self, name: str, cold: bool) -> None:
-        """A new process at the same address."""
-        host = self.emulated_servers[name]
+        """Starts a new process of a server at the same address; a cold one warms up first."""
+        server = self.emulated_servers[name]
         if cold:
-            host.start()
+            server.start()
         else:
-            host.up = True
-        self._gone(name, False)
+            server.up = True
+        self._set_gone(name, False)
         await self.endpoints[name].open()
         self.list_as(name, "active")
 
     def close(self) -> None:
-        """End all."""
-        for server in self.endpoints.values():
-            server.close()
+        """Closes the sockets of all servers."""
+        for endpoint in self.endpoints.values():
+            endpoint.close()
 
-    # -- what the sockets tell
+    # -- events of the sockets
 
-    def dialled(self, host: EmulatedServer) -> None:
-        """A connection has come up."""
-        self.history.see(Dialled(self.history.now(), host.name))
+    def connection_accepted(self, server: EmulatedServer) -> None:
+        """Records a new connection to a server."""
+        self.history.record(Dialled(self.history.now(), server.name))
 
-    def came(self, host: EmulatedServer, txn: str) -> None:
-        """A whole request has come; where a relay stands before the runner, it was sent when that heard it."""
+    def request_received(self, server: EmulatedServer, txn: str) -> None:
+        """Records a complete request as sent; with a proxy, :class:`RequestListener` has already reported it."""
         if "runners" not in self.plan.relays:
-            self.request_sent(host.name, txn)
+            self.request_sent(server.name, txn)
 
     def request_sent(self, name: str, txn: str) -> None:
-        """A dispatcher has written a whole request."""
-        self.history.see(Sent(self.history.now(), self._sender(txn), txn, name))
+        """Records a complete request that a dispatcher wrote to a server."""
+        self.history.record(Sent(self.history.now(), self._dispatcher_of(txn), txn, name))
 
-    # -- inside
+    # -- internal
 
-    def _unix(self, at: float) -> float:
-        return self.history.now() - (self.line.now - at)
+    def _unix_ms(self, at: float) -> float:
+        return self.history.now() - (self.timeline.now - at)
 
-    def _began(self, host: EmulatedServer, run: Execution) -> None:
-        request: Any = run.owner
-        self.history.see(Began(self.history.now(), host.name, request.txn))
+    def _record_execution_start(self, server: EmulatedServer, execution: Execution) -> None:
+        request: Any = execution.owner
+        self.history.record(Began(self.history.now(), server.name, request.txn))
 
-    def _tipped(self, host: EmulatedServer) -> None:
-        stands = self._warmth.overload_multiple * host.capacity()
-        self.history.see(Load(self.history.now(), host.name, host.occupied_slots / stands, host.warming_up))
-        self.stop(host.name)
+    def _handle_overload(self, server: EmulatedServer) -> None:
+        overload_slots = self._warmth.overload_multiple * server.capacity()
+        self.history.record(
+            Load(self.history.now(), server.name, server.occupied_slots / overload_slots, server.warming_up)
+        )
+        self.stop(server.name)
