--- a/heronlug/balancer/zone_failover/controller.py
+++ b/heronlug/balancer/zone_failover/controller.py
@@ -276,7 +276,8 @@
                 continue
             zone.relapses += zone.phase is ZonePhase.RETURNING and phase is ZonePhase.EXCLUDED
             zone.phase, zone.since = phase, now
-            zone.cause = f"{reported} of {len(servers)} servers reported as excluded"
+            # Operators' pages quote this text; it must not change.
+            zone.cause = f"{reported} of {len(servers)} marked"
             self.changes.append(ZoneChange(number, replace(zone)))
 
     # -- effect on the servers
--- a/heronlug/balancer/zone_failover/zone_state.py
+++ b/heronlug/balancer/zone_failover/zone_state.py
@@ -89,7 +89,7 @@
         stage: index of the stage of the return, from 0.
         relapses: number of failures during a return, until they are forgotten.
         held_until: time in ms until which an operator holds the phase; 0 if not held, infinite until released.
-        cause: readable reason of the last change of the phase.
+        cause: readable reason of the last change of the phase; operators' pages quote the texts, which must not change.
         last_reported_at: where another dispatcher decides, time in ms of the last check at which the zone was not
             excluded or load summaries reported a server of the zone as excluded.
     """
@@ -147,16 +147,16 @@
         if self.relapses and now - self.since > RELAPSE_MEMORY_MS:
             self.relapses = 0
         if observed.log_ratio >= DOUBT_RATIO and observed.failed_servers >= LEAST_FAILED_SERVERS - 1:
-            return self._enter(ZonePhase.DOUBTFUL, now, f"{observed.failed_servers} servers fail")
+            return self._enter(ZonePhase.DOUBTFUL, now, f"{observed.failed_servers} hosts fail")
         return False
 
     def _step_doubtful(self, observed: ZoneObservation, now: float) -> bool:
         failed = observed.log_ratio >= FAILED_RATIO and observed.failed_servers >= LEAST_FAILED_SERVERS
         if failed and observed.may_exclude:
-            cause = f"{observed.failed_servers} servers fail, log ratio {observed.log_ratio:.1f}"
+            cause = f"{observed.failed_servers} hosts fail, ratio {observed.log_ratio:.1f}"
             return self._enter(ZonePhase.EXCLUDED, now, cause)
         if observed.log_ratio < DOUBT_RATIO:
-            return self._enter(ZonePhase.HEALTHY, now, "evidence of a failure is gone")
+            return self._enter(ZonePhase.HEALTHY, now, "it does no more")
         return False
 
     def _step_excluded(self, observed: ZoneObservation, now: float) -> bool:
@@ -164,20 +164,20 @@
         waited = now - self.since >= self.least_exclusion
         if waited and observed.served_servers >= LEAST_SERVED_PROBES and no_failure:
             self.stage = 0
-            return self._enter(ZonePhase.RETURNING, now, f"{observed.served_servers} servers served probes")
+            return self._enter(ZonePhase.RETURNING, now, f"{observed.served_servers} hosts served trials")
         return False
 
     def _step_returning(self, observed: ZoneObservation, now: float) -> bool:
         if observed.log_ratio >= RELAPSE_RATIO and observed.failed_servers >= LEAST_RELAPSED_SERVERS:
             self.relapses += 1
-            cause = f"{observed.failed_servers} servers fail during the return, relapse {self.relapses}"
+            cause = f"{observed.failed_servers} hosts fail on its return, time {self.relapses}"
             return self._enter(ZonePhase.EXCLUDED, now, cause)
         if now - self.since < STAGE_MS or not observed.served_servers:
             return False
         if self.stage + 1 < len(STAGES):
             self.stage += 1
             return self._enter(ZonePhase.RETURNING, now, f"stage {self.stage}")
-        return self._enter(ZonePhase.HEALTHY, now, "all stages passed")
+        return self._enter(ZonePhase.HEALTHY, now, "it has returned")
 
     def _enter(self, phase: ZonePhase, now: float, cause: str) -> bool:
         self.phase, self.since, self.cause = phase, now, cause
--- a/heronlug/cluster/shared_discovery.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -319,7 +319,8 @@
         if role is not Role.READ:
             self._log("register_role", role=role.value)
             return
-        cause = "turn" if previous is Role.WAIT else "no active writer"
+        # Operators' pages quote the values of cause; they must not change.
+        cause = "turn" if previous is Role.WAIT else "nobody is heard"
         if self._lease is not None:
             cause = "owner"
         self._log(
--- a/heronlug/frontends/faktory/delivery.py
+++ b/heronlug/frontends/faktory/delivery.py
@@ -95,7 +95,8 @@
         """Reserves a job for a worker and delivers the job, after storing the delivery if the class requires that."""
         job: Job = attempt.request.payload
         deadlines = self._context.deadlines
-        timeout = deadlines.call_after(job.reserve_ms, self._reservations.reset, worker, job.jid, "reservation expired")
+        # Operators' pages quote the cause "reservation passed"; it must not change.
+        timeout = deadlines.call_after(job.reserve_ms, self._reservations.reset, worker, job.jid, "reservation passed")
         reservation = worker.reservations[job.jid] = Reservation(attempt, worker, connection, timeout)
         connection.reserved_jids.add(job.jid)
         reply = connection.defer_reply()
--- a/heronlug/frontends/faktory/scheduler.py
+++ b/heronlug/frontends/faktory/scheduler.py
@@ -92,7 +92,8 @@
         if chain_state is ChainState.WAITS:
             self._dependent[job.jid] = _DependentJob(job, start)
         elif chain_state is ChainState.FAILED:
-            self._context.log("job_chain_failed", jid=job.jid, cause="a parent failed")
+            # Operators' pages quote this cause; it must not change.
+            self._context.log("job_chain_failed", jid=job.jid, cause="a parent had failed")
             self._finish(job, FinalAnswer.FAILED)
         return chain_state is ChainState.READY
 
--- a/tests/faults/test_mutants.py
+++ b/tests/faults/test_mutants.py
@@ -28,8 +28,8 @@
     ),
     "shared-silent": (
         "cluster/shared_discovery.py",
-        "if claims and writer.token is None:",
-        "if claims and self.view.watching:",
+        "if may_claim and writer.token is None:",
+        "if may_claim and self.view.watching:",
         "calls",
     ),
 }
