--- a/heronlug/cluster/shared_discovery.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -236,7 +236,7 @@
         self._flush()
 
     def _prefer_best_table(self) -> None:
-        """Uses the table with the greater preference: open watch of its writer first, then freshness, then list version."""
+        """Uses the table with the greater preference, which compares open watch, freshness and list version."""
         preferences = {topic: self._preference(topic) for topic in TABLES}
         best = max(TABLES, key=lambda topic: preferences[topic])
         if preferences[best] <= preferences[self._preferred]:
@@ -305,8 +305,8 @@
         own = self.view.own
         if role is Role.FOLLOW:
             return True
-        is_newer = shared.known and (not own.known or shared.version >= own.version)
-        return is_newer and not self.view.watching and role is not Role.LISTEN
+        is_not_older = shared.known and (not own.known or shared.version >= own.version)
+        return is_not_older and not self.view.watching and role is not Role.LISTEN
 
     def _use_shared_list(self) -> None:
         update = self.view.select_source(own=False)
--- a/tests/cluster/test_udp_network.py
+++ b/tests/cluster/test_udp_network.py
@@ -31,7 +31,7 @@
 [cluster]
 name = "{name}"
 listen = "{own}"
-advertise = "{relay}"
+advertise = "{advertised}"
 seeds = {seeds}
 key_files = ["key"]
 """
@@ -67,14 +67,14 @@
             name=name,
             http=self.http_ports[name],
             own=f"127.0.0.1:{self.ports[name]}",
-            relay=f"127.0.0.1:{self.proxy_ports[name]}",
+            advertised=f"127.0.0.1:{self.proxy_ports[name]}",
             seeds=seeds,
         )
-        for duty in TASKS:
-            path = self.folder / f"{duty}.runs"
+        for task in TASKS:
+            path = self.folder / f"{task}.runs"
             fence = "os.environ['HERONLUG_FENCE'].encode()"
             code = f"import os; os.write(os.open('{path}', 1089, 420), {fence} + b'\\\\n')"
-            text += TASK_TEMPLATE.format(name=duty, python=sys.executable, code=code)
+            text += TASK_TEMPLATE.format(name=task, python=sys.executable, code=code)
         file = self.folder / f"{name}.toml"
         file.write_text(text)
         environment = {**os.environ, "HERONLUG_CONTROL": str(self.folder / f"{name}.sock")}
@@ -83,7 +83,7 @@
                 [sys.executable, "-m", "heronlug", "serve", str(file)], stdout=log, stderr=log, env=environment
             )
 
-    def owners(self, duty: str) -> list[str]:
+    def owners(self, task: str) -> list[str]:
         owners = []
         for name, process in self.processes.items():
             if process.poll() is None:
@@ -91,13 +91,13 @@
                     rows = ask(str(self.folder / f"{name}.sock"), {"ask": "duties"})["duties"]
                 except StateError:
                     continue
-                owners += [name for row in rows if row["name"] == duty and row["owner"]]
+                owners += [name for row in rows if row["name"] == task and row["owner"]]
         return owners
 
-    async def wait_for_owner(self, duty: str, excluded: str = "") -> tuple[str, float]:
+    async def wait_for_owner(self, task: str, excluded: str = "") -> tuple[str, float]:
         start = time.monotonic()
         while time.monotonic() - start < 40:
-            owners = [name for name in await asyncio.to_thread(self.owners, duty) if name != excluded]
+            owners = [name for name in await asyncio.to_thread(self.owners, task) if name != excluded]
             if owners:
                 return owners[0], time.monotonic() - start
             await asyncio.sleep(0.05)
@@ -117,14 +117,14 @@
     try:
         for name in NAMES:
             fleet.start(name)
-        for duty in TASKS:
-            await fleet.wait_for_owner(duty)
+        for task in TASKS:
+            await fleet.wait_for_owner(task)
         for round_number in range(kills):
-            duty = TASKS[round_number % len(TASKS)]
-            victim, _ = await fleet.wait_for_owner(duty)
+            task = TASKS[round_number % len(TASKS)]
+            victim, _ = await fleet.wait_for_owner(task)
             fleet.processes[victim].kill()
             fleet.processes[victim].wait()
-            takeover_times.append((await fleet.wait_for_owner(duty, victim))[1])
+            takeover_times.append((await fleet.wait_for_owner(task, victim))[1])
             fleet.start(victim)
             await asyncio.sleep(4.0)
         members = ask(str(folder / "a.sock"), {"ask": "members"})["members"]
@@ -133,7 +133,7 @@
         exit_codes = [await asyncio.to_thread(process.wait, 20) for process in fleet.processes.values()]
     finally:
         fleet.close()
-    runs = {duty: (folder / f"{duty}.runs").read_text().split() for duty in TASKS}
+    runs = {task: (folder / f"{task}.runs").read_text().split() for task in TASKS}
     logs = "".join(path.read_text() for path in folder.glob("*.log"))
     assert len(members) == 4
     return takeover_times, runs, exit_codes, logs
@@ -147,8 +147,8 @@
     assert exit_codes == [0] * 4
     assert '"exception"' not in logs
     assert "Traceback" not in logs
-    for duty, fences in runs.items():
-        assert len(fences) > 10, duty
+    for task, fences in runs.items():
+        assert len(fences) > 10, task
         numbers = [int(fence.split(".")[0]) for fence in fences]
-        assert numbers == sorted(numbers), f"{duty}: a run has a lower fencing token than an earlier run"
+        assert numbers == sorted(numbers), f"{task}: a run has a lower fencing token than an earlier run"
     print("takeovers", [round(each, 2) for each in takeover_times])
