--- a/heronlug/cluster/shared_discovery.py
+++ b/heronlug/cluster/shared_discovery.py
@@ -179,7 +179,7 @@
         self._write()
 
     def on_lease_lost(self) -> None:
-        """Stops writing the lease table and reads its rows, which are a shared list for this member, too."""
+        """Stops writing the lease table; its rows become a shared list for this member as for all other members."""
         self._lease = None
         self._writers[LEASE_TABLE].stop()
         self._read_table(LEASE_TABLE)
@@ -224,7 +224,7 @@
         return {topic: status for topic, status in statuses.items() if status is not None}
 
     def _pull_tables(self, statuses: dict[str, SharedListStatus]) -> None:
-        """Asks other members for the tables after a silence, since they may have received a newer version."""
+        """Asks other members for the tables after a silence, since they may have received newer announcements."""
         now = self._deadlines.clock()
         silence = min((status.age for status in statuses.values()), default=0.0)
         if silence <= SILENCE_TO_PULL_MS or now < self._next_pull_at:
@@ -236,7 +236,7 @@
         self._flush()
 
     def _prefer_best_table(self) -> None:
-        """Uses the table with the greatest preference: an active writer first, then the newer list."""
+        """Uses the table with the greater preference, which compares open watch, freshness and list version."""
         preferences = {topic: self._preference(topic) for topic in TABLES}
         best = max(TABLES, key=lambda topic: preferences[topic])
         if preferences[best] <= preferences[self._preferred]:
@@ -305,8 +305,8 @@
         own = self.view.own
         if role is Role.FOLLOW:
             return True
-        is_newer = shared.known and (not own.known or shared.version >= own.version)
-        return is_newer and not self.view.watching and role is not Role.LISTEN
+        is_not_older = shared.known and (not own.known or shared.version >= own.version)
+        return is_not_older and not self.view.watching and role is not Role.LISTEN
 
     def _use_shared_list(self) -> None:
         update = self.view.select_source(own=False)
@@ -319,7 +319,8 @@
         if role is not Role.READ:
             self._log("register_role", role=role.value)
             return
-        cause = "turn" if previous is Role.WAIT else "no active writer"
+        # Operators' pages quote the values of cause; they must not change.
+        cause = "turn" if previous is Role.WAIT else "nobody is heard"
         if self._lease is not None:
             cause = "owner"
         self._log(
--- a/tests/faults/test_mutants.py
+++ b/tests/faults/test_mutants.py
@@ -29,8 +29,8 @@
     ),
     "shared-silent": (
         "cluster/shared_discovery.py",
-        "if claims and writer.token is None:",
-        "if claims and self.view.watching:",
+        "if may_claim and writer.token is None:",
+        "if may_claim and self.view.watching:",
         "calls",
     ),
 }
