--- a/heronlug/emulator/backend.py
+++ b/heronlug/emulator/backend.py
@@ -115,7 +115,7 @@
             return
         attempt, server = execution.owner
         if self._network.is_partitioned(self._zone, server.zone):
-            self._network.hold(self._report, execution, callback, *args)
+            self._network.defer_until_heal(self._report, execution, callback, *args)
             return
         self._timeline.schedule_after(self._network.one_way_ms(self._zone, server), callback, attempt, *args)
 
--- a/heronlug/emulator/clients.py
+++ b/heronlug/emulator/clients.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from heronlug.balancer.settings import Effect
-from heronlug.emulator.draws import BATCH, Draws, distribution, stream
+from heronlug.emulator.draws import BATCH_SIZE, Draws, distribution, stream
 from heronlug.emulator.scenario import Arrivals
 from heronlug.requests.model import FinalAnswer
 
@@ -59,24 +59,24 @@
     begin = arrivals.from_s * 1000
     end = min(span, arrivals.to_s * 1000 if arrivals.to_s is not None else inf)
     if arrivals.shape == "trace":
-        return _trace(Path(folder) / arrivals.file, begin, end)
+        return _trace_arrivals(Path(folder) / arrivals.file, begin, end)
     if arrivals.shape == "bursts":
-        return _bursts(arrivals, rng, begin, end)
+        return _burst_arrivals(arrivals, rng, begin, end)
     if arrivals.rate is None:
         msg = f"arrivals of {arrivals.lane} have no rate; {arrivals.shape} arrivals need one"
         raise ValueError(msg)
     if arrivals.shape == "waves":
-        return _waves(arrivals, arrivals.rate, rng, begin, end)
-    return (arrival.time for arrival in _poisson(arrivals.rate / 1000, rng, begin, end))
+        return _wave_arrivals(arrivals, arrivals.rate, rng, begin, end)
+    return (arrival.time for arrival in _poisson_arrivals(arrivals.rate / 1000, rng, begin, end))
 
 
-def _trace(file: Path, begin: float, end: float) -> Iterator[float]:
+def _trace_arrivals(file: Path, begin: float, end: float) -> Iterator[float]:
     """Arrivals as recorded: a line for each, in seconds from the beginning."""
     times = sorted(begin + float(line) * 1000 for line in file.read_text().split())
     return (time for time in times if time < end)
 
 
-def _bursts(arrivals: Arrivals, rng: np.random.Generator, begin: float, end: float) -> Iterator[float]:
+def _burst_arrivals(arrivals: Arrivals, rng: np.random.Generator, begin: float, end: float) -> Iterator[float]:
     """Bursts at fixed intervals, each spread evenly over a time."""
     first = begin
     while first < end:
@@ -98,11 +98,11 @@
     chance: float
 
 
-def _poisson(rate: float, rng: np.random.Generator, begin: float, end: float) -> Iterator[PoissonArrival]:
+def _poisson_arrivals(rate: float, rng: np.random.Generator, begin: float, end: float) -> Iterator[PoissonArrival]:
     """A Poisson process with a rate per ms."""
     now = begin
     while True:
-        gaps, chances = rng.exponential(1 / rate, BATCH), rng.random(BATCH)
+        gaps, chances = rng.exponential(1 / rate, BATCH_SIZE), rng.random(BATCH_SIZE)
         for gap, chance in zip(map(float, gaps), map(float, chances), strict=True):
             now += gap
             if now >= end:
@@ -110,10 +110,12 @@
             yield PoissonArrival(now, chance)
 
 
-def _waves(arrivals: Arrivals, rate: float, rng: np.random.Generator, begin: float, end: float) -> Iterator[float]:
+def _wave_arrivals(
+    arrivals: Arrivals, rate: float, rng: np.random.Generator, begin: float, end: float
+) -> Iterator[float]:
     """A Poisson process with a rate that follows a sine, by thinning (Lewis and Shedler 1979)."""
     highest = 1 + arrivals.depth
-    for arrival in _poisson(rate / 1000 * highest, rng, begin, end):
+    for arrival in _poisson_arrivals(rate / 1000 * highest, rng, begin, end):
         level = 1 + arrivals.depth * sin(2 * pi * (arrival.time - begin) / (arrivals.period_s * 1000))
         if arrival.chance * highest < level:
             yield arrival.time
@@ -143,7 +145,7 @@
         self.open_request_ms = 0.0
         self.total_stay_ms = 0.0
         self.ended_requests = 0
-        self._level_changed_at = 0.0
+        self._open_requests_changed_at = 0.0
 
     def start(self) -> None:
         """Schedule the first arrival of each table of arrivals."""
@@ -155,9 +157,9 @@
     def change_open_requests(self, change: int) -> None:
         """So many more requests are open from now on; keeps the sum for Little's law."""
         now = self._world.timeline.now
-        self.open_request_ms += self.open_requests * (now - self._level_changed_at)
+        self.open_request_ms += self.open_requests * (now - self._open_requests_changed_at)
         self.open_requests += change
-        self._level_changed_at = now
+        self._open_requests_changed_at = now
 
     def answered(self, request: ClientRequest, final: FinalAnswer, retry_after: float) -> None:
         """A dispatcher has given a request its final answer, with a Retry-After in ms, 0 for none."""
@@ -196,7 +198,7 @@
     def _submit(self, request: ClientRequest) -> None:
         """Submit a request to one of the running dispatchers, each as likely."""
         if not self._choice_batch:
-            self._choice_batch = [*map(int, self._dispatcher_choice.integers(0, CHOICE_RANGE, BATCH))]
+            self._choice_batch = [*map(int, self._dispatcher_choice.integers(0, CHOICE_RANGE, BATCH_SIZE))]
         draw = self._choice_batch.pop()
         running = self._world.running_dispatchers
         request.submissions += 1
--- a/heronlug/emulator/discovery.py
+++ b/heronlug/emulator/discovery.py
@@ -43,7 +43,7 @@
     def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
         """An endpoint list or watch event has come."""
 
-    def list_call_answered(self, took: float) -> None:
+    def list_call_answered(self, took_ms: float) -> None:
         """A call for the list has been answered after so many ms."""
 
     def list_call_rejected(self) -> None:
@@ -88,13 +88,13 @@
         self._timeline, self._lag, self._record_event = timeline, lag, record_event
         self._call_ms, self._max_wait_ms = call_ms, max_wait_ms
         self._idle_at = 0.0
-        self._held_back: list[ListedServer] = []
+        self._deferred_entries: list[ListedServer] = []
 
     def update(self, entry: ListedServer) -> None:
         """Add or change the entry of a server."""
         self.entries[entry.name] = entry
         if self.silent:
-            self._held_back.append(entry)
+            self._deferred_entries.append(entry)
             return
         for watcher in self.watchers:
             self._send(watcher, ListKind.CHANGES, [entry])
@@ -113,10 +113,10 @@
     def end_silence(self) -> None:
         """Send again, with all that was held back."""
         self.silent = False
-        held_back, self._held_back = self._held_back, []
-        if held_back:
+        deferred, self._deferred_entries = self._deferred_entries, []
+        if deferred:
             for watcher in self.watchers:
-                self._send(watcher, ListKind.CHANGES, held_back)
+                self._send(watcher, ListKind.CHANGES, deferred)
 
     # -- calls that cost something
 
@@ -135,25 +135,25 @@
             self.watchers.pop(watcher, None)
             self._timeline.schedule_after(self._lag.next(), self._reject, watcher, incarnation)
         else:
-            took = wait + self._call_ms
+            took_ms = wait + self._call_ms
             self._idle_at = now + wait + self._call_ms
-            self._timeline.schedule_at(self._idle_at, answer, watcher, incarnation, took)
+            self._timeline.schedule_at(self._idle_at, answer, watcher, incarnation, took_ms)
 
     def _reject(self, watcher: ListWatcher, incarnation: int) -> None:
         if _is_alive(watcher, incarnation):
             watcher.list_call_rejected()
 
-    def _answer_list_call(self, watcher: ListWatcher, incarnation: int, took: float) -> None:
+    def _answer_list_call(self, watcher: ListWatcher, incarnation: int, took_ms: float) -> None:
         if _is_alive(watcher, incarnation):
             self._send_whole_list(watcher)
-            watcher.list_call_answered(took)
+            watcher.list_call_answered(took_ms)
             self._call(watcher, incarnation, self._hold_watch_open)
 
-    def _hold_watch_open(self, watcher: ListWatcher, incarnation: int, took: float) -> None:
+    def _hold_watch_open(self, watcher: ListWatcher, incarnation: int, took_ms: float) -> None:
         if _is_alive(watcher, incarnation):
             self.first_watch_at.setdefault(watcher.name, self._timeline.now)
-            timeout = watcher.watch_timeout_ms
-            self._timeline.schedule_after(timeout, self._call, watcher, incarnation, self._hold_watch_open)
+            timeout_ms = watcher.watch_timeout_ms
+            self._timeline.schedule_after(timeout_ms, self._call, watcher, incarnation, self._hold_watch_open)
 
     # -- what is sent
 
--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -62,7 +62,7 @@
         self._backend = EmulatedBackend(world, self.name, self.zone, self.core)
         self._pacer = self._make_pacer(settings, seed)
         self._has_list = bool(self._cached_list) or world.scenario.dispatchers.listed
-        self._polls = False
+        self._polling = False
         world.record_event(Started(world.timeline.now, self.name))
         cached = self._cached_list or (list(world.discovery.entries.values()) if self._has_list else [])
         self.receive_list(ListKind.CACHED, cached)
@@ -158,11 +158,11 @@
             self.world.record_event(Listed(now, self.name, entry.name, _recorded_state(entry.state)))
         self.core.update_servers(kind, entries)
 
-    def list_call_answered(self, took: float) -> None:
+    def list_call_answered(self, took_ms: float) -> None:
         """Service discovery has answered a call for the list after so many ms."""
         self._has_list = True
         if self._pacer is not None:
-            self._pacer.on_answer(took)
+            self._pacer.on_answer(took_ms)
 
     def list_call_rejected(self) -> None:
         """Service discovery has rejected a call."""
@@ -174,8 +174,8 @@
     def _subscribe(self) -> None:
         if self._pacer is None:
             self.world.discovery.watch(self)
-        elif not self._polls:
-            self._polls = True
+        elif not self._polling:
+            self._polling = True
             self._schedule_poll(self._pacer.first_poll_at(self.deadlines.clock(), self._has_list))
 
     def _schedule_poll(self, when: float) -> None:
--- a/heronlug/emulator/draws.py
+++ b/heronlug/emulator/draws.py
@@ -12,9 +12,9 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-BATCH = 512
-NAMES = ("constant", "expon", "gamma", "lognorm", "pareto", "uniform", "weibull_min")
-FITTED = ("expon", "gamma", "lognorm", "weibull_min")
+BATCH_SIZE = 512
+DISTRIBUTION_NAMES = ("constant", "expon", "gamma", "lognorm", "pareto", "uniform", "weibull_min")
+FITTED_DISTRIBUTIONS = ("expon", "gamma", "lognorm", "weibull_min")
 
 
 def stream(seed: int, *names: str) -> np.random.Generator:
@@ -27,31 +27,31 @@
 
     ``constant`` takes ``value`` alone; all others the parameters that scipy has for them.
     """
-    given = dict(table)
-    name = given.pop("dist", "")
-    if name not in NAMES:
-        msg = f"{name!r} is none of {', '.join(NAMES)}"
+    parameters = dict(table)
+    name = parameters.pop("dist", "")
+    if name not in DISTRIBUTION_NAMES:
+        msg = f"{name!r} is none of {', '.join(DISTRIBUTION_NAMES)}"
         raise ValueError(msg)
-    for key, value in given.items():
+    for key, value in parameters.items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not np.isfinite(value):
             msg = f"{key}: {value!r} is no finite number"
             raise ValueError(msg)
     if name == "constant":
-        if set(given) != {"value"} or not given["value"] >= 0:
+        if set(parameters) != {"value"} or not parameters["value"] >= 0:
             msg = "a constant takes value, 0 or more, and nothing else"
             raise ValueError(msg)
-        return float(given["value"])
-    kind = getattr(stats, name)
-    shapes = kind.shapes.split(", ") if kind.shapes else []
-    unknown = given.keys() - {*shapes, "loc", "scale"}
-    if unknown or not set(shapes) <= given.keys():
+        return float(parameters["value"])
+    family = getattr(stats, name)
+    shapes = family.shapes.split(", ") if family.shapes else []
+    unknown = parameters.keys() - {*shapes, "loc", "scale"}
+    if unknown or not set(shapes) <= parameters.keys():
         msg = f"{name} takes {', '.join([*shapes, 'loc', 'scale'])}"
         raise ValueError(msg)
-    frozen = kind(**given)
-    low, mean = frozen.support()[0], frozen.mean()
-    if not (np.isfinite(mean) and low >= 0):
+    frozen = family(**parameters)
+    lower_bound, mean = frozen.support()[0], frozen.mean()
+    if not (np.isfinite(mean) and lower_bound >= 0):
         msg = (
-            f"{name} with these has a mean of {mean:g} and begins at {low:g}: times are 0 or more, "
+            f"{name} with these has a mean of {mean:g} and begins at {lower_bound:g}: times are 0 or more, "
             "and their mean is finite"
         )
         raise ValueError(msg)
@@ -61,22 +61,22 @@
 class Draws:
     """Values of one distribution from one stream, drawn in batches."""
 
-    __slots__ = ("_at", "_batch", "_draw")
+    __slots__ = ("_batch", "_draw", "_position")
 
     def __init__(self, dist: Any, rng: np.random.Generator) -> None:
         if isinstance(dist, float):
-            self._draw: Callable[[], NDArray[np.float64]] = lambda: np.full(BATCH, dist)
+            self._draw: Callable[[], NDArray[np.float64]] = lambda: np.full(BATCH_SIZE, dist)
         else:
-            self._draw = lambda: dist.rvs(BATCH, random_state=rng)
+            self._draw = lambda: dist.rvs(BATCH_SIZE, random_state=rng)
         self._batch: list[float] = []
-        self._at = 0
+        self._position = 0
 
     def next(self) -> float:
         """The next value."""
-        if self._at == len(self._batch):
-            self._batch, self._at = [*map(float, self._draw())], 0
-        self._at += 1
-        return self._batch[self._at - 1]
+        if self._position == len(self._batch):
+            self._batch, self._position = [*map(float, self._draw())], 0
+        self._position += 1
+        return self._batch[self._position - 1]
 
 
 class Fit(NamedTuple):
@@ -93,13 +93,13 @@
     if len(values) < 20 or not np.all(np.isfinite(values)) or np.min(values) <= 0:
         msg = "20 values or more, all above 0, are needed"
         raise ValueError(msg)
-    fits = []
-    for name in FITTED:
-        kind = getattr(stats, name)
-        params = kind.fit(values, floc=0)
-        shapes = kind.shapes.split(", ") if kind.shapes else []
-        likelihood = float(np.sum(kind.logpdf(values, *params)))
-        distance = float(stats.kstest(values, kind.cdf, args=params).statistic)
-        named = dict(zip([*shapes, "loc", "scale"], map(float, params), strict=True))
-        fits.append(Fit(name, named, 2 * (len(shapes) + 1) - 2 * likelihood, distance))
-    return sorted(fits, key=lambda each: each.aic)
+    candidates = []
+    for name in FITTED_DISTRIBUTIONS:
+        family = getattr(stats, name)
+        params = family.fit(values, floc=0)
+        shapes = family.shapes.split(", ") if family.shapes else []
+        likelihood = float(np.sum(family.logpdf(values, *params)))
+        distance = float(stats.kstest(values, family.cdf, args=params).statistic)
+        parameters = dict(zip([*shapes, "loc", "scale"], map(float, params), strict=True))
+        candidates.append(Fit(name, parameters, 2 * (len(shapes) + 1) - 2 * likelihood, distance))
+    return sorted(candidates, key=lambda each: each.aic)
--- a/heronlug/emulator/faults.py
+++ b/heronlug/emulator/faults.py
@@ -15,7 +15,7 @@
 RESTART_DELAY_MS = 3000.0
 """How long a server that crashed is down before it is started again."""
 
-BeginFault = Callable[[FaultTable, np.random.Generator], None]
+FaultHandler = Callable[[FaultTable, np.random.Generator], None]
 
 
 class FaultTarget(Protocol):
@@ -68,10 +68,10 @@
     def __init__(self, target: FaultTarget, faults: Sequence[FaultTable], zones: Sequence[str], seed: int) -> None:
         self._target, self._zones = target, zones
         self._timeline = target.timeline
-        begin = self._beginnings()
+        handlers = self._fault_handlers()
         for number, table in enumerate(faults):
             rng = stream(seed, "trouble", str(number))
-            self._timeline.schedule_at(table.at_s * 1000, begin[table.what], table, rng)
+            self._timeline.schedule_at(table.at_s * 1000, handlers[table.what], table, rng)
 
     def crash_server(self, server: EmulatedServer) -> None:
         """End a server's process and start it again later."""
@@ -79,7 +79,7 @@
         self._target.list_server(server, ServerState.REMOVED)
         self._timeline.schedule_after(RESTART_DELAY_MS, self._restart, server)
 
-    def _beginnings(self) -> dict[str, BeginFault]:
+    def _fault_handlers(self) -> dict[str, FaultHandler]:
         """What begins each fault, by its name in scenario files."""
         return {
             "crash": self._crash,
@@ -196,9 +196,9 @@
         self._system = target
         super().__init__(target, faults, zones, seed)
 
-    def _beginnings(self) -> dict[str, BeginFault]:
+    def _fault_handlers(self) -> dict[str, FaultHandler]:
         """As for servers, with the faults of dispatchers and of the network."""
-        return super()._beginnings() | {"dispatcher-kill": self._kill_dispatchers, "partition": self._partition}
+        return super()._fault_handlers() | {"dispatcher-kill": self._kill_dispatchers, "partition": self._partition}
 
     def _kill_dispatchers(self, table: FaultTable, rng: np.random.Generator) -> None:
         running = list(self._system.running_dispatchers)
--- a/heronlug/emulator/figures.py
+++ b/heronlug/emulator/figures.py
@@ -52,8 +52,8 @@
         """Latencies in ms by percentile, nan where nothing was served."""
         if not len(self.latencies_ms):
             return {f"p{p:g}": float("nan") for p in PERCENTILES}
-        found = np.percentile(np.frombuffer(self.latencies_ms), PERCENTILES)
-        return {f"p{p:g}": float(value) for p, value in zip(PERCENTILES, found, strict=True)}
+        latencies = np.percentile(np.frombuffer(self.latencies_ms), PERCENTILES)
+        return {f"p{p:g}": float(value) for p, value in zip(PERCENTILES, latencies, strict=True)}
 
 
 class ServerFigures(NamedTuple):
@@ -187,22 +187,22 @@
         earned, possible = self.value_by_second
         rates = np.divide(earned, possible, out=np.full(len(earned), np.nan), where=possible > 0)
         first = int(at)
-        earlier = slice(max(0, first - SECONDS_BEFORE_FAULT), first)
-        before = np.nanmean(rates[earlier]) if first and possible[earlier].any() else 1.0
+        seconds_before = slice(max(0, first - SECONDS_BEFORE_FAULT), first)
+        before = np.nanmean(rates[seconds_before]) if first and possible[seconds_before].any() else 1.0
         windows = [slice(second, second + SMOOTHING_SECONDS) for second in range(first, len(rates))]
-        smooth = np.array([np.nanmean(rates[each]) if possible[each].any() else np.nan for each in windows])
-        below = np.flatnonzero(smooth < level * before)
+        smoothed = np.array([np.nanmean(rates[each]) if possible[each].any() else np.nan for each in windows])
+        below = np.flatnonzero(smoothed < level * before)
         if not len(below):
             return 0.0
-        back = below[-1] + 1
-        return float(back) if back < len(smooth) else float("nan")
+        first_recovered = below[-1] + 1
+        return float(first_recovered) if first_recovered < len(smoothed) else float("nan")
 
     def by_name(self) -> dict[str, float]:
         """The figures by their published names, for tables and comparisons; ``CLASS.figure`` for those of a class."""
         attempts = sum(each.attempts for each in self.classes)
         requests = sum(each.request_count for each in self.classes)
         loads = np.array([server.mean_load for server in self.servers]) if self.servers else np.zeros(1)
-        found = {
+        figures = {
             "service": self.service,
             "jobs": float(requests),
             "attempts_per_job": attempts / requests if requests else float("nan"),
@@ -220,11 +220,11 @@
         }
         for each in self.classes:
             ended = each.request_count or 1
-            found[f"{each.name}.jobs"] = float(each.request_count)
+            figures[f"{each.name}.jobs"] = float(each.request_count)
             for outcome in OUTCOMES:
-                found[f"{each.name}.{outcome}"] = each.outcomes[outcome] / ended
-            found |= {f"{each.name}.{key}": value for key, value in each.percentiles().items()}
-        return found
+                figures[f"{each.name}.{outcome}"] = each.outcomes[outcome] / ended
+            figures |= {f"{each.name}.{key}": value for key, value in each.percentiles().items()}
+        return figures
 
     def class_table(self) -> list[list[str]]:
         """Rows of text: a heading, and a row for each request class."""
@@ -238,12 +238,12 @@
         return rows
 
 
-def same(one: Figures, other: Figures) -> bool:
+def have_same_figures(one: Figures, other: Figures) -> bool:
     """Whether two runs came to the very same figures, but for the time that they took."""
-    return bool(_compared(one) == _compared(other))
+    return bool(_compared_fields(one) == _compared_fields(other))
 
 
-def _compared(figures: Figures) -> tuple[Any, ...]:
+def _compared_fields(figures: Figures) -> tuple[Any, ...]:
     classes = [(each.name, each.outcomes, each.earned_value, each.latencies_ms.tobytes()) for each in figures.classes]
     by_second = figures.value_by_second.tobytes()
     return classes, figures.servers, by_second, figures.violations, figures.event_count
--- a/heronlug/emulator/network.py
+++ b/heronlug/emulator/network.py
@@ -24,7 +24,7 @@
     return Draws(distribution, stream(seed, "ways", *names))
 
 
-class HeldCall(NamedTuple):
+class DeferredCall(NamedTuple):
     """A call that waits for a partition to heal."""
 
     callback: Callable[..., object]
@@ -40,7 +40,7 @@
         self._datagram_factors = lognormal_draws(table.sigma, seed, "datagrams")
         self._losses = stream(seed, "losses")
         self._partitioned_zones: set[int] = set()
-        self._held: list[HeldCall] = []
+        self._deferred_calls: list[DeferredCall] = []
 
     def add_server(self, name: str) -> None:
         """Give a server a random stream for its delays."""
@@ -73,13 +73,13 @@
         """Let nothing pass into a zone or out of it."""
         self._partitioned_zones.add(zone)
 
-    def hold(self, callback: Callable[..., object], *args: Any) -> None:
+    def defer_until_heal(self, callback: Callable[..., object], *args: Any) -> None:
         """Make a call once a partition has healed."""
-        self._held.append(HeldCall(callback, args))
+        self._deferred_calls.append(DeferredCall(callback, args))
 
     def heal(self, zone: int) -> None:
         """Connect a zone again, and make the calls that were held."""
         self._partitioned_zones.discard(zone)
-        held, self._held = self._held, []
-        for call in held:
+        deferred, self._deferred_calls = self._deferred_calls, []
+        for call in deferred:
             call.callback(*call.args)
--- a/heronlug/emulator/servers.py
+++ b/heronlug/emulator/servers.py
@@ -294,10 +294,10 @@
 
     def _check_overload(self) -> None:
         """Start or stop the timer that ends in a crash, as more is in the server than it bears or not."""
-        bearable = self.overload_slots
+        overload_limit = self.overload_slots
         if self.warming_up:
-            self.warmup_peak_load = max(self.warmup_peak_load, self.occupied_slots / bearable)
-        if self.occupied_slots <= bearable:
+            self.warmup_peak_load = max(self.warmup_peak_load, self.occupied_slots / overload_limit)
+        if self.occupied_slots <= overload_limit:
             self._cancel_overload_timer()
         elif self._overload_timer is None and self.up:
             window = self.warmup.overload_window_ms
@@ -313,8 +313,8 @@
         if self.up and self.warming_up:
             self._start_queued()
             self._check_overload()
-            step = self.warmup.warmup_ms * WARMUP_STEP_SLOTS / self.kind.slots
-            self._warmup_timer = self.timeline.schedule_after(step, self._advance_warmup)
+            step_ms = self.warmup.warmup_ms * WARMUP_STEP_SLOTS / self.kind.slots
+            self._warmup_timer = self.timeline.schedule_after(step_ms, self._advance_warmup)
 
     def _crash_from_overload(self) -> None:
         self._overload_timer = None
--- a/heronlug/experiments/compare.py
+++ b/heronlug/experiments/compare.py
@@ -33,14 +33,14 @@
 
 def chosen(text: str) -> dict[str, str]:
     """``policy=random,dispatchers.count=4``; raises ``ValueError``."""
-    wanted = {}
+    params = {}
     for part in text.split(","):
         key, equals, value = part.partition("=")
         if not equals or not key:
             msg = f"{part!r} is no KEY=VALUE"
             raise ValueError(msg)
-        wanted[key.strip()] = value.strip()
-    return wanted
+        params[key.strip()] = value.strip()
+    return params
 
 
 def pairs(runs: Sequence[StoredRun], a: dict[str, str], b: dict[str, str]) -> list[tuple[StoredRun, StoredRun]]:
@@ -50,37 +50,37 @@
         if key not in known:
             msg = f"{key!r} does not vary here; what does: {', '.join(sorted(known)) or 'nothing'}"
             raise ValueError(msg)
-    sides: list[dict[Any, StoredRun]] = []
-    for wanted in (a, b):
-        found = {}
+    runs_by_key: list[dict[Any, StoredRun]] = []
+    for params in (a, b):
+        matching = {}
         for run in runs:
-            if all(str(run.params.get(key)) == value for key, value in wanted.items()):
-                rest = tuple(sorted((k, str(v)) for k, v in run.params.items() if k not in a.keys() | b.keys()))
-                found[run.seed, rest] = run
-        sides.append(found)
-    both = sorted(sides[0].keys() & sides[1].keys())
-    if not both:
+            if all(str(run.params.get(key)) == value for key, value in params.items()):
+                other_params = tuple(sorted((k, str(v)) for k, v in run.params.items() if k not in a.keys() | b.keys()))
+                matching[run.seed, other_params] = run
+        runs_by_key.append(matching)
+    common_keys = sorted(runs_by_key[0].keys() & runs_by_key[1].keys())
+    if not common_keys:
         msg = "no two runs have the same seed and all else alike"
         raise ValueError(msg)
-    return [(sides[0][key], sides[1][key]) for key in both]
+    return [(runs_by_key[0][key], runs_by_key[1][key]) for key in common_keys]
 
 
-def compare(matched: Sequence[tuple[StoredRun, StoredRun]], figures: Sequence[str] = ()) -> list[Difference]:
+def compare(run_pairs: Sequence[tuple[StoredRun, StoredRun]], figures: Sequence[str] = ()) -> list[Difference]:
     """Each figure, or those named; raises ``ValueError`` for one that there is not."""
-    names = list(figures) or [name for name in matched[0][0].figures if name in matched[0][1].figures]
-    found = []
+    names = list(figures) or [name for name in run_pairs[0][0].figures if name in run_pairs[0][1].figures]
+    differences = []
     for name in names:
         try:
-            values = np.array([(a.figures[name], b.figures[name]) for a, b in matched])
+            values = np.array([(a.figures[name], b.figures[name]) for a, b in run_pairs])
         except KeyError:
-            msg = f"{name!r} is no figure; there are {', '.join(matched[0][0].figures)}"
+            msg = f"{name!r} is no figure; there are {', '.join(run_pairs[0][0].figures)}"
             raise ValueError(msg) from None
         values = values[np.isfinite(values).all(axis=1)]
         if not len(values):
             continue
         change = values[:, 1] - values[:, 0]
         low, high = interval(change)
-        found.append(
+        differences.append(
             Difference(
                 name,
                 float(values[:, 0].mean()),
@@ -91,7 +91,7 @@
                 len(values),
             )
         )
-    return found
+    return differences
 
 
 def interval(values: NDArray[np.float64]) -> tuple[float, float]:
--- a/heronlug/experiments/experiment.py
+++ b/heronlug/experiments/experiment.py
@@ -59,13 +59,13 @@
 
 def dotted_keys(table: dict[str, Any], prefix: str = "") -> Params:
     """Nested tables as dotted keys."""
-    found: Params = {}
+    flat: Params = {}
     for key, value in table.items():
         if isinstance(value, dict):
-            found |= dotted_keys(value, f"{prefix}{key}.")
+            flat |= dotted_keys(value, f"{prefix}{key}.")
         else:
-            found[prefix + key] = value
-    return found
+            flat[prefix + key] = value
+    return flat
 
 
 def version() -> str:
@@ -80,25 +80,25 @@
 def read(path: Path) -> tuple[Experiment, list[PlannedRun]]:
     """An experiment and all its runs, each scenario checked; raises :class:`ConfigProblems`."""
     source = Source.read(path)
-    experiment, faults = decode(Experiment, source.table, source, ())
+    experiment, problems = decode(Experiment, source.table, source, ())
     if experiment is None:
-        raise ConfigProblems(faults)
+        raise ConfigProblems(problems)
     experiment.set, experiment.vary = dotted_keys(experiment.set), dotted_keys(experiment.vary)
     for key, values in experiment.vary.items():
-        at = ("vary", *key.split("."))
+        keys = ("vary", *key.split("."))
         if not isinstance(values, list) or not values:
-            faults.append(source.problem(at, f"{values!r} is no list", "a list of at least one value"))
+            problems.append(source.problem(keys, f"{values!r} is no list", "a list of at least one value"))
         elif any(value in values[:number] for number, value in enumerate(values)):
-            faults.append(source.problem(at, "a value is there twice", "each value once"))
+            problems.append(source.problem(keys, "a value is there twice", "each value once"))
         if key in experiment.set or key == "seed":
-            faults.append(source.problem(at, "it is set by something else", "seeds, or in [set], or here"))
-    if faults:
-        raise ConfigProblems(faults)
-    base = path.parent / experiment.scenario
-    jobs, code = [], version()
+            problems.append(source.problem(keys, "it is set by something else", "seeds, or in [set], or here"))
+    if problems:
+        raise ConfigProblems(problems)
+    scenario_path = path.parent / experiment.scenario
+    planned_runs, code = [], version()
     for params in combinations(experiment.vary):
         try:
-            scenario = scenarios.load(base, {**experiment.set, **params})
+            scenario = scenarios.load(scenario_path, {**experiment.set, **params})
         except ConfigProblems as error:
             with_params = ", ".join(f"{key} = {value!r}" for key, value in params.items())
             text = f"with {with_params or 'what is set'}: {error.problems[0]}"
@@ -106,22 +106,24 @@
         except ValueError as error:
             raise ConfigProblems([source.problem(("vary",), str(error), "a key of the scenario")]) from None
         for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
-            key = hashlib.sha256(orjson.dumps([known(scenario), seed, code], option=orjson.OPT_SORT_KEYS)).hexdigest()
-            jobs.append(PlannedRun(key[:24], str(base), params, experiment.set, seed, code))
-    if len(jobs) > MAX_RUNS:
-        raise ConfigProblems([source.problem(("vary",), f"{len(jobs)} runs", f"{MAX_RUNS} at most")])
-    return experiment, jobs
+            key = hashlib.sha256(
+                orjson.dumps([outcome_inputs(scenario), seed, code], option=orjson.OPT_SORT_KEYS)
+            ).hexdigest()
+            planned_runs.append(PlannedRun(key[:24], str(scenario_path), params, experiment.set, seed, code))
+    if len(planned_runs) > MAX_RUNS:
+        raise ConfigProblems([source.problem(("vary",), f"{len(planned_runs)} runs", f"{MAX_RUNS} at most")])
+    return experiment, planned_runs
 
 
-def known(scenario: Scenario) -> Any:
+def outcome_inputs(scenario: Scenario) -> Any:
     """All that a run depends on, but for its seed; a recorded trace by its content."""
-    kept = scenarios.plain(scenario)
-    kept.pop("seed")
+    inputs = scenarios.to_plain_values(scenario)
+    inputs.pop("seed")
     for arrivals in scenario.arrivals:
         if arrivals.shape == "trace":
             data = (Path(scenario.folder) / arrivals.file).read_bytes()
-            kept.setdefault("traces", []).append(hashlib.sha256(data).hexdigest())
-    return msgspec.to_builtins(kept)
+            inputs.setdefault("traces", []).append(hashlib.sha256(data).hexdigest())
+    return msgspec.to_builtins(inputs)
 
 
 def combinations(vary: dict[str, list[Any]]) -> Iterator[Params]:
--- a/heronlug/experiments/report.py
+++ b/heronlug/experiments/report.py
@@ -20,7 +20,7 @@
 
 MAX_DRAWN_CASES = 10  # cases that a drawing shows at most: more cannot be told apart
 MAX_SHOWN_VIOLATIONS = 10  # broken rules that are shown with what led to them
-HEADS = [*OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"]
+CLASS_HEADINGS = [*OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"]
 
 
 def label_of(params: dict[str, Any]) -> str:
@@ -33,12 +33,12 @@
     if not runs:
         msg = f"{name}: there are no runs to report"
         raise ValueError(msg)
-    grouped: dict[str, list[StoredRun]] = defaultdict(list)
+    runs_by_case: dict[str, list[StoredRun]] = defaultdict(list)
     for run in runs:
-        grouped[label_of(run.params)].append(run)
-    lanes = sorted({lane for run in runs for lane in run.details["aims"]})
-    cases = [_case(label, group, lanes) for label, group in grouped.items()]
-    drawn = dict(list(grouped.items())[:MAX_DRAWN_CASES])
+        runs_by_case[label_of(run.params)].append(run)
+    class_names = sorted({class_name for run in runs for class_name in run.details["aims"]})
+    cases = [_case(label, group, class_names) for label, group in runs_by_case.items()]
+    drawn_cases = dict(list(runs_by_case.items())[:MAX_DRAWN_CASES])
     folder = Path(__file__).parent
     loader = Environment(
         loader=FileSystemLoader(folder), autoescape=select_autoescape(["html"]), undefined=StrictUndefined
@@ -46,17 +46,17 @@
     return loader.get_template("report.html").render(
         name=name,
         runs=len(runs),
-        seeds=max(len(group) for group in grouped.values()),
+        seeds=max(len(group) for group in runs_by_case.values()),
         version=runs[0].version,
         cases=cases,
-        lanes=lanes,
-        lane_heads=HEADS,
-        cdfs={lane: _cdf(lane, drawn) for lane in lanes},
-        over_time=_over_time(drawn),
-        loads=_loads(drawn),
-        colds=_colds(drawn),
-        recoveries=_recoveries(grouped),
-        violations=_violations(grouped),
+        class_names=class_names,
+        class_headings=CLASS_HEADINGS,
+        cdfs={class_name: _cdf(class_name, drawn_cases) for class_name in class_names},
+        over_time=_over_time(drawn_cases),
+        loads=_loads(drawn_cases),
+        warmup_peaks=_warmup_peaks(drawn_cases),
+        recoveries=_recoveries(runs_by_case),
+        violations=_violations(runs_by_case),
     )
 
 
@@ -65,40 +65,43 @@
     return float(np.mean(finite)) if finite else math.nan
 
 
-def _case(label: str, group: list[StoredRun], lanes: list[str]) -> dict[str, Any]:
+def _case(label: str, group: list[StoredRun], class_names: list[str]) -> dict[str, Any]:
     mean = {key: _mean([run.figures.get(key, math.nan) for run in group]) for key in group[0].figures}
     low, high = interval(np.array([run.figures["service"] for run in group]))
     service = f"{mean['service']:.4f}" + (f" ({low:.4f} to {high:.4f})" if math.isfinite(low) else "")
     rows = {}
-    for lane in lanes:
-        shares = [f"{mean.get(f'{lane}.{final}', math.nan):.2%}" for final in OUTCOMES]
-        times = [f"{mean.get(f'{lane}.{head.split()[0]}', math.nan):.0f}" for head in HEADS[len(OUTCOMES) :]]
-        rows[lane] = [*shares, *times]
+    for class_name in class_names:
+        shares = [f"{mean.get(f'{class_name}.{outcome}', math.nan):.2%}" for outcome in OUTCOMES]
+        times = [
+            f"{mean.get(f'{class_name}.{heading.split()[0]}', math.nan):.0f}"
+            for heading in CLASS_HEADINGS[len(OUTCOMES) :]
+        ]
+        rows[class_name] = [*shares, *times]
     broken = int(sum(run.figures["violations"] for run in group))
-    return {"label": label, "mean": mean, "service": service, "lanes": rows, "broken": broken}
+    return {"label": label, "mean": mean, "service": service, "class_rows": rows, "broken": broken}
 
 
 def _svg(figure: Any) -> str:
-    out = io.StringIO()
-    figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", bbox_inches="tight", metadata={"Date": None})
     plt.close(figure)
-    text = out.getvalue()
-    return text[text.index("<svg") :]
+    svg = buffer.getvalue()
+    return svg[svg.index("<svg") :]
 
 
-def _axes(title: str, x: str, y: str) -> tuple[Any, Any]:
+def _axes(title: str, x_label: str, y_label: str) -> tuple[Any, Any]:
     figure, axes = plt.subplots(figsize=(9, 3.6))
-    axes.set(title=title, xlabel=x, ylabel=y)
+    axes.set(title=title, xlabel=x_label, ylabel=y_label)
     axes.grid(alpha=0.3)
     return figure, axes
 
 
-def _cdf(lane: str, grouped: dict[str, list[StoredRun]]) -> str:
-    figure, axes = _axes(f"{lane}: latency of what was served", "ms", "share")
+def _cdf(class_name: str, runs_by_case: dict[str, list[StoredRun]]) -> str:
+    figure, axes = _axes(f"{class_name}: latency of what was served", "ms", "share")
     aim = 0.0
-    for label, group in grouped.items():
-        quantiles = [run.details["quantiles"][lane] for run in group if lane in run.details["quantiles"]]
-        aim = group[0].details["aims"].get(lane, 0.0)
+    for label, group in runs_by_case.items():
+        quantiles = [run.details["quantiles"][class_name] for run in group if class_name in run.details["quantiles"]]
+        aim = group[0].details["aims"].get(class_name, 0.0)
         if quantiles:
             times = np.mean(quantiles, axis=0)
             axes.plot(np.maximum(times, 1.0), np.linspace(0, 1, len(times)), label=label)
@@ -108,17 +111,17 @@
     return _svg(figure)
 
 
-def _over_time(grouped: dict[str, list[StoredRun]]) -> str:
+def _over_time(runs_by_case: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes("Worth earned of what was possible, by the second of arrival", "s", "share")
-    for label, group in grouped.items():
+    for label, group in runs_by_case.items():
         earned, possible = np.sum([run.details["by_second"] for run in group], axis=0)
         shares = np.divide(earned, possible, out=np.full(len(earned), np.nan), where=possible > 0)
         axes.plot(shares, label=label, linewidth=1)
-    for trouble in next(iter(grouped.values()))[0].details["recovery"]:
-        axes.axvline(trouble["at_s"], color="grey", linestyle=":")
+    for fault in next(iter(runs_by_case.values()))[0].details["recovery"]:
+        axes.axvline(fault["at_s"], color="grey", linestyle=":")
         axes.annotate(
-            trouble["what"],
-            (trouble["at_s"], 0.02),
+            fault["what"],
+            (fault["at_s"], 0.02),
             xycoords=("data", "axes fraction"),
             fontsize=8,
             rotation=90,
@@ -128,20 +131,20 @@
     return _svg(figure)
 
 
-def _loads(grouped: dict[str, list[StoredRun]]) -> str:
+def _loads(runs_by_case: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes("Load of each host, from the least to the most loaded", "share of the hosts", "share of slots")
-    for label, group in grouped.items():
-        loads = np.sort([host["load"] for run in group for host in run.details["hosts"]])
+    for label, group in runs_by_case.items():
+        loads = np.sort([server["load"] for run in group for server in run.details["hosts"]])
         axes.plot(np.linspace(0, 1, len(loads)), loads, label=label)
     axes.legend(fontsize=8)
     return _svg(figure)
 
 
-def _colds(grouped: dict[str, list[StoredRun]]) -> str:
+def _warmup_peaks(runs_by_case: dict[str, list[StoredRun]]) -> str:
     figure, axes = _axes("Most in a cold host, in shares of what it stands", "", "share")
     peaks = {
-        label: [max((host["peak"] for host in run.details["hosts"]), default=0.0) for run in group]
-        for label, group in grouped.items()
+        label: [max((server["peak"] for server in run.details["hosts"]), default=0.0) for run in group]
+        for label, group in runs_by_case.items()
     }
     axes.boxplot(list(peaks.values()), tick_labels=[label[:24] for label in peaks])
     axes.axhline(1.0, color="red", linestyle=":", label="falls over if it lasts")
@@ -150,23 +153,23 @@
     return _svg(figure)
 
 
-def _recoveries(grouped: dict[str, list[StoredRun]]) -> list[dict[str, Any]]:
+def _recoveries(runs_by_case: dict[str, list[StoredRun]]) -> list[dict[str, Any]]:
     rows = []
-    for label, group in grouped.items():
-        for number, trouble in enumerate(group[0].details["recovery"]):
+    for label, group in runs_by_case.items():
+        for number, fault in enumerate(group[0].details["recovery"]):
             spans = [run.details["recovery"][number]["seconds"] for run in group]
             finite = [span for span in spans if span is not None and math.isfinite(span)]
             text = f"{np.mean(finite):.1f}" if finite else "never"
             if len(finite) < len(spans):
                 text += f" (not in {len(spans) - len(finite)} of {len(spans)})"
-            rows.append({"label": label, "what": trouble["what"], "at_s": trouble["at_s"], "seconds": text})
+            rows.append({"label": label, "what": fault["what"], "at_s": fault["at_s"], "seconds": text})
     return rows
 
 
-def _violations(grouped: dict[str, list[StoredRun]]) -> list[dict[str, Any]]:
+def _violations(runs_by_case: dict[str, list[StoredRun]]) -> list[dict[str, Any]]:
     found = [
         {"label": label, "seed": run.seed, **each}
-        for label, group in grouped.items()
+        for label, group in runs_by_case.items()
         for run in group
         for each in run.details["violations"]
     ]
--- a/heronlug/experiments/runner.py
+++ b/heronlug/experiments/runner.py
@@ -17,21 +17,23 @@
 MAX_STORED_VIOLATIONS = 20  # violations kept with what led to them
 
 
-def play(job: PlannedRun) -> StoredRun:
+def execute(planned: PlannedRun) -> StoredRun:
     """One run, in a process of its own."""
-    scenario = scenarios.load(Path(job.path), {**job.fixed, **job.params})
-    world = World(scenario, job.seed)
+    scenario = scenarios.load(Path(planned.path), {**planned.fixed, **planned.params})
+    world = World(scenario, planned.seed)
     figures = world.run()
-    return StoredRun(job.params, job.seed, job.code, figures.by_name(), _details(world, figures), figures.wall_time_s)
+    return StoredRun(
+        planned.params, planned.seed, planned.code, figures.by_name(), _details(world, figures), figures.wall_time_s
+    )
 
 
 def _details(world: World, figures: Figures) -> dict[str, Any]:
     shares = np.linspace(0, 1, QUANTILES + 1)
     return {
         "quantiles": {
-            lane.name: np.quantile(np.frombuffer(lane.latencies_ms), shares).round(2).tolist()
-            for lane in figures.classes
-            if len(lane.latencies_ms)
+            request_class.name: np.quantile(np.frombuffer(request_class.latencies_ms), shares).round(2).tolist()
+            for request_class in figures.classes
+            if len(request_class.latencies_ms)
         },
         "by_second": figures.value_by_second.tolist(),
         "hosts": [_stored_server(server) for server in figures.servers],
@@ -40,10 +42,10 @@
             for v in world.checker.violations[:MAX_STORED_VIOLATIONS]
         ],
         "recovery": [
-            {"what": trouble.what, "at_s": trouble.at_s, "seconds": figures.recovery_s(trouble.at_s)}
-            for trouble in world.scenario.trouble
+            {"what": fault.what, "at_s": fault.at_s, "seconds": figures.recovery_s(fault.at_s)}
+            for fault in world.scenario.trouble
         ],
-        "aims": {lane.name: lane.latency_objective for lane in world.classes},
+        "aims": {request_class.name: request_class.latency_objective for request_class in world.classes},
         "tip": world.scenario.safety.tip_multiple,
     }
 
@@ -62,31 +64,33 @@
 
 def run(
     name: str,
-    jobs: list[PlannedRun],
+    planned_runs: list[PlannedRun],
     store: Store,
     workers: int,
-    done: Callable[[PlannedRun, StoredRun | None, str], None],
+    report_run: Callable[[PlannedRun, StoredRun | None, str], None],
 ) -> tuple[int, int]:
     """Play what is not there yet; how many runs there are now, and how many failed.
 
     ``done`` is told of each: with the run, or with why it failed.  Interrupted, it leaves what is done.
     """
-    there = store.has(name, [job.key for job in jobs])
+    stored_keys = store.has(name, [planned.key for planned in planned_runs])
     failed = 0
     with ProcessPoolExecutor(workers) as pool:
-        waiting = {pool.submit(play, job): job for job in jobs if job.key not in there}
+        planned_by_future = {
+            pool.submit(execute, planned): planned for planned in planned_runs if planned.key not in stored_keys
+        }
         try:
-            for future in as_completed(waiting):
-                job = waiting[future]
+            for future in as_completed(planned_by_future):
+                planned = planned_by_future[future]
                 try:
-                    kept = future.result()
+                    stored_run = future.result()
                 except Exception as error:  # one run fails, the others go on
                     failed += 1
-                    done(job, None, f"{type(error).__name__}: {error}")
+                    report_run(planned, None, f"{type(error).__name__}: {error}")
                 else:
-                    store.put(name, job.key, kept)
-                    done(job, kept, "")
+                    store.put(name, planned.key, stored_run)
+                    report_run(planned, stored_run, "")
         except BaseException:
             pool.shutdown(wait=False, cancel_futures=True)
             raise
-    return len(jobs) - failed, failed
+    return len(planned_runs) - failed, failed
--- a/heronlug/experiments/store.py
+++ b/heronlug/experiments/store.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-FORMAT = 1
-TABLE = """
+FORMAT_VERSION = 1
+CREATE_TABLE = """
 create table if not exists runs (
     key text not null, experiment text not null, params text not null, seed integer not null, version text not null,
     figures text not null, details text not null, wall real not null, at real not null,
@@ -44,12 +44,12 @@
         try:
             self._db = sqlite3.connect(path)
             self._db.execute("pragma journal_mode = wal")
-            found = self._db.execute("pragma user_version").fetchone()[0]
-            if found not in (0, FORMAT):
-                msg = f"{path}: a store of format {found}, this program has {FORMAT}"
+            format_version = self._db.execute("pragma user_version").fetchone()[0]
+            if format_version not in (0, FORMAT_VERSION):
+                msg = f"{path}: a store of format {format_version}, this program has {FORMAT_VERSION}"
                 raise StoreError(msg)
-            self._db.execute(f"pragma user_version = {FORMAT}")
-            self._db.execute(TABLE)
+            self._db.execute(f"pragma user_version = {FORMAT_VERSION}")
+            self._db.execute(CREATE_TABLE)
             self._db.commit()
         except sqlite3.DatabaseError as error:
             msg = f"{path}: {error}"
@@ -63,19 +63,19 @@
 
     def has(self, experiment: str, keys: Iterable[str]) -> set[str]:
         """Those of the keys that are there."""
-        there = {row[0] for row in self._db.execute("select key from runs where experiment = ?", (experiment,))}
-        return there & set(keys)
+        stored = {row[0] for row in self._db.execute("select key from runs where experiment = ?", (experiment,))}
+        return stored & set(keys)
 
     def put(self, experiment: str, key: str, run: StoredRun) -> None:
         """Keep a run."""
         values = (
             key,
             experiment,
-            _text(run.params),
+            _to_json(run.params),
             run.seed,
             run.version,
-            _text(run.figures),
-            _text(run.details),
+            _to_json(run.figures),
+            _to_json(run.details),
             run.wall,
             time.time(),
         )
@@ -89,11 +89,11 @@
             " order by at, key",
             (experiment,),
         ).fetchall()
-        wanted = version or (rows[-1][2] if rows else "")
+        wanted_version = version or (rows[-1][2] if rows else "")
         return [
-            StoredRun(orjson.loads(params), seed, code, _numbers(figures), orjson.loads(details), wall)
-            for params, seed, code, figures, details, wall in rows
-            if code == wanted
+            StoredRun(orjson.loads(params), seed, run_version, _figures_from_json(figures), orjson.loads(details), wall)
+            for params, seed, run_version, figures, details, wall in rows
+            if run_version == wanted_version
         ]
 
     def experiments(self) -> list[tuple[str, str, int]]:
@@ -101,9 +101,9 @@
         return self._db.execute("select experiment, version, count(*) from runs group by 1, 2 order by 1, 2").fetchall()
 
 
-def _numbers(text: str) -> dict[str, float]:
+def _figures_from_json(text: str) -> dict[str, float]:
     return {key: float("nan") if value is None else value for key, value in orjson.loads(text).items()}
 
 
-def _text(value: Any) -> str:
+def _to_json(value: Any) -> str:
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS | orjson.OPT_SERIALIZE_NUMPY).decode()
--- a/heronlug/loadgen/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -21,40 +21,40 @@
 from heronlug.standins.fleet import Fleet
 from heronlug.standins.ports import free_ports
 
-READY = 20.0  # s for a dispatcher to come up
+READY_TIMEOUT_S = 20.0  # s for a dispatcher to come up
 MOST = 8  # dispatchers: each is a process
-FILE = Template("""\
+CONFIG_TEMPLATE = Template("""\
 log_level = "warning"
 [serve]
 name = "d{{ number }}"
-listen = "127.0.0.1:{{ doors[number] }}"
-operators = "127.0.0.1:{{ operators[number] }}"
+listen = "127.0.0.1:{{ listen_ports[number] }}"
+operators = "127.0.0.1:{{ operator_ports[number] }}"
 discovery = "127.0.0.1:{{ discovery }}"
 position = {{ number }}
 peers = [{% for port in peers %}"127.0.0.1:{{ port }}", {% endfor %}]
 sockets = 4096
 memory_mb = 1024
 [site]
-dispatchers = {{ doors | length }}
-zones = [{% for zone in s.zones %}"{{ zone }}", {% endfor %}]
-kinds = [{% for kind in s.kind %}"{{ kind.name }}", {% endfor %}]
-attempts_cap = {{ s.dispatchers.attempts_cap }}
-second_copies = {{ "true" if s.dispatchers.second_copies else "false" }}
-dial_timeout_ms = {{ s.network.dial_timeout_ms }}
-drain_grace_ms = {{ s.safety.drain_grace_ms }}
-cold_from = {{ s.safety.cold_from }}
-warm_after_ms = {{ s.safety.warm_after_ms }}
-tip_multiple = {{ s.safety.tip_multiple }}
-overload_for_ms = {{ s.safety.overload_for_ms }}
-{% for lane in s.classes %}
+dispatchers = {{ listen_ports | length }}
+zones = [{% for zone in scenario.zones %}"{{ zone }}", {% endfor %}]
+kinds = [{% for kind in scenario.kind %}"{{ kind.name }}", {% endfor %}]
+attempts_cap = {{ scenario.dispatchers.attempts_cap }}
+second_copies = {{ "true" if scenario.dispatchers.second_copies else "false" }}
+dial_timeout_ms = {{ scenario.network.dial_timeout_ms }}
+drain_grace_ms = {{ scenario.safety.drain_grace_ms }}
+cold_from = {{ scenario.safety.cold_from }}
+warm_after_ms = {{ scenario.safety.warm_after_ms }}
+tip_multiple = {{ scenario.safety.tip_multiple }}
+overload_for_ms = {{ scenario.safety.overload_for_ms }}
+{% for request_class in scenario.classes %}
 [[site.class]]
-name = "{{ lane.name }}"
-effect = "{{ lane.effect }}"
-aim_ms = {{ lane.aim_ms }}
-deadline_ms = {{ lane.deadline_ms }}
-worth = {{ lane.worth }}
-late_worth = {{ lane.late_worth }}
-{% if lane.effect == "by_key" %}repeat_window_ms = {{ lane.deadline_ms }}{% endif %}
+name = "{{ request_class.name }}"
+effect = "{{ request_class.effect }}"
+aim_ms = {{ request_class.aim_ms }}
+deadline_ms = {{ request_class.deadline_ms }}
+worth = {{ request_class.worth }}
+late_worth = {{ request_class.late_worth }}
+{% if request_class.effect == "by_key" %}repeat_window_ms = {{ request_class.deadline_ms }}{% endif %}
 {% endfor %}
 """)
 
@@ -64,23 +64,23 @@
 
     def __init__(self, scenario: Scenario, discovery: int, folder: Path) -> None:
         count = min(MOST, scenario.dispatchers.count)
-        self.doors, self.operators = free_ports(count), free_ports(count)
+        self.listen_ports, self.operator_ports = free_ports(count), free_ports(count)
         peers = free_ports(count) if scenario.dispatchers.may_tell and count > 1 else []
-        self.programs = []
+        self.processes = []
         for number in range(count):
             path = folder / f"d{number}.toml"
             path.write_text(
-                FILE.render(
-                    s=scenario,
+                CONFIG_TEMPLATE.render(
+                    scenario=scenario,
                     number=number,
-                    doors=self.doors,
-                    operators=self.operators,
+                    listen_ports=self.listen_ports,
+                    operator_ports=self.operator_ports,
                     peers=peers,
                     discovery=discovery,
                 )
             )
             with (folder / f"d{number}.log").open("wb") as log:
-                self.programs.append(
+                self.processes.append(
                     subprocess.Popen(
                         [sys.executable, "-m", "heronlug", "serve", str(path)],
                         stdout=log,
@@ -92,10 +92,10 @@
 
     async def ready(self) -> None:
         """All serve; raises ``RuntimeError`` with a log where one does not."""
-        end = time.monotonic() + READY
-        for number, port in enumerate(self.operators):
+        give_up_at = time.monotonic() + READY_TIMEOUT_S
+        for number, port in enumerate(self.operator_ports):
             while not await asyncio.to_thread(self._healthy, port):
-                if time.monotonic() > end or self.programs[number].poll() is not None:
+                if time.monotonic() > give_up_at or self.processes[number].poll() is not None:
                     log = (self.folder / f"d{number}.log").read_text()
                     msg = f"d{number} does not serve: {log[-800:]}"
                     raise RuntimeError(msg)
@@ -111,29 +111,29 @@
 
     def stop(self) -> list[int]:
         """End them as an operator would; their exit statuses."""
-        for program in self.programs:
-            program.terminate()
-        statuses = []
-        for program in self.programs:
+        for process in self.processes:
+            process.terminate()
+        exit_statuses = []
+        for process in self.processes:
             try:
-                statuses.append(program.wait(15))
+                exit_statuses.append(process.wait(15))
             except subprocess.TimeoutExpired:
-                program.kill()
-                statuses.append(program.wait())
-        return statuses
+                process.kill()
+                exit_statuses.append(process.wait())
+        return exit_statuses
 
 
 async def on_sockets(scenario: Scenario, seed: int, events: list[Event] | None = None) -> list[Tally]:
     """The whole scenario in real time; raises ``OSError`` or ``RuntimeError``."""
-    tallies = {lane.name: Tally(lane) for lane in scenario.classes}
+    tallies = {request_class.name: Tally(request_class) for request_class in scenario.classes}
     fleet = Fleet(scenario, seed, events.append if events is not None else None)
     with tempfile.TemporaryDirectory() as folder:
         dispatchers = Dispatchers(scenario, await fleet.open(), Path(folder))
         try:
             await dispatchers.ready()
-            doors = [("127.0.0.1", port) for port in dispatchers.doors]
+            addresses = [("127.0.0.1", port) for port in dispatchers.listen_ports]
             fleet.begin()
-            await HttpLoad(doors, tallies, scenario.span_s).run(plan(scenario, seed))
+            await HttpLoad(addresses, tallies, scenario.span_s).run(plan(scenario, seed))
         finally:
             await asyncio.to_thread(dispatchers.stop)
             fleet.close()
@@ -145,6 +145,6 @@
     scenario.dispatchers.count = min(MOST, scenario.dispatchers.count)
     scenario.network.inside_ms = scenario.network.across_ms = 0.1
     scenario.network.loss, scenario.register.lag_ms, scenario.warm_up_s = 0.0, 1.0, 0.0
-    for lane in scenario.classes:
-        lane.retries = 0
+    for request_class in scenario.classes:
+        request_class.retries = 0
     return World(scenario, seed).run()
--- a/heronlug/loadgen/faktory.py
+++ b/heronlug/loadgen/faktory.py
@@ -71,9 +71,9 @@
         """``seconds`` bounds the whole; the front has no password."""
         super().__init__(tallies, seconds)
         self.address = address
-        speeds = {kind.name: (kind.slots, kind.speed) for kind in scenario.kind}
-        self.speeds = [speeds[pool.kind][1] for pool in scenario.pool for _ in range(pool.count * speeds[pool.kind][0])]
-        self.out: dict[str, PlannedRequest] = {}
+        kinds = {kind.name: (kind.slots, kind.speed) for kind in scenario.kind}
+        self.speeds = [kinds[pool.kind][1] for pool in scenario.pool for _ in range(pool.count * kinds[pool.kind][0])]
+        self.in_flight: dict[str, PlannedRequest] = {}
         self._queue: asyncio.Queue[PlannedRequest] = asyncio.Queue()
 
     async def run(self, due: Iterable[PlannedRequest]) -> None:
@@ -87,12 +87,12 @@
                 asyncio.create_task(self._work(await FaktoryClient.connect(self.address, hello), wid, speed))
             )
         pushing = [asyncio.create_task(self._push(client)) for client in producers]
-        async for each in self.due(due):
-            self._queue.put_nowait(each)
-        while (self.out or not self._queue.empty()) and not self.is_over():
+        async for request in self.due(due):
+            self._queue.put_nowait(request)
+        while (self.in_flight or not self._queue.empty()) and not self.is_over():
             await asyncio.sleep(0.02)
-        for each in self.out.values():
-            self.tallies[each.request_class.name].request_ended("refused", self.now() - each.due_at)
+        for request in self.in_flight.values():
+            self.tallies[request.request_class.name].request_ended("refused", self.now() - request.due_at)
         for task in [*workers, *pushing]:
             task.cancel()
         await asyncio.gather(*workers, *pushing, return_exceptions=True)
@@ -100,31 +100,31 @@
     async def _push(self, client: FaktoryClient) -> None:
         try:
             while True:
-                due = await self._queue.get()
+                request = await self._queue.get()
                 jid = secrets.token_hex(12)
-                left = max(1, round(due.request_class.deadline_ms - (self.now() - due.due_at)))
-                self.out[jid] = due
+                remaining_ms = max(1, round(request.request_class.deadline_ms - (self.now() - request.due_at)))
+                self.in_flight[jid] = request
                 job = {
                     "jid": jid,
-                    "jobtype": due.request_class.name,
+                    "jobtype": request.request_class.name,
                     "queue": "default",
-                    "args": [due.work_ms],
-                    "custom": {"remaining_ms": left},
+                    "args": [request.work_ms],
+                    "custom": {"remaining_ms": remaining_ms},
                 }
                 try:
                     await client.call(b"PUSH " + orjson.dumps(job))
                 except FaktoryError:
-                    self._ended(jid, "refused")
+                    self._request_ended(jid, "refused")
         finally:
             client.close()
 
     async def _work(self, client: FaktoryClient, wid: str, speed: float) -> None:
-        beaten = time.monotonic()
+        last_heartbeat = time.monotonic()
         try:
             while True:
-                if time.monotonic() - beaten > HEARTBEAT_INTERVAL_S:
+                if time.monotonic() - last_heartbeat > HEARTBEAT_INTERVAL_S:
                     await client.call(b"BEAT " + orjson.dumps({"wid": wid}))
-                    beaten = time.monotonic()
+                    last_heartbeat = time.monotonic()
                 data = await client.call(b"FETCH default")
                 if not data:
                     continue
@@ -132,11 +132,11 @@
                 await asyncio.sleep(float(job["args"][0]) / speed / 1000)
                 with contextlib.suppress(FaktoryError):  # it was late: the front has given it up
                     await client.call(b"ACK " + orjson.dumps({"jid": job["jid"]}))
-                    self._ended(job["jid"], "served")
+                    self._request_ended(job["jid"], "served")
         finally:
             client.close()
 
-    def _ended(self, jid: str, how: str) -> None:
-        due = self.out.pop(jid, None)
-        if due is not None:
-            self.tallies[due.request_class.name].request_ended(how, self.now() - due.due_at)
+    def _request_ended(self, jid: str, outcome: str) -> None:
+        request = self.in_flight.pop(jid, None)
+        if request is not None:
+            self.tallies[request.request_class.name].request_ended(outcome, self.now() - request.due_at)
--- a/heronlug/loadgen/http.py
+++ b/heronlug/loadgen/http.py
@@ -28,8 +28,8 @@
 class Connection(asyncio.Protocol):
     """A connection to a dispatcher, one job at a time."""
 
-    def __init__(self, load: "HttpLoad", door: int) -> None:
-        self.load, self.door = load, door
+    def __init__(self, load: "HttpLoad", dispatcher: int) -> None:
+        self.load, self.dispatcher = load, dispatcher
         self.job: SentRequest | None = None
         self.transport: asyncio.Transport | None = None
         self._parser: Any = None
@@ -38,16 +38,16 @@
         """Open."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def hand(self, job: SentRequest) -> None:
+    def send(self, job: SentRequest) -> None:
         """Send a job."""
         assert self.transport is not None
         self.job, self._parser = job, httptools.HttpResponseParser(self)
-        self.load.handed(job, self.door)
-        lane, body = job.due.request_class, f"{job.due.work_ms:.3f}".encode()
-        left = max(1, round(lane.deadline_ms - (self.load.now() - job.due.due_at)))
+        self.load.handed(job, self.dispatcher)
+        request_class, body = job.due.request_class, f"{job.due.work_ms:.3f}".encode()
+        remaining_ms = max(1, round(request_class.deadline_ms - (self.load.now() - job.due.due_at)))
         head = (
-            f"POST /{lane.name} HTTP/1.1\r\nHost: load\r\nX-Txn: {job.txn}\r\nX-Lane: {lane.name}\r\n"
-            f"X-Remaining-Ms: {left}\r\nIdempotency-Key: {job.txn * 2}\r\nContent-Length: {len(body)}\r\n\r\n"
+            f"POST /{request_class.name} HTTP/1.1\r\nHost: load\r\nX-Txn: {job.txn}\r\nX-Lane: {request_class.name}\r\n"
+            f"X-Remaining-Ms: {remaining_ms}\r\nIdempotency-Key: {job.txn * 2}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         self.transport.write(head.encode() + body)
 
@@ -65,18 +65,18 @@
 
     def on_message_complete(self) -> None:
         """The answer is whole."""
-        status, keep = self._parser.get_status_code(), self._parser.should_keep_alive()
+        status, keep_alive = self._parser.get_status_code(), self._parser.should_keep_alive()
         job, self.job, self._parser = self.job, None, None
         assert job is not None
         self.load.ended(job, "served" if status == 200 else "refused" if status in (429, 503) else "failed")
-        if keep and self.transport is not None and not self.transport.is_closing():
-            self.load.idle(self)
+        if keep_alive and self.transport is not None and not self.transport.is_closing():
+            self.load.connection_idle(self)
         elif self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Closed, perhaps with a job out."""
-        self.load.closed(self)
+        self.load.connection_closed(self)
         job, self.job = self.job, None
         if job is not None:
             self.load.ended(job, "lost")
@@ -89,24 +89,24 @@
         """``seconds`` bounds the whole, beside the plan's own end."""
         super().__init__(tallies, seconds)
         self.addresses = addresses
-        self.out = 0
+        self.in_flight = 0
         self._idle: list[deque[Connection]] = [deque() for _ in addresses]
-        self._open = 0
-        self._waiting: deque[SentRequest] = deque()
+        self._open_count = 0
+        self._queued: deque[SentRequest] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._turn = 0
-        self._all: set[Connection] = set()
+        self._last_dispatcher = 0
+        self._connections: set[Connection] = set()
 
     async def run(self, due: Iterable[PlannedRequest]) -> None:
         """Play it, and wait for the last answers."""
-        async for each in self.due(due):
-            self.out += 1
-            self._hand(SentRequest(each, self.now()))
-        while self.out and not self.is_over():
+        async for request in self.due(due):
+            self.in_flight += 1
+            self._send_or_queue(SentRequest(request, self.now()))
+        while self.in_flight and not self.is_over():
             await asyncio.sleep(0.02)
-        for job in self._waiting:
+        for job in self._queued:
             self.ended(job, "lost")
-        for connection in list(self._all):
+        for connection in list(self._connections):
             if connection.transport is not None:
                 connection.transport.abort()
         await asyncio.sleep(0)
@@ -120,53 +120,55 @@
 
     def ended(self, job: SentRequest, how: str) -> None:
         """A job is over; its time counts from when it was due."""
-        self.out -= 1
+        self.in_flight -= 1
         self.tallies[job.due.request_class.name].request_ended(how, self.now() - job.due.due_at)
 
-    def idle(self, connection: Connection) -> None:
+    def connection_idle(self, connection: Connection) -> None:
         """A connection is free."""
-        if self._waiting:
-            connection.hand(self._waiting.popleft())
+        if self._queued:
+            connection.send(self._queued.popleft())
         else:
-            self._idle[connection.door].append(connection)
+            self._idle[connection.dispatcher].append(connection)
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         """One less."""
-        self._open -= 1
-        self._all.discard(connection)
-        if connection in self._idle[connection.door]:
-            self._idle[connection.door].remove(connection)
+        self._open_count -= 1
+        self._connections.discard(connection)
+        if connection in self._idle[connection.dispatcher]:
+            self._idle[connection.dispatcher].remove(connection)
 
-    def _hand(self, job: SentRequest) -> None:
+    def _send_or_queue(self, job: SentRequest) -> None:
         for _ in self.addresses:
-            self._turn = (self._turn + 1) % len(self.addresses)
-            idle = self._idle[self._turn]
-            while idle:
-                connection = idle.pop()
+            self._last_dispatcher = (self._last_dispatcher + 1) % len(self.addresses)
+            idle_connections = self._idle[self._last_dispatcher]
+            while idle_connections:
+                connection = idle_connections.pop()
                 if connection.transport is not None and not connection.transport.is_closing():
-                    connection.hand(job)
+                    connection.send(job)
                     return
-            if self.takes(self._turn):
+            if self.takes(self._last_dispatcher):
                 break
-        if self._open >= MAX_CONNECTIONS:
-            self._waiting.append(job)
+        if self._open_count >= MAX_CONNECTIONS:
+            self._queued.append(job)
             return
-        self._open += 1
-        task = asyncio.get_running_loop().create_task(self._dial(self._turn, job))
+        self._open_count += 1
+        task = asyncio.get_running_loop().create_task(self._dial(self._last_dispatcher, job))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, door: int, job: SentRequest) -> None:
+    async def _dial(self, dispatcher: int, job: SentRequest) -> None:
         loop = asyncio.get_running_loop()
-        for turn in range(len(self.addresses)):  # one that does not listen is passed over
-            door = (door + turn) % len(self.addresses)
+        for offset in range(len(self.addresses)):  # one that does not listen is passed over
+            dispatcher = (dispatcher + offset) % len(self.addresses)
             try:
-                _, connection = await loop.create_connection(partial(Connection, self, door), *self.addresses[door])
+                _, connection = await loop.create_connection(
+                    partial(Connection, self, dispatcher), *self.addresses[dispatcher]
+                )
             except OSError:
                 continue
-            self._all.add(connection)
+            self._connections.add(connection)
             if connection.transport is not None:  # it may have gone again meanwhile
-                connection.hand(job)
+                connection.send(job)
                 return
-        self._open -= 1
+        self._open_count -= 1
         self.ended(job, "lost")
--- a/heronlug/loadgen/pace.py
+++ b/heronlug/loadgen/pace.py
@@ -16,12 +16,12 @@
     def __init__(self, tallies: dict[str, Tally], seconds: float) -> None:
         """``seconds`` bounds the whole, beside the plan's own end."""
         self.tallies, self._span_ms = tallies, seconds * 1000
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._last_deadline = 0.0  # the latest deadline of a job that was given out
 
     def now(self) -> float:
         """Milliseconds since the start."""
-        return (time.monotonic() - self._began) * 1000
+        return (time.monotonic() - self._started_at) * 1000
 
     def is_over(self) -> bool:
         """Whether no answer can come any more."""
@@ -29,12 +29,12 @@
 
     async def due(self, plan: Iterable[PlannedRequest]) -> AsyncIterator[PlannedRequest]:
         """Begin now, and give each job out when it is due."""
-        self._began = time.monotonic()
-        for each in plan:
-            if each.due_at > self._span_ms:
+        self._started_at = time.monotonic()
+        for request in plan:
+            if request.due_at > self._span_ms:
                 return
-            while (wait := each.due_at - self.now()) > 0.5:
+            while (wait := request.due_at - self.now()) > 0.5:
                 await asyncio.sleep(wait / 1000)
-            self._last_deadline = max(self._last_deadline, each.due_at + each.request_class.deadline_ms)
-            self.tallies[each.request_class.name].started_late += self.now() - each.due_at > LATE_START_MS
-            yield each
+            self._last_deadline = max(self._last_deadline, request.due_at + request.request_class.deadline_ms)
+            self.tallies[request.request_class.name].started_late += self.now() - request.due_at > LATE_START_MS
+            yield request
--- a/heronlug/loadgen/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -21,26 +21,26 @@
 
 def plan(scenario: Scenario, seed: int) -> Iterator[PlannedRequest]:
     """All jobs, in order."""
-    lanes = {lane.name: lane for lane in scenario.classes}
-    works = {name: Draws(distribution(lane.work), stream(seed, "work", name)) for name, lane in lanes.items()}
+    classes = {table.name: table for table in scenario.classes}
+    work_draws = {name: Draws(distribution(table.work), stream(seed, "work", name)) for name, table in classes.items()}
     span = scenario.span_s * 1000
 
-    def come(number: int, arrivals: Arrivals) -> Iterator[tuple[float, int, str]]:
-        for when in arrival_times(arrivals, seed, number, span, scenario.folder):
-            yield when, number, arrivals.lane
+    def arrivals_of_table(number: int, arrivals: Arrivals) -> Iterator[tuple[float, int, str]]:
+        for due_at in arrival_times(arrivals, seed, number, span, scenario.folder):
+            yield due_at, number, arrivals.lane
 
-    for when, _, name in heapq.merge(*(come(*each) for each in enumerate(scenario.arrivals))):
-        yield PlannedRequest(when, lanes[name], works[name].next())
+    for due_at, _, name in heapq.merge(*(arrivals_of_table(*each) for each in enumerate(scenario.arrivals))):
+        yield PlannedRequest(due_at, classes[name], work_draws[name].next())
 
 
 def loopback(address: str) -> tuple[str, int]:
     """Host and port; raises ``ValueError`` for an address that is not this machine's own."""
     host, port = split_address(address)
     try:
-        ours = host == "localhost" or ipaddress.ip_address(host).is_loopback
+        is_loopback = host == "localhost" or ipaddress.ip_address(host).is_loopback
     except ValueError:
-        ours = False
-    if not ours:
+        is_loopback = False
+    if not is_loopback:
         msg = f"{address}: load goes to loopback addresses alone"
         raise ValueError(msg)
     return host, port
--- a/heronlug/loadgen/tally.py
+++ b/heronlug/loadgen/tally.py
@@ -16,7 +16,7 @@
 
     request_class: ClassTable
     outcomes: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
-    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
+    latencies_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
     started_late: int = 0  # jobs that the load tool itself began more than 10 ms late
 
     @property
@@ -24,23 +24,25 @@
         """All that have ended."""
         return sum(self.outcomes.values())
 
-    def request_ended(self, how: str, took: float) -> None:
+    def request_ended(self, outcome: str, latency_ms: float) -> None:
         """One has ended: ``served``, ``refused``, ``failed`` or ``lost``, so many ms after it was due."""
-        if how == "served":
-            how = "on_time" if took <= self.request_class.aim_ms else "late"
-            self.times.record_value(max(1, min(MAX_LATENCY_US, round(took * 1000))))
-        self.outcomes[how] += 1
+        if outcome == "served":
+            outcome = "on_time" if latency_ms <= self.request_class.aim_ms else "late"
+            self.latencies_us.record_value(max(1, min(MAX_LATENCY_US, round(latency_ms * 1000))))
+        self.outcomes[outcome] += 1
 
     def earned_value(self) -> float:
         """Worth."""
-        lane = self.request_class
-        return float(lane.worth * (self.outcomes["on_time"] + lane.late_worth * self.outcomes["late"]))
+        request_class = self.request_class
+        return float(
+            request_class.worth * (self.outcomes["on_time"] + request_class.late_worth * self.outcomes["late"])
+        )
 
     def percentiles(self) -> dict[str, float]:
         """In ms, as :meth:`heronlug.emulator.figures.ClassFigures.percentiles`."""
-        if not self.times.get_total_count():
+        if not self.latencies_us.get_total_count():
             return {f"p{p:g}": float("nan") for p in PERCENTILES}
-        return {f"p{p:g}": self.times.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+        return {f"p{p:g}": self.latencies_us.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
 
 
 def service(tallies: list[Tally]) -> float:
@@ -65,16 +67,16 @@
     return rows
 
 
-def gaps(tallies: list[Tally], lanes: list[ClassFigures]) -> list[list[str]]:
+def gaps(tallies: list[Tally], emulated: list[ClassFigures]) -> list[list[str]]:
     """What sockets and model differ by, class for class: shares in points, times in ms."""
     rows = [["class", "", "on time", "late", "not served", "p50 ms", "p90 ms", "p99 ms"]]
-    for tally, lane in zip(tallies, lanes, strict=True):
+    for tally, emulated_class in zip(tallies, emulated, strict=True):
         values = []
-        for each in (tally, lane):
-            ended, times = each.request_count or 1, each.percentiles()
-            rest = sum(each.outcomes[final] for final in ("refused", "failed", "lost"))
-            shares = [100 * n / ended for n in (each.outcomes["on_time"], each.outcomes["late"], rest)]
-            values.append([*shares, times["p50"], times["p90"], times["p99"]])
+        for each in (tally, emulated_class):
+            ended, percentiles = each.request_count or 1, each.percentiles()
+            not_served = sum(each.outcomes[final] for final in ("refused", "failed", "lost"))
+            shares = [100 * count / ended for count in (each.outcomes["on_time"], each.outcomes["late"], not_served)]
+            values.append([*shares, percentiles["p50"], percentiles["p90"], percentiles["p99"]])
         for what, row in (
             ("sockets", values[0]),
             ("model", values[1]),
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -20,7 +20,7 @@
 from heronlug.experiments.store import Store, StoredRun, StoreError
 
 ROOT = Path(__file__).parents[2]
-FILE = """
+EXPERIMENT = """
 name = "small"
 scenario = "fleet.toml"
 seeds = 4
@@ -33,61 +33,61 @@
 
 
 @pytest.fixture
-def file(tmp_path: Path) -> Path:
+def experiment_path(tmp_path: Path) -> Path:
     (tmp_path / "fleet.toml").write_text(TEXT + '[[trouble]]\nwhat = "crash"\nat_s = 2\nshare = 0.3\n')
     path = tmp_path / "small.toml"
-    path.write_text(FILE)
+    path.write_text(EXPERIMENT)
     return path
 
 
-def call(*words: object) -> int:
+def run_command(*words: object) -> int:
     status = group.main([str(word) for word in words], standalone_mode=False)
     return status if isinstance(status, int) else 0
 
 
-def test_an_interrupted_experiment_goes_on_and_is_compared_and_reported(
-    file: Path, capsys: pytest.CaptureFixture[str]
+def test_an_interrupted_experiment_resumes_and_is_compared_and_reported(
+    experiment_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    name, jobs = experiment.read(file)[0].name, experiment.read(file)[1]
-    assert len(jobs) == 16
-    assert len({job.key for job in jobs}) == 16
-    store = file.with_suffix(".sqlite")
-    with Store(store) as kept:
+    name, planned_runs = experiment.read(experiment_path)[0].name, experiment.read(experiment_path)[1]
+    assert len(planned_runs) == 16
+    assert len({planned.key for planned in planned_runs}) == 16
+    store = experiment_path.with_suffix(".sqlite")
+    with Store(store) as store_file:
         done = []
 
-        def stop_after_three(job: experiment.PlannedRun, run: StoredRun | None, why: str) -> None:
-            done.append(job.key)
+        def stop_after_three(planned: experiment.PlannedRun, run: StoredRun | None, why: str) -> None:
+            done.append(planned.key)
             if len(done) == 3:
                 raise KeyboardInterrupt
 
         with pytest.raises(KeyboardInterrupt):
-            runner.run(name, jobs, kept, 2, stop_after_three)
-        there = kept.has(name, [job.key for job in jobs])
-        assert there == set(done)
-    assert call("experiment", "run", file, "--workers", 4) == 0
+            runner.run(name, planned_runs, store_file, 2, stop_after_three)
+        stored_keys = store_file.has(name, [planned.key for planned in planned_runs])
+        assert stored_keys == set(done)
+    assert run_command("experiment", "run", experiment_path, "--workers", 4) == 0
     assert "16 of 16 runs" in capsys.readouterr().out
-    with Store(store) as kept:
-        runs = kept.runs(name)
+    with Store(store) as store_file:
+        runs = store_file.runs(name)
         assert len(runs) == 16
-        again = next(run for run in runs if run.params == jobs[0].params and run.seed == jobs[0].seed)
-        fresh = runner.play(jobs[0])
-        assert fresh.figures == pytest.approx(again.figures, nan_ok=True)
-    assert call("experiment", "compare", store, "policy=heronlug", "policy=random", "--figure", "service") == 0
-    out = capsys.readouterr().out
-    assert "service" in out
-    assert " 8 " in out
-    assert call("experiment", "report", store) == 0
+        stored = next(run for run in runs if run.params == planned_runs[0].params and run.seed == planned_runs[0].seed)
+        repeated = runner.execute(planned_runs[0])
+        assert repeated.figures == pytest.approx(stored.figures, nan_ok=True)
+    assert run_command("experiment", "compare", store, "policy=heronlug", "policy=random", "--figure", "service") == 0
+    output = capsys.readouterr().out
+    assert "service" in output
+    assert " 8 " in output
+    assert run_command("experiment", "report", store) == 0
     text = store.with_suffix(".html").read_text()
     assert text.count("<svg") == 2 + 3
     assert 'src="' not in text
     assert 'href="http' not in text
-    closing = Balanced()
-    closing.feed(text.split("<svg")[0])
+    parser = BalancedTablesParser()
+    parser.feed(text.split("<svg")[0])
     assert "crash" in text
     assert "dispatchers.count 1, policy random" in text
 
 
-class Balanced(HTMLParser):
+class BalancedTablesParser(HTMLParser):
     """Tables of the page are closed."""
 
     depth = 0
@@ -103,22 +103,22 @@
 @pytest.mark.parametrize(
     ("text", "line", "wrong"),
     [
-        (FILE.replace("seeds = 4", "seeds = 0"), 4, "1 or more"),
-        (FILE.replace("seeds = 4", "sed = 4"), 4, "seeds"),
-        (FILE.replace("fleet.toml", "none.toml"), 3, "none.toml"),
-        (FILE.replace('["heronlug", "random"]', '"random"'), 8, "a list"),
-        (FILE.replace("[1, 2]", "[1, 1]"), 9, "twice"),
-        (FILE.replace("[1, 2]", "[0]"), 3, "dispatchers.count"),
-        (FILE.replace("dispatchers.count", "pool.7.count"), 7, "no such place"),
-        (FILE.replace("span_s = 4", "dispatchers.count = 3"), 9, "by something else"),
+        (EXPERIMENT.replace("seeds = 4", "seeds = 0"), 4, "1 or more"),
+        (EXPERIMENT.replace("seeds = 4", "sed = 4"), 4, "seeds"),
+        (EXPERIMENT.replace("fleet.toml", "none.toml"), 3, "none.toml"),
+        (EXPERIMENT.replace('["heronlug", "random"]', '"random"'), 8, "a list"),
+        (EXPERIMENT.replace("[1, 2]", "[1, 1]"), 9, "twice"),
+        (EXPERIMENT.replace("[1, 2]", "[0]"), 3, "dispatchers.count"),
+        (EXPERIMENT.replace("dispatchers.count", "pool.7.count"), 7, "no such place"),
+        (EXPERIMENT.replace("span_s = 4", "dispatchers.count = 3"), 9, "by something else"),
     ],
 )
-def test_a_broken_experiment_is_told_with_its_line(file: Path, text: str, line: int, wrong: str) -> None:
-    file.write_text(text)
-    with pytest.raises(ConfigProblems) as told:
-        experiment.read(file)
-    assert [fault.line for fault in told.value.problems] == [line], told.value
-    assert wrong in str(told.value)
+def test_problems_of_an_experiment_file_name_the_line(experiment_path: Path, text: str, line: int, wrong: str) -> None:
+    experiment_path.write_text(text)
+    with pytest.raises(ConfigProblems) as raised:
+        experiment.read(experiment_path)
+    assert [problem.line for problem in raised.value.problems] == [line], raised.value
+    assert wrong in str(raised.value)
 
 
 @pytest.mark.parametrize(
@@ -140,60 +140,60 @@
         ("network.loss=1.5", "network.loss", "0 to 1"),
     ],
 )
-def test_a_broken_scenario_is_told_with_its_key(tmp_path: Path, change: str, key: str, wrong: str) -> None:
+def test_problems_of_a_scenario_name_the_key(tmp_path: Path, change: str, key: str, wrong: str) -> None:
     from heronlug.cli.emulate import changed
 
     path = tmp_path / "fleet.toml"
     path.write_text(TEXT)
-    with pytest.raises(ConfigProblems) as told:
+    with pytest.raises(ConfigProblems) as raised:
         scenarios.load(path, changed((change.replace("=inf", "=1e999"),)))
-    assert any(f.key.startswith(key) and wrong in str(f) for f in told.value.problems), told.value
+    assert any(problem.key.startswith(key) and wrong in str(problem) for problem in raised.value.problems), raised.value
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda path: path.stem)
-def test_the_scenarios_that_come_along_are_whole(path: Path) -> None:
+def test_bundled_scenarios_are_valid(path: Path) -> None:
     assert scenarios.load(path).name == path.stem
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda path: path.stem)
-def test_the_experiments_that_come_along_are_whole(path: Path) -> None:
+def test_bundled_experiments_are_valid(path: Path) -> None:
     assert len(experiment.read(path)[1]) > 10
 
 
-def kept(policy: str, seed: int, service: float) -> StoredRun:
+def stored_run(policy: str, seed: int, service: float) -> StoredRun:
     return StoredRun({"policy": policy}, seed, "v", {"service": service}, {}, 0.0)
 
 
-def test_a_difference_is_told_from_noise_by_pairs() -> None:
+def test_pairs_of_one_seed_separate_a_difference_from_noise() -> None:
     """Seeds differ by more than the ways do: only the pairs show it."""
     rng = np.random.default_rng(1)
     levels = rng.normal(0.8, 0.1, 20)
-    runs = [kept("a", n, level) for n, level in enumerate(levels)]
-    better = [kept("b", n, level + 0.01 + rng.normal(0, 0.004)) for n, level in enumerate(levels)]
-    alike = [kept("c", n, level + rng.normal(0, 0.02)) for n, level in enumerate(levels)]
-    (one,) = compare.compare(compare.pairs([*runs, *better], {"policy": "a"}, {"policy": "b"}))
-    assert not one.noise
-    assert one.low > 0
-    assert one.change == pytest.approx(0.01, abs=0.003)
-    assert one.pairs == 20
-    (other,) = compare.compare(compare.pairs([*runs, *alike], {"policy": "a"}, {"policy": "c"}))
-    assert other.noise
-    (same,) = compare.compare(compare.pairs([*runs, *runs], {"policy": "a"}, {"policy": "a"}))
-    assert same.noise
-    assert same.change == 0
-
-
-def test_intervals_hold_as_often_as_they_say() -> None:
+    runs = [stored_run("a", n, level) for n, level in enumerate(levels)]
+    better = [stored_run("b", n, level + 0.01 + rng.normal(0, 0.004)) for n, level in enumerate(levels)]
+    equal = [stored_run("c", n, level + rng.normal(0, 0.02)) for n, level in enumerate(levels)]
+    (better_difference,) = compare.compare(compare.pairs([*runs, *better], {"policy": "a"}, {"policy": "b"}))
+    assert not better_difference.noise
+    assert better_difference.low > 0
+    assert better_difference.change == pytest.approx(0.01, abs=0.003)
+    assert better_difference.pairs == 20
+    (equal_difference,) = compare.compare(compare.pairs([*runs, *equal], {"policy": "a"}, {"policy": "c"}))
+    assert equal_difference.noise
+    (self_difference,) = compare.compare(compare.pairs([*runs, *runs], {"policy": "a"}, {"policy": "a"}))
+    assert self_difference.noise
+    assert self_difference.change == 0
+
+
+def test_confidence_intervals_cover_the_mean_as_often_as_stated() -> None:
     rng = np.random.default_rng(2)
     within = sum(low <= 0 <= high for low, high in (compare.interval(rng.normal(0, 1, 20)) for _ in range(200)))
     assert 180 <= within <= 199
 
 
-def test_what_cannot_be_compared_is_told() -> None:
-    runs = [kept("a", 1, 0.5), kept("b", 2, 0.5)]
-    ways = (("policy=a", "policy=b", "no two runs"), ("x=1", "x=2", "does not vary"), ("a", "b", "KEY=VALUE"))
-    for a, b, why in ways:
-        with pytest.raises(ValueError, match=why):
+def test_comparisons_that_are_impossible_are_rejected() -> None:
+    runs = [stored_run("a", 1, 0.5), stored_run("b", 2, 0.5)]
+    comparisons = (("policy=a", "policy=b", "no two runs"), ("x=1", "x=2", "does not vary"), ("a", "b", "KEY=VALUE"))
+    for a, b, message in comparisons:
+        with pytest.raises(ValueError, match=message):
             compare.pairs(runs, compare.chosen(a), compare.chosen(b))
     with pytest.raises(ValueError, match="no figure"):
         compare.compare([(runs[0], runs[1])], ["speed"])
@@ -201,7 +201,7 @@
         page("none", [])
 
 
-def test_a_file_that_is_no_store_is_left_as_it_is(tmp_path: Path) -> None:
+def test_a_file_of_another_format_is_rejected_and_left_unchanged(tmp_path: Path) -> None:
     path = tmp_path / "x.sqlite"
     path.write_bytes(b"something else " * 100)
     with pytest.raises(StoreError):
@@ -216,7 +216,7 @@
         Store(tmp_path / "none.sqlite", create=False)
 
 
-def test_distributions_are_fitted_and_the_right_one_is_first() -> None:
+def test_fitting_ranks_the_true_distribution_first() -> None:
     rng = stream(3, "fit")
     best = fit(rng.lognormal(5.0, 0.7, 4000))[0]
     assert best.name == "lognorm"
@@ -227,17 +227,19 @@
         fit(np.zeros(100))
 
 
-def test_a_run_from_the_command_line_and_its_events_checked(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_events_of_an_emulated_run_pass_the_checker_on_the_command_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path, events = tmp_path / "fleet.toml", tmp_path / "events.jsonl"
     path.write_text(TEXT)
-    assert call("emulate", path, "--set", "span_s=3", "--events", events) == 0
+    assert run_command("emulate", path, "--set", "span_s=3", "--events", events) == 0
     assert "service 0.9" in capsys.readouterr().out
-    assert call("rules", "check", events) == 0
+    assert run_command("rules", "check", events) == 0
     assert "all kept" in capsys.readouterr().out
     lines = events.read_bytes().splitlines()
     answers = [line for line in lines if line.startswith(b'["Answered"')]
     events.write_bytes(b"\n".join([*lines, answers[0]]))
-    assert call("rules", "check", events) == 1
+    assert run_command("rules", "check", events) == 1
     assert "second answer" in capsys.readouterr().out
 
 
--- a/tests/emulator/test_maths.py
+++ b/tests/emulator/test_maths.py
@@ -16,67 +16,69 @@
 from heronlug.emulator.timeline import Timeline
 from heronlug.emulator.world import World
 
-JOBS, BATCHES = 40_000, 30
+REQUESTS, BATCHES = 40_000, 30
 
 
-def waits(slots: int, rate: float, work: object, seed: int) -> NDArray[np.float64]:
+def waiting_times(slots: int, rate: float, work: object, seed: int) -> NDArray[np.float64]:
     """Waiting times at one host, the first tenth left out."""
-    line, found = Timeline(), []
-    host = EmulatedServer("h", ServerKind("k", slots, queue_length=10**9), 0, line, WarmupModel())
+    timeline, waits_ms = Timeline(), []
+    server = EmulatedServer("h", ServerKind("k", slots, queue_length=10**9), 0, timeline, WarmupModel())
     gaps = Draws(stats.expon(scale=1 / rate), stream(seed, "gaps"))
-    works = Draws(work, stream(seed, "works"))
+    work_draws = Draws(work, stream(seed, "works"))
 
     def record_wait(execution: Execution, state: ExecutionState) -> None:
         if state is ExecutionState.STARTED:
-            found.append(execution.started_at - execution.arrived_at)
+            waits_ms.append(execution.started_at - execution.arrived_at)
 
     def arrive(left: int) -> None:
-        host.accept(Execution(None, works.next(), 1.0, 1.0, record_wait))
+        server.accept(Execution(None, work_draws.next(), 1.0, 1.0, record_wait))
         if left:
-            line.schedule_after(gaps.next(), arrive, left - 1)
+            timeline.schedule_after(gaps.next(), arrive, left - 1)
 
-    arrive(JOBS)
-    line.run(1e12)
-    assert len(found) == JOBS + 1
-    assert host.occupied_slots == 0
-    return np.array(found[JOBS // 10 :])
+    arrive(REQUESTS)
+    timeline.run(1e12)
+    assert len(waits_ms) == REQUESTS + 1
+    assert server.occupied_slots == 0
+    return np.array(waits_ms[REQUESTS // 10 :])
 
 
-def holds(values: NDArray[np.float64], wanted: float) -> None:
+def assert_mean_within_confidence(values: NDArray[np.float64], expected: float) -> None:
     """Whether the mean is what it should be, as far as the run can tell; the run has to be able to tell something."""
     means = np.array([batch.mean() for batch in np.array_split(values, BATCHES)])
-    half = stats.t.ppf(0.9995, BATCHES - 1) * means.std(ddof=1) / sqrt(BATCHES)
-    assert half < 0.5 * wanted
-    assert abs(means.mean() - wanted) <= half, f"{means.mean():.2f} +- {half:.2f}, {wanted:.2f} was expected"
+    half_width = stats.t.ppf(0.9995, BATCHES - 1) * means.std(ddof=1) / sqrt(BATCHES)
+    assert half_width < 0.5 * expected
+    assert (
+        abs(means.mean() - expected) <= half_width
+    ), f"{means.mean():.2f} +- {half_width:.2f}, {expected:.2f} was expected"
 
 
 def erlang_c(slots: int, load: float) -> float:
     """The chance to wait at all (Erlang 1917)."""
-    whole = load**slots / factorial(slots) * slots / (slots - load)
-    return whole / (sum(load**n / factorial(n) for n in range(slots)) + whole)
+    all_busy = load**slots / factorial(slots) * slots / (slots - load)
+    return all_busy / (sum(load**n / factorial(n) for n in range(slots)) + all_busy)
 
 
-@pytest.mark.parametrize(("slots", "use"), [(1, 0.5), (1, 0.8), (4, 0.8), (16, 0.85)])
-def test_waits_of_m_m_c(slots: int, use: float) -> None:
+@pytest.mark.parametrize(("slots", "utilization"), [(1, 0.5), (1, 0.8), (4, 0.8), (16, 0.85)])
+def test_mean_wait_of_m_m_c_follows_erlang_c(slots: int, utilization: float) -> None:
     mean = 100.0
-    rate = use * slots / mean
-    wanted = erlang_c(slots, use * slots) * mean / (slots * (1 - use))
-    holds(waits(slots, rate, stats.expon(scale=mean), seed=slots), wanted)
+    rate = utilization * slots / mean
+    expected = erlang_c(slots, utilization * slots) * mean / (slots * (1 - utilization))
+    assert_mean_within_confidence(waiting_times(slots, rate, stats.expon(scale=mean), seed=slots), expected)
 
 
 @pytest.mark.parametrize("work", [stats.lognorm(0.8, scale=80.0), stats.gamma(0.7, scale=120.0), 100.0])
-def test_waits_of_m_g_1(work: object) -> None:
+def test_mean_wait_of_m_g_1_follows_pollaczek_khinchine(work: object) -> None:
     """Pollaczek and Khinchine's formula."""
     mean, variance = (work, 0.0) if isinstance(work, float) else work.stats("mv")  # type: ignore[attr-defined]
-    use = 0.7
-    rate = use / float(mean)
-    wanted = rate * (float(variance) + float(mean) ** 2) / (2 * (1 - use))
-    holds(waits(1, rate, work, seed=3), wanted)
+    utilization = 0.7
+    rate = utilization / float(mean)
+    expected = rate * (float(variance) + float(mean) ** 2) / (2 * (1 - utilization))
+    assert_mean_within_confidence(waiting_times(1, rate, work, seed=3), expected)
 
 
-def busy_shares(policy: str, use: float, hosts: int = 80) -> list[float]:
+def queue_length_shares(policy: str, utilization: float, server_count: int = 80) -> list[float]:
     """Shares of single-slot hosts that have 1, 2, 3 and 4 jobs or more in them, over time."""
-    rate = use * hosts / 0.1
+    rate = utilization * server_count / 0.1
     text = f"""
 name = "queues"
 span_s = 40
@@ -97,7 +99,7 @@
 queue = 10000
 [[pool]]
 kind = "k"
-count = {hosts}
+count = {server_count}
 [[class]]
 name = "c"
 effect = "repeatable"
@@ -115,7 +117,7 @@
     counts = np.zeros(4)
 
     def sample(left: int) -> None:
-        inside = np.array([host.occupied_slots for host in world.servers.values()])
+        inside = np.array([server.occupied_slots for server in world.servers.values()])
         counts[:] += [(inside >= level).mean() for level in (1, 2, 3, 4)]
         if left:
             world.timeline.schedule_after(100.0, sample, left - 1)
@@ -125,20 +127,20 @@
     return [float(share) for share in counts / 300]
 
 
-def test_the_tail_of_two_choices_and_its_place_between_random_and_the_shortest_queue() -> None:
+def test_queue_lengths_of_two_choices_lie_between_random_and_shortest_queue() -> None:
     """Mitzenmacher 2001: with two choices the share of queues of k or more is use^(2^k - 1), for many hosts."""
-    use = 0.8
-    two = busy_shares("two-choices", use)
-    assert two[0] == pytest.approx(use, rel=0.04)
+    utilization = 0.8
+    two = queue_length_shares("two-choices", utilization)
+    assert two[0] == pytest.approx(utilization, rel=0.04)
     assert two[1:3] == pytest.approx([two[0] ** 3, two[0] ** 7], rel=0.1)
-    random, shortest = busy_shares("random", use), busy_shares("shortest-queue", use)
-    assert random[:3] == pytest.approx([use, use**2, use**3], rel=0.08)  # each host is an M/M/1
+    random, shortest = queue_length_shares("random", utilization), queue_length_shares("shortest-queue", utilization)
+    assert random[:3] == pytest.approx([utilization, utilization**2, utilization**3], rel=0.08)  # each host is an M/M/1
     assert shortest[1] < 0.2 * two[1] < 0.2 * random[1]  # at this use hardly anybody waits behind the shortest
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_littles_law_holds_for_each_run(seed: int) -> None:
     figures = World(scenario(), seed).run()
-    inside, rate_times_stay = figures.littles_law
-    assert inside == pytest.approx(rate_times_stay, rel=1e-9)
-    assert 5 < inside < 200
+    mean_open_requests, rate_times_stay = figures.littles_law
+    assert mean_open_requests == pytest.approx(rate_times_stay, rel=1e-9)
+    assert 5 < mean_open_requests < 200
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -14,7 +14,7 @@
 from heronlug.balancer.settings import Settings
 from heronlug.conformance import Began, Event, Listed, Load, Sent, read, write
 from heronlug.emulator.draws import stream
-from heronlug.emulator.figures import same
+from heronlug.emulator.figures import have_same_figures
 from heronlug.emulator.policies import POLICIES, KnownServer, OpenRequest, Policy, RandomChoice, ServerTruth
 from heronlug.emulator.world import World
 
@@ -35,14 +35,14 @@
 
 
 @pytest.mark.parametrize("policy", ["heronlug", *POLICIES])
-def test_the_same_seed_is_the_same_run(policy: str) -> None:
+def test_a_run_is_reproduced_by_its_seed(policy: str) -> None:
     one, other = (World(scenario(fault_tables("crash"), span_s=7, policy=policy), 4).run() for _ in range(2))
-    assert same(one, other)
+    assert have_same_figures(one, other)
     assert one.classes[0].request_count > 600
-    assert not same(one, World(scenario(fault_tables("crash"), span_s=7, policy=policy), 5).run())
+    assert not have_same_figures(one, World(scenario(fault_tables("crash"), span_s=7, policy=policy), 5).run())
 
 
-def test_one_server_more_changes_no_other_random_draw() -> None:
+def test_adding_a_server_changes_no_other_random_draw() -> None:
     small, large = World(scenario()), World(scenario(pool__0__count=9))
     for name in small.servers:
         assert [small.network._server_factors[name].next() for _ in range(5)] == [
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_the_rules_are_kept_in_every_fault(name: str) -> None:
+def test_no_rule_is_violated_under_each_fault(name: str) -> None:
     world = World(scenario(fault_tables(name)), 2)
     figures = world.run()
     assert world.checker.violations == []
@@ -71,7 +71,7 @@
         assert max(server.warmup_peak_load for server in figures.servers) > 0
 
 
-def test_the_rules_are_kept_in_all_faults_at_once() -> None:
+def test_no_rule_is_violated_under_all_faults_at_once() -> None:
     world = World(scenario(fault_tables(*FAULTS), network__loss=0.2), 3)
     world.run()
     assert world.checker.violations == []
@@ -126,7 +126,7 @@
         (PrefersTheYoungestServer, "deploy", 4, (Load,)),
     ],
 )
-def test_a_rule_broken_on_purpose_is_found(
+def test_the_checker_reports_a_policy_that_breaks_a_rule(
     policy: type[Policy], fault: str, rule: int, kinds: tuple[type, ...]
 ) -> None:
     world = World(
@@ -139,7 +139,7 @@
     assert all(any(isinstance(event, kind) for event in first.trail) for kind in kinds)
 
 
-def test_the_core_keeps_the_drain_rule_and_the_deadline_for_a_module_that_does_not() -> None:
+def test_the_core_enforces_the_drain_rule_and_the_deadline_for_any_decision_module() -> None:
     """The check before each write and the answer at the deadline hold whatever the decision module does."""
     assert World(
         scenario(fault_tables("deploy")), 2, decision_module=decision_module_of(IgnoresDraining)
@@ -147,7 +147,7 @@
     assert World(scenario(span_s=10), 2, decision_module=decision_module_of(ForgetsRequests)).run().violations == {}
 
 
-def test_events_can_be_kept_and_read_again() -> None:
+def test_recorded_events_can_be_written_and_read_back() -> None:
     events: list[Event] = []
     World(scenario(fault_tables("deploy", "dispatcher-kill"), span_s=12), 2, record=events.append).run()
     assert len({type(event) for event in events}) >= 6
--- a/tests/loadgen/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -24,70 +24,70 @@
 from heronlug.standins.ports import free_port
 
 ROOT = Path(__file__).parents[2]
-STALL = 0.6  # s
+STALL_S = 0.6  # s
 
 
-def test_the_jobs_are_those_of_the_model() -> None:
-    made = scenario(span_s=5)
-    world, come = World(made, 7), list[tuple[float, int, float]]()
+def test_planned_requests_equal_those_of_the_emulator() -> None:
+    parsed = scenario(span_s=5)
+    world, submitted = World(parsed, 7), list[tuple[float, int, float]]()
     submit = world.clients._submit
 
     def record_and_submit(request: ClientRequest) -> None:
-        come.append((request.arrived_at, request.class_number, request.work_ms))
+        submitted.append((request.arrived_at, request.class_number, request.work_ms))
         submit(request)
 
     world.clients._submit = record_and_submit  # type: ignore[method-assign]
     world.run()
-    due = [(each.due_at, made.classes.index(each.request_class), each.work_ms) for each in plan(made, 7)]
-    assert sorted(due) == sorted(come)
+    due = [(each.due_at, parsed.classes.index(each.request_class), each.work_ms) for each in plan(parsed, 7)]
+    assert sorted(due) == sorted(submitted)
     assert len(due) > 600
 
 
 @pytest.mark.parametrize("address", ["192.0.2.1:80", "example.org:80", "10.0.0.1:80", "127.0.0.1"])
-def test_load_goes_to_loopback_alone(address: str) -> None:
+def test_addresses_other_than_loopback_are_rejected(address: str) -> None:
     with pytest.raises(ValueError, match=r"loopback|no address"):
         loopback(address)
 
 
-def test_a_stall_is_counted_from_when_jobs_were_due() -> None:
+def test_latency_during_a_stall_counts_from_the_due_time() -> None:
     """A server that stands still: jobs that were due meanwhile have waited, though each was answered at once."""
 
     async def play() -> Tally:
-        still = asyncio.Event()
+        end_of_stall = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.readuntil(b"\r\n\r\n"):
-                await still.wait()
+                await end_of_stall.wait()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-        async def quiet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_until_closed(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await serve(reader, writer)
 
-        server = await asyncio.start_server(quiet, "127.0.0.1", 0)
-        door = server.sockets[0].getsockname()[:2]
-        made = scenario(span_s=1.5)
-        tallies = {lane.name: Tally(lane) for lane in made.classes}
-        asyncio.get_running_loop().call_later(STALL, still.set)
-        await HttpLoad([door], tallies, 60).run(plan(made, 1))
+        server = await asyncio.start_server(serve_until_closed, "127.0.0.1", 0)
+        address = server.sockets[0].getsockname()[:2]
+        parsed = scenario(span_s=1.5)
+        tallies = {request_class.name: Tally(request_class) for request_class in parsed.classes}
+        asyncio.get_running_loop().call_later(STALL_S, end_of_stall.set)
+        await HttpLoad([address], tallies, 60).run(plan(parsed, 1))
         server.close()
         return tallies["safe"]
 
     tally = asyncio.run(play())
     assert tally.outcomes["lost"] == tally.outcomes["refused"] == 0
-    assert tally.percentiles()["p99.9"] > 500 * STALL
+    assert tally.percentiles()["p99.9"] > 500 * STALL_S
 
 
-def test_a_deploy_on_sockets_keeps_the_rules() -> None:
+def test_a_deploy_on_sockets_overloads_no_server_that_warms_up() -> None:
     """Two dispatchers, sixteen hosts of which most are replaced by cold ones, 150 jobs a second."""
-    made = scenario(
+    parsed = scenario(
         '[[trouble]]\nwhat = "deploy"\nat_s = 2\nshare = 0.6\nover_s = 4\ndrain_s = 2.6\n',
         span_s=8,
         dispatchers__count=2,
     )
     events: list[object] = []
-    tallies = asyncio.run(on_sockets(made, 3, events))  # type: ignore[arg-type]
-    due = sum(1 for _ in plan(made, 3))
+    tallies = asyncio.run(on_sockets(parsed, 3, events))  # type: ignore[arg-type]
+    due = sum(1 for _ in plan(parsed, 3))
     assert sum(tally.request_count for tally in tallies) == due
     assert service(tallies) > 0.5
     began = [event for event in events if isinstance(event, Began)]
@@ -99,39 +99,41 @@
     assert checker.violations == []  # no cold host was pushed over
 
 
-def test_troubles_of_hosts_are_played_on_sockets() -> None:
-    more = '[[trouble]]\nwhat = "crash"\nat_s = 1\nshare = 0.6\n[[trouble]]\nwhat = "pause"\nat_s = 2\nshare = 0.3\n'
+def test_server_faults_are_injected_on_sockets() -> None:
+    faults = '[[trouble]]\nwhat = "crash"\nat_s = 1\nshare = 0.6\n[[trouble]]\nwhat = "pause"\nat_s = 2\nshare = 0.3\n'
     # eighteen of what runs once run at any time: it is never all on the hosts that stay
-    made = scenario(
-        more + "for_s = 0.5\n",
+    parsed = scenario(
+        faults + "for_s = 0.5\n",
         span_s=4,
         dispatchers__count=1,
         safety__warm_after_ms=100.0,
         **{"class__1__work": {"dist": "gamma", "a": 2.0, "scale": 300.0}},
     )
-    tallies = asyncio.run(on_sockets(made, 4))
-    assert sum(tally.request_count for tally in tallies) == sum(1 for _ in plan(made, 4))
-    lost = sum(tally.outcomes["failed"] for tally in tallies if tally.request_class.effect == "once")
+    tallies = asyncio.run(on_sockets(parsed, 4))
+    assert sum(tally.request_count for tally in tallies) == sum(1 for _ in plan(parsed, 4))
+    failed_once = sum(tally.outcomes["failed"] for tally in tallies if tally.request_class.effect == "once")
     assert all(tally.outcomes["lost"] == 0 for tally in tallies)
-    assert lost > 0
+    assert failed_once > 0
 
 
 def test_load_over_faktory_from_the_command_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    port, fleet = free_port(), tmp_path / "fleet.toml"
-    fleet.write_text(TEXT.replace("count = 8", "count = 5"))
+    port, scenario_path = free_port(), tmp_path / "fleet.toml"
+    scenario_path.write_text(TEXT.replace("count = 8", "count = 5"))
     site = "\n".join(
         f'[[site.class]]\nname = "{name}"\neffect = "{effect}"\naim_ms = 1000\ndeadline_ms = 8000'
         for name, effect in (("safe", "repeatable"), ("once", "once"))
     )
-    file = tmp_path / "site.toml"
-    fronts = f'[serve]\nlisten = "127.0.0.1:{free_port()}"\n[faktory]\nlisten = "127.0.0.1:{port}"\n'
-    file.write_text(f"{fronts}[site]\n{site}\n")
+    config_path = tmp_path / "site.toml"
+    frontends = f'[serve]\nlisten = "127.0.0.1:{free_port()}"\n[faktory]\nlisten = "127.0.0.1:{port}"\n'
+    config_path.write_text(f"{frontends}[site]\n{site}\n")
     with (tmp_path / "log").open("wb") as log:
-        program = subprocess.Popen([sys.executable, "-m", "heronlug", "serve", str(file)], stdout=log, stderr=log)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "heronlug", "serve", str(config_path)], stdout=log, stderr=log
+        )
     try:
-        words = [
+        arguments = [
             "load",
-            str(fleet),
+            str(scenario_path),
             "--faktory",
             f"127.0.0.1:{port}",
             "--json",
@@ -140,28 +142,28 @@
             "--set",
             "arrivals.0.rate=60",
         ]
-        end = time.monotonic() + 30
+        give_up_at = time.monotonic() + 30
         while True:
             try:
-                assert (group.main(words, standalone_mode=False) or 0) == 0
+                assert (group.main(arguments, standalone_mode=False) or 0) == 0
                 break
             except Exception:
-                assert time.monotonic() < end, (tmp_path / "log").read_text()
-                assert program.poll() is None, (tmp_path / "log").read_text()
+                assert time.monotonic() < give_up_at, (tmp_path / "log").read_text()
+                assert process.poll() is None, (tmp_path / "log").read_text()
                 time.sleep(0.1)
-        found = json.loads(capsys.readouterr().out)
-        assert all(each["finals"]["failed"] == each["finals"]["lost"] == 0 for each in found.values())
-        assert found["safe"]["finals"]["on_time"] + found["safe"]["finals"]["late"] > 60
+        result = json.loads(capsys.readouterr().out)
+        assert all(each["finals"]["failed"] == each["finals"]["lost"] == 0 for each in result.values())
+        assert result["safe"]["finals"]["on_time"] + result["safe"]["finals"]["late"] > 60
     finally:
-        program.kill()
-        program.wait()
+        process.kill()
+        process.wait()
 
 
-def test_a_stand_in_fleet_answers_and_ends_by_itself(tmp_path: Path) -> None:
-    fleet = tmp_path / "fleet.toml"
-    fleet.write_text(TEXT)
+def test_the_stand_in_command_ends_after_its_time(tmp_path: Path) -> None:
+    scenario_path = tmp_path / "fleet.toml"
+    scenario_path.write_text(TEXT)
     done = subprocess.run(
-        [sys.executable, "-m", "heronlug", "stand-in", str(fleet), "--seconds", "1"],
+        [sys.executable, "-m", "heronlug", "stand-in", str(scenario_path), "--seconds", "1"],
         capture_output=True,
         timeout=60,
         check=True,
