--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -155,7 +155,7 @@
 
     try:
         with Store(store, create=False) as kept:
-            matched = comparing.pairs(kept.runs(name), comparing.chosen(a), comparing.chosen(b))
+            matched = comparing.pairs(kept.runs(name), comparing.parse_params(a), comparing.parse_params(b))
         found = comparing.compare(matched, figures)
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -120,7 +120,7 @@
 
     scenario = _scenario(file, changes)
     seed = scenario.seed if seed is None else seed
-    count = min(playing.MOST, scenario.dispatchers.count)
+    count = min(playing.MAX_DISPATCHERS, scenario.dispatchers.count)
     print(f"{scenario.name}: {sum(p.count for p in scenario.pool)} hosts, {count} dispatchers, {scenario.span_s:g} s")
     began = time.monotonic()
     try:
--- a/heronlug/experiments/compare.py
+++ b/heronlug/experiments/compare.py
@@ -31,7 +31,7 @@
         return not (self.low > 0 or self.high < 0)
 
 
-def chosen(text: str) -> dict[str, str]:
+def parse_params(text: str) -> dict[str, str]:
     """``policy=random,dispatchers.count=4``; raises ``ValueError``."""
     params = {}
     for part in text.split(","):
--- a/heronlug/loadgen/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -22,7 +22,7 @@
 from heronlug.standins.ports import free_ports
 
 READY_TIMEOUT_S = 20.0  # s for a dispatcher to come up
-MOST = 8  # dispatchers: each is a process
+MAX_DISPATCHERS = 8  # dispatchers: each is a process
 CONFIG_TEMPLATE = Template("""\
 log_level = "warning"
 [serve]
@@ -63,7 +63,7 @@
     """Processes of our own program."""
 
     def __init__(self, scenario: Scenario, discovery: int, folder: Path) -> None:
-        count = min(MOST, scenario.dispatchers.count)
+        count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
         self.listen_ports, self.operator_ports = free_ports(count), free_ports(count)
         peers = free_ports(count) if scenario.dispatchers.may_tell and count > 1 else []
         self.processes = []
@@ -142,7 +142,7 @@
 
 def on_the_model(scenario: Scenario, seed: int) -> Figures:
     """The same, as far as the model can be like it: as many dispatchers, no retries of clients, loopback's delays."""
-    scenario.dispatchers.count = min(MOST, scenario.dispatchers.count)
+    scenario.dispatchers.count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
     scenario.network.inside_ms = scenario.network.across_ms = 0.1
     scenario.network.loss, scenario.register.lag_ms, scenario.warm_up_s = 0.0, 1.0, 0.0
     for request_class in scenario.classes:
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -194,7 +194,7 @@
     comparisons = (("policy=a", "policy=b", "no two runs"), ("x=1", "x=2", "does not vary"), ("a", "b", "KEY=VALUE"))
     for a, b, message in comparisons:
         with pytest.raises(ValueError, match=message):
-            compare.pairs(runs, compare.chosen(a), compare.chosen(b))
+            compare.pairs(runs, compare.parse_params(a), compare.parse_params(b))
     with pytest.raises(ValueError, match="no figure"):
         compare.compare([(runs[0], runs[1])], ["speed"])
     with pytest.raises(ValueError, match="no runs"):
