--- a/heronlug/emulator/__init__.py
+++ b/heronlug/emulator/__init__.py
@@ -1,6 +1,8 @@
-"""A model of all that heronlug balances, in virtual time, around the real core and the real decision module.
+"""Emulates clients, dispatchers, servers, network and service discovery in virtual time.
 
-``scenario`` is the file, ``world`` one run of it: ``timeline`` holds what is to come, ``draws`` all chance, ``hosts``,
-``register``, ``dispatchers`` and ``clients`` the parts, ``troubles`` what befalls them, ``policies`` other ways to
-choose a host, ``figures`` what is counted. Nothing here knows a socket; the same seed gives the same run.
+The core and the balancer are the real ones. ``scenario`` reads the scenario file and ``world`` runs it. ``timeline``
+schedules events, ``draws`` provides random draws and ``faults`` injects faults. ``clients``, ``dispatchers``,
+``backend``, ``network``, ``servers`` and ``discovery`` emulate the parts of the system. ``policies`` provides other
+policies for choosing a server, and ``figures`` collects the results. The package uses no sockets; runs of a scenario
+with the same seed are identical.
 """
--- a/heronlug/emulator/backend.py
+++ b/heronlug/emulator/backend.py
@@ -1,4 +1,4 @@
-"""The backend of an emulated dispatcher process: its attempts on their way, at servers, and what servers report."""
+"""Emulates the backend of a dispatcher process: sends attempts to servers and returns the reports of servers."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -14,20 +14,20 @@
     from heronlug.emulator.world import World
 
 PROGRESS_INTERVAL_MS = 1000.0
-"""How often a server reports the progress of an execution."""
+"""Interval in ms between progress reports of a server for one execution."""
 MAX_REPORTED_PROGRESS = 0.99
-"""The highest progress that a server reports before an execution is done."""
+"""Highest progress, from 0 to 1, that a server reports before an execution is done."""
 
 
 class SentAttempt(NamedTuple):
-    """The owner of an execution: the attempt of the dispatcher, and the server that it went to."""
+    """Owner of an execution: the dispatcher's attempt and the server that the attempt was sent to."""
 
     attempt: Attempt
     server: EmulatedServer
 
 
 class EmulatedBackend:
-    """The backend of one dispatcher process; nothing reaches the core any more once it is closed."""
+    """Backend of one dispatcher process; after ``close`` the core receives no further reports."""
 
     def __init__(self, world: "World", name: str, zone: int, core: Core) -> None:
         self._world, self._name, self._zone, self._core = world, name, zone, core
@@ -35,7 +35,7 @@
         self._closed = False
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt to its server."""
+        """Sends an attempt to its server."""
         world, core = self._world, self._core
         if world.checks_before_write and not core.may_write(attempt):
             core.attempt_ended(attempt, Outcome.CANCELLED_BEFORE_START)
@@ -62,13 +62,13 @@
         self._timeline.schedule_after(self._network.one_way_ms(self._zone, server), self._arrive, execution)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Tell the server of an attempt that nobody waits for it any more."""
+        """Sends a cancellation to the server of an attempt, unless a partition lies between them."""
         execution: Execution | None = attempt.exchange
         if execution is not None and not self._network.is_partitioned(self._zone, execution.owner.server.zone):
             self._cancel_at_server(execution)
 
     def close(self) -> None:
-        """The process has ended: servers drop what they have not started; what runs goes on for nobody."""
+        """Ends the process: servers drop executions that have not started and complete running executions."""
         self._closed = True
         for attempt in list(self._core.attempts):
             execution: Execution | None = attempt.exchange
@@ -79,13 +79,13 @@
         server: EmulatedServer = execution.owner.server
         self._timeline.schedule_after(self._network.one_way_ms(self._zone, server), server.cancel, execution)
 
-    # -- what comes from servers
+    # -- reports from servers
 
     def _arrive(self, execution: Execution) -> None:
         attempt, server = execution.owner
         server.inbound_slots -= execution.slots
         if not attempt.in_flight and not self._closed:
-            return  # cancelled on its way
+            return  # the attempt was cancelled before it arrived
         if not server.up:
             self._report(execution, self._end_attempt, Outcome.CONNECT_FAILED)
         elif not server.accept(execution):
@@ -110,7 +110,7 @@
             self._timeline.schedule_after(PROGRESS_INTERVAL_MS, self._report_progress, execution)
 
     def _report(self, execution: Execution, callback: Callable[..., None], *args: Any) -> None:
-        """Call back with the attempt after the way back from its server, and not before a partition has healed."""
+        """Calls back with the attempt after the delay from its server; a partition defers the call until it heals."""
         if self._closed:
             return
         attempt, server = execution.owner
--- a/heronlug/emulator/clients.py
+++ b/heronlug/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Clients: when their requests arrive, which dispatcher gets them, and how they end."""
+"""Emulates clients: generates arrivals, submits requests to dispatchers and records how each request ends."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -17,22 +17,22 @@
     from heronlug.emulator.world import World
 
 CHOICE_RANGE = 1 << 30
-"""Draws of a dispatcher are below this; the remainder by the number of dispatchers counts."""
+"""Exclusive upper bound of the draws that choose a dispatcher, taken modulo the number of running dispatchers."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request from its arrival to its end.
+    """Client's view of a request, from its arrival to its end.
 
     Attributes:
-        name: unique in a run.
-        class_number: the index of its class.
-        work_ms: of it at speed 1.
-        slots: that it takes at a server.
-        arrived_at: when its client submitted it first, in ms.
-        give_up_at: its deadline, in ms.
-        submissions: to dispatchers.
-        attempts: of dispatchers at servers.
+        name: name of the request, unique in a run.
+        class_number: index of the request class.
+        work_ms: execution time in ms at speed 1.
+        slots: number of slots that the request occupies at a server.
+        arrived_at: time of the first submission in ms.
+        give_up_at: deadline in ms.
+        submissions: number of submissions to dispatchers.
+        attempts: number of attempts that dispatchers have sent to servers.
     """
 
     name: str
@@ -46,14 +46,17 @@
 
 
 def arrival_times(arrivals: Arrivals, seed: int, number: int, span: float, folder: str) -> Iterator[float]:
-    """When requests arrive, in ms and in order; each table of arrivals has a random stream of its own.
+    """Returns the arrival times of one arrivals table in ascending order, in ms; each table has its own random stream.
 
     Args:
-        arrivals: the table of the scenario.
-        seed: of the run.
-        number: of the table.
-        span: of the run, in ms.
-        folder: of the scenario file, where traces are.
+        arrivals: arrivals table of the scenario.
+        seed: seed of the run.
+        number: index of the table in the scenario.
+        span: length of the run in ms.
+        folder: folder of the scenario file, which trace files are relative to.
+
+    Raises:
+        ValueError: if a Poisson or wave table has no rate.
     """
     rng = stream(seed, "arrivals", str(number))
     begin = arrivals.from_s * 1000
@@ -63,7 +66,7 @@
     if arrivals.shape == "bursts":
         return _burst_arrivals(arrivals, rng, begin, end)
     if arrivals.rate is None:
-        msg = f"arrivals of {arrivals.lane} have no rate; {arrivals.shape} arrivals need one"
+        msg = f"arrivals of class {arrivals.lane!r} have no rate, which shape {arrivals.shape!r} requires"
         raise ValueError(msg)
     if arrivals.shape == "waves":
         return _wave_arrivals(arrivals, arrivals.rate, rng, begin, end)
@@ -71,13 +74,13 @@
 
 
 def _trace_arrivals(file: Path, begin: float, end: float) -> Iterator[float]:
-    """Arrivals as recorded: a line for each, in seconds from the beginning."""
+    """Yields recorded arrivals; the file has one line for each, in seconds from the beginning of the table."""
     times = sorted(begin + float(line) * 1000 for line in file.read_text().split())
     return (time for time in times if time < end)
 
 
 def _burst_arrivals(arrivals: Arrivals, rng: np.random.Generator, begin: float, end: float) -> Iterator[float]:
-    """Bursts at fixed intervals, each spread evenly over a time."""
+    """Yields bursts of arrivals at fixed intervals; the arrivals of a burst are spread uniformly over ``over_s``."""
     first = begin
     while first < end:
         burst = sorted(first + float(share) * arrivals.over_s * 1000 for share in rng.random(arrivals.size))
@@ -87,11 +90,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PoissonArrival:
-    """An arrival of a Poisson process.
+    """Arrival of a Poisson process.
 
     Attributes:
-        time: of it, in ms.
-        chance: evenly distributed from 0 to 1, for thinning.
+        time: time of the arrival in ms.
+        chance: draw from the uniform distribution on 0 to 1, for thinning.
     """
 
     time: float
@@ -99,7 +102,7 @@
 
 
 def _poisson_arrivals(rate: float, rng: np.random.Generator, begin: float, end: float) -> Iterator[PoissonArrival]:
-    """A Poisson process with a rate per ms."""
+    """Yields the arrivals of a Poisson process; the rate is in arrivals per ms."""
     now = begin
     while True:
         gaps, chances = rng.exponential(1 / rate, BATCH_SIZE), rng.random(BATCH_SIZE)
@@ -113,7 +116,7 @@
 def _wave_arrivals(
     arrivals: Arrivals, rate: float, rng: np.random.Generator, begin: float, end: float
 ) -> Iterator[float]:
-    """A Poisson process with a rate that follows a sine, by thinning (Lewis and Shedler 1979)."""
+    """Yields arrivals of a Poisson process whose rate follows a sine, by thinning (Lewis and Shedler 1979)."""
     highest = 1 + arrivals.depth
     for arrival in _poisson_arrivals(rate / 1000 * highest, rng, begin, end):
         level = 1 + arrivals.depth * sin(2 * pi * (arrival.time - begin) / (arrivals.period_s * 1000))
@@ -122,13 +125,13 @@
 
 
 class Clients:
-    """All clients together.
+    """Emulates all clients of a run.
 
     Attributes:
-        open_requests: requests that have arrived and not ended.
-        open_request_ms: open requests, summed over time.
-        total_stay_ms: of all requests that have ended.
-        ended_requests: how many have ended.
+        open_requests: number of requests that have arrived and not ended.
+        open_request_ms: integral of ``open_requests`` over time, in ms.
+        total_stay_ms: sum of the times in ms from arrival to end, over all ended requests.
+        ended_requests: number of requests that have ended.
     """
 
     def __init__(self, world: "World") -> None:
@@ -148,21 +151,21 @@
         self._open_requests_changed_at = 0.0
 
     def start(self) -> None:
-        """Schedule the first arrival of each table of arrivals."""
+        """Schedules the first arrival of each arrivals table."""
         scenario = self._world.scenario
         for number, arrivals in enumerate(scenario.arrivals):
             times = arrival_times(arrivals, self._world.seed, number, scenario.span_s * 1000, scenario.folder)
             self._schedule_arrival(self._class_numbers[arrivals.lane], times)
 
     def change_open_requests(self, change: int) -> None:
-        """So many more requests are open from now on; keeps the sum for Little's law."""
+        """Changes the number of open requests and updates its integral over time, for the check of Little's law."""
         now = self._world.timeline.now
         self.open_request_ms += self.open_requests * (now - self._open_requests_changed_at)
         self.open_requests += change
         self._open_requests_changed_at = now
 
     def answered(self, request: ClientRequest, final: FinalAnswer, retry_after: float) -> None:
-        """A dispatcher has given a request its final answer, with a Retry-After in ms, 0 for none."""
+        """Handles the final answer of a dispatcher to a request; ``retry_after`` is in ms, 0 for none."""
         table = self._world.scenario.classes[request.class_number]
         if final is FinalAnswer.SERVED:
             on_time = self._world.timeline.now - request.arrived_at <= table.aim_ms
@@ -173,7 +176,7 @@
             self._end(request, "failed")
 
     def dispatcher_lost(self, request: ClientRequest) -> None:
-        """The dispatcher of a request was killed: only what may run twice is submitted again."""
+        """Handles the kill of a request's dispatcher: a request is submitted again only if it may run twice."""
         if self._world.classes[request.class_number].effect is Effect.NON_IDEMPOTENT:
             self._end(request, "lost")
         else:
@@ -196,7 +199,7 @@
         self._schedule_arrival(class_number, times)
 
     def _submit(self, request: ClientRequest) -> None:
-        """Submit a request to one of the running dispatchers, each as likely."""
+        """Submits a request to a running dispatcher, chosen uniformly at random."""
         if not self._choice_batch:
             self._choice_batch = [*map(int, self._dispatcher_choice.integers(0, CHOICE_RANGE, BATCH_SIZE))]
         draw = self._choice_batch.pop()
@@ -208,7 +211,7 @@
             self._end(request, "lost")
 
     def _retry_or_end(self, request: ClientRequest, wait: float, outcome: str) -> None:
-        """Submit a request again after a wait in ms, or end it so if its retries or its time are used up."""
+        """Submits a request again after a wait in ms, or ends it with ``outcome`` if no retry or no time is left."""
         table = self._world.scenario.classes[request.class_number]
         if request.submissions <= table.retries and self._world.timeline.now + wait < request.give_up_at:
             self._world.timeline.schedule_after(wait, self._submit, request)
--- a/heronlug/emulator/discovery.py
+++ b/heronlug/emulator/discovery.py
@@ -1,7 +1,8 @@
-"""Emulated service discovery: each change of the endpoint list reaches each dispatcher after a lag of its own.
+"""Emulates service discovery: delivers each change of the endpoint list to each dispatcher after a random lag.
 
-Where a call costs something, calls are handled one after another, and a call that would wait too long is rejected. A
-dispatcher calls for the list, then for a watch, and for a watch again when that has ended without an event.
+If calls have a cost, service discovery handles them one after another and rejects a call that would wait too long. A
+dispatcher first requests the list and then a watch; when a watch ends without an event, the dispatcher requests the
+next watch.
 """
 
 from collections.abc import Callable
@@ -14,22 +15,22 @@
 from heronlug.requests.model import ListedServer
 
 REJECTION_COST_MS = 1.0
-"""How long service discovery needs to reject a call."""
+"""Time in ms that service discovery needs to reject a call."""
 DEFAULT_MAX_WAIT_MS = 1000.0
-"""How long a call waits at most before it is rejected, unless the scenario says otherwise."""
+"""Default maximum wait of a call in ms; a call that would wait longer is rejected."""
 
 
 def _record_nothing(event: Event) -> None:
-    """Record no event."""
+    """Discards an event."""
 
 
 class ListWatcher(Protocol):
-    """A dispatcher, as service discovery knows it.
+    """Interface of a dispatcher towards service discovery.
 
     Attributes:
-        name: in the records of the conformance checker.
-        up: whether it has a process.
-        incarnation: how many processes it has had.
+        name: name of the dispatcher in events for the conformance checker.
+        up: whether the dispatcher has a running process.
+        incarnation: number of processes that the dispatcher has had, the present one included.
     """
 
     name: str
@@ -38,28 +39,29 @@
 
     @property
     def watch_timeout_ms(self) -> float:
-        """How long its watch waits for an event."""
+        """Time in ms after which a watch without an event ends."""
 
     def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """An endpoint list or watch event has come."""
+        """Handles an endpoint list or a watch event."""
 
     def list_call_answered(self, took_ms: float) -> None:
-        """A call for the list has been answered after so many ms."""
+        """Handles the answer to a list call, which took ``took_ms``."""
 
     def list_call_rejected(self) -> None:
-        """A call has been rejected, and there is no watch."""
+        """Handles the rejection of a call; the dispatcher has no watch afterwards."""
 
 
 class ServiceDiscovery:
-    """The endpoint list and its watchers.
+    """Stores the endpoint list and sends changes to the dispatchers that watch the list.
 
     Attributes:
-        entries: the list, by server.
-        watchers: the dispatchers that watch, each with the time of the last event to it, since events keep their order.
-        silent: whether nothing is sent to anybody.
-        calls: that came, where they cost something.
-        rejected_calls: those of them that were rejected.
-        first_watch_at: when a watch of a dispatcher was first held open, by name.
+        entries: endpoint list, by server name.
+        watchers: watching dispatchers, each with the arrival time in ms of the latest event sent to it; a later event
+            arrives no earlier, so that events keep their order.
+        silent: whether service discovery sends nothing.
+        calls: number of calls, if calls have a cost.
+        rejected_calls: number of these calls that were rejected.
+        first_watch_at: by dispatcher name, the time in ms of the first watch.
     """
 
     def __init__(
@@ -70,14 +72,14 @@
         max_wait_ms: float = DEFAULT_MAX_WAIT_MS,
         record_event: Callable[[Event], None] = _record_nothing,
     ) -> None:
-        """Start with an empty list.
+        """Creates a service discovery with an empty endpoint list.
 
         Args:
-            timeline: the time that it runs in.
-            lag: draws of the time until something reaches a dispatcher, in ms.
-            call_ms: what a call costs; 0: calls are answered at once, all of them.
-            max_wait_ms: how long a call waits at most before it is rejected.
-            record_event: called with an event for each call that costs something.
+            timeline: virtual time of the run.
+            lag: draws of the delay in ms until a list or an event reaches a dispatcher.
+            call_ms: time in ms that one call occupies service discovery; 0 to answer all calls at once.
+            max_wait_ms: longest wait of a call in ms; a call that would wait longer is rejected.
+            record_event: called with an event for each call, if calls have a cost.
         """
         self.entries: dict[str, ListedServer] = {}
         self.watchers: dict[ListWatcher, float] = {}
@@ -91,7 +93,7 @@
         self._deferred_entries: list[ListedServer] = []
 
     def update(self, entry: ListedServer) -> None:
-        """Add or change the entry of a server."""
+        """Adds or replaces the entry of a server."""
         self.entries[entry.name] = entry
         if self.silent:
             self._deferred_entries.append(entry)
@@ -100,28 +102,28 @@
             self._send(watcher, ListKind.CHANGES, [entry])
 
     def watch(self, watcher: ListWatcher) -> None:
-        """Send a dispatcher the whole list, and each change from then on."""
+        """Sends a dispatcher the whole list and, from then on, each change."""
         if self._call_ms:
             self._call(watcher, watcher.incarnation, self._answer_list_call)
         else:
             self._send_whole_list(watcher)
 
     def unwatch(self, watcher: ListWatcher) -> None:
-        """Send a dispatcher nothing more."""
+        """Stops sending changes to a dispatcher."""
         self.watchers.pop(watcher, None)
 
     def end_silence(self) -> None:
-        """Send again, with all that was held back."""
+        """Ends the silence and sends the changes that were deferred during the silence."""
         self.silent = False
         deferred, self._deferred_entries = self._deferred_entries, []
         if deferred:
             for watcher in self.watchers:
                 self._send(watcher, ListKind.CHANGES, deferred)
 
-    # -- calls that cost something
+    # -- calls with a cost
 
     def _call(self, watcher: ListWatcher, incarnation: int, answer: Callable[[ListWatcher, int, float], None]) -> None:
-        """Queue a call, or reject it if it would wait too long."""
+        """Queues a call, or rejects the call if it would wait too long."""
         if not _is_alive(watcher, incarnation):
             return
         now = self._timeline.now
@@ -155,7 +157,7 @@
             timeout_ms = watcher.watch_timeout_ms
             self._timeline.schedule_after(timeout_ms, self._call, watcher, incarnation, self._hold_watch_open)
 
-    # -- what is sent
+    # -- sending
 
     def _send_whole_list(self, watcher: ListWatcher) -> None:
         self.watchers[watcher] = self._timeline.now
@@ -174,5 +176,5 @@
 
 
 def _is_alive(watcher: ListWatcher, incarnation: int) -> bool:
-    """Whether the process that made a call still runs."""
+    """Returns whether the process that made a call is still running."""
     return watcher.up and incarnation == watcher.incarnation
--- a/heronlug/emulator/dispatchers.py
+++ b/heronlug/emulator/dispatchers.py
@@ -1,4 +1,4 @@
-"""An emulated dispatcher: the real core and the real balancer, with an emulated frontend, backend and discovery."""
+"""Runs the real core and balancer of a dispatcher with an emulated frontend, backend and service discovery."""
 
 from random import Random
 from typing import TYPE_CHECKING
@@ -19,21 +19,21 @@
     from heronlug.emulator.world import World
 
 MAX_RETRY_AFTER_MS = 2000.0
-"""The longest Retry-After of a rejection."""
+"""Longest Retry-After of a rejection, in ms."""
 
 
 class EmulatedDispatcher:
-    """One dispatcher: its processes, one after the other.
+    """One dispatcher with its successive processes.
 
     Attributes:
-        world: the run that it belongs to.
-        number: its position among the dispatchers.
-        name: in the records of the conformance checker.
-        zone: the index of its zone.
-        up: whether it has a process.
-        incarnation: how many processes it has had.
-        deadlines: of its process.
-        core: of its process.
+        world: run that the dispatcher belongs to.
+        number: index of the dispatcher.
+        name: name of the dispatcher in events for the conformance checker.
+        zone: index of the dispatcher's zone.
+        up: whether the dispatcher has a running process.
+        incarnation: number of processes that the dispatcher has had, the present one included.
+        deadlines: deadlines of the present process.
+        core: core of the present process.
     """
 
     def __init__(self, world: "World", number: int) -> None:
@@ -48,10 +48,10 @@
         self._backend: EmulatedBackend
         self._cached_list: list[ListedServer] = []
 
-    # -- its process
+    # -- start and end of the process
 
     def start(self) -> None:
-        """Start a process, which knows the endpoint list that the one before it had."""
+        """Starts a process with the endpoint list of the previous process as its cached list."""
         world = self.world
         self.incarnation += 1
         self.up = True
@@ -68,7 +68,7 @@
         self.receive_list(ListKind.CACHED, cached)
 
     def kill(self) -> None:
-        """End the process at once; its clients see that."""
+        """Ends the process at once; its clients notice and retry where a retry is allowed."""
         world = self.world
         self.up = False
         self.deadlines.cancelled = True
@@ -108,10 +108,10 @@
         terms = PollTerms(settings.instances, settings.position, cost)
         return PollPacer(terms, Random(seed).random)
 
-    # -- the frontend and the backend of its core
+    # -- frontend and backend of the core
 
     def accept(self, request: ClientRequest) -> None:
-        """Accept a request of a client."""
+        """Accepts a request of a client."""
         world = self.world
         request_class = world.classes[request.class_number]
         once = request_class.effect is Effect.NON_IDEMPOTENT
@@ -126,46 +126,46 @@
         )
 
     def client_waits(self, request: Request) -> bool:
-        """See :class:`heronlug.requests.interfaces.Transport`; emulated clients wait until their deadline."""
+        """Returns True, since emulated clients wait until their deadline."""
         return True
 
     def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
-        """Give a client its final answer."""
+        """Sends a client its final answer."""
         client_request: ClientRequest = request.payload
         now = self.world.timeline.now
         self.world.record_event(Answered(now, self.name, client_request.name, final.value))
         self.world.clients.answered(client_request, final, retry_after)
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt to its server."""
+        """Sends an attempt to its server."""
         self._backend.send(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
+        """Cancels an attempt at its server."""
         self._backend.cancel(attempt)
 
     # -- service discovery
 
     @property
     def watch_timeout_ms(self) -> float:
-        """How long its watch waits for an event."""
+        """Time in ms after which a watch without an event ends."""
         return self._pacer.poll_wait if self._pacer is not None else MIN_POLL_WAIT_MS
 
     def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
-        """An endpoint list or watch event has come."""
+        """Handles an endpoint list or a watch event."""
         now = self.world.timeline.now
         for entry in entries:
             self.world.record_event(Listed(now, self.name, entry.name, _recorded_state(entry.state)))
         self.core.update_servers(kind, entries)
 
     def list_call_answered(self, took_ms: float) -> None:
-        """Service discovery has answered a call for the list after so many ms."""
+        """Handles the answer to a list call, which took ``took_ms``."""
         self._has_list = True
         if self._pacer is not None:
             self._pacer.on_answer(took_ms)
 
     def list_call_rejected(self) -> None:
-        """Service discovery has rejected a call."""
+        """Handles the rejection of a call to service discovery."""
         if self._pacer is not None:
             now = self.deadlines.clock()
             self._schedule_poll(self._pacer.on_failure(now, PollFailure.REJECTED, self._has_list))
@@ -179,13 +179,13 @@
             self._schedule_poll(self._pacer.first_poll_at(self.deadlines.clock(), self._has_list))
 
     def _schedule_poll(self, when: float) -> None:
-        """Poll at the time that the pacer gives; what the balancer asks for before that is this poll."""
+        """Schedules the next poll at the pacer's time; earlier subscriptions of the balancer wait for this poll."""
         self.deadlines.call_at(when, self.world.discovery.watch, self)
 
-    # -- the other dispatchers
+    # -- messages between dispatchers
 
     def receive_peer_message(self, sender: int, content: bytes) -> None:
-        """A datagram of another dispatcher has come."""
+        """Handles a datagram of another dispatcher."""
         if self.up:
             self.core.peer_message(sender, content)
 
@@ -197,10 +197,10 @@
                 deliver = other.receive_peer_message
                 world.network.send_datagram(self.zone, other.zone, deliver, self.number, content)
 
-    # -- policies to compare with
+    # -- policies that the balancer is compared with
 
     def _server_truth(self, number: int) -> ServerTruth:
-        """What is true of a server, for policies that know what no dispatcher can."""
+        """Returns the actual state of a server, for policies that use more than a dispatcher can observe."""
         network = self.world.network
         server = self.world.servers.get(self.core.directory.by_number[number].entry.name)
         if server is None:
@@ -217,5 +217,5 @@
 
 
 def _recorded_state(state: ServerState) -> str:
-    """The state of a server in the conformance checker's records."""
+    """Returns the name of a server state in events for the conformance checker."""
     return "gone" if state is ServerState.REMOVED else state.name.lower()
--- a/heronlug/emulator/faults.py
+++ b/heronlug/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection: what a scenario's ``[[trouble]]`` tables do to servers, dispatchers, zones and service discovery."""
+"""Injects the faults of a scenario's ``[[trouble]]`` tables into servers, dispatchers, zones and service discovery."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
@@ -13,57 +13,57 @@
 from heronlug.emulator.timeline import Timeline
 
 RESTART_DELAY_MS = 3000.0
-"""How long a server that crashed is down before it is started again."""
+"""Time in ms from the crash of a server to its restart."""
 
 FaultHandler = Callable[[FaultTable, np.random.Generator], None]
 
 
 class FaultTarget(Protocol):
-    """A fleet of servers, emulated or behind sockets, that faults can be injected into."""
+    """Interface of a fleet of servers, emulated or behind sockets, that faults can be injected into."""
 
     @property
     def timeline(self) -> Timeline:
-        """The time that faults are scheduled in."""
+        """Timeline on which faults are scheduled."""
 
     @property
     def servers(self) -> Mapping[str, EmulatedServer]:
-        """The servers by name."""
+        """Servers by name."""
 
     def stop_server(self, server: EmulatedServer) -> None:
-        """End a server's process, with all that is in it."""
+        """Ends a server's process; its running and queued executions are lost."""
 
     def list_server(self, server: EmulatedServer, state: ServerState) -> None:
-        """Let service discovery list a server in a state."""
+        """Changes the state of a server in service discovery."""
 
     def replace_server(self, server: EmulatedServer) -> None:
-        """Start a cold successor of a server under a name of its own."""
+        """Replaces a server by a cold successor with a new name."""
 
     def silence_discovery(self) -> None:
-        """Let service discovery send nothing."""
+        """Stops service discovery from sending."""
 
     def end_discovery_silence(self) -> None:
-        """Let service discovery send again, with all that it held back."""
+        """Lets service discovery send again, beginning with the changes that were deferred during the silence."""
 
 
 class EmulatedFaultTarget(FaultTarget, Protocol):
-    """A whole emulated system, dispatchers and network included."""
+    """Interface of a whole emulated system, dispatchers and network included."""
 
     @property
     def running_dispatchers(self) -> Sequence[EmulatedDispatcher]:
-        """The dispatchers that have a process."""
+        """Dispatchers that have a running process."""
 
     def kill_dispatcher(self, dispatcher: EmulatedDispatcher) -> None:
-        """End a dispatcher's process at once, and start another one later."""
+        """Ends a dispatcher's process at once and schedules the start of its next process."""
 
     def partition_zone(self, zone: int) -> None:
-        """Let nothing pass into a zone or out of it."""
+        """Cuts a zone off from all other zones."""
 
     def heal_zone(self, zone: int) -> None:
-        """Let pass what goes into the zone or out of it, and what has waited for that."""
+        """Reconnects a zone and delivers the reports that the partition postponed."""
 
 
 class ServerFaultInjector:
-    """Injects the faults of servers and of service discovery at their times."""
+    """Schedules the faults of servers and of service discovery at the times that the tables give."""
 
     def __init__(self, target: FaultTarget, faults: Sequence[FaultTable], zones: Sequence[str], seed: int) -> None:
         self._target, self._zones = target, zones
@@ -74,13 +74,13 @@
             self._timeline.schedule_at(table.at_s * 1000, handlers[table.what], table, rng)
 
     def crash_server(self, server: EmulatedServer) -> None:
-        """End a server's process and start it again later."""
+        """Ends a server's process and schedules its restart after ``RESTART_DELAY_MS``."""
         self._target.stop_server(server)
         self._target.list_server(server, ServerState.REMOVED)
         self._timeline.schedule_after(RESTART_DELAY_MS, self._restart, server)
 
     def _fault_handlers(self) -> dict[str, FaultHandler]:
-        """What begins each fault, by its name in scenario files."""
+        """Returns the functions that begin a fault, by the name of the fault in scenario files."""
         return {
             "crash": self._crash,
             "hang": self._hang,
@@ -92,7 +92,7 @@
         }
 
     def _choose_servers(self, table: FaultTable, rng: np.random.Generator) -> list[EmulatedServer]:
-        """A share of the servers that are up, of one zone if the table names it."""
+        """Chooses the table's share of the servers that are up, in the table's zone if it names one."""
         servers = [server for server in self._target.servers.values() if server.up]
         if table.zone:
             zone = self._zones.index(table.zone)
@@ -112,7 +112,7 @@
             self.crash_server(server)
 
     def _hang(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """Servers are suspended, and crash and start again after that."""
+        """Suspends servers; after the time of the fault the servers crash and are restarted."""
         for server in self._choose_servers(table, rng):
             server.suspend()
             self._timeline.schedule_after(table.for_s * 1000, self._end_hang, server)
@@ -122,7 +122,7 @@
             self.crash_server(server)
 
     def _pause(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """Servers are suspended, and go on after that."""
+        """Suspends servers and resumes them after the time of the fault."""
         for server in self._choose_servers(table, rng):
             server.suspend()
             self._timeline.schedule_after(table.for_s * 1000, server.resume)
@@ -130,7 +130,7 @@
     # -- a rolling deploy
 
     def _deploy(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """One server after the other drains, ends and has a cold successor."""
+        """Replaces servers one by one: each is listed as draining, then ends and is replaced by a cold server."""
         chosen = self._choose_servers(table, rng)
         for number, server in enumerate(chosen):
             delay = table.over_s * 1000 * number / max(1, len(chosen))
@@ -150,7 +150,7 @@
     # -- zones
 
     def _zone_failure(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """A share of a zone's servers ends, with or without service discovery saying so, and returns all at once."""
+        """Ends a share of a zone's servers, which stay listed if the table says so, and restores them together."""
         servers = self._choose_servers(table, rng)
         for server in servers:
             self._target.stop_server(server)
@@ -168,7 +168,7 @@
                 self._target.list_server(server, ServerState.READY)
 
     def _slow_zone(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """Executions that start in a zone take longer."""
+        """Multiplies the duration of executions that start in a zone."""
         zone = self._zones.index(table.zone)
         servers = [server for server in self._target.servers.values() if server.zone == zone]
         for server in servers:
@@ -188,7 +188,7 @@
 
 
 class FaultInjector(ServerFaultInjector):
-    """Injects all faults, those of dispatchers and of the network included."""
+    """Schedules all faults, including the faults of dispatchers and of the network."""
 
     def __init__(
         self, target: EmulatedFaultTarget, faults: Sequence[FaultTable], zones: Sequence[str], seed: int
@@ -197,7 +197,7 @@
         super().__init__(target, faults, zones, seed)
 
     def _fault_handlers(self) -> dict[str, FaultHandler]:
-        """As for servers, with the faults of dispatchers and of the network."""
+        """Adds the faults of dispatchers and of the network to the faults of servers."""
         return super()._fault_handlers() | {"dispatcher-kill": self._kill_dispatchers, "partition": self._partition}
 
     def _kill_dispatchers(self, table: FaultTable, rng: np.random.Generator) -> None:
@@ -207,7 +207,7 @@
             self._system.kill_dispatcher(running[index])
 
     def _partition(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """A zone is cut off from all others; what is on its way arrives when it is over."""
+        """Cuts a zone off from all others; messages already sent arrive, and reports of servers wait until it heals."""
         zone = self._zones.index(table.zone)
         self._system.partition_zone(zone)
         self._timeline.schedule_after(table.for_s * 1000, self._system.heal_zone, zone)
--- a/heronlug/emulator/figures.py
+++ b/heronlug/emulator/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run: service and latency of each request class, load of each server, violations of the rules."""
+"""Collects the figures of a run: service and latency by request class, load by server and violations of the rules."""
 
 from array import array
 from dataclasses import dataclass, field
@@ -12,27 +12,27 @@
 from heronlug.emulator.servers import EmulatedServer
 
 OUTCOMES = ("on_time", "late", "refused", "failed", "lost")
-"""How a request may end; lost: its dispatcher was killed, or none was running."""
+"""Outcomes of requests; ``lost`` means that the dispatcher was killed or that no dispatcher was running."""
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-"""The percentiles of latency that are reported."""
+"""Percentiles of latency that are reported."""
 SECONDS_BEFORE_FAULT = 10
-"""The service before a fault is the mean of so many seconds."""
+"""Number of seconds over which the service before a fault is averaged."""
 SMOOTHING_SECONDS = 3
-"""The service after a fault is the mean of so many seconds from each second on."""
+"""Number of seconds in the moving average of the service after a fault."""
 
 
 @dataclass(slots=True)
 class ClassFigures:
-    """The figures of one request class.
+    """Figures of one request class.
 
     Attributes:
-        name: of the class.
-        priority_weight: what a request earns that is served on time.
-        outcomes: requests by how they ended.
-        earned_value: by all requests.
-        latencies_ms: of served requests, from their first submission on.
-        attempts: of dispatchers at servers.
-        submissions: of clients to dispatchers.
+        name: name of the class.
+        priority_weight: value that a request earns if it is served on time.
+        outcomes: number of requests by outcome.
+        earned_value: value earned by all requests together.
+        latencies_ms: latencies in ms of served requests, measured from the first submission.
+        attempts: number of attempts that dispatchers sent to servers.
+        submissions: number of submissions of clients to dispatchers.
     """
 
     name: str
@@ -45,11 +45,11 @@
 
     @property
     def request_count(self) -> int:
-        """All requests that have ended."""
+        """Number of requests that have ended."""
         return sum(self.outcomes.values())
 
     def percentiles(self) -> dict[str, float]:
-        """Latencies in ms by percentile, nan where nothing was served."""
+        """Returns latencies in ms by percentile, nan if no request was served."""
         if not len(self.latencies_ms):
             return {f"p{p:g}": float("nan") for p in PERCENTILES}
         latencies = np.percentile(np.frombuffer(self.latencies_ms), PERCENTILES)
@@ -57,15 +57,15 @@
 
 
 class ServerFigures(NamedTuple):
-    """The figures of one server.
+    """Figures of one server.
 
     Attributes:
-        name: of the server.
-        kind: the name of its kind.
-        mean_load: the share of its slots that was used over the run.
-        execution_count: executions that it started.
-        overload_crashes: how often overload made it crash.
-        warmup_peak_load: its highest load while it warmed up; 1 is where overload begins.
+        name: name of the server.
+        kind: name of the server kind.
+        mean_load: share of the slots that was used, averaged over the run.
+        execution_count: number of executions started.
+        overload_crashes: number of crashes caused by overload.
+        warmup_peak_load: highest load while the server was warming up; overload begins above 1.
     """
 
     name: str
@@ -77,7 +77,7 @@
 
     @classmethod
     def of_server(cls, server: EmulatedServer, span: float) -> "ServerFigures":
-        """The figures of a server at the end of a run over a span in ms."""
+        """Returns the figures of a server at the end of a run; ``span`` is the length of the run in ms."""
         return cls(
             server.name,
             server.kind.name,
@@ -89,11 +89,11 @@
 
 
 class LittlesLaw(NamedTuple):
-    """Both sides of Little's law.
+    """Two sides of Little's law, which must be equal.
 
     Attributes:
-        mean_open_requests: the mean over time.
-        rate_times_stay: the rate of arrivals times the mean stay of a request.
+        mean_open_requests: number of open requests, averaged over time.
+        rate_times_stay: arrival rate times the mean time from arrival to end of a request.
     """
 
     mean_open_requests: float
@@ -102,26 +102,26 @@
 
 @dataclass(slots=True)
 class Figures:
-    """The figures of one run.
+    """Figures of one run.
 
     Attributes:
-        scenario: its name.
-        policy: that chose the servers.
-        seed: of the run.
-        span_ms: the time that is counted.
-        classes: the figures of each request class.
-        value_by_second: earned and possible value, by the second of arrival.
-        servers: the figures of each server.
-        cross_zone_attempts: attempts at a server of another zone.
-        peer_messages: datagrams between dispatchers.
-        littles_law: both sides of it.
-        violations: by the number of the rule.
-        discovery_calls: calls of service discovery, where they cost something.
-        rejected_discovery_calls: those of them that were rejected.
-        last_watch_ms: when the last dispatcher's first watch began.
-        dispatchers_without_watch: dispatchers that never had a watch.
-        event_count: events of the timeline.
-        wall_time_s: the time that the run took.
+        scenario: name of the scenario.
+        policy: name of the policy that chose the servers.
+        seed: seed of the run.
+        span_ms: time in ms during which arrivals are counted.
+        classes: figures of each request class.
+        value_by_second: earned value (row 0) and possible value (row 1), by the second of arrival.
+        servers: figures of each server.
+        cross_zone_attempts: number of attempts at a server of another zone.
+        peer_messages: number of datagrams between dispatchers.
+        littles_law: two sides of Little's law.
+        violations: number of violations by the number of the rule.
+        discovery_calls: number of calls of service discovery, if calls have a cost.
+        rejected_discovery_calls: number of these calls that were rejected.
+        last_watch_ms: time in ms when the last dispatcher to get a watch got its first watch.
+        dispatchers_without_watch: number of dispatchers that never had a watch.
+        event_count: number of events of the timeline.
+        wall_time_s: wall-clock duration of the run in seconds.
     """
 
     scenario: str
@@ -144,7 +144,7 @@
 
     @classmethod
     def of_scenario(cls, scenario: Scenario, seed: int) -> "Figures":
-        """The figures of a run that has not begun."""
+        """Returns empty figures for a run that has not begun."""
         return cls(
             scenario.name,
             scenario.policy,
@@ -155,7 +155,7 @@
         )
 
     def request_ended(self, request: ClientRequest, table: ClassTable, outcome: str, now: float) -> None:
-        """Count a request of a class that has ended at a time."""
+        """Counts a request of a class that ended at ``now``, in ms."""
         figures = self.classes[request.class_number]
         figures.outcomes[outcome] += 1
         figures.attempts += request.attempts
@@ -170,19 +170,19 @@
 
     @property
     def service(self) -> float:
-        """The share of all possible value that was earned."""
+        """Earned share of the possible value, nan if there were no requests."""
         possible = sum(each.priority_weight * each.request_count for each in self.classes)
         return sum(each.earned_value for each in self.classes) / possible if possible else float("nan")
 
     def recovery_s(self, at: float, level: float = 0.95) -> float:
-        """Seconds after a fault until the service is back.
+        """Returns the time in seconds from a fault until the service has recovered.
 
         Args:
-            at: when the fault began, in seconds.
-            level: the share of the service before the fault that counts as back.
+            at: time at which the fault began, in seconds.
+            level: share of the service before the fault at which the service counts as recovered.
 
         Returns:
-            The seconds; nan if the service does not come back.
+            The time in seconds; nan if the service does not recover before the end of the run.
         """
         earned, possible = self.value_by_second
         rates = np.divide(earned, possible, out=np.full(len(earned), np.nan), where=possible > 0)
@@ -198,7 +198,7 @@
         return float(first_recovered) if first_recovered < len(smoothed) else float("nan")
 
     def by_name(self) -> dict[str, float]:
-        """The figures by their published names, for tables and comparisons; ``CLASS.figure`` for those of a class."""
+        """Returns the figures by their published names; figures of a class are named ``CLASS.figure``."""
         attempts = sum(each.attempts for each in self.classes)
         requests = sum(each.request_count for each in self.classes)
         loads = np.array([server.mean_load for server in self.servers]) if self.servers else np.zeros(1)
@@ -227,7 +227,7 @@
         return figures
 
     def class_table(self) -> list[list[str]]:
-        """Rows of text: a heading, and a row for each request class."""
+        """Returns the rows of a text table: a heading and a row for each request class."""
         heading = ["class", "jobs", *OUTCOMES, *(f"p{p:g} ms" for p in PERCENTILES), "attempts"]
         rows = [heading]
         for each in self.classes:
@@ -239,7 +239,7 @@
 
 
 def have_same_figures(one: Figures, other: Figures) -> bool:
-    """Whether two runs came to the very same figures, but for the time that they took."""
+    """Returns whether two runs have identical figures, apart from their wall-clock durations."""
     return bool(_compared_fields(one) == _compared_fields(other))
 
 
@@ -250,7 +250,7 @@
 
 
 def _earned_value(table: ClassTable, outcome: str) -> float:
-    """What a request of a class earns that ended so."""
+    """Returns the value that a request of a class earns with an outcome."""
     if outcome == "on_time":
         return float(table.worth)
     return float(table.worth * table.late_worth) if outcome == "late" else 0.0
--- a/heronlug/emulator/network.py
+++ b/heronlug/emulator/network.py
@@ -1,4 +1,4 @@
-"""The network between zones: delays, lost datagrams and partitions."""
+"""Emulates the network between zones: delays, lost datagrams and partitions."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -12,27 +12,27 @@
 
 
 def lognormal_draws(sigma: float, seed: int, *names: str, median: float = 1.0) -> Draws:
-    """Draws around a median, lognormal, or the median itself where sigma or the median is 0.
+    """Returns lognormal draws with a given median, or constant draws of the median if sigma or the median is 0.
 
     Args:
-        sigma: the standard deviation of the logarithm.
-        seed: of the run.
-        names: of the random stream.
-        median: of the draws.
+        sigma: standard deviation of the logarithm.
+        seed: seed of the run.
+        names: names of the random stream.
+        median: median of the draws.
     """
     distribution = lognorm(sigma, scale=median) if sigma and median else median
     return Draws(distribution, stream(seed, "ways", *names))
 
 
 class DeferredCall(NamedTuple):
-    """A call that waits for a partition to heal."""
+    """Call that is made when a partition heals."""
 
     callback: Callable[..., object]
     args: tuple[Any, ...]
 
 
 class EmulatedNetwork:
-    """What lies between dispatchers and servers."""
+    """Network between dispatchers and servers, and among dispatchers."""
 
     def __init__(self, timeline: Timeline, table: Network, seed: int) -> None:
         self._timeline, self._table, self._seed = timeline, table, seed
@@ -43,19 +43,19 @@
         self._deferred_calls: list[DeferredCall] = []
 
     def add_server(self, name: str) -> None:
-        """Give a server a random stream for its delays."""
+        """Creates the random stream for the delays of a server."""
         self._server_factors[name] = lognormal_draws(self._table.sigma, self._seed, name)
 
     def median_one_way_ms(self, zone: int, other: int) -> float:
-        """The median delay of one way between two zones, in ms."""
+        """Returns the median one-way delay between two zones, in ms."""
         return float(self._table.inside_ms if zone == other else self._table.across_ms)
 
     def one_way_ms(self, zone: int, server: EmulatedServer) -> float:
-        """Draw the delay from a zone to a server or back, in ms."""
+        """Draws the one-way delay between a zone and a server, in ms."""
         return self.median_one_way_ms(zone, server.zone) * self._server_factors[server.name].next()
 
     def send_datagram(self, zone: int, other: int, deliver: Callable[..., object], *args: Any) -> None:
-        """Send a datagram between zones; it may be lost or overtake another one."""
+        """Sends a datagram between zones; the datagram may be lost or overtake another datagram."""
         loss = self._table.loss
         if self.is_partitioned(zone, other) or (loss and self._losses.random() < loss):
             return
@@ -65,20 +65,20 @@
     # -- partitions
 
     def is_partitioned(self, zone: int, other: int) -> bool:
-        """Whether nothing passes between two zones."""
+        """Returns whether a partition separates two zones."""
         partitioned = self._partitioned_zones
         return zone != other and bool(partitioned) and (zone in partitioned or other in partitioned)
 
     def partition(self, zone: int) -> None:
-        """Let nothing pass into a zone or out of it."""
+        """Cuts a zone off from all other zones."""
         self._partitioned_zones.add(zone)
 
     def defer_until_heal(self, callback: Callable[..., object], *args: Any) -> None:
-        """Make a call once a partition has healed."""
+        """Defers a call until a partition heals."""
         self._deferred_calls.append(DeferredCall(callback, args))
 
     def heal(self, zone: int) -> None:
-        """Connect a zone again, and make the calls that were held."""
+        """Reconnects a zone and makes the deferred calls."""
         self._partitioned_zones.discard(zone)
         deferred, self._deferred_calls = self._deferred_calls, []
         for call in deferred:
--- a/heronlug/emulator/policies.py
+++ b/heronlug/emulator/policies.py
@@ -1,8 +1,9 @@
-"""Other policies to choose a server by, to compare the balancer with: a floor and a ceiling for every figure.
+"""Provides simple policies for choosing a server, which give lower and upper bounds to compare the balancer with.
 
-Each takes the balancer's place in a core: events in, actions out. All retry alike (what the effect allows, at once, up
-to the cap) and send nothing to a server that is not ready; they differ in the choice alone. None reserves capacity at
-servers that warm up or hands on what it has learned.
+A policy replaces the balancer in a core: it receives events and returns actions. All policies retry in the same way (if
+the effect allows a retry, at once, up to the maximum number of attempts) and send nothing to a server that is not
+ready; the policies differ only in the choice of the server. No policy reserves capacity at servers that are warming up
+or shares its observations with other dispatchers.
 """
 
 from collections.abc import Callable
@@ -27,22 +28,22 @@
 from heronlug.balancer.settings import Effect, RequestClass, Settings
 
 BUILT_IN_POLICY = "heronlug"
-"""The name of the balancer itself among the policies."""
+"""Name of the balancer itself among the policies."""
 MEAN_WORK_MS = 200.0
-"""The work of a request that the oracle reckons with; only the proportion of queueing to distance depends on it."""
+"""Work of a request in ms that the oracle assumes; sets the weight of queueing relative to network delay."""
 
 
 class ServerTruth(NamedTuple):
-    """What is true of a server at this moment; dispatchers do not see it, and two of the policies do.
+    """Actual state of a server, which dispatchers cannot observe; the shortest-queue and oracle policies use it.
 
     Attributes:
-        occupied_slots: slots of what runs or is queued there.
-        inbound_slots: slots of attempts on their way to it, from all dispatchers.
-        overload_slots: slots that may be in it without overload.
-        capacity: slots that it has now.
-        speed: divides the work of an execution.
-        responsive: whether it is up, not suspended and can be reached.
-        round_trip_ms: the median time to reach it and back.
+        occupied_slots: slots of running and queued executions.
+        inbound_slots: slots of attempts that are on the way to the server, from all dispatchers.
+        overload_slots: slots above which the server is overloaded.
+        capacity: slots that the server has at this time.
+        speed: divisor of the work of an execution.
+        responsive: whether the server is up, not suspended and reachable.
+        round_trip_ms: median network round-trip time in ms.
     """
 
     occupied_slots: float
@@ -55,18 +56,18 @@
 
     @classmethod
     def of_missing_server(cls) -> "ServerTruth":
-        """What is true of a server that is not there any more."""
+        """Returns the state of a server that no longer exists."""
         return cls(0.0, 0.0, 1.0, 1.0, 1.0, responsive=False, round_trip_ms=0.0)
 
 
 @dataclass(slots=True)
 class KnownServer:
-    """A server as a policy knows it.
+    """Server in the endpoint list of a policy.
 
     Attributes:
-        number: of the server.
-        entry: its entry in the endpoint list.
-        own_slots: slots of our attempts that have not ended.
+        number: number of the server.
+        entry: entry in the endpoint list.
+        own_slots: slots of this dispatcher's attempts that have not ended.
     """
 
     number: int
@@ -76,13 +77,13 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that has had no final answer.
+    """Request without a final answer.
 
     Attributes:
-        arrived: its arrival.
-        attempt_count: attempts that were started.
-        attempts_in_flight: the numbers of those that have not ended.
-        servers: that it was sent to.
+        arrived: arrival event of the request.
+        attempt_count: number of attempts that were started.
+        attempts_in_flight: numbers of the attempts that have not ended.
+        servers: numbers of the servers that the request was sent to.
         may_have_run: whether an attempt may have run.
     """
 
@@ -94,16 +95,16 @@
 
 
 class Policy:
-    """The base of all: everything but the choice.
+    """Base class of the policies; implements everything except the choice of the server.
 
     Attributes:
-        name: in scenario files.
-        settings: of the dispatcher.
-        rng: its random draws.
-        server_truth: tells what is true of the server with a number.
-        servers: of the endpoint list, by number.
-        ready_servers: those that are ready.
-        requests: that are open, by number.
+        name: name of the policy in scenario files.
+        settings: settings of the dispatcher.
+        rng: random number generator of the policy.
+        server_truth: returns the actual state of the server with a number.
+        servers: servers of the endpoint list, by number.
+        ready_servers: servers of the list that are ready.
+        requests: open requests, by number.
     """
 
     name = ""
@@ -116,15 +117,20 @@
         self._subscribed = False
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
-        """Choose one of at least one candidate for the next attempt of a request; None rejects the request."""
+        """Returns the candidate for the next attempt of a request, or None to end the request.
+
+        Args:
+            request: the request.
+            candidates: servers to choose from, at least one.
+        """
         raise NotImplementedError
 
     def avoided(self, now: float) -> set[int]:
-        """The servers that are avoided for what they did: none."""
+        """Returns the servers that are avoided because of their behaviour: none."""
         return set()
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """The actions that an event leads to."""
+        """Handles an event and returns the resulting actions."""
         actions: list[Action] = []
         if isinstance(event, RequestArrived):
             self.requests[event.request] = OpenRequest(event)
@@ -170,7 +176,7 @@
     # -- attempts
 
     def _start_attempt(self, number: int, now: float, actions: list[Action]) -> None:
-        """Start the next attempt of a request, or end the request if there is no server, time or attempt left."""
+        """Starts the next attempt of a request, or ends the request if no server, time or attempt is left."""
         request = self.requests[number]
         server = self._next_server(request, now)
         if server is None:
@@ -184,7 +190,7 @@
         actions.append(StartAttempt(number, server.number))
 
     def _next_server(self, request: OpenRequest, now: float) -> KnownServer | None:
-        """The server of the next attempt, if possible one that the request was not sent to; None: no attempt."""
+        """Returns the server of the next attempt, if possible an untried server; None if no attempt is to be made."""
         exhausted = request.attempt_count >= self.settings.max_attempts_of(self._class_of(request))
         if exhausted or now >= request.arrived.give_up_at or not self.ready_servers:
             return None
@@ -216,76 +222,77 @@
 
 
 class RandomChoice(Policy):
-    """Any server."""
+    """Chooses a server uniformly at random."""
 
     name = "random"
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Any candidate, each as likely."""
+        """Returns a random candidate."""
         return self.rng.choice(candidates)
 
 
 class RoundRobin(Policy):
-    """One server after the other."""
+    """Chooses servers in round-robin order."""
 
     name = "round-robin"
     _position = 0
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
-        """The next candidate."""
+        """Returns the next candidate in round-robin order."""
         self._position += 1
         return candidates[self._position % len(candidates)]
 
 
 class LeastInFlight(Policy):
-    """The server with the fewest slots of our own attempts in flight."""
+    """Chooses the server with the fewest slots of this dispatcher's own attempts in flight."""
 
     name = "least-in-flight"
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Any of the candidates with the fewest."""
+        """Returns a random one of the candidates with the fewest own slots."""
         fewest = min(server.own_slots for server in candidates)
         return self.rng.choice([server for server in candidates if server.own_slots == fewest])
 
 
 class TwoChoices(Policy):
-    """Of two servers, the one with fewer slots of our own attempts in flight (Mitzenmacher 2001)."""
+    """Chooses the less loaded of two random servers, by own attempts in flight (Mitzenmacher 2001)."""
 
     name = "two-choices"
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Of two random candidates, the one with fewer."""
+        """Returns the one of two random candidates with fewer own slots."""
         one, other = self.rng.choice(candidates), self.rng.choice(candidates)
         return one if one.own_slots <= other.own_slots else other
 
 
 class ShortestQueue(Policy):
-    """The server with the least in it, from whichever dispatcher: join the shortest queue, which no dispatcher sees."""
+    """Chooses the server with the fewest occupied slots of all dispatchers, which a dispatcher cannot observe."""
 
     name = "shortest-queue"
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Any of the candidates with the least."""
+        """Returns a random one of the candidates with the fewest occupied slots."""
         occupied = {server.number: self.server_truth(server.number).occupied_slots for server in candidates}
         least = min(occupied.values())
         return self.rng.choice([server for server in candidates if occupied[server.number] == least])
 
 
 class Oracle(Policy):
-    """Knows all: queues, attempts on their way, capacity, speed, distance, suspension, and what a server bears.
+    """Chooses the server with the earliest estimated end, from the actual state of all servers.
 
-    Chooses by when the request would be done, and rejects it where every server has as much as it bears.
+    The estimate uses queues, attempts on the way, capacity, speed, network delay, suspension and overload limits. The
+    request is rejected if every server is unresponsive or at its overload limit.
     """
 
     name = "oracle"
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
-        """The candidate where the request would be done first."""
+        """Returns the candidate with the earliest estimated end, or None if no candidate is admissible."""
         best = min(candidates, key=lambda server: self._time_to_done(request, server))
         return best if self._time_to_done(request, best) < float("inf") else None
 
     def _time_to_done(self, request: OpenRequest, server: KnownServer) -> float:
-        """About how many ms a server would need, by what is in it or on its way; infinite if it must not be chosen."""
+        """Returns the estimated time in ms until a server is done; infinite if the server must not be chosen."""
         truth = self.server_truth(server.number)
         before = truth.occupied_slots + truth.inbound_slots
         after = before + request.arrived.slots
@@ -298,4 +305,4 @@
 POLICIES: dict[str, type[Policy]] = {
     policy.name: policy for policy in (RandomChoice, RoundRobin, LeastInFlight, TwoChoices, ShortestQueue, Oracle)
 }
-"""The policies by their names in scenario files."""
+"""Policies by their names in scenario files."""
--- a/heronlug/emulator/servers.py
+++ b/heronlug/emulator/servers.py
@@ -1,9 +1,9 @@
-"""An emulated server: slots, a bounded queue, slow start, overload, suspension and crashes.
+"""Emulates a server with slots, a bounded queue, slow start, overload, suspension and crashes.
 
-A server executes attempts in slots; an execution takes ``work_ms / speed`` milliseconds. A fresh process has a fraction
-of its slots, which grows evenly to all of them while it warms up. What is in the server, running and queued, may exceed
-a multiple of its present slots for a limited time; if it lasts longer the process crashes, everything in it is lost and
-a new process starts cold. That is rule 4 of the platform, as a model.
+A server executes attempts in slots; an execution takes ``work_ms / speed`` milliseconds. A new process has a fraction
+of its slots; the fraction grows linearly to 1 while the process warms up. Running and queued executions may occupy more
+than a multiple of the present slots for a limited time. If the overload lasts longer, the process crashes, all its
+executions are lost and a new process starts cold. This models rule 4 of the platform.
 """
 
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 from heronlug.emulator.timeline import ScheduledEvent, Timeline
 
 WARMUP_STEP_SLOTS = 0.25
-"""How far the capacity of a server grows, in slots, between two looks at its queue while it warms up."""
+"""Growth of capacity in slots after which a server that is warming up checks its queue again."""
 ROUNDING_SLOTS = 1e-9
-"""Slots that a sum of slots may be off by."""
+"""Tolerance for rounding errors in sums of slots."""
 EARLIEST_START_MS = 1e-3
-"""A process that starts at time 0 counts as started here, since a start at 0 means long past."""
+"""Earliest start time of a cold process in ms, since a start time of 0 marks a process that is already warm."""
 
 
 class ExecutionState(Enum):
-    """What a server reports of an execution."""
+    """State of an execution that a server reports."""
 
     STARTED = "started"
     DONE = "done"
@@ -30,15 +30,15 @@
 
 
 class ServerKind(NamedTuple):
-    """A kind of server.
+    """Kind of server.
 
     Attributes:
-        name: of the kind.
-        slots: of a server that has warmed up.
-        speed: divides the work of an execution.
-        queue_length: executions that may be queued; one more is rejected.
-        queue_order: ``fifo``: the first is started once it fits; ``backfill``: the first that fits; ``priority``: the
-            one with the highest priority weight.
+        name: name of the kind.
+        slots: number of slots of a server that has warmed up.
+        speed: divisor of the work of an execution.
+        queue_length: maximum number of queued executions; a further execution is rejected.
+        queue_order: order in which queued executions start. ``fifo`` starts the first execution once it fits,
+            ``backfill`` the first execution that fits, ``priority`` the execution with the highest priority weight.
     """
 
     name: str
@@ -49,13 +49,13 @@
 
 
 class WarmupModel(NamedTuple):
-    """How a fresh process comes to its full capacity, and what overload it bears; ``[safety]`` of a scenario.
+    """Warm-up of a new process and limits of overload; the ``[safety]`` table of a scenario.
 
     Attributes:
-        initial_fraction: of its slots at the start of a process.
-        warmup_ms: until it has all of them.
-        overload_multiple: of its present slots that may be in it, running and queued.
-        overload_window_ms: for which more may be in it before it crashes.
+        initial_fraction: fraction of the slots that a process has at its start.
+        warmup_ms: time in ms until a process has all its slots.
+        overload_multiple: multiple of the present slots that running and queued executions may occupy without overload.
+        overload_window_ms: time in ms of overload after which a process crashes.
     """
 
     initial_fraction: float = 0.15
@@ -66,18 +66,18 @@
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """One attempt at a server.
+    """Execution of one attempt at a server.
 
     Attributes:
-        owner: whatever the sender keeps with it.
-        work_ms: of it at speed 1.
-        slots: that it takes.
-        priority_weight: for servers that start the weightiest first.
-        notify: called with each state that the server reports.
-        arrived_at: when it came to the server.
-        started_at: when it began to run, -1 before that.
-        completion: the event that ends it, while it runs and the server is not suspended.
-        remaining_ms: of its time, while the server is suspended.
+        owner: any object that the sender associates with the execution.
+        work_ms: duration in ms at speed 1.
+        slots: number of slots that the execution occupies.
+        priority_weight: weight for servers that start the execution with the highest weight first.
+        notify: called with the execution and each state that the server reports.
+        arrived_at: time of arrival at the server in ms.
+        started_at: start time in ms, -1 before the start.
+        completion: event that ends the execution, set while the execution runs and the server is not suspended.
+        remaining_ms: remaining duration in ms, valid while the server is suspended.
     """
 
     owner: Any
@@ -91,7 +91,7 @@
     remaining_ms: float = 0.0
 
     def cancel_completion(self) -> None:
-        """It does not end by itself any more."""
+        """Cancels the event that ends the execution."""
         if self.completion is not None:
             self.completion.cancel()
             self.completion = None
@@ -99,29 +99,29 @@
 
 @dataclass(slots=True, eq=False)
 class EmulatedServer:
-    """One server: a process, and those after it under the same name.
+    """One server with its successive processes under one name.
 
     Attributes:
-        name: of the server.
-        kind: its slots, speed and queue.
-        zone: the index of its zone.
-        timeline: the time that it runs in.
-        warmup: how it warms up and what it bears.
-        started_at: when its process started, in ms; 0: long past.
-        up: whether it has a process.
-        unresponsive: whether the process is paused or hangs, so that nothing in it goes on.
-        slowdown: the factor by which executions that start now take longer.
-        running: executions in slots.
+        name: name of the server.
+        kind: slots, speed and queue of the server.
+        zone: index of the server's zone.
+        timeline: virtual time of the run.
+        warmup: model of warm-up and overload.
+        started_at: start time of the process in ms; 0 for a process that is already warm.
+        up: whether the server has a running process.
+        unresponsive: whether the process is paused or hangs, so that its executions make no progress.
+        slowdown: factor by which executions that start now take longer.
+        running: executions that occupy slots.
         queued: executions that wait for slots.
-        used_slots: slots of what runs.
-        occupied_slots: slots of what runs or is queued.
-        inbound_slots: slots of attempts on their way to it.
-        busy_slot_ms: slots that were used, summed over time.
-        warmup_peak_load: the highest load while it warmed up; 1 is where overload begins.
-        execution_count: executions that were started.
-        overload_crashes: how often overload made it crash.
-        on_overload: called when it has borne overload for too long.
-        on_execution_start: called with each execution that starts.
+        used_slots: slots of running executions.
+        occupied_slots: slots of running and queued executions.
+        inbound_slots: slots of attempts that are on the way to the server.
+        busy_slot_ms: integral of ``used_slots`` over time, in slots times ms.
+        warmup_peak_load: highest load while the server was warming up; overload begins above 1.
+        execution_count: number of executions started.
+        overload_crashes: number of crashes caused by overload.
+        on_overload: called when overload has lasted for the overload window.
+        on_execution_start: called with the server and each execution that starts.
     """
 
     name: str
@@ -150,7 +150,7 @@
     # -- capacity
 
     def capacity(self) -> float:
-        """The slots that it has now."""
+        """Returns the present number of slots."""
         age = self.timeline.now - self.started_at if self.started_at else float("inf")
         if age >= self.warmup.warmup_ms:
             return float(self.kind.slots)
@@ -159,26 +159,26 @@
 
     @property
     def warming_up(self) -> bool:
-        """Whether it has less than all its slots."""
+        """Whether the process does not have all its slots yet."""
         return bool(self.started_at) and self.timeline.now - self.started_at < self.warmup.warmup_ms
 
     @property
     def overload_slots(self) -> float:
-        """The slots that may be in it now, running and queued, without overload."""
+        """Slots that running and queued executions may occupy now without overload."""
         return self.warmup.overload_multiple * self.capacity()
 
     def load(self) -> float:
-        """What is in it, as a fraction of :attr:`overload_slots`."""
+        """Returns the occupied slots as a fraction of :attr:`overload_slots`."""
         return self.occupied_slots / self.overload_slots
 
     def duration_ms(self, execution: Execution) -> float:
-        """How long an execution takes that starts now."""
+        """Returns the duration in ms of an execution that starts now."""
         return execution.work_ms * self.slowdown / self.kind.speed
 
     # -- executions
 
     def accept(self, execution: Execution) -> bool:
-        """Queue an execution that has arrived; False if the queue is full, which rejects it."""
+        """Queues an execution that has arrived; returns False if the queue is full and the execution is rejected."""
         if len(self.queued) >= self.kind.queue_length and self.used_slots + execution.slots > self._usable_slots():
             return False
         execution.arrived_at = self.timeline.now
@@ -189,7 +189,7 @@
         return True
 
     def cancel(self, execution: Execution) -> bool:
-        """Drop an execution that its sender cancelled; False if it was not here."""
+        """Drops a cancelled execution; returns False if the execution is not at this server."""
         if execution in self.queued:
             self.queued.remove(execution)
         elif execution in self.running:
@@ -204,13 +204,13 @@
     # -- the process
 
     def start(self) -> None:
-        """Start a new process, which is cold."""
+        """Starts a new, cold process."""
         self.up = True
         self.started_at = max(self.timeline.now, EARLIEST_START_MS)
         self._advance_warmup()
 
     def stop(self) -> list[Execution]:
-        """End the process; returns the executions that were in it."""
+        """Ends the process and returns its running and queued executions."""
         lost = [*self.running, *self.queued]
         for execution in [*self.running]:
             self._release(execution)
@@ -225,7 +225,7 @@
         return lost
 
     def suspend(self) -> None:
-        """Let nothing in the process go on, as in a pause or a hang."""
+        """Suspends all executions of the process, as in a pause or a hang."""
         if self.unresponsive:
             return
         self.unresponsive = True
@@ -235,7 +235,7 @@
             execution.cancel_completion()
 
     def resume(self) -> None:
-        """Let all go on from where it was suspended."""
+        """Resumes all suspended executions."""
         if not self.unresponsive:
             return
         self.unresponsive = False
@@ -243,25 +243,25 @@
             execution.completion = self.timeline.schedule_after(execution.remaining_ms, self._finish, execution)
         self._start_queued()
 
-    # -- inside
+    # -- queue, slots and overload
 
     def _usable_slots(self) -> float:
-        """Slots that may be used now: at least one execution runs, however cold the process is."""
+        """Returns the slots that may be used now; at least 1, so that an execution runs however cold the process is."""
         return max(1.0, self.capacity())
 
     def _start_queued(self) -> None:
-        """Start the queued executions that fit, in the order of this kind of server."""
+        """Starts the queued executions that fit, in the queue order of the server kind."""
         while self.queued and self.up and not self.unresponsive:
             free = self._usable_slots() - self.used_slots + ROUNDING_SLOTS
             position = self._next_in_queue(free)
             execution = self.queued[position]
-            if execution.slots > free and self.running:  # one that never fits runs alone
+            if execution.slots > free and self.running:  # an execution larger than all usable slots runs alone
                 return
             del self.queued[position]
             self._start(execution)
 
     def _next_in_queue(self, free: float) -> int:
-        """The position in the queue of the execution whose turn it is."""
+        """Returns the position in the queue of the next execution to start."""
         queue = self.queued
         if self.kind.queue_order == "priority":
             return max(range(len(queue)), key=lambda position: (queue[position].priority_weight, -position))
@@ -293,7 +293,7 @@
         execution.notify(execution, ExecutionState.DONE)
 
     def _check_overload(self) -> None:
-        """Start or stop the timer that ends in a crash, as more is in the server than it bears or not."""
+        """Starts the crash timer if the server is overloaded, and cancels the timer otherwise."""
         overload_limit = self.overload_slots
         if self.warming_up:
             self.warmup_peak_load = max(self.warmup_peak_load, self.occupied_slots / overload_limit)
@@ -309,7 +309,7 @@
             self._overload_timer = None
 
     def _advance_warmup(self) -> None:
-        """Look at the queue again, since more fits in while the process warms up, also when nothing comes or ends."""
+        """Checks the queue regularly during warm-up, since capacity grows even if no execution arrives or ends."""
         if self.up and self.warming_up:
             self._start_queued()
             self._check_overload()
--- a/heronlug/emulator/timeline.py
+++ b/heronlug/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of scheduled events and one loop that takes the earliest, and a core's deadlines on it.
+"""Provides virtual time: a heap of scheduled events, a loop that runs them in order, and deadlines for a core.
 
 All times are milliseconds from the start of the run.
 """
@@ -11,12 +11,12 @@
 
 
 class ScheduledEvent:
-    """A call that is due at a time; it is called once or cancelled.
+    """Call that is scheduled at a time and is made once unless cancelled.
 
     Attributes:
-        time: when it is due, in ms.
-        callback: what is called; None once it was called or cancelled.
-        args: what it is called with.
+        time: time of the call in ms.
+        callback: function to call; None after the call or a cancellation.
+        args: arguments of the call.
     """
 
     __slots__ = ("args", "callback", "time")
@@ -27,17 +27,17 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Keep it from being called; no error if it was called already."""
+        """Cancels the call; has no effect if the call was already made."""
         self.callback = None
         self.args = ()
 
 
 class Timeline:
-    """Scheduled events in order of time; events of the same time in the order in which they were scheduled.
+    """Runs scheduled events in order of time; events of the same time run in the order of scheduling.
 
     Attributes:
-        now: the virtual time, in ms.
-        event_count: events that have been called.
+        now: virtual time in ms.
+        event_count: number of events that have run.
     """
 
     __slots__ = ("_heap", "_sequence", "event_count", "now")
@@ -52,24 +52,24 @@
         return len(self._heap)
 
     def schedule_at(self, time: float, callback: Callable[..., object], *args: Any) -> ScheduledEvent:
-        """Schedule a call at a time; a time that has passed means now."""
+        """Schedules a call at a time in ms; a time in the past means now."""
         self._sequence += 1
         event = ScheduledEvent(max(time, self.now), callback, args)
         heappush(self._heap, (event.time, self._sequence, event))
         return event
 
     def schedule_after(self, delay: float, callback: Callable[..., object], *args: Any) -> ScheduledEvent:
-        """Schedule a call after a delay in ms."""
+        """Schedules a call after a delay in ms."""
         return self.schedule_at(self.now + delay, callback, *args)
 
     def run(self, until: float) -> None:
-        """Step through all events up to a time, which is the time afterwards."""
+        """Runs all events up to a time in ms and sets the virtual time to that time."""
         while self._heap and self._heap[0][0] <= until:
             self.step()
         self.now = until
 
     def step(self) -> None:
-        """Take the earliest event and call it, unless it was cancelled."""
+        """Removes the earliest event and runs it unless it was cancelled."""
         time, _, event = heappop(self._heap)
         callback, args = event.callback, event.args
         if callback is None:
@@ -81,10 +81,10 @@
 
 
 class VirtualDeadlines(Deadlines):
-    """The deadlines of a core as events of a timeline.
+    """Schedules the deadlines of a core on a timeline.
 
     Attributes:
-        cancelled: whether the process of the core has ended, so that no deadline takes effect any more.
+        cancelled: whether the process of the core has ended, after which no deadline takes effect.
     """
 
     __slots__ = ("_live", "_timeline", "cancelled")
@@ -99,14 +99,14 @@
         return len(self._live)
 
     def call_at(self, when: float, what: Callable[..., object], *args: Any) -> Key:
-        """Schedule a call, see :meth:`heronlug.requests.deadlines.Deadlines.call_at`."""
+        """Schedules a call, see :meth:`heronlug.requests.deadlines.Deadlines.call_at`."""
         self._seq += 1
         key = (when, self._seq)
         self._live[key] = self._timeline.schedule_at(when, self._call, key, what, args)
         return key
 
     def cancel(self, key: Key | None) -> None:
-        """Cancel a call, see :meth:`heronlug.requests.deadlines.Deadlines.cancel`."""
+        """Cancels a call, see :meth:`heronlug.requests.deadlines.Deadlines.cancel`."""
         event = self._live.pop(key, None) if key is not None else None
         if event is not None:
             event.cancel()
--- a/heronlug/emulator/world.py
+++ b/heronlug/emulator/world.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: the emulated servers, dispatchers, clients, network and discovery, and their figures."""
+"""Runs a scenario with emulated servers, dispatchers, clients, network and service discovery."""
 
 import time
 from collections.abc import Callable
@@ -20,40 +20,40 @@
 from heronlug.requests.model import ListedServer
 
 ANSWER_SLACK_MS = 5.0
-"""How long an answer needs to its client."""
+"""Time in ms that an answer needs to reach its client."""
 CHECKER_SLACK_MS = 1e-6
-"""What the checker allows beyond a deadline, since events of the same time come in some order."""
+"""Tolerance in ms of the checker for deadlines, since events of the same time have no defined order."""
 TICK_MS = 1.0
-"""The tick of the emulated dispatchers."""
+"""Tick of the emulated dispatchers in ms."""
 PROGRESS_INTERVAL_MS = 1000.0
-"""How often dispatchers are told that servers report progress."""
+"""Interval in ms at which servers report progress, as configured in the dispatchers."""
 
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
-"""The effects by their names in scenario files."""
+"""Effects by their names in scenario files."""
 
 DecisionModule = Callable[[Settings, int], Any]
-"""Makes a decision module from the settings and a seed."""
+"""Creates a decision module from the settings and a seed."""
 
 
 class World:
-    """A run with all its parts.
+    """A run of a scenario with all its parts.
 
     Attributes:
-        scenario: that is run.
-        seed: of all random streams.
-        decision_module: takes the place of the balancer, for tests; None: the balancer itself.
-        checks_before_write: whether the core checks an attempt again before it writes it, as it does outside of tests.
-        timeline: the virtual time.
-        checker: checks the rules.
-        classes: the request classes of the scenario.
-        network: between dispatchers and servers.
-        servers: by name, without those that were replaced.
-        discovery: of the servers.
-        figures: of the run.
-        clients: that make the requests.
-        dispatchers: all of them.
-        running_dispatchers: those that have a process, by number.
-        faults: that are injected.
+        scenario: scenario of the run.
+        seed: seed of all random streams.
+        decision_module: creates a replacement for the balancer in tests; None for the balancer itself.
+        checks_before_write: whether the core checks an attempt again before the attempt is written; True outside tests.
+        timeline: virtual time.
+        checker: conformance checker of the four rules.
+        classes: request classes of the scenario.
+        network: network between dispatchers and servers.
+        servers: servers by name, without replaced servers.
+        discovery: service discovery.
+        figures: figures of the run.
+        clients: clients of the run.
+        dispatchers: all dispatchers.
+        running_dispatchers: dispatchers with a running process, in order of their numbers.
+        faults: fault injector.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self.faults = FaultInjector(self, scenario.trouble, scenario.zones, self.seed)
 
     def run(self) -> Figures:
-        """Run the scenario to its end, and on until all requests have been answered."""
+        """Runs the scenario to its end and beyond until all deadlines have passed; returns the figures."""
         began = time.perf_counter()
         self._schedule_dispatchers()
         self.clients.start()
@@ -106,13 +106,13 @@
         return self.figures
 
     def record_event(self, event: Event) -> None:
-        """Give an event to the checker, and to whoever records."""
+        """Passes an event to the checker and to the recorder, if there is one."""
         self.checker.see(event)
         if self._record is not None:
             self._record(event)
 
     def settings(self, position: int, zone: int) -> Settings:
-        """The settings of a dispatcher."""
+        """Returns the settings of the dispatcher with a position and a zone."""
         table, safety = self.scenario.dispatchers, self.scenario.safety
         return Settings(
             classes=self.classes,
@@ -137,19 +137,19 @@
             overload_window=safety.overload_for_ms,
         )
 
-    # -- what faults need, see heronlug.emulator.faults
+    # -- interface for fault injection, see heronlug.emulator.faults
 
     def stop_server(self, server: EmulatedServer) -> None:
-        """End a server's process, with all that is in it."""
+        """Ends a server's process; its running and queued executions are lost."""
         for execution in server.stop():
             execution.notify(execution, ExecutionState.LOST)
 
     def list_server(self, server: EmulatedServer, state: ServerState) -> None:
-        """Let service discovery list a server in a state."""
+        """Changes the state of a server in service discovery."""
         self.discovery.update(self._entry(server, state))
 
     def replace_server(self, server: EmulatedServer) -> None:
-        """Start a cold successor of a server under a name of its own."""
+        """Replaces a server by a cold successor with a new name."""
         base, _, generation = server.name.partition("+")
         successor = self._add_server(f"{base}+{int(generation or 0) + 1}", server.kind, server.zone)
         self._replaced_servers.append(self.servers.pop(server.name))
@@ -158,28 +158,28 @@
         self.list_server(successor, ServerState.READY)
 
     def silence_discovery(self) -> None:
-        """Let service discovery send nothing."""
+        """Stops service discovery from sending."""
         self.discovery.silent = True
 
     def end_discovery_silence(self) -> None:
-        """Let service discovery send again, with all that it held back."""
+        """Lets service discovery send again, beginning with the changes that were deferred during the silence."""
         self.discovery.end_silence()
 
     def kill_dispatcher(self, dispatcher: EmulatedDispatcher) -> None:
-        """End a dispatcher's process at once, and start another one later."""
+        """Ends a dispatcher's process at once and schedules the start of its next process."""
         self.running_dispatchers.remove(dispatcher)
         dispatcher.kill()
         self.timeline.schedule_after(self.scenario.dispatchers.start_s * 1000, self._start_dispatcher, dispatcher)
 
     def partition_zone(self, zone: int) -> None:
-        """Let nothing pass into a zone or out of it."""
+        """Cuts a zone off from all other zones."""
         self.network.partition(zone)
 
     def heal_zone(self, zone: int) -> None:
-        """Let pass what goes into the zone or out of it, and what has waited for that."""
+        """Reconnects a zone and delivers the reports that the partition postponed."""
         self.network.heal(zone)
 
-    # -- parts
+    # -- construction of the parts
 
     def _make_discovery(self) -> ServiceDiscovery:
         table = self.scenario.register
@@ -206,12 +206,12 @@
         return server
 
     def _entry(self, server: EmulatedServer, state: ServerState) -> ListedServer:
-        """The entry of a server in the endpoint list."""
+        """Returns the entry of a server in the endpoint list."""
         kind_number = self._kind_numbers[server.kind.name]
         return ListedServer(server.name, f"{server.name}:1", state, server.zone, kind_number, 0, 1.0, server.started_at)
 
     def _schedule_dispatchers(self) -> None:
-        """Start all dispatchers, now or spread over the time that the scenario gives."""
+        """Starts all dispatchers, at once or at random times within ``over_s`` of the scenario."""
         spread_ms = self.scenario.dispatchers.over_s * 1000
         starts = stream(self.seed, "starts")
         for dispatcher in self.dispatchers:
@@ -225,7 +225,7 @@
         self.running_dispatchers.sort(key=lambda each: each.number)
         dispatcher.start()
 
-    # -- what servers report
+    # -- reports from servers
 
     def _crash_from_overload(self, server: EmulatedServer) -> None:
         self.record_event(Load(self.timeline.now, server.name, server.load(), server.warming_up))
@@ -238,7 +238,7 @@
     # -- figures
 
     def _complete_figures(self, span: float) -> None:
-        """Add what is known at the end of a run over a span in ms."""
+        """Adds the figures that are known only at the end of a run; ``span`` is the length of the run in ms."""
         figures, discovery = self.figures, self.discovery
         figures.littles_law = self._littles_law(span)
         for server in [*self.servers.values(), *self._replaced_servers]:
@@ -252,13 +252,13 @@
         figures.event_count = self.timeline.event_count
 
     def _littles_law(self, span: float) -> LittlesLaw:
-        """Both sides of Little's law: over a whole run, to its empty end, the same sum counted in two ways."""
+        """Returns the two sides of Little's law, which are equal over a run that ends without open requests."""
         self.clients.change_open_requests(0)
         return LittlesLaw(self.clients.open_request_ms / span, self.clients.total_stay_ms / span)
 
 
 def _request_classes(scenario: Scenario) -> tuple[RequestClass, ...]:
-    """The request classes of a scenario as the balancer knows them."""
+    """Returns the request classes of a scenario as settings of the balancer."""
     return tuple(
         RequestClass(
             latency_objective=table.aim_ms,
