--- a/heronlug/experiments/__init__.py
+++ b/heronlug/experiments/__init__.py
@@ -1,5 +1,6 @@
-"""Experiments on the emulator: sweeps over parameters and seeds, kept in SQLite, compared and reported.
+"""Runs experiments on the emulator: sweeps over parameters and seeds, stored in SQLite, compared and reported.
 
-``experiment`` is the file, ``runner`` plays it on all cores, ``store`` keeps what came of it, ``compare`` says which
-differences are more than noise, ``report`` writes a page. Needs the libraries of the extra ``lab``.
+``experiment`` reads the experiment file, ``runner`` executes the runs on all cores, ``store`` stores the results,
+``compare`` separates differences from noise and ``report`` renders an HTML page. The package requires the libraries of
+the extra ``lab``.
 """
--- a/heronlug/experiments/experiment.py
+++ b/heronlug/experiments/experiment.py
@@ -1,15 +1,17 @@
-"""An experiment file: a scenario, what is set for all runs, what varies, and how many seeds.
+"""Reads experiment files: a scenario, values set for all runs, varied parameters and the number of seeds.
 
-name = "dispatchers"
-scenario = "../scenarios/steady.toml"   # beside this file
-seeds = 10
+For example::
 
-[set]
-span_s = 30
+    name = "dispatchers"
+    scenario = "../scenarios/steady.toml"   # relative to this file
+    seeds = 10
 
-[vary]
-policy = ["heronlug", "random"]
-dispatchers.count = [4, 16, 50]
+    [set]
+    span_s = 30
+
+    [vary]
+    policy = ["heronlug", "random"]
+    dispatchers.count = [4, 16, 50]
 """
 
 import hashlib
@@ -30,16 +32,25 @@
 
 Params = dict[str, Any]
 MAX_RUNS = 100_000
-"""Runs of one experiment at most."""
+"""Maximum number of runs of an experiment."""
 CODE_PACKAGES = ("balancer", "config", "conformance", "discovery", "emulator", "requests")
-"""The packages of heronlug that a run imports."""
+"""Packages of heronlug that a run imports."""
 
 
 class Experiment(Struct, forbid_unknown_fields=True):
-    """The file."""
+    """An experiment file.
+
+    Attributes:
+        name: name of the experiment.
+        scenario: path of the scenario file, relative to the experiment file.
+        seeds: number of seeds for each combination of varied values.
+        first_seed: first seed; further seeds follow consecutively.
+        set: values set for all runs, by dotted key of the scenario.
+        vary: lists of values to vary, by dotted key of the scenario.
+    """
 
     name: Annotated[str, Meta(min_length=1, max_length=64, description="a text of 1 to 64 characters")]
-    scenario: Annotated[str, Meta(min_length=1, description="a scenario file, beside this one")]
+    scenario: Annotated[str, Meta(min_length=1, description="the path of a scenario file, relative to this one")]
     seeds: Annotated[int, Meta(ge=1, le=10_000, description="a whole number, 1 or more")] = 5
     first_seed: Annotated[int, Meta(ge=0, le=2**30, description="a whole number, 0 or more")] = 1
     set: dict[str, Any] = field(default_factory=dict)
@@ -47,18 +58,27 @@
 
 
 class PlannedRun(NamedTuple):
-    """One run that is to be: what varies, its seed, and a key that no other run of another outcome has."""
+    """A run that is to be executed.
+
+    Attributes:
+        key: digest of everything that the outcome depends on.
+        path: path of the scenario file.
+        params: varied values, by dotted key.
+        fixed: values set for all runs, by dotted key.
+        seed: seed of the run.
+        code: version of the program when the experiment was read, even if files change before the run.
+    """
 
     key: str
     path: str
     params: Params
     fixed: Params
     seed: int
-    code: str  # the version that was asked for, whatever becomes of the files meanwhile
+    code: str
 
 
 def dotted_keys(table: dict[str, Any], prefix: str = "") -> Params:
-    """Nested tables as dotted keys."""
+    """Flattens nested tables to dotted keys; ``prefix`` is put before each key."""
     flat: Params = {}
     for key, value in table.items():
         if isinstance(value, dict):
@@ -69,7 +89,7 @@
 
 
 def version() -> str:
-    """What of the program bears on a run: its version and a digest of the packages that a run imports."""
+    """Returns the version of the program followed by a digest of the packages that a run imports."""
     digest, root = hashlib.sha256(), Path(heronlug.__file__).parent
     for package in CODE_PACKAGES:
         for path in sorted((root / package).rglob("*.py")):
@@ -78,7 +98,11 @@
 
 
 def read(path: Path) -> tuple[Experiment, list[PlannedRun]]:
-    """An experiment and all its runs, each scenario checked; raises :class:`ConfigProblems`."""
+    """Reads an experiment file and returns the experiment and its planned runs; checks every scenario.
+
+    Raises:
+        ConfigProblems: if the file, or the scenario with a combination of values, is invalid.
+    """
     source = Source.read(path)
     experiment, problems = decode(Experiment, source.table, source, ())
     if experiment is None:
@@ -87,11 +111,17 @@
     for key, values in experiment.vary.items():
         keys = ("vary", *key.split("."))
         if not isinstance(values, list) or not values:
-            problems.append(source.problem(keys, f"{values!r} is no list", "a list of at least one value"))
+            problems.append(
+                source.problem(keys, f"{values!r} is not a list of values", "expected a list of at least one value")
+            )
         elif any(value in values[:number] for number, value in enumerate(values)):
-            problems.append(source.problem(keys, "a value is there twice", "each value once"))
+            problems.append(source.problem(keys, "duplicate value", "expected each value once"))
         if key in experiment.set or key == "seed":
-            problems.append(source.problem(keys, "it is set by something else", "seeds, or in [set], or here"))
+            problems.append(
+                source.problem(
+                    keys, "already set elsewhere", "expected each key in only one of seeds, [set] and [vary]"
+                )
+            )
     if problems:
         raise ConfigProblems(problems)
     scenario_path = path.parent / experiment.scenario
@@ -101,22 +131,22 @@
             scenario = scenarios.load(scenario_path, {**experiment.set, **params})
         except ConfigProblems as error:
             with_params = ", ".join(f"{key} = {value!r}" for key, value in params.items())
-            text = f"with {with_params or 'what is set'}: {error.problems[0]}"
-            raise ConfigProblems([source.problem(("scenario",), text, "a scenario that holds")]) from None
+            text = f"invalid with {with_params or 'the values of [set]'}: {error.problems[0]}"
+            raise ConfigProblems([source.problem(("scenario",), text, "expected a valid scenario")]) from None
         except ValueError as error:
-            raise ConfigProblems([source.problem(("vary",), str(error), "a key of the scenario")]) from None
+            raise ConfigProblems([source.problem(("vary",), str(error), "expected a key of the scenario")]) from None
         for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
             key = hashlib.sha256(
                 orjson.dumps([outcome_inputs(scenario), seed, code], option=orjson.OPT_SORT_KEYS)
             ).hexdigest()
             planned_runs.append(PlannedRun(key[:24], str(scenario_path), params, experiment.set, seed, code))
     if len(planned_runs) > MAX_RUNS:
-        raise ConfigProblems([source.problem(("vary",), f"{len(planned_runs)} runs", f"{MAX_RUNS} at most")])
+        raise ConfigProblems([source.problem(("vary",), f"{len(planned_runs)} runs", f"expected at most {MAX_RUNS}")])
     return experiment, planned_runs
 
 
 def outcome_inputs(scenario: Scenario) -> Any:
-    """All that a run depends on, but for its seed; a recorded trace by its content."""
+    """Returns everything that the outcome of a run depends on except the seed; a digest represents a trace file."""
     inputs = scenarios.to_plain_values(scenario)
     inputs.pop("seed")
     for arrivals in scenario.arrivals:
@@ -127,6 +157,6 @@
 
 
 def combinations(vary: dict[str, list[Any]]) -> Iterator[Params]:
-    """All combinations of what varies."""
+    """Yields all combinations of the varied values."""
     for values in product(*vary.values()):
         yield dict(zip(vary, values, strict=True))
--- a/heronlug/experiments/report.py
+++ b/heronlug/experiments/report.py
@@ -1,4 +1,4 @@
-"""One HTML page of an experiment: no outside assets, drawings as SVG within it."""
+"""Renders an experiment as one HTML page with inline SVG plots and no external assets."""
 
 import io
 import math
@@ -18,20 +18,27 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-MAX_DRAWN_CASES = 10  # cases that a drawing shows at most: more cannot be told apart
-MAX_SHOWN_VIOLATIONS = 10  # broken rules that are shown with what led to them
+MAX_DRAWN_CASES = 10
+"""Maximum number of cases in a plot, since more lines cannot be distinguished."""
+MAX_SHOWN_VIOLATIONS = 10
+"""Maximum number of violations that the page shows with their events."""
 CLASS_HEADINGS = [*OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "p99.9 ms"]
+"""Headings of the columns in the tables of request classes."""
 
 
 def label_of(params: dict[str, Any]) -> str:
-    """A case's name: what varies, in the order of its keys."""
+    """Returns the label of a case: the varied values in the order of their keys."""
     return ", ".join(f"{key} {value}" for key, value in sorted(params.items())) or "all"
 
 
 def page(name: str, runs: Sequence[StoredRun]) -> str:
-    """The page; raises ``ValueError`` where there are no runs."""
+    """Returns the HTML page of an experiment.
+
+    Raises:
+        ValueError: if there are no runs.
+    """
     if not runs:
-        msg = f"{name}: there are no runs to report"
+        msg = f"{name}: no runs to report"
         raise ValueError(msg)
     runs_by_case: dict[str, list[StoredRun]] = defaultdict(list)
     for run in runs:
@@ -97,7 +104,7 @@
 
 
 def _cdf(class_name: str, runs_by_case: dict[str, list[StoredRun]]) -> str:
-    figure, axes = _axes(f"{class_name}: latency of what was served", "ms", "share")
+    figure, axes = _axes(f"{class_name}: latency of served requests", "ms", "share")
     aim = 0.0
     for label, group in runs_by_case.items():
         quantiles = [run.details["quantiles"][class_name] for run in group if class_name in run.details["quantiles"]]
@@ -105,14 +112,14 @@
         if quantiles:
             times = np.mean(quantiles, axis=0)
             axes.plot(np.maximum(times, 1.0), np.linspace(0, 1, len(times)), label=label)
-    axes.axvline(aim, color="grey", linestyle=":", label="aim")
+    axes.axvline(aim, color="grey", linestyle=":", label="latency objective")
     axes.set_xscale("log")
     axes.legend(fontsize=8)
     return _svg(figure)
 
 
 def _over_time(runs_by_case: dict[str, list[StoredRun]]) -> str:
-    figure, axes = _axes("Worth earned of what was possible, by the second of arrival", "s", "share")
+    figure, axes = _axes("Earned share of the possible value, by second of arrival", "s", "share")
     for label, group in runs_by_case.items():
         earned, possible = np.sum([run.details["by_second"] for run in group], axis=0)
         shares = np.divide(earned, possible, out=np.full(len(earned), np.nan), where=possible > 0)
@@ -132,7 +139,7 @@
 
 
 def _loads(runs_by_case: dict[str, list[StoredRun]]) -> str:
-    figure, axes = _axes("Load of each host, from the least to the most loaded", "share of the hosts", "share of slots")
+    figure, axes = _axes("Load of each server, in ascending order", "share of the servers", "share of slots")
     for label, group in runs_by_case.items():
         loads = np.sort([server["load"] for run in group for server in run.details["hosts"]])
         axes.plot(np.linspace(0, 1, len(loads)), loads, label=label)
@@ -141,13 +148,13 @@
 
 
 def _warmup_peaks(runs_by_case: dict[str, list[StoredRun]]) -> str:
-    figure, axes = _axes("Most in a cold host, in shares of what it stands", "", "share")
+    figure, axes = _axes("Peak load of servers while warming up, relative to the overload limit", "", "share")
     peaks = {
         label: [max((server["peak"] for server in run.details["hosts"]), default=0.0) for run in group]
         for label, group in runs_by_case.items()
     }
     axes.boxplot(list(peaks.values()), tick_labels=[label[:24] for label in peaks])
-    axes.axhline(1.0, color="red", linestyle=":", label="falls over if it lasts")
+    axes.axhline(1.0, color="red", linestyle=":", label="crash if exceeded too long")
     axes.tick_params(axis="x", labelrotation=20, labelsize=8)
     axes.legend(fontsize=8)
     return _svg(figure)
--- a/heronlug/experiments/runner.py
+++ b/heronlug/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Plays an experiment's runs on all cores and keeps each as it ends."""
+"""Executes the runs of an experiment in parallel processes and stores each result when its run ends."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor, as_completed
@@ -14,11 +14,13 @@
 from heronlug.experiments.store import Store, StoredRun
 
 QUANTILES = 200
-MAX_STORED_VIOLATIONS = 20  # violations kept with what led to them
+"""Number of equal intervals between the stored quantiles of latency."""
+MAX_STORED_VIOLATIONS = 20
+"""Maximum number of violations of a run that are stored with their events."""
 
 
 def execute(planned: PlannedRun) -> StoredRun:
-    """One run, in a process of its own."""
+    """Executes one run; the pool calls it in a separate process."""
     scenario = scenarios.load(Path(planned.path), {**planned.fixed, **planned.params})
     world = World(scenario, planned.seed)
     figures = world.run()
@@ -51,7 +53,7 @@
 
 
 def _stored_server(server: ServerFigures) -> dict[str, str | float]:
-    """The figures of a server under the keys of the store, which earlier versions read too."""
+    """Returns the figures of a server under the keys of the store, which earlier versions read as well."""
     return {
         "name": server.name,
         "kind": server.kind,
@@ -69,9 +71,17 @@
     workers: int,
     report_run: Callable[[PlannedRun, StoredRun | None, str], None],
 ) -> tuple[int, int]:
-    """Play what is not there yet; how many runs there are now, and how many failed.
+    """Executes the runs that are not in the store yet; an interruption leaves finished runs in the store.
 
-    ``done`` is told of each: with the run, or with why it failed.  Interrupted, it leaves what is done.
+    Args:
+        name: name of the experiment.
+        planned_runs: all runs of the experiment.
+        store: store for the results.
+        workers: number of processes.
+        report_run: called after each run with the planned run, the result or None, and the error text or "".
+
+    Returns:
+        The number of runs that are now in the store and the number of runs that failed.
     """
     stored_keys = store.has(name, [planned.key for planned in planned_runs])
     failed = 0
@@ -84,7 +94,7 @@
                 planned = planned_by_future[future]
                 try:
                     stored_run = future.result()
-                except Exception as error:  # one run fails, the others go on
+                except Exception as error:  # a failed run does not end the experiment
                     failed += 1
                     report_run(planned, None, f"{type(error).__name__}: {error}")
                 else:
--- a/heronlug/experiments/store.py
+++ b/heronlug/experiments/store.py
@@ -1,4 +1,4 @@
-"""Runs in SQLite: each is kept as soon as it is done, so that an experiment goes on where it was interrupted."""
+"""Stores runs in SQLite as soon as they end, so that an interrupted experiment can resume."""
 
 import sqlite3
 import time
@@ -9,6 +9,7 @@
 import orjson
 
 FORMAT_VERSION = 1
+"""Version of the store format, the user_version of the SQLite file."""
 CREATE_TABLE = """
 create table if not exists runs (
     key text not null, experiment text not null, params text not null, seed integer not null, version text not null,
@@ -19,34 +20,52 @@
 
 
 class StoreError(ValueError):
-    """A file that is no store of ours."""
+    """The file is not a store of this program or has another format."""
 
 
 class StoredRun(NamedTuple):
-    """One run."""
+    """Result of one run.
+
+    Attributes:
+        params: varied values, by dotted key.
+        seed: seed of the run.
+        version: version of the program.
+        figures: figures by name, see :meth:`heronlug.emulator.figures.Figures.by_name`; nan for a missing figure.
+        details: quantiles of latency, value by second, servers, violations, recovery and latency objectives.
+        wall: wall-clock duration of the run in seconds.
+    """
 
     params: dict[str, Any]
     seed: int
     version: str
-    figures: dict[str, float]  # see Figures.flat; nan where there is none
-    details: dict[str, Any]  # quantiles, service by second, hosts, violations, recovery
+    figures: dict[str, float]
+    details: dict[str, Any]
     wall: float
 
 
 class Store:
-    """One file; a context that closes it."""
+    """A store in one SQLite file; a context manager that closes the file."""
 
     def __init__(self, path: Path, create: bool = True) -> None:
-        """Raises :class:`StoreError`, or ``OSError`` where there is none and none is to be made."""
+        """Opens a store.
+
+        Args:
+            path: path of the file.
+            create: whether to create a store that does not exist.
+
+        Raises:
+            StoreError: if the file is not a store or has another format.
+            FileNotFoundError: if there is no file and ``create`` is false.
+        """
         if not create and not path.is_file():
-            msg = f"{path}: there is no such store; `experiment run` makes it"
+            msg = f"{path}: the store does not exist; `experiment run` creates it"
             raise FileNotFoundError(msg)
         try:
             self._db = sqlite3.connect(path)
             self._db.execute("pragma journal_mode = wal")
             format_version = self._db.execute("pragma user_version").fetchone()[0]
             if format_version not in (0, FORMAT_VERSION):
-                msg = f"{path}: a store of format {format_version}, this program has {FORMAT_VERSION}"
+                msg = f"{path}: store has format {format_version}, but this program reads format {FORMAT_VERSION}"
                 raise StoreError(msg)
             self._db.execute(f"pragma user_version = {FORMAT_VERSION}")
             self._db.execute(CREATE_TABLE)
@@ -62,12 +81,12 @@
         self._db.close()
 
     def has(self, experiment: str, keys: Iterable[str]) -> set[str]:
-        """Those of the keys that are there."""
+        """Returns the subset of keys that the store has for an experiment."""
         stored = {row[0] for row in self._db.execute("select key from runs where experiment = ?", (experiment,))}
         return stored & set(keys)
 
     def put(self, experiment: str, key: str, run: StoredRun) -> None:
-        """Keep a run."""
+        """Stores a run, or replaces a run with the same key."""
         values = (
             key,
             experiment,
@@ -83,7 +102,12 @@
             self._db.execute("insert or replace into runs values (?, ?, ?, ?, ?, ?, ?, ?, ?)", values)
 
     def runs(self, experiment: str = "", version: str = "") -> list[StoredRun]:
-        """All runs of an experiment, or of all; of the version that ran last where none is named."""
+        """Returns the runs of one version of the program, in the order in which the runs were stored.
+
+        Args:
+            experiment: name of the experiment; empty for all experiments.
+            version: version of the program; empty for the version of the run that was stored last.
+        """
         rows = self._db.execute(
             "select params, seed, version, figures, details, wall from runs where ? in ('', experiment)"
             " order by at, key",
@@ -97,7 +121,7 @@
         ]
 
     def experiments(self) -> list[tuple[str, str, int]]:
-        """Names, versions and how many runs."""
+        """Returns the name, the version and the number of runs of each experiment, sorted by name and version."""
         return self._db.execute("select experiment, version, count(*) from runs group by 1, 2 order by 1, 2").fetchall()
 
 
--- a/tests/emulator/fleets.py
+++ b/tests/emulator/fleets.py
@@ -1,4 +1,4 @@
-"""Scenarios for the tests, small and out of one text."""
+"""Builds small scenarios for tests from one base text."""
 
 from typing import Any
 
@@ -45,7 +45,12 @@
 
 
 def scenario(more: str = "", **changes: Any) -> Scenario:
-    """The text with more behind it; ``dispatchers__count=5`` puts another value in."""
+    """Returns the scenario of the base text with changes.
+
+    Args:
+        more: text appended to the base text.
+        **changes: values by dotted key with ``__`` for the dots, such as ``dispatchers__count=5``.
+    """
     source = Source.parse("test.toml", (TEXT + more).encode())
     for key, value in changes.items():
         put(source.table, key.replace("__", "."), value)
--- a/tests/emulator/test_checker.py
+++ b/tests/emulator/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker of the rules, event by event: each way to break one is found, and nothing else is."""
+"""Tests the conformance checker event by event: it reports each kind of violation and nothing else."""
 
 import pytest
 
@@ -23,6 +23,7 @@
 
 
 def test_valid_histories_have_no_violations() -> None:
+    """A false report would hide real violations; the histories stay just within the deadline and the drain grace."""
     assert violations_of(*VALID_HISTORY) == []
     assert (
         violations_of(
@@ -83,6 +84,7 @@
     ],
 )
 def test_each_kind_of_violation_is_reported(events: list[Event], rule: int, what: str) -> None:
+    """A missed violation of a rule would let a faulty balancer pass every other test on the emulator."""
     violations = violations_of(*events)
     assert [each for each, _ in violations] == [rule] * len(violations)
     assert violations
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -1,4 +1,4 @@
-"""Experiments: resumed where they were interrupted, paired comparisons, a page; broken files told with their line."""
+"""Tests experiments: resumption, paired comparisons, the HTML page and the problems of invalid files."""
 
 import sqlite3
 import subprocess
@@ -48,6 +48,7 @@
 def test_an_interrupted_experiment_resumes_and_is_compared_and_reported(
     experiment_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """An interruption must lose no finished run, and resuming must execute only the missing runs."""
     name, planned_runs = experiment.read(experiment_path)[0].name, experiment.read(experiment_path)[1]
     assert len(planned_runs) == 16
     assert len({planned.key for planned in planned_runs}) == 16
@@ -88,7 +89,7 @@
 
 
 class BalancedTablesParser(HTMLParser):
-    """Tables of the page are closed."""
+    """Parser that checks that the page closes no table that is not open."""
 
     depth = 0
 
@@ -107,13 +108,14 @@
         (EXPERIMENT.replace("seeds = 4", "sed = 4"), 4, "seeds"),
         (EXPERIMENT.replace("fleet.toml", "none.toml"), 3, "none.toml"),
         (EXPERIMENT.replace('["heronlug", "random"]', '"random"'), 8, "a list"),
-        (EXPERIMENT.replace("[1, 2]", "[1, 1]"), 9, "twice"),
+        (EXPERIMENT.replace("[1, 2]", "[1, 1]"), 9, "duplicate value"),
         (EXPERIMENT.replace("[1, 2]", "[0]"), 3, "dispatchers.count"),
         (EXPERIMENT.replace("dispatchers.count", "pool.7.count"), 7, "no such key"),
-        (EXPERIMENT.replace("span_s = 4", "dispatchers.count = 3"), 9, "by something else"),
+        (EXPERIMENT.replace("span_s = 4", "dispatchers.count = 3"), 9, "already set elsewhere"),
     ],
 )
 def test_problems_of_an_experiment_file_name_the_line(experiment_path: Path, text: str, line: int, wrong: str) -> None:
+    """A problem without its line would leave the user searching the file."""
     experiment_path.write_text(text)
     with pytest.raises(ConfigProblems) as raised:
         experiment.read(experiment_path)
@@ -141,6 +143,7 @@
     ],
 )
 def test_problems_of_a_scenario_name_the_key(tmp_path: Path, change: str, key: str, wrong: str) -> None:
+    """A value that is accepted although it is invalid would fail in the middle of a run."""
     from heronlug.cli.emulate import changed
 
     path = tmp_path / "fleet.toml"
@@ -152,11 +155,13 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda path: path.stem)
 def test_bundled_scenarios_are_valid(path: Path) -> None:
+    """A change of the scenario format must not break the scenarios of the repository."""
     assert scenarios.load(path).name == path.stem
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda path: path.stem)
 def test_bundled_experiments_are_valid(path: Path) -> None:
+    """A change of the experiment format must not break the experiments of the repository."""
     assert len(experiment.read(path)[1]) > 10
 
 
@@ -165,7 +170,7 @@
 
 
 def test_pairs_of_one_seed_separate_a_difference_from_noise() -> None:
-    """Seeds differ by more than the ways do: only the pairs show it."""
+    """Seeds differ by more than the variants do, so that a comparison without pairs would report only noise."""
     rng = np.random.default_rng(1)
     levels = rng.normal(0.8, 0.1, 20)
     runs = [stored_run("a", n, level) for n, level in enumerate(levels)]
@@ -184,24 +189,31 @@
 
 
 def test_confidence_intervals_cover_the_mean_as_often_as_stated() -> None:
+    """Intervals that are too narrow would report noise as a difference."""
     rng = np.random.default_rng(2)
     within = sum(low <= 0 <= high for low, high in (compare.interval(rng.normal(0, 1, 20)) for _ in range(200)))
     assert 180 <= within <= 199
 
 
 def test_comparisons_that_are_impossible_are_rejected() -> None:
+    """Runs without pairs, parameters that do not vary and unknown figures must give an error that names the cause."""
     runs = [stored_run("a", 1, 0.5), stored_run("b", 2, 0.5)]
-    comparisons = (("policy=a", "policy=b", "no two runs"), ("x=1", "x=2", "does not vary"), ("a", "b", "KEY=VALUE"))
+    comparisons = (
+        ("policy=a", "policy=b", "no two runs of the variants"),
+        ("x=1", "x=2", "does not vary"),
+        ("a", "b", "KEY=VALUE"),
+    )
     for a, b, message in comparisons:
         with pytest.raises(ValueError, match=message):
             compare.pairs(runs, compare.parse_params(a), compare.parse_params(b))
-    with pytest.raises(ValueError, match="no figure"):
+    with pytest.raises(ValueError, match="unknown figure"):
         compare.compare([(runs[0], runs[1])], ["speed"])
     with pytest.raises(ValueError, match="no runs"):
         page("none", [])
 
 
 def test_a_file_of_another_format_is_rejected_and_left_unchanged(tmp_path: Path) -> None:
+    """Opening a file as a store must not overwrite a file that is not a store or has a newer format."""
     path = tmp_path / "x.sqlite"
     path.write_bytes(b"something else " * 100)
     with pytest.raises(StoreError):
@@ -217,6 +229,7 @@
 
 
 def test_fitting_ranks_the_true_distribution_first() -> None:
+    """A wrong number of parameters in the criterion would favour distributions with more parameters."""
     rng = stream(3, "fit")
     best = fit(rng.lognormal(5.0, 0.7, 4000))[0]
     assert best.name == "lognorm"
@@ -230,6 +243,7 @@
 def test_events_of_an_emulated_run_pass_the_checker_on_the_command_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """``rules check`` must accept the events of a correct run and report a request that is answered twice."""
     path, events = tmp_path / "fleet.toml", tmp_path / "events.jsonl"
     path.write_text(TEXT)
     assert run_command("emulate", path, "--set", "span_s=3", "--events", events) == 0
@@ -244,6 +258,7 @@
 
 
 def test_the_version_of_a_run_covers_every_package_that_a_run_imports() -> None:
+    """A package missing from the digest would let a store return results of older code as current."""
     listing = "import sys, heronlug.emulator.world; print(*{m.split('.')[1] for m in sys.modules if 'heronlug.' in m})"
     done = subprocess.run([sys.executable, "-c", listing], capture_output=True, text=True, check=True)
     assert set(done.stdout.split()) == set(experiment.CODE_PACKAGES)
--- a/tests/emulator/test_maths.py
+++ b/tests/emulator/test_maths.py
@@ -1,6 +1,6 @@
-"""The model against mathematics: waiting times of M/M/1, M/M/c and M/G/1, the tail of two choices, Little's law.
+"""Tests the emulator against queueing theory: M/M/1, M/M/c, M/G/1, the power of two choices and Little's law.
 
-Bounds are confidence intervals of batch means (99.9%), from fixed seeds.
+Bounds are confidence intervals of batch means (99.9%) from fixed seeds.
 """
 
 from math import factorial, sqrt
@@ -20,7 +20,7 @@
 
 
 def waiting_times(slots: int, rate: float, work: object, seed: int) -> NDArray[np.float64]:
-    """Waiting times at one host, the first tenth left out."""
+    """Returns waiting times in ms at one server, without the first tenth of the requests."""
     timeline, waits_ms = Timeline(), []
     server = EmulatedServer("h", ServerKind("k", slots, queue_length=10**9), 0, timeline, WarmupModel())
     gaps = Draws(stats.expon(scale=1 / rate), stream(seed, "gaps"))
@@ -43,7 +43,7 @@
 
 
 def assert_mean_within_confidence(values: NDArray[np.float64], expected: float) -> None:
-    """Whether the mean is what it should be, as far as the run can tell; the run has to be able to tell something."""
+    """Asserts that the confidence interval of the mean contains the expected mean and is not too wide to be useful."""
     means = np.array([batch.mean() for batch in np.array_split(values, BATCHES)])
     half_width = stats.t.ppf(0.9995, BATCHES - 1) * means.std(ddof=1) / sqrt(BATCHES)
     assert half_width < 0.5 * expected
@@ -53,13 +53,14 @@
 
 
 def erlang_c(slots: int, load: float) -> float:
-    """The chance to wait at all (Erlang 1917)."""
+    """Returns the probability that a request has to wait (Erlang 1917)."""
     all_busy = load**slots / factorial(slots) * slots / (slots - load)
     return all_busy / (sum(load**n / factorial(n) for n in range(slots)) + all_busy)
 
 
 @pytest.mark.parametrize(("slots", "utilization"), [(1, 0.5), (1, 0.8), (4, 0.8), (16, 0.85)])
 def test_mean_wait_of_m_m_c_follows_erlang_c(slots: int, utilization: float) -> None:
+    """Errors in the queue or in the slots of the emulated server would shift the mean wait from Erlang's formula."""
     mean = 100.0
     rate = utilization * slots / mean
     expected = erlang_c(slots, utilization * slots) * mean / (slots * (1 - utilization))
@@ -68,7 +69,7 @@
 
 @pytest.mark.parametrize("work", [stats.lognorm(0.8, scale=80.0), stats.gamma(0.7, scale=120.0), 100.0])
 def test_mean_wait_of_m_g_1_follows_pollaczek_khinchine(work: object) -> None:
-    """Pollaczek and Khinchine's formula."""
+    """Errors in the draws of work would shift the mean wait from the formula of Pollaczek and Khinchine."""
     mean, variance = (work, 0.0) if isinstance(work, float) else work.stats("mv")  # type: ignore[attr-defined]
     utilization = 0.7
     rate = utilization / float(mean)
@@ -77,7 +78,7 @@
 
 
 def queue_length_shares(policy: str, utilization: float, server_count: int = 80) -> list[float]:
-    """Shares of single-slot hosts that have 1, 2, 3 and 4 jobs or more in them, over time."""
+    """Returns the shares of single-slot servers with at least 1, 2, 3 and 4 requests, averaged over time."""
     rate = utilization * server_count / 0.1
     text = f"""
 name = "queues"
@@ -128,18 +129,25 @@
 
 
 def test_queue_lengths_of_two_choices_lie_between_random_and_shortest_queue() -> None:
-    """Mitzenmacher 2001: with two choices the share of queues of k or more is use^(2^k - 1), for many hosts."""
+    """Policies whose choice is not the one that they are named after would show in their queue lengths.
+
+    With two choices and many servers, the share of queues of length k or more is utilization^(2^k - 1) (Mitzenmacher
+    2001).
+    """
     utilization = 0.8
     two = queue_length_shares("two-choices", utilization)
     assert two[0] == pytest.approx(utilization, rel=0.04)
     assert two[1:3] == pytest.approx([two[0] ** 3, two[0] ** 7], rel=0.1)
     random, shortest = queue_length_shares("random", utilization), queue_length_shares("shortest-queue", utilization)
-    assert random[:3] == pytest.approx([utilization, utilization**2, utilization**3], rel=0.08)  # each host is an M/M/1
-    assert shortest[1] < 0.2 * two[1] < 0.2 * random[1]  # at this use hardly anybody waits behind the shortest
+    # each server is an M/M/1 queue
+    assert random[:3] == pytest.approx([utilization, utilization**2, utilization**3], rel=0.08)
+    # hardly any request waits in the shortest queue at this utilization
+    assert shortest[1] < 0.2 * two[1] < 0.2 * random[1]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_littles_law_holds_for_each_run(seed: int) -> None:
+    """Requests that the emulator loses or ends twice would make the two sides of the law differ."""
     figures = World(scenario(), seed).run()
     mean_open_requests, rate_times_stay = figures.littles_law
     assert mean_open_requests == pytest.approx(rate_times_stay, rel=1e-9)
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -1,6 +1,6 @@
-"""Runs of the model: the same seed is the same run, one host more changes no other's draws, troubles keep the rules.
+"""Tests runs of the emulator: reproducibility, independent random streams, and the rules under faults.
 
-Modules that break a rule on purpose are found by the checker, each with the events that led there.
+The checker must report decision modules that break a rule on purpose, with the events that led to the violation.
 """
 
 from collections.abc import Callable
@@ -36,6 +36,7 @@
 
 @pytest.mark.parametrize("policy", ["heronlug", *POLICIES])
 def test_a_run_is_reproduced_by_its_seed(policy: str) -> None:
+    """A random draw outside the seeded streams would make runs with one seed differ."""
     one, other = (World(scenario(fault_tables("crash"), span_s=7, policy=policy), 4).run() for _ in range(2))
     assert have_same_figures(one, other)
     assert one.classes[0].request_count > 600
@@ -43,6 +44,7 @@
 
 
 def test_adding_a_server_changes_no_other_random_draw() -> None:
+    """Entities that share a random stream would make scenarios with different numbers of servers incomparable."""
     small, large = World(scenario()), World(scenario(pool__0__count=9))
     for name in small.servers:
         assert [small.network._server_factors[name].next() for _ in range(5)] == [
@@ -56,6 +58,7 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_no_rule_is_violated_under_each_fault(name: str) -> None:
+    """A fault must not make the balancer break a rule, and every request must end once."""
     world = World(scenario(fault_tables(name)), 2)
     figures = world.run()
     assert world.checker.violations == []
@@ -72,13 +75,14 @@
 
 
 def test_no_rule_is_violated_under_all_faults_at_once() -> None:
+    """Faults that overlap, with lost datagrams, must not make the balancer break a rule."""
     world = World(scenario(fault_tables(*FAULTS), network__loss=0.2), 3)
     world.run()
     assert world.checker.violations == []
 
 
 class RetriesAnything(RandomChoice):
-    """Retries after any failure, also what must not run twice."""
+    """Retries after any failure, even requests that must not run twice."""
 
     def _attempt_ended(self, event: AttemptEnded, now: float, actions: list[Action]) -> None:
         if event.outcome == Outcome.RESET:
@@ -87,7 +91,7 @@
 
 
 class IgnoresDraining(RandomChoice):
-    """Takes every listed server for a ready one."""
+    """Treats every listed server as ready."""
 
     def _update_servers(self, event: ServerListUpdate, actions: list[Action]) -> None:
         entries = tuple(e._replace(state=ServerState.READY) for e in event.entries)
@@ -95,14 +99,14 @@
 
 
 class PrefersTheYoungestServer(RandomChoice):
-    """Sends everything to the server that started last."""
+    """Sends every request to the server that started last."""
 
     def choose(self, request: OpenRequest, candidates: list[KnownServer]) -> KnownServer:
         return max(candidates, key=lambda server: server.entry.started_at)
 
 
 class ForgetsRequests(RandomChoice):
-    """Ignores every hundredth request, which the core has to answer at its deadline."""
+    """Ignores every hundredth request, so that the core has to answer the request at its deadline."""
 
     def handle(self, now: float, event: DispatcherEvent) -> list[Action]:
         if isinstance(event, RequestArrived) and event.request % 100 == 7:
@@ -129,6 +133,7 @@
 def test_the_checker_reports_a_policy_that_breaks_a_rule(
     policy: type[Policy], fault: str, rule: int, kinds: tuple[type, ...]
 ) -> None:
+    """A checker that misses a violation on the emulator would make all other runs there meaningless."""
     world = World(
         scenario(fault_tables(fault)), 2, decision_module=decision_module_of(policy), checks_before_write=False
     )
@@ -140,7 +145,7 @@
 
 
 def test_the_core_enforces_the_drain_rule_and_the_deadline_for_any_decision_module() -> None:
-    """The check before each write and the answer at the deadline hold whatever the decision module does."""
+    """A faulty decision module must not break the drain rule or leave a request without an answer at its deadline."""
     assert World(
         scenario(fault_tables("deploy")), 2, decision_module=decision_module_of(IgnoresDraining)
     ).run().violations.keys() <= {4}
@@ -148,6 +153,7 @@
 
 
 def test_recorded_events_can_be_written_and_read_back() -> None:
+    """Events that change on their way through a file would make ``rules check`` judge another run."""
     events: list[Event] = []
     World(scenario(fault_tables("deploy", "dispatcher-kill"), span_s=12), 2, record=events.append).run()
     assert len({type(event) for event in events}) >= 6
