--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -26,7 +26,7 @@
 
 
 class Dispatchers(Struct, forbid_unknown_fields=True):
-    """The ``[dispatchers]`` table: dispatchers that share the servers and are assigned to the zones in round-robin order.
+    """The ``[dispatchers]`` table; dispatchers share the servers and are assigned to zones in round-robin order.
 
     Attributes:
         count: number of dispatchers.
--- a/heronlug/loadgen/__init__.py
+++ b/heronlug/loadgen/__init__.py
@@ -1,5 +1,7 @@
-"""Load on sockets: a scenario's jobs in real time against running dispatchers, open loop, on loopback alone.
+"""Generates load on sockets: sends a scenario's requests in real time to running dispatchers, only on loopback.
 
-``plan`` says what is due when, ``http`` and ``faktory`` hand it in, ``tally`` counts. A job's latency is counted from
-when it was due, so that a stall of the dispatcher, or of the load tool itself, is not hidden (coordinated omission).
+``plan`` computes the due time of each request, ``http`` and ``faktory`` send the requests and ``tally`` counts the
+outcomes. The load is an open loop: a request is sent when it is due, whatever the outcome of earlier requests. Latency
+counts from the due time, so that a stall of the dispatcher or of the load generator is not hidden (coordinated
+omission).
 """
--- a/heronlug/loadgen/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -1,4 +1,4 @@
-"""Stand-in hosts, a register, dispatchers and load in one go, on loopback; and the same on the model beside it."""
+"""Runs a scenario with stand-in servers, service discovery, dispatchers and load on loopback, and on the emulator."""
 
 import asyncio
 import os
@@ -21,8 +21,10 @@
 from heronlug.standins.fleet import Fleet
 from heronlug.standins.ports import free_ports
 
-READY_TIMEOUT_S = 20.0  # s for a dispatcher to come up
-MAX_DISPATCHERS = 8  # dispatchers: each is a process
+READY_TIMEOUT_S = 20.0
+"""Maximum time in seconds until all dispatchers are ready."""
+MAX_DISPATCHERS = 8
+"""Maximum number of dispatchers, each of which is a process."""
 CONFIG_TEMPLATE = Template("""\
 log_level = "warning"
 [serve]
@@ -60,7 +62,14 @@
 
 
 class Dispatchers:
-    """Processes of our own program."""
+    """Dispatcher processes of this program.
+
+    Attributes:
+        listen_ports: ports of the HTTP frontends.
+        operator_ports: ports of the operator interfaces.
+        processes: the processes.
+        folder: folder of configuration and log files.
+    """
 
     def __init__(self, scenario: Scenario, discovery: int, folder: Path) -> None:
         count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
@@ -91,13 +100,17 @@
         self.folder = folder
 
     async def ready(self) -> None:
-        """All serve; raises ``RuntimeError`` with a log where one does not."""
+        """Waits until all dispatchers are ready.
+
+        Raises:
+            RuntimeError: if a dispatcher ends or is not ready in time; the message contains the end of its log.
+        """
         give_up_at = time.monotonic() + READY_TIMEOUT_S
         for number, port in enumerate(self.operator_ports):
             while not await asyncio.to_thread(self._healthy, port):
                 if time.monotonic() > give_up_at or self.processes[number].poll() is not None:
                     log = (self.folder / f"d{number}.log").read_text()
-                    msg = f"d{number} does not serve: {log[-800:]}"
+                    msg = f"dispatcher d{number} is not ready; end of its log: {log[-800:]}"
                     raise RuntimeError(msg)
                 await asyncio.sleep(0.05)
 
@@ -110,7 +123,7 @@
             return False
 
     def stop(self) -> list[int]:
-        """End them as an operator would; their exit statuses."""
+        """Terminates the processes with SIGTERM, kills those that do not end in time, and returns the exit statuses."""
         for process in self.processes:
             process.terminate()
         exit_statuses = []
@@ -124,7 +137,17 @@
 
 
 async def on_sockets(scenario: Scenario, seed: int, events: list[Event] | None = None) -> list[Tally]:
-    """The whole scenario in real time; raises ``OSError`` or ``RuntimeError``."""
+    """Runs a scenario in real time on sockets and returns the tallies of the request classes.
+
+    Args:
+        scenario: scenario to run.
+        seed: seed of all random streams.
+        events: list that receives the events of the stand-in servers, if given.
+
+    Raises:
+        OSError: if a port cannot be opened.
+        RuntimeError: if a dispatcher does not become ready.
+    """
     tallies = {request_class.name: Tally(request_class) for request_class in scenario.classes}
     fleet = Fleet(scenario, seed, events.append if events is not None else None)
     with tempfile.TemporaryDirectory() as folder:
@@ -141,7 +164,7 @@
 
 
 def on_the_model(scenario: Scenario, seed: int) -> Figures:
-    """The same, as far as the model can be like it: as many dispatchers, no retries of clients, loopback's delays."""
+    """Emulates a run on sockets: limits dispatchers, removes retries of clients and sets the delays of loopback."""
     scenario.dispatchers.count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
     scenario.network.inside_ms = scenario.network.across_ms = 0.1
     scenario.network.loss, scenario.register.lag_ms, scenario.warm_up_s = 0.0, 1.0, 0.0
--- a/heronlug/loadgen/faktory.py
+++ b/heronlug/loadgen/faktory.py
@@ -1,7 +1,7 @@
-"""Jobs over the Faktory work protocol, open loop: producers push what is due, stand-in workers run it.
+"""Generates load over the Faktory work protocol, version 2: producers push due jobs, stand-in workers execute them.
 
-Faktory work protocol, version 2. A producer is not told how a job ends, so a job has ended here when its worker has
-acknowledged it; one that no worker was given by its deadline counts as refused.
+The protocol does not report the end of a job to its producer. A job therefore counts as served when its worker has
+acknowledged it, and as refused if no worker has acknowledged it by the end of the run.
 """
 
 import asyncio
@@ -18,39 +18,58 @@
 from heronlug.loadgen.tally import Tally
 
 PRODUCERS = 4
+"""Number of connections that push jobs."""
 MAX_WORKERS = 200
-REPLY_TIMEOUT_S = 10.0  # s for any reply
-HEARTBEAT_INTERVAL_S = 10.0  # s
+"""Maximum number of stand-in workers."""
+REPLY_TIMEOUT_S = 10.0
+"""Maximum time in seconds for the reply to a command."""
+HEARTBEAT_INTERVAL_S = 10.0
+"""Interval in seconds between two BEAT commands of a worker."""
 
 
 class FaktoryError(ValueError):
-    """The server has answered an error, or what is no answer."""
+    """The server has replied with an error or with a malformed reply."""
 
 
 class FaktoryClient:
-    """A connection: one command at a time."""
+    """A connection to a Faktory server that sends one command at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer = reader, writer
 
     @classmethod
     async def connect(cls, address: tuple[str, int], hello: dict[str, object]) -> "FaktoryClient":
-        """Connect and say hello; raises ``OSError`` or :class:`FaktoryError`."""
+        """Opens a connection and sends HELLO.
+
+        Args:
+            address: host and port of the server.
+            hello: fields of the HELLO message.
+
+        Raises:
+            OSError: if the connection cannot be opened.
+            FaktoryError: if the server does not greet with HI or rejects HELLO.
+        """
         client = cls(*await asyncio.open_connection(*address))
         greeting = await client._reply()
         if greeting is None or not greeting.startswith(b"HI "):
-            msg = f"{greeting!r} is no greeting"
+            msg = f"unexpected greeting {greeting!r}: expected HI"
             raise FaktoryError(msg)
         await client.call(b"HELLO " + orjson.dumps({"v": 2, **hello}))
         return client
 
     async def call(self, command: bytes) -> bytes | None:
-        """One command and its reply; raises :class:`FaktoryError`, ``OSError`` or ``EOFError``."""
+        """Sends a command and returns its reply.
+
+        Raises:
+            FaktoryError: if the reply is an error.
+            OSError: if the connection fails or the reply does not arrive in time.
+            EOFError: if the server closes the connection.
+        """
         self._writer.write(command + b"\r\n")
         return await asyncio.wait_for(self._reply(), REPLY_TIMEOUT_S)
 
     def close(self) -> None:
-        """End it."""
+        """Aborts the connection."""
         self._writer.transport.abort()
 
     async def _reply(self) -> bytes | None:
@@ -65,10 +84,23 @@
 
 
 class FaktoryLoad(OpenLoopPacer):
-    """Producers and workers of one scenario."""
+    """Producers and stand-in workers of a scenario.
+
+    Attributes:
+        address: host and port of the Faktory frontend.
+        speeds: speeds of the workers, one for each slot of the scenario's servers.
+        in_flight: pushed jobs without an acknowledgement, by jid.
+    """
 
     def __init__(self, address: tuple[str, int], scenario: Scenario, tallies: dict[str, Tally], seconds: float) -> None:
-        """``seconds`` bounds the whole; the front has no password."""
+        """Creates the load for a frontend without a password.
+
+        Args:
+            address: host and port of the Faktory frontend.
+            scenario: scenario that gives the number and the speeds of the workers.
+            tallies: tallies by the name of the request class.
+            seconds: time in seconds after which no further request is due.
+        """
         super().__init__(tallies, seconds)
         self.address = address
         kinds = {kind.name: (kind.slots, kind.speed) for kind in scenario.kind}
@@ -77,7 +109,12 @@
         self._queue: asyncio.Queue[PlannedRequest] = asyncio.Queue()
 
     async def run(self, due: Iterable[PlannedRequest]) -> None:
-        """Play it, and wait for the last acknowledgements; raises ``OSError`` or :class:`FaktoryError` at the start."""
+        """Pushes planned requests when they are due and waits for the last acknowledgements.
+
+        Raises:
+            OSError: if a connection cannot be opened.
+            FaktoryError: if the server rejects a connection.
+        """
         producers = [await FaktoryClient.connect(self.address, {}) for _ in range(PRODUCERS)]
         workers = []
         for speed in self.speeds[:MAX_WORKERS]:
@@ -130,7 +167,7 @@
                     continue
                 job = orjson.loads(data)
                 await asyncio.sleep(float(job["args"][0]) / speed / 1000)
-                with contextlib.suppress(FaktoryError):  # it was late: the front has given it up
+                with contextlib.suppress(FaktoryError):  # the job is late and the frontend has given it up
                     await client.call(b"ACK " + orjson.dumps({"jid": job["jid"]}))
                     self._request_ended(job["jid"], "served")
         finally:
--- a/heronlug/loadgen/http.py
+++ b/heronlug/loadgen/http.py
@@ -1,4 +1,4 @@
-"""Jobs over the platform's HTTP protocol, open loop."""
+"""Generates load over the platform's HTTP protocol, as an open loop."""
 
 import asyncio
 import secrets
@@ -13,11 +13,18 @@
 from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
 
-MAX_CONNECTIONS = 4000  # connections at once; a job that finds all busy waits, and its time counts
+MAX_CONNECTIONS = 4000
+"""Maximum number of open connections; a request waits if all are busy, and the wait counts towards its latency."""
 
 
 class SentRequest:
-    """One job that is out."""
+    """A request that was given out.
+
+    Attributes:
+        due: the planned request.
+        began: time in ms at which the request was given out.
+        txn: transaction id of the request.
+    """
 
     __slots__ = ("began", "due", "txn")
 
@@ -26,7 +33,14 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection to a dispatcher, one job at a time."""
+    """A connection to a dispatcher that carries one request at a time.
+
+    Attributes:
+        load: load generator that the connection belongs to.
+        dispatcher: index of the dispatcher.
+        job: request in flight on the connection, if any.
+        transport: transport while the connection is open.
+    """
 
     def __init__(self, load: "HttpLoad", dispatcher: int) -> None:
         self.load, self.dispatcher = load, dispatcher
@@ -35,11 +49,11 @@
         self._parser: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Open."""
+        """Stores the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, job: SentRequest) -> None:
-        """Send a job."""
+        """Sends a request."""
         assert self.transport is not None
         self.job, self._parser = job, httptools.HttpResponseParser(self)
         self.load.handed(job, self.dispatcher)
@@ -52,10 +66,10 @@
         self.transport.write(head.encode() + body)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of an answer."""
+        """Parses bytes of an answer; aborts the connection if the bytes are malformed or no request is in flight."""
         if self._parser is None:
             if self.transport is not None:
-                self.transport.abort()  # an answer that nobody asked for
+                self.transport.abort()  # an answer without a request
             return
         try:
             self._parser.feed_data(data)
@@ -64,7 +78,7 @@
                 self.transport.abort()
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """Handles the end of an answer."""
         status, keep_alive = self._parser.get_status_code(), self._parser.should_keep_alive()
         job, self.job, self._parser = self.job, None, None
         assert job is not None
@@ -75,7 +89,7 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Closed, perhaps with a job out."""
+        """Handles the end of the connection; a request in flight counts as lost."""
         self.load.connection_closed(self)
         job, self.job = self.job, None
         if job is not None:
@@ -83,10 +97,21 @@
 
 
 class HttpLoad(OpenLoopPacer):
-    """Hands a plan's jobs to dispatchers in turn, each when it is due."""
+    """Sends planned requests to the dispatchers in round-robin order, each request when it is due.
+
+    Attributes:
+        addresses: hosts and ports of the dispatchers.
+        in_flight: number of requests that were given out and have not ended.
+    """
 
     def __init__(self, addresses: list[tuple[str, int]], tallies: dict[str, Tally], seconds: float) -> None:
-        """``seconds`` bounds the whole, beside the plan's own end."""
+        """Creates the load for a list of dispatchers.
+
+        Args:
+            addresses: hosts and ports of the dispatchers.
+            tallies: tallies by the name of the request class.
+            seconds: time in seconds after which no further request is due, even if the plan has more.
+        """
         super().__init__(tallies, seconds)
         self.addresses = addresses
         self.in_flight = 0
@@ -98,7 +123,7 @@
         self._connections: set[Connection] = set()
 
     async def run(self, due: Iterable[PlannedRequest]) -> None:
-        """Play it, and wait for the last answers."""
+        """Sends planned requests when they are due and waits for the last answers."""
         async for request in self.due(due):
             self.in_flight += 1
             self._send_or_queue(SentRequest(request, self.now()))
@@ -112,26 +137,26 @@
         await asyncio.sleep(0)
 
     def takes(self, door: int) -> bool:
-        """Whether new connections go there; those that are open are used as long as they are."""
+        """Returns whether new connections to a dispatcher may be opened; open connections are used in any case."""
         return True
 
     def handed(self, job: SentRequest, door: int) -> None:
-        """A job goes to a dispatcher."""
+        """Called when a request is sent to a dispatcher."""
 
     def ended(self, job: SentRequest, how: str) -> None:
-        """A job is over; its time counts from when it was due."""
+        """Counts a request that has ended; its latency counts from its due time."""
         self.in_flight -= 1
         self.tallies[job.due.request_class.name].request_ended(how, self.now() - job.due.due_at)
 
     def connection_idle(self, connection: Connection) -> None:
-        """A connection is free."""
+        """Sends the next queued request on an idle connection, or keeps the connection for later requests."""
         if self._queued:
             connection.send(self._queued.popleft())
         else:
             self._idle[connection.dispatcher].append(connection)
 
     def connection_closed(self, connection: Connection) -> None:
-        """One less."""
+        """Removes a closed connection."""
         self._open_count -= 1
         self._connections.discard(connection)
         if connection in self._idle[connection.dispatcher]:
@@ -158,7 +183,7 @@
 
     async def _dial(self, dispatcher: int, job: SentRequest) -> None:
         loop = asyncio.get_running_loop()
-        for offset in range(len(self.addresses)):  # one that does not listen is passed over
+        for offset in range(len(self.addresses)):  # skips dispatchers that do not listen
             dispatcher = (dispatcher + offset) % len(self.addresses)
             try:
                 _, connection = await loop.create_connection(
@@ -167,7 +192,7 @@
             except OSError:
                 continue
             self._connections.add(connection)
-            if connection.transport is not None:  # it may have gone again meanwhile
+            if connection.transport is not None:  # the connection may be closed already
                 connection.send(job)
                 return
         self._open_count -= 1
--- a/heronlug/loadgen/pace.py
+++ b/heronlug/loadgen/pace.py
@@ -1,4 +1,4 @@
-"""The clock of a load run: each job is given out when it is due, whatever became of those before it."""
+"""Paces an open loop: gives out each request when it is due, whatever the outcome of earlier requests."""
 
 import asyncio
 import time
@@ -7,28 +7,38 @@
 from heronlug.loadgen.plan import PlannedRequest
 from heronlug.loadgen.tally import Tally
 
-LATE_START_MS = 10.0  # ms that the tool itself may be late with a job
+LATE_START_MS = 10.0
+"""Delay in ms above which a request counts as started late by the load generator itself."""
 
 
 class OpenLoopPacer:
-    """The base of both loads: their time, and when the last job's has passed."""
+    """Base class of the load generators over HTTP and Faktory: clock, due times and end of the run.
+
+    Attributes:
+        tallies: tallies by the name of the request class.
+    """
 
     def __init__(self, tallies: dict[str, Tally], seconds: float) -> None:
-        """``seconds`` bounds the whole, beside the plan's own end."""
+        """Creates a pacer.
+
+        Args:
+            tallies: tallies by the name of the request class.
+            seconds: time in seconds after which no further request is due, even if the plan has more.
+        """
         self.tallies, self._span_ms = tallies, seconds * 1000
         self._started_at = time.monotonic()
-        self._last_deadline = 0.0  # the latest deadline of a job that was given out
+        self._last_deadline = 0.0  # the latest deadline of all requests given out, in ms
 
     def now(self) -> float:
-        """Milliseconds since the start."""
+        """Returns the time since the start of the run in ms."""
         return (time.monotonic() - self._started_at) * 1000
 
     def is_over(self) -> bool:
-        """Whether no answer can come any more."""
+        """Returns whether the deadlines of all requests given out passed at least a second ago."""
         return self.now() >= self._last_deadline + 1000
 
     async def due(self, plan: Iterable[PlannedRequest]) -> AsyncIterator[PlannedRequest]:
-        """Begin now, and give each job out when it is due."""
+        """Starts the clock and yields each request when it is due."""
         self._started_at = time.monotonic()
         for request in plan:
             if request.due_at > self._span_ms:
--- a/heronlug/loadgen/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -1,4 +1,4 @@
-"""What is due when: the very jobs that the emulator gives out for a scenario and a seed."""
+"""Plans the requests of a load run: the same requests as in the emulator for a scenario and a seed."""
 
 import heapq
 import ipaddress
@@ -12,15 +12,21 @@
 
 
 class PlannedRequest(NamedTuple):
-    """One job."""
+    """A request that is due at a time.
 
-    due_at: float  # ms from the start
+    Attributes:
+        due_at: due time in ms from the start of the run.
+        request_class: request class of the scenario.
+        work_ms: execution time in ms at speed 1.
+    """
+
+    due_at: float
     request_class: ClassTable
-    work_ms: float  # ms at speed 1
+    work_ms: float
 
 
 def plan(scenario: Scenario, seed: int) -> Iterator[PlannedRequest]:
-    """All jobs, in order."""
+    """Yields all requests of a scenario in order of their due times."""
     classes = {table.name: table for table in scenario.classes}
     work_draws = {name: Draws(distribution(table.work), stream(seed, "work", name)) for name, table in classes.items()}
     span = scenario.span_s * 1000
@@ -34,13 +40,17 @@
 
 
 def loopback(address: str) -> tuple[str, int]:
-    """Host and port; raises ``ValueError`` for an address that is not this machine's own."""
+    """Returns host and port of a loopback address.
+
+    Raises:
+        ValueError: if the address is malformed or not a loopback address.
+    """
     host, port = split_address(address)
     try:
         is_loopback = host == "localhost" or ipaddress.ip_address(host).is_loopback
     except ValueError:
         is_loopback = False
     if not is_loopback:
-        msg = f"{address}: load goes to loopback addresses alone"
+        msg = f"{address} is not a loopback address: load is sent only to loopback"
         raise ValueError(msg)
     return host, port
--- a/tests/loadgen/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -1,6 +1,6 @@
-"""The load tool on sockets: its jobs are the model's, a stall is not hidden, troubles are played, rules kept.
+"""Tests the load generator on sockets: planned requests, latency during stalls, server faults and the rules.
 
-No speed is asserted: only what must come, and that time counts from when a job was due.
+The tests assert no throughput, only the outcomes and that latency counts from the due time.
 """
 
 import asyncio
@@ -24,10 +24,11 @@
 from heronlug.standins.ports import free_port
 
 ROOT = Path(__file__).parents[2]
-STALL_S = 0.6  # s
+STALL_S = 0.6
 
 
 def test_planned_requests_equal_those_of_the_emulator() -> None:
+    """Different requests on sockets and on the emulator would make their figures incomparable."""
     parsed = scenario(span_s=5)
     world, submitted = World(parsed, 7), list[tuple[float, int, float]]()
     submit = world.clients._submit
@@ -45,12 +46,13 @@
 
 @pytest.mark.parametrize("address", ["192.0.2.1:80", "example.org:80", "10.0.0.1:80", "127.0.0.1"])
 def test_addresses_other_than_loopback_are_rejected(address: str) -> None:
+    """A mistyped address must not send load to another machine."""
     with pytest.raises(ValueError, match=r"loopback|no address"):
         loopback(address)
 
 
 def test_latency_during_a_stall_counts_from_the_due_time() -> None:
-    """A server that stands still: jobs that were due meanwhile have waited, though each was answered at once."""
+    """Requests that fall due while the server stalls must count their wait, although each is answered at once later."""
 
     async def play() -> Tally:
         end_of_stall = asyncio.Event()
@@ -79,7 +81,10 @@
 
 
 def test_a_deploy_on_sockets_overloads_no_server_that_warms_up() -> None:
-    """Two dispatchers, sixteen hosts of which most are replaced by cold ones, 150 jobs a second."""
+    """Dispatchers must not overload cold servers that replace most of a fleet.
+
+    Two dispatchers send 150 requests per second to sixteen servers, and a deploy replaces most servers.
+    """
     parsed = scenario(
         '[[trouble]]\nwhat = "deploy"\nat_s = 2\nshare = 0.6\nover_s = 4\ndrain_s = 2.6\n',
         span_s=8,
@@ -96,12 +101,13 @@
     for event in events:
         if isinstance(event, Load):
             checker.see(event)
-    assert checker.violations == []  # no cold host was pushed over
+    assert checker.violations == []  # no server was overloaded while warming up
 
 
 def test_server_faults_are_injected_on_sockets() -> None:
+    """Crashes that leave requests of non-idempotent classes unharmed would mean that no fault was injected."""
     faults = '[[trouble]]\nwhat = "crash"\nat_s = 1\nshare = 0.6\n[[trouble]]\nwhat = "pause"\nat_s = 2\nshare = 0.3\n'
-    # eighteen of what runs once run at any time: it is never all on the hosts that stay
+    # about 18 requests of class "once" run at any time, so that some of them run on servers that crash
     parsed = scenario(
         faults + "for_s = 0.5\n",
         span_s=4,
@@ -117,6 +123,7 @@
 
 
 def test_load_over_faktory_from_the_command_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    """Jobs that the dispatcher loses between PUSH and ACK would count as failed, lost or missing."""
     port, scenario_path = free_port(), tmp_path / "fleet.toml"
     scenario_path.write_text(TEXT.replace("count = 8", "count = 5"))
     site = "\n".join(
@@ -160,6 +167,7 @@
 
 
 def test_the_stand_in_command_ends_after_its_time(tmp_path: Path) -> None:
+    """A fleet that does not end after ``--seconds`` would keep its processes and ports."""
     scenario_path = tmp_path / "fleet.toml"
     scenario_path.write_text(TEXT)
     done = subprocess.run(
