--- a/heronlug/emulator/figures.py
+++ b/heronlug/emulator/figures.py
@@ -174,11 +174,11 @@
         possible = sum(each.priority_weight * each.request_count for each in self.classes)
         return sum(each.earned_value for each in self.classes) / possible if possible else float("nan")
 
-    def recovery_s(self, at: float, level: float = 0.95) -> float:
+    def recovery_s(self, fault_at_s: float, level: float = 0.95) -> float:
         """Returns the time in seconds from a fault until the service has recovered.
 
         Args:
-            at: time at which the fault began, in seconds.
+            fault_at_s: time at which the fault began, in seconds.
             level: share of the service before the fault at which the service counts as recovered.
 
         Returns:
@@ -186,7 +186,7 @@
         """
         earned, possible = self.value_by_second
         rates = np.divide(earned, possible, out=np.full(len(earned), np.nan), where=possible > 0)
-        first = int(at)
+        first = int(fault_at_s)
         seconds_before = slice(max(0, first - SECONDS_BEFORE_FAULT), first)
         before = np.nanmean(rates[seconds_before]) if first and possible[seconds_before].any() else 1.0
         windows = [slice(second, second + SMOOTHING_SECONDS) for second in range(first, len(rates))]
