--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -10,16 +10,16 @@
 import orjson
 from drive import Host, with_settings
 
-from compatibility.samples import DATA, WRITERS, Lending, as_lines, restart_packets, write_store
+from compatibility.samples import DATA_FOLDER, WRITERS, LendingDispatcher, encode_lines, restart_packets, write_store
 from heronlug import ListKind, Outcome, PeerMessage, ServerEntry
 from heronlug.balancer.zone_failover.zone_state import ZonePhase, ZoneState
 
 
-def record_learned(zones: bool) -> bytes:
+def record_snapshot(zones: bool) -> bytes:
     """What a dispatcher has learned that has seen failures, an ejection, and servers that warm up."""
     host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), workers=0)
-    listed = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
-    host.listed(ListKind.FULL, tuple(listed))
+    listed_servers = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
+    host.listed(ListKind.FULL, tuple(listed_servers))
     for number in range(60):
         host.job(0 if number % 10 else 2)
         host.now += 25
@@ -40,27 +40,31 @@
 
 def record_loan() -> bytes:
     """An ask for capacity at a server that warms up, and its grant."""
-    position, asker = next(
-        (at, member) for at in range(14) if not (member := Lending(at)).server.slow_start.work_budget
+    position, borrower = next(
+        (position_tried, member)
+        for position_tried in range(14)
+        if not (member := LendingDispatcher(position_tried)).server.slow_start.work_budget
     )
-    (ask, holder), *_ = asker.ask()
-    lender = Lending(holder)
-    ((grant, _),) = lender.shares.receive(PeerMessage(position, ask), lender.table.by_id, 21.0)
-    return as_lines({"ask": ask, "grant": grant})
+    (loan_request, holder), *_ = borrower.request_loan()
+    lender = LendingDispatcher(holder)
+    ((loan_grant, _),) = lender.shares.receive(PeerMessage(position, loan_request), lender.table.by_id, 21.0)
+    return encode_lines({"ask": loan_request, "grant": loan_grant})
 
 
 def main() -> None:
     """Write all files."""
     for name, writer in WRITERS.items():
-        (DATA / name).write_bytes(writer())
-    (DATA / "learned.json").write_bytes(record_learned(False))
-    (DATA / "learned-zones.json").write_bytes(record_learned(True))
-    (DATA / "loan.txt").write_bytes(record_loan())
-    (DATA / "store.sqlite").unlink(missing_ok=True)
-    write_store(DATA / "store.sqlite")
+        (DATA_FOLDER / name).write_bytes(writer())
+    (DATA_FOLDER / "learned.json").write_bytes(record_snapshot(False))
+    (DATA_FOLDER / "learned-zones.json").write_bytes(record_snapshot(True))
+    (DATA_FOLDER / "loan.txt").write_bytes(record_loan())
+    (DATA_FOLDER / "store.sqlite").unlink(missing_ok=True)
+    write_store(DATA_FOLDER / "store.sqlite")
     with tempfile.TemporaryDirectory() as folder:
         packets = asyncio.run(restart_packets(Path(folder)))
-    (DATA / "restart-packets.json").write_bytes(orjson.dumps(list(map(list, packets)), option=orjson.OPT_INDENT_2))
+    (DATA_FOLDER / "restart-packets.json").write_bytes(
+        orjson.dumps(list(map(list, packets)), option=orjson.OPT_INDENT_2)
+    )
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -65,7 +65,7 @@
 from heronlug.storage.model import StoredRequest
 from heronlug.storage.sqlite import SqliteStore
 
-DATA = Path(__file__).parent / "data"
+DATA_FOLDER = Path(__file__).parent / "data"
 NOW = 1_700_000_000_000.0
 ZONES, MACHINE_TYPES = ["zone-a", "zone-b"], ["small", "large"]
 SERVERS = [
@@ -118,7 +118,7 @@
 }
 KEYS = {3: b"the key of the recorded datagrams", 4: b"another key"}
 ROWS = {b"key-%02d" % number: b"value of row %d" % number for number in range(24)}
-JOBS = [
+STORED_REQUESTS = [
     StoredRequest("jid-1", "safe", "default", b'{"jid":"jid-1"}', 1000.5, 800.0),
     StoredRequest("jid-2", "once", "mail", b'{"jid":"jid-2","after":["jid-1"]}', 1001.0, 900.0, 5000.0, 1100.0),
     StoredRequest("jid-3", "safe", "default", b"", 1002.0, 700.0, 0.0, 1200.0, "served", 1300.0),
@@ -132,69 +132,69 @@
     descriptors: int
 
 
-def kept_list() -> bytes:
+def cached_list() -> bytes:
     """The file of the kept list."""
     return encode_cache("127.0.0.1:8500", NOW, write_list(42, SERVERS, ZONES, MACHINE_TYPES))
 
 
-def server_list() -> bytes:
+def endpoint_list() -> bytes:
     """The list of servers with those that are gone."""
     return orjson.dumps(write_list(42, SERVERS, ZONES, MACHINE_TYPES, True))
 
 
-def register_rows() -> bytes:
+def server_rows() -> bytes:
     """The rows of the shared server list."""
-    return as_lines(
+    return encode_lines(
         {key.decode(): value for key, value in ServerRowCodec(ZONES, MACHINE_TYPES).encode(SERVERS).items()}
     )
 
 
 def cluster_parts() -> bytes:
     """Each part of a cluster datagram, by its name on these pages."""
-    return as_lines({PART_NAMES.get(type(part), type(part).__name__): encode_part(part) for part in PARTS})
+    return encode_lines({PART_NAMES.get(type(part), type(part).__name__): encode_part(part) for part in PARTS})
 
 
 def cluster_datagrams() -> bytes:
     """All parts, sealed with the first of two keys."""
     datagrams = DatagramCodec(0x01020304, KEYS, 1000).pack(PARTS)
-    return as_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
+    return encode_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
 
 
 def table_nodes() -> bytes:
     """The nodes of a replicated table, its root first."""
     nodes: dict[int, bytes] = {}
     root = merkle_trie.build(ROWS, nodes)
-    return as_lines({f"{name:016x}": nodes[name] for name in merkle_trie.names(nodes, root)})
+    return encode_lines({f"{name:016x}": nodes[name] for name in merkle_trie.names(nodes, root)})
 
 
-def as_lines(values: dict[str, bytes]) -> bytes:
+def encode_lines(values: dict[str, bytes]) -> bytes:
     """A line for each value: its name and its bytes in hexadecimal digits."""
     return "".join(f"{name} {value.hex()}\n" for name, value in values.items()).encode()
 
 
-def from_lines(data: bytes) -> dict[str, bytes]:
+def decode_lines(data: bytes) -> dict[str, bytes]:
     """The values of such lines."""
     lines = [line.split(" ") for line in data.decode().splitlines()]
     return {name: bytes.fromhex(digits) for name, digits in lines}
 
 
-def workers(count: int) -> dict[int, Server]:
+def make_servers(count: int) -> dict[int, Server]:
     """Servers as one dispatcher knows them."""
     return {number: Server(ServerEntry(number), CapacityEstimate()) for number in range(1, count + 1)}
 
 
 def load_reports() -> bytes:
     """Counts of slots in flight, and a load summary in two datagrams."""
-    reports, servers = PeerLoad(), workers(500)
+    reports, servers = PeerLoad(), make_servers(500)
     servers[1].load.own_slots, servers[2].load.own_slots, servers[3].load.own_slots = 3.0, 70.0, 0.0
     reports.unreported = {number: servers[number] for number in (1, 2, 3)}
     reports.unreported_outcomes = {1: 64, 3: 128}  # well, badly
     reports.set_ready_servers(list(servers.values()))
     summary = reports.summary([number % 16 for number in range(1, 501)])
-    return as_lines({"counts": reports.report(NOW), "summary-0": summary[0], "summary-1": summary[1]})
+    return encode_lines({"counts": reports.report(NOW), "summary-0": summary[0], "summary-1": summary[1]})
 
 
-class Lending:
+class LendingDispatcher:
     """One of fourteen dispatchers, with server 7 warming up."""
 
     def __init__(self, position: int) -> None:
@@ -217,17 +217,17 @@
 
     def request(self) -> Request:
         """A request of usual size."""
-        job = Request(RequestArrived(1, 0, 10_000.0), SETTINGS.classes[0])
-        job.work = 100.0
-        return job
+        request = Request(RequestArrived(1, 0, 10_000.0), SETTINGS.classes[0])
+        request.work = 100.0
+        return request
 
-    def ask(self) -> list[tuple[bytes, int]]:
+    def request_loan(self) -> list[tuple[bytes, int]]:
         """What it asks others for, and whom."""
-        told = self.shares.request_loans([self.request()], [self.server], 20.0)
-        return [(content, peer) for content, peer in told]
+        messages = self.shares.request_loans([self.request()], [self.server], 20.0)
+        return [(content, peer) for content, peer in messages]
 
 
-def gossip() -> bytes:
+def gossip_datagrams() -> bytes:
     """What goes over the socket to two peers: a message, the goodbye alone, and a message with that mark."""
     transport = MagicMock()
     peers = PeerSocket(
@@ -237,24 +237,25 @@
     peers.send(b"cat", -1)
     peers.leave()
     peers.send(b"cat", 1)
-    return as_lines({str(number): call.args[0] for number, call in enumerate(transport.sendto.call_args_list)})
+    return encode_lines({str(number): call.args[0] for number, call in enumerate(transport.sendto.call_args_list)})
 
 
 def write_store(path: Path) -> None:
     """A store with three requests: one accepted, one delivered, one served."""
     store = SqliteStore(path, lambda call: call(), MagicMock())
-    for job in JOBS:
+    for request in STORED_REQUESTS:
         store.accept(
-            job._replace(job=job.job or b"{}", first_delivered_at=0.0, final_state="", ended_at=0.0), MagicMock()
+            request._replace(job=request.job or b"{}", first_delivered_at=0.0, final_state="", ended_at=0.0),
+            MagicMock(),
         )
-        if job.first_delivered_at:
-            store.deliver(job.jid, job.first_delivered_at, MagicMock())
-        if job.final_state:
-            store.record_final_state(job.jid, job.final_state, job.ended_at)
+        if request.first_delivered_at:
+            store.deliver(request.jid, request.first_delivered_at, MagicMock())
+        if request.final_state:
+            store.record_final_state(request.jid, request.final_state, request.ended_at)
     store.close()
 
 
-def dump(path: Path) -> list[str]:
+def dump_database(path: Path) -> list[str]:
     """All that stands in a database, as SQL."""
     database = sqlite3.connect(path)
     try:
@@ -263,30 +264,32 @@
         database.close()
 
 
-class Process:
+class RestartProcess:
     """One process of a dispatcher: a real core and takeover, without sockets to clients and servers."""
 
     def __init__(self, folder: str) -> None:
         self.deadlines = Deadlines(lambda: NOW)
-        front = MagicMock()
-        front.send.side_effect = self._sent
-        self.core = Core(SETTINGS, 1, front, self.deadlines)
+        frontend = MagicMock()
+        frontend.send.side_effect = self._start_attempt
+        self.core = Core(SETTINGS, 1, frontend, self.deadlines)
         self.sockets = [socket.socket(), socket.socket(type=socket.SOCK_DGRAM)]
-        self.daemon = MagicMock()
-        self.daemon.core = self.core
-        config = self.daemon.config
+        self.application = MagicMock()
+        self.application.core = self.core
+        config = self.application.config
         config.name, config.listen, config.zones, config.kinds = "d1", ("127.0.0.1", 80), ZONES, MACHINE_TYPES
-        self.daemon.frontend.max_connections = self.daemon.backend.max_connections = 100
-        self.daemon.listener.fileno.return_value, self.daemon.peers.fileno.return_value = self.descriptors()
-        self.daemon.shutdown.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
-        self.daemon.shutdown.stopping = True
-        self.daemon.discovery.cache = None
-        self.daemon.discovery.client.version = 42
-        self.daemon.discovery.client.freshness.remaining.return_value = 7500.0
-        self.daemon.discovery.client.parse_list = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
-        self.daemon.discovery.client.on_update = self.core.update_servers
-        self.daemon.frontend.adopt.side_effect = self._adopted
-        self.takeover = StateTransfer(cast(Any, self.daemon), self.deadlines, folder)
+        self.application.frontend.max_connections = self.application.backend.max_connections = 100
+        self.application.listener.fileno.return_value, self.application.peers.fileno.return_value = self.descriptors()
+        self.application.shutdown.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
+        self.application.shutdown.stopping = True
+        self.application.discovery.cache = None
+        self.application.discovery.client.version = 42
+        self.application.discovery.client.freshness.remaining.return_value = 7500.0
+        self.application.discovery.client.parse_list = lambda table: read_list(
+            table, ZONES, MACHINE_TYPES, lambda at: at
+        )
+        self.application.discovery.client.on_update = self.core.update_servers
+        self.application.frontend.adopt.side_effect = self._adopt_connection
+        self.takeover = StateTransfer(cast(Any, self.application), self.deadlines, folder)
         config.peers, config.peers_all = [], None
         self.peer_messages = PeerMessages(config, self.deadlines, MagicMock(), MagicMock())
         self.peer_messages.hot_restart = self.takeover.session
@@ -307,18 +310,20 @@
         connection.can_hand_over.return_value = True
         return connection
 
-    def _sent(self, relay: Any) -> None:
-        relay.exchange = self.connection()
-        relay.exchange.pause_for_handover.return_value = PausedConnection(
+    def _start_attempt(self, attempt: Any) -> None:
+        attempt.exchange = self.connection()
+        attempt.exchange.pause_for_handover.return_value = PausedConnection(
             self.descriptors()[0], answered=True, last=False
         )
 
-    def _adopted(self, sock: socket.socket, served: bool, made: Callable[[Any], None] | None = None) -> None:
+    def _adopt_connection(
+        self, sock: socket.socket, served: bool, on_adopted: Callable[[Any], None] | None = None
+    ) -> None:
         sock.close()
-        if made is not None:
+        if on_adopted is not None:
             client = self.connection()
             client.pause_for_handover.return_value = self.descriptors()[0]
-            made(client)
+            on_adopted(client)
 
     def run_request(self) -> None:
         """Take a request whose first attempt has failed and whose second one has started."""
@@ -334,8 +339,8 @@
         self.core.attempt_progressed(message.attempts[1], ProgressKind.STARTED)
 
 
-HELLO = Packet('.{"kind":"hello","version":1,"name":"d1"}', 0)
-SERVING = Packet('.{"kind":"serving"}', 0)
+HELLO_PACKET = Packet('.{"kind":"hello","version":1,"name":"d1"}', 0)
+SERVING_PACKET = Packet('.{"kind":"serving"}', 0)
 
 
 async def receive(sock: socket.socket) -> Packet:
@@ -355,16 +360,16 @@
 
 async def restart_packets(folder: Path) -> list[Packet]:
     """What an old process tells a new one that joins, serves and is handed a client and a request."""
-    process = Process(str(folder))
+    process = RestartProcess(str(folder))
     process.run_request()
-    process.daemon.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
+    process.application.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
     process.takeover.session.listen()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(next(folder.glob("heronlug-*"))))
         sock.setblocking(False)
-        sock.send(HELLO.data.encode())
+        sock.send(HELLO_PACKET.data.encode())
         packets = [await receive(sock)]
-        sock.send(SERVING.data.encode())
+        sock.send(SERVING_PACKET.data.encode())
         packets += [await receive(sock), await receive(sock)]
         process.takeover.request_id_changed("t-2", True)
         process.takeover.request_id_changed("t-1", False)
@@ -372,20 +377,20 @@
         reports.unreported = dict(process.core.dispatcher.state.servers.by_id)
         process.peer_messages.send(reports.report(NOW), -1)
         packets += [await receive(sock) for _ in range(3)]
-        parting = asyncio.create_task(process.takeover.session.say_goodbye())
+        goodbye = asyncio.create_task(process.takeover.session.say_goodbye())
         packets.append(await receive(sock))
-    await asyncio.wait_for(parting, 5)
+    await asyncio.wait_for(goodbye, 5)
     process.close()
     return packets
 
 
 WRITERS: dict[str, Callable[[], bytes]] = {
-    "kept-list.txt": kept_list,
-    "server-list.json": server_list,
-    "register-rows.txt": register_rows,
+    "kept-list.txt": cached_list,
+    "server-list.json": endpoint_list,
+    "register-rows.txt": server_rows,
     "cluster-parts.txt": cluster_parts,
     "cluster-datagrams.txt": cluster_datagrams,
     "table-nodes.txt": table_nodes,
     "load-reports.txt": load_reports,
-    "gossip.txt": gossip,
+    "gossip.txt": gossip_datagrams,
 }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,8 +16,8 @@
 settings.load_profile("same")
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST_KNOWN = 3
-SLOWEST = (  # files that take a quarter of a minute and more, slowest first: several processes begin with them
+MAX_KNOWN_RED = 3
+SLOWEST_FILES = (  # files that take a quarter of a minute and more, slowest first: several processes begin with them
     "tests/faults/test_plans.py",
     "tests/faults/test_mutants.py",
     "tests/faults/test_soak.py",
@@ -29,7 +29,7 @@
     "tests/emulator/test_maths.py",
     "tests/config/test_limits.py",
 )
-LAST = len(SLOWEST)
+AFTER_SLOWEST_FILES = len(SLOWEST_FILES)
 
 
 class KnownRed(NamedTuple):
@@ -50,8 +50,8 @@
             raise pytest.UsageError(msg)
         if line.strip():
             found.append(KnownRed(*fields))
-    if len(found) > MOST_KNOWN:
-        msg = f"KNOWN-RED.txt: {len(found)} tests, more than {MOST_KNOWN}"
+    if len(found) > MAX_KNOWN_RED:
+        msg = f"KNOWN-RED.txt: {len(found)} tests, more than {MAX_KNOWN_RED}"
         raise pytest.UsageError(msg)
     return found
 
@@ -60,17 +60,21 @@
     return read_known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
 
 
-def _exists(test: str) -> bool:
+def _test_file_exists(test: str) -> bool:
     return (KNOWN_RED.parent / test.partition("::")[0]).exists()
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Begin with the slowest files, and pass over the failures of the tests that are listed."""
-    items.sort(key=lambda item: SLOWEST.index(file) if (file := item.nodeid.partition("::")[0]) in SLOWEST else LAST)
+    items.sort(
+        key=lambda item: SLOWEST_FILES.index(file)
+        if (file := item.nodeid.partition("::")[0]) in SLOWEST_FILES
+        else AFTER_SLOWEST_FILES
+    )
     known = {line.test: line for line in _known_red()}
     found = {item.nodeid for item in items}
     files = {test.partition("::")[0] for test in found}
-    collected = {test for test in known if test.partition("::")[0] in files or not _exists(test)}
+    collected = {test for test in known if test.partition("::")[0] in files or not _test_file_exists(test)}
     if missing := collected - found:
         msg = f"KNOWN-RED.txt names no test: {', '.join(sorted(missing))}"
         raise pytest.UsageError(msg)
--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -157,34 +157,43 @@
     @property
     def requests(self) -> int:
         """First bytes of requests that have come and not been taken."""
-        return sum(1 for end in self.connections if end.received)
+        return sum(1 for connection in self.connections if connection.received)
 
     async def request(self) -> tuple[StandInConnection, bytes]:
         """Wait for the next complete request; returns it with its connection."""
         found: list[tuple[StandInConnection, bytes]] = []
 
-        def come() -> bool:
-            found.extend((end, data) for end in self.connections if not found and (data := end.take_request()))
+        def request_has_come() -> bool:
+            found.extend(
+                (connection, data)
+                for connection in self.connections
+                if not found and (data := connection.take_request())
+            )
             return bool(found)
 
-        await until(come, f"a request at {self.name}")
+        await until(request_has_come, f"a request at {self.name}")
         return found[0]
 
-    async def latest(self) -> StandInConnection:
+    async def unanswered_connection(self) -> StandInConnection:
         """The request that still waits for an answer."""
         await until(
-            lambda: any(end.received and not end.ended for end in self.connections), f"a request at {self.name}"
+            lambda: any(connection.received and not connection.ended for connection in self.connections),
+            f"a request at {self.name}",
+        )
+        return next(
+            connection
+            for connection in self.connections
+            if connection.received and not connection.ended and connection.take_request()
         )
-        return next(end for end in self.connections if end.received and not end.ended and end.take_request())
 
 
-async def until(true: Callable[[], bool], what: str) -> None:
+async def until(condition: Callable[[], bool], description: str) -> None:
     """Wait for an event that must come."""
     for _ in range(int(TIMEOUT_S * 1000)):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.001)
-    msg = f"never: {what}"
+    msg = f"never: {description}"
     raise AssertionError(msg)
 
 
@@ -224,8 +233,8 @@
     def endpoint_list(self, version: int, *lines: str, whole: bool = True) -> dict[str, Any]:
         """An endpoint list; a line is a server's name, with its state if that is not ``active``."""
         entries = []
-        for progress_chunk in lines:
-            name, _, state = progress_chunk.partition(":")
+        for line in lines:
+            name, _, state = line.partition(":")
             entries.append(
                 {
                     "instanceId": name,
@@ -258,8 +267,8 @@
         """Let time pass for the application."""
         await self.settle()
         end, deadlines = self.clock.at + duration_ms, self.application.deadline_loop.deadlines
-        while (head := deadlines.next_due()) is not None and head <= end:
-            self.clock.at = max(self.clock.at, head)
+        while (next_due := deadlines.next_due()) is not None and next_due <= end:
+            self.clock.at = max(self.clock.at, next_due)
             self.application.turn()
             await self.settle()
         self.clock.at = end
@@ -273,8 +282,8 @@
     async def client(self) -> StandInConnection:
         """A client's connection."""
         host, port = self.listen.split(":")
-        _, end = await asyncio.get_running_loop().create_connection(StandInConnection, host, int(port))
-        return end
+        _, connection = await asyncio.get_running_loop().create_connection(StandInConnection, host, int(port))
+        return connection
 
     async def post(
         self, request_id: str, class_name: str = "safe", remaining: int = 4000, client: StandInConnection | None = None
--- a/tests/end_to_end/process.py
+++ b/tests/end_to_end/process.py
@@ -18,13 +18,13 @@
 class DispatcherProcess:
     """One process, whose files and stand-ins are those of a :class:`DispatcherHarness`."""
 
-    def __init__(self, folder: Path, harness: DispatcherHarness, **more: Any) -> None:
+    def __init__(self, folder: Path, harness: DispatcherHarness, **changes: Any) -> None:
         """``more`` are keys of its configuration."""
         self.folder, self.harness = folder, harness
-        self.operators = f"127.0.0.1:{free_port()}"
-        self.config = {**harness.raw, "admin_addr": self.operators, **more}
+        self.admin_address = f"127.0.0.1:{free_port()}"
+        self.config = {**harness.raw, "admin_addr": self.admin_address, **changes}
         self.environ: dict[str, str] = {}
-        self.inherits: tuple[int, ...] = ()
+        self.inherited_descriptors: tuple[int, ...] = ()
         self.process: subprocess.Popen[bytes]
 
     @asynccontextmanager
@@ -37,8 +37,8 @@
         env = {**os.environ, "RELAY_CONFIG": str(path), "TMPDIR": str(self.folder), **self.environ}
         command = [sys.executable, "-m", "heronlug"]
         with (
-            log.open("wb") as out,
-            subprocess.Popen(command, env=env, stdout=out, pass_fds=self.inherits) as self.process,
+            log.open("wb") as log_file,
+            subprocess.Popen(command, env=env, stdout=log_file, pass_fds=self.inherited_descriptors) as self.process,
         ):
             try:
                 yield self
@@ -50,7 +50,7 @@
     def logged(self, event: str) -> list[dict[str, Any]]:
         """The whole lines of a kind so far."""
         lines = (self.folder / "log").read_bytes().rpartition(b"\n")[0].splitlines()
-        return [progress_chunk for progress_chunk in map(json.loads, lines) if progress_chunk["event"] == event]
+        return [event_fields for event_fields in map(json.loads, lines) if event_fields["event"] == event]
 
     async def started(self) -> None:
         await until(lambda: bool(self.logged("started")), "the start")
@@ -65,9 +65,9 @@
         host, port = (address or self.harness.listen).split(":")
         return (await asyncio.get_running_loop().create_connection(StandInConnection, host, int(port)))[1]
 
-    async def figure(self, name: str) -> int:
+    async def metric(self, name: str) -> int:
         """One of the figures that an operator reads."""
-        host, port = self.operators.split(":")
+        host, port = self.admin_address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /stats HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         text = (await reader.read()).decode()
--- a/tests/end_to_end/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -41,14 +41,14 @@
         (folder / "state.toml").write_text(f'log_level = "info"\n[faktory]\nlisten = "{faktory}"\n')
         program.environ["HERONLUG_STATE"] = str(folder / "state.toml")
         address, sent, expected = {
-            "operators": (program.operators, b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n", b"HTTP/1.1 200 "),
+            "operators": (program.admin_address, b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n", b"HTTP/1.1 200 "),
             "faktory": (faktory, b"", b"+HI "),
         }.get(listener, (harness.listen, request_bytes("t1", "once", 4000), b"HTTP/1.1 200 "))
         inherited = None
         if listener == "inherited":
             host, port = harness.listen.split(":")
             inherited = socket.create_server((host, int(port)))
-            program.inherits = (inherited.fileno(),)
+            program.inherited_descriptors = (inherited.fileno(),)
             program.environ["RELAY_INHERITED_FD"] = str(inherited.fileno())
         async with program.open():
             await program.confirmed()
@@ -72,7 +72,7 @@
                 server_connection.send(done(request_id_of(request)))
             await until(lambda: client.received.startswith(expected), "the answer after the descriptor shortage")
             metric = f'svc_accept_failures{{listener="{listener.replace("inherited", "clients")}"}}'
-            assert await program.figure(metric) >= 1
+            assert await program.metric(metric) >= 1
         if inherited is not None:
             inherited.close()
 
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -27,8 +27,8 @@
 from heronlug.frontends.http.request_table import write_request
 from heronlug.requests.model import Workload
 
-WAYS = ["fin", "half", "reset", "behind"]
-LONG = 400.0  # ms; the rule gives 300
+ENDINGS = ["fin", "half", "reset", "behind"]
+STALL_MS = 400.0  # ms; the rule gives 300
 
 
 async def open_connections(harness: DispatcherHarness) -> None:
@@ -36,15 +36,15 @@
     clients = [await harness.post(f"warm{number}") for number in range(2 * len(harness.servers))]
     while any(server.requests for server in harness.servers.values()):
         for server in harness.servers.values():
-            for end in server.connections:
-                if request := end.take_request():
-                    end.send(done(request_id_of(request)))
+            for server_connection in server.connections:
+                if request := server_connection.take_request():
+                    server_connection.send(done(request_id_of(request)))
         await harness.settle()
     assert all(map(served, clients))
     assert all(server.connections for server in harness.servers.values())
 
 
-def nothing_sent(harness: DispatcherHarness) -> bool:
+def no_request_pending(harness: DispatcherHarness) -> bool:
     """No server has a byte that was not taken, and nothing is held for anybody."""
     return not any(server.requests for server in harness.servers.values()) and not len(
         harness.application.core.requests
@@ -55,18 +55,18 @@
     """All servers have as much as they get: what comes now is held.  Returns what runs."""
     for number in range(100):
         await harness.post(f"fill{number}")
-        out = sum(len(request_bytes.attempts) for request_bytes in harness.application.core.requests)
-        if out < len(harness.application.core.requests):
+        attempts_sent = sum(len(request.attempts) for request in harness.application.core.requests)
+        if attempts_sent < len(harness.application.core.requests):
             break
     running = []
     for server in harness.servers.values():
         while server.requests:
-            end, request = await server.request()
-            running.append((end, request_id_of(request)))
+            server_connection, request = await server.request()
+            running.append((server_connection, request_id_of(request)))
     return running
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_while_its_request_is_queued(ending: str) -> None:
     """A slot comes free, on a connection that is warm, before the end is read."""
 
@@ -79,19 +79,19 @@
             queued = len(harness.application.core.requests) - len(running)
             assert queued >= 1
             assert not harness.servers["h1"].requests
-            for end, request_id in running:
-                end.send_now(done(request_id))  # first in the queue of what is to be read
+            for server_connection, request_id in running:
+                server_connection.send_now(done(request_id))  # first in the queue of what is to be read
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            received = b"".join(end.received for end in harness.servers["h1"].connections)
+            received = b"".join(server_connection.received for server_connection in harness.servers["h1"].connections)
             assert received.count(b"POST ") == queued - 1
             assert b"x-txn: t1\r" not in received
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_its_request_waits_for_a_retry(ending: str, class_name: str) -> None:
     """The wait is over before the loop reads: the deadline is swept first."""
@@ -106,20 +106,20 @@
             await harness.settle()
             await harness.pass_time(20)  # the last byte of a non-idempotent request is held back
             [server] = [server for server in harness.servers.values() if server.requests]
-            end, _ = await server.request()
-            end.send(REJECTED_RESPONSE)
+            server_connection, _ = await server.request()
+            server_connection.send(REJECTED_RESPONSE)
             await harness.settle()
             client.leave(ending)
             harness.stall(600)
             harness.application.turn()
             await harness.settle()
-            assert nothing_sent(harness)
+            assert no_request_pending(harness)
             assert await expect_still_serving(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_while_its_request_is_pipelined_behind_another(ending: str) -> None:
     """The one before ends in the turn in which the end is read."""
 
@@ -127,20 +127,20 @@
         async with DispatcherHarness(1).open() as harness:
             client = harness.blocking_client()
             client.send(request_bytes("t1", "safe", 4000) + request_bytes("t2", "safe", 4000))
-            end, _ = await harness.servers["h1"].request()
-            end.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
+            server_connection, _ = await harness.servers["h1"].request()
+            server_connection.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
             await harness.settle()
-            end.send_now(done("t1")[len(RESPONSE_HEAD) :])
+            server_connection.send_now(done("t1")[len(RESPONSE_HEAD) :])
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            assert nothing_sent(harness)
+            assert no_request_pending(harness)
             assert await expect_still_serving(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_its_request_is_read(ending: str) -> None:
     """It waits in the accept queue, and so does its end."""
 
@@ -150,15 +150,15 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", "safe", 4000))
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            assert nothing_sent(harness)
+            assert no_request_pending(harness)
             assert await expect_still_serving(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_a_connection_to_the_server_is_opened(ending: str, class_name: str) -> None:
     """The connection opens before the end is read: nothing goes out on it."""
@@ -169,22 +169,22 @@
             client.send(request_bytes("t1", class_name, 4000))
             on_connected = harness.application.backend.on_connected
 
-            def late(connection: object) -> None:
+            def leave_then_report_connected(connection: object) -> None:
                 client.leave(ending)
-                harness.stall(LONG)
+                harness.stall(STALL_MS)
                 on_connected(connection)  # type: ignore[arg-type]
 
-            harness.application.backend.on_connected = late  # type: ignore[method-assign]
+            harness.application.backend.on_connected = leave_then_report_connected  # type: ignore[method-assign]
             await harness.settle()
             harness.application.backend.on_connected = on_connected  # type: ignore[method-assign]
             assert harness.application.backend.dials == 1
-            assert nothing_sent(harness)
+            assert no_request_pending(harness)
             assert await expect_still_serving(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_the_last_byte_of_a_non_idempotent_request(ending: str) -> None:
     """Its last byte is not sent: it never ran."""
 
@@ -193,20 +193,20 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", "once", 4000))
             await harness.settle()
-            [end] = harness.servers["h1"].connections
-            assert end.received
-            assert not end.take_request()
+            [server_connection] = harness.servers["h1"].connections
+            assert server_connection.received
+            assert not server_connection.take_request()
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             harness.application.turn()
             await harness.settle()
-            assert not end.take_request()
+            assert not server_connection.take_request()
             assert not len(harness.application.core.requests)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_its_request_is_hedged(ending: str) -> None:
     """The first has not started; its copy is due before the end is read."""
 
@@ -222,7 +222,7 @@
             harness.stall(2_000)
             harness.application.turn()
             await harness.settle()
-            assert nothing_sent(harness)
+            assert no_request_pending(harness)
 
     run_async(test)
 
@@ -237,36 +237,36 @@
             for number, client in enumerate(clients):
                 client.send(request_bytes(f"t{number}", "safe", 4000))
             await harness.settle()
-            for end, request_id in running:
-                end.send_now(done(request_id))
+            for server_connection, request_id in running:
+                server_connection.send_now(done(request_id))
             for number, client in enumerate(clients):
                 if number % 2:
-                    client.leave(WAYS[number // 2 % 4])
-            harness.stall(LONG)
+                    client.leave(ENDINGS[number // 2 % 4])
+            harness.stall(STALL_MS)
             left = {f"t{number}" for number in range(1, 24, 2)}
             for _ in range(30):
                 await harness.settle()
                 for server in harness.servers.values():
-                    for end in server.connections:
-                        if request := end.take_request():
+                    for server_connection in server.connections:
+                        if request := server_connection.take_request():
                             request_id = request_id_of(request)
                             assert request_id not in left
-                            end.send(done(request_id))
+                            server_connection.send(done(request_id))
             assert all(client.received().endswith(b"ok") for client in clients[::2])
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", [*WAYS, ""])
+@pytest.mark.parametrize("ending", [*ENDINGS, ""])
 def test_client_leaves_while_its_request_is_handed_over(ending: str) -> None:
     """It was held in the process before, which read no more of it; here a server is free at once."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             await open_connections(harness)
-            with socket.create_server(("127.0.0.1", 0)) as before:
-                client = BlockingClient(f"127.0.0.1:{before.getsockname()[1]}")
-                passed, _ = before.accept()
+            with socket.create_server(("127.0.0.1", 0)) as old_listener:
+                client = BlockingClient(f"127.0.0.1:{old_listener.getsockname()[1]}")
+                accepted, _ = old_listener.accept()
             request = HttpRequest()
             request.method, request.target, request.body, request.request_id = b"POST", b"/safe", b"hi", "t1"
             request.headers = {b"x-txn": b"t1", b"x-lane": b"safe"}
@@ -285,15 +285,15 @@
                     "attempts": [],
                     "wires": [],
                 },
-                [passed.detach()],
+                [accepted.detach()],
             )
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            assert nothing_sent(harness) is bool(ending)
+            assert no_request_pending(harness) is bool(ending)
             if not ending:
                 harness.application.frontend.close_idle()  # its answer is owed on it still
-                end, _ = await harness.servers["h1"].request()
-                end.send(done("t1"))
+                server_connection, _ = await harness.servers["h1"].request()
+                server_connection.send(done("t1"))
                 await harness.settle()
                 assert client.received().endswith(b"ok")
             assert await expect_still_serving(harness)
@@ -305,7 +305,7 @@
     """Another client gets its answer."""
     client = await harness.post("later")
     server = next(server for server in harness.servers.values() if server.requests)
-    end, _ = await server.request()
-    end.send(done("later"))
+    server_connection, _ = await server.request()
+    server_connection.send(done("later"))
     await harness.settle()
     return served(client)
--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -13,7 +13,7 @@
 from heronlug.config.platform import ConfigError, parse
 from heronlug.net.http import response
 
-FIRST: dict[str, Any] = {
+FIRST_DEPLOYMENT: dict[str, Any] = {
     "settings": {
         "lanes": [
             {"name": "letters", "deadline": 1500.0, "effect": "once", "goal_time": 300.0, "worth": 9.0},
@@ -25,7 +25,7 @@
     "limits": {"max_retry_after": 4000.0, "attempts_cap": 3},
     "safety": {"drain_grace": 400.0},
 }
-SECOND: dict[str, Any] = {
+SECOND_DEPLOYMENT: dict[str, Any] = {
     "settings": {
         "lanes": [
             {"name": "readings", "deadline": 900.0, "effect": "once", "goal_time": 300.0},
@@ -42,14 +42,14 @@
     """What a client is told whose request has started where the connection breaks; the next server's answer counts."""
     client = await harness.post(f"b-{class_name}", class_name)
     await harness.pass_time(20)
-    end, _ = await next(server for server in harness.servers.values() if server.requests).request()
-    end.reset()
+    server_connection, _ = await next(server for server in harness.servers.values() if server.requests).request()
+    server_connection.reset()
     await harness.settle()
     await harness.pass_time(50)
     for server in harness.servers.values():
         if server.requests:
-            again, _ = await server.request()
-            again.send(done(f"b-{class_name}"))
+            second_connection, _ = await server.request()
+            second_connection.send(done(f"b-{class_name}"))
     await harness.settle()
     return client.received.split(b" ")[1]
 
@@ -57,8 +57,8 @@
 def test_two_deployments_in_turn_behave_by_their_own_settings() -> None:
     """Twice round: the same names mean other things, and the second round is as the first."""
 
-    async def first() -> None:
-        async with DispatcherHarness(2, **FIRST).open(confirmed=False) as harness:
+    async def test_first() -> None:
+        async with DispatcherHarness(2, **FIRST_DEPLOYMENT).open(confirmed=False) as harness:
             call, poll = await harness.discovery.request()
             assert b"&wait_ms=0 " in poll
             call.send(harness.list_response(3))
@@ -67,8 +67,8 @@
             client = await harness.post("m1", "maps")
             assert client.received.startswith(b"HTTP/1.1 400 ")
 
-    async def second() -> None:
-        async with DispatcherHarness(2, **SECOND).open() as harness:
+    async def test_second() -> None:
+        async with DispatcherHarness(2, **SECOND_DEPLOYMENT).open() as harness:
             _, poll = await harness.discovery.request()
             assert b"&wait_ms=20000 " in poll
             assert await response_after_broken_connection(harness, "readings") == b"500"
@@ -78,31 +78,31 @@
             for _ in range(3):
                 for server in harness.servers.values():
                     if server.requests:
-                        end, _ = await server.request()
-                        end.send(REJECTED_RESPONSE)
+                        server_connection, _ = await server.request()
+                        server_connection.send(REJECTED_RESPONSE)
                 await harness.settle()
             await harness.pass_time(60)
             assert client.received == response(503)  # nobody is told to come back here
 
     for _ in range(2):
-        run_async(first)
-        run_async(second)
+        run_async(test_first)
+        run_async(test_second)
 
 
 def test_requests_count_against_the_tenant_that_they_name() -> None:
     """Each request counts against its own tenant's share, and one of nobody's against none."""
 
     async def test() -> None:
-        async with DispatcherHarness(1, **SECOND).open() as harness:
+        async with DispatcherHarness(1, **SECOND_DEPLOYMENT).open() as harness:
             tenants = []
             for number, name in enumerate(["south", "north", "west", ""]):
                 client = await harness.client()
                 head = f"Host: x\r\nX-Org: {name}\r\n" if name else "Host: x\r\n"
                 client.send(request_bytes(f"t{number}", "letters", 4000).replace(b"Host: x\r\n", head.encode()))
-                end, request = await harness.servers["h1"].request()
+                server_connection, request = await harness.servers["h1"].request()
                 assert (b"x-org: " + name.encode() in request) is bool(name)
                 tenants.append(next(iter(harness.application.core.requests)).payload.workload.tenant)
-                end.send(done(f"t{number}"))
+                server_connection.send(done(f"t{number}"))
                 await harness.settle()
                 assert served(client)
             assert tenants == [1, 0, 2, 2]
@@ -110,9 +110,12 @@
     run_async(test)
 
 
-WRONG = [
+INVALID_SETTINGS = [
     ({"lanes": []}, "classes"),
-    ({"lanes": [*SECOND["settings"]["lanes"], FIRST["settings"]["lanes"][0]]}, "two classes are named 'letters'"),
+    (
+        {"lanes": [*SECOND_DEPLOYMENT["settings"]["lanes"], FIRST_DEPLOYMENT["settings"]["lanes"][0]]},
+        "two classes are named 'letters'",
+    ),
     ({"lanes": [{"name": "a", "deadline": -1.0, "effect": "once", "goal_time": 1.0}]}, "lanes[0].deadline"),
     ({"lanes": [{"name": "a", "deadline": 1.0, "effect": "twice", "goal_time": 1.0}]}, "lanes[0]."),
     ({"instances": 3, "position": 3}, "position: 3: of 3 instances it is 0 to 2"),
@@ -120,28 +123,28 @@
 ]
 
 
-@pytest.mark.parametrize(("wrong", "reported"), WRONG)
-def test_invalid_settings_are_rejected(wrong: dict[str, Any], reported: str) -> None:
+@pytest.mark.parametrize(("invalid", "expected_error"), INVALID_SETTINGS)
+def test_invalid_settings_are_rejected(invalid: dict[str, Any], expected_error: str) -> None:
     """Refused at the start with file and key; by a reload nothing changes."""
     harness = DispatcherHarness(1)
     with pytest.raises(ConfigError) as error:
-        parse({**harness.raw, "settings": {**harness.raw["settings"], **wrong}}, "config.json")
+        parse({**harness.raw, "settings": {**harness.raw["settings"], **invalid}}, "config.json")
     assert "config.json: settings: " in str(error.value)
-    assert reported in str(error.value)
+    assert expected_error in str(error.value)
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            harness.raw["discovery"], right = harness.other_discovery.address, harness.raw["settings"]
-            harness.raw["settings"] = {**right, **wrong}
+            harness.raw["discovery"], valid = harness.other_discovery.address, harness.raw["settings"]
+            harness.raw["settings"] = {**valid, **invalid}
             os.kill(os.getpid(), signal.SIGHUP)
             for _ in range(1000):
                 await harness.settle()
                 if harness.logged("reload_failed"):
                     break
-            assert reported in str(harness.logged("reload_failed"))
+            assert expected_error in str(harness.logged("reload_failed"))
             client = await harness.post("t1")
-            end, _ = await harness.servers["h1"].request()
-            end.send(done("t1"))
+            server_connection, _ = await harness.servers["h1"].request()
+            server_connection.send(done("t1"))
             await harness.settle()
             assert served(client)
             assert not harness.other_discovery.connections
--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -11,26 +11,26 @@
 
 from end_to_end.harness import DispatcherHarness, done, request_bytes, request_id_of, run_async, served
 
-LONG = 3_000.0  # ms that the loop stands still, past the grace of 2.5 s
-RESTING = {"conn_idle": 60_000.0}
-SILENT_WATCH = 22_000.0 + 2_500.0  # ms after the start, from which on the list may not be gone by any more
+STALL_MS = 3_000.0  # ms that the loop stands still, past the grace of 2.5 s
+LONG_IDLE_LIMIT = {"conn_idle": 60_000.0}
+LIST_EXPIRY_MS = 22_000.0 + 2_500.0  # ms after the start, from which on the list may not be gone by any more
 
 
 async def open_connections(harness: DispatcherHarness, *names: str) -> None:
     """A connection to each of these servers rests."""
     clients = [await harness.post(f"warm{number}") for number in range(len(names))]
     for name in names:
-        end, request = await harness.servers[name].request()
-        end.send(done(request_id_of(request)))
+        server_connection, request = await harness.servers[name].request()
+        server_connection.send(done(request_id_of(request)))
     await harness.settle()
     assert all(served(client) for client in clients)
 
 
-async def drain_unread(harness: DispatcherHarness) -> None:
+async def send_drain_unread(harness: DispatcherHarness) -> None:
     """Discovery tells that h1 drains, and nobody reads it."""
     watch, _ = await harness.discovery.request()
     watch.send_now(harness.list_response(4, "h1:leaving", "h2"))
-    harness.stall(LONG)
+    harness.stall(STALL_MS)
 
 
 @pytest.mark.parametrize("list_first", [True, False])
@@ -38,21 +38,21 @@
     """Which of two connections is read first is the kernel's choice, so both orders are played, with each effect."""
 
     async def test(class_name: str) -> None:
-        async with DispatcherHarness(2, endpoint_list=["h1"], limits=RESTING).open() as harness:
+        async with DispatcherHarness(2, endpoint_list=["h1"], limits=LONG_IDLE_LIMIT).open() as harness:
             await open_connections(harness, "h1")
             client = harness.blocking_client()
             await harness.settle()
             if list_first:
-                await drain_unread(harness)
+                await send_drain_unread(harness)
                 client.send(request_bytes("t1", class_name, 4000))
             else:
                 client.send(request_bytes("t1", class_name, 4000))
-                await drain_unread(harness)
+                await send_drain_unread(harness)
             await harness.settle()
             await harness.pass_time(50)
             assert not harness.servers["h1"].requests
-            end, _ = await harness.servers["h2"].request()
-            end.send(done("t1"))
+            server_connection, _ = await harness.servers["h2"].request()
+            server_connection.send(done("t1"))
             await harness.settle()
             assert client.received().endswith(b"ok")
 
@@ -64,16 +64,16 @@
     """The answer that fails the first attempt is read before the list that has its next server drain."""
 
     async def test() -> None:
-        async with DispatcherHarness(2, limits=RESTING).open() as harness:
+        async with DispatcherHarness(2, limits=LONG_IDLE_LIMIT).open() as harness:
             await open_connections(harness, "h1", "h2")
             client = await harness.post("t1")
             first = next(server for server in harness.servers.values() if server.requests)
             other = next(server for server in harness.servers.values() if server is not first)
-            end, _ = await first.request()
-            end.send_now(b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+            server_connection, _ = await first.request()
+            server_connection.send_now(b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
             watch, _ = await harness.discovery.request()
             watch.send_now(harness.list_response(4, f"{other.name}:leaving"))
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
             await harness.pass_time(1000)
             assert not other.requests
@@ -84,7 +84,7 @@
 
 def test_opened_connection_uses_the_unread_list() -> None:
     async def test() -> None:
-        async with DispatcherHarness(1, limits=RESTING).open() as harness:
+        async with DispatcherHarness(1, limits=LONG_IDLE_LIMIT).open() as harness:
             client = harness.blocking_client()
             watch, _ = await harness.discovery.request()
             client.send(request_bytes("t1", "safe", 4000))
@@ -103,13 +103,13 @@
     """The timer that ends its time is as late as the request is."""
 
     async def test() -> None:
-        async with DispatcherHarness(1, limits=RESTING).open() as harness:
+        async with DispatcherHarness(1, limits=LONG_IDLE_LIMIT).open() as harness:
             await open_connections(harness, "h1")
-            await harness.until_time(SILENT_WATCH - 100)
+            await harness.until_time(LIST_EXPIRY_MS - 100)
             client: Any = harness.blocking_client()
             await harness.settle()
             client.send(request_bytes("t1", "safe", 300))
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
             await harness.pass_time(400)
             assert not harness.servers["h1"].requests
@@ -127,10 +127,10 @@
             client = harness.blocking_client()
             await harness.settle()
             client.send(request_bytes("t1", "once", 4000))
-            harness.stall(LONG)  # of the 4 s that the server keeps a connection, ours may rest for 2.8 s
+            harness.stall(STALL_MS)  # of the 4 s that the server keeps a connection, ours may rest for 2.8 s
             await harness.settle()
             await harness.pass_time(50)
-            end, _ = await harness.servers["h1"].request()
-            assert end is not harness.servers["h1"].connections[0]
+            server_connection, _ = await harness.servers["h1"].request()
+            assert server_connection is not harness.servers["h1"].connections[0]
 
     run_async(test)
--- a/tests/end_to_end/test_graceful_shutdown.py
+++ b/tests/end_to_end/test_graceful_shutdown.py
@@ -20,9 +20,9 @@
 )
 from heronlug.lifecycle.hot_restart.state_transfer import StateTransfer
 
-REFUSED = b"HTTP/1.1 503 "
+REJECTED = b"HTTP/1.1 503 "
 FAILED = b"HTTP/1.1 500 "
-KILL = 3_000 + 700  # ms after the signal, where deadlines are longer than 3 s
+SIGKILL_DELAY_MS = 3_000 + 700  # ms after the signal, where deadlines are longer than 3 s
 
 
 async def send_sigterm(harness: DispatcherHarness) -> None:
@@ -32,10 +32,10 @@
 
 
 async def expect_served_and_stopped(
-    harness: DispatcherHarness, client: StandInConnection, end: StandInConnection
+    harness: DispatcherHarness, client: StandInConnection, server_connection: StandInConnection
 ) -> None:
     """What is under way is served, and once its client has gone the process ends."""
-    end.send(done("t1"))
+    server_connection.send(done("t1"))
     await harness.settle()
     assert served(client)
     client.close()
@@ -53,59 +53,69 @@
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            half, whole = await harness.client(), request_bytes("t1", "safe", 2_000)
-            half.send(whole[:40])
-            rests = await harness.client()
-            rests.send(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+            partial_client, request_data = await harness.client(), request_bytes("t1", "safe", 2_000)
+            partial_client.send(request_data[:40])
+            idle_client = await harness.client()
+            idle_client.send(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
             await harness.settle()
-            rests.received = b""
+            idle_client.received = b""
             await send_sigterm(harness)
             await harness.pass_time(900)
-            half.send(whole[40:])
-            rests.send(request_bytes("t2", "safe", 2_000))
+            partial_client.send(request_data[40:])
+            idle_client.send(request_bytes("t2", "safe", 2_000))
             await harness.settle()
             for _ in range(2):
-                end, request = await harness.servers["h1"].request()
-                end.send(done("t1" if b"x-txn: t1\r" in request else "t2"))
+                server_connection, request = await harness.servers["h1"].request()
+                server_connection.send(done("t1" if b"x-txn: t1\r" in request else "t2"))
                 await harness.settle()
-            assert served(half)
-            assert served(rests)
+            assert served(partial_client)
+            assert served(idle_client)
 
     run_async(test)
 
 
 @pytest.mark.parametrize(
-    ("settings", "kill"),
-    [({}, KILL), (settings_with_deadline(60_000.0), KILL), (settings_with_deadline(1_200.0), 1_900)],
+    ("settings", "sigkill_delay_ms"),
+    [
+        ({}, SIGKILL_DELAY_MS),
+        (settings_with_deadline(60_000.0), SIGKILL_DELAY_MS),
+        (settings_with_deadline(1_200.0), 1_900),
+    ],
 )
-def test_queued_and_hanging_requests_are_answered_before_sigkill(settings: dict[str, Any], kill: float) -> None:
+def test_queued_and_hanging_requests_are_answered_before_sigkill(
+    settings: dict[str, Any], sigkill_delay_ms: float
+) -> None:
     """Deadlines over and under 3 s; what comes until then on open connections is answered too, and at once at last."""
 
     async def test() -> None:
         async with DispatcherHarness(1, **settings).open() as harness:
             await harness.discovery.request()
-            hangs = await harness.post("t1", "safe", 60_000)
-            [end] = [end for end in harness.servers["h1"].connections if end.take_request()]
-            end.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
-            late = await harness.client()
-            late.send(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+            hanging_client = await harness.post("t1", "safe", 60_000)
+            [server_connection] = [
+                server_connection
+                for server_connection in harness.servers["h1"].connections
+                if server_connection.take_request()
+            ]
+            server_connection.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
+            late_client = await harness.client()
+            late_client.send(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
             await harness.settle()
-            late.received = b""
+            late_client.received = b""
             await send_sigterm(harness)
-            begun = harness.clock.at
+            sigterm_at = harness.clock.at
             os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
-            await harness.pass_time(kill - 200)
-            assert hangs.received.startswith(REFUSED)
-            assert b"Connection: close" in hangs.received
-            late.send(request_bytes("t2", "safe", 60_000))
+            await harness.pass_time(sigkill_delay_ms - 200)
+            assert hanging_client.received.startswith(REJECTED)
+            assert b"Connection: close" in hanging_client.received
+            late_client.send(request_bytes("t2", "safe", 60_000))
             await harness.settle()
-            assert late.received.startswith((REFUSED, FAILED)) or late.ended
-            hangs.close()
-            late.close()
+            assert late_client.received.startswith((REJECTED, FAILED)) or late_client.ended
+            hanging_client.close()
+            late_client.close()
             await harness.settle()
             await harness.pass_time(100)
             assert harness.ended
-            assert harness.clock.at - begun < kill
+            assert harness.clock.at - sigterm_at < sigkill_delay_ms
 
     run_async(test)
 
@@ -117,10 +127,10 @@
         async with DispatcherHarness(1).open() as harness:
             client = BlockingClient(harness.listen)
             client.send(request_bytes("t1", "safe", 3_000))
-            end, _ = await harness.servers["h1"].request()
+            server_connection, _ = await harness.servers["h1"].request()
             await send_sigterm(harness)
             result = "x" * 200_000
-            end.send(RESPONSE_HEAD + b"".join([progress_chunk("t1", "done", result)]) + b"0\r\n\r\n")
+            server_connection.send(RESPONSE_HEAD + b"".join([progress_chunk("t1", "done", result)]) + b"0\r\n\r\n")
             await harness.settle()
             await harness.pass_time(2_600)
             received = b""
@@ -135,37 +145,37 @@
     run_async(test)
 
 
-def test_sigterm_during_a_reload() -> None:
+def test_requests_are_served_when_sigterm_arrives_during_a_reload() -> None:
     """The reload ends, the stop goes on, and what is under way is served."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             client = await harness.post("t1")
-            end, _ = await harness.servers["h1"].request()
+            server_connection, _ = await harness.servers["h1"].request()
             harness.raw["discovery"] = harness.other_discovery.address
             os.kill(os.getpid(), signal.SIGHUP)
             await send_sigterm(harness)
             await harness.other_discovery.request()
-            await expect_served_and_stopped(harness, client, end)
+            await expect_served_and_stopped(harness, client, server_connection)
 
     run_async(test)
 
 
-def test_sigterm_during_the_start() -> None:
+def test_requests_are_served_when_sigterm_arrives_during_the_start() -> None:
     """It comes as the listener opens: who connects meanwhile is served, and the process leaves once it is quiet."""
 
     async def test() -> None:
-        opened = StateTransfer.open_listener
+        open_listener = StateTransfer.open_listener
 
-        def crossed(takeover: StateTransfer) -> None:
-            opened(takeover)
+        def open_then_send_sigterm(takeover: StateTransfer) -> None:
+            open_listener(takeover)
             os.kill(os.getpid(), signal.SIGTERM)
 
-        with mock.patch.object(StateTransfer, "open_listener", crossed):
+        with mock.patch.object(StateTransfer, "open_listener", open_then_send_sigterm):
             async with DispatcherHarness(1).open() as harness:
                 assert harness.application.shutdown.stopping
                 client = await harness.post("t1", remaining=900)
-                end, _ = await harness.servers["h1"].request()
-                await expect_served_and_stopped(harness, client, end)
+                server_connection, _ = await harness.servers["h1"].request()
+                await expect_served_and_stopped(harness, client, server_connection)
 
     run_async(test)
--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -17,7 +17,7 @@
     run_async,
 )
 
-RUN = 100.0  # ms that requests run; their aim is 400, so they have to start within 300
+RUN_TIME_MS = 100.0  # ms that requests run; their aim is 400, so they have to start within 300
 
 
 def overloaded_harness(servers: int = 8) -> DispatcherHarness:
@@ -29,9 +29,9 @@
     await harness.settle()
     found = {}
     for server in harness.servers.values():
-        for end in server.connections:
-            while request := end.take_request():
-                found[request_id_of(request)] = end
+        for server_connection in server.connections:
+            while request := server_connection.take_request():
+                found[request_id_of(request)] = server_connection
     return found
 
 
@@ -39,10 +39,10 @@
     """Some have run, and how long is known."""
     for number in range(4):
         client = await harness.post(f"warm{number}")
-        ((request_id, end),) = (await received_requests(harness)).items()
-        end.send(RESPONSE_HEAD + progress_chunk(request_id, "started"))
-        await harness.pass_time(RUN)
-        end.send(progress_chunk(request_id, "done", "ok") + LAST_CHUNK)
+        ((request_id, server_connection),) = (await received_requests(harness)).items()
+        server_connection.send(RESPONSE_HEAD + progress_chunk(request_id, "started"))
+        await harness.pass_time(RUN_TIME_MS)
+        server_connection.send(progress_chunk(request_id, "done", "ok") + LAST_CHUNK)
         await harness.settle()
         assert client.received.startswith(b"HTTP/1.1 200 ")
 
@@ -69,10 +69,10 @@
     async def test() -> None:
         async with overloaded_harness().open() as harness:
             client, _ = await queue_third_request(harness)
-            await harness.pass_time(300 - RUN / 2)
+            await harness.pass_time(300 - RUN_TIME_MS / 2)
             assert not client.received
             assert not await received_requests(harness)
-            await harness.pass_time(RUN)
+            await harness.pass_time(RUN_TIME_MS)
             assert client.received.startswith(b"HTTP/1.1 503 "), client.received
             assert b"retry-after" in client.received.lower(), client.received
             await harness.pass_time(5000)
@@ -86,16 +86,16 @@
         async with overloaded_harness().open() as harness:
             client, waiting = await queue_third_request(harness)
             waiting["w0"].send(RESPONSE_HEAD + progress_chunk("w0", "started"))
-            out = await received_requests(harness)
-            assert list(out) == ["t"]
-            out["t"].send(done("t"))
+            received = await received_requests(harness)
+            assert list(received) == ["t"]
+            received["t"].send(done("t"))
             await harness.settle()
             assert client.received.startswith(b"HTTP/1.1 200 ")
 
     run_async(test)
 
 
-def test_unresponsive_servers_are_no_overload() -> None:
+def test_unresponsive_servers_do_not_count_as_overload() -> None:
     async def test() -> None:
         async with overloaded_harness().open() as harness:
             await queue_third_request(harness)
--- a/tests/end_to_end/test_servers.py
+++ b/tests/end_to_end/test_servers.py
@@ -23,8 +23,8 @@
 from heronlug.requests.model import Attempt
 
 FAILED = b"HTTP/1.1 500 "
-REFUSED = b"HTTP/1.1 503 "
-HOLD_BACK_MS = 20.0  # ms; the last byte of a non-idempotent request has gone out after that
+REJECTED = b"HTTP/1.1 503 "
+LAST_BYTE_DELAY_MS = 20.0  # ms; the last byte of a non-idempotent request has gone out after that
 
 
 async def send_first(
@@ -33,21 +33,21 @@
     """Send a request up to its last byte: the client, the server that it is at, and the connection."""
     client = await harness.post(request_id, class_name)
     server = next(server for server in harness.servers.values() if server.requests)
-    end = next(end for end in server.connections if end.received)
-    return client, server, end
+    connection = next(connection for connection in server.connections if connection.received)
+    return client, server, connection
 
 
 async def serve_one(
     harness: DispatcherHarness, request_id: str, class_name: str = "safe"
 ) -> tuple[StandIn, StandInConnection]:
     """Serve a request; returns the connection that is idle now."""
-    client, server, end = await send_first(harness, request_id, class_name)
-    await harness.pass_time(HOLD_BACK_MS)
-    assert end.take_request()
-    end.send(done(request_id))
+    client, server, connection = await send_first(harness, request_id, class_name)
+    await harness.pass_time(LAST_BYTE_DELAY_MS)
+    assert connection.take_request()
+    connection.send(done(request_id))
     await harness.settle()
     assert served(client)
-    return server, end
+    return server, connection
 
 
 @pytest.mark.parametrize("ending", ["close", "reset"])
@@ -56,34 +56,36 @@
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            client, server, end = await send_first(harness, "t1", "once")
-            assert not end.take_request()
-            getattr(end, ending)()
+            client, server, connection = await send_first(harness, "t1", "once")
+            assert not connection.take_request()
+            getattr(connection, ending)()
             await harness.settle()
             await harness.pass_time(3_000)
-            again, _ = await server.request()
-            again.send(done("t1"))
+            second_connection, _ = await server.request()
+            second_connection.send(done("t1"))
             await harness.settle()
-            assert again is not end
+            assert second_connection is not connection
             assert served(client)
 
     run_async(test)
 
 
 @pytest.mark.parametrize("ending", ["close", "reset", "half_close"])
-@pytest.mark.parametrize("reported", [b"", RESPONSE_HEAD, RESPONSE_HEAD + progress_chunk("t1", "started")])
-def test_connection_broken_after_the_last_byte_fails_a_non_idempotent_request(ending: str, reported: bytes) -> None:
+@pytest.mark.parametrize("response_start", [b"", RESPONSE_HEAD, RESPONSE_HEAD + progress_chunk("t1", "started")])
+def test_connection_broken_after_the_last_byte_fails_a_non_idempotent_request(
+    ending: str, response_start: bytes
+) -> None:
     """A non-idempotent request may have run: it fails at once, and goes nowhere else."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
-            client, _, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end.take_request()
-            if reported:
-                end.send(reported)
+            client, _, connection = await send_first(harness, "t1", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection.take_request()
+            if response_start:
+                connection.send(response_start)
                 await harness.settle()
-            getattr(end, ending)()
+            getattr(connection, ending)()
             await harness.settle()
             assert client.received.startswith(FAILED)
             await harness.pass_time(3_000)
@@ -98,21 +100,21 @@
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            server, warm = await serve_one(harness, "t1")
+            server, first_connection = await serve_one(harness, "t1")
             send = harness.application.backend.send
 
-            def crossed(attempt: Attempt) -> None:
-                warm.end_now(ending)
+            def end_then_send(attempt: Attempt) -> None:
+                first_connection.end_now(ending)
                 send(attempt)
 
-            harness.application.backend.send = crossed  # type: ignore[method-assign]
+            harness.application.backend.send = end_then_send  # type: ignore[method-assign]
             client = await harness.post("t2", "once")
             harness.application.backend.send = send  # type: ignore[method-assign]
-            await harness.pass_time(HOLD_BACK_MS)
-            end, _ = await server.request()
-            end.send(done("t2"))
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            connection, _ = await server.request()
+            connection.send(done("t2"))
             await harness.settle()
-            assert end is not warm
+            assert connection is not first_connection
             assert served(client)
 
     run_async(test)
@@ -123,36 +125,36 @@
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            client, server, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end.take_request()
-            end.send(RESPONSE_HEAD + progress_chunk("t1", "done", "ok"))
+            client, server, connection = await send_first(harness, "t1", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection.take_request()
+            connection.send(RESPONSE_HEAD + progress_chunk("t1", "done", "ok"))
             await harness.settle()
             assert served(client)
-            end.reset()
+            connection.reset()
             await harness.settle()
             _, other = await serve_one(harness, "t2", "once")
-            assert other is not end
+            assert other is not connection
 
     run_async(test)
 
 
-@pytest.mark.parametrize("more", [progress_chunk("t1", "running"), b"5\r\n.....\r\n", b""])
-def test_response_that_never_ends_is_cut_off(more: bytes) -> None:
+@pytest.mark.parametrize("further_data", [progress_chunk("t1", "running"), b"5\r\n.....\r\n", b""])
+def test_response_that_never_ends_is_cut_off(further_data: bytes) -> None:
     """After the last line it is cut off in a second; its connection and its slot are free then."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            client, server, end = await send_first(harness, "t1", "safe")
-            assert end.take_request()
-            end.send(RESPONSE_HEAD + progress_chunk("t1", "done", "ok"))
+            client, server, connection = await send_first(harness, "t1", "safe")
+            assert connection.take_request()
+            connection.send(RESPONSE_HEAD + progress_chunk("t1", "done", "ok"))
             await harness.settle()
             assert served(client)
             for _ in range(12):
-                if more and not end.ended:
-                    end.send(more)
+                if further_data and not connection.ended:
+                    connection.send(further_data)
                 await harness.pass_time(100)
-            assert end.ended
+            assert connection.ended
             assert len(harness.application.backend.connections) == 0
 
     run_async(test)
@@ -163,16 +165,16 @@
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
-            client, _, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end.take_request()
-            end.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
+            client, _, connection = await send_first(harness, "t1", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection.take_request()
+            connection.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
             for _ in range(45):
-                if not end.ended:
-                    end.send(progress_chunk("t1", "running"))
+                if not connection.ended:
+                    connection.send(progress_chunk("t1", "running"))
                 await harness.pass_time(100)
             assert client.received.startswith(FAILED)
-            assert end.ended
+            assert connection.ended
             assert not any(server.requests for server in harness.servers.values())
             assert not len(harness.application.core.requests)
             assert not len(harness.application.core.attempts)
@@ -180,22 +182,22 @@
     run_async(test)
 
 
-@pytest.mark.parametrize("stray", [done("t1"), b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", b"rubbish\r\n\r\n"])
-def test_duplicate_response_before_the_last_byte_of_the_next_request(stray: bytes) -> None:
+@pytest.mark.parametrize("duplicate", [done("t1"), b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", b"rubbish\r\n\r\n"])
+def test_duplicate_response_before_the_last_byte_of_the_next_request(duplicate: bytes) -> None:
     """It comes while the last byte is held back: that is no answer to it, and it goes out on another connection."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            server, warm = await serve_one(harness, "t1")
-            client, _, end = await send_first(harness, "t2", "once")
-            assert end is warm
-            warm.send(stray)
+            server, first_connection = await serve_one(harness, "t1")
+            client, _, connection = await send_first(harness, "t2", "once")
+            assert connection is first_connection
+            first_connection.send(duplicate)
             await harness.settle()
             await harness.pass_time(3_000)
-            again, _ = await server.request()
-            again.send(done("t2"))
+            second_connection, _ = await server.request()
+            second_connection.send(done("t2"))
             await harness.settle()
-            assert again is not warm
+            assert second_connection is not first_connection
             assert served(client)
 
     run_async(test)
@@ -207,36 +209,36 @@
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            server, warm = await serve_one(harness, "t1", "once")
-            client, _, end = await send_first(harness, "t2", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end is warm
-            assert end.take_request()
-            both = done("t1", "stale") + done("t2")
-            for part in (both[:cut], both[cut:]):
-                end.send(part)
+            server, first_connection = await serve_one(harness, "t1", "once")
+            client, _, connection = await send_first(harness, "t2", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection is first_connection
+            assert connection.take_request()
+            responses = done("t1", "stale") + done("t2")
+            for part in (responses[:cut], responses[cut:]):
+                connection.send(part)
                 await harness.settle()
             assert served(client)
             assert b"stale" not in client.received
-            assert (await serve_one(harness, "t3"))[1] is warm
+            assert (await serve_one(harness, "t3"))[1] is first_connection
             assert not server.requests
 
     run_async(test)
 
 
-def test_duplicate_response_after_which_the_server_dies() -> None:
+def test_duplicate_response_before_the_server_resets_the_connection() -> None:
     """A non-idempotent request may have run; it fails, and is not sent again."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            server, warm = await serve_one(harness, "t1", "once")
-            client, _, end = await send_first(harness, "t2", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end.take_request()
-            end.send(done("t1"))
+            server, first_connection = await serve_one(harness, "t1", "once")
+            client, _, connection = await send_first(harness, "t2", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection.take_request()
+            connection.send(done("t1"))
             await harness.settle()
             assert not client.received
-            end.reset()
+            connection.reset()
             await harness.settle()
             await harness.pass_time(1_000)
             assert client.received.startswith(FAILED)
@@ -245,34 +247,34 @@
     run_async(test)
 
 
-ERROR = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
 
 
 @pytest.mark.parametrize("class_name", ["safe", "once"])
-@pytest.mark.parametrize("answer", [REJECTED_RESPONSE, ERROR])
+@pytest.mark.parametrize("answer", [REJECTED_RESPONSE, ERROR_RESPONSE])
 def test_duplicate_response_without_an_id_does_not_end_the_next_request(class_name: str, answer: bytes) -> None:
     """It would end the next request, which has begun and runs on: that one gets another connection."""
 
     async def test() -> None:
         async with DispatcherHarness(1, limits={"attempts_cap": 1}).open() as harness:
-            client, _, end = await send_first(harness, "t1", "safe")
-            assert end.take_request()
-            end.send(answer)
+            client, _, connection = await send_first(harness, "t1", "safe")
+            assert connection.take_request()
+            connection.send(answer)
             await harness.settle()
-            assert client.received.startswith(REFUSED)
+            assert client.received.startswith(REJECTED)
             harness.application.core.dispatcher.state.servers.by_id[
                 next(iter(harness.application.core.directory.by_number))
             ].outlier.trials_left = 0  # not avoided for it
-            following, server, other = await send_first(harness, "t2", class_name)
-            await harness.pass_time(HOLD_BACK_MS)
-            assert other is not end
+            next_client, server, other = await send_first(harness, "t2", class_name)
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert other is not connection
             assert other.take_request()
-            if not end.ended:
-                end.send(answer)
+            if not connection.ended:
+                connection.send(answer)
             await harness.settle()
             other.send(done("t2"))
             await harness.settle()
-            assert served(following)
+            assert served(next_client)
             assert not server.requests
 
     run_async(test)
@@ -287,31 +289,31 @@
             watch, _ = await harness.discovery.request()
             watch.send(harness.list_response(4, "h2:leaving"))
             watch, _ = await harness.discovery.request()
-            late = list[ServerConnection]()
-            with mock.patch.object(harness.application.backend, "on_connected", late.append):
+            opened_connections = list[ServerConnection]()
+            with mock.patch.object(harness.application.backend, "on_connected", opened_connections.append):
                 client = await harness.post("t1")
-            assert len(late) == 1
+            assert len(opened_connections) == 1
             if lifecycle == "elsewhere":
-                harness.servers["h1"].address, before = harness.servers["h2"].address, harness.servers["h1"]
+                harness.servers["h1"].address, old_server = harness.servers["h2"].address, harness.servers["h1"]
                 watch.send(harness.list_response(5, "h1"))
             else:
-                before = harness.servers["h1"]
+                old_server = harness.servers["h1"]
                 watch.send(harness.list_response(5, f"h1:{lifecycle}", "h2"))
             await harness.settle()
-            harness.application.backend.on_connected(late[0])
+            harness.application.backend.on_connected(opened_connections[0])
             await harness.settle()
-            assert not before.requests
+            assert not old_server.requests
             await harness.pass_time(1_500)
-            end, _ = await harness.servers["h2"].request()
-            end.send(done("t1"))
+            connection, _ = await harness.servers["h2"].request()
+            connection.send(done("t1"))
             await harness.settle()
             assert served(client)
-            assert not before.requests
+            assert not old_server.requests
 
     run_async(test)
 
 
-KEYED = {
+KEYED_CLASS = {
     "name": "keyed",
     "deadline": 9000.0,
     "effect": "by_key",
@@ -325,16 +327,16 @@
     """Servers drop repeats for 2 s, and a dial with the way there may take 0.6 s of that."""
 
     async def test() -> None:
-        async with DispatcherHarness(2, settings={"lanes": [KEYED]}).open() as harness:
-            client, _, end = await send_first(harness, "t1", "keyed")
-            assert end.take_request()
+        async with DispatcherHarness(2, settings={"lanes": [KEYED_CLASS]}).open() as harness:
+            client, _, connection = await send_first(harness, "t1", "keyed")
+            assert connection.take_request()
             await harness.pass_time(broken_after)
-            end.end_now("reset")
+            connection.end_now("reset")
             await harness.settle()
             await harness.pass_time(100)
             servers = [server for server in harness.servers.values() if server.requests]
             assert bool(servers) is repeated
-            assert client.received.startswith(REFUSED) is not repeated  # at once; harmless, where all drop repeats
+            assert client.received.startswith(REJECTED) is not repeated  # at once; harmless, where all drop repeats
 
     run_async(test)
 
@@ -343,20 +345,20 @@
     """The choice was right and the loop was late: nothing is written."""
 
     async def test() -> None:
-        async with DispatcherHarness(2, settings={"lanes": [KEYED]}).open() as harness:
-            client, _, end = await send_first(harness, "t1", "keyed")
-            assert end.take_request()
+        async with DispatcherHarness(2, settings={"lanes": [KEYED_CLASS]}).open() as harness:
+            client, _, connection = await send_first(harness, "t1", "keyed")
+            assert connection.take_request()
             await harness.pass_time(1_300)
-            late = list[ServerConnection]()
-            with mock.patch.object(harness.application.backend, "on_connected", late.append):
-                end.end_now("reset")
+            opened_connections = list[ServerConnection]()
+            with mock.patch.object(harness.application.backend, "on_connected", opened_connections.append):
+                connection.end_now("reset")
                 await harness.settle()
-            assert len(late) == 1
+            assert len(opened_connections) == 1
             harness.stall(750)
-            harness.application.backend.on_connected(late[0])
+            harness.application.backend.on_connected(opened_connections[0])
             await harness.settle()
             assert not any(server.requests for server in harness.servers.values())
-            assert client.received.startswith(REFUSED)
+            assert client.received.startswith(REJECTED)
 
     run_async(test)
 
@@ -366,15 +368,15 @@
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
-            late = list[ServerConnection]()
-            with mock.patch.object(harness.application.backend, "on_connected", late.append):
+            opened_connections = list[ServerConnection]()
+            with mock.patch.object(harness.application.backend, "on_connected", opened_connections.append):
                 client = await harness.post("t1", remaining=900)
                 await harness.pass_time(310)
                 assert harness.servers["h1"].connections[0].ended
                 await harness.pass_time(900)
-            assert client.received.startswith(REFUSED)
+            assert client.received.startswith(REJECTED)
             assert not harness.servers["h1"].requests
-            for connection in late:
+            for connection in opened_connections:
                 harness.application.backend.on_connected(connection)
             await harness.settle()
             assert not harness.servers["h1"].requests
@@ -386,26 +388,28 @@
     """Operators' time-out, where no two attempts may be out at once: its end is there before the next one's byte."""
 
     async def test() -> None:
-        write, watched, ended = ServerConnection.write, list[StandInConnection](), list[bool]()
+        write, watched_connections, peer_closed = ServerConnection.write, list[StandInConnection](), list[bool]()
 
-        def written(connection: ServerConnection, attempt: Attempt) -> None:
-            ended.extend(peer_has_closed(end.transport) for end in watched if end.transport is not None)
+        def write_and_check(connection: ServerConnection, attempt: Attempt) -> None:
+            peer_closed.extend(
+                peer_has_closed(watched.transport) for watched in watched_connections if watched.transport is not None
+            )
             write(connection, attempt)
 
-        with mock.patch.object(ServerConnection, "write", written):
+        with mock.patch.object(ServerConnection, "write", write_and_check):
             async with DispatcherHarness(2).open() as harness:
                 await open_connections(harness)  # so that the next attempt goes out in the same turn
                 classes = harness.application.core.settings.classes
                 harness.application.core.use_classes(tuple(replace(c, attempt_timeout=500.0) for c in classes))
-                client, server, end = await send_first(harness, "t1", "safe")
-                assert end.take_request()
-                watched.append(end)
+                client, server, connection = await send_first(harness, "t1", "safe")
+                assert connection.take_request()
+                watched_connections.append(connection)
                 await harness.pass_time(510)
                 [other] = [each for each in harness.servers.values() if each is not server]
-                again, _ = await other.request()
-                assert again.ended is False
-                assert ended == [True]
-                again.send(done("t1"))
+                second_connection, _ = await other.request()
+                assert second_connection.ended is False
+                assert peer_closed == [True]
+                second_connection.send(done("t1"))
                 await harness.settle()
                 assert served(client)
 
@@ -418,19 +422,19 @@
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
             harness.application.backend.max_connections = 1
-            running, server, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end.take_request()
+            running_client, server, connection = await send_first(harness, "t1", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection.take_request()
             [other] = [each for each in harness.servers.values() if each is not server]
-            refused = await harness.post("t2", "safe", 300)
+            rejected_client = await harness.post("t2", "safe", 300)
             await harness.pass_time(400)
-            assert refused.received.startswith(REFUSED)
+            assert rejected_client.received.startswith(REJECTED)
             assert harness.logged("too_many_connections")
-            assert not end.ended
-            end.send(done("t1"))
+            assert not connection.ended
+            connection.send(done("t1"))
             await harness.settle()
-            assert served(running)
-            assert not end.ended
+            assert served(running_client)
+            assert not connection.ended
             server.sock.close()
             harness.application.core.update_servers(
                 ListKind.CHANGES,
@@ -441,12 +445,12 @@
                 ],
             )
             await harness.pass_time(2_000)
-            following = await harness.post("t3")
-            assert end.ended
-            end, _ = await other.request()
-            end.send(done("t3"))
+            next_client = await harness.post("t3")
+            assert connection.ended
+            connection, _ = await other.request()
+            connection.send(done("t3"))
             await harness.settle()
-            assert served(following)
+            assert served(next_client)
             assert len(harness.application.backend.connections) == 1
 
     run_async(test)
@@ -457,9 +461,9 @@
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
-            client, _, end = await send_first(harness, "t1", "once")
-            await harness.pass_time(HOLD_BACK_MS)
-            assert end.take_request()
+            client, _, connection = await send_first(harness, "t1", "once")
+            await harness.pass_time(LAST_BYTE_DELAY_MS)
+            assert connection.take_request()
             harness.application._stop()
             await harness.pass_time(3_440)
             assert not client.received
--- a/tests/end_to_end/test_signals_at_start.py
+++ b/tests/end_to_end/test_signals_at_start.py
@@ -32,7 +32,7 @@
                 pipe.write(json.dumps(raw))
             lines = iter(process.stdout.readline, b"")
             reloaded = next(
-                (progress_chunk for progress_chunk in map(json.loads, lines) if progress_chunk["event"] == "reloaded"),
+                (event_fields for event_fields in map(json.loads, lines) if event_fields["event"] == "reloaded"),
                 None,
             )
             assert reloaded is not None
--- a/tests/end_to_end/test_stale_list.py
+++ b/tests/end_to_end/test_stale_list.py
@@ -33,10 +33,10 @@
 CLASS_NAMES = ("safe", "once", "keyed")
 REMOVED_SERVERS = ("h1", "h2", "h3")
 REMAINING_SERVERS = ("h4", "h5", "h6")
-REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
-class Restarted:
+class RestartedDispatcher:
     """A process that is given a list of six servers, and the requests of its clients."""
 
     def __init__(self, folder: Path, **config: str) -> None:
@@ -44,7 +44,7 @@
         self.program = DispatcherProcess(folder, self.harness, **config)
         self.clients: list[StandInConnection] = []
 
-    async def run_async(self, test: Callable[["Restarted"], Awaitable[None]]) -> None:
+    async def run_async(self, test: Callable[["RestartedDispatcher"], Awaitable[None]]) -> None:
         async with self.program.open():
             await self.program.started()
             await test(self)
@@ -56,78 +56,78 @@
             client.send(request_bytes(f"t{number}", CLASS_NAMES[number % len(CLASS_NAMES)], 4000))
             self.clients.append(client)
 
-    def at(self, names: tuple[str, ...]) -> list[StandIn]:
+    def servers_with_requests(self, names: tuple[str, ...]) -> list[StandIn]:
         """Those of these servers that a request has come to."""
         return [self.harness.servers[name] for name in names if self.harness.servers[name].requests]
 
-    async def placed(self) -> None:
+    async def wait_until_placed(self) -> None:
         """Until each request is at a server, or known to wait in the program."""
-        there = waiting = 0
+        placed_count = waiting_count = 0
         for _ in range(int(TIMEOUT_S * 100)):
-            there = sum(server.requests for server in self.harness.servers.values())
-            waiting = await self.program.figure("svc_waiting")
-            if there + waiting >= len(self.clients):
+            placed_count = sum(server.requests for server in self.harness.servers.values())
+            waiting_count = await self.program.metric("svc_waiting")
+            if placed_count + waiting_count >= len(self.clients):
                 return
             await asyncio.sleep(0.01)
-        msg = f"never: each request placed or waiting: {there} placed, {waiting} wait"
+        msg = f"never: each request placed or waiting: {placed_count} placed, {waiting_count} wait"
         raise AssertionError(msg)
 
-    async def served(self, names: tuple[str, ...]) -> None:
+    async def expect_served(self, names: tuple[str, ...]) -> None:
         """All requests come to these servers, and are answered."""
         for _ in self.clients:
-            await until(lambda: bool(self.at(names)), "a request at a server")
-            end, request = await self.at(names)[0].request()
-            end.send(done(request_id_of(request)))
+            await until(lambda: bool(self.servers_with_requests(names)), "a request at a server")
+            server_connection, request = await self.servers_with_requests(names)[0].request()
+            server_connection.send(done(request_id_of(request)))
         await until(lambda: all(client.received.endswith(b"ok") for client in self.clients), "all answers")
 
 
-def test_servers_that_left_while_the_process_was_away_get_nothing(tmp_path: Path) -> None:
+def test_servers_that_left_while_the_process_was_down_get_no_request(tmp_path: Path) -> None:
     """They left over 8.5 s ago, so the change counts as notified and the grace is over, whether or not it arrived.
 
     Discovery is at hand all the while: it refuses the first call, and takes its time over the next.
     """
 
-    async def test(restarted: Restarted) -> None:
+    async def test(restarted: RestartedDispatcher) -> None:
         harness = restarted.harness
-        first, _ = await harness.discovery.request()
+        first_poll, _ = await harness.discovery.request()
         await restarted.requests(6)
-        await restarted.placed()
-        first.send(REFUSED)
-        again, _ = await harness.discovery.request()
+        await restarted.wait_until_placed()
+        first_poll.send(REJECTED_RESPONSE)
+        second_poll, _ = await harness.discovery.request()
         await restarted.requests(6)
-        await restarted.placed()
-        assert not restarted.at(REMOVED_SERVERS)
-        again.send(harness.list_response(5, *(f"{name}:left" for name in REMOVED_SERVERS)))
-        await restarted.served(REMAINING_SERVERS)
-        assert not restarted.at(REMOVED_SERVERS)
+        await restarted.wait_until_placed()
+        assert not restarted.servers_with_requests(REMOVED_SERVERS)
+        second_poll.send(harness.list_response(5, *(f"{name}:left" for name in REMOVED_SERVERS)))
+        await restarted.expect_served(REMAINING_SERVERS)
+        assert not restarted.servers_with_requests(REMOVED_SERVERS)
 
-    run_async(lambda: Restarted(tmp_path).run_async(test))
+    run_async(lambda: RestartedDispatcher(tmp_path).run_async(test))
 
 
 def test_start_without_discovery_uses_the_cached_list(tmp_path: Path) -> None:
     """What discovery could not tell anybody does not count yet, and the list is all that can be known."""
 
-    async def test(restarted: Restarted) -> None:
+    async def test(restarted: RestartedDispatcher) -> None:
         await restarted.requests(6)
-        await restarted.served(REMOVED_SERVERS + REMAINING_SERVERS)
+        await restarted.expect_served(REMOVED_SERVERS + REMAINING_SERVERS)
 
-    nobody = f"127.0.0.1:{free_port()}"
-    run_async(lambda: Restarted(tmp_path, discovery=nobody).run_async(test))
+    unused_address = f"127.0.0.1:{free_port()}"
+    run_async(lambda: RestartedDispatcher(tmp_path, discovery=unused_address).run_async(test))
 
 
 def test_start_behind_a_network_partition_uses_the_cached_list(tmp_path: Path) -> None:
     """The same behind a cut: nothing says no."""
 
-    async def test(restarted: Restarted) -> None:
+    async def test(restarted: RestartedDispatcher) -> None:
         await restarted.requests(6)
-        await restarted.served(REMOVED_SERVERS + REMAINING_SERVERS)
+        await restarted.expect_served(REMOVED_SERVERS + REMAINING_SERVERS)
 
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
-        address = full.getsockname()
-        waiting = [socket.socket() for _ in range(3)]
-        for sock in waiting:  # its queue is full, and the system answers no further dial
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener:
+        address = full_listener.getsockname()
+        pending_sockets = [socket.socket() for _ in range(3)]
+        for sock in pending_sockets:  # its queue is full, and the system answers no further dial
             sock.setblocking(False)
             sock.connect_ex(address)
-        run_async(lambda: Restarted(tmp_path, discovery=f"127.0.0.1:{address[1]}").run_async(test))
-        for sock in waiting:
+        run_async(lambda: RestartedDispatcher(tmp_path, discovery=f"127.0.0.1:{address[1]}").run_async(test))
+        for sock in pending_sockets:
             sock.close()
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -13,17 +13,17 @@
 
 from end_to_end.harness import START_TIME, DispatcherHarness, StandInConnection, done, run_async, served
 
-GRACE = 2500.0  # ms, of the settings
+DRAIN_GRACE_MS = 2500.0  # ms, of the settings
 PUSHED: dict[str, Any] = {"settings": {"discovery": "pushed"}}
 
 
-async def expect_sent(harness: DispatcherHarness, request_id: str, *only: str) -> None:
+async def expect_sent(harness: DispatcherHarness, request_id: str, *allowed_servers: str) -> None:
     """A request is sent to a server, or to one of those, and served."""
     client = await harness.post(request_id)
     server = next(server for server in harness.servers.values() if server.requests)
-    assert server.name in (only or harness.servers)
-    end, _ = await server.request()
-    end.send(done(request_id))
+    assert server.name in (allowed_servers or harness.servers)
+    connection, _ = await server.request()
+    connection.send(done(request_id))
     await harness.settle()
     assert served(client)
 
@@ -36,7 +36,7 @@
     assert client.received.startswith(b"HTTP/1.1 503 ")
 
 
-def test_watch_and_next_poll_silent_from_the_start() -> None:
+def test_silent_watch_and_silent_poll_expire_the_list() -> None:
     """Asked: told 2 s after the wait of the first call, however later calls end; past the grace nobody is sent to."""
 
     async def test() -> None:
@@ -49,9 +49,9 @@
             assert second is not first
             assert first.ended
             assert b"?after=3&wait_ms=0 " in call  # asked at once for what was missed, with no pause
-            await harness.until_time(22_000 + GRACE - 200)
+            await harness.until_time(22_000 + DRAIN_GRACE_MS - 200)
             await expect_sent(harness, "t2", "h1")  # the rule allows it up to here
-            await harness.until_time(22_000 + GRACE)
+            await harness.until_time(22_000 + DRAIN_GRACE_MS)
             await expect_not_sent(harness, "t3")
             third, call = await harness.discovery.request()
             assert b"?after=3&wait_ms=0 " in call
@@ -73,8 +73,8 @@
         async with DispatcherHarness(2).open() as harness:
             await harness.discovery.request()
             await harness.until_time(20_600)
-            again, _ = await harness.discovery.request()
-            again.send(harness.list_response(4, "h1:leaving", indent=2))
+            second_poll, _ = await harness.discovery.request()
+            second_poll.send(harness.list_response(4, "h1:leaving", indent=2))
             await harness.settle()
             for number in range(8):
                 await expect_sent(harness, f"t{number}", "h2")
@@ -96,7 +96,7 @@
                 watch.send(answer[at : at + 1])
                 await harness.pass_time(3)
             await harness.settle()
-            assert [progress_chunk["entries"] for progress_chunk in harness.logged("inventory")] == [
+            assert [fields["entries"] for fields in harness.logged("inventory")] == [
                 0,
                 1,
             ]  # the first confirmed the list
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("grace", [300.0, 2500.0])
-def test_pushed_lists_count_from_the_first_moment_of_a_process(grace: float) -> None:
+def test_pushed_changes_count_as_notified_from_the_process_start(grace: float) -> None:
     """Pushed: what left while the process was away counted then, so no list of unknown age is gone by."""
 
     async def test() -> None:
@@ -124,7 +124,7 @@
     run_async(test)
 
 
-def test_pushed_list_with_a_watch_that_is_reset() -> None:
+def test_discovery_is_polled_within_the_grace_after_a_reset_of_a_pushed_watch() -> None:
     """Pushed: what comes after the reset is told at once, so the next call goes well within the grace."""
 
     async def test() -> None:
@@ -134,19 +134,19 @@
             await harness.until_time(5_000)
             watch.reset()
             await harness.pass_time(300)
-            again, poll = await harness.discovery.request()
+            second_poll, poll = await harness.discovery.request()
             assert b"&wait_ms=0 " in poll
             await expect_sent(harness, "t1")
             await harness.until_time(5_600)
             await expect_not_sent(harness, "t2")
-            again.send(harness.list_response(4, "h1:leaving"))
+            second_poll.send(harness.list_response(4, "h1:leaving"))
             await harness.settle()
             await expect_sent(harness, "t3", "h2")
 
     run_async(test)
 
 
-def test_pushed_list_while_discovery_is_down() -> None:
+def test_pushed_list_stays_in_use_while_discovery_refuses_connections() -> None:
     """Its agent learns nothing, as each refused connect shows: requests are served on, until discovery is silent."""
 
     async def test() -> None:
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("changes", [{}, PUSHED])
-def test_reload_while_discovery_is_silent(changes: dict[str, Any]) -> None:
+def test_list_expires_when_the_new_discovery_is_silent_after_a_reload(changes: dict[str, Any]) -> None:
     """Whatever discovery has to tell counts 4 s after SIGHUP, whether lists are pushed or asked for."""
 
     async def test() -> None:
@@ -172,28 +172,30 @@
             await harness.until_time(3_000)
             harness.raw["discovery"] = harness.other_discovery.address
             os.kill(os.getpid(), signal.SIGHUP)
-            moved, poll = await harness.other_discovery.request()
+            poll_after_reload, poll = await harness.other_discovery.request()
             assert poll.startswith(b"GET /registry/instances HTTP/1.1")
-            last = 3_000 + 4_000 + GRACE
-            await harness.until_time(last - 200)
+            expiry = 3_000 + 4_000 + DRAIN_GRACE_MS
+            await harness.until_time(expiry - 200)
             await expect_sent(harness, "t1", "h1")
-            await harness.until_time(last)
+            await harness.until_time(expiry)
             await expect_not_sent(harness, "t2")
-            moved.send(harness.list_response(1, "h1", whole=True))  # late, on a connection given up
+            poll_after_reload.send(harness.list_response(1, "h1", whole=True))  # late, on a connection given up
             await harness.settle()
             await expect_not_sent(harness, "t3")
             await harness.pass_time(5_000)
             for _ in range(20):  # between two calls there may be a pause
-                if not any(end.received and not end.ended for end in harness.other_discovery.connections):
+                if not any(
+                    connection.received and not connection.ended for connection in harness.other_discovery.connections
+                ):
                     await harness.pass_time(100)
-            (await harness.other_discovery.latest()).send(harness.list_response(1, "h1", whole=True))
+            (await harness.other_discovery.unanswered_connection()).send(harness.list_response(1, "h1", whole=True))
             await harness.settle()
             await expect_sent(harness, "t4", "h1")
 
     run_async(test)
 
 
-def test_polled_list_with_a_watch_that_is_reset_before_an_outage() -> None:
+def test_polled_list_stays_in_use_in_an_outage_after_a_reset_watch() -> None:
     """Without a watch each change counts ``ask_every`` after it was made, and four times that while calls fail."""
 
     async def test() -> None:
@@ -205,16 +207,16 @@
                 await harness.pass_time(1_000)
                 await expect_sent(harness, f"t{number}", "h1")
             assert harness.clock.at - START_TIME >= 30_000
-            assert [progress_chunk["state"] for progress_chunk in harness.logged("list_stale")] == [
+            assert [fields["state"] for fields in harness.logged("list_stale")] == [
                 "unconfirmed"
             ]  # before the first answer
 
     run_async(test)
 
 
-REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-WAYS_TO_FAIL: dict[str, Callable[[StandInConnection], None]] = {
-    "refused": lambda call: call.send(REFUSED),
+REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+POLL_FAILURES: dict[str, Callable[[StandInConnection], None]] = {
+    "refused": lambda call: call.send(REJECTED_RESPONSE),
     "reset": StandInConnection.reset,
     "half answered": lambda call: call.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{"),
     "no list": lambda call: call.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
@@ -229,7 +231,7 @@
         await harness.pass_time(50)
         for call in harness.discovery.connections:
             if not call.ended and call.take_request():
-                WAYS_TO_FAIL[ending](call)
+                POLL_FAILURES[ending](call)
                 calls += 1
     return calls
 
@@ -250,7 +252,7 @@
             watch, _ = await harness.discovery.request()
             await harness.until_time(1_000)
             watch.reset()  # from here on a change may be missed
-            limit = 1_000 + 6_000 + GRACE
+            limit = 1_000 + 6_000 + DRAIN_GRACE_MS
             assert await fail_polls(harness, ending, limit - 300)
             if ending not in ("half answered", "no list"):  # what has begun to be written counts
                 await expect_sent(harness, "t1", "h1")  # the rule allows it up to here
@@ -259,26 +261,26 @@
             await fail_polls(harness, ending, limit + 8_000)
             await expect_not_sent(harness, "t3")
 
-    for ending in WAYS_TO_FAIL:
+    for ending in POLL_FAILURES:
         run_async(partial(test, ending))
 
 
 def test_only_an_answer_renews_a_list() -> None:
     """A watch that was silent before its reset has told 2 s after its wait; new configurations put nothing off."""
 
-    async def test(moves: int) -> None:
+    async def test(reloads: int) -> None:
         async with DispatcherHarness(1).open() as harness:
             watch, _ = await harness.discovery.request()
             await harness.until_time(20_000)
             watch.reset()  # it may have missed what came from its first moment on
-            last = 22_000 + GRACE
-            for number in range(moves):
+            expiry = 22_000 + DRAIN_GRACE_MS
+            for number in range(reloads):
                 await fail_polls(harness, "refused", 20_400 + 1_000 * number)
                 harness.raw["discovery"] = (harness.other_discovery, harness.discovery)[number % 2].address
                 os.kill(os.getpid(), signal.SIGHUP)
                 await harness.settle()
-            await fail_polls(harness, "refused", last + 50)
+            await fail_polls(harness, "refused", expiry + 50)
             await expect_not_sent(harness, "t1")
 
-    for moves in (0, 1, 3):
-        run_async(partial(test, moves))
+    for reloads in (0, 1, 3):
+        run_async(partial(test, reloads))
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -249,10 +249,10 @@
         self.listen, self.admin = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
         self.faktory_address = f"127.0.0.1:{free_port()}"
         self.definitions: dict[str, str] = {}
-        self.taken_socket = self.standins.peers.pop("p0")
-        self.standins.peer_address = address(self.taken_socket)
+        self.peer_address_socket = self.standins.peers.pop("p0")
+        self.standins.peer_address = address(self.peer_address_socket)
         if not taken:
-            self.taken_socket.close()
+            self.peer_address_socket.close()
         self.folder = tempfile.TemporaryDirectory()
         folder = Path(self.folder.name)
         self.config = self._configuration(hosts, changes)
@@ -269,7 +269,7 @@
         self.second_process: subprocess.Popen[bytes] | None = None
         self.program = self._start({})
         self._until_ready(self.admin)
-        self._confirm()
+        self._confirm_list()
 
     # -- the steps
 
@@ -280,7 +280,7 @@
                 try:
                     self.step(line)
                 except (AssertionError, OSError, KeyError) as error:
-                    reason = f"line {number}: {line}\n{type(error).__name__}: {error}\n{self.logged()}"
+                    reason = f"line {number}: {line}\n{type(error).__name__}: {error}\n{self.log_end()}"
                     raise AssertionError(reason) from None
         self.standins.expect_nothing_more()
 
@@ -310,12 +310,12 @@
             "signal": lambda: self.program.send_signal(signal.Signals[rest.strip()]),
             "configure": lambda: self._configure(rest.strip()),
             "state": lambda: self.desired_state.write_text(rest.encode().decode("unicode_escape")),
-            "logged": lambda: self.until_logged(rest),
-            "figure": lambda: self.until_figure(rest),
+            "logged": lambda: self.wait_for_log(rest),
+            "figure": lambda: self.wait_for_metric(rest),
             "exit": lambda: self._expect_exit(int(rest)),
             "beside": self._start_second_process,
             "kill": self._kill_second_process,
-            "free": self.taken_socket.close,
+            "free": self.peer_address_socket.close,
         }
         endings = {
             "close": lambda: self.standins.connections.pop(name).close(),
@@ -353,7 +353,7 @@
         self._until_ready(self.admin)
         if "inv" in self.standins.connections:
             self.standins.replaced.append(("inv", self.standins.connections.pop("inv")))
-        self._confirm()
+        self._confirm_list()
 
     def _kill_second_process(self) -> None:
         assert self.second_process is not None
@@ -372,21 +372,21 @@
         data = text.encode().decode("unicode_escape").encode("latin-1")
         return re.sub(rb"<(\d+)x(.)>", lambda m: m[2] * int(m[1]), data)
 
-    def until_figure(self, expected: str) -> None:
+    def wait_for_metric(self, expected: str) -> None:
         """Ask for the figures until they hold this line."""
         end, figures = time.monotonic() + TIMEOUT_S, ""
         while expected not in figures.splitlines():
             assert time.monotonic() < end, f"not among the figures:\n{figures}"
             figures = self._get(self.admin, "/stats")
 
-    def until_logged(self, expected: str) -> None:
+    def wait_for_log(self, expected: str) -> None:
         """Wait until a text is in the log."""
         end = time.monotonic() + TIMEOUT_S
         while expected not in Path(self.log.name).read_text():
             assert time.monotonic() < end, "that is not in the log"
             time.sleep(0.02)
 
-    def logged(self) -> str:
+    def log_end(self) -> str:
         """The end of the program's log."""
         self.log.flush()
         return Path(self.log.name).read_text()[-3000:]
@@ -398,7 +398,7 @@
                 program.kill()
                 program.wait()
         self.log.close()
-        for sock in (self.taken_socket, self.inherited_socket, self.peer_process):
+        for sock in (self.peer_address_socket, self.inherited_socket, self.peer_process):
             if sock is not None:
                 sock.close()
         self.standins.close()
@@ -483,11 +483,11 @@
                     return
             except OSError as error:
                 if time.monotonic() > end or self.program.poll() is not None:
-                    msg = f"not ready, status {self.program.poll()}: {error}\n{self.logged()}"
+                    msg = f"not ready, status {self.program.poll()}: {error}\n{self.log_end()}"
                     raise AssertionError(msg) from None
             time.sleep(0.02)
 
-    def _confirm(self) -> None:
+    def _confirm_list(self) -> None:
         """Let discovery answer a process's first poll: nothing has changed since the list that it was given."""
         request = self.standins.expect_request("inv")
         match = re.match(rb"GET /registry/instances\?after=(\d+)&wait_ms=0 ", request)
--- a/tests/recorded/record.py
+++ b/tests/recorded/record.py
@@ -75,7 +75,7 @@
 
 def settings(name: str) -> Settings:
     """A site's settings."""
-    lanes = (
+    classes = (
         RequestClass(
             latency_objective=500,
             deadline=4000,
@@ -102,7 +102,7 @@
         ),
     )
     return Settings(
-        classes=lanes,
+        classes=classes,
         max_attempts=4,
         hedging=True,
         may_cancel=True,
@@ -117,7 +117,7 @@
     )
 
 
-class Fleet:
+class RecordedFleet:
     """Workers that run jobs, fail, hang, drain and come back cold, driven by the module's own actions."""
 
     def __init__(self, name: str, seed: int) -> None:
@@ -125,122 +125,135 @@
         self.settings = settings(name)
         self.dispatcher = Dispatcher(self.settings, seed)
         self.queue: list[tuple[float, int, Event]] = []
-        self.seq = 0
+        self.sequence = 0
         self.stream: list[tuple[float, Event]] = []
-        self.answers: list[list[Action]] = []
-        self.out: dict[tuple[int, int], int] = {}
-        self.attempts: dict[int, int] = {}
-        self.final: set[int] = set()
+        self.action_lists: list[list[Action]] = []
+        self.in_flight: dict[tuple[int, int], int] = {}
+        self.attempt_counts: dict[int, int] = {}
+        self.answered_requests: set[int] = set()
         self.entries = {n: ServerEntry(n, zone=n % 2, kind=n % 3, cell=n // 3) for n in range(1, 13)}
 
-    def at(self, when: float, event: Event) -> None:
+    def schedule(self, time_ms: float, event: Event) -> None:
         """An event to come."""
-        self.seq += 1
-        heapq.heappush(self.queue, (when, self.seq, event))
+        self.sequence += 1
+        heapq.heappush(self.queue, (time_ms, self.sequence, event))
 
-    def play(self, jobs: int) -> None:
+    def play(self, request_count: int) -> None:
         """Play so many jobs."""
         now = 1000.0
-        self.at(now, ServerListUpdate(ListKind.CACHED, tuple(self.entries.values())))
-        for job in range(1, jobs + 1):
+        self.schedule(now, ServerListUpdate(ListKind.CACHED, tuple(self.entries.values())))
+        for request in range(1, request_count + 1):
             now += self.rng.expovariate(1 / 24)
-            lane = self.rng.choices((0, 1, 2), (5, 4, 2))[0]
+            class_index = self.rng.choices((0, 1, 2), (5, 4, 2))[0]
             slots = self.rng.choice((1.0, 1.0, 1.0, 2.0))
-            self.at(now, RequestArrived(job, lane, now + self.settings.classes[lane].deadline, slots))
+            self.schedule(
+                now, RequestArrived(request, class_index, now + self.settings.classes[class_index].deadline, slots)
+            )
             if self.rng.random() < 0.03:
-                self.at(now + self.rng.uniform(10, 900), ClientGone(job))
+                self.schedule(now + self.rng.uniform(10, 900), ClientGone(request))
             if self.rng.random() < 0.01:
-                self.at(now + self.rng.uniform(10, 900), FinalAnswerDue(job))
+                self.schedule(now + self.rng.uniform(10, 900), FinalAnswerDue(request))
             if self.rng.random() < 0.05:
-                self._change(now)
+                self._change_server(now)
             if self.settings.gossip and self.rng.random() < 0.3:
-                peer = Dispatcher(self.settings, job)
-                worker = self.rng.choice(list(self.entries))
+                peer = Dispatcher(self.settings, request)
+                server = self.rng.choice(list(self.entries))
                 content = peer.state.peer_load.STAMP.pack(b"c", now) + peer.state.peer_load.PAIR.pack(
-                    worker, self.rng.choice((2, 66, 131))
+                    server, self.rng.choice((2, 66, 131))
                 )
-                self.at(now, PeerMessage(2, content))
+                self.schedule(now, PeerMessage(2, content))
         end = now + 10_000.0  # timers may go on for ever
         while self.queue and self.queue[0][0] < end:
             now, _, event = heapq.heappop(self.queue)
             if isinstance(event, AttemptEnded):
-                if self.out.pop((event.request, event.attempt), None) is None:
+                if self.in_flight.pop((event.request, event.attempt), None) is None:
                     continue
-                event = event._replace(final=event.request in self.final or event.outcome == Outcome.SERVED)
+                event = event._replace(final=event.request in self.answered_requests or event.outcome == Outcome.SERVED)
                 if event.final:
-                    self.final.add(event.request)
-            elif isinstance(event, AttemptProgress) and (event.request, event.attempt) not in self.out:
+                    self.answered_requests.add(event.request)
+            elif isinstance(event, AttemptProgress) and (event.request, event.attempt) not in self.in_flight:
                 continue
             elif isinstance(event, ClientGone):
-                self.final.add(event.request)
+                self.answered_requests.add(event.request)
             self.stream.append((now, event))
             actions = self.dispatcher.handle(now, event)
-            self.answers.append(list(actions))
+            self.action_lists.append(list(actions))
             for action in actions:
-                self._do(action, now)
+                self._carry_out(action, now)
 
-    def _change(self, now: float) -> None:
-        worker = self.rng.choice(list(self.entries))
+    def _change_server(self, now: float) -> None:
+        server = self.rng.choice(list(self.entries))
         state = self.rng.choice((ServerState.DRAINING, ServerState.READY, ServerState.READY))
-        started = now if state is ServerState.READY else self.entries[worker].started_at
-        self.entries[worker] = self.entries[worker]._replace(state=state, started_at=started)
-        self.at(now, ServerListUpdate(ListKind.CHANGES, (self.entries[worker],)))
+        started = now if state is ServerState.READY else self.entries[server].started_at
+        self.entries[server] = self.entries[server]._replace(state=state, started_at=started)
+        self.schedule(now, ServerListUpdate(ListKind.CHANGES, (self.entries[server],)))
 
-    def _do(self, action: Action, now: float) -> None:
+    def _carry_out(self, action: Action, now: float) -> None:
         if isinstance(action, StartAttempt):
-            number = self.attempts.get(action.request, 0)
-            self.attempts[action.request] = number + 1
-            self.out[action.request, number] = action.server
-            luck, run = self.rng.random(), self.rng.lognormvariate(6, 0.6)
+            number = self.attempt_counts.get(action.request, 0)
+            self.attempt_counts[action.request] = number + 1
+            self.in_flight[action.request, number] = action.server
+            draw, run_time = self.rng.random(), self.rng.lognormvariate(6, 0.6)
             outcome = Outcome.SERVED
-            if luck < 0.04:
-                outcome, run = self.rng.choice(list(Outcome)[1:4] + [Outcome.RESET, Outcome.REJECTED_BY_SERVER]), 40.0
-            elif luck < 0.06:
-                outcome, run = Outcome.CONNECT_FAILED, 3.0
+            if draw < 0.04:
+                outcome, run_time = (
+                    self.rng.choice(list(Outcome)[1:4] + [Outcome.RESET, Outcome.REJECTED_BY_SERVER]),
+                    40.0,
+                )
+            elif draw < 0.06:
+                outcome, run_time = Outcome.CONNECT_FAILED, 3.0
             hangs = self.rng.random() < 0.02
             if self.settings.reports_start and not hangs and self.rng.random() < 0.95:
                 start = self.rng.expovariate(1 / 20)
-                self.at(now + start, AttemptProgress(action.request, number, action.server, ProgressKind.STARTED))
-                for period in range(1, int(run // self.settings.progress_interval) + 1):
-                    when = now + start + period * self.settings.progress_interval
-                    self.at(when, AttemptProgress(action.request, number, action.server, ProgressKind.PROGRESS, 0.5))
+                self.schedule(now + start, AttemptProgress(action.request, number, action.server, ProgressKind.STARTED))
+                for period in range(1, int(run_time // self.settings.progress_interval) + 1):
+                    time_ms = now + start + period * self.settings.progress_interval
+                    self.schedule(
+                        time_ms, AttemptProgress(action.request, number, action.server, ProgressKind.PROGRESS, 0.5)
+                    )
             report = (float(self.rng.randrange(5)),) if self.settings.report_fields else ()
-            run = run * 20 if hangs else run
-            self.at(now + run, AttemptEnded(action.request, number, action.server, outcome, run, False, report))
+            run_time = run_time * 20 if hangs else run_time
+            self.schedule(
+                now + run_time, AttemptEnded(action.request, number, action.server, outcome, run_time, False, report)
+            )
         elif isinstance(action, CancelAttempt):
-            worker = self.out.get((action.request, action.attempt))
-            if worker is not None:
-                over = AttemptEnded(action.request, action.attempt, worker, Outcome.CANCELLED, 300.0, False)
-                self.at(now, over)
+            server = self.in_flight.get((action.request, action.attempt))
+            if server is not None:
+                ended = AttemptEnded(action.request, action.attempt, server, Outcome.CANCELLED, 300.0, False)
+                self.schedule(now, ended)
         elif isinstance(action, Reject | Fail):
-            self.final.add(action.request)
+            self.answered_requests.add(action.request)
         elif isinstance(action, SetTimer):
-            self.at(now + action.delay, TimerFired(action.token))
+            self.schedule(now + action.delay, TimerFired(action.token))
         elif isinstance(action, Subscribe):
-            self.at(now + 5, ServerListUpdate(ListKind.FULL, tuple(self.entries.values())))
+            self.schedule(now + 5, ServerListUpdate(ListKind.FULL, tuple(self.entries.values())))
 
 
-def digest(answers: list[list[Action]]) -> str:
+def digest(action_lists: list[list[Action]]) -> str:
     """A digest of all actions, each with its fields, but for the reason of a refusal: a word for the log alone."""
-    text = "\n".join(repr([(ACTIONS[type(action)], *_done(action)) for action in actions]) for actions in answers)
+    text = "\n".join(
+        repr([(ACTIONS[type(action)], *_recorded_fields(action)) for action in actions]) for actions in action_lists
+    )
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def _done(action: Action) -> tuple[Any, ...]:
+def _recorded_fields(action: Action) -> tuple[Any, ...]:
     return action[:1] if isinstance(action, Reject | Fail) else tuple(action)
 
 
-def _plain(value: Any) -> Any:
+def _encode_value(value: Any) -> Any:
     return {"hex": value.hex()} if isinstance(value, bytes) else repr(value)
 
 
 def write(name: str) -> None:
     """Record a site's stream."""
-    fleet = Fleet(name, 7)
+    fleet = RecordedFleet(name, 7)
     fleet.play(1200)
-    lines = [json.dumps([now, EVENT_NAMES[type(event)], list(event)], default=_plain) for now, event in fleet.stream]
-    kinds = [ACTIONS[type(action)] for actions in fleet.answers for action in actions]
-    head = {"digest": digest(fleet.answers), "actions": {kind: kinds.count(kind) for kind in sorted(set(kinds))}}
+    lines = [
+        json.dumps([now, EVENT_NAMES[type(event)], list(event)], default=_encode_value) for now, event in fleet.stream
+    ]
+    kinds = [ACTIONS[type(action)] for actions in fleet.action_lists for action in actions]
+    head = {"digest": digest(fleet.action_lists), "actions": {kind: kinds.count(kind) for kind in sorted(set(kinds))}}
     text = "\n".join([json.dumps(head), *lines])
     (HERE / f"{name}.jsonl.xz").write_bytes(lzma.compress(text.encode(), preset=9))
     print(name, len(fleet.stream), "events", head)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -6,15 +6,15 @@
 
 ROOT = Path(__file__).parents[1]
 PAGES = ("docs/architecture.md", "docs/glossary.md", "README.md")
-PATH = re.compile(r"`((?:heronlug|tests|docs|deploy|scenarios)/[\w./*-]+)`")
+PATH_PATTERN = re.compile(r"`((?:heronlug|tests|docs|deploy|scenarios)/[\w./*-]+)`")
 
 
 def packages() -> set[str]:
     return {f"heronlug/{path.parent.name}/" for path in (ROOT / "heronlug").glob("*/__init__.py")}
 
 
-def test_paths_on_the_pages_exist() -> None:
-    named = {(page, path) for page in PAGES for path in PATH.findall((ROOT / page).read_text())}
+def test_paths_named_in_the_docs_exist() -> None:
+    named = {(page, path) for page in PAGES for path in PATH_PATTERN.findall((ROOT / page).read_text())}
     missing = {(page, path) for page, path in named if not list(ROOT.glob(path.rstrip("/")))}
     assert not missing
     assert len(named) > 40
@@ -26,7 +26,7 @@
         assert not {package for package in packages() if package not in text}, page
 
 
-def test_imports_run_downwards() -> None:
+def test_packages_import_only_from_lower_layers() -> None:
     """A package imports only from those that stand below it in the table of layers."""
     table = (ROOT / "docs/architecture.md").read_text().split("## The layers")[1].split("## ")[0]
     rows = [re.findall(r"`heronlug/(\w+)/`", line) for line in table.splitlines() if line.startswith("| `")]
@@ -40,7 +40,7 @@
     assert not upwards
 
 
-def test_the_deploy_file_lists_the_decision_modules() -> None:
+def test_deploy_file_lists_the_balancer_modules() -> None:
     terms = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     balancer = {path.relative_to(ROOT).as_posix() for path in (ROOT / "heronlug/balancer").rglob("*.py")}
     assert set(terms["policy"]) == balancer
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -6,37 +6,37 @@
 
 from exchange import FOLDER, ExchangePlayer
 
-WORDS = (FOLDER / "words.txt").read_text()
+DEFINITIONS = (FOLDER / "words.txt").read_text()
 
 
-class Exchanges(unittest.TestCase):
+class ExchangeTests(unittest.TestCase):
     """One test for each file."""
 
     def play(self, name: str) -> None:
         text = (FOLDER / name).read_text()
-        given = re.findall(r"^# (limits|hosts|sockets|state|inherited|partner|taken) (.*)$", text, re.M)
-        options = {key: json.loads(value) for key, value in given}
+        header_lines = re.findall(r"^# (limits|hosts|sockets|state|inherited|partner|taken) (.*)$", text, re.M)
+        options = {key: json.loads(value) for key, value in header_lines}
         player = ExchangePlayer(**options)
         try:
-            for line in WORDS.splitlines():
+            for line in DEFINITIONS.splitlines():
                 player.step(line)
             player.play(text)
-            assert '"exception"' not in player.logged()
+            assert '"exception"' not in player.log_end()
             assert (player.program.poll() or 0) == 0
         finally:
             player.close()
 
 
-def _test(name: str) -> None:
-    def test(self: Exchanges) -> None:
+def _add_test(name: str) -> None:
+    def test(self: ExchangeTests) -> None:
         self.play(name)
 
-    setattr(Exchanges, f"test_{name.removesuffix('.txt')}", test)
+    setattr(ExchangeTests, f"test_{name.removesuffix('.txt')}", test)
 
 
 for path in sorted(FOLDER.glob("*.txt")):
     if path.name != "words.txt":
-        _test(path.name)
+        _add_test(path.name)
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,27 +7,27 @@
 import pytest
 from conftest import KnownRed, read_known_red
 
-HERE = Path(__file__).parent
-TESTS = "def test_red():\n    assert False\n\n\ndef test_other():\n    assert {other}\n"
+TESTS_FOLDER = Path(__file__).parent
+TEST_FILE = "def test_red():\n    assert False\n\n\ndef test_other():\n    assert {other}\n"
 
 
-def test_a_line_names_test_cause_and_issue() -> None:
+def test_line_holds_test_cause_and_issue() -> None:
     text = "tests/a.py::test_b[c] | it is slow | issue 3\n\n"
     assert read_known_red(text) == [KnownRed("tests/a.py::test_b[c]", "it is slow", "issue 3")]
 
 
 @pytest.mark.parametrize("text", ["tests/a.py::test_b", "a | b", "a |  | c", "a | b | c\n" * 4])
-def test_a_list_of_another_form_ends_the_run(text: str) -> None:
+def test_malformed_list_ends_the_run(text: str) -> None:
     with pytest.raises(pytest.UsageError, match="KNOWN-RED"):
         read_known_red(text)
 
 
 @pytest.mark.parametrize(("listed", "other", "code"), [(True, True, 0), (True, False, 1), (False, True, 1)])
-def test_only_what_is_listed_is_passed_over(tmp_path: Path, listed: bool, other: bool, code: int) -> None:
+def test_only_listed_tests_may_fail(tmp_path: Path, listed: bool, other: bool, code: int) -> None:
     tests = tmp_path / "tests"
     tests.mkdir()
-    (tests / "conftest.py").write_text((HERE / "conftest.py").read_text())
-    (tests / "test_it.py").write_text(TESTS.format(other=other))
+    (tests / "conftest.py").write_text((TESTS_FOLDER / "conftest.py").read_text())
+    (tests / "test_it.py").write_text(TEST_FILE.format(other=other))
     if listed:
         (tmp_path / "KNOWN-RED.txt").write_text("tests/test_it.py::test_red | a reason | issue 1\n")
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -23,12 +23,15 @@
         archive.extractall(target)
         entry = next(name for name in archive.namelist() if name.endswith("entry_points.txt"))
         assert "heronlug = heronlug.__main__:main" in archive.read(entry).decode()
-    packed = {path.relative_to(target).as_posix() for path in target.glob("heronlug/**/*.py")}
-    assert packed == {path.relative_to(ROOT).as_posix() for path in ROOT.glob("heronlug/**/*.py")}
+    installed_files = {path.relative_to(target).as_posix() for path in target.glob("heronlug/**/*.py")}
+    assert installed_files == {path.relative_to(ROOT).as_posix() for path in ROOT.glob("heronlug/**/*.py")}
     file = tmp_path / "local.toml"
     file.write_text((ROOT / "deploy" / "local.toml").read_text())
-    call = [sys.executable, "-c", "import sys; from heronlug.__main__ import main; sys.exit(main())"]
-    for words, says in ((["--version"], "heronlug, version"), (["check", str(file)], "local.toml: good")):
-        done = subprocess.run([*call, *words], cwd=target, capture_output=True, text=True)
-        assert done.returncode == 0, done.stderr
-        assert says in done.stdout, done.stderr
+    command = [sys.executable, "-c", "import sys; from heronlug.__main__ import main; sys.exit(main())"]
+    for arguments, expected_output in (
+        (["--version"], "heronlug, version"),
+        (["check", str(file)], "local.toml: good"),
+    ):
+        completed = subprocess.run([*command, *arguments], cwd=target, capture_output=True, text=True)
+        assert completed.returncode == 0, completed.stderr
+        assert expected_output in completed.stdout, completed.stderr
