--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Forms that processes of different versions exchange, and forms that are stored."""
+"""Tests of the forms that processes of different versions exchange, and of the forms that are stored."""
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -1,6 +1,6 @@
-"""Write the files in ``data`` anew: ``python -m compatibility.record`` in ``tests``, with the code of commit 1ac93b2.
+"""Writes the files in ``data``: run ``python -m compatibility.record`` in ``tests`` with the code of commit 1ac93b2.
 
-The tests never run this.  A form that changes on purpose gets a file of its own, and the old one stays.
+The tests never run this module. A form that changes on purpose gets its own file, and the file of the old form stays.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 def record_snapshot(zones: bool) -> bytes:
-    """What a dispatcher has learned that has seen failures, an ejection, and servers that warm up."""
+    """Returns the snapshot of a dispatcher after failures, an ejection and the start of servers that warm up."""
     host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), workers=0)
     listed_servers = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
     host.listed(ListKind.FULL, tuple(listed_servers))
@@ -39,7 +39,7 @@
 
 
 def record_loan() -> bytes:
-    """An ask for capacity at a server that warms up, and its grant."""
+    """Returns a request for a capacity loan at a server that warms up, and its grant."""
     position, borrower = next(
         (position_tried, member)
         for position_tried in range(14)
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Write all files."""
+    """Writes all files."""
     for name, writer in WRITERS.items():
         (DATA_FOLDER / name).write_bytes(writer())
     (DATA_FOLDER / "learned.json").write_bytes(record_snapshot(False))
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -1,6 +1,6 @@
-"""Sample values of each recorded form, and functions that write them with the present code.
+"""Defines sample values of each recorded form, and functions that write the form with the present code.
 
-``record.py`` ran these functions with the code of commit 1ac93b2 and kept what they wrote in ``data``.
+``record.py`` ran these functions with the code of commit 1ac93b2 and saved the results in ``data``.
 """
 
 import asyncio
@@ -72,7 +72,9 @@
     ListedServer("server-1", "10.0.0.1:80", ServerState.READY, 0, 0, 0, 1.0, 0.0),
     ListedServer("server-2", "10.0.0.2:80", ServerState.READY, 1, 1, 3, 0.5, 1_699_999_000_000.0),
     ListedServer("server-3", "[::1]:8080", ServerState.DRAINING, 0, 1, 7, 2.0, 12.5),
-    ListedServer("server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0),  # zone and type are unknown
+    ListedServer(
+        "server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0
+    ),  # the zone and the machine type are unknown
 ]
 SETTINGS = Settings(
     classes=(
@@ -102,7 +104,7 @@
     NodeRequest((34, 2**64 - 1)),
     NodeData(b"L\x01\x02kvv"),
 ]
-PART_NAMES: dict[type, str] = {  # of 1ac93b2, where they have changed since
+PART_NAMES: dict[type, str] = {  # names in commit 1ac93b2 of the classes that were renamed later
     IndirectPing: "PingFor",
     LeaseDenial: "Deny",
     LeaseGrant: "Grant",
@@ -126,76 +128,76 @@
 
 
 class Packet(NamedTuple):
-    """One packet of a hot restart, and how many descriptors go with it."""
+    """One packet of a hot restart, and the number of descriptors that it carries."""
 
     data: str
     descriptors: int
 
 
 def cached_list() -> bytes:
-    """The file of the kept list."""
+    """Returns the file of the cached list."""
     return encode_cache("127.0.0.1:8500", NOW, write_list(42, SERVERS, ZONES, MACHINE_TYPES))
 
 
 def endpoint_list() -> bytes:
-    """The list of servers with those that are gone."""
+    """Returns the endpoint list, including removed servers."""
     return orjson.dumps(write_list(42, SERVERS, ZONES, MACHINE_TYPES, True))
 
 
 def server_rows() -> bytes:
-    """The rows of the shared server list."""
+    """Returns the rows of the shared server list."""
     return encode_lines(
         {key.decode(): value for key, value in ServerRowCodec(ZONES, MACHINE_TYPES).encode(SERVERS).items()}
     )
 
 
 def cluster_parts() -> bytes:
-    """Each part of a cluster datagram, by its name on these pages."""
+    """Returns each part of a cluster datagram, by the name of its class in commit 1ac93b2."""
     return encode_lines({PART_NAMES.get(type(part), type(part).__name__): encode_part(part) for part in PARTS})
 
 
 def cluster_datagrams() -> bytes:
-    """All parts, sealed with the first of two keys."""
+    """Returns the datagrams of all parts, sealed with the first of two keys."""
     datagrams = DatagramCodec(0x01020304, KEYS, 1000).pack(PARTS)
     return encode_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
 
 
 def table_nodes() -> bytes:
-    """The nodes of a replicated table, its root first."""
+    """Returns the nodes of a replicated table, the root first."""
     nodes: dict[int, bytes] = {}
     root = merkle_trie.build(ROWS, nodes)
     return encode_lines({f"{name:016x}": nodes[name] for name in merkle_trie.names(nodes, root)})
 
 
 def encode_lines(values: dict[str, bytes]) -> bytes:
-    """A line for each value: its name and its bytes in hexadecimal digits."""
+    """Returns one line for each value, with the name and the bytes in hexadecimal digits."""
     return "".join(f"{name} {value.hex()}\n" for name, value in values.items()).encode()
 
 
 def decode_lines(data: bytes) -> dict[str, bytes]:
-    """The values of such lines."""
+    """Returns the values in lines that ``encode_lines`` wrote."""
     lines = [line.split(" ") for line in data.decode().splitlines()]
     return {name: bytes.fromhex(digits) for name, digits in lines}
 
 
 def make_servers(count: int) -> dict[int, Server]:
-    """Servers as one dispatcher knows them."""
+    """Returns ``count`` servers as one dispatcher represents them, by number."""
     return {number: Server(ServerEntry(number), CapacityEstimate()) for number in range(1, count + 1)}
 
 
 def load_reports() -> bytes:
-    """Counts of slots in flight, and a load summary in two datagrams."""
+    """Returns a report of the slots in flight, and a load summary in two datagrams."""
     reports, servers = PeerLoad(), make_servers(500)
     servers[1].load.own_slots, servers[2].load.own_slots, servers[3].load.own_slots = 3.0, 70.0, 0.0
     reports.unreported = {number: servers[number] for number in (1, 2, 3)}
-    reports.unreported_outcomes = {1: 64, 3: 128}  # well, badly
+    reports.unreported_outcomes = {1: 64, 3: 128}  # 64: the last attempt succeeded; 128: the last attempt failed
     reports.set_ready_servers(list(servers.values()))
     summary = reports.summary([number % 16 for number in range(1, 501)])
     return encode_lines({"counts": reports.report(NOW), "summary-0": summary[0], "summary-1": summary[1]})
 
 
 class LendingDispatcher:
-    """One of fourteen dispatchers, with server 7 warming up."""
+    """One of fourteen dispatchers, while server 7 warms up."""
 
     def __init__(self, position: int) -> None:
         settings = Settings(
@@ -216,19 +218,19 @@
         self.server.slow_start.work_budget = self.shares.share(self.server, 0.2, 100.0, 10.0)
 
     def request(self) -> Request:
-        """A request of usual size."""
+        """Returns a request with 100 ms of work."""
         request = Request(RequestArrived(1, 0, 10_000.0), SETTINGS.classes[0])
         request.work = 100.0
         return request
 
     def request_loan(self) -> list[tuple[bytes, int]]:
-        """What it asks others for, and whom."""
+        """Returns the requests for a capacity loan, each with the position of its recipient."""
         messages = self.shares.request_loans([self.request()], [self.server], 20.0)
         return [(content, peer) for content, peer in messages]
 
 
 def gossip_datagrams() -> bytes:
-    """What goes over the socket to two peers: a message, the goodbye alone, and a message with that mark."""
+    """Returns the datagrams to two peers: a message, a goodbye, and a message that is marked with the goodbye."""
     transport = MagicMock()
     peers = PeerSocket(
         ["127.0.0.1:7001", "127.0.0.1:7002"], None, 0, MagicMock(), MagicMock(), MagicMock(), lambda: NOW
@@ -241,7 +243,7 @@
 
 
 def write_store(path: Path) -> None:
-    """A store with three requests: one accepted, one delivered, one served."""
+    """Writes a store with three requests: one accepted, one delivered, one served."""
     store = SqliteStore(path, lambda call: call(), MagicMock())
     for request in STORED_REQUESTS:
         store.accept(
@@ -256,7 +258,7 @@
 
 
 def dump_database(path: Path) -> list[str]:
-    """All that stands in a database, as SQL."""
+    """Returns the schema, the rows and the version of a database, as SQL."""
     database = sqlite3.connect(path)
     try:
         return [*database.iterdump(), str(database.execute("pragma user_version").fetchone()[0])]
@@ -265,7 +267,7 @@
 
 
 class RestartProcess:
-    """One process of a dispatcher: a real core and takeover, without sockets to clients and servers."""
+    """One process of a dispatcher with a real core and state transfer, and mocks for clients, servers and discovery."""
 
     def __init__(self, folder: str) -> None:
         self.deadlines = Deadlines(lambda: NOW)
@@ -295,17 +297,17 @@
         self.peer_messages.hot_restart = self.takeover.session
 
     def descriptors(self) -> list[int]:
-        """Of a TCP and of a UDP socket."""
+        """Returns the descriptors of a TCP socket and of a UDP socket."""
         return [sock.fileno() for sock in self.sockets]
 
     def close(self) -> None:
-        """Close the sockets."""
+        """Closes the sockets."""
         self.takeover.session.close()
         for sock in self.sockets:
             sock.close()
 
     def connection(self) -> MagicMock:
-        """A client's or a server's, that may be handed over."""
+        """Returns a connection of a client or of a server that can be handed over."""
         connection = MagicMock()
         connection.can_hand_over.return_value = True
         return connection
@@ -326,7 +328,7 @@
             on_adopted(client)
 
     def run_request(self) -> None:
-        """Take a request whose first attempt has failed and whose second one has started."""
+        """Accepts a request whose first attempt fails and whose second attempt starts."""
         self.core.update_servers(ListKind.FULL, SERVERS[:3])
         request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=\xfe", b"\x00\xff body"
@@ -344,7 +346,7 @@
 
 
 async def receive(sock: socket.socket) -> Packet:
-    """The next packet; its descriptors are closed."""
+    """Returns the next packet, and closes its descriptors."""
     for _ in range(500):
         try:
             data, descriptors, _, _ = socket.recv_fds(sock, 65536, 8)
@@ -354,12 +356,12 @@
         for descriptor in descriptors:
             os.close(descriptor)
         return Packet(data.decode(), len(descriptors))
-    msg = "no packet came"
+    msg = "no packet arrived within 5 s"
     raise TimeoutError(msg)
 
 
 async def restart_packets(folder: Path) -> list[Packet]:
-    """What an old process tells a new one that joins, serves and is handed a client and a request."""
+    """Returns the packets of an old process to a new one that joins, serves, and receives a client and a request."""
     process = RestartProcess(str(folder))
     process.run_request()
     process.application.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -1,4 +1,7 @@
-"""The present code reads what commit 1ac93b2 wrote, and writes the very same bytes."""
+"""Tests that the present code reads what commit 1ac93b2 wrote, and writes identical bytes.
+
+Guards against a change of a wire or storage form that an older process, or an older file, does not follow.
+"""
 
 import asyncio
 import shutil
@@ -57,7 +60,7 @@
 from heronlug.storage.model import FinalState
 from heronlug.storage.sqlite import connect, read_requests
 
-SECOND_SERVER_NUMBER = 494609309  # the number of "server-2" at every dispatcher
+SECOND_SERVER_NUMBER = 494609309  # every dispatcher derives this number from the name "server-2"
 JOBS_TABLE = (
     "CREATE TABLE jobs (\n    jid text primary key, lane text not null, queue text not null, job blob not null,"
     " accepted_at real not null,\n    remaining real not null, due real not null, delivered_at real not null,"
@@ -66,12 +69,12 @@
 
 
 def read_recorded(name: str) -> bytes:
-    """The bytes of a recorded form."""
+    """Returns the bytes of a recorded form."""
     return (DATA_FOLDER / name).read_bytes()
 
 
 def read_recorded_packets() -> list[Packet]:
-    """What an old process told a new one."""
+    """Returns the recorded packets of an old process to a new one."""
     return [Packet(*packet) for packet in orjson.loads(read_recorded("restart-packets.json"))]
 
 
@@ -80,11 +83,11 @@
     assert WRITERS[name]() == read_recorded(name)
 
 
-# -- what was learned
+# -- snapshot of what a dispatcher has learned
 
 
 def restore_dispatcher(name: str) -> Dispatcher:
-    """A fresh dispatcher that has taken a recorded table up."""
+    """Returns a new dispatcher that has restored a recorded snapshot."""
     zones = name == "learned-zones.json"
     dispatcher = Dispatcher(with_settings(zone_failover=zones, reports_start=True, report_fields=()), 2)
     listed_servers = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
@@ -98,7 +101,7 @@
     dispatcher, table = restore_dispatcher(name), orjson.loads(read_recorded(name))
     for number, _, own_slots, *_ in table["workers"]:
         server = dispatcher.state.servers.by_id[number]
-        assert server.load.peer_slots == own_slots  # in flight at the other process
+        assert server.load.peer_slots == own_slots  # the other process has these slots in flight
         server.load.own_slots = own_slots
     assert orjson.dumps(dispatcher.snapshot()) == read_recorded(name)
 
@@ -164,7 +167,7 @@
 
 
 async def hand_over_to_new_process(process: RestartProcess, tmp_path: Path) -> None:
-    """Play the recorded old process to a new one that joins, serves and hands the request on."""
+    """Plays the recorded old process to a new one that joins, serves, and hands the request to a third process."""
     state, *rest = read_recorded_packets()
     path = socket_path(str(tmp_path), "d1", "127.0.0.1:80")
     descriptors = process.descriptors()
@@ -187,9 +190,8 @@
             for packet in rest[:-1]:
                 socket.send_fds(sock, [packet.data.encode()], descriptors[:1] * packet.descriptors)
             server = process.core.dispatcher.state.servers.by_id[SECOND_SERVER_NUMBER]
-            await wait_until(
-                lambda: (server.load.peer_slots, server.load.own_slots) == (0.0, 2.0)
-            )  # the attempt is the new process's now
+            # The new process has adopted the attempt.
+            await wait_until(lambda: (server.load.peer_slots, server.load.own_slots) == (0.0, 2.0))
             assert process.core.requests.peer_process_ids == {"t-2"}
             sock.send(rest[-1].data.encode())
             await wait_until(lambda: process.takeover.session.predecessor is None)
@@ -197,17 +199,17 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds, for five seconds at most."""
+    """Waits until a condition holds; raises ``TimeoutError`` after 5 s."""
     for _ in range(500):
         if condition():
             return
         await asyncio.sleep(0.01)
-    msg = "the present code did not take up what it was told"
+    msg = "the present code did not apply a recorded packet within 5 s"
     raise TimeoutError(msg)
 
 
 def handover_message(process: RestartProcess) -> Any:
-    """The message that hands the adopted request on to a third process."""
+    """Returns the message that hands the adopted request over to a third process."""
     (message,) = process.core.requests
     for attempt in message.attempts:
         if attempt.in_flight:
@@ -333,7 +335,7 @@
     assert [codec.decode(key.encode(), value) for key, value in lines.items()] == SERVERS
 
 
-# -- what is stored
+# -- stored forms
 
 
 def test_server_list_is_read() -> None:
@@ -352,7 +354,7 @@
 
 
 async def read_and_write_cached_list(path: Path) -> None:
-    """Read the recorded file, and write it again."""
+    """Reads the recorded file and writes it again."""
     path.write_bytes(read_recorded("kept-list.txt"))
     table = write_list(42, SERVERS, ZONES, MACHINE_TYPES)
     cache_file = CacheFile(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""The same verdict every time: hypothesis draws the same examples in every run, and known failures are passed over.
+"""Makes the result of a test run reproducible, and excludes known failures from the result.
 
-``KNOWN-RED.txt`` at the root names tests that fail for a known fault, a line each: the test's id, the cause and the
-issue, with `` | `` between them.  These are run, their result is printed, and it changes no verdict; all other tests
-count.  A line that names no test, or a fourth one, ends the run.
+Hypothesis generates the same examples in every run. ``KNOWN-RED.txt`` at the root lists tests that fail because of a
+known fault, one per line: the id of the test, the cause and the issue, separated by `` | ``. These tests are run and
+their results are printed, but do not count. A line without an existing test, or a fourth line, ends the run.
 """
 
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-SLOWEST_FILES = (  # files that take a quarter of a minute and more, slowest first: several processes begin with them
+SLOWEST_FILES = (  # files that take 15 s or more, slowest first; parallel test processes start with them
     "tests/faults/test_plans.py",
     "tests/faults/test_mutants.py",
     "tests/faults/test_soak.py",
@@ -33,7 +33,7 @@
 
 
 class KnownRed(NamedTuple):
-    """A test that fails for a known fault."""
+    """A test that fails because of a known fault."""
 
     test: str
     cause: str
@@ -41,17 +41,17 @@
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """The tests that a list names; raises ``pytest.UsageError`` where it is not as it has to be."""
+    """Returns the listed tests; raises ``pytest.UsageError`` if a line is malformed or there are too many lines."""
     found = []
     for number, line in enumerate(text.splitlines(), 1):
         fields = [field.strip() for field in line.split(" | ")]
         if line.strip() and (len(fields) != 3 or not all(fields)):
-            msg = f"KNOWN-RED.txt:{number}: not 'test | cause | issue'"
+            msg = f"KNOWN-RED.txt:{number}: the line is not of the form 'test | cause | issue'"
             raise pytest.UsageError(msg)
         if line.strip():
             found.append(KnownRed(*fields))
     if len(found) > MAX_KNOWN_RED:
-        msg = f"KNOWN-RED.txt: {len(found)} tests, more than {MAX_KNOWN_RED}"
+        msg = f"KNOWN-RED.txt: {len(found)} tests are listed, at most {MAX_KNOWN_RED} are accepted"
         raise pytest.UsageError(msg)
     return found
 
@@ -65,7 +65,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Begin with the slowest files, and pass over the failures of the tests that are listed."""
+    """Sorts the slowest files first, and marks the listed tests as expected failures."""
     items.sort(
         key=lambda item: SLOWEST_FILES.index(file)
         if (file := item.nodeid.partition("::")[0]) in SLOWEST_FILES
@@ -76,7 +76,7 @@
     files = {test.partition("::")[0] for test in found}
     collected = {test for test in known if test.partition("::")[0] in files or not _test_file_exists(test)}
     if missing := collected - found:
-        msg = f"KNOWN-RED.txt names no test: {', '.join(sorted(missing))}"
+        msg = f"KNOWN-RED.txt lists tests that do not exist: {', '.join(sorted(missing))}"
         raise pytest.UsageError(msg)
     for item in items:
         if (line := known.get(item.nodeid)) is not None:
@@ -84,7 +84,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    """Print each test that was passed over."""
+    """Prints the result of each listed test."""
     results = {
         report.nodeid: outcome
         for outcome in ("xfailed", "xpassed")
--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -1,8 +1,8 @@
-"""A complete dispatcher on real sockets with a manual clock, so that tests set the order of events.
+"""Runs a complete dispatcher on real sockets with a manual clock, so that tests set the order of events.
 
-The application runs in this process on its own loop, with real connections to stand-ins for service discovery, servers
-and clients, which do only what a test tells them. Time stands still but for :meth:`DispatcherHarness.pass_time`, which
-runs each deadline in its order and lets all bytes arrive between two of them.
+The application runs on the event loop of the test. Stand-ins for service discovery, servers and clients act only when a
+test calls them. :meth:`DispatcherHarness.pass_time` runs the deadlines in order, and lets all bytes arrive between two
+deadlines.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 from heronlug.standins.ports import free_port
 
 START_TIME = 1_700_000_000_000.0
-TIMEOUT_S = 10.0  # s for something that must come; no speed is asserted
-SETTLE_TURNS = 60  # of the loop, in which bytes on loopback have arrived and been answered
+TIMEOUT_S = 10.0  # longest wait for an expected event; no speed is asserted
+SETTLE_TURNS = 60  # turns of the loop after which bytes on loopback have arrived and been answered
 
 
 class ManualClock:
-    """A clock that stands still until a test sets it."""
+    """A clock that advances only when a test sets ``at``, the time in ms."""
 
     def __init__(self) -> None:
         self.at = START_TIME
@@ -41,7 +41,7 @@
 
 
 class StandInConnection(asyncio.Protocol):
-    """A stand-in's connection: collects what comes, and sends what a test says."""
+    """A connection of a stand-in: collects the received bytes, and sends bytes when a test calls it."""
 
     def __init__(self, peer: "StandIn | None" = None) -> None:
         self.received, self.ended = b"", False
@@ -68,12 +68,12 @@
         self.transport.write(data)
 
     def send_now(self, data: bytes) -> None:
-        """Send, so that the bytes are in the other side's kernel when this returns."""
+        """Sends bytes; they are in the kernel of the receiver when this method returns."""
         assert self.transport is not None
         os.write(self.transport.get_extra_info("socket").fileno(), data)
 
     def end_now(self, ending: str) -> None:
-        """A FIN, or a reset, that is in the other side's kernel when this returns."""
+        """Sends a FIN or a reset, which is in the kernel of the receiver when this method returns."""
         assert self.transport is not None
         sock = socket.socket(fileno=os.dup(self.transport.get_extra_info("socket").fileno()))
         if ending == "reset":
@@ -82,7 +82,7 @@
         sock.close()
 
     def take_request(self) -> bytes:
-        """Remove and return the next complete request, or nothing."""
+        """Removes and returns the next complete request, or returns ``b""`` if there is none."""
         head, gap, rest = self.received.partition(b"\r\n\r\n")
         size = int(head.lower().partition(b"content-length:")[2].partition(b"\r\n")[0] or 0) if gap else 0
         if not gap or len(rest) < size:
@@ -91,7 +91,7 @@
         return head + gap + rest[:size]
 
     def close(self) -> None:
-        """A FIN; behind it nothing is read."""
+        """Closes the connection with a FIN; bytes that arrive later are not read."""
         assert self.transport is not None
         self.transport.close()
 
@@ -107,18 +107,18 @@
 
 
 class BlockingClient:
-    """A client on a blocking socket: what it does has reached the kernel when a call returns, before the loop runs."""
+    """A client on a blocking socket: the effect of each call is in the kernel when the call returns."""
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
         self.sock = socket.create_connection((host, int(port)), TIMEOUT_S)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent is there at once
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # sent bytes arrive immediately
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def received(self) -> bytes:
-        """The bytes that have come."""
+        """Returns the bytes that have arrived since the last call."""
         self.sock.setblocking(False)
         try:
             return self.sock.recv(65536)
@@ -126,7 +126,12 @@
             return b""
 
     def leave(self, ending: str) -> None:
-        """``fin``, ``half`` for the end of its sending alone, ``reset``, or ``behind`` bytes of a next request."""
+        """Disconnects.
+
+        Args:
+            ending: ``fin`` closes the connection, ``half`` closes only the sending direction, ``reset`` resets the
+                connection, and ``behind`` sends the first bytes of a further request before a FIN.
+        """
         if ending == "behind":
             self.sock.sendall(b"POST /sa")
         if ending == "half":
@@ -138,7 +143,7 @@
 
 
 class StandIn:
-    """A listening stand-in: a server, or service discovery."""
+    """A listening stand-in for a server or for service discovery."""
 
     def __init__(self, name: str) -> None:
         self.name, self.connections = name, list[StandInConnection]()
@@ -149,18 +154,18 @@
         self._server = await asyncio.get_running_loop().create_server(lambda: StandInConnection(self), sock=self.sock)
 
     async def refuse(self) -> None:
-        """Listen no more: connects are refused, and the connections that are open stay."""
+        """Stops listening: new connections are refused, and open connections stay open."""
         self._server.close()
         self.sock.close()
         await asyncio.sleep(0)
 
     @property
     def requests(self) -> int:
-        """First bytes of requests that have come and not been taken."""
+        """Returns the number of connections with received bytes that no test has taken."""
         return sum(1 for connection in self.connections if connection.received)
 
     async def request(self) -> tuple[StandInConnection, bytes]:
-        """Wait for the next complete request; returns it with its connection."""
+        """Waits for the next complete request; returns its connection and its bytes."""
         found: list[tuple[StandInConnection, bytes]] = []
 
         def request_has_come() -> bool:
@@ -175,7 +180,7 @@
         return found[0]
 
     async def unanswered_connection(self) -> StandInConnection:
-        """The request that still waits for an answer."""
+        """Waits for a request on an open connection, takes the request and returns the connection."""
         await until(
             lambda: any(connection.received and not connection.ended for connection in self.connections),
             f"a request at {self.name}",
@@ -188,7 +193,7 @@
 
 
 async def until(condition: Callable[[], bool], description: str) -> None:
-    """Wait for an event that must come."""
+    """Waits until ``condition`` holds; raises ``AssertionError`` after ``TIMEOUT_S``."""
     for _ in range(int(TIMEOUT_S * 1000)):
         if condition():
             return
@@ -198,7 +203,16 @@
 
 
 class DispatcherHarness:
-    """A running application and its stand-ins."""
+    """Runs an application with its stand-ins.
+
+    Attributes:
+        clock: the clock of the application.
+        lines: the logged events, each with its fields.
+        discovery: the stand-in for service discovery.
+        other_discovery: a second stand-in for service discovery, which a reload can configure.
+        servers: the stand-ins for servers by name (``h1``, ``h2``, ...).
+        raw: the configuration, as the file contains it.
+    """
 
     def __init__(self, servers: int = 2, **changes: Any) -> None:
         self.clock, self.lines = ManualClock(), list[tuple[str, dict[str, object]]]()
@@ -223,15 +237,21 @@
         self._serving: asyncio.Task[None]
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Record an event that the application logs."""
+        """Records an event that the application logs."""
         self.lines.append((event, fields))
 
     def load(self, again: bool = False) -> tuple[configs.Config, dict[str, Any]]:
-        """The application's configuration, in place of its files."""
+        """Returns the configuration and the desired state that the application reads, in place of its files."""
         return configs.parse(self.raw, "the test"), EMPTY
 
     def endpoint_list(self, version: int, *lines: str, whole: bool = True) -> dict[str, Any]:
-        """An endpoint list; a line is a server's name, with its state if that is not ``active``."""
+        """Returns an endpoint list.
+
+        Args:
+            version: the version of the list.
+            lines: the servers, each as ``NAME`` or ``NAME:STATE``; the default state is ``active``.
+            whole: whether the list is complete, or only changes.
+        """
         entries = []
         for line in lines:
             name, _, state = line.partition(":")
@@ -250,21 +270,21 @@
         return {"generation": version, "reset": whole, "instances": entries}
 
     def list_response(self, version: int, *lines: str, whole: bool = False, indent: int | None = None) -> bytes:
-        """The response of service discovery with an endpoint list."""
+        """Returns a response of service discovery with an endpoint list."""
         body = json.dumps(self.endpoint_list(version, *lines, whole=whole), indent=indent).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
     async def turn_once(self) -> None:
-        """Let the loop turn once."""
+        """Lets the loop turn once."""
         await asyncio.sleep(0)
 
     async def settle(self) -> None:
-        """Let all that is under way arrive."""
+        """Lets all sent bytes arrive and be answered."""
         for _ in range(SETTLE_TURNS):
             await asyncio.sleep(0)
 
     async def pass_time(self, duration_ms: float) -> None:
-        """Let time pass for the application."""
+        """Advances the clock, and runs each deadline at its time."""
         await self.settle()
         end, deadlines = self.clock.at + duration_ms, self.application.deadline_loop.deadlines
         while (next_due := deadlines.next_due()) is not None and next_due <= end:
@@ -276,11 +296,11 @@
         await self.settle()
 
     async def until_time(self, duration_ms: float) -> None:
-        """Let time pass up to a time after the start."""
+        """Advances the clock to a time after the start."""
         await self.pass_time(START_TIME + duration_ms - self.clock.at)
 
     async def client(self) -> StandInConnection:
-        """A client's connection."""
+        """Opens a connection of a client."""
         host, port = self.listen.split(":")
         _, connection = await asyncio.get_running_loop().create_connection(StandInConnection, host, int(port))
         return connection
@@ -288,34 +308,38 @@
     async def post(
         self, request_id: str, class_name: str = "safe", remaining: int = 4000, client: StandInConnection | None = None
     ) -> StandInConnection:
-        """Send a client's request."""
+        """Sends a request of a client, which has ``remaining`` ms left, and returns the client."""
         client = client or await self.client()
         client.send(request_bytes(request_id, class_name, remaining))
         await self.settle()
         return client
 
     async def confirm(self) -> None:
-        """Let service discovery confirm the endpoint list."""
+        """Answers the first poll: service discovery confirms the endpoint list."""
         call, poll = await self.discovery.request()
         assert b"?after=3&wait_ms=0 " in poll
         call.send(self.list_response(3))
         await self.settle()
 
     def blocking_client(self) -> BlockingClient:
-        """A client on a blocking socket."""
+        """Opens a connection of a client on a blocking socket."""
         return BlockingClient(self.listen)
 
     def stall(self, duration_ms: float) -> None:
-        """Let time pass without running the loop."""
+        """Advances the clock without a turn of the loop."""
         self.clock.at += duration_ms
 
     def logged(self, event: str) -> list[dict[str, object]]:
-        """The events of a kind that have been logged."""
+        """Returns the fields of the logged events with this name."""
         return [fields for name, fields in self.lines if name == event]
 
     @contextlib.asynccontextmanager
     async def open(self, confirmed: bool = True) -> AsyncIterator["DispatcherHarness"]:
-        """Run the application; service discovery has ``confirmed`` its list, and the next watch waits for an answer."""
+        """Runs the application.
+
+        Args:
+            confirmed: whether service discovery confirms the endpoint list; the next poll is then a watch that waits.
+        """
         for standin in (self.discovery, self.other_discovery, *self.servers.values()):
             await standin.listen()
         folder = os.environ.pop("TMPDIR", None)
@@ -339,23 +363,23 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the application has stopped by itself."""
+        """Returns whether the application has stopped without a call of the harness."""
         return self._serving.done() or self.application.stopped.is_set()
 
 
 def request_id_of(request: bytes) -> str:
-    """The id of a request that a server has received."""
+    """Returns the id of a request that a server has received."""
     return request.partition(b"x-txn: ")[2].partition(b"\r\n")[0].decode()
 
 
 def request_bytes(request_id: str, class_name: str, remaining: int) -> bytes:
-    """A client's request."""
+    """Returns a request of a client."""
     names = f"X-Txn: {request_id}\r\nX-Lane: {class_name}\r\nX-Remaining-Ms: {remaining}\r\n"
     return f"POST /{class_name} HTTP/1.1\r\nHost: x\r\n{names}Content-Length: 2\r\n\r\nhi".encode()
 
 
 def progress_chunk(request_id: str, state: str, more: str = "") -> bytes:
-    """A chunk with one progress line of a server."""
+    """Returns a chunk with one progress line of a server."""
     text = json.dumps({"id": request_id, "from": "h", "state": state, **({"result": more} if more else {})}) + "\n"
     return f"{len(text):x}\r\n{text}\r\n".encode()
 
@@ -366,15 +390,15 @@
 
 
 def done(request_id: str, result: str = "ok") -> bytes:
-    """A server's complete response."""
+    """Returns a complete response of a server."""
     return RESPONSE_HEAD + progress_chunk(request_id, "done", result) + LAST_CHUNK
 
 
 def served(client: StandInConnection) -> bool:
-    """Whether a client has its result."""
+    """Returns whether a client has received its complete result."""
     return client.received.startswith(b"HTTP/1.1 200 ") and client.received.endswith(b"ok")
 
 
 def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test on the loop that the program runs on."""
+    """Runs a test on the same kind of event loop as the program."""
     uvloop.run(test())
--- a/tests/end_to_end/process.py
+++ b/tests/end_to_end/process.py
@@ -1,4 +1,4 @@
-"""A process of the program before stand-ins that do as a test tells them; ordered by its log, its figures and bytes."""
+"""A process of the program with stand-ins that a test controls; tests wait for its log, its metrics and its bytes."""
 
 import asyncio
 import json
@@ -16,10 +16,10 @@
 
 
 class DispatcherProcess:
-    """One process, whose files and stand-ins are those of a :class:`DispatcherHarness`."""
+    """One process, with the configuration and the stand-ins of a :class:`DispatcherHarness`."""
 
     def __init__(self, folder: Path, harness: DispatcherHarness, **changes: Any) -> None:
-        """``more`` are keys of its configuration."""
+        """Prepares the process; ``changes`` are further keys of its configuration."""
         self.folder, self.harness = folder, harness
         self.admin_address = f"127.0.0.1:{free_port()}"
         self.config = {**harness.raw, "admin_addr": self.admin_address, **changes}
@@ -29,7 +29,7 @@
 
     @asynccontextmanager
     async def open(self) -> AsyncIterator["DispatcherProcess"]:
-        """It runs, and ends well in the end."""
+        """Runs the process, then stops it with SIGTERM and checks that its exit status is 0."""
         path, log = self.folder / "config.json", self.folder / "log"
         path.write_text(json.dumps(self.config))
         for standin in (self.harness.discovery, *self.harness.servers.values()):
@@ -48,7 +48,7 @@
                 self.process.kill()
 
     def logged(self, event: str) -> list[dict[str, Any]]:
-        """The whole lines of a kind so far."""
+        """Returns the fields of the logged events with this name, from complete lines of the log."""
         lines = (self.folder / "log").read_bytes().rpartition(b"\n")[0].splitlines()
         return [event_fields for event_fields in map(json.loads, lines) if event_fields["event"] == event]
 
@@ -56,17 +56,17 @@
         await until(lambda: bool(self.logged("started")), "the start")
 
     async def confirmed(self) -> None:
-        """It serves by the list that discovery has confirmed."""
+        """Waits for the start, and lets service discovery confirm the endpoint list."""
         await self.started()
         await self.harness.confirm()
 
     async def dial(self, address: str = "") -> StandInConnection:
-        """A connection of a client, or to another address; it may wait to be accepted."""
+        """Opens a connection to the listener for clients or to ``address``; it may still wait to be accepted."""
         host, port = (address or self.harness.listen).split(":")
         return (await asyncio.get_running_loop().create_connection(StandInConnection, host, int(port)))[1]
 
     async def metric(self, name: str) -> int:
-        """One of the figures that an operator reads."""
+        """Returns the value of a metric from the admin listener."""
         host, port = self.admin_address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /stats HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -1,7 +1,7 @@
-"""A client that leaves while its request waits: not a byte of it goes to a server from then on.
+"""Tests that no byte of a request is sent to a server after its client has disconnected.
 
-Each test has the client leave in the kernel, lets time pass in which the loop does not turn, and makes what the request
-waits for come true before the loop can have read that the client has left: that is the order to be feared.
+In each test the disconnect is in the kernel, the loop is stalled, and the event that the request waits for happens
+before the loop reads the disconnect.
 """
 
 import socket
@@ -28,11 +28,11 @@
 from heronlug.requests.model import Workload
 
 ENDINGS = ["fin", "half", "reset", "behind"]
-STALL_MS = 400.0  # ms; the rule gives 300
+STALL_MS = 400.0  # longer than the 300 ms after a disconnect for which the protocol allows bytes to be sent
 
 
 async def open_connections(harness: DispatcherHarness) -> None:
-    """Every server has a connection that is kept warm, so that what is sent goes out in the same turn."""
+    """Leaves an idle connection to every server, so that the next request is written in the same turn of the loop."""
     clients = [await harness.post(f"warm{number}") for number in range(2 * len(harness.servers))]
     while any(server.requests for server in harness.servers.values()):
         for server in harness.servers.values():
@@ -45,14 +45,14 @@
 
 
 def no_request_pending(harness: DispatcherHarness) -> bool:
-    """No server has a byte that was not taken, and nothing is held for anybody."""
+    """Returns whether no server has received bytes that were not taken, and no request is pending."""
     return not any(server.requests for server in harness.servers.values()) and not len(
         harness.application.core.requests
     )
 
 
 async def fill_servers(harness: DispatcherHarness) -> list[tuple[StandInConnection, str]]:
-    """All servers have as much as they get: what comes now is held.  Returns what runs."""
+    """Sends requests until one is queued; returns the connections and the ids of the running requests."""
     for number in range(100):
         await harness.post(f"fill{number}")
         attempts_sent = sum(len(request.attempts) for request in harness.application.core.requests)
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_while_its_request_is_queued(ending: str) -> None:
-    """A slot comes free, on a connection that is warm, before the end is read."""
+    """Guards against sending a queued request when a slot at a connected server frees before the disconnect is read."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -80,7 +80,7 @@
             assert queued >= 1
             assert not harness.servers["h1"].requests
             for server_connection, request_id in running:
-                server_connection.send_now(done(request_id))  # first in the queue of what is to be read
+                server_connection.send_now(done(request_id))  # the loop reads these bytes before the disconnect
             client.leave(ending)
             harness.stall(STALL_MS)
             await harness.settle()
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_its_request_waits_for_a_retry(ending: str, class_name: str) -> None:
-    """The wait is over before the loop reads: the deadline is swept first."""
+    """Guards against a retry whose backoff ends before the disconnect is read, since deadlines run before reads."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -104,7 +104,7 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", class_name, 4000))
             await harness.settle()
-            await harness.pass_time(20)  # the last byte of a non-idempotent request is held back
+            await harness.pass_time(20)  # the last byte of a non-idempotent request is sent after a delay
             [server] = [server for server in harness.servers.values() if server.requests]
             server_connection, _ = await server.request()
             server_connection.send(REJECTED_RESPONSE)
@@ -121,7 +121,7 @@
 
 @pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_while_its_request_is_pipelined_behind_another(ending: str) -> None:
-    """The one before ends in the turn in which the end is read."""
+    """Guards against sending a pipelined request when the previous one ends in the turn that reads the disconnect."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_its_request_is_read(ending: str) -> None:
-    """It waits in the accept queue, and so does its end."""
+    """Guards against sending a request that is in the accept queue together with the disconnect of its client."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_a_connection_to_the_server_is_opened(ending: str, class_name: str) -> None:
-    """The connection opens before the end is read: nothing goes out on it."""
+    """Guards against writing to a new server connection that opens before the disconnect is read."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_the_last_byte_of_a_non_idempotent_request(ending: str) -> None:
-    """Its last byte is not sent: it never ran."""
+    """Guards against sending the delayed last byte after the disconnect; without that byte the request never runs."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_its_request_is_hedged(ending: str) -> None:
-    """The first has not started; its copy is due before the end is read."""
+    """Guards against a hedged request that is due before the disconnect is read; the first attempt has not started."""
 
     async def test() -> None:
         async with DispatcherHarness(2, limits={"second_copies": True}).open() as harness:
@@ -228,7 +228,7 @@
 
 
 def test_many_clients_leave_as_servers_become_free() -> None:
-    """Of many that wait, those that have left get nothing; those that have not are all served."""
+    """Guards against serving departed clients, or losing the other ones, when many queued requests become sendable."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -259,7 +259,10 @@
 
 @pytest.mark.parametrize("ending", [*ENDINGS, ""])
 def test_client_leaves_while_its_request_is_handed_over(ending: str) -> None:
-    """It was held in the process before, which read no more of it; here a server is free at once."""
+    """Guards against sending a request that was handed over queued, and whose client left unnoticed by the old process.
+
+    The new process has a free server immediately. With no ``ending`` the client stays and must be served.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -291,7 +294,7 @@
             await harness.settle()
             assert no_request_pending(harness) is bool(ending)
             if not ending:
-                harness.application.frontend.close_idle()  # its answer is owed on it still
+                harness.application.frontend.close_idle()  # the connection is not idle: its answer is still pending
                 server_connection, _ = await harness.servers["h1"].request()
                 server_connection.send(done("t1"))
                 await harness.settle()
@@ -302,7 +305,7 @@
 
 
 async def expect_still_serving(harness: DispatcherHarness) -> bool:
-    """Another client gets its answer."""
+    """Returns whether a request of another client is answered."""
     client = await harness.post("later")
     server = next(server for server in harness.servers.values() if server.requests)
     server_connection, _ = await server.request()
--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -1,6 +1,7 @@
-"""Deployments with unlike settings, one after the other in the same tree: each dispatcher behaves by its own.
+"""Tests that each dispatcher follows its own settings when several deployments run in turn in the same process.
 
-Classes, effects, deadlines, tenants, grace, refusals and discovery differ; nothing is kept of the one before.
+The classes, effects, deadlines, tenants, drain grace, rejections and discovery modes of the deployments differ, and no
+state of a deployment may reach the next one.
 """
 
 import os
@@ -39,7 +40,7 @@
 
 
 async def response_after_broken_connection(harness: DispatcherHarness, class_name: str) -> bytes:
-    """What a client is told whose request has started where the connection breaks; the next server's answer counts."""
+    """Resets the server connection of a request, serves the retry if there is one, and returns the client's status."""
     client = await harness.post(f"b-{class_name}", class_name)
     await harness.pass_time(20)
     server_connection, _ = await next(server for server in harness.servers.values() if server.requests).request()
@@ -55,7 +56,10 @@
 
 
 def test_two_deployments_in_turn_behave_by_their_own_settings() -> None:
-    """Twice round: the same names mean other things, and the second round is as the first."""
+    """Guards against settings that remain from another deployment, which uses the same class names differently.
+
+    Both deployments run twice, and the second round must behave as the first one.
+    """
 
     async def test_first() -> None:
         async with DispatcherHarness(2, **FIRST_DEPLOYMENT).open(confirmed=False) as harness:
@@ -82,7 +86,7 @@
                         server_connection.send(REJECTED_RESPONSE)
                 await harness.settle()
             await harness.pass_time(60)
-            assert client.received == response(503)  # nobody is told to come back here
+            assert client.received == response(503)  # this deployment sends no Retry-After
 
     for _ in range(2):
         run_async(test_first)
@@ -90,7 +94,7 @@
 
 
 def test_requests_count_against_the_tenant_that_they_name() -> None:
-    """Each request counts against its own tenant's share, and one of nobody's against none."""
+    """Guards against counting a request against a tenant that the request does not name."""
 
     async def test() -> None:
         async with DispatcherHarness(1, **SECOND_DEPLOYMENT).open() as harness:
@@ -125,7 +129,7 @@
 
 @pytest.mark.parametrize(("invalid", "expected_error"), INVALID_SETTINGS)
 def test_invalid_settings_are_rejected(invalid: dict[str, Any], expected_error: str) -> None:
-    """Refused at the start with file and key; by a reload nothing changes."""
+    """Guards against applying invalid settings: the start fails with file and key, and a reload changes nothing."""
     harness = DispatcherHarness(1)
     with pytest.raises(ConfigError) as error:
         parse({**harness.raw, "settings": {**harness.raw["settings"], **invalid}}, "config.json")
@@ -153,6 +157,6 @@
 
 
 def test_pushed_deployment_may_omit_the_poll_interval() -> None:
-    """It does not apply there, and stands as 0 or not at all."""
+    """Guards against requiring the poll interval, which a deployment with pushed lists omits or sets to 0."""
     harness = DispatcherHarness(1, safety={"ask_every": 0.0}, **{"settings": {"discovery": "pushed"}})
     assert parse(harness.raw, "config.json").pushed
--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -1,7 +1,7 @@
-"""The loop stands still for seconds, and what discovery has told meanwhile waits unread behind other bytes.
+"""Tests that a list that arrived while the event loop was stalled is read before any attempt begins.
 
-Whether the process was held up or had no processor time: what has been written to it counts as told, so it is read
-before any attempt begins.  The bytes are in the kernel, in the worst order, when the loop turns again.
+The loop stalls for seconds because the process is suspended or gets no CPU time. A list that was written to its socket
+counts as notified, even if unread. The tests put the bytes into the kernel in the least favourable order.
 """
 
 from functools import partial
@@ -11,13 +11,13 @@
 
 from end_to_end.harness import DispatcherHarness, done, request_bytes, request_id_of, run_async, served
 
-STALL_MS = 3_000.0  # ms that the loop stands still, past the grace of 2.5 s
+STALL_MS = 3_000.0  # longer than the drain grace of 2.5 s
 LONG_IDLE_LIMIT = {"conn_idle": 60_000.0}
-LIST_EXPIRY_MS = 22_000.0 + 2_500.0  # ms after the start, from which on the list may not be gone by any more
+LIST_EXPIRY_MS = 22_000.0 + 2_500.0  # time after the start at which the list of a silent watch expires
 
 
 async def open_connections(harness: DispatcherHarness, *names: str) -> None:
-    """A connection to each of these servers rests."""
+    """Leaves an idle connection to each of these servers."""
     clients = [await harness.post(f"warm{number}") for number in range(len(names))]
     for name in names:
         server_connection, request = await harness.servers[name].request()
@@ -27,7 +27,7 @@
 
 
 async def send_drain_unread(harness: DispatcherHarness) -> None:
-    """Discovery tells that h1 drains, and nobody reads it."""
+    """Sends a list in which h1 drains, and stalls the loop before the list is read."""
     watch, _ = await harness.discovery.request()
     watch.send_now(harness.list_response(4, "h1:leaving", "h2"))
     harness.stall(STALL_MS)
@@ -35,7 +35,10 @@
 
 @pytest.mark.parametrize("list_first", [True, False])
 def test_request_read_before_an_unread_list_uses_that_list(list_first: bool) -> None:
-    """Which of two connections is read first is the kernel's choice, so both orders are played, with each effect."""
+    """Guards against sending a request to a draining server because the request is read before the list.
+
+    The kernel decides which of the two connections is read first, so both orders are tested, with each effect.
+    """
 
     async def test(class_name: str) -> None:
         async with DispatcherHarness(2, endpoint_list=["h1"], limits=LONG_IDLE_LIMIT).open() as harness:
@@ -61,7 +64,7 @@
 
 
 def test_retry_uses_the_unread_list() -> None:
-    """The answer that fails the first attempt is read before the list that has its next server drain."""
+    """Guards against a retry at a draining server when the first rejection is read before the list."""
 
     async def test() -> None:
         async with DispatcherHarness(2, limits=LONG_IDLE_LIMIT).open() as harness:
@@ -83,6 +86,8 @@
 
 
 def test_opened_connection_uses_the_unread_list() -> None:
+    """Guards against writing to a draining server when its connection opens before the list is read."""
+
     async def test() -> None:
         async with DispatcherHarness(1, limits=LONG_IDLE_LIMIT).open() as harness:
             client = harness.blocking_client()
@@ -91,7 +96,7 @@
             while not harness.application.backend.dials:
                 await harness.turn_once()
             watch.send_now(harness.list_response(4, "h1:leaving"))
-            harness.clock.at += 2600.0  # the connection is up in the kernel by now, and its dial has not been read
+            harness.clock.at += 2600.0  # the kernel has opened the connection, and the loop has not read that event
             await harness.settle()
             await harness.pass_time(50)
             assert not harness.servers["h1"].requests
@@ -100,7 +105,7 @@
 
 
 def test_expired_list_is_not_used_after_a_stall() -> None:
-    """The timer that ends its time is as late as the request is."""
+    """Guards against using an expired list when a stall delays both the expiry timer and the request."""
 
     async def test() -> None:
         async with DispatcherHarness(1, limits=LONG_IDLE_LIMIT).open() as harness:
@@ -119,7 +124,10 @@
 
 
 def test_connection_past_its_idle_time_is_not_written_to() -> None:
-    """Risk: the server has forgotten it, so what must not run twice is lost; the timer that closes it is late."""
+    """Guards against losing a non-idempotent request on a connection that the server has already closed as idle.
+
+    The stall delays the timer that would have closed the connection.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -127,7 +135,7 @@
             client = harness.blocking_client()
             await harness.settle()
             client.send(request_bytes("t1", "once", 4000))
-            harness.stall(STALL_MS)  # of the 4 s that the server keeps a connection, ours may rest for 2.8 s
+            harness.stall(STALL_MS)  # the server closes after 4 s; the dispatcher may reuse the connection for 2.8 s
             await harness.settle()
             await harness.pass_time(50)
             server_connection, _ = await harness.servers["h1"].request()
--- a/tests/end_to_end/test_graceful_shutdown.py
+++ b/tests/end_to_end/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM with requests in every stage: each that was taken is answered before the kill, and nothing overtakes it."""
+"""Tests that after SIGTERM each accepted request, in any stage, is answered before SIGKILL."""
 
 import os
 import signal
@@ -22,7 +22,7 @@
 
 REJECTED = b"HTTP/1.1 503 "
 FAILED = b"HTTP/1.1 500 "
-SIGKILL_DELAY_MS = 3_000 + 700  # ms after the signal, where deadlines are longer than 3 s
+SIGKILL_DELAY_MS = 3_000 + 700  # time from SIGTERM to SIGKILL if the longest deadline is over 3 s
 
 
 async def send_sigterm(harness: DispatcherHarness) -> None:
@@ -34,7 +34,7 @@
 async def expect_served_and_stopped(
     harness: DispatcherHarness, client: StandInConnection, server_connection: StandInConnection
 ) -> None:
-    """What is under way is served, and once its client has gone the process ends."""
+    """Checks that the request in progress is served, and that the process exits after its client has disconnected."""
     server_connection.send(done("t1"))
     await harness.settle()
     assert served(client)
@@ -44,12 +44,12 @@
 
 
 def settings_with_deadline(deadline: float) -> dict[str, Any]:
-    """Settings whose longest deadline is this."""
+    """Returns settings with one class of this deadline in ms."""
     return {"settings": {"lanes": [{"name": "safe", "deadline": deadline, "effect": "repeatable", "goal_time": 100.0}]}}
 
 
 def test_partly_read_and_unread_requests_are_served_after_sigterm() -> None:
-    """Both come whole after the signal, on connections that stay open, and are served."""
+    """Guards against closing connections at SIGTERM whose request is partly read or still to come."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -85,7 +85,10 @@
 def test_queued_and_hanging_requests_are_answered_before_sigkill(
     settings: dict[str, Any], sigkill_delay_ms: float
 ) -> None:
-    """Deadlines over and under 3 s; what comes until then on open connections is answered too, and at once at last."""
+    """Guards against requests that are unanswered at SIGKILL, with deadlines over and under 3 s.
+
+    A request that arrives on an open connection shortly before SIGKILL must be answered immediately.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, **settings).open() as harness:
@@ -103,7 +106,7 @@
             late_client.received = b""
             await send_sigterm(harness)
             sigterm_at = harness.clock.at
-            os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
+            os.kill(os.getpid(), signal.SIGTERM)  # a second SIGTERM has no effect
             await harness.pass_time(sigkill_delay_ms - 200)
             assert hanging_client.received.startswith(REJECTED)
             assert b"Connection: close" in hanging_client.received
@@ -121,7 +124,7 @@
 
 
 def test_partly_written_response_is_completed_before_exit() -> None:
-    """A client that reads slowly has the whole answer before the process leaves."""
+    """Guards against an exit that truncates the response to a client that reads slowly."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -146,7 +149,7 @@
 
 
 def test_requests_are_served_when_sigterm_arrives_during_a_reload() -> None:
-    """The reload ends, the stop goes on, and what is under way is served."""
+    """Guards against a reload that blocks the shutdown or loses the request in progress."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -162,7 +165,10 @@
 
 
 def test_requests_are_served_when_sigterm_arrives_during_the_start() -> None:
-    """It comes as the listener opens: who connects meanwhile is served, and the process leaves once it is quiet."""
+    """Guards against losing clients that connect when SIGTERM arrives while the listener opens.
+
+    The process must serve them, and exit when there is no more traffic.
+    """
 
     async def test() -> None:
         open_listener = StateTransfer.open_listener
--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -1,6 +1,6 @@
-"""Many dispatchers without gossip: a request is queued while others wait at servers, and ends where it is queued.
+"""Tests the queue of one of many dispatchers without gossip while its attempts wait at servers.
 
-The servers hold back the word of a start, or say it, when a test says so.
+Servers report the start of an attempt only when a test sends the report.
 """
 
 import pytest
@@ -17,7 +17,7 @@
     run_async,
 )
 
-RUN_TIME_MS = 100.0  # ms that requests run; their aim is 400, so they have to start within 300
+RUN_TIME_MS = 100.0  # the latency objective is 400 ms, so a request has to start within 300 ms
 
 
 def overloaded_harness(servers: int = 8) -> DispatcherHarness:
@@ -25,7 +25,7 @@
 
 
 async def received_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
-    """The requests that have come, by their names."""
+    """Takes the requests that have arrived at servers; returns their connections by request id."""
     await harness.settle()
     found = {}
     for server in harness.servers.values():
@@ -36,7 +36,7 @@
 
 
 async def learn_run_times(harness: DispatcherHarness) -> None:
-    """Some have run, and how long is known."""
+    """Serves four requests, so that the dispatcher has an estimate of the run time."""
     for number in range(4):
         client = await harness.post(f"warm{number}")
         ((request_id, server_connection),) = (await received_requests(harness)).items()
@@ -48,7 +48,7 @@
 
 
 async def start_two_waiting_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
-    """At servers that have not started them: where they are."""
+    """Sends two requests that servers receive and do not start; returns their connections by request id."""
     await learn_run_times(harness)
     for number in range(2):
         await harness.post(f"w{number}")
@@ -58,7 +58,7 @@
 
 
 async def queue_third_request(harness: DispatcherHarness) -> tuple[StandInConnection, dict[str, StandInConnection]]:
-    """Two wait at servers, and a third one is here: its client, and where the two are."""
+    """Queues a third request behind two that wait at servers; returns its client and the connections of the two."""
     waiting = await start_two_waiting_requests(harness)
     client = await harness.post("t")
     assert not await received_requests(harness)
@@ -66,6 +66,8 @@
 
 
 def test_request_queued_until_it_is_overdue_is_rejected_at_once() -> None:
+    """Guards against a queued request that waits until its deadline, or is sent, though its start is overdue."""
+
     async def test() -> None:
         async with overloaded_harness().open() as harness:
             client, _ = await queue_third_request(harness)
@@ -82,6 +84,8 @@
 
 
 def test_queued_request_is_sent_when_an_attempt_starts() -> None:
+    """Guards against a request that stays queued after a server reports the start of a waiting attempt."""
+
     async def test() -> None:
         async with overloaded_harness().open() as harness:
             client, waiting = await queue_third_request(harness)
@@ -96,10 +100,12 @@
 
 
 def test_unresponsive_servers_do_not_count_as_overload() -> None:
+    """Guards against queueing requests because two servers hang, while the other servers are free."""
+
     async def test() -> None:
         async with overloaded_harness().open() as harness:
             await queue_third_request(harness)
-            await harness.pass_time(500)  # the two are late where they wait
+            await harness.pass_time(500)  # the two attempts are overdue at their servers
             await harness.post("next")
             assert list(await received_requests(harness)) == ["next"]
 
@@ -108,15 +114,16 @@
 
 @pytest.mark.parametrize("ending", ["fin", "half", "reset", "behind"])
 def test_queued_request_whose_client_has_left_is_not_sent(ending: str) -> None:
+    """Guards against sending a queued request when the start of an attempt is read before the disconnect."""
+
     async def test() -> None:
         async with overloaded_harness().open() as harness:
             waiting = await start_two_waiting_requests(harness)
             client = harness.blocking_client()
             client.send(request_bytes("t", "safe", 4000))
             assert not await received_requests(harness)
-            waiting["w0"].send_now(
-                RESPONSE_HEAD + progress_chunk("w0", "started")
-            )  # first in the queue of what is to be read
+            # The loop reads this start before the disconnect.
+            waiting["w0"].send_now(RESPONSE_HEAD + progress_chunk("w0", "started"))
             client.leave(ending)
             harness.stall(200.0)
             assert not await received_requests(harness)
@@ -125,6 +132,8 @@
 
 
 def test_few_dispatchers_with_most_of_the_load_queue_nothing() -> None:
+    """Guards against queueing at one of few dispatchers, where the rule for many dispatchers does not apply."""
+
     async def test() -> None:
         async with DispatcherHarness(8, settings={"instances": 3}, limits={"may_tell": False}).open() as harness:
             await learn_run_times(harness)
--- a/tests/end_to_end/test_servers.py
+++ b/tests/end_to_end/test_servers.py
@@ -1,4 +1,7 @@
-"""A server's connection at the wrong instant: what may have run once is not sent again, and what never ran is."""
+"""Tests the retries of requests whose server connection breaks, or receives stray bytes, at a critical moment.
+
+A non-idempotent request that may have run is not sent again; a request that never ran is sent again.
+"""
 
 from dataclasses import replace
 from unittest import mock
@@ -24,13 +27,13 @@
 
 FAILED = b"HTTP/1.1 500 "
 REJECTED = b"HTTP/1.1 503 "
-LAST_BYTE_DELAY_MS = 20.0  # ms; the last byte of a non-idempotent request has gone out after that
+LAST_BYTE_DELAY_MS = 20.0  # after this time the last byte of a non-idempotent request has been sent
 
 
 async def send_first(
     harness: DispatcherHarness, request_id: str, class_name: str
 ) -> tuple[StandInConnection, StandIn, StandInConnection]:
-    """Send a request up to its last byte: the client, the server that it is at, and the connection."""
+    """Sends a request, without the last byte if it is non-idempotent; returns client, server and server connection."""
     client = await harness.post(request_id, class_name)
     server = next(server for server in harness.servers.values() if server.requests)
     connection = next(connection for connection in server.connections if connection.received)
@@ -40,7 +43,7 @@
 async def serve_one(
     harness: DispatcherHarness, request_id: str, class_name: str = "safe"
 ) -> tuple[StandIn, StandInConnection]:
-    """Serve a request; returns the connection that is idle now."""
+    """Serves a request; returns the server and its connection, which is idle now."""
     client, server, connection = await send_first(harness, request_id, class_name)
     await harness.pass_time(LAST_BYTE_DELAY_MS)
     assert connection.take_request()
@@ -52,7 +55,7 @@
 
 @pytest.mark.parametrize("ending", ["close", "reset"])
 def test_connection_broken_before_the_last_byte_is_retried(ending: str) -> None:
-    """It never ran, and goes out again, a non-idempotent request too."""
+    """Guards against failing a request that never ran because its last byte was not sent, with any effect."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -75,7 +78,7 @@
 def test_connection_broken_after_the_last_byte_fails_a_non_idempotent_request(
     ending: str, response_start: bytes
 ) -> None:
-    """A non-idempotent request may have run: it fails at once, and goes nowhere else."""
+    """Guards against a second run of a non-idempotent request that may have run: it must fail at once."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -96,7 +99,7 @@
 
 @pytest.mark.parametrize("ending", ["close", "reset"])
 def test_connection_broken_between_selection_and_write_is_replaced(ending: str) -> None:
-    """An idle connection has ended, which is not read yet: a non-idempotent request goes out on another."""
+    """Guards against writing a non-idempotent request to an idle connection whose end has not been read."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -121,7 +124,7 @@
 
 
 def test_connection_broken_between_the_last_line_and_the_last_chunk_is_not_reused() -> None:
-    """The line counts, and the connection is not used again."""
+    """Guards against discarding a complete result, or reusing its connection, when the last chunk never arrives."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -141,7 +144,10 @@
 
 @pytest.mark.parametrize("further_data", [progress_chunk("t1", "running"), b"5\r\n.....\r\n", b""])
 def test_response_that_never_ends_is_cut_off(further_data: bytes) -> None:
-    """After the last line it is cut off in a second; its connection and its slot are free then."""
+    """Guards against a server that occupies a connection and a slot after its result.
+
+    The connection must be closed within about a second of the last progress line.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -161,7 +167,7 @@
 
 
 def test_progress_lines_without_end_fail_at_the_deadline() -> None:
-    """The non-idempotent request fails at its deadline and is not sent again; the connection is closed."""
+    """Guards against progress lines that extend a non-idempotent request past its deadline, or cause a second run."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -184,7 +190,10 @@
 
 @pytest.mark.parametrize("duplicate", [done("t1"), b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", b"rubbish\r\n\r\n"])
 def test_duplicate_response_before_the_last_byte_of_the_next_request(duplicate: bytes) -> None:
-    """It comes while the last byte is held back: that is no answer to it, and it goes out on another connection."""
+    """Guards against taking a late duplicate response as the answer to a request whose last byte is still delayed.
+
+    The request must be sent on another connection.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -205,7 +214,10 @@
 
 @pytest.mark.parametrize("cut", [0, 1, 30, len(RESPONSE_HEAD) + 9, len(done("t1")) - 3, len(done("t1"))])
 def test_duplicate_response_after_the_last_byte_of_the_next_request(cut: int) -> None:
-    """It names another request: this one waits for its own answer, which follows on the same connection."""
+    """Guards against taking a duplicate response with the id of the previous request as the answer to the next one.
+
+    The answer to the next request follows on the same connection.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -227,7 +239,7 @@
 
 
 def test_duplicate_response_before_the_server_resets_the_connection() -> None:
-    """A non-idempotent request may have run; it fails, and is not sent again."""
+    """Guards against a second run of a non-idempotent request whose server resets the connection without an answer."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -253,7 +265,10 @@
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 @pytest.mark.parametrize("answer", [REJECTED_RESPONSE, ERROR_RESPONSE])
 def test_duplicate_response_without_an_id_does_not_end_the_next_request(class_name: str, answer: bytes) -> None:
-    """It would end the next request, which has begun and runs on: that one gets another connection."""
+    """Guards against ending the next request by a duplicate response that contains no request id.
+
+    The next request may be running, so it must be sent on another connection.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, limits={"attempts_cap": 1}).open() as harness:
@@ -264,7 +279,7 @@
             assert client.received.startswith(REJECTED)
             harness.application.core.dispatcher.state.servers.by_id[
                 next(iter(harness.application.core.directory.by_number))
-            ].outlier.trials_left = 0  # not avoided for it
+            ].outlier.trials_left = 0  # the server is not avoided after its error
             next_client, server, other = await send_first(harness, "t2", class_name)
             await harness.pass_time(LAST_BYTE_DELAY_MS)
             assert other is not connection
@@ -282,7 +297,7 @@
 
 @pytest.mark.parametrize("lifecycle", ["leaving", "left", "elsewhere"])
 def test_connection_opened_after_its_server_changed_is_not_used(lifecycle: str) -> None:
-    """Meanwhile its server drains, is gone, or is at another address: nothing is written on it."""
+    """Guards against writing to a server that drained, was removed or moved while its connection opened."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -324,7 +339,10 @@
 
 @pytest.mark.parametrize(("broken_after", "repeated"), [(1_300, True), (1_500, False), (1_900, False)])
 def test_retry_opens_a_connection_only_within_the_deduplication_window(broken_after: float, repeated: bool) -> None:
-    """Servers drop repeats for 2 s, and a dial with the way there may take 0.6 s of that."""
+    """Guards against a retry that arrives after the servers' deduplication window of 2 s.
+
+    Opening a connection and sending the request may take 0.6 s of the window.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(2, settings={"lanes": [KEYED_CLASS]}).open() as harness:
@@ -336,13 +354,14 @@
             await harness.pass_time(100)
             servers = [server for server in harness.servers.values() if server.requests]
             assert bool(servers) is repeated
-            assert client.received.startswith(REJECTED) is not repeated  # at once; harmless, where all drop repeats
+            # An immediate rejection is harmless where all servers deduplicate.
+            assert client.received.startswith(REJECTED) is not repeated
 
     run_async(test)
 
 
 def test_connection_opened_after_the_deduplication_window_is_not_used() -> None:
-    """The choice was right and the loop was late: nothing is written."""
+    """Guards against writing a retry after the deduplication window when a stall delays the opened connection."""
 
     async def test() -> None:
         async with DispatcherHarness(2, settings={"lanes": [KEYED_CLASS]}).open() as harness:
@@ -364,7 +383,10 @@
 
 
 def test_connection_that_never_opens_ends_the_attempt_in_time() -> None:
-    """Its attempt ends in time, and what comes of it later is closed unwritten."""
+    """Guards against an attempt that hangs while its connection opens.
+
+    The attempt must end at its dial timeout, and a connection that opens later must be closed without a byte written.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -385,7 +407,10 @@
 
 
 def test_attempt_is_cancelled_before_the_next_one_begins() -> None:
-    """Operators' time-out, where no two attempts may be out at once: its end is there before the next one's byte."""
+    """Guards against two attempts at once where hedging is off and an attempt timeout starts the retry.
+
+    The connection of the first attempt must be closed before the first byte of the next attempt is written.
+    """
 
     async def test() -> None:
         write, watched_connections, peer_closed = ServerConnection.write, list[StandInConnection](), list[bool]()
@@ -398,7 +423,7 @@
 
         with mock.patch.object(ServerConnection, "write", write_and_check):
             async with DispatcherHarness(2).open() as harness:
-                await open_connections(harness)  # so that the next attempt goes out in the same turn
+                await open_connections(harness)  # so that the next attempt is written in the same turn of the loop
                 classes = harness.application.core.settings.classes
                 harness.application.core.use_classes(tuple(replace(c, attempt_timeout=500.0) for c in classes))
                 client, server, connection = await send_first(harness, "t1", "safe")
@@ -417,7 +442,10 @@
 
 
 def test_idle_server_connection_is_closed_at_the_limit_of_descriptors() -> None:
-    """Busy connections stay, and the request that finds none never runs; an idle one is closed to make room."""
+    """Guards against closing a busy connection at the limit of connections.
+
+    A request that finds no free connection never runs, and an idle connection is closed to make room.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -457,7 +485,7 @@
 
 
 def test_attempt_at_a_hanging_server_fails_before_sigkill() -> None:
-    """Its requests fail before SIGKILL, a non-idempotent one is not sent again, and the process exits."""
+    """Guards against a request at a hanging server that is unanswered at SIGKILL, or is run a second time."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
--- a/tests/end_to_end/test_signals_at_start.py
+++ b/tests/end_to_end/test_signals_at_start.py
@@ -1,4 +1,4 @@
-"""Signals before the loop runs: a new configuration that comes while the process starts is no reason to end."""
+"""Tests that a SIGHUP during the start of the process leads to a reload and not to an exit."""
 
 import json
 import os
@@ -15,7 +15,11 @@
 
 @pytest.mark.parametrize("signals", [1, 3])
 def test_reload_during_the_start_is_done_after_it(tmp_path: Path, signals: int) -> None:
-    """The file is a pipe, so the process is at its reading when the signal comes; the new file is there by then."""
+    """Guards against an exit, or a lost reload, when SIGHUP arrives before the event loop runs.
+
+    The configuration file is a pipe, so the process is reading it when the signals arrive. The new file has replaced
+    the pipe by then.
+    """
     path, moved = tmp_path / "config.json", f"127.0.0.1:{free_port()}"
     raw = DispatcherHarness(1).raw
     os.mkfifo(path)
@@ -23,7 +27,7 @@
     with subprocess.Popen([sys.executable, "-m", "heronlug"], env=env, stdout=subprocess.PIPE) as process:
         assert process.stdout is not None
         try:
-            with path.open("w") as pipe:  # open once the process reads
+            with path.open("w") as pipe:  # opens when the process reads the file
                 new = tmp_path / "new.json"
                 new.write_text(json.dumps({**raw, "discovery": moved}))
                 new.rename(path)
--- a/tests/end_to_end/test_stale_list.py
+++ b/tests/end_to_end/test_stale_list.py
@@ -1,14 +1,7 @@
-"""A dispatcher that comes back with the list that it held long ago sends nothing to servers that left meanwhile.
+"""Tests that a restarted dispatcher with an old cached list sends nothing to servers that left while it was down.
 
-What users saw: some requests went to servers 9 to 11 s after these had left.  Order of events: dispatchers were killed;
-2 s later servers left, and discovery told everybody that ran; 16 s after that the dispatchers were started with the
-list of before; discovery was asked by all of them at once and answered each within a second; what clients sent in that
-second went by the old list.  Cause: a list that a process was given was held to be good for 6 s and the grace from the
-start of the process, however old it was.
-
-Evidence: each break came 6 s and more after a change that the dispatcher had not been written, which only those that
-had been away had not; in a day with all logs, just three requests were taken by any of those between its start and its
-first answer, and there were three breaks.
+Guards against treating a cached list of any age as usable for 6 s and the grace from the process start. Dispatchers
+were killed, servers left 2 s later, and the dispatchers restarted 16 s after that.
 """
 
 import asyncio
@@ -30,6 +23,10 @@
 from end_to_end.process import DispatcherProcess
 from heronlug.standins.ports import free_port
 
+# In one day with full logs, three requests arrived between a restart and the first answer of discovery, and three
+# requests went to removed servers, 9 to 11 s after these had left. Each went out at least 6 s after a change that only
+# restarted dispatchers had missed. Discovery answered all dispatchers within a second of their start.
+
 CLASS_NAMES = ("safe", "once", "keyed")
 REMOVED_SERVERS = ("h1", "h2", "h3")
 REMAINING_SERVERS = ("h4", "h5", "h6")
@@ -37,7 +34,7 @@
 
 
 class RestartedDispatcher:
-    """A process that is given a list of six servers, and the requests of its clients."""
+    """A process that starts with a list of six servers, and the clients that send it requests."""
 
     def __init__(self, folder: Path, **config: str) -> None:
         self.harness = DispatcherHarness(6)
@@ -50,18 +47,18 @@
             await test(self)
 
     async def requests(self, count: int) -> None:
-        """So many clients more hand in a request each, of all effects in turn."""
+        """Connects further clients, each of which sends one request; the effects alternate."""
         for number in range(len(self.clients), len(self.clients) + count):
             client = await self.program.dial()
             client.send(request_bytes(f"t{number}", CLASS_NAMES[number % len(CLASS_NAMES)], 4000))
             self.clients.append(client)
 
     def servers_with_requests(self, names: tuple[str, ...]) -> list[StandIn]:
-        """Those of these servers that a request has come to."""
+        """Returns which of these servers have received a request."""
         return [self.harness.servers[name] for name in names if self.harness.servers[name].requests]
 
     async def wait_until_placed(self) -> None:
-        """Until each request is at a server, or known to wait in the program."""
+        """Waits until each request has arrived at a server or is queued, by the metrics of the program."""
         placed_count = waiting_count = 0
         for _ in range(int(TIMEOUT_S * 100)):
             placed_count = sum(server.requests for server in self.harness.servers.values())
@@ -69,11 +66,11 @@
             if placed_count + waiting_count >= len(self.clients):
                 return
             await asyncio.sleep(0.01)
-        msg = f"never: each request placed or waiting: {placed_count} placed, {waiting_count} wait"
+        msg = f"not all requests were received or queued: {placed_count} received, {waiting_count} queued"
         raise AssertionError(msg)
 
     async def expect_served(self, names: tuple[str, ...]) -> None:
-        """All requests come to these servers, and are answered."""
+        """Checks that all requests arrive at these servers and are answered."""
         for _ in self.clients:
             await until(lambda: bool(self.servers_with_requests(names)), "a request at a server")
             server_connection, request = await self.servers_with_requests(names)[0].request()
@@ -82,9 +79,10 @@
 
 
 def test_servers_that_left_while_the_process_was_down_get_no_request(tmp_path: Path) -> None:
-    """They left over 8.5 s ago, so the change counts as notified and the grace is over, whether or not it arrived.
+    """Guards against sending requests by the cached list before the first answer of discovery.
 
-    Discovery is at hand all the while: it refuses the first call, and takes its time over the next.
+    The servers left over 8.5 s ago, so the change counts as notified and its grace has ended, whether or not the
+    notification arrived. Discovery is reachable: it rejects the first poll, and answers the second one late.
     """
 
     async def test(restarted: RestartedDispatcher) -> None:
@@ -105,7 +103,10 @@
 
 
 def test_start_without_discovery_uses_the_cached_list(tmp_path: Path) -> None:
-    """What discovery could not tell anybody does not count yet, and the list is all that can be known."""
+    """Guards against an outage of the dispatcher while discovery is down.
+
+    No change counts as notified while discovery is down, so the cached list may be used.
+    """
 
     async def test(restarted: RestartedDispatcher) -> None:
         await restarted.requests(6)
@@ -116,7 +117,7 @@
 
 
 def test_start_behind_a_network_partition_uses_the_cached_list(tmp_path: Path) -> None:
-    """The same behind a cut: nothing says no."""
+    """Guards against an outage of the dispatcher when a partition hides discovery and no connection is refused."""
 
     async def test(restarted: RestartedDispatcher) -> None:
         await restarted.requests(6)
@@ -125,7 +126,7 @@
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener:
         address = full_listener.getsockname()
         pending_sockets = [socket.socket() for _ in range(3)]
-        for sock in pending_sockets:  # its queue is full, and the system answers no further dial
+        for sock in pending_sockets:  # fills the accept queue, so that the kernel answers no further connection request
             sock.setblocking(False)
             sock.connect_ex(address)
         run_async(lambda: RestartedDispatcher(tmp_path, discovery=f"127.0.0.1:{address[1]}").run_async(test))
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -1,6 +1,6 @@
-"""A watch that falls silent, breaks, or answers late: no new work goes by a list that counts as changed.
+"""Tests that no request is sent by a list that may lack a notified change when the watch is silent, broken or late.
 
-Each order of events that is to be feared is made with real connections, on a clock moved by hand.
+Each test produces one critical order of events with real connections and a manual clock.
 """
 
 import os
@@ -13,12 +13,12 @@
 
 from end_to_end.harness import START_TIME, DispatcherHarness, StandInConnection, done, run_async, served
 
-DRAIN_GRACE_MS = 2500.0  # ms, of the settings
+DRAIN_GRACE_MS = 2500.0  # as in the settings
 PUSHED: dict[str, Any] = {"settings": {"discovery": "pushed"}}
 
 
 async def expect_sent(harness: DispatcherHarness, request_id: str, *allowed_servers: str) -> None:
-    """A request is sent to a server, or to one of those, and served."""
+    """Checks that a request is sent to a server, or to one of ``allowed_servers``, and is served."""
     client = await harness.post(request_id)
     server = next(server for server in harness.servers.values() if server.requests)
     assert server.name in (allowed_servers or harness.servers)
@@ -29,7 +29,7 @@
 
 
 async def expect_not_sent(harness: DispatcherHarness, request_id: str) -> None:
-    """A request is taken, and no server gets a byte of it; what cannot be had in its time is rejected."""
+    """Checks that no server receives a byte of a request, and that the request is rejected at its deadline."""
     client = await harness.post(request_id, remaining=300)
     await harness.pass_time(320)
     assert not any(server.requests for server in harness.servers.values())
@@ -37,7 +37,11 @@
 
 
 def test_silent_watch_and_silent_poll_expire_the_list() -> None:
-    """Asked: told 2 s after the wait of the first call, however later calls end; past the grace nobody is sent to."""
+    """Guards against using a list past its expiry when the watch and the polls after it are silent.
+
+    With polled lists, missed changes count as notified 2 s after the wait of the first poll, whatever the result of
+    later polls, and the list expires when the grace has passed as well.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -48,18 +52,18 @@
             second, call = await harness.discovery.request()
             assert second is not first
             assert first.ended
-            assert b"?after=3&wait_ms=0 " in call  # asked at once for what was missed, with no pause
+            assert b"?after=3&wait_ms=0 " in call  # missed changes are polled for without a pause
             await harness.until_time(22_000 + DRAIN_GRACE_MS - 200)
-            await expect_sent(harness, "t2", "h1")  # the rule allows it up to here
+            await expect_sent(harness, "t2", "h1")  # allowed until the grace ends
             await harness.until_time(22_000 + DRAIN_GRACE_MS)
             await expect_not_sent(harness, "t3")
             third, call = await harness.discovery.request()
             assert b"?after=3&wait_ms=0 " in call
-            first.send(harness.list_response(4, "h1"))  # on a connection that is not ours any more
+            first.send(harness.list_response(4, "h1"))  # on a connection that the dispatcher has abandoned
             second.send(harness.list_response(4, "h1"))
             await harness.settle()
             await expect_not_sent(harness, "t4")
-            third.send(harness.list_response(3))  # nothing was missed: that too has to be told
+            third.send(harness.list_response(3))  # an answer without changes confirms the list as well
             await harness.settle()
             await expect_sent(harness, "t5", "h1")
 
@@ -67,7 +71,7 @@
 
 
 def test_change_missed_by_a_silent_watch_is_polled_in_time() -> None:
-    """The server that drains meanwhile gets nothing new, and the other serves on."""
+    """Guards against new requests to a server whose drain was missed by a silent watch; the other server is used."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -85,7 +89,7 @@
 
 
 def test_list_that_arrives_a_byte_at_a_time_is_awaited() -> None:
-    """It is waited for while it comes, also past the end of the call's wait."""
+    """Guards against abandoning a list whose bytes still arrive after the wait of its poll has ended."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -96,10 +100,8 @@
                 watch.send(answer[at : at + 1])
                 await harness.pass_time(3)
             await harness.settle()
-            assert [fields["entries"] for fields in harness.logged("inventory")] == [
-                0,
-                1,
-            ]  # the first confirmed the list
+            # The first of the two events confirmed the list.
+            assert [fields["entries"] for fields in harness.logged("inventory")] == [0, 1]
             assert not harness.logged("inventory_failed")
             await expect_sent(harness, "t1", "h2")
 
@@ -108,7 +110,10 @@
 
 @pytest.mark.parametrize("grace", [300.0, 2500.0])
 def test_pushed_changes_count_as_notified_from_the_process_start(grace: float) -> None:
-    """Pushed: what left while the process was away counted then, so no list of unknown age is gone by."""
+    """Guards against using a list of unknown age at the start when lists are pushed.
+
+    Changes made while the process was down count as notified when they were made.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, safety={"drain_grace": grace}, **PUSHED).open(confirmed=False) as harness:
@@ -125,7 +130,10 @@
 
 
 def test_discovery_is_polled_within_the_grace_after_a_reset_of_a_pushed_watch() -> None:
-    """Pushed: what comes after the reset is told at once, so the next call goes well within the grace."""
+    """Guards against polling too late after a reset when lists are pushed.
+
+    Changes made after the reset count as notified immediately, so the next poll must be sent within the grace.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(2, safety={"drain_grace": 600.0}, **PUSHED).open() as harness:
@@ -147,7 +155,10 @@
 
 
 def test_pushed_list_stays_in_use_while_discovery_refuses_connections() -> None:
-    """Its agent learns nothing, as each refused connect shows: requests are served on, until discovery is silent."""
+    """Guards against an outage while discovery refuses connections.
+
+    Each refused connection shows that discovery notifies no dispatcher of changes, so the list stays usable.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, **PUSHED).open() as harness:
@@ -164,7 +175,10 @@
 
 @pytest.mark.parametrize("changes", [{}, PUSHED])
 def test_list_expires_when_the_new_discovery_is_silent_after_a_reload(changes: dict[str, Any]) -> None:
-    """Whatever discovery has to tell counts 4 s after SIGHUP, whether lists are pushed or asked for."""
+    """Guards against using a list past its expiry after a reload to a silent discovery address.
+
+    Changes count as notified 4 s after SIGHUP, whether lists are pushed or polled.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1, **changes).open() as harness:
@@ -179,11 +193,13 @@
             await expect_sent(harness, "t1", "h1")
             await harness.until_time(expiry)
             await expect_not_sent(harness, "t2")
-            poll_after_reload.send(harness.list_response(1, "h1", whole=True))  # late, on a connection given up
+            poll_after_reload.send(
+                harness.list_response(1, "h1", whole=True)
+            )  # late, on a connection that the dispatcher has abandoned
             await harness.settle()
             await expect_not_sent(harness, "t3")
             await harness.pass_time(5_000)
-            for _ in range(20):  # between two calls there may be a pause
+            for _ in range(20):  # there may be a pause between two polls
                 if not any(
                     connection.received and not connection.ended for connection in harness.other_discovery.connections
                 ):
@@ -196,7 +212,10 @@
 
 
 def test_polled_list_stays_in_use_in_an_outage_after_a_reset_watch() -> None:
-    """Without a watch each change counts ``ask_every`` after it was made, and four times that while calls fail."""
+    """Guards against an outage of the dispatcher while discovery refuses connections and lists are polled.
+
+    Each refused connection shows that discovery is down and notifies nobody, so the list stays usable.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -207,9 +226,8 @@
                 await harness.pass_time(1_000)
                 await expect_sent(harness, f"t{number}", "h1")
             assert harness.clock.at - START_TIME >= 30_000
-            assert [fields["state"] for fields in harness.logged("list_stale")] == [
-                "unconfirmed"
-            ]  # before the first answer
+            # The list was stale only before the first answer.
+            assert [fields["state"] for fields in harness.logged("list_stale")] == ["unconfirmed"]
 
     run_async(test)
 
@@ -225,7 +243,7 @@
 
 
 async def fail_polls(harness: DispatcherHarness, ending: str, until_ms: float) -> int:
-    """Discovery is at hand up to this time, and each call fails in this way; returns how many."""
+    """Lets each poll fail in the given way until a time after the start; returns the number of polls."""
     calls = 0
     while harness.clock.at < START_TIME + until_ms:
         await harness.pass_time(50)
@@ -237,25 +255,22 @@
 
 
 def test_change_counts_as_notified_though_each_poll_fails() -> None:
-    """A change counts as notified at the latest 6 s after discovery had it and could be reached.
+    """Guards against postponing the expiry of a list with each failed poll.
 
-    What users saw: a list service that was at hand and gave no answer, and requests to servers that had begun to drain
-    over 8.5 s before.  Order of events: the watch is reset; servers begin to drain; each call is refused, reset,
-    answered in half, or not at all.  Cause: a call that failed put the end of the list's time off to four times the
-    time of asking, and each one that went out, to the end of its own wait.
-
-    Evidence: one real process at 25 requests a second sent 74 to 172 of them past the limit, by the way calls ended.
+    A change counts as notified 6 s after discovery had it, if discovery is reachable. A failed poll extended the list
+    to four poll intervals, and each sent poll extended it to the end of its wait.
     """
+    # One process at 25 requests per second sent 74 to 172 requests to servers that had drained for over 8.5 s.
 
     async def test(ending: str) -> None:
         async with DispatcherHarness(1).open() as harness:
             watch, _ = await harness.discovery.request()
             await harness.until_time(1_000)
-            watch.reset()  # from here on a change may be missed
+            watch.reset()  # changes from here on may be missed
             limit = 1_000 + 6_000 + DRAIN_GRACE_MS
             assert await fail_polls(harness, ending, limit - 300)
-            if ending not in ("half answered", "no list"):  # what has begun to be written counts
-                await expect_sent(harness, "t1", "h1")  # the rule allows it up to here
+            if ending not in ("half answered", "no list"):  # changes count as notified once an answer begins
+                await expect_sent(harness, "t1", "h1")  # allowed until the grace ends
             await fail_polls(harness, ending, limit + 50)
             await expect_not_sent(harness, "t2")
             await fail_polls(harness, ending, limit + 8_000)
@@ -266,13 +281,16 @@
 
 
 def test_only_an_answer_renews_a_list() -> None:
-    """A watch that was silent before its reset has told 2 s after its wait; new configurations put nothing off."""
+    """Guards against postponing the expiry of a list by reloads.
+
+    Changes that a watch missed before its reset count as notified 2 s after its wait, whatever the number of reloads.
+    """
 
     async def test(reloads: int) -> None:
         async with DispatcherHarness(1).open() as harness:
             watch, _ = await harness.discovery.request()
             await harness.until_time(20_000)
-            watch.reset()  # it may have missed what came from its first moment on
+            watch.reset()  # the watch may have missed any change since it was sent
             expiry = 22_000 + DRAIN_GRACE_MS
             for number in range(reloads):
                 await fail_polls(harness, "refused", 20_400 + 1_000 * number)
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -1,18 +1,32 @@
-"""Plays a recorded exchange against the program: sends bytes and compares bytes; no speed is asserted.
-
-A step is ``WHO > BYTES`` (the stand-in sends), ``WHO < BYTES`` (the program must send just these), ``WHO close``,
-``WHO reset``, ``WHO eof`` (the program must have closed), ``WHO refuse`` (a host stops listening), ``wait MS`` or
-``signal NAME`` (to the program), ``exit N``, ``configure WHO`` (the file is replaced: discovery is WHO, or with
-``nothing`` it cannot be read), ``figure LINE`` (an operator is told it in the end), ``beside`` (a second process is
-started and says yes; ``exit`` makes it the program), ``kill`` (it is killed), ``free`` (the peers' address, where it
-was ``taken``), ``state TEXT`` (the state file is replaced), ``logged TEXT`` (it is in the log in the end).
-``c1`` is a client, ``a1`` an operator, ``f1`` a connection to the Faktory front, ``h1`` a host, ``inv`` discovery,
-``p1`` a peer.
-``[[TEXT]]`` is a chunk, ``((TEXT))`` a bulk string, ``<9xa>`` nine times a.
-A host's or discovery's step takes the next connection if it has none; ``next WHO`` leaves the one it has,
-and ``rename WHO NAME`` keeps it under another name; ``dial WHO N`` makes so many connections that say nothing.
-``let NAME = TEXT`` gives a word, used as ``{NAME arg arg}`` with ``$1`` for its arguments.  What is left unread at
-the end fails the exchange.
+"""Plays a recorded exchange against the program: sends bytes and compares received bytes; no speed is asserted.
+
+An exchange is a file of steps, one per line:
+
+* ``WHO > BYTES``: the stand-in WHO sends these bytes.
+* ``WHO < BYTES``: the program must send exactly these bytes to WHO.
+* ``WHO close``, ``WHO reset``: the stand-in closes or resets its connection.
+* ``WHO eof``: the program must have closed the connection.
+* ``WHO refuse``: the server WHO stops listening.
+* ``list [inv2] whole|changes VERSION SERVER...``: discovery answers the next poll with an endpoint list.
+* ``wait MS``: time passes.
+* ``signal NAME``: the program receives a signal.
+* ``exit N``: the program must exit with status N; a second process then becomes the program.
+* ``configure WHO``: replaces the configuration by one with the discovery WHO; ``nothing`` makes the file unreadable.
+* ``state TEXT``: replaces the state file.
+* ``figure LINE``: the metrics must contain this line within the timeout.
+* ``logged TEXT``: the log must contain this text within the timeout.
+* ``beside``: starts a second process, whose first poll discovery answers with no changes.
+* ``kill``: kills the second process.
+* ``free``: releases the peer address that the exchange had ``taken``.
+* ``next WHO``: the name WHO stands for the next connection; the current one stays open.
+* ``rename WHO NAME``: the current connection of WHO gets another name.
+* ``dial WHO N``: opens N connections that send nothing.
+* ``let NAME = TEXT``: defines a text, used as ``{NAME arg arg}``; ``$1`` in the text stands for the first argument.
+
+WHO is ``c1`` for a client, ``a1`` for an operator, ``f1`` for a connection to the Faktory frontend, ``h1`` for a
+server, ``inv`` for discovery and ``p1`` for a peer. A step of a server or of discovery that has no connection accepts
+the next one. In BYTES, ``[[TEXT]]`` is a chunk, ``((TEXT))`` is a bulk string, and ``<9xa>`` is nine letters a.
+Bytes or connections at a server that no step has taken fail the exchange at its end.
 """
 
 import json
@@ -34,7 +48,7 @@
 from heronlug.standins.ports import free_port
 
 FOLDER = Path(__file__).parent / "exchanges"
-"""Where the recorded exchanges are."""
+"""Folder of the recorded exchanges."""
 
 PEER_PROCESS_ANSWERS = {
     "babbling": b"+\xff\x00",
@@ -42,7 +56,7 @@
     "half right": b'.{"kind":"state","names":["t9"],"sockets":[],"known":7,"learned":{"all":[]}}',
 }
 TIMEOUT_S = 10.0
-"""Time for something that must come; no speed is asserted."""
+"""Longest wait for an expected event, in seconds; no speed is asserted."""
 
 SETTINGS: dict[str, Any] = {
     "instances": 2,
@@ -85,11 +99,11 @@
     (rb"\d\d:\d\d:\d\d UTC", b"T UTC"),
     (rb"x-remaining-ms: \d+", b"x-remaining-ms: N"),
 )
-"""Patterns whose matches differ from run to run, and what stands for them in comparisons."""
+"""Patterns whose matches differ between runs, and the text that replaces the matches before a comparison."""
 
 
 def listener(kind: socket.SocketKind = socket.SOCK_STREAM) -> socket.socket:
-    """A stand-in's socket on a free port."""
+    """Returns a stand-in's socket on a free port; a stream socket listens."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.bind(("127.0.0.1", 0))
     if kind == socket.SOCK_STREAM:
@@ -99,30 +113,30 @@
 
 
 def address(sock: socket.socket) -> str:
-    """Where it is."""
+    """Returns the address of a socket, as ``HOST:PORT``."""
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
 
 
 def http_response(body: dict[str, Any]) -> bytes:
-    """A response of service discovery."""
+    """Returns a response of service discovery."""
     encoded = json.dumps(body).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(encoded), encoded)
 
 
 class StandIns:
-    """The sockets of clients, servers, discovery and peers, by the names that exchanges give them.
+    """The sockets of clients, servers, discovery and peers, by their names in exchanges.
 
     Attributes:
         listeners: the listening sockets of servers and discovery.
         peers: the datagram sockets of peers.
         connections: the open connections.
-        replaced: connections whose name has gone to another one.
-        unread: bytes that have come with those that were expected.
+        replaced: open connections whose name now stands for another connection.
+        unread: bytes that arrived after the expected bytes and that no step has taken.
     """
 
     def __init__(self, servers: int, connect_address: Callable[[str], str]) -> None:
-        """Open the listeners; ``connect_address`` tells where a client of this name connects."""
+        """Opens the listeners; ``connect_address`` returns the address to which a client of a name connects."""
         self.listeners = {f"h{number + 1}": listener() for number in range(servers)}
         self.listeners["inv"], self.listeners["inv2"] = listener(), listener()
         self.peers = {f"p{number}": listener(socket.SOCK_DGRAM) for number in range(2)}
@@ -134,7 +148,7 @@
         self._connect_address = connect_address
 
     def send(self, who: str, data: bytes) -> None:
-        """Send bytes; a peer sends a datagram."""
+        """Sends bytes; a peer sends a datagram."""
         if who in self.peers:
             host, port = self.peer_address.split(":")
             self.peers[who].sendto(data, (host, int(port)))
@@ -142,10 +156,10 @@
             self.connection(who).sendall(data)
 
     def expect(self, who: str, data: bytes) -> None:
-        """Check that the program sends just this."""
+        """Checks that the program sends exactly these bytes; a peer skips datagrams that start otherwise."""
         if who in self.peers:
             while not self.peers[who].recv(65536).startswith(data):
-                pass  # how often counts are reported depends on the time
+                pass  # the number of load reports depends on the time
             return
         sock, received = self.connection(who), self.unread.pop(who, b"")
         expected = _without_variable_parts(data)
@@ -153,51 +167,51 @@
             try:
                 chunk = sock.recv(65536)
             except TimeoutError:
-                msg = f"only {received!r} came"
+                msg = f"received only {received!r}"
                 raise AssertionError(msg) from None
-            assert chunk, f"the program closed after {received!r}"
+            assert chunk, f"the program closed the connection after {received!r}"
             received += chunk
         compared = _without_variable_parts(received)
-        assert compared[: len(expected)] == expected, f"got {compared!r}\nnot {expected!r}"
+        assert compared[: len(expected)] == expected, f"received {compared!r}\nexpected {expected!r}"
         if compared[len(expected) :]:
             self.unread[who] = compared[len(expected) :]
 
     def expect_end(self, who: str) -> None:
-        """Check that the program has closed a connection and sent nothing more."""
+        """Checks that the program has closed a connection and sent no further bytes."""
         received = self.unread.pop(who, b"") + self.connections[who].recv(65536)
-        assert received == b"", f"{received!r} in place of an end"
+        assert received == b"", f"received {received!r}, expected the end of the connection"
         self.connections.pop(who).close()
 
     def expect_nothing_more(self) -> None:
-        """Check that servers got neither bytes nor connections that no step has taken."""
+        """Checks that servers received no bytes and no connections that no step has taken."""
         for who, sock in [*self.connections.items(), *self.replaced]:
             rest = self.unread.get(who, b"") + _receive_now(sock)
-            assert not rest or not who.startswith("h"), f"{who} was sent more: {rest!r}"
+            assert not rest or not who.startswith("h"), f"{who} received unexpected bytes: {rest!r}"
         for who, sock in self.listeners.items():
-            assert who.startswith("inv") or not _has_connection(sock), f"a connection to {who} that nobody expected"
+            assert who.startswith("inv") or not _has_connection(sock), f"unexpected connection to {who}"
 
     def expect_request(self, who: str) -> bytes:
-        """Read the next request of a connection."""
+        """Reads the next request on a connection."""
         sock, received = self.connection(who), b""
         while b"\r\n\r\n" not in received:
             chunk = sock.recv(65536)
-            assert chunk, "the watch's connection has ended"
+            assert chunk, "the connection of the watch has ended"
             received += chunk
         return received
 
     def replace(self, who: str) -> None:
-        """Leave a connection open and let its name stand for the next one."""
+        """Leaves a connection open, and lets its name stand for the next connection."""
         self.replaced.append((who, self.connections.pop(who)))
         self.unread.pop(who, None)
 
     def reset(self, who: str) -> None:
-        """Reset a connection."""
+        """Resets a connection."""
         sock = self.connections.pop(who)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
 
     def connection(self, who: str) -> socket.socket:
-        """The connection of this name, accepted or opened if there is none."""
+        """Returns the connection of this name; accepts or opens a connection if there is none."""
         if who not in self.connections:
             if who in self.listeners:
                 self.connections[who], _ = self.listeners[who].accept()
@@ -208,22 +222,22 @@
         return self.connections[who]
 
     def close(self) -> None:
-        """Close all sockets."""
+        """Closes all sockets."""
         replaced = [sock for _, sock in self.replaced]
         for sock in [*self.connections.values(), *self.listeners.values(), *self.peers.values(), *replaced]:
             sock.close()
 
 
 class ExchangePlayer:
-    """The program, the stand-ins that it speaks with, and the steps of an exchange.
+    """Runs the program with stand-ins, and carries out the steps of an exchange.
 
     Attributes:
-        program: the process.
-        second_process: a process started beside it, if any.
-        standins: the sockets.
-        faktory_address: where the Faktory frontend listens.
-        control_path: of the control socket.
-        log: the file that the program logs to.
+        program: the process of the program.
+        second_process: a second process of the program, if any.
+        standins: the sockets of the stand-ins.
+        faktory_address: address of the Faktory frontend.
+        control_path: path of the control socket.
+        log: log file of all processes of the program.
     """
 
     def __init__(
@@ -235,15 +249,15 @@
         taken: bool = False,
         **changes: Any,
     ) -> None:
-        """Start the program; the names of the parameters stand in the files of exchanges.
+        """Starts the program; the files of exchanges contain the names of the parameters.
 
         Args:
-            hosts: how many servers there are.
+            hosts: number of servers.
             state: the desired state.
-            inherited: the program inherits its listening socket.
-            partner: what it finds in place of a process before it.
-            taken: the address for its peers is in use.
-            changes: keys of its configuration.
+            inherited: whether the program inherits its listening socket.
+            partner: kind of the socket that stands in for an earlier process, if any.
+            taken: whether the address for peers is in use.
+            changes: keys of the configuration.
         """
         self.standins = StandIns(hosts, self._connect_address)
         self.listen, self.admin = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
@@ -274,7 +288,7 @@
     # -- the steps
 
     def play(self, text: str) -> None:
-        """Play an exchange; raises ``AssertionError`` naming the line that did not hold."""
+        """Plays an exchange; raises ``AssertionError`` with the line of a failed step."""
         for number, line in enumerate(text.splitlines(), 1):
             if line.strip() and not line.startswith("#"):
                 try:
@@ -285,7 +299,7 @@
         self.standins.expect_nothing_more()
 
     def step(self, line: str) -> None:
-        """Carry out one step."""
+        """Carries out one step."""
         if match := re.fullmatch(r"let (\w+) = (.*)", line):
             self.definitions[match[1]] = match[2]
         elif match := re.fullmatch(r"(\w+) > (.*)", line):
@@ -325,7 +339,7 @@
         }
         step = steps.get(name) or endings.get(rest.strip())
         if step is None:
-            msg = "no such step"
+            msg = "unknown step"
             raise AssertionError(msg)
         step()
 
@@ -337,14 +351,14 @@
         self.standins.connections[new] = self.standins.connections.pop(old)
 
     def _configure(self, who: str) -> None:
-        """Replace the configuration by one with this discovery, or by one that cannot be read."""
+        """Replaces the configuration by one with this discovery, or by an unreadable one."""
         listening = self.standins.listeners.get(who)
         text = json.dumps({**self.config, "discovery": address(listening)}) if listening else '{"name":'
         (Path(self.folder.name) / "config.json").write_text(text)
 
     def _expect_exit(self, expected: int) -> None:
         status = self.program.wait(3 * TIMEOUT_S)
-        assert status == expected, f"the program ended with {status}"
+        assert status == expected, f"the program exited with status {status}, expected {expected}"
         self.program, self.second_process = self.second_process or self.program, None
 
     def _start_second_process(self) -> None:
@@ -361,7 +375,7 @@
         self.second_process.wait()
 
     def decode(self, text: str) -> bytes:
-        """The bytes that a text stands for."""
+        """Returns the bytes that a text of a step stands for."""
         while match := re.search(r"\{(\w+)((?: [^{}\s]+)*)\}", text):
             definition = self.definitions[match[1]]
             for number, argument in enumerate(match[2].split(), 1):
@@ -373,26 +387,26 @@
         return re.sub(rb"<(\d+)x(.)>", lambda m: m[2] * int(m[1]), data)
 
     def wait_for_metric(self, expected: str) -> None:
-        """Ask for the figures until they hold this line."""
+        """Reads the metrics until they contain this line."""
         end, figures = time.monotonic() + TIMEOUT_S, ""
         while expected not in figures.splitlines():
-            assert time.monotonic() < end, f"not among the figures:\n{figures}"
+            assert time.monotonic() < end, f"{expected!r} is not among the metrics:\n{figures}"
             figures = self._get(self.admin, "/stats")
 
     def wait_for_log(self, expected: str) -> None:
-        """Wait until a text is in the log."""
+        """Waits until a text is in the log."""
         end = time.monotonic() + TIMEOUT_S
         while expected not in Path(self.log.name).read_text():
-            assert time.monotonic() < end, "that is not in the log"
+            assert time.monotonic() < end, f"{expected!r} is not in the log"
             time.sleep(0.02)
 
     def log_end(self) -> str:
-        """The end of the program's log."""
+        """Returns the last 3000 characters of the log."""
         self.log.flush()
         return Path(self.log.name).read_text()[-3000:]
 
     def close(self) -> None:
-        """End the processes and close all sockets."""
+        """Kills the processes and closes all sockets."""
         for program in (self.program, self.second_process):
             if program is not None and program.poll() is None:
                 program.kill()
@@ -405,7 +419,13 @@
         self.folder.cleanup()
 
     def endpoint_list(self, version: int, complete: bool, *lines: str) -> dict[str, Any]:
-        """A list; a line is a server's name, its state if that is not ``active``, and its start if there is one."""
+        """Returns an endpoint list.
+
+        Args:
+            version: the version of the list.
+            complete: whether the list is complete, or only changes.
+            lines: the servers, each as ``NAME[:STATE[:STARTED_MS]]``; the default state is ``active``.
+        """
         instances = []
         for line in lines:
             name, state, started = (line + ":" + ":".join(["active", "0"][line.count(":") :])).rstrip(":").split(":")
@@ -465,7 +485,7 @@
         )
 
     def _peer_process(self, kind: str) -> socket.socket:
-        """What the program finds in place of another process: none, a silent one, or one that sends nonsense."""
+        """Returns the socket of an earlier process: closed if ``stale``, otherwise silent or with an invalid answer."""
         sock = listen(socket_path(self.folder.name, "n0", self.listen))
         sock.setblocking(True)
         if kind == "stale":
@@ -483,15 +503,15 @@
                     return
             except OSError as error:
                 if time.monotonic() > end or self.program.poll() is not None:
-                    msg = f"not ready, status {self.program.poll()}: {error}\n{self.log_end()}"
+                    msg = f"the program is not ready, exit status {self.program.poll()}: {error}\n{self.log_end()}"
                     raise AssertionError(msg) from None
             time.sleep(0.02)
 
     def _confirm_list(self) -> None:
-        """Let discovery answer a process's first poll: nothing has changed since the list that it was given."""
+        """Answers the first poll of a process: the list that the process started with has not changed."""
         request = self.standins.expect_request("inv")
         match = re.match(rb"GET /registry/instances\?after=(\d+)&wait_ms=0 ", request)
-        assert match, f"{request!r} is no first poll"
+        assert match, f"{request!r} is not a first poll"
         self.standins.send("inv", http_response(self.endpoint_list(int(match[1]), False)))
 
     @staticmethod
@@ -503,7 +523,7 @@
 
 
 def _encode_chunk(match: re.Match[str]) -> str:
-    """``[[TEXT]]`` is a chunk of a chunked body."""
+    """Returns the chunk of a chunked body that ``[[TEXT]]`` stands for, with escapes."""
     size = len(match[1].encode().decode("unicode_escape"))
     return f"{size:x}\\r\\n{match[1]}\\r\\n"
 
--- a/tests/recorded/record.py
+++ b/tests/recorded/record.py
@@ -1,8 +1,8 @@
-"""Recorded streams of events, and what the module answered: ``python -m recorded.record`` in ``tests`` makes them anew.
+"""Records streams of events and a digest of the dispatcher's actions: ``python -m recorded.record`` in ``tests``.
 
-A small fleet with failures, drains, cold starts and copies is played for a few virtual seconds against the module; its
-events are kept with a digest of all actions.  The streams were made with the version before per-class limits and are
-made anew only where decisions change on purpose.
+A small simulated fleet with failures, drains, slow starts and hedged requests runs for a few virtual seconds against
+the dispatcher. The recorded streams were written by the version before per-class limits, and are written again only if
+decisions change on purpose.
 """
 
 import hashlib
@@ -45,7 +45,7 @@
 from heronlug.balancer.settings import Effect, RequestClass, Settings
 
 HERE = Path(__file__).parent
-EVENTS: dict[str, type] = {  # by the names that the recorded streams give them
+EVENTS: dict[str, type] = {  # by their names in the recorded streams
     "WorkerList": ServerListUpdate,
     "JobArrived": RequestArrived,
     "AttemptEnded": AttemptEnded,
@@ -74,7 +74,7 @@
 
 
 def settings(name: str) -> Settings:
-    """A site's settings."""
+    """Returns the settings of a site."""
     classes = (
         RequestClass(
             latency_objective=500,
@@ -118,7 +118,7 @@
 
 
 class RecordedFleet:
-    """Workers that run jobs, fail, hang, drain and come back cold, driven by the module's own actions."""
+    """Simulated servers that serve requests, fail, hang, drain and restart, driven by the dispatcher's actions."""
 
     def __init__(self, name: str, seed: int) -> None:
         self.rng = Random(seed)
@@ -134,12 +134,12 @@
         self.entries = {n: ServerEntry(n, zone=n % 2, kind=n % 3, cell=n // 3) for n in range(1, 13)}
 
     def schedule(self, time_ms: float, event: Event) -> None:
-        """An event to come."""
+        """Schedules an event at a time in ms."""
         self.sequence += 1
         heapq.heappush(self.queue, (time_ms, self.sequence, event))
 
     def play(self, request_count: int) -> None:
-        """Play so many jobs."""
+        """Runs the fleet with this number of requests."""
         now = 1000.0
         self.schedule(now, ServerListUpdate(ListKind.CACHED, tuple(self.entries.values())))
         for request in range(1, request_count + 1):
@@ -162,7 +162,7 @@
                     server, self.rng.choice((2, 66, 131))
                 )
                 self.schedule(now, PeerMessage(2, content))
-        end = now + 10_000.0  # timers may go on for ever
+        end = now + 10_000.0  # timers may repeat without end
         while self.queue and self.queue[0][0] < end:
             now, _, event = heapq.heappop(self.queue)
             if isinstance(event, AttemptEnded):
@@ -230,7 +230,7 @@
 
 
 def digest(action_lists: list[list[Action]]) -> str:
-    """A digest of all actions, each with its fields, but for the reason of a refusal: a word for the log alone."""
+    """Returns a digest of all actions with their fields, without the reason of a rejection, which is only logged."""
     text = "\n".join(
         repr([(ACTIONS[type(action)], *_recorded_fields(action)) for action in actions]) for actions in action_lists
     )
@@ -246,7 +246,7 @@
 
 
 def write(name: str) -> None:
-    """Record a site's stream."""
+    """Records the stream of a site."""
     fleet = RecordedFleet(name, 7)
     fleet.play(1200)
     lines = [
@@ -260,7 +260,7 @@
 
 
 def read(name: str) -> tuple[dict[str, Any], Iterator[tuple[float, Event]]]:
-    """A recorded stream: its digest and counts of actions, and the events with their times."""
+    """Returns the header of a recorded stream, with digest and counts of actions, and the events with their times."""
     first, *lines = lzma.decompress((HERE / f"{name}.jsonl.xz").read_bytes()).decode().splitlines()
 
     def events() -> Iterator[tuple[float, Event]]:
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange in ``tests/exchanges`` against the program."""
+"""Plays every recorded exchange in ``tests/exchanges`` against the program."""
 
 import json
 import re
@@ -10,7 +10,7 @@
 
 
 class ExchangeTests(unittest.TestCase):
-    """One test for each file."""
+    """One test for each file of an exchange."""
 
     def play(self, name: str) -> None:
         text = (FOLDER / name).read_text()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: what it may say, and that a run prints it without counting it."""
+"""Tests the form of the list of known failures, and that a run prints listed tests without counting them."""
 
 import subprocess
 import sys
@@ -12,18 +12,21 @@
 
 
 def test_line_holds_test_cause_and_issue() -> None:
+    """Guards against reading a line wrongly, for example one whose test id contains brackets."""
     text = "tests/a.py::test_b[c] | it is slow | issue 3\n\n"
     assert read_known_red(text) == [KnownRed("tests/a.py::test_b[c]", "it is slow", "issue 3")]
 
 
 @pytest.mark.parametrize("text", ["tests/a.py::test_b", "a | b", "a |  | c", "a | b | c\n" * 4])
 def test_malformed_list_ends_the_run(text: str) -> None:
+    """Guards against ignoring a malformed line or more than three lines."""
     with pytest.raises(pytest.UsageError, match="KNOWN-RED"):
         read_known_red(text)
 
 
 @pytest.mark.parametrize(("listed", "other", "code"), [(True, True, 0), (True, False, 1), (False, True, 1)])
 def test_only_listed_tests_may_fail(tmp_path: Path, listed: bool, other: bool, code: int) -> None:
+    """Guards against a run that passes with an unlisted failure, or fails because of a listed one."""
     tests = tmp_path / "tests"
     tests.mkdir()
     (tests / "conftest.py").write_text((TESTS_FOLDER / "conftest.py").read_text())
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""An installed wheel runs: all packages are in it, with the command."""
+"""Tests that an installed wheel contains all packages and that its command runs."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 
 
 def test_an_installed_wheel_runs(tmp_path: Path) -> None:
-    """Risk: setup lists the top package alone, and the installed program cannot import its parts."""
+    """Guards against a wheel with only the top-level package, so that the installed program cannot import the rest."""
     source = tmp_path / "source"
     source.mkdir()
     for name in ("heronlug", "pyproject.toml", "README.md", "requirements.txt"):
