--- a/tests/drive.py
+++ b/tests/drive.py
@@ -74,7 +74,7 @@
         self.told_off: set[int] = set()
         self.cold_work: dict[int, list[float]] = {}
         self.actions: list[Action] = []
-        self.next_job = 1
+        self.next_request = 1
         if workers:
             self.listed(ListKind.CACHED, entries(workers))
 
@@ -87,7 +87,7 @@
                 self._check_send(action)
             elif isinstance(action, Reject):
                 assert action.request not in self.answered
-                self._check_refusal(action.request)
+                self._check_rejection(action.request)
                 self.answered[action.request] = "refused"
             elif isinstance(action, Fail):
                 assert action.request not in self.answered
@@ -99,12 +99,12 @@
                 assert action.attempt < len(self.sent[action.request])
         return actions
 
-    def _maybe_ran(self, job: int) -> list[int]:
-        proofs = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START)
-        return [n for n in range(len(self.sent.get(job, []))) if self.outcome.get((job, n)) not in proofs]
+    def _attempts_maybe_run(self, request: int) -> list[int]:
+        not_run = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START)
+        return [n for n in range(len(self.sent.get(request, []))) if self.outcome.get((request, n)) not in not_run]
 
-    def _class(self, job: int) -> RequestClass:
-        return self.settings.classes[self.jobs[job].request_class]
+    def _class_of(self, request: int) -> RequestClass:
+        return self.settings.classes[self.jobs[request].request_class]
 
     def _check_send(self, send: StartAttempt) -> None:
         assert send.request in self.jobs, "send after the end"
@@ -114,18 +114,18 @@
         assert send.server in self.entry
         earlier = self.sent.setdefault(send.request, [])
         assert len(earlier) < self.settings.max_attempts
-        lane, risky = self._class(send.request), self._maybe_ran(send.request)
+        request_class, maybe_run = self._class_of(send.request), self._attempts_maybe_run(send.request)
         if not self.settings.hedging:
             assert all((send.request, n) in self.outcome for n in range(len(earlier)))
-        if lane.effect is Effect.NON_IDEMPOTENT:
-            assert not risky, "an effect might happen twice"
-        if lane.effect is Effect.IDEMPOTENT_BY_KEY:
-            for n in risky:
+        if request_class.effect is Effect.NON_IDEMPOTENT:
+            assert not maybe_run, "an effect might happen twice"
+        if request_class.effect is Effect.IDEMPOTENT_BY_KEY:
+            for n in maybe_run:
                 first = self.entry[earlier[n]]
-                assert self.now - self.sent_at[send.request, n] <= lane.repeat_window
-                if lane.key_scope is not KeyScope.ALL:
+                assert self.now - self.sent_at[send.request, n] <= request_class.repeat_window
+                if request_class.key_scope is not KeyScope.ALL:
                     assert first.zone == self.entry[send.server].zone
-                if lane.key_scope is KeyScope.CELL:
+                if request_class.key_scope is KeyScope.CELL:
                     assert first.cell == self.entry[send.server].cell
         self.sent_at[send.request, len(earlier)] = self.now
         earlier.append(send.server)
@@ -133,12 +133,12 @@
         if started and self.now - started < self.settings.warmup_time:
             self.cold_work.setdefault(send.server, []).append(self.now)
 
-    def _check_refusal(self, job: int) -> None:
-        lane = self._class(job)
-        free = lane.effect is Effect.IDEMPOTENT or (
-            lane.effect is Effect.IDEMPOTENT_BY_KEY and lane.key_scope is KeyScope.ALL
+    def _check_rejection(self, request: int) -> None:
+        request_class = self._class_of(request)
+        repeatable = request_class.effect is Effect.IDEMPOTENT or (
+            request_class.effect is Effect.IDEMPOTENT_BY_KEY and request_class.key_scope is KeyScope.ALL
         )
-        assert free or not self._maybe_ran(job), "a refusal that is not harmless"
+        assert repeatable or not self._attempts_maybe_run(request), "a refusal that is not harmless"
 
     def listed(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
         """News of the list."""
@@ -155,42 +155,42 @@
 
     def job(self, job_class: int = 0, **fields: Any) -> int:
         """A new job; returns its id."""
-        number, self.next_job = self.next_job, self.next_job + 1
-        lane = self.settings.classes[job_class]
-        event = RequestArrived(number, job_class, self.now + lane.deadline)._replace(**fields)
-        self.jobs[number] = event
+        request, self.next_request = self.next_request, self.next_request + 1
+        request_class = self.settings.classes[job_class]
+        event = RequestArrived(request, job_class, self.now + request_class.deadline)._replace(**fields)
+        self.jobs[request] = event
         self.give(event)
-        return number
+        return request
 
     def end(
-        self, job: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
+        self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
         """The outcome of an attempt."""
-        self.outcome[job, attempt] = outcome
-        final = job in self.answered or outcome == Outcome.SERVED
-        if final and job not in self.answered:
-            self.answered[job] = "served"
-        latency = self.now - self.sent_at[job, attempt]
-        worker = self.sent[job][attempt]
-        return self.give(AttemptEnded(job, attempt, worker, outcome, latency, final, report))
+        self.outcome[request, attempt] = outcome
+        final = request in self.answered or outcome == Outcome.SERVED
+        if final and request not in self.answered:
+            self.answered[request] = "served"
+        latency = self.now - self.sent_at[request, attempt]
+        server = self.sent[request][attempt]
+        return self.give(AttemptEnded(request, attempt, server, outcome, latency, final, report))
 
     def open_attempts(self) -> list[tuple[int, int]]:
         """Attempts still out, oldest first."""
         return [key for key in self.sent_at if key not in self.outcome]
 
-    def until(self, when: float) -> None:
+    def until(self, time_ms: float) -> None:
         """Let time pass, firing timers on the way."""
-        while self.timers and min(self.timers) <= when:
+        while self.timers and min(self.timers) <= time_ms:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
             self.give(TimerFired(0))
-        self.now = max(self.now, when)
+        self.now = max(self.now, time_ms)
 
     def finish(self) -> None:
         """Run to the end of every job: each must have its one answer in time."""
-        for job, event in sorted(self.jobs.items(), key=lambda item: item[1].give_up_at):
+        for request, event in sorted(self.jobs.items(), key=lambda item: item[1].give_up_at):
             self.until(event.give_up_at + self.settings.answer_slack)
-            assert job in self.answered, f"job {job} was lost"
+            assert request in self.answered, f"job {request} was lost"
 
 
 def with_settings(**changes: Any) -> Settings:
