--- a/tests/drive.py
+++ b/tests/drive.py
@@ -1,4 +1,4 @@
-"""Helpers: settings, lists and a checking host for tests of the module without any bench."""
+"""Defines settings, server lists and a host that checks the safety rules, for tests of a dispatcher without sockets."""
 
 from dataclasses import replace
 from typing import Any
@@ -53,12 +53,26 @@
 
 
 def entries(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
-    """Workers 1 to ``count``, two a cell."""
+    """Returns servers 1 to ``count``, two in each cell."""
     return tuple(ServerEntry(i, cell=(i - 1) // 2)._replace(**fields) for i in range(1, count + 1))
 
 
 class Host:
-    """Plays the host's part, and checks the four rules on every action as an outsider would."""
+    """Embeds a dispatcher with a virtual clock, and checks the safety rules on every action.
+
+    Attributes:
+        now: the time of the virtual clock in ms.
+        timers: due times of the pending timers, in ms.
+        jobs: arrival of each request.
+        sent: servers of the attempts of each request, in order.
+        sent_at: start time in ms of each attempt, by request and index.
+        outcome: outcome of each ended attempt, by request and index.
+        answered: final state of each answered request: served, refused or failed.
+        entry: latest entry of each listed server.
+        told_off: servers that are draining or removed, by a notification.
+        cold_work: start times in ms of attempts at each server while the server warmed up.
+        actions: all actions of the dispatcher.
+    """
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1, workers: int = 4) -> None:
         self.settings = settings
@@ -79,7 +93,7 @@
             self.listed(ListKind.CACHED, entries(workers))
 
     def give(self, event: Event) -> list[Action]:
-        """One event to the dispatcher; what it answers is checked."""
+        """Hands an event to the dispatcher, checks the resulting actions and returns them."""
         actions = self.dispatcher.handle(self.now, event)
         self.actions += actions
         for action in actions:
@@ -107,10 +121,10 @@
         return self.settings.classes[self.jobs[request].request_class]
 
     def _check_send(self, send: StartAttempt) -> None:
-        assert send.request in self.jobs, "send after the end"
-        assert send.request not in self.answered, "send after the end"
+        assert send.request in self.jobs, "attempt for an unknown request"
+        assert send.request not in self.answered, "attempt after the final answer"
         assert self.now < self.jobs[send.request].give_up_at
-        assert send.server not in self.told_off, "send to a worker told draining or gone"
+        assert send.server not in self.told_off, "attempt at a server that is draining or removed"
         assert send.server in self.entry
         earlier = self.sent.setdefault(send.request, [])
         assert len(earlier) < self.settings.max_attempts
@@ -118,7 +132,7 @@
         if not self.settings.hedging:
             assert all((send.request, n) in self.outcome for n in range(len(earlier)))
         if request_class.effect is Effect.NON_IDEMPOTENT:
-            assert not maybe_run, "an effect might happen twice"
+            assert not maybe_run, "a non-idempotent request may run twice"
         if request_class.effect is Effect.IDEMPOTENT_BY_KEY:
             for n in maybe_run:
                 first = self.entry[earlier[n]]
@@ -138,10 +152,10 @@
         repeatable = request_class.effect is Effect.IDEMPOTENT or (
             request_class.effect is Effect.IDEMPOTENT_BY_KEY and request_class.key_scope is KeyScope.ALL
         )
-        assert repeatable or not self._attempts_maybe_run(request), "a refusal that is not harmless"
+        assert repeatable or not self._attempts_maybe_run(request), "rejection of a request that may have run"
 
     def listed(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
-        """News of the list."""
+        """Updates the server list of the dispatcher, and returns the actions."""
         if kind in (ListKind.CACHED, ListKind.FULL):
             self.told_off |= set(self.entry) - {e.server for e in listed}
         if kind is not ListKind.FAILED:
@@ -154,7 +168,7 @@
         return self.give(ServerListUpdate(kind, listed))
 
     def job(self, job_class: int = 0, **fields: Any) -> int:
-        """A new job; returns its id."""
+        """Hands a new request to the dispatcher, and returns its id."""
         request, self.next_request = self.next_request, self.next_request + 1
         request_class = self.settings.classes[job_class]
         event = RequestArrived(request, job_class, self.now + request_class.deadline)._replace(**fields)
@@ -165,7 +179,7 @@
     def end(
         self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
-        """The outcome of an attempt."""
+        """Ends an attempt with an outcome, and returns the actions."""
         self.outcome[request, attempt] = outcome
         final = request in self.answered or outcome == Outcome.SERVED
         if final and request not in self.answered:
@@ -175,11 +189,11 @@
         return self.give(AttemptEnded(request, attempt, server, outcome, latency, final, report))
 
     def open_attempts(self) -> list[tuple[int, int]]:
-        """Attempts still out, oldest first."""
+        """Returns the attempts in flight as request and index, the oldest first."""
         return [key for key in self.sent_at if key not in self.outcome]
 
     def until(self, time_ms: float) -> None:
-        """Let time pass, firing timers on the way."""
+        """Advances the clock to a time in ms, and fires the timers that are due."""
         while self.timers and min(self.timers) <= time_ms:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
@@ -187,12 +201,12 @@
         self.now = max(self.now, time_ms)
 
     def finish(self) -> None:
-        """Run to the end of every job: each must have its one answer in time."""
+        """Advances the clock until every request is due, and checks that each has its final answer in time."""
         for request, event in sorted(self.jobs.items(), key=lambda item: item[1].give_up_at):
             self.until(event.give_up_at + self.settings.answer_slack)
-            assert request in self.answered, f"job {request} was lost"
+            assert request in self.answered, f"request {request} has no final answer"
 
 
 def with_settings(**changes: Any) -> Settings:
-    """The usual settings, changed."""
+    """Returns the usual settings with changes."""
     return replace(SETTINGS, **changes)
