--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -72,9 +72,8 @@
     ListedServer("server-1", "10.0.0.1:80", ServerState.READY, 0, 0, 0, 1.0, 0.0),
     ListedServer("server-2", "10.0.0.2:80", ServerState.READY, 1, 1, 3, 0.5, 1_699_999_000_000.0),
     ListedServer("server-3", "[::1]:8080", ServerState.DRAINING, 0, 1, 7, 2.0, 12.5),
-    ListedServer(
-        "server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0
-    ),  # the zone and the machine type are unknown
+    # The zone and the machine type are unknown.
+    ListedServer("server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0),
 ]
 SETTINGS = Settings(
     classes=(
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -193,9 +193,8 @@
             await expect_sent(harness, "t1", "h1")
             await harness.until_time(expiry)
             await expect_not_sent(harness, "t2")
-            poll_after_reload.send(
-                harness.list_response(1, "h1", whole=True)
-            )  # late, on a connection that the dispatcher has abandoned
+            # The answer is late, on a connection that the dispatcher has abandoned.
+            poll_after_reload.send(harness.list_response(1, "h1", whole=True))
             await harness.settle()
             await expect_not_sent(harness, "t3")
             await harness.pass_time(5_000)
