--- a/heronlug/faults/processes.py
+++ b/heronlug/faults/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program: their files, their starts and ends, and what they say of themselves."""
+"""Runs dispatcher processes: writes their files, starts and ends them, and reads their figures and logs."""
 
 import asyncio
 import os
@@ -15,59 +15,68 @@
 from heronlug.config.site import read_object
 from heronlug.config.strict_toml import ConfigProblems, Source
 from heronlug.faults.plan import FaultPlan
-from heronlug.standins.ports import starting
+from heronlug.standins.ports import process_start_lock
 
-HOLD_OFF = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # until the program minds SIGHUP: as deployed
-UTIME = 11  # of /proc/PID/stat, counted behind the program's name; the next is the system's time
+SIGHUP_IGNORING_EXEC = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')
+"""Command prefix that ignores SIGHUP until the program installs its own handler, as in the deployment."""
+UTIME_FIELD = 11
+"""Index of the user CPU time in /proc/PID/stat after the program's name; the system CPU time follows."""
 STOP_WITHIN_S = 15.0
-"""Seconds within which a process ends after SIGTERM; then it is killed."""
-LOG_LOST = 0.2  # s before the end of a log that is cut off, in which lines may be missing
+"""Seconds after SIGTERM after which a process that still runs is killed."""
+LOG_LOSS_WINDOW_S = 0.2
+"""Seconds before the end of a truncated log in which lines may be missing."""
 
-FILE = Template("""\
-log_level = "{{ 'debug' if s.dispatchers.log_taken else 'info' }}"
+CONFIG_TEMPLATE = Template("""\
+log_level = "{{ 'debug' if plan.dispatchers.log_taken else 'info' }}"
 [serve]
 name = "{{ name }}"
-listen = "127.0.0.1:{{ door }}"
-operators = "127.0.0.1:{{ operators }}"
+listen = "127.0.0.1:{{ frontend_port }}"
+operators = "127.0.0.1:{{ admin_port }}"
 discovery = "{{ discovery }}"
 position = {{ position }}
 peers = [{% for address in peers %}"{{ address }}", {% endfor %}]
 sockets = 1024
 memory_mb = 256
 [site]
-dispatchers = {{ s.dispatchers.count }}
-zones = [{% for hall in s.halls %}"{{ hall }}", {% endfor %}]
-{% if s.dispatchers.leave_halls %}leave_halls = true{% endif %}
+dispatchers = {{ plan.dispatchers.count }}
+zones = [{% for zone in plan.halls %}"{{ zone }}", {% endfor %}]
+{% if plan.dispatchers.leave_halls %}leave_halls = true{% endif %}
 kinds = ["m1"]
-cold_from = {{ s.runners.cold_from }}
-warm_after_ms = {{ s.runners.warm_after_ms }}
-tip_multiple = {{ s.runners.tip_multiple }}
-overload_for_ms = {{ s.runners.overload_for_ms }}
-{% for lane in s.classes or [none] %}
+cold_from = {{ plan.runners.cold_from }}
+warm_after_ms = {{ plan.runners.warm_after_ms }}
+tip_multiple = {{ plan.runners.tip_multiple }}
+overload_for_ms = {{ plan.runners.overload_for_ms }}
+{% for request_class in plan.classes or [none] %}
 [[site.class]]
-name = "{{ lane.name if lane else 'job' }}"
-effect = "{{ lane.effect if lane else 'repeatable' }}"
-aim_ms = {{ lane.aim_ms if lane else 500 }}
-deadline_ms = {{ lane.deadline_ms if lane else 5000 }}
-worth = {{ lane.worth if lane else 1 }}
-{% if lane and lane.effect == "by_key" %}repeat_window_ms = {{ lane.deadline_ms }}{% endif %}
+name = "{{ request_class.name if request_class else 'job' }}"
+effect = "{{ request_class.effect if request_class else 'repeatable' }}"
+aim_ms = {{ request_class.aim_ms if request_class else 500 }}
+deadline_ms = {{ request_class.deadline_ms if request_class else 5000 }}
+worth = {{ request_class.worth if request_class else 1 }}
+{% if request_class and request_class.effect == "by_key" %}repeat_window_ms = {{ request_class.deadline_ms }}{% endif %}
 {% endfor %}
-{% if s.dispatchers.cluster %}
+{% if plan.dispatchers.cluster %}
 [cluster]
 name = "{{ name }}"
-listen = "127.0.0.1:{{ member }}"
-advertise = "127.0.0.1:{{ advertised }}"
+listen = "127.0.0.1:{{ member_port }}"
+advertise = "127.0.0.1:{{ advertised_port }}"
 seeds = [{% for seed in seeds %}"127.0.0.1:{{ seed }}", {% endfor %}]
 key_files = ["key"]
 [cluster.register]
-share = "{{ s.dispatchers.cluster }}"
+share = "{{ plan.dispatchers.cluster }}"
 {% endif %}
 {{ more }}
 """)
 
 
 class Usage(NamedTuple):
-    """What a process has used."""
+    """Resources that a process has used.
+
+    Attributes:
+        cpu_s: user and system CPU time in seconds.
+        peak_mb: peak resident memory in MB.
+        descriptors: open file descriptors.
+    """
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
@@ -75,45 +84,68 @@
 
 
 class Process:
-    """One dispatcher: its file, and at most one process of it."""
+    """A dispatcher: its files and at most one running process.
 
-    def __init__(self, name: str, folder: Path, operators: int, source: Path | None = None) -> None:
-        """``source`` is the folder of another version of the program, in place of this one."""
-        self.name, self.folder, self.admin_port, self.source = name, folder, operators, source
+    Attributes:
+        name: name of the dispatcher.
+        folder: folder of its files.
+        admin_port: port of its admin endpoint.
+        source: folder of another version of the program to run; None runs this version.
+        child: latest process; None before the first start.
+        should_run: whether the process is expected to run.
+        stop_requested_at_s: time of the first SIGTERM on the monotonic clock, in seconds; None without one.
+        incarnation: number of starts so far.
+        killed_incarnations: starts whose process a step killed outright.
+        last_ended_incarnation: latest start whose process was killed or exited unexpectedly.
+    """
+
+    def __init__(self, name: str, folder: Path, admin_port: int, source: Path | None = None) -> None:
+        self.name, self.folder, self.admin_port, self.source = name, folder, admin_port, source
         self.child: subprocess.Popen[bytes] | None = None
-        self.should_run = False  # it should run
-        self.stop_requested_at_s: float | None = None  # when it was told to end, on the monotonic clock
+        self.should_run = False
+        self.stop_requested_at_s: float | None = None
         self.incarnation = 0
-        self.killed_incarnations: set[int] = set()  # those of its starts that a step killed outright
-        self.last_ended_incarnation = 0  # how often it had been started when it was last killed, or ended by itself
+        self.killed_incarnations: set[int] = set()
+        self.last_ended_incarnation = 0
 
     @property
     def running(self) -> bool:
-        """Whether there is a process."""
+        """Whether the process is running."""
         return self.child is not None and self.child.poll() is None
 
     def start(self) -> None:
-        """Start it."""
+        """Starts the process, unless it is running."""
         if self.running:
             return
         self.should_run, self.stop_requested_at_s = True, None
         self.incarnation += 1
-        private = self.folder / f"{self.name}.tmp{self.incarnation}"
-        private.mkdir()
-        with (self.folder / f"{self.name}.log").open("ab") as log, starting:
+        temporary_folder = self.folder / f"{self.name}.tmp{self.incarnation}"
+        temporary_folder.mkdir()
+        with (self.folder / f"{self.name}.log").open("ab") as log, process_start_lock:
             file, platform = str(self.folder / f"{self.name}.toml"), self.folder / f"{self.name}.json"
-            told = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
+            platform_environment = {"RELAY_CONFIG": str(platform), "HERONLUG_STATE": file} if platform.exists() else {}
             self.child = subprocess.Popen(
-                [*HOLD_OFF, sys.executable, "-m", "heronlug", *(() if told else ("serve", file))],
+                [
+                    *SIGHUP_IGNORING_EXEC,
+                    sys.executable,
+                    "-m",
+                    "heronlug",
+                    *(() if platform_environment else ("serve", file)),
+                ],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
                 cwd=self.source,
-                env={**os.environ, "TMPDIR": str(private), "HERONLUG_CONTROL": str(private / "control"), **told},
+                env={
+                    **os.environ,
+                    "TMPDIR": str(temporary_folder),
+                    "HERONLUG_CONTROL": str(temporary_folder / "control"),
+                    **platform_environment,
+                },
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal; after SIGKILL and SIGTERM it is not wanted any more."""
+        """Sends a signal to a running process; after SIGKILL and SIGTERM the process is expected to end."""
         if self.child is None or not self.running:
             return
         if number in (signal.SIGKILL, signal.SIGTERM):
@@ -126,7 +158,7 @@
             self.child.wait()
 
     def wait_or_kill(self) -> None:
-        """Wait for its end, which a stop has been requested for; one that takes too long is killed."""
+        """Waits for the process to end after SIGTERM and kills it after ``STOP_WITHIN_S``."""
         if self.child is None:
             return
         try:
@@ -136,14 +168,14 @@
             self.child.wait()
 
     def unexpected_exit_status(self) -> int | None:
-        """Its status if it has ended though it should run, which is told once."""
+        """Returns the exit status if the process ended unexpectedly, once per process; otherwise None."""
         if not self.should_run or self.child is None or self.child.poll() is None:
             return None
         self.should_run, self.last_ended_incarnation = False, self.incarnation
         return self.child.returncode
 
     async def figures(self) -> dict[str, float]:
-        """What an operator reads; nothing where it does not answer."""
+        """Returns the figures of the admin endpoint; empty if the endpoint does not answer."""
         try:
             async with asyncio.timeout(2):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
@@ -157,44 +189,47 @@
         return {name: float(value) for name, value in pairs}
 
     def usage(self) -> Usage:
-        """What it has used so far; nothing where it does not run."""
+        """Returns the resources used so far; zeros if the process is not running."""
         if self.child is None or not self.running:
             return Usage()
         proc = Path(f"/proc/{self.child.pid}")
         fields = (proc / "stat").read_text().rpartition(")")[2].split()
-        ticks = int(fields[UTIME]) + int(fields[UTIME + 1])
+        ticks = int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])
         peak = next(line for line in (proc / "status").read_text().splitlines() if line.startswith("VmHWM:"))
         descriptors = len(list((proc / "fd").iterdir()))
         return Usage(ticks / os.sysconf("SC_CLK_TCK"), int(peak.split()[1]) / 1024, descriptors)
 
     def logged_events(self, event: str) -> list[dict[str, Any]]:
-        """The lines of its log that tell of such an event."""
+        """Returns the log lines of an event."""
         text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
-        told = [orjson.loads(line) for line in text.splitlines() if f'"event":"{event}"'.encode() in line]
-        return [line for line in told if line["event"] == event]
+        matching = [orjson.loads(line) for line in text.splitlines() if f'"event":"{event}"'.encode() in line]
+        return [line for line in matching if line["event"] == event]
 
     def unanswered_requests(self) -> list[str]:
-        """What it has taken and neither answered nor seen its client leave, but in lives that were killed outright.
+        """Returns ids of requests that were taken but neither answered nor abandoned by their client, as logged.
 
-        A log's last lines may be lost with the process, so what it took just before them is not counted.
+        Incarnations that a step killed outright are skipped. The last lines of a log may be lost with the process, so
+        requests taken within ``LOG_LOSS_WINDOW_S`` of its end are not counted.
         """
         text = (self.folder / f"{self.name}.log").read_bytes() if self.incarnation else b""
-        lives: list[list[dict[str, Any]]] = []
+        incarnations: list[list[dict[str, Any]]] = []
         for line in (orjson.loads(line) for line in text.splitlines() if line.startswith(b"{") and line.endswith(b"}")):
             if line["event"] == "started":
-                lives.append([])
-            elif line["event"] in ("taken", "answer", "client_gone") and lives:
-                lives[-1].append(line)
-        found = []
-        for life in (life for number, life in enumerate(lives, 1) if life and number not in self.killed_incarnations):
-            over = {line["id"] for line in life if line["event"] != "taken"}
-            sure = life[-1]["at"] - LOG_LOST
-            taken = [line["id"] for line in life if line["event"] == "taken" and line["at"] < sure]
-            found += [name for name in taken if name not in over]
-        return found
+                incarnations.append([])
+            elif line["event"] in ("taken", "answer", "client_gone") and incarnations:
+                incarnations[-1].append(line)
+        unanswered = []
+        for lines in (
+            lines for number, lines in enumerate(incarnations, 1) if lines and number not in self.killed_incarnations
+        ):
+            ended = {line["id"] for line in lines if line["event"] != "taken"}
+            complete_until_s = lines[-1]["at"] - LOG_LOSS_WINDOW_S
+            taken = [line["id"] for line in lines if line["event"] == "taken" and line["at"] < complete_until_s]
+            unanswered += [name for name in taken if name not in ended]
+        return unanswered
 
     def log_errors(self) -> list[str]:
-        """What no log may hold."""
+        """Returns the log lines with an exception or a traceback, which are always a fault."""
         text = (self.folder / f"{self.name}.log").read_text(errors="replace") if self.incarnation else ""
         return [line for line in text.splitlines() if '"exception"' in line or "Traceback" in line]
 
@@ -203,26 +238,26 @@
     process: Process,
     plan: FaultPlan,
     *,
-    door: int,
+    frontend_port: int,
     discovery: str,
     peers: list[str],
-    member: int,
-    advertised: int,
+    member_port: int,
+    advertised_port: int,
     seeds: list[int],
 ) -> None:
-    """The operators' file of a dispatcher."""
+    """Writes the config file of a dispatcher."""
     position = int(process.name[1:])
     more = plan.dispatchers.more.replace("{name}", process.name).replace("{folder}", str(process.folder))
-    text = FILE.render(
-        s=plan,
+    text = CONFIG_TEMPLATE.render(
+        plan=plan,
         name=process.name,
-        door=door,
-        operators=process.admin_port,
+        frontend_port=frontend_port,
+        admin_port=process.admin_port,
         position=position,
         discovery=discovery,
         peers=peers,
-        member=member,
-        advertised=advertised,
+        member_port=member_port,
+        advertised_port=advertised_port,
         seeds=seeds,
         more=more,
     )
@@ -230,21 +265,24 @@
 
 
 def write_platform_files(process: Process, known: dict[str, Any]) -> None:
-    """The same dispatcher as the platform configures it: its object with a ``known`` list, and a file of its own state.
+    """Converts a dispatcher's config file to the files of the platform.
+
+    Writes the platform's JSON object, which has the ``known`` list, and a config file that keeps only the log level.
 
-    Raises :class:`ConfigProblems` where its operators' file has any.
+    Raises:
+        ConfigProblems: if the config file is invalid.
     """
     path = process.folder / f"{process.name}.toml"
     source = Source.read(path)
-    raw, faults = read_object(source)
+    raw, problems = read_object(source)
     if raw is None:
-        raise ConfigProblems(faults)
+        raise ConfigProblems(problems)
     (process.folder / f"{process.name}.json").write_bytes(orjson.dumps(raw))
-    write_known(process, known)
+    write_known_list(process, known)
     path.write_text(f'log_level = "{source.table["log_level"]}"\n')
 
 
-def write_known(process: Process, known: dict[str, Any]) -> None:
-    """Another ``known`` list, for the process's next start."""
+def write_known_list(process: Process, known: dict[str, Any]) -> None:
+    """Replaces the ``known`` list in the platform's JSON object, for the next start of the process."""
     path = process.folder / f"{process.name}.json"
     path.write_bytes(orjson.dumps({**orjson.loads(path.read_bytes()), "known": known}))
--- a/heronlug/faults/verdict.py
+++ b/heronlug/faults/verdict.py
@@ -1,4 +1,4 @@
-"""What came of a run: rules that were broken, expectations that were not met, and figures."""
+"""Judges a finished run: broken rules, unmet expectations and figures."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -13,21 +13,29 @@
 
 @dataclass
 class Verdict:
-    """What came of a run."""
+    """Result of a run.
+
+    Attributes:
+        name: name of the test plan.
+        violations: violations of the four rules.
+        faults: unmet expectations and failures of processes or of the harness, one line each.
+        figures: figures of the run by name.
+        steps: steps as applied, each with its milliseconds since the start of the run.
+    """
 
     name: str
     violations: list[Violation] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # what was expected and is not so
+    faults: list[str] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
     steps: list[tuple[float, str]] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
-        """Whether all rules and expectations were kept."""
+        """Whether all rules and expectations were met."""
         return not self.violations and not self.faults
 
     def text(self) -> str:
-        """For people."""
+        """Returns the verdict as readable text, with at most 20 violations."""
         lines = [f"{self.name}: {'kept' if self.kept else 'BROKEN'}"]
         lines += [f"  rule {v.rule}: {v.what}" for v in self.violations[:20]]
         lines += [f"  {fault}" for fault in self.faults]
@@ -36,31 +44,44 @@
 
 
 class FinishedRun(NamedTuple):
-    """A run that is over, as the rig saw it."""
+    """Observations of a finished run.
+
+    Attributes:
+        plan: test plan of the run.
+        history: recorded events.
+        processes: dispatchers by name.
+        tallies: counts of the load generator, one tally per request class.
+        watching: dispatchers that had a watch open at service discovery at the end.
+        listed: whether each dispatcher that ran at the end had the complete list, by name.
+        listed_after: seconds until each dispatcher had its list, by name.
+        lost_with_dispatcher: requests lost because their dispatcher ended.
+        list_bytes: bytes of all responses of service discovery.
+        failures: failures of the harness, and processes that exited unexpectedly.
+    """
 
     plan: FaultPlan
     history: History
     processes: Mapping[str, Process]
     tallies: Iterable[Tally]
-    reading: list[str]  # dispatchers that watched discovery in the end
-    listed: dict[str, bool]  # of those that ran in the end, whether they had the whole list
-    listed_after: dict[str, float]  # s until a dispatcher had its list
-    lost_with: int  # requests that ended with their dispatcher
+    watching: list[str]
+    listed: dict[str, bool]
+    listed_after: dict[str, float]
+    lost_with_dispatcher: int
     list_bytes: int
-    failures: list[str]  # of the rig, and processes that ended by themselves
+    failures: list[str]
 
 
 def judge(run: FinishedRun) -> Verdict:
-    """The verdict of a run."""
+    """Returns the verdict of a finished run."""
     checker = run.history.checker
     verdict = Verdict(run.plan.name, checker.finish(run.history.now()), list(run.failures))
     verdict.steps, verdict.figures = run.history.steps, _figures(run)
-    verdict.faults += _missed(run, verdict.figures)
-    verdict.faults += _failed_relays(run, verdict.figures)
+    verdict.faults += _unmet_expectations(run, verdict.figures)
+    verdict.faults += _failed_attempts(run, verdict.figures)
     for process in run.processes.values():
         if run.plan.dispatchers.log_taken:
             verdict.faults += [
-                f"{process.name} took {name} and never answered" for name in process.unanswered_requests()
+                f"{process.name} took request {name} and never answered it" for name in process.unanswered_requests()
             ]
         verdict.faults += [f"{process.name}: {line[:400]}" for line in process.log_errors()]
     return verdict
@@ -68,7 +89,7 @@
 
 def _figures(run: FinishedRun) -> dict[str, Any]:
     checker, tallies = run.history.checker, list(run.tallies)
-    dials = {host: rush.most for host, rush in checker.statistics.dial_peaks.items()}
+    dials = {server: peak.most for server, peak in checker.statistics.dial_peaks.items()}
     after = sorted(run.listed_after.values())
     used = [process.usage() for process in run.processes.values() if process.running]
     return {
@@ -77,13 +98,13 @@
         "calls turned away": checker.statistics.rejected_calls,
         "most calls in 100 ms": checker.statistics.short_call_peak.most,
         "most calls in 1 s": checker.statistics.long_call_peak.most,
-        "reading in the end": len(run.reading),
+        "reading in the end": len(run.watching),
         "listed in the end": sum(run.listed.values()),
         "running in the end": len(run.listed),
         "first and last listed after s": (round(after[0], 2), round(after[-1], 2)) if after else None,
         "jobs": sum(tally.request_count for tally in tallies),
         "served": sum(tally.outcomes["on_time"] + tally.outcomes["late"] for tally in tallies),
-        "lost with their dispatcher": run.lost_with,
+        "lost with their dispatcher": run.lost_with_dispatcher,
         "most dials at a runner in 1 s": max(dials.values(), default=0),
         "dials": sum(checker.statistics.dials.values()),
         "most of what a cold runner stands": round(checker.statistics.warmup_peak_load, 2),
@@ -104,29 +125,29 @@
     }
 
 
-def _missed(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
-    """What was expected of the figures and is not so."""
+def _unmet_expectations(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
+    """Returns a line for each expectation that the figures do not meet."""
     expect, faults = run.plan.expect, []
     for name, most in _bounds(expect).items():
         if most is not None and figures[name] > most:
             faults.append(f"{name}: {figures[name]}, at most {most:g} expected")
     if expect.listed and not all(run.listed.values()):
-        without = [name for name, has in run.listed.items() if not has]
-        faults.append(f"without the whole list in the end: {', '.join(without)}")
-    if expect.reading is not None and not expect.reading[0] <= len(run.reading) <= expect.reading[1]:
-        faults.append(f"reading in the end: {', '.join(run.reading) or 'nobody'}; {expect.reading} expected")
-    counted = figures["jobs"] - run.lost_with
+        without = [name for name, has_list in run.listed.items() if not has_list]
+        faults.append(f"dispatchers without the complete list in the end: {', '.join(without)}")
+    if expect.reading is not None and not expect.reading[0] <= len(run.watching) <= expect.reading[1]:
+        faults.append(f"reading in the end: {', '.join(run.watching) or 'no dispatcher'}; {expect.reading} expected")
+    counted = figures["jobs"] - run.lost_with_dispatcher
     if expect.served_least is not None and figures["served"] < expect.served_least * counted:
         share = f"at least {expect.served_least:g} of them expected"
         faults.append(f"served: {figures['served']} of {counted}, {share}")
     return faults
 
 
-def _failed_relays(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
-    """The bounds on attempts into a zone that fail; their counts go into the figures."""
+def _failed_attempts(run: FinishedRun, figures: dict[str, Any]) -> list[str]:
+    """Returns a line for each exceeded bound on failed attempts into a zone; adds the counts to the figures."""
     faults = []
     for table in run.plan.expect.failed:
-        count = sum(_failures(run, process, table) for process in run.processes.values())
+        count = sum(_count_failed_attempts(run, process, table) for process in run.processes.values())
         name = f"failed relays into {table.hall}, {table.from_s:g} to {table.to_s:g} s"
         figures[name] = count
         if count > table.most:
@@ -134,11 +155,11 @@
     return faults
 
 
-def _failures(run: FinishedRun, process: Process, table: FailedTable) -> int:
-    """How many attempts a dispatcher began into a zone between two times that it says have failed."""
+def _count_failed_attempts(run: FinishedRun, process: Process, table: FailedTable) -> int:
+    """Returns the number of failed attempts into a zone that a dispatcher logged and began within the time span."""
     count = 0
     for line in process.logged_events("relay_ended"):
-        at = (line["at"] * 1000 - line["ms"] - run.history.began) / 1000
-        there = run.plan.hall(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
-        count += there and table.from_s <= at < table.to_s
+        at = (line["at"] * 1000 - line["ms"] - run.history.began_at_ms) / 1000
+        counts = run.plan.zone_of(line["host"]) == table.hall and line["outcome"] not in ("moot", "cancelled")
+        count += counts and table.from_s <= at < table.to_s
     return count
