--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -17,16 +17,16 @@
 
 def record_snapshot(zones: bool) -> bytes:
     """Returns the snapshot of a dispatcher after failures, an ejection and the start of servers that warm up."""
-    host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), workers=0)
+    host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), server_count=0)
     listed_servers = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
-    host.listed(ListKind.FULL, tuple(listed_servers))
+    host.update_servers(ListKind.FULL, tuple(listed_servers))
     for number in range(60):
-        host.job(0 if number % 10 else 2)
+        host.new_request(0 if number % 10 else 2)
         host.now += 25
         for request, attempt in host.open_attempts()[:2]:
-            failed = host.sent[request][attempt] == 2
-            host.end(request, attempt, Outcome.ERROR if failed else Outcome.SERVED)
-    host.job(0)
+            failed = host.sent_to[request][attempt] == 2
+            host.end_attempt(request, attempt, Outcome.ERROR if failed else Outcome.SERVED)
+    host.new_request(0)
     (
         host.dispatcher.state.servers.capacities[0].peak_slots,
         host.dispatcher.state.servers.capacities[0].reported_slots,
--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -38,30 +38,30 @@
         self.overrun: set[int] = set()  # requests with an attempt that timed out
         super().__init__(site, seed, workers)
 
-    def give(self, event: Any) -> list[Action]:
+    def handle(self, event: Any) -> list[Action]:
         """Records the limits of new requests and cancels attempts as the dispatcher asks."""
         if isinstance(event, RequestArrived):
             self.policies[event.request] = event.policy or self.settings.classes[event.request_class]
-        actions = super().give(event)
+        actions = super().handle(event)
         for action in actions:
-            if isinstance(action, CancelAttempt) and (action.request, action.attempt) not in self.outcome:
+            if isinstance(action, CancelAttempt) and (action.request, action.attempt) not in self.outcomes:
                 timeout = self.policies[action.request].attempt_timeout
                 if timeout and self.now >= self.sent_at[action.request, action.attempt] + timeout:
                     self.overrun.add(action.request)
-                self.end(action.request, action.attempt, Outcome.CANCELLED)
+                self.end_attempt(action.request, action.attempt, Outcome.CANCELLED)
         return actions
 
-    def end(
+    def end_attempt(
         self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
         """Ends an attempt and records the time."""
         self.ended_at[request] = self.now
-        return super().end(request, attempt, outcome, report)
+        return super().end_attempt(request, attempt, outcome, report)
 
     def _check_send(self, send: StartAttempt) -> None:
         request_class = self.policies[send.request]
-        sent = self.sent.get(send.request, [])
-        out = [n for n in range(len(sent)) if (send.request, n) not in self.outcome]
+        sent = self.sent_to.get(send.request, [])
+        out = [n for n in range(len(sent)) if (send.request, n) not in self.outcomes]
         assert len(sent) < (
             request_class.max_attempts or self.settings.max_attempts
         ), "more attempts than its limits allow"
@@ -81,7 +81,9 @@
         """Asserts that no attempt runs longer than its timeout, with 5 ms of tolerance."""
         for request, attempt in self.open_attempts():
             timeout = self.policies[request].attempt_timeout
-            assert request in self.answered or not timeout or self.now <= self.sent_at[request, attempt] + timeout + 5
+            assert (
+                request in self.final_states or not timeout or self.now <= self.sent_at[request, attempt] + timeout + 5
+            )
 
 
 def site(request_class: RequestClass = SAFE, **limits: Any) -> Settings:
@@ -94,35 +96,35 @@
     """Guards against more or fewer attempts than the class allows; 0 means the cap of the site."""
     for attempts in (1, 2, 3, 0):
         host = LimitCheckingHost(site(max_attempts=attempts), workers=6)
-        request = host.job(0)
-        while request not in host.answered:
-            host.end(request, len(host.sent[request]) - 1, Outcome.ERROR)
-            host.until(host.now + 50)
-        assert len(host.sent[request]) == (attempts or 4)
-        assert host.answered[request] == "refused"
+        request = host.new_request(0)
+        while request not in host.final_states:
+            host.end_attempt(request, len(host.sent_to[request]) - 1, Outcome.ERROR)
+            host.advance_to(host.now + 50)
+        assert len(host.sent_to[request]) == (attempts or 4)
+        assert host.final_states[request] == "refused"
 
 
 def test_a_retry_waits_for_its_backoff() -> None:
     """Guards against a retry before or long after its backoff; the last backoff applies to all further retries."""
     host = LimitCheckingHost(site(retry_backoff=(100.0, 400.0)))
-    request = host.job(0)
+    request = host.new_request(0)
     for attempt, wait in enumerate((100, 400, 400)):
-        host.end(request, attempt, Outcome.CONNECT_FAILED)
-        host.until(host.now + wait - 2)
-        assert len(host.sent[request]) == attempt + 1
-        host.until(host.now + 4)
-        assert len(host.sent[request]) == attempt + 2
-    host.end(request, 3, Outcome.SERVED)
-    assert host.answered[request] == "served"
+        host.end_attempt(request, attempt, Outcome.CONNECT_FAILED)
+        host.advance_to(host.now + wait - 2)
+        assert len(host.sent_to[request]) == attempt + 1
+        host.advance_to(host.now + 4)
+        assert len(host.sent_to[request]) == attempt + 2
+    host.end_attempt(request, 3, Outcome.SERVED)
+    assert host.final_states[request] == "served"
 
 
 def test_a_request_is_not_kept_for_a_backoff_past_its_deadline() -> None:
     """Guards against a request that waits until near its deadline although no further attempt can be made."""
     host = LimitCheckingHost(site(retry_backoff=(4900.0,), hedge=False))
-    request = host.job(0)
-    host.until(host.now + 200)
-    host.end(request, 0, Outcome.ERROR)
-    assert host.answered[request] == "refused"
+    request = host.new_request(0)
+    host.advance_to(host.now + 200)
+    host.end_attempt(request, 0, Outcome.ERROR)
+    assert host.final_states[request] == "refused"
 
 
 def test_a_client_that_leaves_during_the_backoff_ends_the_retries() -> None:
@@ -130,100 +132,100 @@
     from heronlug import ClientGone
 
     host = LimitCheckingHost(site(retry_backoff=(100.0,)))
-    request = host.job(0)
-    host.end(request, 0, Outcome.ERROR)
-    host.give(ClientGone(request))
-    host.answered[request] = "gone"
-    host.until(host.now + 300)
-    assert len(host.sent[request]) == 1
+    request = host.new_request(0)
+    host.end_attempt(request, 0, Outcome.ERROR)
+    host.handle(ClientGone(request))
+    host.final_states[request] = "gone"
+    host.advance_to(host.now + 300)
+    assert len(host.sent_to[request]) == 1
 
 
 def test_an_attempt_that_times_out_is_retried() -> None:
     """Guards against an attempt that is not cancelled at its timeout, or not retried after it."""
     host = LimitCheckingHost(site(attempt_timeout=300.0, hedge=False))
-    request = host.job(0)
-    host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
-    host.until(host.now + 299)
+    request = host.new_request(0)
+    host.handle(AttemptProgress(request, 0, host.sent_to[request][0], ProgressKind.STARTED))
+    host.advance_to(host.now + 299)
     assert host.open_attempts() == [(request, 0)]
-    host.until(host.now + 2)
-    assert host.outcome[request, 0] == Outcome.CANCELLED
-    assert len(host.sent[request]) == 2
-    host.end(request, 1)
-    assert host.answered[request] == "served"
+    host.advance_to(host.now + 2)
+    assert host.outcomes[request, 0] == Outcome.CANCELLED
+    assert len(host.sent_to[request]) == 2
+    host.end_attempt(request, 1)
+    assert host.final_states[request] == "served"
 
 
 def test_no_retry_after_a_timeout_when_the_limits_forbid_it() -> None:
     """Guards against a retry after a timeout although the class ends with the timeout."""
     host = LimitCheckingHost(site(attempt_timeout=300.0, retry_after_timeout=False, hedge=False))
-    request = host.job(0)
-    host.until(host.now + 301)
-    assert host.answered[request] == "refused"
-    assert len(host.sent[request]) == 1
+    request = host.new_request(0)
+    host.advance_to(host.now + 301)
+    assert host.final_states[request] == "refused"
+    assert len(host.sent_to[request]) == 1
 
 
 def test_a_timeout_fails_a_non_idempotent_request() -> None:
     """Guards against a retry of an attempt that timed out and may have run, which would run the request twice."""
     host = LimitCheckingHost(site(ONCE, attempt_timeout=300.0, max_attempts=4))
-    request = host.job(2)
-    host.until(host.now + 301)
-    assert host.answered[request] == "failed"
-    assert len(host.sent[request]) == 1
+    request = host.new_request(2)
+    host.advance_to(host.now + 301)
+    assert host.final_states[request] == "failed"
+    assert len(host.sent_to[request]) == 1
 
 
 def test_a_non_idempotent_request_that_never_ran_is_retried_after_its_backoff() -> None:
     """Guards against failing a request whose connection failed, so that it certainly never ran."""
     host = LimitCheckingHost(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
-    request = host.job(2)
-    host.end(request, 0, Outcome.CONNECT_FAILED)
-    host.until(host.now + 60)
-    assert len(host.sent[request]) == 2
-    host.end(request, 1, Outcome.CONNECT_FAILED)
-    assert host.answered[request] == "refused"
+    request = host.new_request(2)
+    host.end_attempt(request, 0, Outcome.CONNECT_FAILED)
+    host.advance_to(host.now + 60)
+    assert len(host.sent_to[request]) == 2
+    host.end_attempt(request, 1, Outcome.CONNECT_FAILED)
+    assert host.final_states[request] == "refused"
 
 
 def test_a_class_with_hedging_disabled_is_not_hedged() -> None:
     """The same silent request is hedged if the limit allows hedging."""
     for second_copy, sent in ((True, 2), (False, 1)):
         host = LimitCheckingHost(site(hedge=second_copy))
-        request = host.job(0)
-        host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
+        request = host.new_request(0)
+        host.handle(AttemptProgress(request, 0, host.sent_to[request][0], ProgressKind.STARTED))
         for _ in range(40):
-            host.until(host.now + 20)
-            host.give(
+            host.advance_to(host.now + 20)
+            host.handle(
                 AttemptProgress(99, 0, 1, ProgressKind.PROGRESS)
             )  # any event makes the dispatcher check for hedges
-        assert len(host.sent[request]) == sent
-        unstarted = host.job(0)
-        host.until(host.now + 400)
-        assert (len(host.sent[unstarted]) > 1) == second_copy
+        assert len(host.sent_to[request]) == sent
+        unstarted = host.new_request(0)
+        host.advance_to(host.now + 400)
+        assert (len(host.sent_to[unstarted]) > 1) == second_copy
 
 
 def test_a_hedge_starts_at_its_time_and_not_before() -> None:
     """Guards against a hedge before its time, a second hedge, and a slower attempt that is not cancelled."""
     host = LimitCheckingHost(site(hedge_after=700.0))
-    request = host.job(0)
-    host.until(host.now + 698)
-    assert len(host.sent[request]) == 1
-    host.until(host.now + 4)
-    assert len(host.sent[request]) == 2
-    host.until(host.now + 690)
-    assert len(host.sent[request]) == 2  # one hedge at a time
-    host.end(request, 1)
-    assert host.outcome[request, 0] == Outcome.CANCELLED  # the attempt that the hedge has overtaken
+    request = host.new_request(0)
+    host.advance_to(host.now + 698)
+    assert len(host.sent_to[request]) == 1
+    host.advance_to(host.now + 4)
+    assert len(host.sent_to[request]) == 2
+    host.advance_to(host.now + 690)
+    assert len(host.sent_to[request]) == 2  # one hedge at a time
+    host.end_attempt(request, 1)
+    assert host.outcomes[request, 0] == Outcome.CANCELLED  # the attempt that the hedge has overtaken
 
 
 def test_a_request_keeps_the_limits_that_it_was_accepted_under() -> None:
     """Guards against changed settings that affect open requests: each request keeps the limits of its arrival."""
     strict = replace(SAFE, max_attempts=1, retry_backoff=(1000.0,))
     host = LimitCheckingHost(site())
-    first = host.job(0)
-    second = host.job(0, policy=strict)
-    host.end(second, 0, Outcome.ERROR)
-    assert host.answered[second] == "refused"
-    assert len(host.sent[second]) == 1
+    first = host.new_request(0)
+    second = host.new_request(0, policy=strict)
+    host.end_attempt(second, 0, Outcome.ERROR)
+    assert host.final_states[second] == "refused"
+    assert len(host.sent_to[second]) == 1
     host.dispatcher.settings = replace(host.settings, classes=(strict, KEYED, ONCE))
-    host.end(first, 0, Outcome.ERROR)
-    assert len(host.sent[first]) == 2
+    host.end_attempt(first, 0, Outcome.ERROR)
+    assert len(host.sent_to[first]) == 2
 
 
 def test_limits_are_handed_over_to_another_process() -> None:
@@ -239,23 +241,23 @@
     ):
         event = RequestArrived(request, 0, 9000.0, policy=received)
         new.policies[request] = received
-        new.jobs[request] = event
-        new.sent[request], new.sent_at[request, 0] = [attempt.server], attempt.sent_at
+        new.requests[request] = event
+        new.sent_to[request], new.sent_at[request, 0] = [attempt.server], attempt.sent_at
         if not attempt.in_flight:
-            new.outcome[request, 0], new.ended_at[request] = Outcome.ERROR, 4900.0
-        new.give(RequestAdopted(event, 4900.0, (attempt,), not_before))
-    assert [len(new.sent[request]) for request in (1, 2)] == [1, 1]
-    new.until(5099.0)
-    assert len(new.sent[1]) == 1
-    new.until(5101.0)
-    assert len(new.sent[1]) == 2
-    new.until(5202.0)  # the timeout starts when the other process sent the attempt
-    assert new.outcome[2, 0] == Outcome.CANCELLED
-    new.until(5410.0)
-    assert len(new.sent[2]) == 2
-    new.give(RequestHandedOver(1))
-    new.answered[1] = "passed"
-    new.finish()
+            new.outcomes[request, 0], new.ended_at[request] = Outcome.ERROR, 4900.0
+        new.handle(RequestAdopted(event, 4900.0, (attempt,), not_before))
+    assert [len(new.sent_to[request]) for request in (1, 2)] == [1, 1]
+    new.advance_to(5099.0)
+    assert len(new.sent_to[1]) == 1
+    new.advance_to(5101.0)
+    assert len(new.sent_to[1]) == 2
+    new.advance_to(5202.0)  # the timeout starts when the other process sent the attempt
+    assert new.outcomes[2, 0] == Outcome.CANCELLED
+    new.advance_to(5410.0)
+    assert len(new.sent_to[2]) == 2
+    new.handle(RequestHandedOver(1))
+    new.final_states[1] = "passed"
+    new.finish_requests()
 
 
 @pytest.mark.parametrize(
@@ -309,18 +311,18 @@
         choice = rng.random()
         if choice < 0.4:
             class_number = rng.randrange(3)
-            host.job(class_number, policy=classes[class_number])
+            host.new_request(class_number, policy=classes[class_number])
         elif choice < 0.8 and (out := host.open_attempts()):
             request, attempt = rng.choice(out)
             if rng.random() < 0.4:
-                host.give(AttemptProgress(request, attempt, host.sent[request][attempt], ProgressKind.STARTED))
+                host.handle(AttemptProgress(request, attempt, host.sent_to[request][attempt], ProgressKind.STARTED))
             else:
-                host.end(request, attempt, rng.choice([1, 1, 2, 3, 5, 6]))
+                host.end_attempt(request, attempt, rng.choice([1, 1, 2, 3, 5, 6]))
         elif choice < 0.85:
-            host.listed(ListKind.CHANGES, (ServerEntry(rng.randrange(1, 7), cell=rng.randrange(3)),))
-        host.until(host.now + rng.expovariate(1 / 25))
+            host.update_servers(ListKind.CHANGES, (ServerEntry(rng.randrange(1, 7), cell=rng.randrange(3)),))
+        host.advance_to(host.now + rng.expovariate(1 / 25))
         host.check_timeouts()
-    host.finish()
+    host.finish_requests()
 
 
 def test_every_limit_is_handed_over() -> None:
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -52,7 +52,7 @@
 )
 
 
-def entries(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
+def server_entries(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
     """Returns servers 1 to ``count``, two in each cell."""
     return tuple(ServerEntry(i, cell=(i - 1) // 2)._replace(**fields) for i in range(1, count + 1))
 
@@ -63,36 +63,36 @@
     Attributes:
         now: the time of the virtual clock in ms.
         timers: due times of the pending timers, in ms.
-        jobs: arrival of each request.
-        sent: servers of the attempts of each request, in order.
+        requests: arrival of each request.
+        sent_to: servers of the attempts of each request, in order.
         sent_at: start time in ms of each attempt, by request and index.
-        outcome: outcome of each ended attempt, by request and index.
-        answered: final state of each answered request: served, refused or failed.
-        entry: latest entry of each listed server.
-        told_off: servers that are draining or removed, by a notification.
-        cold_work: start times in ms of attempts at each server while the server warmed up.
+        outcomes: outcome of each ended attempt, by request and index.
+        final_states: final state of each answered request: served, refused or failed.
+        entries: latest entry of each listed server.
+        not_ready: servers that are draining or removed, by a notification.
+        warmup_starts: start times in ms of attempts at each server while the server warmed up.
         actions: all actions of the dispatcher.
     """
 
-    def __init__(self, settings: Settings = SETTINGS, seed: int = 1, workers: int = 4) -> None:
+    def __init__(self, settings: Settings = SETTINGS, seed: int = 1, server_count: int = 4) -> None:
         self.settings = settings
         self.dispatcher = Dispatcher(settings, seed)
         self.now = 1000.0
         self.timers: list[float] = []
-        self.jobs: dict[int, RequestArrived] = {}
-        self.sent: dict[int, list[int]] = {}
+        self.requests: dict[int, RequestArrived] = {}
+        self.sent_to: dict[int, list[int]] = {}
         self.sent_at: dict[tuple[int, int], float] = {}
-        self.outcome: dict[tuple[int, int], int] = {}
-        self.answered: dict[int, str] = {}
-        self.entry: dict[int, ServerEntry] = {}
-        self.told_off: set[int] = set()
-        self.cold_work: dict[int, list[float]] = {}
+        self.outcomes: dict[tuple[int, int], int] = {}
+        self.final_states: dict[int, str] = {}
+        self.entries: dict[int, ServerEntry] = {}
+        self.not_ready: set[int] = set()
+        self.warmup_starts: dict[int, list[float]] = {}
         self.actions: list[Action] = []
         self.next_request = 1
-        if workers:
-            self.listed(ListKind.CACHED, entries(workers))
+        if server_count:
+            self.update_servers(ListKind.CACHED, server_entries(server_count))
 
-    def give(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         """Hands an event to the dispatcher, checks the resulting actions and returns them."""
         actions = self.dispatcher.handle(self.now, event)
         self.actions += actions
@@ -100,52 +100,52 @@
             if isinstance(action, StartAttempt):
                 self._check_send(action)
             elif isinstance(action, Reject):
-                assert action.request not in self.answered
+                assert action.request not in self.final_states
                 self._check_rejection(action.request)
-                self.answered[action.request] = "refused"
+                self.final_states[action.request] = "refused"
             elif isinstance(action, Fail):
-                assert action.request not in self.answered
-                self.answered[action.request] = "failed"
+                assert action.request not in self.final_states
+                self.final_states[action.request] = "failed"
             elif isinstance(action, SetTimer):
                 assert action.delay >= 0
                 self.timers.append(self.now + action.delay)
             elif isinstance(action, CancelAttempt):
-                assert action.attempt < len(self.sent[action.request])
+                assert action.attempt < len(self.sent_to[action.request])
         return actions
 
     def _attempts_maybe_run(self, request: int) -> list[int]:
         not_run = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START)
-        return [n for n in range(len(self.sent.get(request, []))) if self.outcome.get((request, n)) not in not_run]
+        return [n for n in range(len(self.sent_to.get(request, []))) if self.outcomes.get((request, n)) not in not_run]
 
     def _class_of(self, request: int) -> RequestClass:
-        return self.settings.classes[self.jobs[request].request_class]
+        return self.settings.classes[self.requests[request].request_class]
 
     def _check_send(self, send: StartAttempt) -> None:
-        assert send.request in self.jobs, "attempt for an unknown request"
-        assert send.request not in self.answered, "attempt after the final answer"
-        assert self.now < self.jobs[send.request].give_up_at
-        assert send.server not in self.told_off, "attempt at a server that is draining or removed"
-        assert send.server in self.entry
-        earlier = self.sent.setdefault(send.request, [])
+        assert send.request in self.requests, "attempt for an unknown request"
+        assert send.request not in self.final_states, "attempt after the final answer"
+        assert self.now < self.requests[send.request].give_up_at
+        assert send.server not in self.not_ready, "attempt at a server that is draining or removed"
+        assert send.server in self.entries
+        earlier = self.sent_to.setdefault(send.request, [])
         assert len(earlier) < self.settings.max_attempts
         request_class, maybe_run = self._class_of(send.request), self._attempts_maybe_run(send.request)
         if not self.settings.hedging:
-            assert all((send.request, n) in self.outcome for n in range(len(earlier)))
+            assert all((send.request, n) in self.outcomes for n in range(len(earlier)))
         if request_class.effect is Effect.NON_IDEMPOTENT:
             assert not maybe_run, "a non-idempotent request may run twice"
         if request_class.effect is Effect.IDEMPOTENT_BY_KEY:
             for n in maybe_run:
-                first = self.entry[earlier[n]]
+                first = self.entries[earlier[n]]
                 assert self.now - self.sent_at[send.request, n] <= request_class.repeat_window
                 if request_class.key_scope is not KeyScope.ALL:
-                    assert first.zone == self.entry[send.server].zone
+                    assert first.zone == self.entries[send.server].zone
                 if request_class.key_scope is KeyScope.CELL:
-                    assert first.cell == self.entry[send.server].cell
+                    assert first.cell == self.entries[send.server].cell
         self.sent_at[send.request, len(earlier)] = self.now
         earlier.append(send.server)
-        started = self.entry[send.server].started_at
+        started = self.entries[send.server].started_at
         if started and self.now - started < self.settings.warmup_time:
-            self.cold_work.setdefault(send.server, []).append(self.now)
+            self.warmup_starts.setdefault(send.server, []).append(self.now)
 
     def _check_rejection(self, request: int) -> None:
         request_class = self._class_of(request)
@@ -154,57 +154,57 @@
         )
         assert repeatable or not self._attempts_maybe_run(request), "rejection of a request that may have run"
 
-    def listed(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
+    def update_servers(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
         """Updates the server list of the dispatcher, and returns the actions."""
         if kind in (ListKind.CACHED, ListKind.FULL):
-            self.told_off |= set(self.entry) - {e.server for e in listed}
+            self.not_ready |= set(self.entries) - {e.server for e in listed}
         if kind is not ListKind.FAILED:
             for entry in listed:
-                self.entry[entry.server] = entry
+                self.entries[entry.server] = entry
                 if entry.state is ServerState.READY:
-                    self.told_off.discard(entry.server)
+                    self.not_ready.discard(entry.server)
                 else:
-                    self.told_off.add(entry.server)
-        return self.give(ServerListUpdate(kind, listed))
+                    self.not_ready.add(entry.server)
+        return self.handle(ServerListUpdate(kind, listed))
 
-    def job(self, job_class: int = 0, **fields: Any) -> int:
+    def new_request(self, class_index: int = 0, **fields: Any) -> int:
         """Hands a new request to the dispatcher, and returns its id."""
         request, self.next_request = self.next_request, self.next_request + 1
-        request_class = self.settings.classes[job_class]
-        event = RequestArrived(request, job_class, self.now + request_class.deadline)._replace(**fields)
-        self.jobs[request] = event
-        self.give(event)
+        request_class = self.settings.classes[class_index]
+        event = RequestArrived(request, class_index, self.now + request_class.deadline)._replace(**fields)
+        self.requests[request] = event
+        self.handle(event)
         return request
 
-    def end(
+    def end_attempt(
         self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
         """Ends an attempt with an outcome, and returns the actions."""
-        self.outcome[request, attempt] = outcome
-        final = request in self.answered or outcome == Outcome.SERVED
-        if final and request not in self.answered:
-            self.answered[request] = "served"
+        self.outcomes[request, attempt] = outcome
+        final = request in self.final_states or outcome == Outcome.SERVED
+        if final and request not in self.final_states:
+            self.final_states[request] = "served"
         latency = self.now - self.sent_at[request, attempt]
-        server = self.sent[request][attempt]
-        return self.give(AttemptEnded(request, attempt, server, outcome, latency, final, report))
+        server = self.sent_to[request][attempt]
+        return self.handle(AttemptEnded(request, attempt, server, outcome, latency, final, report))
 
     def open_attempts(self) -> list[tuple[int, int]]:
         """Returns the attempts in flight as request and index, the oldest first."""
-        return [key for key in self.sent_at if key not in self.outcome]
+        return [key for key in self.sent_at if key not in self.outcomes]
 
-    def until(self, time_ms: float) -> None:
+    def advance_to(self, time_ms: float) -> None:
         """Advances the clock to a time in ms, and fires the timers that are due."""
         while self.timers and min(self.timers) <= time_ms:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
-            self.give(TimerFired(0))
+            self.handle(TimerFired(0))
         self.now = max(self.now, time_ms)
 
-    def finish(self) -> None:
+    def finish_requests(self) -> None:
         """Advances the clock until every request is due, and checks that each has its final answer in time."""
-        for request, event in sorted(self.jobs.items(), key=lambda item: item[1].give_up_at):
-            self.until(event.give_up_at + self.settings.answer_slack)
-            assert request in self.answered, f"request {request} has no final answer"
+        for request, event in sorted(self.requests.items(), key=lambda item: item[1].give_up_at):
+            self.advance_to(event.give_up_at + self.settings.answer_slack)
+            assert request in self.final_states, f"request {request} has no final answer"
 
 
 def with_settings(**changes: Any) -> Settings:
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -47,7 +47,7 @@
 from heronlug.lifecycle.hot_restart.channel import listen, socket_path
 from heronlug.standins.ports import free_port
 
-FOLDER = Path(__file__).parent / "exchanges"
+EXCHANGES_FOLDER = Path(__file__).parent / "exchanges"
 """Folder of the recorded exchanges."""
 
 PEER_PROCESS_ANSWERS = {
--- a/tests/lifecycle/test_hot_restart.py
+++ b/tests/lifecycle/test_hot_restart.py
@@ -8,7 +8,7 @@
 from typing import Any, cast
 
 import pytest
-from drive import Host, entries, with_settings
+from drive import Host, server_entries, with_settings
 
 from heronlug import ListKind, Outcome, PeerMessage, RequestArrived, RequestClass, ServerEntry, StartAttempt
 from heronlug.backends.connection import ServerConnection
@@ -34,19 +34,19 @@
 
 class SnapshotTransfer(unittest.TestCase):
     def host_with_traffic(self) -> Host:
-        host = Host(SETTINGS, workers=4)
+        host = Host(SETTINGS, server_count=4)
         for number in range(60):
-            request_id = host.job(0)
-            host.now += 5 + 10 * (host.sent[request_id][0] % 3)
+            request_id = host.new_request(0)
+            host.now += 5 + 10 * (host.sent_to[request_id][0] % 3)
             if number == 30:
-                host.end(request_id, 0, Outcome.ERROR)
-            host.end(request_id, len(host.sent[request_id]) - 1)
+                host.end_attempt(request_id, 0, Outcome.ERROR)
+            host.end_attempt(request_id, len(host.sent_to[request_id]) - 1)
         return host
 
     def test_new_process_resumes_with_the_learned_state_of_the_old_one(self) -> None:
         """Guards against a new process that sends to failing servers, or exceeds the slow start of a cold server."""
-        old, new = self.host_with_traffic(), Host(SETTINGS, seed=2, workers=4)
-        request_id = old.job(2)
+        old, new = self.host_with_traffic(), Host(SETTINGS, seed=2, server_count=4)
+        request_id = old.new_request(2)
         new.now = old.now
         new.dispatcher.resume(decoded_snapshot(old), new.now)
         new_dispatcher, old_dispatcher = new.dispatcher, old.dispatcher
@@ -57,20 +57,20 @@
         assert new_dispatcher.avoided_servers(new.now) == old_dispatcher.avoided_servers(old.now)
         assert old_dispatcher.avoided_servers(old.now)
         assert new_dispatcher.rules.retry_budget.level == old_dispatcher.rules.retry_budget.level
-        server_id = old.sent[request_id][0]
+        server_id = old.sent_to[request_id][0]
         # the attempt in flight in the old process counts as a peer's
         assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 1
         recent_work = [
             host.dispatcher.state.servers.by_id[server_id].slow_start.recent_work.total(0) for host in (old, new)
         ]
         assert recent_work[0] == recent_work[1]
-        new.give(PeerGone(SETTINGS.position))
+        new.handle(PeerGone(SETTINGS.position))
         assert new_dispatcher.state.servers.by_id[server_id].load.peer_slots == 0
 
     def test_malformed_snapshot_changes_nothing(self) -> None:
         """Guards against partly applied state when another process sends a snapshot with missing or invalid values."""
         valid_snapshot = decoded_snapshot(self.host_with_traffic())
-        new = Host(SETTINGS, seed=2, workers=4)
+        new = Host(SETTINGS, seed=2, server_count=4)
         before = decoded_snapshot(new)
         malformed_snapshots: list[Any] = [
             None,
@@ -101,19 +101,19 @@
     def test_adopted_request_keeps_its_attempt_and_its_retry_rules(self) -> None:
         """Guards against a second execution of a non-idempotent request, and a payoff for handed-over attempts."""
         for class_index, effect, retries in ((0, Effect.IDEMPOTENT, True), (2, Effect.NON_IDEMPOTENT, False)):
-            old, new = Host(SETTINGS, workers=3), Host(SETTINGS, seed=2, workers=3)
-            request_id = old.job(class_index)
+            old, new = Host(SETTINGS, server_count=3), Host(SETTINGS, seed=2, server_count=3)
+            request_id = old.new_request(class_index)
             handed_over = old.dispatcher.attempt_snapshots(request_id)
             assert handed_over is not None
             assert len(handed_over) == 1
             payoff_counts = {server.id: server.payoff.count for server in old.dispatcher.state.servers.by_id.values()}
-            old.give(RequestHandedOver(request_id))
+            old.handle(RequestHandedOver(request_id))
             assert [server.load.own_slots for server in old.dispatcher.state.servers.by_id.values()] == [0, 0, 0]
             assert {
                 server.id: server.payoff.count for server in old.dispatcher.state.servers.by_id.values()
             } == payoff_counts
-            old.until(old.now + 9000)
-            assert not old.answered
+            old.advance_to(old.now + 9000)
+            assert not old.final_states
             arrived = RequestArrived(7, class_index, new.now + 4000)
             actions = new.dispatcher.handle(new.now, RequestAdopted(arrived, new.now - 100, handed_over))
             assert not [action for action in actions if isinstance(action, StartAttempt)]
@@ -124,7 +124,7 @@
 
     def test_adopted_request_without_an_attempt_is_placed(self) -> None:
         """Guards against a handed-over request that waits until its deadline because no attempt is started."""
-        new = Host(SETTINGS, workers=3)
+        new = Host(SETTINGS, server_count=3)
         actions = new.dispatcher.handle(
             new.now, RequestAdopted(RequestArrived(7, 2, new.now + 4000), new.now - 100, ())
         )
@@ -259,19 +259,19 @@
 
         The predecessor reports under the position of this dispatcher, which no other peer has.
         """
-        new = Host(SETTINGS, workers=2)
+        new = Host(SETTINGS, server_count=2)
         new.dispatcher.state.peer_load.set_counts(0, {1: 3}, new.dispatcher.state.servers.by_id, new.now)
         assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 3
         content = new.dispatcher.state.peer_load.STAMP.pack(b"c", new.now) + new.dispatcher.state.peer_load.PAIR.pack(
             1, 1
         )
-        new.give(PeerMessage(0, content))
+        new.handle(PeerMessage(0, content))
         assert new.dispatcher.state.servers.by_id[1].load.peer_slots == 1
 
     def test_adopted_attempt_counts_at_a_removed_server(self) -> None:
         """Guards against an error or a lost attempt when the server of a handed-over attempt is no longer listed."""
-        new = Host(SETTINGS, workers=2)
-        new.listed(ListKind.CHANGES, (ServerEntry(9), *entries(2)))
+        new = Host(SETTINGS, server_count=2)
+        new.update_servers(ListKind.CHANGES, (ServerEntry(9), *server_entries(2)))
         handed_over = (AttemptSnapshot(9, new.now, True, True, True, new.now),)
         new.dispatcher.handle(new.now, RequestAdopted(RequestArrived(7, 0, new.now + 4000), new.now, handed_over))
         assert new.dispatcher.state.servers.by_id[9].load.own_attempts == 1
--- a/tests/lifecycle/test_plan_and_apply.py
+++ b/tests/lifecycle/test_plan_and_apply.py
@@ -10,13 +10,13 @@
 
 import pytest
 import wasmtime
-from exchange import FOLDER, ExchangePlayer
+from exchange import EXCHANGES_FOLDER, ExchangePlayer
 
 from heronlug.plugins.host import PluginError, PluginHost
 from heronlug.requests.model import FinalAnswer
 from heronlug.standins.ports import free_port
 
-EXCHANGE_WORDS = (FOLDER / "words.txt").read_text()
+EXCHANGE_WORDS = (EXCHANGES_FOLDER / "words.txt").read_text()
 REJECT_CLASS_1_MODULE = (
     """(module (func (export "admit") (param i32 f64 i32) (result i32) local.get 0 i32.const 1 i32.ne))"""
 )
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -4,16 +4,16 @@
 import re
 import unittest
 
-from exchange import FOLDER, ExchangePlayer
+from exchange import EXCHANGES_FOLDER, ExchangePlayer
 
-DEFINITIONS = (FOLDER / "words.txt").read_text()
+DEFINITIONS = (EXCHANGES_FOLDER / "words.txt").read_text()
 
 
 class ExchangeTests(unittest.TestCase):
     """One test for each file of an exchange."""
 
     def play(self, name: str) -> None:
-        text = (FOLDER / name).read_text()
+        text = (EXCHANGES_FOLDER / name).read_text()
         header_lines = re.findall(r"^# (limits|hosts|sockets|state|inherited|partner|taken) (.*)$", text, re.M)
         options = {key: json.loads(value) for key, value in header_lines}
         player = ExchangePlayer(**options)
@@ -34,7 +34,7 @@
     setattr(ExchangeTests, f"test_{name.removesuffix('.txt')}", test)
 
 
-for path in sorted(FOLDER.glob("*.txt")):
+for path in sorted(EXCHANGES_FOLDER.glob("*.txt")):
     if path.name != "words.txt":
         _add_test(path.name)
 
