--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -31,13 +31,13 @@
 
 
 class ManualClock:
-    """A clock that advances only when a test sets ``at``, the time in ms."""
+    """A clock that advances only when a test sets ``time_ms``."""
 
     def __init__(self) -> None:
-        self.at = START_TIME
+        self.time_ms = START_TIME
 
     def now(self) -> float:
-        return self.at
+        return self.time_ms
 
 
 class StandInConnection(asyncio.Protocol):
@@ -286,18 +286,18 @@
     async def pass_time(self, duration_ms: float) -> None:
         """Advances the clock, and runs each deadline at its time."""
         await self.settle()
-        end, deadlines = self.clock.at + duration_ms, self.application.deadline_loop.deadlines
+        end, deadlines = self.clock.time_ms + duration_ms, self.application.deadline_loop.deadlines
         while (next_due := deadlines.next_due()) is not None and next_due <= end:
-            self.clock.at = max(self.clock.at, next_due)
+            self.clock.time_ms = max(self.clock.time_ms, next_due)
             self.application.turn()
             await self.settle()
-        self.clock.at = end
+        self.clock.time_ms = end
         self.application.turn()
         await self.settle()
 
     async def until_time(self, duration_ms: float) -> None:
         """Advances the clock to a time after the start."""
-        await self.pass_time(START_TIME + duration_ms - self.clock.at)
+        await self.pass_time(START_TIME + duration_ms - self.clock.time_ms)
 
     async def client(self) -> StandInConnection:
         """Opens a connection of a client."""
@@ -327,7 +327,7 @@
 
     def stall(self, duration_ms: float) -> None:
         """Advances the clock without a turn of the loop."""
-        self.clock.at += duration_ms
+        self.clock.time_ms += duration_ms
 
     def logged(self, event: str) -> list[dict[str, object]]:
         """Returns the fields of the logged events with this name."""
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -114,13 +114,13 @@
             harness.application.turn()
             await harness.settle()
             assert no_request_pending(harness)
-            assert await expect_still_serving(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
-def test_client_leaves_while_its_request_is_pipelined_behind_another(ending: str) -> None:
+def test_client_leaves_while_its_request_is_pipelined_after_another(ending: str) -> None:
     """Guards against sending a pipelined request when the previous one ends in the turn that reads the disconnect."""
 
     async def test() -> None:
@@ -135,7 +135,7 @@
             harness.stall(STALL_MS)
             await harness.settle()
             assert no_request_pending(harness)
-            assert await expect_still_serving(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
@@ -153,7 +153,7 @@
             harness.stall(STALL_MS)
             await harness.settle()
             assert no_request_pending(harness)
-            assert await expect_still_serving(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
@@ -179,7 +179,7 @@
             harness.application.backend.on_connected = on_connected  # type: ignore[method-assign]
             assert harness.application.backend.dials == 1
             assert no_request_pending(harness)
-            assert await expect_still_serving(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
@@ -282,8 +282,8 @@
             harness.application.state_transfer.adopt_request(
                 {
                     "request": write_request(request),
-                    "give_up_at": harness.clock.at + 4_000,
-                    "taken_at": harness.clock.at,
+                    "give_up_at": harness.clock.time_ms + 4_000,
+                    "taken_at": harness.clock.time_ms,
                     "hosts": write_list(0, [], [], []),
                     "attempts": [],
                     "wires": [],
@@ -299,12 +299,12 @@
                 server_connection.send(done("t1"))
                 await harness.settle()
                 assert client.received().endswith(b"ok")
-            assert await expect_still_serving(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
-async def expect_still_serving(harness: DispatcherHarness) -> bool:
+async def other_client_is_served(harness: DispatcherHarness) -> bool:
     """Returns whether a request of another client is answered."""
     client = await harness.post("later")
     server = next(server for server in harness.servers.values() if server.requests)
--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -96,7 +96,8 @@
             while not harness.application.backend.dials:
                 await harness.turn_once()
             watch.send_now(harness.list_response(4, "h1:leaving"))
-            harness.clock.at += 2600.0  # the kernel has opened the connection, and the loop has not read that event
+            # The kernel has opened the connection, and the loop has not read that event.
+            harness.clock.time_ms += 2600.0
             await harness.settle()
             await harness.pass_time(50)
             assert not harness.servers["h1"].requests
--- a/tests/end_to_end/test_graceful_shutdown.py
+++ b/tests/end_to_end/test_graceful_shutdown.py
@@ -105,7 +105,7 @@
             await harness.settle()
             late_client.received = b""
             await send_sigterm(harness)
-            sigterm_at = harness.clock.at
+            sigterm_at = harness.clock.time_ms
             os.kill(os.getpid(), signal.SIGTERM)  # a second SIGTERM has no effect
             await harness.pass_time(sigkill_delay_ms - 200)
             assert hanging_client.received.startswith(REJECTED)
@@ -118,7 +118,7 @@
             await harness.settle()
             await harness.pass_time(100)
             assert harness.ended
-            assert harness.clock.at - sigterm_at < sigkill_delay_ms
+            assert harness.clock.time_ms - sigterm_at < sigkill_delay_ms
 
     run_async(test)
 
--- a/tests/end_to_end/test_stale_list.py
+++ b/tests/end_to_end/test_stale_list.py
@@ -116,7 +116,7 @@
     run_async(lambda: RestartedDispatcher(tmp_path, discovery=unused_address).run_async(test))
 
 
-def test_start_behind_a_network_partition_uses_the_cached_list(tmp_path: Path) -> None:
+def test_start_during_a_network_partition_uses_the_cached_list(tmp_path: Path) -> None:
     """Guards against an outage of the dispatcher when a partition hides discovery and no connection is refused."""
 
     async def test(restarted: RestartedDispatcher) -> None:
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -224,7 +224,7 @@
             for number in range(30):
                 await harness.pass_time(1_000)
                 await expect_sent(harness, f"t{number}", "h1")
-            assert harness.clock.at - START_TIME >= 30_000
+            assert harness.clock.time_ms - START_TIME >= 30_000
             # The list was stale only before the first answer.
             assert [fields["state"] for fields in harness.logged("list_stale")] == ["unconfirmed"]
 
@@ -244,7 +244,7 @@
 async def fail_polls(harness: DispatcherHarness, ending: str, until_ms: float) -> int:
     """Lets each poll fail in the given way until a time after the start; returns the number of polls."""
     calls = 0
-    while harness.clock.at < START_TIME + until_ms:
+    while harness.clock.time_ms < START_TIME + until_ms:
         await harness.pass_time(50)
         for call in harness.discovery.connections:
             if not call.ended and call.take_request():
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -51,15 +51,15 @@
         self._base_time, self._base_cpu = START_TIME, time.thread_time()
 
     @property
-    def at(self) -> float:
+    def time_ms(self) -> float:
         return self._base_time + (time.thread_time() - self._base_cpu) * 1000 / CPU_SHARE
 
-    @at.setter
-    def at(self, when: float) -> None:
-        self._base_time, self._base_cpu = max(self.at, when), time.thread_time()
+    @time_ms.setter
+    def time_ms(self, when: float) -> None:
+        self._base_time, self._base_cpu = max(self.time_ms, when), time.thread_time()
 
     def now(self) -> float:
-        return self.at
+        return self.time_ms
 
 
 @dataclass
@@ -238,7 +238,7 @@
             due = min(callback_at, head if head is not None else float("inf"))
             if due > end_at or self.clock.now() > 2 * end_at - START_TIME:
                 break
-            self.clock.at = due
+            self.clock.time_ms = due
             if callback_at <= due:
                 heapq.heappop(self._callbacks)[2]()
             else:
