--- a/tests/compatibility/test_recorded_forms.py
+++ b/tests/compatibility/test_recorded_forms.py
@@ -98,6 +98,7 @@
 
 @pytest.mark.parametrize("name", ["learned.json", "learned-zones.json"])
 def test_snapshot_is_restored_and_written_again(name: str) -> None:
+    """Guards against a value of a snapshot that is lost when a process restores it and hands it to the next process."""
     dispatcher, table = restore_dispatcher(name), orjson.loads(read_recorded(name))
     for number, _, own_slots, *_ in table["workers"]:
         server = dispatcher.state.servers.by_id[number]
@@ -107,6 +108,7 @@
 
 
 def test_snapshot_has_the_recorded_keys_and_columns() -> None:
+    """Guards against a renamed key or a moved column, which a process of another version would misread."""
     table, dispatcher = orjson.loads(read_recorded("learned-zones.json")), restore_dispatcher("learned-zones.json")
     assert list(table) == ["all", "span", "usual_pace", "retries", "halls", "kinds", "workers"]
     assert list(dispatcher.snapshot()) == list(table)
@@ -131,6 +133,7 @@
 
 
 def test_server_row_of_a_snapshot_has_the_recorded_columns() -> None:
+    """Guards against a moved column of a server, which a process of another version would misread."""
     server = restore_dispatcher("learned.json").state.servers.by_id[2]
     row = orjson.loads(read_recorded("learned.json"))["workers"][1]
     assert row[:4] == [2, 0.0, 0.0, [[1050.0, 25.0], [2175.0, 25.0]]]
@@ -152,14 +155,17 @@
 
 
 def test_hot_restart_socket_has_the_recorded_path() -> None:
+    """Guards against two versions that look for each other at different paths."""
     assert socket_path("/run", "d1", "127.0.0.1:8080") == "/run/heronlug-c79aea7f"
 
 
 def test_old_process_sends_the_recorded_packets(tmp_path: Path) -> None:
+    """Guards against packets that a new process of an older version cannot read."""
     assert asyncio.run(restart_packets(tmp_path)) == read_recorded_packets()
 
 
 def test_recorded_old_process_hands_over_to_the_present_code(tmp_path: Path) -> None:
+    """Guards against a handover from an older version that loses the list, a request, its id or its attempts."""
     process = RestartProcess(str(tmp_path))
     asyncio.run(hand_over_to_new_process(process, tmp_path))
     assert process.application.frontend.adopt.call_args_list[0].args[1] is True
@@ -224,6 +230,7 @@
 
 
 def test_handed_over_request_has_the_recorded_keys() -> None:
+    """Guards against a renamed key of a request, which a process of another version would reject."""
     table = orjson.loads(read_recorded_packets()[2].data[1:])
     assert list(table) == [
         "kind",
@@ -254,6 +261,7 @@
 
 
 def test_load_report_of_a_peer_is_read() -> None:
+    """Guards against misreading the slots or outcomes that a peer of another version reports."""
     reports, servers = PeerLoad(), make_servers(3)
     outcomes = reports.receive(PeerMessage(1, decode_lines(read_recorded("load-reports.txt"))["counts"]), servers, NOW)
     assert [server.load.peer_slots for server in servers.values()] == [3.0, 63.0, 0.0]
@@ -261,6 +269,7 @@
 
 
 def test_load_summary_of_a_peer_is_read() -> None:
+    """Guards against misreading the load levels that an aggregator of another version sends."""
     reports, servers, lines = PeerLoad(), make_servers(500), decode_lines(read_recorded("load-reports.txt"))
     reports.set_ready_servers(list(servers.values()))
     for name in ("summary-0", "summary-1"):
@@ -270,6 +279,7 @@
 
 
 def test_capacity_loan_is_requested_and_granted_with_the_recorded_bytes() -> None:
+    """Guards against a loan that fails between dispatchers of different versions."""
     lines = decode_lines(read_recorded("loan.txt"))
     borrower = next(member for member in map(LendingDispatcher, range(14)) if not member.server.slow_start.work_budget)
     ((loan_request, holder),) = borrower.request_loan()
@@ -282,6 +292,7 @@
 
 
 def test_gossip_of_another_dispatcher_is_read() -> None:
+    """Guards against a message or a goodbye of another version that is ignored."""
     received: list[tuple[int, bytes]] = []
     peers = PeerSocket(
         ["127.0.0.1:7001", "127.0.0.1:7002"],
@@ -324,6 +335,7 @@
 
 
 def test_shared_server_list_has_the_recorded_names_and_keys() -> None:
+    """Guards against dispatchers of two versions that use different tables for the shared server list."""
     assert [tag(name) for name in (LEASE_TABLE, INTERIM_TABLE)] == [3923872814, 3712889818]
     assert (VERSION_KEY, UNWATCHED_KEY, VERSIONS_RESTARTED_KEY) == (b"v", b"s", b"b")
 
@@ -350,6 +362,7 @@
 
 
 def test_cached_list_file_is_read_and_written(tmp_path: Path) -> None:
+    """Guards against a cache file of another version that is rejected, or is written differently."""
     asyncio.run(read_and_write_cached_list(tmp_path / "kept"))
 
 
@@ -377,10 +390,12 @@
 
 
 def test_final_states_are_stored_with_the_recorded_words() -> None:
+    """Guards against a stored final state that another version does not recognize."""
     assert [outcome.value for outcome in FinalState] == ["served", "refused", "failed"]
 
 
 def test_new_store_has_the_recorded_schema_and_rows(tmp_path: Path) -> None:
+    """Guards against a schema that an older version cannot open after a rollback."""
     old_store, path = Path(shutil.copy(DATA_FOLDER / "store.sqlite", tmp_path / "old")), tmp_path / "new"
     write_store(path)
     assert dump_database(path) == dump_database(old_store)
--- a/tests/end_to_end/test_graceful_shutdown.py
+++ b/tests/end_to_end/test_graceful_shutdown.py
@@ -167,7 +167,7 @@
 def test_requests_are_served_when_sigterm_arrives_during_the_start() -> None:
     """Guards against losing clients that connect when SIGTERM arrives while the listener opens.
 
-    The process must serve them, and exit when there is no more traffic.
+    The process must serve them, and exit when the traffic has ended.
     """
 
     async def test() -> None:
