--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -61,7 +61,7 @@
     Both deployments run twice, and the second round must behave as the first one.
     """
 
-    async def test_first() -> None:
+    async def run_first_deployment() -> None:
         async with DispatcherHarness(2, **FIRST_DEPLOYMENT).open(confirmed=False) as harness:
             call, poll = await harness.discovery.request()
             assert b"&wait_ms=0 " in poll
@@ -71,7 +71,7 @@
             client = await harness.post("m1", "maps")
             assert client.received.startswith(b"HTTP/1.1 400 ")
 
-    async def test_second() -> None:
+    async def run_second_deployment() -> None:
         async with DispatcherHarness(2, **SECOND_DEPLOYMENT).open() as harness:
             _, poll = await harness.discovery.request()
             assert b"&wait_ms=20000 " in poll
@@ -89,8 +89,8 @@
             assert client.received == response(503)  # this deployment sends no Retry-After
 
     for _ in range(2):
-        run_async(test_first)
-        run_async(test_second)
+        run_async(run_first_deployment)
+        run_async(run_second_deployment)
 
 
 def test_requests_count_against_the_tenant_that_they_name() -> None:
