--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -1,6 +1,6 @@
-"""Write the files in ``data`` anew: ``python -m compatibility.record`` in ``tests``, with the code of commit 1ac93b2.
+"""Writes the files in ``data``: run ``python -m compatibility.record`` in ``tests`` with the code of commit 1ac93b2.
 
-The tests never run this.  A form that changes on purpose gets a file of its own, and the old one stays.
+The tests never run this module. A form that changes on purpose gets its own file, and the file of the old form stays.
 """
 
 import asyncio
@@ -10,23 +10,23 @@
 import orjson
 from drive import Host, with_settings
 
-from compatibility.samples import DATA, WRITERS, Lending, as_lines, restart_packets, write_store
+from compatibility.samples import DATA_FOLDER, WRITERS, LendingDispatcher, encode_lines, restart_packets, write_store
 from heronlug import ListKind, Outcome, PeerMessage, ServerEntry
 from heronlug.balancer.zone_failover.zone_state import ZonePhase, ZoneState
 
 
-def record_learned(zones: bool) -> bytes:
-    """What a dispatcher has learned that has seen failures, an ejection, and servers that warm up."""
-    host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), workers=0)
-    listed = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
-    host.listed(ListKind.FULL, tuple(listed))
+def record_snapshot(zones: bool) -> bytes:
+    """Returns the snapshot of a dispatcher after failures, an ejection and the start of servers that warm up."""
+    host = Host(with_settings(zone_failover=zones, reports_start=True, report_fields=()), server_count=0)
+    listed_servers = [ServerEntry(n, zone=n % 2, kind=n // 4, cell=n, started_at=900.0 * (n > 4)) for n in range(1, 7)]
+    host.update_servers(ListKind.FULL, tuple(listed_servers))
     for number in range(60):
-        host.job(0 if number % 10 else 2)
+        host.new_request(0 if number % 10 else 2)
         host.now += 25
         for request, attempt in host.open_attempts()[:2]:
-            failed = host.sent[request][attempt] == 2
-            host.end(request, attempt, Outcome.ERROR if failed else Outcome.SERVED)
-    host.job(0)
+            failed = host.sent_to[request][attempt] == 2
+            host.end_attempt(request, attempt, Outcome.ERROR if failed else Outcome.SERVED)
+    host.new_request(0)
     (
         host.dispatcher.state.servers.capacities[0].peak_slots,
         host.dispatcher.state.servers.capacities[0].reported_slots,
@@ -39,28 +39,32 @@
 
 
 def record_loan() -> bytes:
-    """An ask for capacity at a server that warms up, and its grant."""
-    position, asker = next(
-        (at, member) for at in range(14) if not (member := Lending(at)).server.slow_start.work_budget
+    """Returns a request for a capacity loan at a server that warms up, and its grant."""
+    position, borrower = next(
+        (position_tried, member)
+        for position_tried in range(14)
+        if not (member := LendingDispatcher(position_tried)).server.slow_start.work_budget
     )
-    (ask, holder), *_ = asker.ask()
-    lender = Lending(holder)
-    ((grant, _),) = lender.shares.receive(PeerMessage(position, ask), lender.table.by_id, 21.0)
-    return as_lines({"ask": ask, "grant": grant})
+    (loan_request, holder), *_ = borrower.request_loan()
+    lender = LendingDispatcher(holder)
+    ((loan_grant, _),) = lender.shares.receive(PeerMessage(position, loan_request), lender.table.by_id, 21.0)
+    return encode_lines({"ask": loan_request, "grant": loan_grant})
 
 
 def main() -> None:
-    """Write all files."""
+    """Writes all files."""
     for name, writer in WRITERS.items():
-        (DATA / name).write_bytes(writer())
-    (DATA / "learned.json").write_bytes(record_learned(False))
-    (DATA / "learned-zones.json").write_bytes(record_learned(True))
-    (DATA / "loan.txt").write_bytes(record_loan())
-    (DATA / "store.sqlite").unlink(missing_ok=True)
-    write_store(DATA / "store.sqlite")
+        (DATA_FOLDER / name).write_bytes(writer())
+    (DATA_FOLDER / "learned.json").write_bytes(record_snapshot(False))
+    (DATA_FOLDER / "learned-zones.json").write_bytes(record_snapshot(True))
+    (DATA_FOLDER / "loan.txt").write_bytes(record_loan())
+    (DATA_FOLDER / "store.sqlite").unlink(missing_ok=True)
+    write_store(DATA_FOLDER / "store.sqlite")
     with tempfile.TemporaryDirectory() as folder:
         packets = asyncio.run(restart_packets(Path(folder)))
-    (DATA / "restart-packets.json").write_bytes(orjson.dumps(list(map(list, packets)), option=orjson.OPT_INDENT_2))
+    (DATA_FOLDER / "restart-packets.json").write_bytes(
+        orjson.dumps(list(map(list, packets)), option=orjson.OPT_INDENT_2)
+    )
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -1,6 +1,6 @@
-"""Sample values of each recorded form, and functions that write them with the present code.
+"""Defines sample values of each recorded form, and functions that write the form with the present code.
 
-``record.py`` ran these functions with the code of commit 1ac93b2 and kept what they wrote in ``data``.
+``record.py`` ran these functions with the code of commit 1ac93b2 and saved the results in ``data``.
 """
 
 import asyncio
@@ -65,14 +65,15 @@
 from heronlug.storage.model import StoredRequest
 from heronlug.storage.sqlite import SqliteStore
 
-DATA = Path(__file__).parent / "data"
+DATA_FOLDER = Path(__file__).parent / "data"
 NOW = 1_700_000_000_000.0
 ZONES, MACHINE_TYPES = ["zone-a", "zone-b"], ["small", "large"]
 SERVERS = [
     ListedServer("server-1", "10.0.0.1:80", ServerState.READY, 0, 0, 0, 1.0, 0.0),
     ListedServer("server-2", "10.0.0.2:80", ServerState.READY, 1, 1, 3, 0.5, 1_699_999_000_000.0),
     ListedServer("server-3", "[::1]:8080", ServerState.DRAINING, 0, 1, 7, 2.0, 12.5),
-    ListedServer("server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0),  # zone and type are unknown
+    # The zone and the machine type are unknown.
+    ListedServer("server-4", "10.0.0.4:80", ServerState.REMOVED, 2, 2, 0, 1.0, 0.0),
 ]
 SETTINGS = Settings(
     classes=(
@@ -102,7 +103,7 @@
     NodeRequest((34, 2**64 - 1)),
     NodeData(b"L\x01\x02kvv"),
 ]
-PART_NAMES: dict[type, str] = {  # of 1ac93b2, where they have changed since
+PART_NAMES: dict[type, str] = {  # names in commit 1ac93b2 of the classes that were renamed later
     IndirectPing: "PingFor",
     LeaseDenial: "Deny",
     LeaseGrant: "Grant",
@@ -118,7 +119,7 @@
 }
 KEYS = {3: b"the key of the recorded datagrams", 4: b"another key"}
 ROWS = {b"key-%02d" % number: b"value of row %d" % number for number in range(24)}
-JOBS = [
+STORED_REQUESTS = [
     StoredRequest("jid-1", "safe", "default", b'{"jid":"jid-1"}', 1000.5, 800.0),
     StoredRequest("jid-2", "once", "mail", b'{"jid":"jid-2","after":["jid-1"]}', 1001.0, 900.0, 5000.0, 1100.0),
     StoredRequest("jid-3", "safe", "default", b"", 1002.0, 700.0, 0.0, 1200.0, "served", 1300.0),
@@ -126,76 +127,76 @@
 
 
 class Packet(NamedTuple):
-    """One packet of a hot restart, and how many descriptors go with it."""
+    """One packet of a hot restart, and the number of descriptors that it carries."""
 
     data: str
     descriptors: int
 
 
-def kept_list() -> bytes:
-    """The file of the kept list."""
+def cached_list() -> bytes:
+    """Returns the file of the cached list."""
     return encode_cache("127.0.0.1:8500", NOW, write_list(42, SERVERS, ZONES, MACHINE_TYPES))
 
 
-def server_list() -> bytes:
-    """The list of servers with those that are gone."""
+def endpoint_list() -> bytes:
+    """Returns the endpoint list, including removed servers."""
     return orjson.dumps(write_list(42, SERVERS, ZONES, MACHINE_TYPES, True))
 
 
-def register_rows() -> bytes:
-    """The rows of the shared server list."""
-    return as_lines(
+def server_rows() -> bytes:
+    """Returns the rows of the shared server list."""
+    return encode_lines(
         {key.decode(): value for key, value in ServerRowCodec(ZONES, MACHINE_TYPES).encode(SERVERS).items()}
     )
 
 
 def cluster_parts() -> bytes:
-    """Each part of a cluster datagram, by its name on these pages."""
-    return as_lines({PART_NAMES.get(type(part), type(part).__name__): encode_part(part) for part in PARTS})
+    """Returns each part of a cluster datagram, by the name of its class in commit 1ac93b2."""
+    return encode_lines({PART_NAMES.get(type(part), type(part).__name__): encode_part(part) for part in PARTS})
 
 
 def cluster_datagrams() -> bytes:
-    """All parts, sealed with the first of two keys."""
+    """Returns the datagrams of all parts, sealed with the first of two keys."""
     datagrams = DatagramCodec(0x01020304, KEYS, 1000).pack(PARTS)
-    return as_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
+    return encode_lines({str(number): datagram for number, datagram in enumerate(datagrams)})
 
 
 def table_nodes() -> bytes:
-    """The nodes of a replicated table, its root first."""
+    """Returns the nodes of a replicated table, the root first."""
     nodes: dict[int, bytes] = {}
     root = merkle_trie.build(ROWS, nodes)
-    return as_lines({f"{name:016x}": nodes[name] for name in merkle_trie.names(nodes, root)})
+    return encode_lines({f"{name:016x}": nodes[name] for name in merkle_trie.names(nodes, root)})
 
 
-def as_lines(values: dict[str, bytes]) -> bytes:
-    """A line for each value: its name and its bytes in hexadecimal digits."""
+def encode_lines(values: dict[str, bytes]) -> bytes:
+    """Returns one line for each value, with the name and the bytes in hexadecimal digits."""
     return "".join(f"{name} {value.hex()}\n" for name, value in values.items()).encode()
 
 
-def from_lines(data: bytes) -> dict[str, bytes]:
-    """The values of such lines."""
+def decode_lines(data: bytes) -> dict[str, bytes]:
+    """Returns the values in lines that ``encode_lines`` wrote."""
     lines = [line.split(" ") for line in data.decode().splitlines()]
     return {name: bytes.fromhex(digits) for name, digits in lines}
 
 
-def workers(count: int) -> dict[int, Server]:
-    """Servers as one dispatcher knows them."""
+def make_servers(count: int) -> dict[int, Server]:
+    """Returns ``count`` servers as one dispatcher represents them, by number."""
     return {number: Server(ServerEntry(number), CapacityEstimate()) for number in range(1, count + 1)}
 
 
 def load_reports() -> bytes:
-    """Counts of slots in flight, and a load summary in two datagrams."""
-    reports, servers = PeerLoad(), workers(500)
+    """Returns a report of the slots in flight, and a load summary in two datagrams."""
+    reports, servers = PeerLoad(), make_servers(500)
     servers[1].load.own_slots, servers[2].load.own_slots, servers[3].load.own_slots = 3.0, 70.0, 0.0
     reports.unreported = {number: servers[number] for number in (1, 2, 3)}
-    reports.unreported_outcomes = {1: 64, 3: 128}  # well, badly
+    reports.unreported_outcomes = {1: 64, 3: 128}  # 64: the last attempt succeeded; 128: the last attempt failed
     reports.set_ready_servers(list(servers.values()))
     summary = reports.summary([number % 16 for number in range(1, 501)])
-    return as_lines({"counts": reports.report(NOW), "summary-0": summary[0], "summary-1": summary[1]})
+    return encode_lines({"counts": reports.report(NOW), "summary-0": summary[0], "summary-1": summary[1]})
 
 
-class Lending:
-    """One of fourteen dispatchers, with server 7 warming up."""
+class LendingDispatcher:
+    """One of fourteen dispatchers, while server 7 warms up."""
 
     def __init__(self, position: int) -> None:
         settings = Settings(
@@ -216,19 +217,19 @@
         self.server.slow_start.work_budget = self.shares.share(self.server, 0.2, 100.0, 10.0)
 
     def request(self) -> Request:
-        """A request of usual size."""
-        job = Request(RequestArrived(1, 0, 10_000.0), SETTINGS.classes[0])
-        job.work = 100.0
-        return job
+        """Returns a request with 100 ms of work."""
+        request = Request(RequestArrived(1, 0, 10_000.0), SETTINGS.classes[0])
+        request.work = 100.0
+        return request
 
-    def ask(self) -> list[tuple[bytes, int]]:
-        """What it asks others for, and whom."""
-        told = self.shares.request_loans([self.request()], [self.server], 20.0)
-        return [(content, peer) for content, peer in told]
+    def request_loan(self) -> list[tuple[bytes, int]]:
+        """Returns the requests for a capacity loan, each with the position of its recipient."""
+        messages = self.shares.request_loans([self.request()], [self.server], 20.0)
+        return [(content, peer) for content, peer in messages]
 
 
-def gossip() -> bytes:
-    """What goes over the socket to two peers: a message, the goodbye alone, and a message with that mark."""
+def gossip_datagrams() -> bytes:
+    """Returns the datagrams to two peers: a message, a goodbye, and a message that is marked with the goodbye."""
     transport = MagicMock()
     peers = PeerSocket(
         ["127.0.0.1:7001", "127.0.0.1:7002"], None, 0, MagicMock(), MagicMock(), MagicMock(), lambda: NOW
@@ -237,25 +238,26 @@
     peers.send(b"cat", -1)
     peers.leave()
     peers.send(b"cat", 1)
-    return as_lines({str(number): call.args[0] for number, call in enumerate(transport.sendto.call_args_list)})
+    return encode_lines({str(number): call.args[0] for number, call in enumerate(transport.sendto.call_args_list)})
 
 
 def write_store(path: Path) -> None:
-    """A store with three requests: one accepted, one delivered, one served."""
+    """Writes a store with three requests: one accepted, one delivered, one served."""
     store = SqliteStore(path, lambda call: call(), MagicMock())
-    for job in JOBS:
+    for request in STORED_REQUESTS:
         store.accept(
-            job._replace(job=job.job or b"{}", first_delivered_at=0.0, final_state="", ended_at=0.0), MagicMock()
+            request._replace(job=request.job or b"{}", first_delivered_at=0.0, final_state="", ended_at=0.0),
+            MagicMock(),
         )
-        if job.first_delivered_at:
-            store.deliver(job.jid, job.first_delivered_at, MagicMock())
-        if job.final_state:
-            store.record_final_state(job.jid, job.final_state, job.ended_at)
+        if request.first_delivered_at:
+            store.deliver(request.jid, request.first_delivered_at, MagicMock())
+        if request.final_state:
+            store.record_final_state(request.jid, request.final_state, request.ended_at)
     store.close()
 
 
-def dump(path: Path) -> list[str]:
-    """All that stands in a database, as SQL."""
+def dump_database(path: Path) -> list[str]:
+    """Returns the schema, the rows and the version of a database, as SQL."""
     database = sqlite3.connect(path)
     try:
         return [*database.iterdump(), str(database.execute("pragma user_version").fetchone()[0])]
@@ -263,65 +265,69 @@
         database.close()
 
 
-class Process:
-    """One process of a dispatcher: a real core and takeover, without sockets to clients and servers."""
+class RestartProcess:
+    """One process of a dispatcher with a real core and state transfer, and mocks for clients, servers and discovery."""
 
     def __init__(self, folder: str) -> None:
         self.deadlines = Deadlines(lambda: NOW)
-        front = MagicMock()
-        front.send.side_effect = self._sent
-        self.core = Core(SETTINGS, 1, front, self.deadlines)
+        frontend = MagicMock()
+        frontend.send.side_effect = self._start_attempt
+        self.core = Core(SETTINGS, 1, frontend, self.deadlines)
         self.sockets = [socket.socket(), socket.socket(type=socket.SOCK_DGRAM)]
-        self.daemon = MagicMock()
-        self.daemon.core = self.core
-        config = self.daemon.config
+        self.application = MagicMock()
+        self.application.core = self.core
+        config = self.application.config
         config.name, config.listen, config.zones, config.kinds = "d1", ("127.0.0.1", 80), ZONES, MACHINE_TYPES
-        self.daemon.frontend.max_connections = self.daemon.backend.max_connections = 100
-        self.daemon.listener.fileno.return_value, self.daemon.peers.fileno.return_value = self.descriptors()
-        self.daemon.shutdown.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
-        self.daemon.shutdown.stopping = True
-        self.daemon.discovery.cache = None
-        self.daemon.discovery.client.version = 42
-        self.daemon.discovery.client.freshness.remaining.return_value = 7500.0
-        self.daemon.discovery.client.parse_list = lambda table: read_list(table, ZONES, MACHINE_TYPES, lambda at: at)
-        self.daemon.discovery.client.on_update = self.core.update_servers
-        self.daemon.frontend.adopt.side_effect = self._adopted
-        self.takeover = StateTransfer(cast(Any, self.daemon), self.deadlines, folder)
+        self.application.frontend.max_connections = self.application.backend.max_connections = 100
+        self.application.listener.fileno.return_value, self.application.peers.fileno.return_value = self.descriptors()
+        self.application.shutdown.hand_over.side_effect = lambda pass_on: pass_on and pass_on()
+        self.application.shutdown.stopping = True
+        self.application.discovery.cache = None
+        self.application.discovery.client.version = 42
+        self.application.discovery.client.freshness.remaining.return_value = 7500.0
+        self.application.discovery.client.parse_list = lambda table: read_list(
+            table, ZONES, MACHINE_TYPES, lambda at: at
+        )
+        self.application.discovery.client.on_update = self.core.update_servers
+        self.application.frontend.adopt.side_effect = self._adopt_connection
+        self.takeover = StateTransfer(cast(Any, self.application), self.deadlines, folder)
         config.peers, config.peers_all = [], None
         self.peer_messages = PeerMessages(config, self.deadlines, MagicMock(), MagicMock())
         self.peer_messages.hot_restart = self.takeover.session
 
     def descriptors(self) -> list[int]:
-        """Of a TCP and of a UDP socket."""
+        """Returns the descriptors of a TCP socket and of a UDP socket."""
         return [sock.fileno() for sock in self.sockets]
 
     def close(self) -> None:
-        """Close the sockets."""
+        """Closes the sockets."""
         self.takeover.session.close()
         for sock in self.sockets:
             sock.close()
 
     def connection(self) -> MagicMock:
-        """A client's or a server's, that may be handed over."""
+        """Returns a connection of a client or of a server that can be handed over."""
         connection = MagicMock()
         connection.can_hand_over.return_value = True
         return connection
 
-    def _sent(self, relay: Any) -> None:
-        relay.exchange = self.connection()
-        relay.exchange.pause_for_handover.return_value = PausedConnection(
+    def _start_attempt(self, attempt: Any) -> None:
+        attempt.exchange = self.connection()
+        attempt.exchange.pause_for_handover.return_value = PausedConnection(
             self.descriptors()[0], answered=True, last=False
         )
 
-    def _adopted(self, sock: socket.socket, served: bool, made: Callable[[Any], None] | None = None) -> None:
+    def _adopt_connection(
+        self, sock: socket.socket, served: bool, on_adopted: Callable[[Any], None] | None = None
+    ) -> None:
         sock.close()
-        if made is not None:
+        if on_adopted is not None:
             client = self.connection()
             client.pause_for_handover.return_value = self.descriptors()[0]
-            made(client)
+            on_adopted(client)
 
     def run_request(self) -> None:
-        """Take a request whose first attempt has failed and whose second one has started."""
+        """Accepts a request whose first attempt fails and whose second attempt starts."""
         self.core.update_servers(ListKind.FULL, SERVERS[:3])
         request = HttpRequest()
         request.method, request.target, request.body = b"POST", b"/x?a=\xfe", b"\x00\xff body"
@@ -334,12 +340,12 @@
         self.core.attempt_progressed(message.attempts[1], ProgressKind.STARTED)
 
 
-HELLO = Packet('.{"kind":"hello","version":1,"name":"d1"}', 0)
-SERVING = Packet('.{"kind":"serving"}', 0)
+HELLO_PACKET = Packet('.{"kind":"hello","version":1,"name":"d1"}', 0)
+SERVING_PACKET = Packet('.{"kind":"serving"}', 0)
 
 
 async def receive(sock: socket.socket) -> Packet:
-    """The next packet; its descriptors are closed."""
+    """Returns the next packet, and closes its descriptors."""
     for _ in range(500):
         try:
             data, descriptors, _, _ = socket.recv_fds(sock, 65536, 8)
@@ -349,22 +355,22 @@
         for descriptor in descriptors:
             os.close(descriptor)
         return Packet(data.decode(), len(descriptors))
-    msg = "no packet came"
+    msg = "no packet arrived within 5 s"
     raise TimeoutError(msg)
 
 
 async def restart_packets(folder: Path) -> list[Packet]:
-    """What an old process tells a new one that joins, serves and is handed a client and a request."""
-    process = Process(str(folder))
+    """Returns the packets of an old process to a new one that joins, serves, and receives a client and a request."""
+    process = RestartProcess(str(folder))
     process.run_request()
-    process.daemon.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
+    process.application.frontend.hand_over_idle.side_effect = lambda pass_on: pass_on(process.descriptors()[0], True)
     process.takeover.session.listen()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.connect(str(next(folder.glob("heronlug-*"))))
         sock.setblocking(False)
-        sock.send(HELLO.data.encode())
+        sock.send(HELLO_PACKET.data.encode())
         packets = [await receive(sock)]
-        sock.send(SERVING.data.encode())
+        sock.send(SERVING_PACKET.data.encode())
         packets += [await receive(sock), await receive(sock)]
         process.takeover.request_id_changed("t-2", True)
         process.takeover.request_id_changed("t-1", False)
@@ -372,20 +378,20 @@
         reports.unreported = dict(process.core.dispatcher.state.servers.by_id)
         process.peer_messages.send(reports.report(NOW), -1)
         packets += [await receive(sock) for _ in range(3)]
-        parting = asyncio.create_task(process.takeover.session.say_goodbye())
+        goodbye = asyncio.create_task(process.takeover.session.say_goodbye())
         packets.append(await receive(sock))
-    await asyncio.wait_for(parting, 5)
+    await asyncio.wait_for(goodbye, 5)
     process.close()
     return packets
 
 
 WRITERS: dict[str, Callable[[], bytes]] = {
-    "kept-list.txt": kept_list,
-    "server-list.json": server_list,
-    "register-rows.txt": register_rows,
+    "kept-list.txt": cached_list,
+    "server-list.json": endpoint_list,
+    "register-rows.txt": server_rows,
     "cluster-parts.txt": cluster_parts,
     "cluster-datagrams.txt": cluster_datagrams,
     "table-nodes.txt": table_nodes,
     "load-reports.txt": load_reports,
-    "gossip.txt": gossip,
+    "gossip.txt": gossip_datagrams,
 }
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -1,4 +1,4 @@
-"""Helpers: settings, lists and a checking host for tests of the module without any bench."""
+"""Defines settings, server lists and a host that checks the safety rules, for tests of a dispatcher without sockets."""
 
 from dataclasses import replace
 from typing import Any
@@ -52,147 +52,161 @@
 )
 
 
-def entries(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
-    """Workers 1 to ``count``, two a cell."""
+def server_entries(count: int, **fields: Any) -> tuple[ServerEntry, ...]:
+    """Returns servers 1 to ``count``, two in each cell."""
     return tuple(ServerEntry(i, cell=(i - 1) // 2)._replace(**fields) for i in range(1, count + 1))
 
 
 class Host:
-    """Plays the host's part, and checks the four rules on every action as an outsider would."""
-
-    def __init__(self, settings: Settings = SETTINGS, seed: int = 1, workers: int = 4) -> None:
+    """Embeds a dispatcher with a virtual clock, and checks the safety rules on every action.
+
+    Attributes:
+        now: the time of the virtual clock in ms.
+        timers: due times of the pending timers, in ms.
+        requests: arrival of each request.
+        sent_to: servers of the attempts of each request, in order.
+        sent_at: start time in ms of each attempt, by request and index.
+        outcomes: outcome of each ended attempt, by request and index.
+        final_states: final state of each answered request: served, refused or failed.
+        entries: latest entry of each listed server.
+        not_ready: servers that are draining or removed, by a notification.
+        warmup_starts: start times in ms of attempts at each server while the server warmed up.
+        actions: all actions of the dispatcher.
+    """
+
+    def __init__(self, settings: Settings = SETTINGS, seed: int = 1, server_count: int = 4) -> None:
         self.settings = settings
         self.dispatcher = Dispatcher(settings, seed)
         self.now = 1000.0
         self.timers: list[float] = []
-        self.jobs: dict[int, RequestArrived] = {}
-        self.sent: dict[int, list[int]] = {}
+        self.requests: dict[int, RequestArrived] = {}
+        self.sent_to: dict[int, list[int]] = {}
         self.sent_at: dict[tuple[int, int], float] = {}
-        self.outcome: dict[tuple[int, int], int] = {}
-        self.answered: dict[int, str] = {}
-        self.entry: dict[int, ServerEntry] = {}
-        self.told_off: set[int] = set()
-        self.cold_work: dict[int, list[float]] = {}
+        self.outcomes: dict[tuple[int, int], int] = {}
+        self.final_states: dict[int, str] = {}
+        self.entries: dict[int, ServerEntry] = {}
+        self.not_ready: set[int] = set()
+        self.warmup_starts: dict[int, list[float]] = {}
         self.actions: list[Action] = []
-        self.next_job = 1
-        if workers:
-            self.listed(ListKind.CACHED, entries(workers))
+        self.next_request = 1
+        if server_count:
+            self.update_servers(ListKind.CACHED, server_entries(server_count))
 
-    def give(self, event: Event) -> list[Action]:
-        """One event to the dispatcher; what it answers is checked."""
+    def handle(self, event: Event) -> list[Action]:
+        """Hands an event to the dispatcher, checks the resulting actions and returns them."""
         actions = self.dispatcher.handle(self.now, event)
         self.actions += actions
         for action in actions:
             if isinstance(action, StartAttempt):
                 self._check_send(action)
             elif isinstance(action, Reject):
-                assert action.request not in self.answered
-                self._check_refusal(action.request)
-                self.answered[action.request] = "refused"
+                assert action.request not in self.final_states
+                self._check_rejection(action.request)
+                self.final_states[action.request] = "refused"
             elif isinstance(action, Fail):
-                assert action.request not in self.answered
-                self.answered[action.request] = "failed"
+                assert action.request not in self.final_states
+                self.final_states[action.request] = "failed"
             elif isinstance(action, SetTimer):
                 assert action.delay >= 0
                 self.timers.append(self.now + action.delay)
             elif isinstance(action, CancelAttempt):
-                assert action.attempt < len(self.sent[action.request])
+                assert action.attempt < len(self.sent_to[action.request])
         return actions
 
-    def _maybe_ran(self, job: int) -> list[int]:
-        proofs = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START)
-        return [n for n in range(len(self.sent.get(job, []))) if self.outcome.get((job, n)) not in proofs]
+    def _attempts_maybe_run(self, request: int) -> list[int]:
+        not_run = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.CANCELLED_BEFORE_START)
+        return [n for n in range(len(self.sent_to.get(request, []))) if self.outcomes.get((request, n)) not in not_run]
 
-    def _class(self, job: int) -> RequestClass:
-        return self.settings.classes[self.jobs[job].request_class]
+    def _class_of(self, request: int) -> RequestClass:
+        return self.settings.classes[self.requests[request].request_class]
 
     def _check_send(self, send: StartAttempt) -> None:
-        assert send.request in self.jobs, "send after the end"
-        assert send.request not in self.answered, "send after the end"
-        assert self.now < self.jobs[send.request].give_up_at
-        assert send.server not in self.told_off, "send to a worker told draining or gone"
-        assert send.server in self.entry
-        earlier = self.sent.setdefault(send.request, [])
+        assert send.request in self.requests, "attempt for an unknown request"
+        assert send.request not in self.final_states, "attempt after the final answer"
+        assert self.now < self.requests[send.request].give_up_at
+        assert send.server not in self.not_ready, "attempt at a server that is draining or removed"
+        assert send.server in self.entries
+        earlier = self.sent_to.setdefault(send.request, [])
         assert len(earlier) < self.settings.max_attempts
-        lane, risky = self._class(send.request), self._maybe_ran(send.request)
+        request_class, maybe_run = self._class_of(send.request), self._attempts_maybe_run(send.request)
         if not self.settings.hedging:
-            assert all((send.request, n) in self.outcome for n in range(len(earlier)))
-        if lane.effect is Effect.NON_IDEMPOTENT:
-            assert not risky, "an effect might happen twice"
-        if lane.effect is Effect.IDEMPOTENT_BY_KEY:
-            for n in risky:
-                first = self.entry[earlier[n]]
-                assert self.now - self.sent_at[send.request, n] <= lane.repeat_window
-                if lane.key_scope is not KeyScope.ALL:
-                    assert first.zone == self.entry[send.server].zone
-                if lane.key_scope is KeyScope.CELL:
-                    assert first.cell == self.entry[send.server].cell
+            assert all((send.request, n) in self.outcomes for n in range(len(earlier)))
+        if request_class.effect is Effect.NON_IDEMPOTENT:
+            assert not maybe_run, "a non-idempotent request may run twice"
+        if request_class.effect is Effect.IDEMPOTENT_BY_KEY:
+            for n in maybe_run:
+                first = self.entries[earlier[n]]
+                assert self.now - self.sent_at[send.request, n] <= request_class.repeat_window
+                if request_class.key_scope is not KeyScope.ALL:
+                    assert first.zone == self.entries[send.server].zone
+                if request_class.key_scope is KeyScope.CELL:
+                    assert first.cell == self.entries[send.server].cell
         self.sent_at[send.request, len(earlier)] = self.now
         earlier.append(send.server)
-        started = self.entry[send.server].started_at
+        started = self.entries[send.server].started_at
         if started and self.now - started < self.settings.warmup_time:
-            self.cold_work.setdefault(send.server, []).append(self.now)
+            self.warmup_starts.setdefault(send.server, []).append(self.now)
 
-    def _check_refusal(self, job: int) -> None:
-        lane = self._class(job)
-        free = lane.effect is Effect.IDEMPOTENT or (
-            lane.effect is Effect.IDEMPOTENT_BY_KEY and lane.key_scope is KeyScope.ALL
+    def _check_rejection(self, request: int) -> None:
+        request_class = self._class_of(request)
+        repeatable = request_class.effect is Effect.IDEMPOTENT or (
+            request_class.effect is Effect.IDEMPOTENT_BY_KEY and request_class.key_scope is KeyScope.ALL
         )
-        assert free or not self._maybe_ran(job), "a refusal that is not harmless"
+        assert repeatable or not self._attempts_maybe_run(request), "rejection of a request that may have run"
 
-    def listed(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
-        """News of the list."""
+    def update_servers(self, kind: ListKind, listed: tuple[ServerEntry, ...]) -> list[Action]:
+        """Updates the server list of the dispatcher, and returns the actions."""
         if kind in (ListKind.CACHED, ListKind.FULL):
-            self.told_off |= set(self.entry) - {e.server for e in listed}
+            self.not_ready |= set(self.entries) - {e.server for e in listed}
         if kind is not ListKind.FAILED:
             for entry in listed:
-                self.entry[entry.server] = entry
+                self.entries[entry.server] = entry
                 if entry.state is ServerState.READY:
-                    self.told_off.discard(entry.server)
+                    self.not_ready.discard(entry.server)
                 else:
-                    self.told_off.add(entry.server)
-        return self.give(ServerListUpdate(kind, listed))
-
-    def job(self, job_class: int = 0, **fields: Any) -> int:
-        """A new job; returns its id."""
-        number, self.next_job = self.next_job, self.next_job + 1
-        lane = self.settings.classes[job_class]
-        event = RequestArrived(number, job_class, self.now + lane.deadline)._replace(**fields)
-        self.jobs[number] = event
-        self.give(event)
-        return number
-
-    def end(
-        self, job: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
+                    self.not_ready.add(entry.server)
+        return self.handle(ServerListUpdate(kind, listed))
+
+    def new_request(self, class_index: int = 0, **fields: Any) -> int:
+        """Hands a new request to the dispatcher, and returns its id."""
+        request, self.next_request = self.next_request, self.next_request + 1
+        request_class = self.settings.classes[class_index]
+        event = RequestArrived(request, class_index, self.now + request_class.deadline)._replace(**fields)
+        self.requests[request] = event
+        self.handle(event)
+        return request
+
+    def end_attempt(
+        self, request: int, attempt: int, outcome: int = Outcome.SERVED, report: tuple[float, ...] = ()
     ) -> list[Action]:
-        """The outcome of an attempt."""
-        self.outcome[job, attempt] = outcome
-        final = job in self.answered or outcome == Outcome.SERVED
-        if final and job not in self.answered:
-            self.answered[job] = "served"
-        latency = self.now - self.sent_at[job, attempt]
-        worker = self.sent[job][attempt]
-        return self.give(AttemptEnded(job, attempt, worker, outcome, latency, final, report))
+        """Ends an attempt with an outcome, and returns the actions."""
+        self.outcomes[request, attempt] = outcome
+        final = request in self.final_states or outcome == Outcome.SERVED
+        if final and request not in self.final_states:
+            self.final_states[request] = "served"
+        latency = self.now - self.sent_at[request, attempt]
+        server = self.sent_to[request][attempt]
+        return self.handle(AttemptEnded(request, attempt, server, outcome, latency, final, report))
 
     def open_attempts(self) -> list[tuple[int, int]]:
-        """Attempts still out, oldest first."""
-        return [key for key in self.sent_at if key not in self.outcome]
+        """Returns the attempts in flight as request and index, the oldest first."""
+        return [key for key in self.sent_at if key not in self.outcomes]
 
-    def until(self, when: float) -> None:
-        """Let time pass, firing timers on the way."""
-        while self.timers and min(self.timers) <= when:
+    def advance_to(self, time_ms: float) -> None:
+        """Advances the clock to a time in ms, and fires the timers that are due."""
+        while self.timers and min(self.timers) <= time_ms:
             self.now = max(self.now, min(self.timers))
             self.timers.remove(min(self.timers))
-            self.give(TimerFired(0))
-        self.now = max(self.now, when)
+            self.handle(TimerFired(0))
+        self.now = max(self.now, time_ms)
 
-    def finish(self) -> None:
-        """Run to the end of every job: each must have its one answer in time."""
-        for job, event in sorted(self.jobs.items(), key=lambda item: item[1].give_up_at):
-            self.until(event.give_up_at + self.settings.answer_slack)
-            assert job in self.answered, f"job {job} was lost"
+    def finish_requests(self) -> None:
+        """Advances the clock until every request is due, and checks that each has its final answer in time."""
+        for request, event in sorted(self.requests.items(), key=lambda item: item[1].give_up_at):
+            self.advance_to(event.give_up_at + self.settings.answer_slack)
+            assert request in self.final_states, f"request {request} has no final answer"
 
 
 def with_settings(**changes: Any) -> Settings:
-    """The usual settings, changed."""
+    """Returns the usual settings with changes."""
     return replace(SETTINGS, **changes)
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -1,7 +1,7 @@
-"""A client that leaves while its request waits: not a byte of it goes to a server from then on.
+"""Tests that no byte of a request is sent to a server after its client has disconnected.
 
-Each test has the client leave in the kernel, lets time pass in which the loop does not turn, and makes what the request
-waits for come true before the loop can have read that the client has left: that is the order to be feared.
+In each test the disconnect is in the kernel, the loop is stalled, and the event that the request waits for happens
+before the loop reads the disconnect.
 """
 
 import socket
@@ -27,48 +27,48 @@
 from heronlug.frontends.http.request_table import write_request
 from heronlug.requests.model import Workload
 
-WAYS = ["fin", "half", "reset", "behind"]
-LONG = 400.0  # ms; the rule gives 300
+ENDINGS = ["fin", "half", "reset", "behind"]
+STALL_MS = 400.0  # longer than the 300 ms after a disconnect for which the protocol allows bytes to be sent
 
 
 async def open_connections(harness: DispatcherHarness) -> None:
-    """Every server has a connection that is kept warm, so that what is sent goes out in the same turn."""
+    """Leaves an idle connection to every server, so that the next request is written in the same turn of the loop."""
     clients = [await harness.post(f"warm{number}") for number in range(2 * len(harness.servers))]
     while any(server.requests for server in harness.servers.values()):
         for server in harness.servers.values():
-            for end in server.connections:
-                if request := end.take_request():
-                    end.send(done(request_id_of(request)))
+            for server_connection in server.connections:
+                if request := server_connection.take_request():
+                    server_connection.send(done(request_id_of(request)))
         await harness.settle()
     assert all(map(served, clients))
     assert all(server.connections for server in harness.servers.values())
 
 
-def nothing_sent(harness: DispatcherHarness) -> bool:
-    """No server has a byte that was not taken, and nothing is held for anybody."""
+def no_request_pending(harness: DispatcherHarness) -> bool:
+    """Returns whether no server has received bytes that were not taken, and no request is pending."""
     return not any(server.requests for server in harness.servers.values()) and not len(
         harness.application.core.requests
     )
 
 
 async def fill_servers(harness: DispatcherHarness) -> list[tuple[StandInConnection, str]]:
-    """All servers have as much as they get: what comes now is held.  Returns what runs."""
+    """Sends requests until one is queued; returns the connections and the ids of the running requests."""
     for number in range(100):
         await harness.post(f"fill{number}")
-        out = sum(len(request_bytes.attempts) for request_bytes in harness.application.core.requests)
-        if out < len(harness.application.core.requests):
+        attempts_sent = sum(len(request.attempts) for request in harness.application.core.requests)
+        if attempts_sent < len(harness.application.core.requests):
             break
     running = []
     for server in harness.servers.values():
         while server.requests:
-            end, request = await server.request()
-            running.append((end, request_id_of(request)))
+            server_connection, request = await server.request()
+            running.append((server_connection, request_id_of(request)))
     return running
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_while_its_request_is_queued(ending: str) -> None:
-    """A slot comes free, on a connection that is warm, before the end is read."""
+    """Guards against sending a queued request when a slot at a connected server frees before the disconnect is read."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -79,22 +79,22 @@
             queued = len(harness.application.core.requests) - len(running)
             assert queued >= 1
             assert not harness.servers["h1"].requests
-            for end, request_id in running:
-                end.send_now(done(request_id))  # first in the queue of what is to be read
+            for server_connection, request_id in running:
+                server_connection.send_now(done(request_id))  # the loop reads these bytes before the disconnect
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            received = b"".join(end.received for end in harness.servers["h1"].connections)
+            received = b"".join(server_connection.received for server_connection in harness.servers["h1"].connections)
             assert received.count(b"POST ") == queued - 1
             assert b"x-txn: t1\r" not in received
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_its_request_waits_for_a_retry(ending: str, class_name: str) -> None:
-    """The wait is over before the loop reads: the deadline is swept first."""
+    """Guards against a retry whose backoff ends before the disconnect is read, since deadlines run before reads."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -104,45 +104,45 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", class_name, 4000))
             await harness.settle()
-            await harness.pass_time(20)  # the last byte of a non-idempotent request is held back
+            await harness.pass_time(20)  # the last byte of a non-idempotent request is sent after a delay
             [server] = [server for server in harness.servers.values() if server.requests]
-            end, _ = await server.request()
-            end.send(REJECTED_RESPONSE)
+            server_connection, _ = await server.request()
+            server_connection.send(REJECTED_RESPONSE)
             await harness.settle()
             client.leave(ending)
             harness.stall(600)
             harness.application.turn()
             await harness.settle()
-            assert nothing_sent(harness)
-            assert await expect_still_serving(harness)
+            assert no_request_pending(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
-def test_client_leaves_while_its_request_is_pipelined_behind_another(ending: str) -> None:
-    """The one before ends in the turn in which the end is read."""
+@pytest.mark.parametrize("ending", ENDINGS)
+def test_client_leaves_while_its_request_is_pipelined_after_another(ending: str) -> None:
+    """Guards against sending a pipelined request when the previous one ends in the turn that reads the disconnect."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             client = harness.blocking_client()
             client.send(request_bytes("t1", "safe", 4000) + request_bytes("t2", "safe", 4000))
-            end, _ = await harness.servers["h1"].request()
-            end.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
+            server_connection, _ = await harness.servers["h1"].request()
+            server_connection.send(RESPONSE_HEAD + progress_chunk("t1", "started"))
             await harness.settle()
-            end.send_now(done("t1")[len(RESPONSE_HEAD) :])
+            server_connection.send_now(done("t1")[len(RESPONSE_HEAD) :])
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            assert nothing_sent(harness)
-            assert await expect_still_serving(harness)
+            assert no_request_pending(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_its_request_is_read(ending: str) -> None:
-    """It waits in the accept queue, and so does its end."""
+    """Guards against sending a request that is in the accept queue together with the disconnect of its client."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -150,18 +150,18 @@
             client = harness.blocking_client()
             client.send(request_bytes("t1", "safe", 4000))
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            assert nothing_sent(harness)
-            assert await expect_still_serving(harness)
+            assert no_request_pending(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("class_name", ["safe", "once"])
 def test_client_leaves_while_a_connection_to_the_server_is_opened(ending: str, class_name: str) -> None:
-    """The connection opens before the end is read: nothing goes out on it."""
+    """Guards against writing to a new server connection that opens before the disconnect is read."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
@@ -169,46 +169,46 @@
             client.send(request_bytes("t1", class_name, 4000))
             on_connected = harness.application.backend.on_connected
 
-            def late(connection: object) -> None:
+            def leave_then_report_connected(connection: object) -> None:
                 client.leave(ending)
-                harness.stall(LONG)
+                harness.stall(STALL_MS)
                 on_connected(connection)  # type: ignore[arg-type]
 
-            harness.application.backend.on_connected = late  # type: ignore[method-assign]
+            harness.application.backend.on_connected = leave_then_report_connected  # type: ignore[method-assign]
             await harness.settle()
             harness.application.backend.on_connected = on_connected  # type: ignore[method-assign]
             assert harness.application.backend.dials == 1
-            assert nothing_sent(harness)
-            assert await expect_still_serving(harness)
+            assert no_request_pending(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_the_last_byte_of_a_non_idempotent_request(ending: str) -> None:
-    """Its last byte is not sent: it never ran."""
+    """Guards against sending the delayed last byte after the disconnect; without that byte the request never runs."""
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             client = harness.blocking_client()
             client.send(request_bytes("t1", "once", 4000))
             await harness.settle()
-            [end] = harness.servers["h1"].connections
-            assert end.received
-            assert not end.take_request()
+            [server_connection] = harness.servers["h1"].connections
+            assert server_connection.received
+            assert not server_connection.take_request()
             client.leave(ending)
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             harness.application.turn()
             await harness.settle()
-            assert not end.take_request()
+            assert not server_connection.take_request()
             assert not len(harness.application.core.requests)
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", WAYS)
+@pytest.mark.parametrize("ending", ENDINGS)
 def test_client_leaves_before_its_request_is_hedged(ending: str) -> None:
-    """The first has not started; its copy is due before the end is read."""
+    """Guards against a hedged request that is due before the disconnect is read; the first attempt has not started."""
 
     async def test() -> None:
         async with DispatcherHarness(2, limits={"second_copies": True}).open() as harness:
@@ -222,13 +222,13 @@
             harness.stall(2_000)
             harness.application.turn()
             await harness.settle()
-            assert nothing_sent(harness)
+            assert no_request_pending(harness)
 
     run_async(test)
 
 
 def test_many_clients_leave_as_servers_become_free() -> None:
-    """Of many that wait, those that have left get nothing; those that have not are all served."""
+    """Guards against serving departed clients, or losing the other ones, when many queued requests become sendable."""
 
     async def test() -> None:
         async with DispatcherHarness(2).open() as harness:
@@ -237,36 +237,39 @@
             for number, client in enumerate(clients):
                 client.send(request_bytes(f"t{number}", "safe", 4000))
             await harness.settle()
-            for end, request_id in running:
-                end.send_now(done(request_id))
+            for server_connection, request_id in running:
+                server_connection.send_now(done(request_id))
             for number, client in enumerate(clients):
                 if number % 2:
-                    client.leave(WAYS[number // 2 % 4])
-            harness.stall(LONG)
+                    client.leave(ENDINGS[number // 2 % 4])
+            harness.stall(STALL_MS)
             left = {f"t{number}" for number in range(1, 24, 2)}
             for _ in range(30):
                 await harness.settle()
                 for server in harness.servers.values():
-                    for end in server.connections:
-                        if request := end.take_request():
+                    for server_connection in server.connections:
+                        if request := server_connection.take_request():
                             request_id = request_id_of(request)
                             assert request_id not in left
-                            end.send(done(request_id))
+                            server_connection.send(done(request_id))
             assert all(client.received().endswith(b"ok") for client in clients[::2])
 
     run_async(test)
 
 
-@pytest.mark.parametrize("ending", [*WAYS, ""])
+@pytest.mark.parametrize("ending", [*ENDINGS, ""])
 def test_client_leaves_while_its_request_is_handed_over(ending: str) -> None:
-    """It was held in the process before, which read no more of it; here a server is free at once."""
+    """Guards against sending a request that was handed over queued, and whose client left unnoticed by the old process.
+
+    The new process has a free server immediately. With no ``ending`` the client stays and must be served.
+    """
 
     async def test() -> None:
         async with DispatcherHarness(1).open() as harness:
             await open_connections(harness)
-            with socket.create_server(("127.0.0.1", 0)) as before:
-                client = BlockingClient(f"127.0.0.1:{before.getsockname()[1]}")
-                passed, _ = before.accept()
+            with socket.create_server(("127.0.0.1", 0)) as old_listener:
+                client = BlockingClient(f"127.0.0.1:{old_listener.getsockname()[1]}")
+                accepted, _ = old_listener.accept()
             request = HttpRequest()
             request.method, request.target, request.body, request.request_id = b"POST", b"/safe", b"hi", "t1"
             request.headers = {b"x-txn": b"t1", b"x-lane": b"safe"}
@@ -279,33 +282,33 @@
             harness.application.state_transfer.adopt_request(
                 {
                     "request": write_request(request),
-                    "give_up_at": harness.clock.at + 4_000,
-                    "taken_at": harness.clock.at,
+                    "give_up_at": harness.clock.time_ms + 4_000,
+                    "taken_at": harness.clock.time_ms,
                     "hosts": write_list(0, [], [], []),
                     "attempts": [],
                     "wires": [],
                 },
-                [passed.detach()],
+                [accepted.detach()],
             )
-            harness.stall(LONG)
+            harness.stall(STALL_MS)
             await harness.settle()
-            assert nothing_sent(harness) is bool(ending)
+            assert no_request_pending(harness) is bool(ending)
             if not ending:
-                harness.application.frontend.close_idle()  # its answer is owed on it still
-                end, _ = await harness.servers["h1"].request()
-                end.send(done("t1"))
+                harness.application.frontend.close_idle()  # the connection is not idle: its answer is still pending
+                server_connection, _ = await harness.servers["h1"].request()
+                server_connection.send(done("t1"))
                 await harness.settle()
                 assert client.received().endswith(b"ok")
-            assert await expect_still_serving(harness)
+            assert await other_client_is_served(harness)
 
     run_async(test)
 
 
-async def expect_still_serving(harness: DispatcherHarness) -> bool:
-    """Another client gets its answer."""
+async def other_client_is_served(harness: DispatcherHarness) -> bool:
+    """Returns whether a request of another client is answered."""
     client = await harness.post("later")
     server = next(server for server in harness.servers.values() if server.requests)
-    end, _ = await server.request()
-    end.send(done("later"))
+    server_connection, _ = await server.request()
+    server_connection.send(done("later"))
     await harness.settle()
     return served(client)
