--- a/heronlug/balancer/exploration.py
+++ b/heronlug/balancer/exploration.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from heronlug.balancer.model import LEVEL_FAILING, Server
-from heronlug.balancer.outlier_detection import EJECTION_DIALS
+from heronlug.balancer.outlier_detection import EJECTION_DIAL_TIMEOUTS
 from heronlug.balancer.peer_load import PeerLoad
 from heronlug.balancer.settings import Settings
 
@@ -45,7 +45,7 @@
 
     def rotate_probe_server(self, now: float) -> None:
         """Chooses the server that this dispatcher may probe, once per term of the rotation."""
-        term = int(now / (EJECTION_DIALS * self._settings.dial_timeout))
+        term = int(now / (EJECTION_DIAL_TIMEOUTS * self._settings.dial_timeout))
         if term == self._term:
             return
         self._term = term
--- a/heronlug/balancer/hedging.py
+++ b/heronlug/balancer/hedging.py
@@ -71,7 +71,7 @@
             return
         all_silent = all(other.silent or not other.in_flight for other in request.attempts)
         if all_silent and not self._queue.in_time:
-            self._start_copy(request, now)
+            self._start_hedge(request, now)
 
     def _on_hedge_delay_elapsed(self, attempt: Attempt, now: float) -> None:
         """Hedges a request if the attempt is still its only attempt in flight after ``hedge_after``."""
@@ -79,7 +79,7 @@
         in_flight = [other for other in request.attempts if other.in_flight]
         if not self._open_requests.is_open(request) or in_flight != [attempt]:
             return
-        if not self._start_copy(request, now) and len(request.attempts) < request.max_attempts:
+        if not self._start_hedge(request, now) and len(request.attempts) < request.max_attempts:
             self._timers.call_at(now + self._recheck_after, self._on_hedge_delay_elapsed, attempt)
 
     def _on_start_overdue(self, attempt: Attempt, now: float) -> None:
@@ -94,10 +94,10 @@
         server.outlier.saturated_until = now + expected_wait
         if any(other.in_flight and not other.unstarted for other in request.attempts):
             return
-        if not self._start_copy(request, now) and len(request.attempts) < request.max_attempts:
+        if not self._start_hedge(request, now) and len(request.attempts) < request.max_attempts:
             self._timers.call_at(now + self._recheck_after, self._on_start_overdue, attempt)
 
-    def _start_copy(self, request: Request, now: float) -> bool:
+    def _start_hedge(self, request: Request, now: float) -> bool:
         server = self._selection.choose(request, now)
         if server is None:
             return False
--- a/heronlug/balancer/load_reports.py
+++ b/heronlug/balancer/load_reports.py
@@ -82,10 +82,10 @@
         self._timers.call_at(self._next_heartbeat(now), self._on_heartbeat, None)
 
     def _is_aggregator(self, now: float) -> bool:
-        last_heard_at = self._peer_load.aggregators_heard_at(self._position, AGGREGATOR_COUNT, now)
+        active_since = self._peer_load.aggregators_active_since(self._position, AGGREGATOR_COUNT, now)
         if self._position < AGGREGATOR_COUNT:
             return True
-        return now - last_heard_at > (2 * MAX_MISSED_SUMMARIES + self._position) * self._derived.summary_interval
+        return now - active_since > (2 * MAX_MISSED_SUMMARIES + self._position) * self._derived.summary_interval
 
     def _next_heartbeat(self, now: float) -> float:
         """Returns the time of the next heartbeat; the clock and the positions define the turns of the aggregators."""
--- a/heronlug/balancer/outlier_detection.py
+++ b/heronlug/balancer/outlier_detection.py
@@ -1,6 +1,6 @@
 """Ejects servers whose attempts fail, and returns them to service after successful half-open trials.
 
-A failed attempt ejects its server for ``EJECTION_DIALS`` connection time-outs. Each further failure in a row doubles
+A failed attempt ejects its server for ``EJECTION_DIAL_TIMEOUTS`` dial timeouts. Each further failure in a row doubles
 the ejection, at most ``MAX_DOUBLINGS`` times. One failure is enough, because fast errors look like free slots. After
 the ejection the server is half-open: the server gets one idempotent request at a time until ``HALF_OPEN_TRIALS``
 requests in a row have been served. While more than ``PANIC_SHARE`` of the ready servers are ejected or half-open, the
@@ -20,8 +20,8 @@
 from heronlug.balancer.outbox import Outbox
 from heronlug.balancer.settings import Settings
 
-EJECTION_DIALS = 4.0
-"""Duration of the first ejection, in connection time-outs."""
+EJECTION_DIAL_TIMEOUTS = 4.0
+"""Duration of the first ejection, in dial timeouts."""
 
 MAX_DOUBLINGS = 3
 """Largest number of times that the duration of an ejection doubles."""
@@ -90,7 +90,7 @@
     def _eject(self, server: Server, outcome: Outcome, now: float) -> None:
         state = server.outlier
         state.ejections = min(state.ejections + 1, MAX_DOUBLINGS + 1)
-        base_duration = EJECTION_DIALS * self._settings.dial_timeout * self._rng.uniform(*EJECTION_JITTER)
+        base_duration = EJECTION_DIAL_TIMEOUTS * self._settings.dial_timeout * self._rng.uniform(*EJECTION_JITTER)
         state.ejected_until = now + base_duration * 2 ** (state.ejections - 1)
         if state.ejections == 1:
             self._outbox.add(LogLine(f"worker {server.id} ejected: {outcome.name.lower()}"))
--- a/heronlug/balancer/peer_load.py
+++ b/heronlug/balancer/peer_load.py
@@ -216,7 +216,7 @@
         """Returns the aggregators that have sent a summary since a time in ms."""
         return [peer for peer, at in self.aggregators.items() if at > since]
 
-    def aggregators_heard_at(self, position: int, count: int, now: float) -> float:
+    def aggregators_active_since(self, position: int, count: int, now: float) -> float:
         """Returns the latest time since which ``count`` aggregators of a lower position have each sent a summary.
 
         If fewer aggregators of a lower position are known, returns the time of the first call.
--- a/heronlug/balancer/zone_failover/controller.py
+++ b/heronlug/balancer/zone_failover/controller.py
@@ -318,10 +318,10 @@
         for number in range(min(PROBED_SERVERS, len(servers))):
             turn = term * PROBED_SERVERS + number
             server = servers[turn % len(servers)]
-            is_ours = (turn + servers[0].zone) % instances == self._state.settings.position
+            is_own = (turn + servers[0].zone) % instances == self._state.settings.position
             outlier = server.outlier
             failed_lately = outlier.last_ended_at > now - PROBE_TERM_MS and outlier.last_ended_badly
-            if is_ours and not failed_lately and not server.load.own_attempts:
+            if is_own and not failed_lately and not server.load.own_attempts:
                 self._begin_probe(server, now)
                 own_probes.append(server)
         return own_probes
--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -226,7 +226,7 @@
     assert wide_in_memory not in host.sent
 
 
-def test_unstarted_attempt_is_hedged_and_cancelled_when_the_copy_starts() -> None:
+def test_unstarted_attempt_is_hedged_and_cancelled_when_the_hedge_starts() -> None:
     """Failure: short requests wait unnoticed behind other dispatchers' requests."""
     host = Host(with_settings(reports_start=True, report_fields=("x0",)), workers=2)
     request = host.job(0)
@@ -241,7 +241,7 @@
     """Failure: with starts reported 135 to 173 ms after the write on a new connection, 40 of 100 requests were hedged
     after 62 ms.
     """
-    copy_delays = {}
+    hedge_delays = {}
     for zone, one_way_delay in ((0, 2.0), (1, 150.0)):
         host = Host(with_settings(reports_start=True), workers=0)
         host.listed(ListKind.CACHED, tuple(ServerEntry(i, zone=zone) for i in (1, 2, 3)))
@@ -250,14 +250,14 @@
             while round_number == 11 and len(host.sent[request]) == 1 and host.now < began_at + 1000:
                 host.until(host.now + 2)
             if round_number == 11:
-                copy_delays[zone] = host.now - began_at
+                hedge_delays[zone] = host.now - began_at
                 break
             host.until(host.now + one_way_delay)  # the start is reported after the one-way delay; no hedge before
             assert len(host.sent[request]) == 1
             host.give(AttemptProgress(request, 0, host.sent[request][0], ProgressKind.STARTED))
             host.end(request, 0, Outcome.SERVED)
             host.until(host.now + 1500)
-    assert copy_delays[0] < 60 < 150 < copy_delays[1] < SETTINGS.dial_timeout + 60
+    assert hedge_delays[0] < 60 < 150 < hedge_delays[1] < SETTINGS.dial_timeout + 60
 
 
 def test_servers_of_the_own_zone_come_first_while_they_have_room() -> None:
--- a/tests/balancer/test_load_reports.py
+++ b/tests/balancer/test_load_reports.py
@@ -12,7 +12,7 @@
 from heronlug.balancer.derived_settings import SCORES_PER_CPU_US
 from heronlug.balancer.load_reports import MAX_MISSED_SUMMARIES, UNHEALTHY_BELOW
 from heronlug.balancer.model import Request, Server
-from heronlug.balancer.outlier_detection import EJECTION_DIALS
+from heronlug.balancer.outlier_detection import EJECTION_DIAL_TIMEOUTS
 from heronlug.balancer.peer_load import COUNTS_IN_MESSAGE, ENDED_BADLY, ENDED_WELL, PeerLoad
 from heronlug.balancer.ranking import Ranking
 from heronlug.balancer.selection import Selection
@@ -162,7 +162,7 @@
     """
     hosts = [make_host_in_fleet(position) for position in range(2, 40)]
     failing = hosts[0].dispatcher.state.peer_load.servers_in_order[1]
-    probe_term = EJECTION_DIALS * hosts[0].settings.dial_timeout
+    probe_term = EJECTION_DIAL_TIMEOUTS * hosts[0].settings.dial_timeout
     prober_counts = []
     for term in range(20):
         senders = set()
