--- a/heronlug/balancer/attempt_starts.py
+++ b/heronlug/balancer/attempt_starts.py
@@ -1,4 +1,4 @@
-"""Learns slots in use and start delays from attempt starts, where servers report starts."""
+"""Learns the slots in use and the delay of start reports, where servers report the start of an attempt."""
 
 from collections import defaultdict
 
--- a/heronlug/balancer/estimates.py
+++ b/heronlug/balancer/estimates.py
@@ -4,7 +4,8 @@
 class TokenBucket:
     """A token bucket that fills at a constant rate up to its burst size.
 
-    The caller defines the clock: ``at`` may be a time or a count of requests, and the rate is in tokens per unit of it.
+    The caller defines the clock: ``at`` may be a time or a count of requests, and the rate is in tokens per unit of
+    that clock.
     """
 
     __slots__ = ("_as_of", "_burst", "_level", "_rate")
--- a/heronlug/balancer/model.py
+++ b/heronlug/balancer/model.py
@@ -304,9 +304,8 @@
         self.give_up_at = event.give_up_at
         self.policy = policy
         self.slots = max(event.slots, event.memory, 1.0)  # a server has one unit of memory for each slot
-        self.starting_slots = max(
-            event.memory, 1.0
-        )  # a request of several slots would starve if all had to be free at once
+        # A request of several slots would starve if all of its slots had to be free at once.
+        self.starting_slots = max(event.memory, 1.0)
         self.work_hint = event.work_hint
         self.max_attempts = 0
         self.not_before = 0.0
--- a/heronlug/balancer/open_requests.py
+++ b/heronlug/balancer/open_requests.py
@@ -90,7 +90,7 @@
         )
 
     def hand_over(self, request_id: int) -> None:
-        """Removes a request that another process takes over, without a final answer or an end of its attempts."""
+        """Removes a request without a final answer, as another process takes over the request and its attempts."""
         request = self.by_id.pop(request_id, None)
         if request is not None:
             for number in range(len(request.attempts)):
--- a/heronlug/balancer/outlier_detection.py
+++ b/heronlug/balancer/outlier_detection.py
@@ -6,7 +6,7 @@
 requests in a row have been served. While more than ``PANIC_SHARE`` of the ready servers are ejected or half-open, the
 cause is probably not the servers, and ejections are ignored.
 
-An unresponsive server, which has reported nothing for several progress periods (:mod:`heronlug.balancer.silence`),
+An unresponsive server, which has reported nothing for several progress intervals (:mod:`heronlug.balancer.silence`),
 gets one idempotent request at a time as well.
 """
 
@@ -38,7 +38,7 @@
 EJECTING_OUTCOMES = frozenset({Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET})
 """Outcomes that eject a server: the server fails, or the server is full while another server may have room.
 
-A time-out ejects no server, because a request may take longer than its client waits.
+A timeout ejects no server, because a request may take longer than its client waits.
 """
 
 REPORTED_AS_FAILURE = EJECTING_OUTCOMES - {Outcome.FULL}
--- a/heronlug/balancer/ranking.py
+++ b/heronlug/balancer/ranking.py
@@ -39,7 +39,7 @@
 """A server whose aged count is below this value is scored like a server without outcomes."""
 
 LEVELS_PER_SLOT = 8
-"""Load levels of a load summary per slot in use, for each slot of a server."""
+"""Factor from the load of a server (slots in use divided by its slots) to its load level in a load summary."""
 
 
 class Ranking:
--- a/heronlug/balancer/reservations.py
+++ b/heronlug/balancer/reservations.py
@@ -13,7 +13,7 @@
 With thousands of servers a dispatcher's turn at one of them comes seldom or never, so not every server is examined
 for each request. The highest pace and slot count that are currently valid bound the number of reservations that may
 be open at a time; a server at which this bound is below the dispatcher's next reservation is not examined until the
-bound can have reached it.
+bound can have reached that reservation.
 
 Dispatchers estimate the usual size and the slots a little differently, and so number the reservations differently: two
 dispatchers may claim the same reservation and none the next. The margin in the budget of a server covers that.
@@ -54,7 +54,10 @@
 """Open reservations of a server at a time; a dispatcher without a request while its reservation is open loses it."""
 
 MAX_RESERVATIONS_PER_REQUEST = 4.0
-"""Largest size of a request in requests of usual size; a larger request uses that many reservations of its sender."""
+"""Largest work of a request that is sent on reservations, in requests of usual size.
+
+A request uses as many reservations of its sender as its work corresponds to, rounded, and at least one.
+"""
 
 CHECK_INTERVAL_MS = 20.0
 """Time between two checks for newly opened reservations of this dispatcher."""
--- a/heronlug/balancer/selection.py
+++ b/heronlug/balancer/selection.py
@@ -38,7 +38,7 @@
     """Chooses servers for attempts.
 
     Attributes:
-        freed: the server at which an attempt of this dispatcher has just been served; empty if there is none.
+        freed: list of the server at which an attempt of this dispatcher has just been served; empty if there is none.
     """
 
     __slots__ = (
@@ -102,7 +102,7 @@
         return self._first_fitting_candidate(request, now, overdue)
 
     def _plan_exploration(self, request: Request, now: float, *, overdue: bool) -> None:
-        """Adds this dispatcher's server to probe and the servers at which one of its reservations has begun."""
+        """Adds this dispatcher's server to probe and the servers at which one of its reservations has opened."""
         if self._derived.aggregated and not overdue and not request.non_idempotent:
             self._exploration.rotate_probe_server(now)
         self._exploration.visit(self._shares.reservation_turns(now))
--- a/heronlug/balancer/snapshot.py
+++ b/heronlug/balancer/snapshot.py
@@ -1,4 +1,4 @@
-"""Saves what a dispatcher has learned as a table of plain numbers, and restores it in another process.
+"""Saves what a dispatcher has learned as a table of plain numbers, and restores the table in another process.
 
 Processes of two versions read each other's tables, so the keys, the columns and their order must not change.
 """
--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -114,7 +114,7 @@
 def test_non_idempotent_request_waits_for_a_slot_that_becomes_free() -> None:
     """Failure: a request sent at once may queue behind other dispatchers' requests, and no hedge is allowed.
 
-    The result was 0.90 in `burn-in` and 0.99 in `preview`.
+    The benchmark then gave 0.90 in `burn-in` and 0.99 in `preview`.
     """
     host = Host(with_settings(reports_start=True), workers=6)
     running_request = host.job(0)
@@ -393,7 +393,7 @@
 
 
 def test_server_that_warms_up_is_ranked_last() -> None:
-    """Failure: a newly started server gets the mean score of the others and attracts traffic while still slow."""
+    """Failure: a new server gets the mean score of the other servers and attracts traffic while still slow."""
     host = Host(workers=3)
     serve_on_every_server(host)
     host.dispatcher.rules.exploration.pending = []
