--- a/heronlug/balancer/errors.py
+++ b/heronlug/balancer/errors.py
@@ -11,11 +11,12 @@
     Attributes:
         key: the name of the setting.
         value: the value that is out of range.
+        accepted: the accepted range, as it appears in the message.
     """
 
-    def __init__(self, key: str, value: object) -> None:
-        super().__init__(f"{key}: {value!r} is out of range")
-        self.key, self.value = key, value
+    def __init__(self, key: str, value: object, accepted: str) -> None:
+        super().__init__(f"{key}: {value!r} is out of range, expected {accepted}")
+        self.key, self.value, self.accepted = key, value, accepted
 
 
 class SnapshotError(BalancerError, ValueError):
--- a/heronlug/balancer/settings.py
+++ b/heronlug/balancer/settings.py
@@ -78,12 +78,14 @@
 
     def __post_init__(self) -> None:
         for key in ("latency_objective", "deadline"):
-            _require(getattr(self, key) > 0, key, getattr(self, key))
+            _require(getattr(self, key) > 0, key, getattr(self, key), "a value above 0")
         for key in ("latency_factor", "priority_weight", "late_value", "repeat_window"):
-            _require(getattr(self, key) >= 0, key, getattr(self, key))
+            _require(getattr(self, key) >= 0, key, getattr(self, key), "0 or more")
         for key in ("max_attempts", "attempt_timeout", "hedge_after", "give_up_after"):
-            _require(getattr(self, key) >= 0, key, getattr(self, key))
-        _require(all(wait >= 0 for wait in self.retry_backoff), "retry_backoff", self.retry_backoff)
+            _require(getattr(self, key) >= 0, key, getattr(self, key), "0 or more")
+        _require(
+            all(wait >= 0 for wait in self.retry_backoff), "retry_backoff", self.retry_backoff, "delays of 0 or more"
+        )
 
     def backoff_before(self, number: int) -> float:
         """Returns the delay in ms before an attempt; ``number`` counts from 0, and the first attempt has no delay."""
@@ -166,21 +168,21 @@
     waste_price: float = 0.0
 
     def __post_init__(self) -> None:
-        _require(len(self.classes) > 0, "classes", self.classes)
+        _require(len(self.classes) > 0, "classes", self.classes, "at least one class")
         for key in ("instances", "max_attempts"):
-            _require(getattr(self, key) >= 1, key, getattr(self, key))
+            _require(getattr(self, key) >= 1, key, getattr(self, key), "1 or more")
         for key in ("poll_interval", "dial_timeout", "tick", "overload_multiple", "overload_window"):
-            _require(getattr(self, key) > 0, key, getattr(self, key))
+            _require(getattr(self, key) > 0, key, getattr(self, key), "a value above 0")
         for key in ("progress_interval", "drain_grace", "warmup_time", "answer_slack"):
-            _require(getattr(self, key) >= 0, key, getattr(self, key))
-        _require(0 <= self.worst_class_weight <= 1, "worst_class_weight", self.worst_class_weight)
-        _require(0 < self.warmup_capacity <= 1, "warmup_capacity", self.warmup_capacity)
+            _require(getattr(self, key) >= 0, key, getattr(self, key), "0 or more")
+        _require(0 <= self.worst_class_weight <= 1, "worst_class_weight", self.worst_class_weight, "0 to 1")
+        _require(0 < self.warmup_capacity <= 1, "warmup_capacity", self.warmup_capacity, "a value above 0, up to 1")
 
     def max_attempts_of(self, request_class: RequestClass) -> int:
         """Returns the maximum number of attempts of a request of this class."""
         return min(request_class.max_attempts or self.max_attempts, self.max_attempts)
 
 
-def _require(is_valid: bool, key: str, value: object) -> None:
+def _require(is_valid: bool, key: str, value: object, accepted: str) -> None:
     if not is_valid:
-        raise SettingsError(key, value)
+        raise SettingsError(key, value, accepted)
--- a/heronlug/config/settings_json.py
+++ b/heronlug/config/settings_json.py
@@ -44,7 +44,7 @@
     try:
         return _settings(table)
     except SettingsError as error:
-        raise SettingsError(KEYS_BY_FIELD.get(error.key, error.key), error.value) from error
+        raise SettingsError(KEYS_BY_FIELD.get(error.key, error.key), error.value, error.accepted) from error
 
 
 def _settings(table: Mapping[str, Any]) -> Settings:
@@ -105,7 +105,7 @@
             server_kind=int(kinds[index]) if index < len(kinds) else -1,
         )
     except SettingsError as error:
-        raise SettingsError(where + KEYS_BY_FIELD.get(error.key, error.key), error.value) from error
+        raise SettingsError(where + KEYS_BY_FIELD.get(error.key, error.key), error.value, error.accepted) from error
     except (TypeError, ValueError) as error:
         text = str(error)
         raise ValueError(text if text.startswith(where) else f"{where}{text}") from error
