--- a/heronlug/conformance/events.py
+++ b/heronlug/conformance/events.py
@@ -180,8 +180,8 @@
         if not line.strip():
             continue
         try:
-            words: list[Any] = msgspec.json.decode(line, type=list)
-            yield msgspec.convert(words[1:], KINDS[words[0]])
+            values: list[Any] = msgspec.json.decode(line, type=list)
+            yield msgspec.convert(values[1:], KINDS[values[0]])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, IndexError) as error:
             msg = f"line {number}: invalid event: {error}"
             raise ValueError(msg) from None
--- a/tests/discovery/test_reader_election.py
+++ b/tests/discovery/test_reader_election.py
@@ -222,7 +222,7 @@
     assert role is Role.READ
 
 
-def test_lease_holder_always_reads_and_a_reader_stays_until_another_is_trusted() -> None:
+def test_lease_holder_always_reads_and_a_reader_steps_down_only_after_the_delay() -> None:
     """Guards against a lease holder that does not read, and against a reader that ends its watch too early."""
     election = ReaderElection(STALE_AFTER_MS, 3, 0.0)
     assert election.decide(0.0, True, MemberPosition(9, 9), [SharedListStatus(0.0, True, False)], False) is Role.READ
