--- a/heronlug/conformance/checker.py
+++ b/heronlug/conformance/checker.py
@@ -1,5 +1,14 @@
 """Checks the four rules on the events of a run, emulated or on sockets.
 
+The rules are:
+
+1. Each accepted request gets one final answer by its deadline, unless its client disconnects or the process of the
+   dispatcher is killed. Attempts are sent only while their request is open.
+2. A request that must not run twice does not run twice.
+3. No attempt is sent to a server after the drain grace, which starts when the server's change to draining or gone
+   counts as notified.
+4. A server that is warming up does not fail from overload.
+
 The checker does no I/O and imports nothing of the checked code.
 """
 
--- a/heronlug/conformance/notification.py
+++ b/heronlug/conformance/notification.py
@@ -19,9 +19,9 @@
 from typing import NamedTuple
 
 COUNTS_AFTER_MS = 6_000.0
-"""Time after which a change counts that could have arrived but has not, in ms."""
+"""Time, in ms, from when a change could have arrived until the change counts even if it has not arrived."""
 COUNTS_AFTER_WAIT_MS = 2_000.0
-"""Time after the end of a watch's wait at which a change missed by the watch counts, if that is later, in ms."""
+"""Time, in ms, from the end of a watch's wait until a missed change counts, unless ``COUNTS_AFTER_MS`` ends later."""
 READY = "ready"
 """State of a server that accepts requests, as written in the records."""
 
@@ -53,7 +53,7 @@
 
     @property
     def missed_change_counts_at(self) -> float:
-        """Returns the latest time at which a missed change counts that was made right after the call."""
+        """Returns the latest time at which a change made right after the call, and missed by this watch, counts."""
         return max(self.opened_at + COUNTS_AFTER_MS, self.opened_at + self.wait_ms + COUNTS_AFTER_WAIT_MS)
 
 
@@ -176,7 +176,10 @@
                 notifications.unwritten[server] = change._replace(reachable_at=at)
 
     def notified_since(self, dispatcher: str, server: str) -> Notified | None:
-        """Returns when and why a server started to count as draining or gone for a dispatcher; None if it does not."""
+        """Returns when a server starts to count as draining or gone for a dispatcher, and why; None if never.
+
+        The time may be in the future.
+        """
         notifications = self.notifications_of(dispatcher)
         if server in notifications.written:
             return notifications.written[server]
--- a/heronlug/discovery/cache.py
+++ b/heronlug/discovery/cache.py
@@ -1,8 +1,9 @@
 """Defines the format of a cached endpoint list and the schedule by which the cache is written.
 
-At the start of a process the cached list has the role that ``known`` has on the platform: the list may be old, but can
-be used until service discovery answers, and its version lets the first poll request changes only. A cache that is
-damaged, too old, dated in the future or from another service discovery is rejected with the reason.
+At the start of a process the cached list serves the same purpose as ``known``, the endpoint list in the platform's
+configuration: the list may be old, but can be used until service discovery answers, and its version lets the first poll
+request changes only. A cache that is damaged, too old, dated in the future or from another service discovery is
+rejected with the reason.
 """
 
 from hashlib import blake2b
@@ -114,7 +115,7 @@
         self._changed = False
 
     def on_change(self, now: float) -> float | None:
-        """Records a change of the list and returns the time of the next write; None if a write is already due."""
+        """Records a change of the list and returns the time of the write; None if one is scheduled or in progress."""
         is_planned = self._changed
         self._changed = True
         return None if is_planned or self.writing else max(now, self._next_write_at)
--- a/heronlug/discovery/cache_file.py
+++ b/heronlug/discovery/cache_file.py
@@ -13,7 +13,7 @@
 
 
 class CacheFile:
-    """Reads the cached list at the start of the process and writes the list after changes, in a thread.
+    """Reads the cached list at the start of the process, and writes the list in a background thread after changes.
 
     Attributes:
         path: Path of the cache file.
--- a/heronlug/discovery/client.py
+++ b/heronlug/discovery/client.py
@@ -26,7 +26,7 @@
 """Fraction of the wait by which the waits of dispatchers differ, so that their polls do not end together."""
 
 ANSWER_GRACE_MS = 500.0
-"""Time after the end of its wait at which a poll times out; a missed change counts as notified soon after that."""
+"""Time from the end of a poll's wait until the poll times out; a missed change counts as notified soon after that."""
 
 ANSWER_TIMEOUT_MS = 3_500.0
 """Timeout of an answer to a poll without a wait, and of the rest of an answer that has begun."""
@@ -65,7 +65,7 @@
 
     @property
     def poll_wait(self) -> float:
-        """The maximum time, in ms, that a poll waits for a change."""
+        """Returns the maximum time, in ms, that a poll waits for a change."""
 
     def first_poll_at(self, now: float, has_list: bool) -> float:
         """Returns the time, in ms, at which the first poll may be sent."""
@@ -144,11 +144,11 @@
 
     @property
     def watching(self) -> bool:
-        """Whether the watch is open."""
+        """Returns whether the watch is open."""
         return self._state is WatchState.OPEN
 
     def subscribe(self) -> None:
-        """Opens the watch unless it is open or scheduled or has no address; a pacer may delay the first poll."""
+        """Opens the watch unless the watch is open or scheduled or has no address; a pacer may delay the first poll."""
         if not self.address or self._state in (WatchState.OPEN, WatchState.SCHEDULED):
             return
         if self.pacer is not None and self._state is WatchState.NEW:
@@ -160,7 +160,7 @@
         self._open()
 
     def resume(self) -> None:
-        """Opens the watch after a pause with a poll that is answered immediately, even if nothing has changed."""
+        """Opens the watch after a pause; the first poll is answered immediately, even if nothing has changed."""
         self._poll_immediately = not self.watching
         self.subscribe()
 
--- a/heronlug/discovery/connection.py
+++ b/heronlug/discovery/connection.py
@@ -42,12 +42,12 @@
 
     @property
     def immediate(self) -> bool:
-        """Whether service discovery answers immediately, even if nothing has changed."""
+        """Returns whether service discovery answers immediately, even if nothing has changed."""
         return self.after is None or not self.wait_ms
 
     @property
     def target(self) -> bytes:
-        """The HTTP request target."""
+        """Returns the HTTP request target."""
         if self.after is None:
             return INSTANCES_PATH.encode()
         return f"{INSTANCES_PATH}?after={self.after}&wait_ms={int(self.wait_ms)}".encode()
@@ -103,12 +103,12 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another poll can be sent on this connection."""
+        """Returns whether another poll can be sent on this connection."""
         return self._transport is not None and not self.lost
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes, or the end of the connection, are waiting unread in the kernel."""
+        """Returns whether bytes, or the end of the connection, are waiting unread in the kernel."""
         return self._transport is not None and not self.lost and has_unread_input(self._transport)
 
     def dial(self) -> None:
@@ -156,9 +156,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Notifies the observer, which sends the poll."""
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transport implements the interface without being a subclass
+        # uvloop's transport implements the interface without being a subclass.
+        self._transport = cast(asyncio.Transport, transport)
         self._observer.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
--- a/heronlug/discovery/freshness.py
+++ b/heronlug/discovery/freshness.py
@@ -13,7 +13,8 @@
 notified immediately: the list is usable until 10.85 s (12.85 s if lists are polled every 2 s instead of pushed). An
 answer at 10.5 s removes the limit.
 
-Only :class:`Freshness` changes the state, by the two tables below; the module does no I/O and has no clock.
+Only :class:`Freshness` changes the state and the limit, by the tables ``TRANSITIONS`` and ``LIMIT_EXTENSIONS``; the
+module does no I/O and has no clock.
 
 =========== ====================================================================================================
 state       notified changes that the list may lack
@@ -34,13 +35,16 @@
 """Longest time, in ms, from a change until the change counts as notified, even if its answer did not arrive."""
 
 NOTIFIED_AFTER_WAIT_MS = 2_000.0
-"""Time after the wait of an unanswered poll, in ms, at which missed changes count as notified, if that is later."""
+"""Time, in ms, from the end of an unanswered poll's wait until missed changes count as notified.
+
+``SILENT_NOTIFIED_AFTER_MS`` after the poll was sent applies instead if that is later.
+"""
 
 HANDOVER_NOTIFIED_AFTER_MS = 2_000.0
 """Longest time from a handover of the list, in ms, until changes missed by the previous process count as notified."""
 
 ADDRESS_CHANGE_NOTIFIED_AFTER_MS = 4_000.0
-"""Time after a change of discovery's address, in ms, at which changes count as notified by the protocol."""
+"""Time, in ms, from a change of discovery's address until changes count as notified according to the protocol."""
 
 GRACE_MARGIN_MS = 150.0
 """Time subtracted from the grace, in ms, because a process may be delayed between reading the clock and writing."""
@@ -110,7 +114,7 @@
     (FreshnessState.UNCONFIRMED, FreshnessEvent.UNREACHABLE),
     (FreshnessState.UNWATCHED, FreshnessEvent.REFUSED),
 }
-"""Pairs that extend the limit: discovery is down or the list unconfirmed, so a missing change is newer than now."""
+"""Pairs that extend the limit: discovery is down or the list is unconfirmed, so changes can be missed only later."""
 
 
 class Freshness:
@@ -145,14 +149,14 @@
 
     @property
     def retry_pause(self) -> float | None:
-        """The pause before the next poll, in ms; None if lists are not pushed, which leaves time for a backoff."""
+        """Returns the pause before the next poll, in ms; None, which permits a backoff, if lists are not pushed."""
         if not self.pushed:
             return None
         return max(SHORTEST_RETRY_PAUSE_MS, self._grace / RETRIES_IN_GRACE)
 
     @property
     def may_miss_changes(self) -> bool:
-        """Whether the list may lack a notified change, so that the next poll should be answered immediately."""
+        """Returns whether the list may lack a notified change, so that the next poll should be answered immediately."""
         return self.state is not FreshnessState.WATCHED
 
     def remaining(self, now: float) -> float:
--- a/heronlug/discovery/poll_failure.py
+++ b/heronlug/discovery/poll_failure.py
@@ -26,5 +26,5 @@
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether service discovery does not respond at all, so that polling adds no load to it."""
+        """Returns whether service discovery does not respond at all, so that polling adds no load to it."""
         return self in (PollFailure.CONNECTION_LOST, PollFailure.REFUSED, PollFailure.UNREACHABLE)
--- a/heronlug/discovery/poll_pacing.py
+++ b/heronlug/discovery/poll_pacing.py
@@ -1,12 +1,12 @@
 """Decides when a dispatcher polls service discovery if many dispatchers poll the same service.
 
-Service discovery handles polls one after another, and a rejected poll costs some of its time too. A dispatcher can tell
-the load of service discovery only from the results of its own polls. After a poll that was rejected or timed out, the
-dispatcher therefore waits for its slot. Time is divided into rounds, which are the same for all dispatchers because all
-of them read Unix time, and the position of a dispatcher determines its slot in each round. A round is as long as
+Service discovery handles polls one after another, and a rejected poll takes some processing time too. A dispatcher can
+infer the load of service discovery only from the results of its own polls. After a poll that was rejected or timed out,
+the dispatcher therefore waits for its slot. Time is divided into rounds, which are the same for all dispatchers because
+all of them read Unix time, and the position of a dispatcher determines its slot in each round. A round is as long as
 service discovery needs for one poll (or two, without a list) of every dispatcher at the estimated cost of a poll. If
-the operators do not configure that cost, it is a guess, which doubles with every third rejection in a row and never
-exceeds the time that an answer took.
+the operators do not configure that cost, the cost is guessed; the guess doubles with every third rejection in a row and
+never exceeds the time that an answer took.
 
 The usual scheme, in which each dispatcher doubles a random backoff independently, needed more polls than this scheme in
 every comparison: dispatchers without knowledge of each other keep colliding. ``docs/design/coldstart.md`` has the
@@ -97,7 +97,7 @@
 
     @property
     def poll_wait(self) -> float:
-        """The time, in ms, that a poll waits for a change; increases with the number of dispatchers."""
+        """Returns the time, in ms, that a poll waits for a change; increases with the number of dispatchers."""
         return max(MIN_POLL_WAIT_MS, min(MAX_POLL_WAIT_MS, self.terms.dispatchers * self.cost_ms / RENEWAL_SHARE))
 
     def first_poll_at(self, now: float, has_list: bool) -> float:
--- a/heronlug/discovery/reader_election.py
+++ b/heronlug/discovery/reader_election.py
@@ -3,9 +3,10 @@
 One reader polls for the whole cluster. Once a lease exists, the lease holder is the reader. A lease requires a stable
 list of members, which a fleet that starts all at once lacks for some seconds. Until then, and whenever no reader
 announces itself, a few members read without a lease and without an agreement: each member computes its rank among the
-members that it knows, and the lowest ranks start first. A reader announces itself before its first answer has arrived,
-so that other members do not start. A reader whose watch has failed keeps announcing its attempts: the other members
-keep their lists, and each second one of them, in rotation, checks whether it can reach service discovery.
+members known to that member, and the lowest ranks start first. A reader announces itself before its first answer has
+arrived, so that the other members do not start to read. A reader whose watch has failed keeps announcing its attempts.
+The other members then keep their lists, and once per second one of these members, in rotation, polls to check whether
+that member can reach service discovery.
 
 A member has one of four roles:
 
@@ -48,17 +49,17 @@
 """Additional silence per rank for ranks that would otherwise start after their list is stale."""
 
 MAX_ISOLATED_WAIT_MS = 1200.0
-"""Upper bound of the random extra wait of a member that has seeds but does not know any other member."""
+"""Upper bound of the random extra wait of a member with configured seeds but without known members."""
 
 STEP_DOWN_AFTER_MS = 3000.0
 """Time for which another reader must have been active before a member ends its own watch."""
 
 ROTATION_MS = 1000.0
-"""Turn length of the rotation: while the polls of a reader fail, another member polls in each turn."""
+"""Length of a turn of the rotation: while the polls of a reader fail, a different member polls in each turn."""
 
 
 class Role(Enum):
-    """Roles of a member in the reading of service discovery; the values are written to the log."""
+    """Roles of a member, which determine whether the member polls; the values are written to the log."""
 
     LISTEN = "listen"
     FOLLOW = "follow"
@@ -81,7 +82,7 @@
 
 
 class MemberPosition(NamedTuple):
-    """The position of a member among the members that it knows.
+    """The position of a member among the members known to that member.
 
     Attributes:
         rank: Index in the order in which the members start to read, from 0.
--- a/heronlug/discovery/staleness.py
+++ b/heronlug/discovery/staleness.py
@@ -40,7 +40,7 @@
 
     @property
     def is_overdue(self) -> bool:
-        """Whether the list has become stale and the timer that reports this has not fired yet."""
+        """Returns whether the list has become stale and the timer that reports this has not fired yet."""
         return self._timer is not None and self._deadlines.clock() >= self._freshness.usable_until
 
     def apply(self, event: FreshnessEvent) -> None:
--- a/heronlug/net/acceptor.py
+++ b/heronlug/net/acceptor.py
@@ -1,8 +1,8 @@
 """Accepts connections, and leaves connections that cannot be accepted yet in the queue of the listening socket.
 
-The server of the event loop frees a spare descriptor when no descriptor is left, accepts the waiting connections and
-closes them, so requests that have reached the machine get no answer. Here, an accept that fails for lack of a resource
-leaves the queue unchanged and is retried after a backoff that doubles up to a bound.
+When no descriptor is left, the event loop's built-in server frees a spare descriptor, accepts the waiting connections
+and closes them, so requests that have reached the machine get no answer. Here, an accept that fails for lack of a
+resource leaves the queue unchanged and is retried after a backoff that doubles up to a bound.
 """
 
 import asyncio
@@ -69,12 +69,12 @@
 
     @property
     def active(self) -> bool:
-        """Whether the acceptor accepts connections."""
+        """Returns whether the acceptor accepts connections."""
         return self._socket is not None
 
     @property
     def opening(self) -> int:
-        """The number of accepted connections that have no protocol yet."""
+        """Returns the number of accepted connections that have no protocol yet."""
         return len(self._opening)
 
     def start(self, listening_socket: socket.socket) -> None:
--- a/heronlug/net/http.py
+++ b/heronlug/net/http.py
@@ -68,7 +68,7 @@
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        msg = f"{text!r} contains no address of the form host:port with a port from 1 to 65535"
+        msg = f"{text!r} is not an address of the form host:port with a port from 1 to 65535"
         raise ValueError(msg)
     return host.strip("[]"), int(port)
 
@@ -95,7 +95,7 @@
 
     @property
     def has_partial_line(self) -> bool:
-        """Whether an incomplete line has been received."""
+        """Returns whether an incomplete line has been received."""
         return bool(self._partial_line)
 
     def end(self) -> list[bytes]:
--- a/heronlug/net/listener.py
+++ b/heronlug/net/listener.py
@@ -60,7 +60,7 @@
 
     @property
     def has_pending_connection(self) -> bool:
-        """Whether a connection is waiting for this process, not another one, to accept or open it."""
+        """Returns whether a connection is waiting that this process, and no other one, will accept or open."""
         if self.acceptor.opening > 0:
             return True
         return self.acceptor.active and has_pending_connection(self.fileno())
--- a/heronlug/peers/datagrams.py
+++ b/heronlug/peers/datagrams.py
@@ -51,9 +51,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport of the socket that asyncio has opened."""
-        self._transport = cast(
-            asyncio.DatagramTransport, transport
-        )  # uvloop's transport has this interface without being a subclass
+        # uvloop's transport implements the interface without being a subclass.
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Handles a datagram of a peer.
--- a/heronlug/peers/goodbye.py
+++ b/heronlug/peers/goodbye.py
@@ -24,7 +24,7 @@
 """Interval between the first and the second goodbye, in ms; each later interval is twice as long."""
 
 MAX_GOODBYES = 5
-"""Maximum number of goodbyes to one recipient; a sixth goodbye would follow after ``SERVING_TIMEOUT_MS``."""
+"""Maximum number of goodbyes to one recipient; a sixth goodbye would be due only after ``SERVING_TIMEOUT_MS``."""
 
 ALL_PEERS = -1
 """Recipient that represents all peers, in place of the position of a single peer."""
--- a/heronlug/plugins/host.py
+++ b/heronlug/plugins/host.py
@@ -4,7 +4,7 @@
 
 ``admit(lane: i32, remaining_ms: f64, size: i32) -> i32``
     Called before a request is accepted, with the index of its request class, the time left until its deadline and the
-    size of its body; 0 rejects the request. Nothing has been sent to a server yet, so a rejection is harmless.
+    size of its body in bytes; 0 rejects the request. Nothing has been sent to a server yet, so a rejection is harmless.
 ``observe(lane: i32, final: i32, took_ms: f64)``
     Called after the final answer has been sent, with its code: 0 served, 1 rejected, 2 failed.
 
--- a/heronlug/requests/core.py
+++ b/heronlug/requests/core.py
@@ -190,7 +190,7 @@
     ) -> None:
         """Continues a request that another process accepted.
 
-        The caller connects the attempts in flight to their connections.
+        The caller assigns connections to the attempts in flight.
 
         Args:
             request: Request that is not in any table yet.
@@ -238,7 +238,7 @@
         self.requests.forget(request)
 
     def use_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Applies new limits to the requests that are accepted from now on.
+        """Applies new limits, all at once, to the requests that are accepted from now on.
 
         Requests that are already accepted keep their limits.  The number, order, effects and latency objectives of the
         classes must stay the same, because the statistics of the balancer depend on them.
@@ -261,7 +261,7 @@
     def fail(self, request: Request) -> None:
         """Fails a request for a reason outside the balancer, and cancels its attempts in flight.
 
-        The logged reason is a rejected connection.
+        The logged reason is ``connection_rejected``.
         """
         if not request.closed:
             self._close(request, FinalAnswer.FAILED, b"", reason="connection_rejected")
@@ -332,7 +332,7 @@
         self.requests.forget(request)
 
     def postpone(self, resume: Callable[[Attempt], None], attempt: Attempt) -> None:
-        """Resumes an attempt in the next iteration of the event loop; this iteration reads the endpoint list."""
+        """Resumes an attempt in the next iteration of the event loop, because this one reads the endpoint list."""
         self.postponed += 1
         self._log_attempt("attempt_postponed", attempt)
         self.deadlines.call_after(0.0, resume, attempt)
@@ -422,7 +422,7 @@
             self.transport.send(attempt)
 
     def _begin_postponed(self, attempt: Attempt) -> None:
-        """Sends an attempt that was postponed, unless its server or request may no longer be used."""
+        """Sends a postponed attempt once the update has been read; ends the attempt if it may no longer be written."""
         if not attempt.in_flight:
             return
         if self.has_unread_update():
--- a/heronlug/requests/interfaces.py
+++ b/heronlug/requests/interfaces.py
@@ -18,7 +18,7 @@
         """Sends the final answer of a request; ``retry_after`` is in ms, 0 for none."""
 
     def client_waits(self, request: Request) -> bool:
-        """Returns whether the client is still connected, including a disconnect that has not been read yet."""
+        """Returns whether the client is still connected; False also for a disconnect that has not been read yet."""
 
 
 class Plugins(Protocol):
--- a/heronlug/requests/model.py
+++ b/heronlug/requests/model.py
@@ -34,7 +34,7 @@
 
 
 class ListedServer(NamedTuple):
-    """One entry of the endpoint list, which names a server.
+    """A server as one entry of the endpoint list describes the server.
 
     Attributes:
         name: Name of the server, the same at every dispatcher.
@@ -154,7 +154,8 @@
         """Returns whether servers still recognize this attempt as a repeat of the earlier ones.
 
         Servers deduplicate requests that are idempotent by key only within the repeat window.  The window is checked
-        again before the write because dialling the server uses up part of the window.
+        again before the write because dialling the server uses up part of the window.  The result is always True for
+        request classes with another effect.
         """
         policy = self.request.policy
         if policy.effect is not Effect.IDEMPOTENT_BY_KEY:
--- a/heronlug/scheduling/chains.py
+++ b/heronlug/scheduling/chains.py
@@ -2,8 +2,8 @@
 
 A job names its parents when the job is accepted. Every parent must be known by then, so the graph has no cycles. A
 parent that has already ended counts with the outcome of that end. A served parent satisfies its edge. If a parent ends
-otherwise, the edge either fails the waiting job or is satisfied anyway, as its ``on_failure`` says. A job that fails
-this way has ended as well, which affects the jobs that wait for that job in turn.
+otherwise, the ``on_failure`` of the edge determines whether the edge fails the waiting job or is satisfied anyway. A
+job that fails this way has ended as well, which affects the jobs that wait for that job in turn.
 
 Every parent ends by its own deadline, so a job in a chain waits at most for the sum of the allowed times of the jobs
 before it.
@@ -17,7 +17,7 @@
 
 
 class OnFailure(str, Enum):
-    """Effect of a parent that ends without being served on the waiting job."""
+    """Effect on the waiting job if a parent ends without being served."""
 
     FAIL = "fail"
     RELEASE = "release"
@@ -44,7 +44,7 @@
 
 
 class ChainEnd(NamedTuple):
-    """The jobs that an end releases and fails, in order.
+    """The jobs that the end of a job releases and fails, each list in the order of these effects.
 
     Attributes:
         released: Jids of the jobs that may start now.
--- a/tests/loadgen/test_load.py
+++ b/tests/loadgen/test_load.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("address", ["192.0.2.1:80", "example.org:80", "10.0.0.1:80", "127.0.0.1"])
 def test_load_goes_to_loopback_alone(address: str) -> None:
-    with pytest.raises(ValueError, match=r"loopback|no address"):
+    with pytest.raises(ValueError, match=r"loopback|not an address"):
         loopback(address)
 
 
--- a/tests/requests/test_core.py
+++ b/tests/requests/test_core.py
@@ -151,7 +151,7 @@
         """Failure: a lost connection is reported as possibly executed although the server never got the whole request.
 
         The last byte of a non-idempotent request is withheld for 10 ms. A connection that is lost before that byte is
-        written proves that the request has not run.
+        written, such as a reused connection that breaks at its next request, proves that the request has not run.
         """
         pool = ConnectionPool(
             self.deadlines, lambda *a, **k: None, lambda: None, conn_idle=4000, dial_timeout=250, max_connections=9
@@ -243,7 +243,7 @@
 
 class LogTest(unittest.TestCase):
     def test_full_pipe_does_not_block_the_caller(self) -> None:
-        """Failure: nobody reads the log pipe, and the event loop blocks once the pipe is full."""
+        """Failure: no process reads the log pipe, and the event loop blocks once the pipe is full."""
         reader, writer = os.pipe()
         log = Log(writer)
         for number in range(3 * MAX_BUFFERED_LINES):  # blocks here if lines are written on this thread
