--- a/heronlug/frontends/faktory/job.py
+++ b/heronlug/frontends/faktory/job.py
@@ -60,7 +60,7 @@
         return self.payload.get("custom") or {}
 
 
-class StartTime(NamedTuple):
+class JobTiming(NamedTuple):
     """The earliest start of a job and the time that the job may take.
 
     Attributes:
--- a/heronlug/frontends/faktory/jobs.py
+++ b/heronlug/frontends/faktory/jobs.py
@@ -16,9 +16,9 @@
 )
 from heronlug.frontends.faktory.job import (
     Job,
+    JobTiming,
     PushArguments,
     PushCallback,
-    StartTime,
     parse_due_at,
     parse_jid,
     parse_push,
@@ -106,32 +106,32 @@
         """Stores a new job; the job is accepted once the store confirms that the job is durable."""
         self.by_jid[job.jid] = job
         deadline_ms = job.policy.deadline
-        start = StartTime(deadline_ms if arguments.remaining_ms is None else arguments.remaining_ms, due_at)
+        timing = JobTiming(deadline_ms if arguments.remaining_ms is None else arguments.remaining_ms, due_at)
         accepted_at = self._context.deadlines.clock()
         class_name = self._class_names()[job.class_index]
         record = StoredRequest(
-            job.jid, class_name, job.queue, arguments.encoded, accepted_at, start.remaining_ms, due_at
+            job.jid, class_name, job.queue, arguments.encoded, accepted_at, timing.remaining_ms, due_at
         )
-        self._context.store.accept(record, partial(self._on_stored, job, start))
+        self._context.store.accept(record, partial(self._on_stored, job, timing))
 
-    def _on_stored(self, job: Job, start: StartTime, failure: str) -> None:
+    def _on_stored(self, job: Job, timing: JobTiming, failure: str) -> None:
         """Starts a stored job, or rejects the job if ``failure``, the error text of the store, is not empty."""
         callbacks, job.push_callbacks = job.push_callbacks, []
         job.being_stored = False
-        error = self._start_stored(job, start, failure)
+        error = self._start_stored(job, timing, failure)
         if error is not None:
             self.scheduler.job_ended(job.jid, False)
         for callback in callbacks:
             callback(error)
 
-    def _start_stored(self, job: Job, start: StartTime, failure: str) -> CommandError | None:
+    def _start_stored(self, job: Job, timing: JobTiming, failure: str) -> CommandError | None:
         """Starts a job unless storing it failed; returns the error if the job is not accepted, else None."""
         if failure:
             del self.by_jid[job.jid]
             return JobNotStoredError(failure)
-        if not self.scheduler.may_start(job, start):
+        if not self.scheduler.may_start(job, timing):
             return None
-        request = self.scheduler.start(job, start)
+        request = self.scheduler.start(job, timing)
         if request is None or request.final_answer is not FinalAnswer.REFUSED or request.attempts:
             return None
         del self.by_jid[job.jid]  # the job was never accepted, so the producer may push the same jid again
@@ -183,10 +183,10 @@
     def _restart(self, job: Job, record: StoredRequest, action: RecoveryAction, now: float) -> None:
         if record.first_delivered_at:  # a job is delivered only after its parents have ended
             self.scheduler.start_now(job, remaining_ms(record, now))
-        elif self.scheduler.may_start(job, StartTime(record.time_allowed_ms, record.not_before)):
+        elif self.scheduler.may_start(job, JobTiming(record.time_allowed_ms, record.not_before)):
             scheduled = action is RecoveryAction.SCHEDULE
             allowed_ms = record.time_allowed_ms if scheduled else remaining_ms(record, now)
-            self.scheduler.start(job, StartTime(allowed_ms, record.not_before))
+            self.scheduler.start(job, JobTiming(allowed_ms, record.not_before))
 
     def _recover_job(self, record: StoredRequest, action: RecoveryAction, now: float) -> Job:
         names = self._class_names()
--- a/heronlug/frontends/faktory/scheduler.py
+++ b/heronlug/frontends/faktory/scheduler.py
@@ -5,7 +5,7 @@
 
 from heronlug.frontends.faktory.context import FaktoryContext
 from heronlug.frontends.faktory.errors import InvalidArgumentError, UnknownParentError
-from heronlug.frontends.faktory.job import Job, StartTime
+from heronlug.frontends.faktory.job import Job, JobTiming
 from heronlug.frontends.faktory.resp import JsonObject
 from heronlug.requests.deadlines import Key
 from heronlug.requests.model import FinalAnswer, Request
@@ -23,7 +23,7 @@
     """A job that waits for its parents, with its start time."""
 
     job: Job
-    start: StartTime
+    timing: JobTiming
 
 
 class JobScheduler:
@@ -52,25 +52,25 @@
         self._dependent: dict[str, _DependentJob] = {}
         self._chains = RequestChains()
 
-    def start(self, job: Job, start: StartTime) -> Request | None:
+    def start(self, job: Job, timing: JobTiming) -> Request | None:
         """Hands a job to the core, immediately or at its start time.
 
         Returns:
             The request, or None if the job starts later.
         """
         deadlines = self._context.deadlines
-        if start.due_at > deadlines.clock() and not self.stopping:
-            deadline = deadlines.call_at(start.due_at, self.start_now, job, start.remaining_ms)
+        if timing.due_at > deadlines.clock() and not self.stopping:
+            deadline = deadlines.call_at(timing.due_at, self.start_now, job, timing.remaining_ms)
             self._delayed[job.jid] = _DelayedJob(deadline, job)
             return None
-        return self.start_now(job, start.remaining_ms)
+        return self.start_now(job, timing.remaining_ms)
 
     def start_now(self, job: Job, remaining_ms: float) -> Request:
         """Hands a job to the core immediately and returns the request."""
         self._delayed.pop(job.jid, None)
         return self._context.core.accept(job, job.class_index, remaining_ms, size=job.size, policy=job.policy)
 
-    def may_start(self, job: Job, start: StartTime) -> bool:
+    def may_start(self, job: Job, timing: JobTiming) -> bool:
         """Records the dependencies of a job and returns whether the job may start.
 
         A job with open parents waits until its parents have ended. A job that needs a parent to be served fails
@@ -90,7 +90,7 @@
             ],
         )
         if chain_state is ChainState.WAITS:
-            self._dependent[job.jid] = _DependentJob(job, start)
+            self._dependent[job.jid] = _DependentJob(job, timing)
         elif chain_state is ChainState.FAILED:
             # Operators' pages quote this cause; it must not change.
             self._context.log("job_chain_failed", jid=job.jid, cause="a parent had failed")
@@ -122,7 +122,7 @@
             self._finish(failed.job, FinalAnswer.FAILED)
         for child in chain_end.released:
             released = self._dependent.pop(child)
-            self.start(released.job, released.start)
+            self.start(released.job, released.timing)
 
     def stop(self) -> None:
         """Stops starting jobs; pending jobs are rejected, or stay in a durable store for the next process."""
