--- a/heronlug/frontends/faktory/job.py
+++ b/heronlug/frontends/faktory/job.py
@@ -56,11 +56,11 @@
 
     @property
     def custom(self) -> JsonObject:
-        """The ``custom`` object of the payload."""
+        """Returns the ``custom`` object of the payload, or an empty object if there is none."""
         return self.payload.get("custom") or {}
 
 
-class StartTime(NamedTuple):
+class JobTiming(NamedTuple):
     """The earliest start of a job and the time that the job may take.
 
     Attributes:
