--- a/heronlug/loadgen/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -1,4 +1,4 @@
-"""Stand-in hosts, a register, dispatchers and load in one go, on loopback; and the same on the model beside it."""
+"""Runs a scenario with stand-in servers, service discovery, dispatchers and load on loopback, and on the emulator."""
 
 import asyncio
 import os
@@ -21,66 +21,75 @@
 from heronlug.standins.fleet import Fleet
 from heronlug.standins.ports import free_ports
 
-READY = 20.0  # s for a dispatcher to come up
-MOST = 8  # dispatchers: each is a process
-FILE = Template("""\
+READY_TIMEOUT_S = 20.0
+"""Maximum time in seconds until all dispatchers are ready."""
+MAX_DISPATCHERS = 8
+"""Maximum number of dispatchers, each of which is a process."""
+CONFIG_TEMPLATE = Template("""\
 log_level = "warning"
 [serve]
 name = "d{{ number }}"
-listen = "127.0.0.1:{{ doors[number] }}"
-operators = "127.0.0.1:{{ operators[number] }}"
+listen = "127.0.0.1:{{ listen_ports[number] }}"
+operators = "127.0.0.1:{{ operator_ports[number] }}"
 discovery = "127.0.0.1:{{ discovery }}"
 position = {{ number }}
 peers = [{% for port in peers %}"127.0.0.1:{{ port }}", {% endfor %}]
 sockets = 4096
 memory_mb = 1024
 [site]
-dispatchers = {{ doors | length }}
-zones = [{% for zone in s.zones %}"{{ zone }}", {% endfor %}]
-kinds = [{% for kind in s.kind %}"{{ kind.name }}", {% endfor %}]
-attempts_cap = {{ s.dispatchers.attempts_cap }}
-second_copies = {{ "true" if s.dispatchers.second_copies else "false" }}
-dial_timeout_ms = {{ s.network.dial_timeout_ms }}
-drain_grace_ms = {{ s.safety.drain_grace_ms }}
-cold_from = {{ s.safety.cold_from }}
-warm_after_ms = {{ s.safety.warm_after_ms }}
-tip_multiple = {{ s.safety.tip_multiple }}
-overload_for_ms = {{ s.safety.overload_for_ms }}
-{% for lane in s.classes %}
+dispatchers = {{ listen_ports | length }}
+zones = [{% for zone in scenario.zones %}"{{ zone }}", {% endfor %}]
+kinds = [{% for kind in scenario.kind %}"{{ kind.name }}", {% endfor %}]
+attempts_cap = {{ scenario.dispatchers.attempts_cap }}
+second_copies = {{ "true" if scenario.dispatchers.second_copies else "false" }}
+dial_timeout_ms = {{ scenario.network.dial_timeout_ms }}
+drain_grace_ms = {{ scenario.safety.drain_grace_ms }}
+cold_from = {{ scenario.safety.cold_from }}
+warm_after_ms = {{ scenario.safety.warm_after_ms }}
+tip_multiple = {{ scenario.safety.tip_multiple }}
+overload_for_ms = {{ scenario.safety.overload_for_ms }}
+{% for request_class in scenario.classes %}
 [[site.class]]
-name = "{{ lane.name }}"
-effect = "{{ lane.effect }}"
-aim_ms = {{ lane.aim_ms }}
-deadline_ms = {{ lane.deadline_ms }}
-worth = {{ lane.worth }}
-late_worth = {{ lane.late_worth }}
-{% if lane.effect == "by_key" %}repeat_window_ms = {{ lane.deadline_ms }}{% endif %}
+name = "{{ request_class.name }}"
+effect = "{{ request_class.effect }}"
+aim_ms = {{ request_class.aim_ms }}
+deadline_ms = {{ request_class.deadline_ms }}
+worth = {{ request_class.worth }}
+late_worth = {{ request_class.late_worth }}
+{% if request_class.effect == "by_key" %}repeat_window_ms = {{ request_class.deadline_ms }}{% endif %}
 {% endfor %}
 """)
 
 
 class Dispatchers:
-    """Processes of our own program."""
+    """Dispatcher processes of this program.
+
+    Attributes:
+        listen_ports: ports of the HTTP frontends.
+        operator_ports: ports of the operator interfaces.
+        processes: the processes.
+        folder: folder of configuration and log files.
+    """
 
     def __init__(self, scenario: Scenario, discovery: int, folder: Path) -> None:
-        count = min(MOST, scenario.dispatchers.count)
-        self.doors, self.operators = free_ports(count), free_ports(count)
+        count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
+        self.listen_ports, self.operator_ports = free_ports(count), free_ports(count)
         peers = free_ports(count) if scenario.dispatchers.may_tell and count > 1 else []
-        self.programs = []
+        self.processes = []
         for number in range(count):
             path = folder / f"d{number}.toml"
             path.write_text(
-                FILE.render(
-                    s=scenario,
+                CONFIG_TEMPLATE.render(
+                    scenario=scenario,
                     number=number,
-                    doors=self.doors,
-                    operators=self.operators,
+                    listen_ports=self.listen_ports,
+                    operator_ports=self.operator_ports,
                     peers=peers,
                     discovery=discovery,
                 )
             )
             with (folder / f"d{number}.log").open("wb") as log:
-                self.programs.append(
+                self.processes.append(
                     subprocess.Popen(
                         [sys.executable, "-m", "heronlug", "serve", str(path)],
                         stdout=log,
@@ -91,13 +100,17 @@
         self.folder = folder
 
     async def ready(self) -> None:
-        """All serve; raises ``RuntimeError`` with a log where one does not."""
-        end = time.monotonic() + READY
-        for number, port in enumerate(self.operators):
+        """Waits until all dispatchers are ready.
+
+        Raises:
+            RuntimeError: if a dispatcher ends or is not ready in time; the message contains the end of its log.
+        """
+        give_up_at = time.monotonic() + READY_TIMEOUT_S
+        for number, port in enumerate(self.operator_ports):
             while not await asyncio.to_thread(self._healthy, port):
-                if time.monotonic() > end or self.programs[number].poll() is not None:
+                if time.monotonic() > give_up_at or self.processes[number].poll() is not None:
                     log = (self.folder / f"d{number}.log").read_text()
-                    msg = f"d{number} does not serve: {log[-800:]}"
+                    msg = f"dispatcher d{number} is not ready; end of its log: {log[-800:]}"
                     raise RuntimeError(msg)
                 await asyncio.sleep(0.05)
 
@@ -110,30 +123,40 @@
             return False
 
     def stop(self) -> list[int]:
-        """End them as an operator would; their exit statuses."""
-        for program in self.programs:
-            program.terminate()
-        statuses = []
-        for program in self.programs:
+        """Terminates the processes with SIGTERM, kills those that do not end in time, and returns the exit statuses."""
+        for process in self.processes:
+            process.terminate()
+        exit_statuses = []
+        for process in self.processes:
             try:
-                statuses.append(program.wait(15))
+                exit_statuses.append(process.wait(15))
             except subprocess.TimeoutExpired:
-                program.kill()
-                statuses.append(program.wait())
-        return statuses
+                process.kill()
+                exit_statuses.append(process.wait())
+        return exit_statuses
 
 
 async def on_sockets(scenario: Scenario, seed: int, events: list[Event] | None = None) -> list[Tally]:
-    """The whole scenario in real time; raises ``OSError`` or ``RuntimeError``."""
-    tallies = {lane.name: Tally(lane) for lane in scenario.classes}
+    """Runs a scenario in real time on sockets and returns the tallies of the request classes.
+
+    Args:
+        scenario: scenario to run.
+        seed: seed of all random streams.
+        events: list that receives the events of the stand-in servers, if given.
+
+    Raises:
+        OSError: if a port cannot be opened.
+        RuntimeError: if a dispatcher does not become ready.
+    """
+    tallies = {request_class.name: Tally(request_class) for request_class in scenario.classes}
     fleet = Fleet(scenario, seed, events.append if events is not None else None)
     with tempfile.TemporaryDirectory() as folder:
         dispatchers = Dispatchers(scenario, await fleet.open(), Path(folder))
         try:
             await dispatchers.ready()
-            doors = [("127.0.0.1", port) for port in dispatchers.doors]
+            addresses = [("127.0.0.1", port) for port in dispatchers.listen_ports]
             fleet.begin()
-            await HttpLoad(doors, tallies, scenario.span_s).run(plan(scenario, seed))
+            await HttpLoad(addresses, tallies, scenario.span_s).run(plan(scenario, seed))
         finally:
             await asyncio.to_thread(dispatchers.stop)
             fleet.close()
@@ -141,10 +164,10 @@
 
 
 def on_the_model(scenario: Scenario, seed: int) -> Figures:
-    """The same, as far as the model can be like it: as many dispatchers, no retries of clients, loopback's delays."""
-    scenario.dispatchers.count = min(MOST, scenario.dispatchers.count)
+    """Emulates a run on sockets: limits dispatchers, removes retries of clients and sets the delays of loopback."""
+    scenario.dispatchers.count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
     scenario.network.inside_ms = scenario.network.across_ms = 0.1
     scenario.network.loss, scenario.register.lag_ms, scenario.warm_up_s = 0.0, 1.0, 0.0
-    for lane in scenario.classes:
-        lane.retries = 0
+    for request_class in scenario.classes:
+        request_class.retries = 0
     return World(scenario, seed).run()
