--- a/heronlug/cli/__init__.py
+++ b/heronlug/cli/__init__.py
@@ -17,7 +17,7 @@
 from heronlug.config.desired_state import StateError
 from heronlug.config.platform import ConfigError
 
-LAB = {"hdrh", "jinja2", "matplotlib", "numpy", "rich", "scipy"}  # of requirements-lab.txt
+LAB_PACKAGES = {"hdrh", "jinja2", "matplotlib", "numpy", "rich", "scipy"}  # of requirements-lab.txt
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -60,7 +60,7 @@
     except click.Abort:
         return 1
     except ModuleNotFoundError as error:
-        if (error.name or "").split(".")[0] not in LAB:
+        if (error.name or "").split(".")[0] not in LAB_PACKAGES:
             raise
         print(f"heronlug: {error.name} is not installed: this command needs the extra, heronlug[lab]", file=sys.stderr)
         return 2
--- a/heronlug/cli/change.py
+++ b/heronlug/cli/change.py
@@ -6,33 +6,33 @@
 import click
 import orjson
 
-from heronlug.cli.helpers import FILE, SOCKET
+from heronlug.cli.helpers import CONTROL_OPTION, FILE_PATH
 from heronlug.config.desired_state import State, StateError, difference, digest, parse
 from heronlug.config.limits import load
 from heronlug.config.strict_toml import ConfigProblems, Source
 from heronlug.lifecycle.control import ask
 
 
-def _running(control: str) -> State:
+def _running_state(control: str) -> State:
     state: State = ask(control, {"ask": "state"})["state"]
     return state
 
 
-def _desired(control: str, path: Path) -> State:
+def _desired_state(control: str, path: Path) -> State:
     """A file's state, checked against what runs; all of its faults with their lines."""
     try:
         source = Source.read(path)
         state = parse(source)
         if state["classes"]:
-            broken = ask(control, {"ask": "check", "classes": state["classes"]})["broken"]
-            if broken:
-                raise ConfigProblems(load.problems(source, (load.BrokenClassRule(*each) for each in broken)))
+            broken_rules = ask(control, {"ask": "check", "classes": state["classes"]})["broken"]
+            if broken_rules:
+                raise ConfigProblems(load.problems(source, (load.BrokenClassRule(*rule) for rule in broken_rules)))
         return state
-    except ConfigProblems as faults:
-        raise StateError(str(faults)) from None
+    except ConfigProblems as problems:
+        raise StateError(str(problems)) from None
 
 
-def _show(changes: list[str]) -> None:
+def _print_changes(changes: list[str]) -> None:
     for line in changes:
         print(line)
     counts = [sum(1 for line in changes if line.startswith(sign)) for sign in "+~-"]
@@ -40,47 +40,47 @@
 
 
 @click.command()
-@click.argument("file", type=FILE)
-@click.option("--save", type=FILE, help="keep the plan in this file")
-@SOCKET
+@click.argument("file", type=FILE_PATH)
+@click.option("--save", type=FILE_PATH, help="keep the plan in this file")
+@CONTROL_OPTION
 def plan(file: Path, save: Path | None, control: str) -> None:
     """Print what FILE would change of the running daemon."""
-    running = _running(control)
-    desired = _desired(control, file)
-    _show(difference(running, desired))
+    running = _running_state(control)
+    desired = _desired_state(control, file)
+    _print_changes(difference(running, desired))
     if save is not None:
         save.write_bytes(orjson.dumps({"heronlug_plan": 1, "base": digest(running), "desired": desired}))
         save.chmod(0o600)
 
 
-def _saved(path: Path, data: bytes) -> tuple[str, Any]:
+def _read_saved_plan(path: Path, data: bytes) -> tuple[str, Any]:
     try:
-        saved = orjson.loads(data)
-        if saved["heronlug_plan"] != 1:
+        saved_plan = orjson.loads(data)
+        if saved_plan["heronlug_plan"] != 1:
             msg = "not of this version"
             raise ValueError(msg)
-        return str(saved["base"]), saved["desired"]
+        return str(saved_plan["base"]), saved_plan["desired"]
     except (ValueError, KeyError, TypeError) as error:
         msg = f"{path}: heronlug_plan: no saved plan: {error!r}"
         raise StateError(msg) from None
 
 
 @click.command()
-@click.argument("file", type=FILE)
-@SOCKET
+@click.argument("file", type=FILE_PATH)
+@CONTROL_OPTION
 def apply(file: Path, control: str) -> None:
     """Carry out FILE: a saved plan, or a desired state, which is planned and carried out."""
     try:
-        with file.open("rb") as opened:
-            data = opened.read(8 * 1024 * 1024)
+        with file.open("rb") as opened_file:
+            data = opened_file.read(8 * 1024 * 1024)
     except OSError as error:
         msg = f"{file}: {error.strerror}"
         raise StateError(msg) from None
     if data.lstrip().startswith(b"{"):
-        base, desired = _saved(file, data)
+        base, desired = _read_saved_plan(file, data)
     else:
-        base = digest(_running(control))
-        desired = _desired(control, file)
+        base = digest(_running_state(control))
+        desired = _desired_state(control, file)
     changes = ask(control, {"ask": "apply", "base": base, "desired": desired})["changes"]
     for line in changes:
         print(line)
--- a/heronlug/cli/cluster.py
+++ b/heronlug/cli/cluster.py
@@ -2,7 +2,7 @@
 
 import click
 
-from heronlug.cli.helpers import JSON, SOCKET, print_rows
+from heronlug.cli.helpers import CONTROL_OPTION, JSON_OPTION, print_rows
 from heronlug.lifecycle.control import ask
 
 
@@ -11,21 +11,21 @@
     """The dispatchers that share leases, as the running one sees them."""
 
 
-def _show(control: str, what: str, as_json: bool) -> None:
-    print_rows(ask(control, {"ask": what})[what], as_json)
+def _print_overview(control: str, subject: str, as_json: bool) -> None:
+    print_rows(ask(control, {"ask": subject})[subject], as_json)
 
 
 @cluster.command()
-@JSON
-@SOCKET
+@JSON_OPTION
+@CONTROL_OPTION
 def members(as_json: bool, control: str) -> None:
     """The members, their health, and since when."""
-    _show(control, "members", as_json)
+    _print_overview(control, "members", as_json)
 
 
 @cluster.command("duties")
-@JSON
-@SOCKET
+@JSON_OPTION
+@CONTROL_OPTION
 def leases(as_json: bool, control: str) -> None:
     """Each lease: whether this member holds it, its fencing token, the time left, the last run, runs and takeovers."""
-    _show(control, "duties", as_json)
+    _print_overview(control, "duties", as_json)
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -7,13 +7,15 @@
 import click
 import orjson
 
-from heronlug.cli.helpers import FILE, print_columns, print_json
+from heronlug.cli.helpers import FILE_PATH, print_columns, print_json
 
-SET = click.option("--set", "changes", multiple=True, metavar="KEY=VALUE", help="another value of the scenario's")
-STORE = click.argument("store", type=FILE)
+SET_OPTION = click.option(
+    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="another value of the scenario's"
+)
+STORE_ARGUMENT = click.argument("store", type=FILE_PATH)
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return orjson.loads(text)
     except ValueError:
@@ -22,21 +24,21 @@
 
 def changed(changes: tuple[str, ...]) -> dict[str, Any]:
     """``--set`` as keys and values."""
-    found = {}
+    result = {}
     for text in changes:
         key, equals, value = text.partition("=")
         if not equals:
             msg = f"{text!r} is no KEY=VALUE"
             raise click.BadParameter(msg, param_hint="--set")
-        found[key] = _value(value)
-    return found
+        result[key] = _parse_value(value)
+    return result
 
 
 @click.command()
-@click.argument("file", type=FILE)
-@SET
+@click.argument("file", type=FILE_PATH)
+@SET_OPTION
 @click.option("--seed", type=int, help="in place of the scenario's")
-@click.option("--events", type=FILE, help="write all events of the run there, a line each")
+@click.option("--events", type=FILE_PATH, help="write all events of the run there, a line each")
 @click.option("--json", "as_json", is_flag=True, help="one JSON object of all figures")
 def emulate(file: Path, changes: tuple[str, ...], seed: int | None, events: Path | None, as_json: bool) -> int:
     """Play the scenario FILE once.  The exit status is 1 where a rule was broken."""
@@ -52,8 +54,8 @@
         world = World(scenario, seed)
         figures = world.run()
     else:
-        with events.open("wb") as out:
-            world = World(scenario, seed, record=lambda event: out.writelines((write(event),)))
+        with events.open("wb") as event_file:
+            world = World(scenario, seed, record=lambda event: event_file.writelines((write(event),)))
             figures = world.run()
     if as_json:
         print_json(figures.by_name())
@@ -76,23 +78,23 @@
 
 
 @rules.command("check")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--drain-grace-ms", default=2500.0, help="from the register's word to the last send")
 @click.option("--slack-ms", default=50.0, help="for the clocks of several processes")
 def check_rules(file: Path, drain_grace_ms: float, slack_ms: float) -> int:
     """Check the events in FILE, as ``emulate --events`` writes them.  The exit status is 1 where a rule was broken."""
     from heronlug.conformance import Checker, read
 
-    checker, last = Checker(drain_grace_ms, slack_ms), 0.0
+    checker, last_event_at = Checker(drain_grace_ms, slack_ms), 0.0
     try:
-        with file.open("rb") as lines:
-            for event in read(lines):
+        with file.open("rb") as event_file:
+            for event in read(event_file):
                 checker.see(event)
-                last = event.at
+                last_event_at = event.at
     except (OSError, ValueError) as error:
         msg = f"{file}: {error}"
         raise click.ClickException(msg) from None
-    for violation in checker.finish(last):
+    for violation in checker.finish(last_event_at):
         print(f"rule {violation.rule} broken at {violation.at:.0f} ms: {violation.what}")
         for event in violation.trail:
             print("    " + " ".join(map(str, (type(event).__name__, *event))))
@@ -105,13 +107,13 @@
     """Sweeps over scenarios, on all cores."""
 
 
-def _store_of(file: Path, store: Path | None) -> Path:
+def _store_path(file: Path, store: Path | None) -> Path:
     return store if store is not None else file.with_suffix(".sqlite")
 
 
 @experiment.command()
-@click.argument("file", type=FILE)
-@click.option("--store", type=FILE, help="where runs are kept; beside FILE if not given")
+@click.argument("file", type=FILE_PATH)
+@click.option("--store", type=FILE_PATH, help="where runs are kept; beside FILE if not given")
 @click.option("--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="processes at once")
 def run(file: Path, store: Path | None, workers: int) -> int:
     """Play what of FILE has not been played yet.  Interrupted, it goes on from there next time."""
@@ -122,27 +124,30 @@
     from heronlug.experiments.store import Store, StoredRun
 
     try:
-        experiment, jobs = read(file)
+        experiment, planned_runs = read(file)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
-    with Store(_store_of(file, store)) as kept:
-        there = kept.has(experiment.name, [job.key for job in jobs])
+    with Store(_store_path(file, store)) as run_store:
+        stored_keys = run_store.has(experiment.name, [planned_run.key for planned_run in planned_runs])
         columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
         with Progress(*columns) as progress:
-            task = progress.add_task(experiment.name, total=len(jobs), completed=len(there))
+            task = progress.add_task(experiment.name, total=len(planned_runs), completed=len(stored_keys))
 
-            def done(job: PlannedRun, run: StoredRun | None, why: str) -> None:
+            def on_run_done(planned_run: PlannedRun, stored_run: StoredRun | None, reason: str) -> None:
                 progress.advance(task)
-                if run is None:
-                    progress.console.print(f"seed {job.seed} of {job.params}: {why}")
-
-            good, failed = runner.run(experiment.name, jobs, kept, workers, done)
-    print(f"{good} of {len(jobs)} runs are in {_store_of(file, store)}; {len(there)} were there before")
+                if stored_run is None:
+                    progress.console.print(f"seed {planned_run.seed} of {planned_run.params}: {reason}")
+
+            succeeded, failed = runner.run(experiment.name, planned_runs, run_store, workers, on_run_done)
+    print(
+        f"{succeeded} of {len(planned_runs)} runs are in {_store_path(file, store)}; "
+        f"{len(stored_keys)} were there before"
+    )
     return 1 if failed else 0
 
 
 @experiment.command()
-@STORE
+@STORE_ARGUMENT
 @click.argument("a")
 @click.argument("b")
 @click.option("--figure", "figures", multiple=True, help="only these; all if not given")
@@ -150,29 +155,29 @@
 @click.option("--json", "as_json", is_flag=True)
 def compare(store: Path, a: str, b: str, figures: tuple[str, ...], name: str, as_json: bool) -> int:
     """What changes from A to B in STORE, each such as ``policy=heronlug``, over pairs of the same seed."""
-    from heronlug.experiments import compare as comparing
+    from heronlug.experiments import compare as comparison
     from heronlug.experiments.store import Store
 
     try:
-        with Store(store, create=False) as kept:
-            matched = comparing.pairs(kept.runs(name), comparing.parse_params(a), comparing.parse_params(b))
-        found = comparing.compare(matched, figures)
+        with Store(store, create=False) as run_store:
+            run_pairs = comparison.pairs(run_store.runs(name), comparison.parse_params(a), comparison.parse_params(b))
+        result = comparison.compare(run_pairs, figures)
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
     if as_json:
-        print_json([{**each._asdict(), "noise": each.noise} for each in found])
+        print_json([{**item._asdict(), "noise": item.noise} for item in result])
         return 0
     rows = [["figure", a, b, "change", "95% from", "to", "pairs", ""]]
-    for each in found:
-        numbers = [f"{value:.4g}" for value in (each.a, each.b, each.change, each.low, each.high)]
-        rows.append([each.figure, *numbers, str(each.pairs), "noise" if each.noise else ""])
+    for item in result:
+        numbers = [f"{value:.4g}" for value in (item.a, item.b, item.change, item.low, item.high)]
+        rows.append([item.figure, *numbers, str(item.pairs), "noise" if item.noise else ""])
     print_columns(rows)
     return 0
 
 
 @experiment.command()
-@STORE
-@click.option("--out", type=FILE, help="the page; beside STORE if not given")
+@STORE_ARGUMENT
+@click.option("--out", type=FILE_PATH, help="the page; beside STORE if not given")
 @click.option("--experiment", "name", default="", help="of these runs, where the store has several")
 def report(store: Path, out: Path | None, name: str) -> int:
     """Write one HTML page of what is in STORE."""
@@ -180,12 +185,12 @@
     from heronlug.experiments.store import Store
 
     try:
-        with Store(store, create=False) as kept:
-            names = [each for each, _, _ in kept.experiments()]
+        with Store(store, create=False) as run_store:
+            names = [item for item, _, _ in run_store.experiments()]
             if not name and len(set(names)) > 1:
                 msg = f"{store}: --experiment names one of {', '.join(sorted(set(names)))}"
                 raise ValueError(msg)
-            text = page(name or (names[0] if names else str(store)), kept.runs(name))
+            text = page(name or (names[0] if names else str(store)), run_store.runs(name))
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
     target = out if out is not None else store.with_suffix(".html")
--- a/heronlug/cli/helpers.py
+++ b/heronlug/cli/helpers.py
@@ -7,11 +7,11 @@
 import click
 import orjson
 
-FILE = click.Path(dir_okay=False, path_type=Path)
-SOCKET = click.option(
+FILE_PATH = click.Path(dir_okay=False, path_type=Path)
+CONTROL_OPTION = click.option(
     "--control", envvar="HERONLUG_CONTROL", default="", metavar="SOCKET", help="the running daemon's control socket"
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="a JSON list")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="a JSON list")
 
 
 def print_json(value: object) -> None:
@@ -19,11 +19,11 @@
     print(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode())
 
 
-def print_columns(lines: Sequence[Sequence[str]]) -> None:
+def print_columns(rows: Sequence[Sequence[str]]) -> None:
     """For people: columns as wide as their widest word."""
-    widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
-    for line in lines:
-        print("  ".join(word.ljust(width) for word, width in zip(line, widths, strict=True)).rstrip())
+    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
+    for row in rows:
+        print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
 def print_rows(rows: Sequence[dict[str, Any]], as_json: bool) -> None:
@@ -31,4 +31,6 @@
     if as_json:
         print_json(rows)
     elif rows:
-        print_columns([list(rows[0]), *(["-" if v is None else str(v) for v in row.values()] for row in rows)])
+        print_columns(
+            [list(rows[0]), *(["-" if value is None else str(value) for value in row.values()] for row in rows)]
+        )
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -8,30 +8,30 @@
 
 import click
 
-from heronlug.cli.emulate import SET, changed
-from heronlug.cli.helpers import FILE, print_columns, print_json
+from heronlug.cli.emulate import SET_OPTION, changed
+from heronlug.cli.helpers import FILE_PATH, print_columns, print_json
 
 if TYPE_CHECKING:
     from heronlug.emulator.scenario import Scenario
 
 
-def _scenario(file: Path, changes: tuple[str, ...]) -> "Scenario":
-    from heronlug.emulator.scenario import load as read
+def _read_scenario(file: Path, changes: tuple[str, ...]) -> "Scenario":
+    from heronlug.emulator.scenario import load as load_scenario
 
     try:
-        return read(file, changed(changes))
+        return load_scenario(file, changed(changes))
     except ValueError as error:
         raise click.ClickException(str(error)) from None
 
 
 @click.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--http", "doors", multiple=True, metavar="HOST:PORT", help="a dispatcher; several take turns")
 @click.option("--faktory", metavar="HOST:PORT", help="its Faktory front: producers and stand-in workers")
 @click.option("--seconds", type=click.FloatRange(0.1, 3600), default=600.0, help="at most so long")
 @click.option("--seed", type=int, help="in place of the scenario's")
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-@SET
+@SET_OPTION
 def load(
     file: Path,
     doors: tuple[str, ...],
@@ -42,94 +42,101 @@
     changes: tuple[str, ...],
 ) -> int:
     """Play the arrivals of the scenario FILE against running dispatchers, each job when it is due."""
-    from heronlug.loadgen import tally as tallying
+    from heronlug.loadgen import tally as tally_report
     from heronlug.loadgen.faktory import FaktoryLoad
     from heronlug.loadgen.http import HttpLoad
     from heronlug.loadgen.plan import loopback, plan
 
-    scenario = _scenario(file, changes)
+    scenario = _read_scenario(file, changes)
     if bool(doors) is bool(faktory):
         msg = "either --http or --faktory says where"
         raise click.UsageError(msg)
-    tallies = {lane.name: tallying.Tally(lane) for lane in scenario.classes}
-    due = plan(scenario, scenario.seed if seed is None else seed)
+    tallies = {request_class.name: tally_report.Tally(request_class) for request_class in scenario.classes}
+    planned_requests = plan(scenario, scenario.seed if seed is None else seed)
     try:
         if faktory:
-            work = FaktoryLoad(loopback(faktory), scenario, tallies, seconds).run(due)
+            load_run = FaktoryLoad(loopback(faktory), scenario, tallies, seconds).run(planned_requests)
         else:
-            work = HttpLoad([loopback(door) for door in doors], tallies, seconds).run(due)
-        asyncio.run(work)
+            load_run = HttpLoad([loopback(dispatcher) for dispatcher in doors], tallies, seconds).run(planned_requests)
+        asyncio.run(load_run)
     except (OSError, ValueError, EOFError) as error:
         raise click.ClickException(str(error)) from None
-    listed = list(tallies.values())
+    all_tallies = list(tallies.values())
     if as_json:
         print_json(
             {
-                t.request_class.name: {"finals": t.outcomes, **t.percentiles(), "begun_late": t.started_late}
-                for t in listed
+                tally.request_class.name: {
+                    "finals": tally.outcomes,
+                    **tally.percentiles(),
+                    "begun_late": tally.started_late,
+                }
+                for tally in all_tallies
             }
         )
     else:
-        print_columns(tallying.table(listed))
-        late = sum(tally.started_late for tally in listed)
-        print(f"service {tallying.service(listed):.4f}; {late} jobs begun late by the tool")
+        print_columns(tally_report.table(all_tallies))
+        late_count = sum(tally.started_late for tally in all_tallies)
+        print(f"service {tally_report.service(all_tallies):.4f}; {late_count} jobs begun late by the tool")
     return 0
 
 
 @click.command("stand-in")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--port", type=click.IntRange(0, 65535), default=0, help="of the register; any if not given")
 @click.option("--seconds", type=click.FloatRange(0.1, 86_400), default=3600.0, help="at most so long")
-@SET
+@SET_OPTION
 def stand_in(file: Path, port: int, seconds: float, changes: tuple[str, ...]) -> int:
     """Run the hosts of the scenario FILE and a register that lists them, on 127.0.0.1."""
     from heronlug.standins.fleet import Fleet
 
-    scenario = _scenario(file, changes)
+    scenario = _read_scenario(file, changes)
 
-    async def play() -> None:
+    async def run_fleet() -> None:
         fleet = Fleet(scenario)
-        found = await fleet.open(port)
-        print(f"register 127.0.0.1:{found}, {len(fleet.emulated_servers)} hosts", flush=True)
+        discovery_port = await fleet.open(port)
+        print(f"register 127.0.0.1:{discovery_port}, {len(fleet.emulated_servers)} hosts", flush=True)
         fleet.begin()
-        over = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, over.set)
+        stopped = asyncio.Event()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
         try:
             async with asyncio.timeout(seconds):
-                await over.wait()
+                await stopped.wait()
         except TimeoutError:
             pass
         fleet.close()
 
     try:
-        asyncio.run(play())
+        asyncio.run(run_fleet())
     except OSError as error:
         raise click.ClickException(str(error)) from None
     return 0
 
 
 @click.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--seed", type=int, help="in place of the scenario's")
-@SET
+@SET_OPTION
 def demo(file: Path, seed: int | None, changes: tuple[str, ...]) -> int:
     """Stand-in hosts, dispatchers and load of the scenario FILE in one go; then the same on the model, and the gap."""
-    from heronlug.loadgen import demo as playing
-    from heronlug.loadgen import tally as tallying
+    from heronlug.loadgen import demo as demo_runner
+    from heronlug.loadgen import tally as tally_report
 
-    scenario = _scenario(file, changes)
+    scenario = _read_scenario(file, changes)
     seed = scenario.seed if seed is None else seed
-    count = min(playing.MAX_DISPATCHERS, scenario.dispatchers.count)
-    print(f"{scenario.name}: {sum(p.count for p in scenario.pool)} hosts, {count} dispatchers, {scenario.span_s:g} s")
-    began = time.monotonic()
+    count = min(demo_runner.MAX_DISPATCHERS, scenario.dispatchers.count)
+    print(
+        f"{scenario.name}: {sum(pool.count for pool in scenario.pool)} hosts, "
+        f"{count} dispatchers, {scenario.span_s:g} s"
+    )
+    started_at = time.monotonic()
     try:
-        tallies = asyncio.run(playing.on_sockets(scenario, seed))
+        tallies = asyncio.run(demo_runner.on_sockets(scenario, seed))
     except (OSError, RuntimeError) as error:
         raise click.ClickException(str(error)) from None
-    print_columns(tallying.table(tallies))
-    print(f"service {tallying.service(tallies):.4f} on sockets, in {time.monotonic() - began:.0f} s\n")
-    figures = playing.on_the_model(scenario, seed)
-    print_columns(tallying.gaps(tallies, figures.classes))
+    print_columns(tally_report.table(tallies))
+    print(f"service {tally_report.service(tallies):.4f} on sockets, in {time.monotonic() - started_at:.0f} s\n")
+    figures = demo_runner.on_the_model(scenario, seed)
+    print_columns(tally_report.gaps(tallies, figures.classes))
     print(f"service {figures.service:.4f} on the model, in {figures.wall_time_s:.1f} s")
     return 0
--- a/heronlug/cli/serve.py
+++ b/heronlug/cli/serve.py
@@ -7,14 +7,14 @@
 
 import click
 
-from heronlug.cli.helpers import FILE
+from heronlug.cli.helpers import FILE_PATH
 from heronlug.config.desired_state import State
 from heronlug.config.files import Files
 from heronlug.config.platform import Config
 
 
 @click.command()
-@click.argument("file", type=FILE, required=False)
+@click.argument("file", type=FILE_PATH, required=False)
 def serve(file: Path | None) -> int:
     """Run a dispatcher in the foreground.
 
@@ -32,19 +32,19 @@
 
 def _announce(file: Path, config: Config, state: State) -> None:
     """Where it will listen and one command to try, for people."""
-    where = [("clients (HTTP)", config.listen), ("operators (HTTP)", config.admin)]
-    lines = [f"{what:18}{address[0]}:{address[1]}" for what, address in where if address is not None]
+    addresses = [("clients (HTTP)", config.listen), ("operators (HTTP)", config.admin)]
+    lines = [f"{label:18}{address[0]}:{address[1]}" for label, address in addresses if address is not None]
     if state["faktory"]:
         lines.append(f"{'workers (Faktory)':18}{state['faktory']['listen']}")
-    hosts = len((config.known or {}).get("instances", ()))
-    lines.append(f"{'hosts':18}{hosts} listed in {file}")
+    server_count = len((config.known or {}).get("instances", ()))
+    lines.append(f"{'hosts':18}{server_count} listed in {file}")
     if not config.discovery:
         lines.append(f"to try it:        {Path(sys.executable)} -m heronlug try {file}")
     print("\n".join(lines), file=sys.stderr, flush=True)
 
 
 @click.command("try")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--seconds", default=5.0, help="how long to wait for each answer")
 def try_(file: Path, seconds: float) -> int:
     """Hand one job of each class to the dispatcher that runs FILE.
--- a/heronlug/cli/store.py
+++ b/heronlug/cli/store.py
@@ -5,7 +5,7 @@
 import click
 import orjson
 
-from heronlug.cli.helpers import FILE, print_columns
+from heronlug.cli.helpers import FILE_PATH, print_columns
 from heronlug.storage import sqlite
 from heronlug.storage.model import StoredRequest
 
@@ -15,24 +15,24 @@
     """The file of accepted work.  A daemon that runs has it for itself."""
 
 
-def _states(path: Path) -> dict[str, int]:
-    db = sqlite.connect(path, create=False)
+def _count_states(path: Path) -> dict[str, int]:
+    database = sqlite.connect(path, create=False)
     try:
         states: dict[str, int] = {}
-        for job in sqlite.read_requests(db):
-            state = job.final_state or ("delivered" if job.first_delivered_at else "waiting")
+        for request in sqlite.read_requests(database):
+            state = request.final_state or ("delivered" if request.first_delivered_at else "waiting")
             states[state] = states.get(state, 0) + 1
         return states
     finally:
-        db.close()
+        database.close()
 
 
 @store.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def check(file: Path) -> int:
     """Whether FILE is whole, and how many jobs it holds in which state."""
     try:
-        states = _states(file)
+        states = _count_states(file)
     except sqlite.StoreError as error:
         raise click.ClickException(str(error)) from None
     print_columns([["state", "jobs"], *([state, str(count)] for state, count in sorted(states.items()))])
@@ -40,7 +40,7 @@
     return 0
 
 
-def _dumped(request: StoredRequest) -> dict[str, object]:
+def _dump_row(request: StoredRequest) -> dict[str, object]:
     """A stored request under the keys that the dump has always had."""
     return {
         "jid": request.jid,
@@ -57,23 +57,23 @@
 
 
 @store.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def dump(file: Path) -> int:
     """All jobs in FILE, a JSON object a line."""
     try:
-        db = sqlite.connect(file, create=False)
+        database = sqlite.connect(file, create=False)
         try:
-            for job in sqlite.read_requests(db):
-                print(orjson.dumps(_dumped(job)).decode())
+            for request in sqlite.read_requests(database):
+                print(orjson.dumps(_dump_row(request)).decode())
         finally:
-            db.close()
+            database.close()
     except sqlite.StoreError as error:
         raise click.ClickException(str(error)) from None
     return 0
 
 
 @store.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def compact(file: Path) -> int:
     """Give back what FILE holds and does not need."""
     try:
--- a/tests/cli/test_zones.py
+++ b/tests/cli/test_zones.py
@@ -9,7 +9,7 @@
 
 from heronlug.standins.ports import free_ports, process_start_lock
 
-FILE = """\
+CONFIG_TEMPLATE = """\
 [serve]
 listen = "127.0.0.1:{}"
 [site]
@@ -21,7 +21,7 @@
 aim_ms = 500
 deadline_ms = 5000
 """
-HOST = """\
+SERVER_TEMPLATE = """\
 [[host]]
 name = "r{0}"
 address = "127.0.0.1:{1}"
@@ -29,15 +29,15 @@
 """
 
 
-def words(folder: Path, *given: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "heronlug", *given, "--control", str(folder / "control")]
+def run_command(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "heronlug", *arguments, "--control", str(folder / "control")]
     return subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
 
 
-def started(folder: Path, leaves: str) -> subprocess.Popen[bytes]:
+def start_dispatcher(folder: Path, leave_halls: str) -> subprocess.Popen[bytes]:
     ports = free_ports(7)
-    hosts = "".join(HOST.format(n, ports[n + 1], "abc"[n % 3]) for n in range(6))
-    (folder / "site.toml").write_text(FILE.format(ports[0], leaves) + hosts)
+    servers = "".join(SERVER_TEMPLATE.format(number, ports[number + 1], "abc"[number % 3]) for number in range(6))
+    (folder / "site.toml").write_text(CONFIG_TEMPLATE.format(ports[0], leave_halls) + servers)
     with process_start_lock:
         process = subprocess.Popen(
             [sys.executable, "-m", "heronlug", "serve", str(folder / "site.toml")],
@@ -51,33 +51,33 @@
     return process
 
 
-def test_a_hall_is_left_and_returned_to_by_hand_within_bounds(tmp_path: Path) -> None:
-    process = started(tmp_path, "true")
+def test_operator_excludes_and_returns_a_zone_within_limits(tmp_path: Path) -> None:
+    process = start_dispatcher(tmp_path, "true")
     try:
-        rows = json.loads(words(tmp_path, "halls", "--json").stdout)
-        assert [(row["hall"], row["state"], row["offered"]) for row in rows] == [(h, "well", 2) for h in "abc"]
-        left = words(tmp_path, "halls", "leave", "b", "--for", "60")
-        assert left.returncode == 0
-        assert "by hand" in left.stdout
-        for given, wrong in (
+        rows = json.loads(run_command(tmp_path, "halls", "--json").stdout)
+        assert [(row["hall"], row["state"], row["offered"]) for row in rows] == [(zone, "well", 2) for zone in "abc"]
+        excluded = run_command(tmp_path, "halls", "leave", "b", "--for", "60")
+        assert excluded.returncode == 0
+        assert "by hand" in excluded.stdout
+        for arguments, error_text in (
             (("leave", "c"), "4 of 6 hosts would be left, more than 50%"),
             (("leave", "z"), "there are a, b, c"),
             (("return", "b", "--for", "-1"), "more than 0"),
         ):
-            refused = words(tmp_path, "halls", *given)
+            refused = run_command(tmp_path, "halls", *arguments)
             assert refused.returncode == 1
-            assert wrong in refused.stderr
-        rows = json.loads(words(tmp_path, "halls", "release", "b", "--json").stdout)
+            assert error_text in refused.stderr
+        rows = json.loads(run_command(tmp_path, "halls", "release", "b", "--json").stdout)
         assert [row["decided"] for row in rows] == ["here"] * 3
     finally:
         process.kill()
         process.wait()
 
 
-def test_without_the_setting_the_command_says_so(tmp_path: Path) -> None:
-    process = started(tmp_path, "false")
+def test_command_fails_and_names_the_setting_if_zone_exclusion_is_off(tmp_path: Path) -> None:
+    process = start_dispatcher(tmp_path, "false")
     try:
-        refused = words(tmp_path, "halls")
+        refused = run_command(tmp_path, "halls")
         assert refused.returncode == 1
         assert "leave_halls is false" in refused.stderr
     finally:
