--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -64,14 +64,14 @@
 
 def checks(folder: Path) -> list[tuple[str, list[float]]]:
     """The time to check files, in one process, after its first."""
-    from heronlug.cli.inspect import look
+    from heronlug.cli.inspect import check_file
 
     rows = []
     for name, fault, faults in (("good", "", 0), ("a fault in each class", 'second_copy = "x"\n', CLASSES)):
         path = folder / "x.toml"
         path.write_text(file(CLASSES, fault))
-        assert len(look(path, None)[2]) == faults
-        rows.append((f"check a file of {CLASSES} classes, {name}", timed(partial(look, path, None))))
+        assert len(check_file(path, None)[2]) == faults
+        rows.append((f"check a file of {CLASSES} classes, {name}", timed(partial(check_file, path, None))))
     return rows
 
 
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -22,7 +22,7 @@
         return text
 
 
-def changed(changes: tuple[str, ...]) -> dict[str, Any]:
+def parse_changes(changes: tuple[str, ...]) -> dict[str, Any]:
     """``--set`` as keys and values."""
     result = {}
     for text in changes:
@@ -47,7 +47,7 @@
     from heronlug.emulator.world import World
 
     try:
-        scenario = load(file, changed(changes))
+        scenario = load(file, parse_changes(changes))
     except ValueError as error:
         raise click.ClickException(str(error)) from None
     if events is None:
--- a/heronlug/cli/inspect.py
+++ b/heronlug/cli/inspect.py
@@ -18,7 +18,7 @@
 )
 
 
-def look(file: Path, config: Path | None) -> tuple[State | None, Settings | None, list[ConfigProblem]]:
+def check_file(file: Path, config: Path | None) -> tuple[State | None, Settings | None, list[ConfigProblem]]:
     """A file's state, the site that it was checked against, and all its faults."""
     platform = load({"RELAY_CONFIG": str(config)}) if config is not None else None
     file_config, state, problems = gather(file, lambda: platform)
@@ -31,7 +31,7 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object: ok, faults, notes")
 def check(file: Path, config: Path | None, as_json: bool) -> int:
     """Check FILE: its form and, with a [site] in it or --config, every rule.  The exit status is 1 for a fault."""
-    state, settings, problems = look(file, config)
+    state, settings, problems = check_file(file, config)
     notes = advice(settings, state["classes"]) if state is not None and settings is not None and not problems else []
     if settings is None and state is not None and not problems:
         notes.append("checked by its form alone: --config names the platform's settings")
@@ -58,7 +58,7 @@
 @click.option("--json", "as_json", is_flag=True, help="a JSON list of rows")
 def show(file: Path, config: Path | None, as_json: bool) -> int:
     """The resolved table: every limit of every class, and where it comes from."""
-    state, settings, problems = look(file, config)
+    state, settings, problems = check_file(file, config)
     if problems or state is None:
         raise StateError("\n".join(map(str, problems)))
     if settings is None:
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -8,7 +8,7 @@
 
 import click
 
-from heronlug.cli.emulate import SET_OPTION, changed
+from heronlug.cli.emulate import SET_OPTION, parse_changes
 from heronlug.cli.helpers import FILE_PATH, print_columns, print_json
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from heronlug.emulator.scenario import load as load_scenario
 
     try:
-        return load_scenario(file, changed(changes))
+        return load_scenario(file, parse_changes(changes))
     except ValueError as error:
         raise click.ClickException(str(error)) from None
 
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -11,7 +11,7 @@
 
 from config.files import FORM_FAULTS, RULE_FAULTS, TYPE_FAULTS, VALID_FILE, ConfigFault
 from heronlug.cli import group
-from heronlug.cli.inspect import look
+from heronlug.cli.inspect import check_file
 from heronlug.config.desired_state import StateError
 from heronlug.config.files import Files
 from heronlug.config.strict_toml import ConfigProblem, ConfigProblems, Source
@@ -44,7 +44,7 @@
 def reported_problems(path: Path, data: bytes | str) -> list[str]:
     """Returns the problems that are reported for a file, one line each."""
     path.write_bytes(data.encode() if isinstance(data, str) else data)
-    problems = [str(problem) for problem in look(path, None)[2]]
+    problems = [str(problem) for problem in check_file(path, None)[2]]
     assert all("\n" not in problem and problem.startswith(str(path)) for problem in problems)
     return problems
 
@@ -83,7 +83,7 @@
 def test_a_path_that_cannot_be_read_is_reported(tmp_path: Path) -> None:
     """Guards against a traceback for a folder or a missing file in place of the file."""
     for path in (tmp_path, tmp_path / "none.toml"):
-        assert [f"{path}: " in str(problem) and problem.line == 0 for problem in look(path, None)[2]] == [True]
+        assert [f"{path}: " in str(problem) and problem.line == 0 for problem in check_file(path, None)[2]] == [True]
 
 
 def test_every_rule_has_a_message_of_its_own() -> None:
@@ -150,7 +150,7 @@
     """Returns the problems of a file with this text."""
     path = tmp_path_factory.getbasetemp() / "drawn.toml"
     path.write_text(text)
-    return list(look(path, None)[2])
+    return list(check_file(path, None)[2])
 
 
 VALID_CHANGES = {
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -144,12 +144,12 @@
 )
 def test_problems_of_a_scenario_name_the_key(tmp_path: Path, change: str, key: str, wrong: str) -> None:
     """A value that is accepted although it is invalid would fail in the middle of a run."""
-    from heronlug.cli.emulate import changed
+    from heronlug.cli.emulate import parse_changes
 
     path = tmp_path / "fleet.toml"
     path.write_text(TEXT)
     with pytest.raises(ConfigProblems) as raised:
-        scenarios.load(path, changed((change.replace("=inf", "=1e999"),)))
+        scenarios.load(path, parse_changes((change.replace("=inf", "=1e999"),)))
     assert any(problem.key.startswith(key) and wrong in str(problem) for problem in raised.value.problems), raised.value
 
 
