--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -24,83 +24,91 @@
 from heronlug.cluster import codec, datagrams, messages  # noqa: E402
 from heronlug.cluster.model import FencingToken, Health, MemberUpdate  # noqa: E402
 
-LOSSES = (0.0, 0.1, 0.3, 0.5)
-SIZES = (4, 16, 48, 200)
+LOSS_RATES = (0.0, 0.1, 0.3, 0.5)
+CLUSTER_SIZES = (4, 16, 48, 200)
 
 
-def takeover(job: tuple[int, float]) -> float:
+def measure_takeover(run_parameters: tuple[int, float]) -> float:
     """Milliseconds from a kill of a duty's owner until somebody else acts; four members."""
-    seed, loss = job
-    net = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
-    net.may_overlap = True  # counted by the tests; here a run is never given up
-    for name in net.names:
-        net.start(name)
-    net.run(8000 + seed % 400)
-    victim = net.owner("one")
-    if victim is None:
+    seed, loss = run_parameters
+    network = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
+    network.may_overlap = True  # counted by the tests; here a run is never given up
+    for name in network.names:
+        network.start(name)
+    network.run(8000 + seed % 400)
+    owner = network.owner("one")
+    if owner is None:
         return float("nan")
-    net.kill(victim)
-    killed = net.now
-    while net.owner("one") is None and net.now - killed < 60_000:
-        net.run(10)
-    return net.now - killed
+    network.kill(owner)
+    killed_at = network.now
+    while network.owner("one") is None and network.now - killed_at < 60_000:
+        network.run(10)
+    return network.now - killed_at
 
 
-def suspicions(job: tuple[int, float]) -> tuple[int, int, float]:
+def count_suspicions(run_parameters: tuple[int, float]) -> tuple[int, int, float]:
     """Suspicions and deaths of members that live, in how many hours of all members together."""
-    seed, loss = job
-    net = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
-    net.may_overlap = True
-    for name in net.names:
-        net.start(name)
-    net.run(60_000)
-    told = [action for _, _, action in net.log if hasattr(action, "health")]
-    dead = sum(action.health.name == "DEAD" for action in told)
-    return sum(action.health.name == "SUSPECT" for action in told), dead, 4 / 60
-
-
-def traffic(size: int) -> tuple[int, float, float, float]:
+    seed, loss = run_parameters
+    network = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
+    network.may_overlap = True
+    for name in network.names:
+        network.start(name)
+    network.run(60_000)
+    health_changes = [action for _, _, action in network.log if hasattr(action, "health")]
+    dead = sum(action.health.name == "DEAD" for action in health_changes)
+    return sum(action.health.name == "SUSPECT" for action in health_changes), dead, 4 / 60
+
+
+def measure_traffic(size: int) -> tuple[int, float, float, float]:
     """Datagrams and bytes a second for each member, and milliseconds of CPU a second."""
-    net = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=0.0)
-    net.may_overlap = True
-    for name in net.names:
-        net.start(name)
-    net.run(8000)
-    sent, data, start = net.sent, net.bytes, time.process_time()
-    span = 10.0 if size < 100 else 4.0
-    net.run(span * 1000)
-    cpu = (time.process_time() - start) / span / size * 1000
-    return size, (net.sent - sent) / span / size, (net.bytes - data) / span / size, cpu
-
-
-def table(job: tuple[int, float, int]) -> tuple[float, list[float]]:
+    network = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=0.0)
+    network.may_overlap = True
+    for name in network.names:
+        network.start(name)
+    network.run(8000)
+    datagram_count, byte_count, start = network.sent, network.bytes, time.process_time()
+    duration_s = 10.0 if size < 100 else 4.0
+    network.run(duration_s * 1000)
+    cpu = (time.process_time() - start) / duration_s / size * 1000
+    return (
+        size,
+        (network.sent - datagram_count) / duration_s / size,
+        (network.bytes - byte_count) / duration_s / size,
+        cpu,
+    )
+
+
+def measure_table(run_parameters: tuple[int, float, int]) -> tuple[float, list[float]]:
     """Milliseconds until all have a first sheet of so many rows, and until all know each of ten changes."""
-    size, loss, rows = job
-    net = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=loss, leases=["register"], topics=["register"])
-    net.may_overlap = True
-    for name in net.names:
-        net.start(name)
-    net.run(9000)
+    size, loss, rows = run_parameters
+    network = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=loss, leases=["register"], topics=["register"])
+    network.may_overlap = True
+    for name in network.names:
+        network.start(name)
+    network.run(9000)
 
     def publish(changes: dict[bytes, bytes | None]) -> float:
-        owner = net.owner("register")
-        if owner is None or not net.publish(owner, "register", changes):
+        owner = network.owner("register")
+        if owner is None or not network.publish(owner, "register", changes):
             return float("nan")
-        begun, wanted = net.now, net.processes[owner].tables["register"]
-        while any(p.tables["register"] != wanted for p in net.processes.values()) and net.now - begun < 60_000:
-            net.run(10)
-        return net.now - begun
+        started_at, expected_rows = network.now, network.processes[owner].tables["register"]
+        while (
+            any(p.tables["register"] != expected_rows for p in network.processes.values())
+            and network.now - started_at < 60_000
+        ):
+            network.run(10)
+        return network.now - started_at
 
     row = b"10.0.0.1:8081 and what else there is of a host, 64 bytes of it"
-    first = publish({b"h%d" % n: row for n in range(rows)})
-    took = []
-    for turn in range(10):
-        took.append(publish({b"h%d" % turn: b"draining"}))
-        net.run(500)
-    return first, took
+    first_ms = publish({b"h%d" % n: row for n in range(rows)})
+    times_ms = []
+    for number in range(10):
+        times_ms.append(publish({b"h%d" % number: b"draining"}))
+        network.run(500)
+    return first_ms, times_ms
 
 
-def per_call(call: Callable[[], object], rounds: int = 20_000) -> float:
+def call_time_us(call: Callable[[], object], rounds: int = 20_000) -> float:
     """Microseconds of a call, the least of three runs."""
     best = float("inf")
     for _ in range(3):
@@ -111,7 +119,7 @@
     return best / rounds * 1e6
 
 
-def forms() -> None:
+def compare_encodings() -> None:
     """The fixed form beside msgpack of the same tuples, by size and cost."""
     pack, unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
     token = FencingToken(1_796_138_343_696, 0xB5C3A1D2)
@@ -122,17 +130,18 @@
         MemberUpdate("dispatcher-12", "10.0.0.12:7946", 1_796_138_343_696, Health.ALIVE),
     ):
         fixed = codec.encode_part(part)
-        flat = (type(part).__name__[0], *part)
-        packed = pack(flat)
+        fields = (type(part).__name__[0], *part)
+        packed = pack(fields)
         print(
             f"{type(part).__name__:>10} {len(fixed):8} {len(packed):8} "
-            f"{per_call(lambda p=part: codec.encode_part(p)):8.2f} {per_call(lambda f=flat: pack(f)):8.2f} "
-            f"{per_call(lambda d=fixed: codec.decode_parts(d)):8.2f} {per_call(lambda d=packed: unpack(d)):8.2f}"
+            f"{call_time_us(lambda p=part: codec.encode_part(p)):8.2f} {call_time_us(lambda f=fields: pack(f)):8.2f} "
+            f"{call_time_us(lambda d=fixed: codec.decode_parts(d)):8.2f} "
+            f"{call_time_us(lambda d=packed: unpack(d)):8.2f}"
         )
-    seal, other = datagrams.DatagramCodec(1, {1: b"k" * 32}, 0), datagrams.DatagramCodec(2, {1: b"k" * 32}, 0)
+    sender, receiver = datagrams.DatagramCodec(1, {1: b"k" * 32}, 0), datagrams.DatagramCodec(2, {1: b"k" * 32}, 0)
     print(
-        f"seal a datagram {per_call(lambda: seal.pack([messages.Ping(1)])):.2f} us, "
-        f"open one {per_call(lambda: other.unpack(seal.pack([messages.Ping(1)])[0])):.2f} us with its sealing"
+        f"seal a datagram {call_time_us(lambda: sender.pack([messages.Ping(1)])):.2f} us, "
+        f"open one {call_time_us(lambda: receiver.unpack(sender.pack([messages.Ping(1)])[0])):.2f} us with its sealing"
     )
 
 
@@ -142,27 +151,29 @@
     """Measure and print."""
     with ProcessPoolExecutor() as pool:
         print(f"{'loss':>5} {'takeover p50':>13} {'p99':>7} {'most':>7} ms   suspicions, false deaths an hour a member")
-        for loss in LOSSES:
-            took = np.array(list(pool.map(takeover, [(seed, loss) for seed in range(kills)], chunksize=8)))
-            told = list(pool.map(suspicions, [(seed, loss) for seed in range(16)]))
-            hours = sum(each[2] for each in told)
-            p50, p99, most = np.nanpercentile(took, [50, 99, 100])
-            wrong, dead = (sum(each[n] for each in told) / hours for n in (0, 1))
+        for loss in LOSS_RATES:
+            times_ms = np.array(list(pool.map(measure_takeover, [(seed, loss) for seed in range(kills)], chunksize=8)))
+            suspicion_counts = list(pool.map(count_suspicions, [(seed, loss) for seed in range(16)]))
+            hours = sum(counts[2] for counts in suspicion_counts)
+            p50, p99, most = np.nanpercentile(times_ms, [50, 99, 100])
+            false_suspicions, dead = (sum(counts[n] for counts in suspicion_counts) / hours for n in (0, 1))
             print(
-                f"{loss:5.0%} {p50:13.0f} {p99:7.0f} {most:7.0f}      {wrong:10.1f} {dead:10.1f}"
-                f"   ({np.isnan(took).sum()} of {kills} had no owner to kill)"
+                f"{loss:5.0%} {p50:13.0f} {p99:7.0f} {most:7.0f}      {false_suspicions:10.1f} {dead:10.1f}"
+                f"   ({np.isnan(times_ms).sum()} of {kills} had no owner to kill)"
             )
         print(f"\n{'members':>7} {'datagrams/s':>12} {'bytes/s':>9} {'CPU ms/s':>9}   a member, four duties, no loss")
-        for size, datagrams, data, cpu in pool.map(traffic, SIZES):
-            print(f"{size:7} {datagrams:12.1f} {data:9.0f} {cpu:9.2f}")
+        for size, datagrams, byte_count, cpu in pool.map(measure_traffic, CLUSTER_SIZES):
+            print(f"{size:7} {datagrams:12.1f} {byte_count:9.0f} {cpu:9.2f}")
         print(f"\n{'members':>7} {'loss':>5} {'first of 1,000 rows':>20} {'a change p50':>13} {'most':>6} ms")
-        jobs = [(size, loss, 1000) for size in (4, 16, 48) for loss in LOSSES[:3]] + [(200, 0.0, 300)]
-        for (size, loss, rows), (first, took) in zip(jobs, pool.map(table, jobs), strict=True):
-            p50, most = np.nanpercentile(took, [50, 100])
-            print(f"{size:7} {loss:5.0%} {first:20.0f} {p50:13.0f} {most:6.0f}   {rows} rows")
-    heads = ("fixed", "msgpack", "encode", "msgpack", "decode", "msgpack")
-    print(f"\n{'part':>10} " + " ".join(f"{head:>8}" for head in heads) + "   bytes, then us")
-    forms()
+        table_runs = [(size, loss, 1000) for size in (4, 16, 48) for loss in LOSS_RATES[:3]] + [(200, 0.0, 300)]
+        for (size, loss, rows), (first_ms, times_ms) in zip(
+            table_runs, pool.map(measure_table, table_runs), strict=True
+        ):
+            p50, most = np.nanpercentile(times_ms, [50, 100])
+            print(f"{size:7} {loss:5.0%} {first_ms:20.0f} {p50:13.0f} {most:6.0f}   {rows} rows")
+    headings = ("fixed", "msgpack", "encode", "msgpack", "decode", "msgpack")
+    print(f"\n{'part':>10} " + " ".join(f"{heading:>8}" for heading in headings) + "   bytes, then us")
+    compare_encodings()
 
 
 if __name__ == "__main__":
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -25,7 +25,7 @@
 from heronlug.faults.harness import FaultHarness
 from heronlug.faults.plan import parse
 
-MOST = 150.0  # s for a case
+CASE_TIMEOUT_S = 150.0  # s for a case
 COLUMNS = (
     "case",
     "version",
@@ -59,7 +59,7 @@
         more = self.more.replace("{count}", str(self.count)).replace("{call_ms}", str(self.call_ms))
         return f"""
 name = "{self.name}"
-span_s = {MOST}
+span_s = {CASE_TIMEOUT_S}
 relays = []
 [dispatchers]
 count = {self.count}
@@ -89,83 +89,87 @@
 ]
 
 
-async def play(case: Case, source: Path | None) -> dict[str, Any]:
+async def run_case(case: Case, source: Path | None) -> dict[str, Any]:
     """One case with one version."""
-    script = parse(Source.parse("case.toml", case.text().encode()))
+    plan = parse(Source.parse("case.toml", case.text().encode()))
     with tempfile.TemporaryDirectory() as folder:
-        rig = FaultHarness(script, Path(folder), None, source)
-        playing = asyncio.create_task(rig.play())
-        began = time.monotonic()
-        cpu = _cpu(rig)
-
-        async def until(what: Any) -> float:
-            start = time.monotonic()
-            while time.monotonic() - start < MOST - 20 and not playing.done():
-                if what():
+        harness = FaultHarness(plan, Path(folder), None, source)
+        harness_task = asyncio.create_task(harness.play())
+        started_at = time.monotonic()
+        cpu_before_s = _cpu_s(harness)
+
+        async def wait_until(condition: Any) -> float:
+            wait_started_at = time.monotonic()
+            while time.monotonic() - wait_started_at < CASE_TIMEOUT_S - 20 and not harness_task.done():
+                if condition():
                     break
                 await asyncio.sleep(0.02)
-            return time.monotonic() - start
+            return time.monotonic() - wait_started_at
 
-        def all_there() -> bool:
+        def all_ready() -> bool:
             if case.cluster:
-                return len(rig.listed_after) == case.count
-            return len(rig.watched_after) == case.count
+                return len(harness.listed_after) == case.count
+            return len(harness.watched_after) == case.count
 
         try:
-            while not rig.processes:
+            while not harness.processes:
                 await asyncio.sleep(0.02)
-            await until(all_there)
-            after = max((rig.listed_after if case.cluster else rig.watched_after).values(), default=float("nan"))
+            await wait_until(all_ready)
+            ready_after_s = max(
+                (harness.listed_after if case.cluster else harness.watched_after).values(), default=float("nan")
+            )
             if case.settle_s:
                 await asyncio.sleep(case.settle_s)
             if case.down_s:
-                rig.set_discovery_down(True)
+                harness.set_discovery_down(True)
                 await asyncio.sleep(case.down_s)
-                rig.checker.statistics.reset_calls()
-                rig.set_discovery_down(False)
-                wanted = 1 if case.cluster else case.count
-                after = await until(lambda: len(set(rig.reading())) >= wanted)
+                harness.checker.statistics.reset_calls()
+                harness.set_discovery_down(False)
+                expected_count = 1 if case.cluster else case.count
+                ready_after_s = await wait_until(lambda: len(set(harness.reading())) >= expected_count)
                 await asyncio.sleep(20.0 if case.cluster else 0.0)
-            statistics = rig.checker.statistics
-            memory = [_memory(p.child.pid) for p in rig.processes.values() if p.running and p.child is not None]
-            least = 1 if case.cluster else case.count * (1 if case.down_s else 2)
+            statistics = harness.checker.statistics
+            memory_mb = [
+                _memory_mb(p.child.pid) for p in harness.processes.values() if p.running and p.child is not None
+            ]
+            least_calls = 1 if case.cluster else case.count * (1 if case.down_s else 2)
             return {
-                "all there s": round(after, 1),
+                "all there s": round(ready_after_s, 1),
                 "calls": statistics.calls,
                 "whole": statistics.list_calls,
                 "turned away": statistics.rejected_calls,
-                "most in 100 ms": rig.checker.statistics.short_call_peak.most,
-                "most in 1 s": rig.checker.statistics.long_call_peak.most,
-                "reading in the end": len(set(rig.reading())),
-                "least calls": least,
-                "least s": round(least * case.call_ms / 1000, 1),
-                "CPU s": round(_cpu(rig) - cpu, 1),
-                "MB each": round(sum(memory) / len(memory), 1) if memory else 0.0,
-                "took s": round(time.monotonic() - began, 1),
+                "most in 100 ms": harness.checker.statistics.short_call_peak.most,
+                "most in 1 s": harness.checker.statistics.long_call_peak.most,
+                "reading in the end": len(set(harness.reading())),
+                "least calls": least_calls,
+                "least s": round(least_calls * case.call_ms / 1000, 1),
+                "CPU s": round(_cpu_s(harness) - cpu_before_s, 1),
+                "MB each": round(sum(memory_mb) / len(memory_mb), 1) if memory_mb else 0.0,
+                "took s": round(time.monotonic() - started_at, 1),
             }
         finally:
-            playing.cancel()
-            await asyncio.gather(playing, return_exceptions=True)
+            harness_task.cancel()
+            await asyncio.gather(harness_task, return_exceptions=True)
 
 
-def on_the_model() -> list[list[str]]:
+def starts_on_emulator() -> list[list[str]]:
     """Calls of a start from nothing, alone, by a guess and told; the hosts are warm and few jobs come."""
-    ways = {"alone": (False, False), "guess": (True, False), "told": (True, True)}
-    jobs = [(count, way, *ways[way]) for count in (50, 200, 500, 1000) for way in ways]
+    pacing_variants = {"alone": (False, False), "guess": (True, False), "told": (True, True)}
+    cases = [(count, pacing, *pacing_variants[pacing]) for count in (50, 200, 500, 1000) for pacing in pacing_variants]
     rows = [
         ["dispatchers", "way", "least calls", "calls, renewals too", "turned away", "last watches after s", "least s"]
     ]
     with ProcessPoolExecutor() as pool:
-        rows += pool.map(_modelled, jobs)
+        rows += pool.map(_run_on_emulator, cases)
     return rows
 
 
-def _modelled(job: tuple[int, str, bool, bool]) -> list[str]:
-    count, way, paced, told = job
+def _run_on_emulator(case: tuple[int, str, bool, bool]) -> list[str]:
+    count, pacing, paced, cost_configured = case
     changes = {
         "dispatchers.count": count,
         "dispatchers.paced": paced,
-        "register.told": told,
+        "register.told": cost_configured,
         "span_s": 10 + count * 0.1,
         "trouble": [],
         "arrivals.0.rate": 5,
@@ -174,34 +178,34 @@
     }
     world = World(load_scenario(Path(__file__).parents[1] / "scenarios" / "coldstart.toml", changes), 1)
     figures = world.run()
-    least = 2 * count
+    least_calls = 2 * count
     return [
         str(count),
-        way,
-        str(least),
+        pacing,
+        str(least_calls),
         str(figures.discovery_calls),
         str(figures.rejected_discovery_calls),
         f"{figures.last_watch_ms / 1000:.1f}"
         + (f" ({figures.dispatchers_without_watch} never)" if figures.dispatchers_without_watch else ""),
-        f"{least * 0.02:.1f}",
+        f"{least_calls * 0.02:.1f}",
     ]
 
 
-def _cpu(rig: FaultHarness) -> float:
+def _cpu_s(harness: FaultHarness) -> float:
     """Seconds of all processes that run, and of those that have ended."""
-    total = resource.getrusage(resource.RUSAGE_CHILDREN)
-    spent = total.ru_utime + total.ru_stime
-    for process in rig.processes.values():
+    usage = resource.getrusage(resource.RUSAGE_CHILDREN)
+    cpu_s = usage.ru_utime + usage.ru_stime
+    for process in harness.processes.values():
         if process.child is not None and process.running:
             try:
                 fields = Path(f"/proc/{process.child.pid}/stat").read_text().rpartition(")")[2].split()
             except OSError:
                 continue
-            spent += (int(fields[11]) + int(fields[12])) / 100
-    return spent
+            cpu_s += (int(fields[11]) + int(fields[12])) / 100
+    return cpu_s
 
 
-def _memory(pid: int) -> float:
+def _memory_mb(pid: int) -> float:
     """Private memory of a process in MB."""
     try:
         lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
@@ -219,7 +223,7 @@
 def main(before: Path | None, only: tuple[str, ...], more: str, as_json: bool, model: bool) -> None:
     """Print the table."""
     if model:
-        print_columns(on_the_model())
+        print_columns(starts_on_emulator())
         return
     rows = []
     for case in CASES:
@@ -228,8 +232,8 @@
         for version, source in (("before", before), ("now", None)):
             if version == "before" and before is None:
                 continue
-            played = case._replace(more=more if version == "now" else "")
-            figures = {"case": case.name, "version": version, **asyncio.run(play(played, source))}
+            configured_case = case._replace(more=more if version == "now" else "")
+            figures = {"case": case.name, "version": version, **asyncio.run(run_case(configured_case, source))}
             rows.append(figures)
             print(figures, flush=True)
     if as_json:
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -23,80 +23,84 @@
 from heronlug.emulator.timeline import Timeline  # noqa: E402
 from heronlug.emulator.world import World  # noqa: E402
 
-EVENTS, ACTORS = 400_000, 1000
+EVENT_COUNT, ACTOR_COUNT = 400_000, 1000
 
 
 def heap_rate() -> float:
     """Events a second of the plain heap: a thousand actors, each waiting in turn."""
-    line, left = Timeline(), EVENTS
+    timeline, remaining = Timeline(), EVENT_COUNT
 
-    def step(wait: float) -> None:
-        nonlocal left
-        left -= 1
-        if left > 0:
-            line.schedule_after(wait, step, wait)
+    def step(interval: float) -> None:
+        nonlocal remaining
+        remaining -= 1
+        if remaining > 0:
+            timeline.schedule_after(interval, step, interval)
 
-    for number in range(ACTORS):
-        line.schedule_after(number / 7, step, 1 + number / 13)
-    begun = time.perf_counter()
-    line.run(1e12)
-    return line.event_count / (time.perf_counter() - begun)
+    for number in range(ACTOR_COUNT):
+        timeline.schedule_after(number / 7, step, 1 + number / 13)
+    started_at = time.perf_counter()
+    timeline.run(1e12)
+    return timeline.event_count / (time.perf_counter() - started_at)
 
 
 def simpy_rate() -> float:
     """The same on simpy."""
     import simpy
 
-    env, done = simpy.Environment(), 0
+    environment, event_count = simpy.Environment(), 0
 
     def actor(number: int) -> Any:
-        nonlocal done
-        yield env.timeout(number / 7)
-        while done < EVENTS:
-            done += 1
-            yield env.timeout(1 + number / 13)
-
-    for number in range(ACTORS):
-        env.process(actor(number))
-    begun = time.perf_counter()
-    env.run()
-    return done / (time.perf_counter() - begun)
-
-
-def scenario(hosts: int, dispatchers: int, span: float, more: str = "", load: float = 1.0) -> Scenario:
+        nonlocal event_count
+        yield environment.timeout(number / 7)
+        while event_count < EVENT_COUNT:
+            event_count += 1
+            yield environment.timeout(1 + number / 13)
+
+    for number in range(ACTOR_COUNT):
+        environment.process(actor(number))
+    started_at = time.perf_counter()
+    environment.run()
+    return event_count / (time.perf_counter() - started_at)
+
+
+def build_scenario(
+    server_count: int, dispatcher_count: int, span_s: float, extra_toml: str = "", load_factor: float = 1.0
+) -> Scenario:
     """The tests' fleet at another size, with the same load for each host: 7.5 jobs a second, or a share of that."""
-    source = Source.parse("benchmark.toml", (TEXT + more).encode())
+    source = Source.parse("benchmark.toml", (TEXT + extra_toml).encode())
     for key, value in {
-        "pool.0.count": hosts // 2,
-        "pool.1.count": hosts - hosts // 2,
-        "arrivals.0.rate": load * 6.0 * hosts,
-        "arrivals.1.rate": load * 1.5 * hosts,
-        "dispatchers.count": dispatchers,
-        "span_s": span,
+        "pool.0.count": server_count // 2,
+        "pool.1.count": server_count - server_count // 2,
+        "arrivals.0.rate": load_factor * 6.0 * server_count,
+        "arrivals.1.rate": load_factor * 1.5 * server_count,
+        "dispatchers.count": dispatcher_count,
+        "span_s": span_s,
     }.items():
         put(source.table, key, value)
     return parse(source)
 
 
-def measured(job: tuple[int, int, float, str, float]) -> tuple[int, int, float, float, float, float, dict[int, int]]:
+def measure_run(
+    run_parameters: tuple[int, int, float, str, float],
+) -> tuple[int, int, float, float, float, float, dict[int, int]]:
     """Hosts, dispatchers, events a second, simulated seconds a second, MB, service and violations of one run."""
-    hosts, dispatchers, span, more, load = job
-    figures = World(scenario(hosts, dispatchers, span, more, load), 1).run()
-    peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
+    server_count, dispatcher_count, span_s, extra_toml, load_factor = run_parameters
+    figures = World(build_scenario(server_count, dispatcher_count, span_s, extra_toml, load_factor), 1).run()
+    peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     return (
-        hosts,
-        dispatchers,
+        server_count,
+        dispatcher_count,
         figures.event_count / figures.wall_time_s,
-        span / figures.wall_time_s,
-        peak,
+        span_s / figures.wall_time_s,
+        peak_mb,
         figures.service,
         figures.violations,
     )
 
 
-def one(seed: int) -> float:
+def run_for_speedup(seed: int) -> float:
     """A run of the speed-up."""
-    return World(scenario(20, 4, 10), seed).run().wall_time_s
+    return World(build_scenario(20, 4, 10), seed).run().wall_time_s
 
 
 @click.command()
@@ -105,25 +109,31 @@
     """Measure and print."""
     print(f"heap {heap_rate():,.0f} events/s, simpy {simpy_rate():,.0f} events/s")
     print(f"{'hosts':>6} {'dispatchers':>11} {'events/s':>9} {'s/s':>7} {'MB':>6} {'service':>8}  violations")
-    jobs = [(10, 4, 60.0, "", 1.0), (100, 8, 20.0, "", 1.0), (1000, 16, 4.0, "", 1.0)]
+    runs = [(10, 4, 60.0, "", 1.0), (100, 8, 20.0, "", 1.0), (1000, 16, 4.0, "", 1.0)]
     if not quick:
         deploy = '[[trouble]]\nwhat = "deploy"\nat_s = 3\nshare = 0.81\nover_s = 30\n'
-        jobs += [(5000, 16, 1.0, "", 1.0), (1000, 50, 40.0, deploy, 0.1)]
+        runs += [(5000, 16, 1.0, "", 1.0), (1000, 50, 40.0, deploy, 0.1)]
     with ProcessPoolExecutor(5, max_tasks_per_child=1) as pool:
-        for hosts, dispatchers, events, pace, peak, service, violations in pool.map(measured, jobs):
+        for server_count, dispatcher_count, events_per_s, simulated_per_s, peak_mb, service, violations in pool.map(
+            measure_run, runs
+        ):
             print(
-                f"{hosts:6} {dispatchers:11} {events:9,.0f} {pace:7.2f} {peak:6.0f} {service:8.4f}  {violations}",
+                f"{server_count:6} {dispatcher_count:11} {events_per_s:9,.0f} {simulated_per_s:7.2f} "
+                f"{peak_mb:6.0f} {service:8.4f}  {violations}",
                 flush=True,
             )
-    alone = 0.0
-    for workers in (1, 2, 4, 8):
-        with ProcessPoolExecutor(workers) as pool:
-            list(pool.map(one, range(workers)))  # the processes are there
-            begun = time.perf_counter()
-            list(pool.map(one, range(16)))
-            took = time.perf_counter() - begun
-        alone = alone or took
-        print(f"{workers} processes: 16 runs in {took:.1f} s, {alone / took:.2f} times as fast as one")
+    single_process_s = 0.0
+    for process_count in (1, 2, 4, 8):
+        with ProcessPoolExecutor(process_count) as pool:
+            list(pool.map(run_for_speedup, range(process_count)))  # the processes are there
+            started_at = time.perf_counter()
+            list(pool.map(run_for_speedup, range(16)))
+            elapsed_s = time.perf_counter() - started_at
+        single_process_s = single_process_s or elapsed_s
+        print(
+            f"{process_count} processes: 16 runs in {elapsed_s:.1f} s, "
+            f"{single_process_s / elapsed_s:.2f} times as fast as one"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -20,9 +20,9 @@
 from heronlug.emulator.scenario import load
 from heronlug.emulator.world import World
 
-FILE = Path(__file__).parents[1] / "scenarios" / "halls-dead.toml"
-WAYS = ("each for itself", "as one", "oracle")
-CALM: list[dict[str, Any]] = [
+SCENARIO_FILE = Path(__file__).parents[1] / "scenarios" / "halls-dead.toml"
+VARIANTS = ("each for itself", "as one", "oracle")
+FAULTS_WITHOUT_ZONE_OUTAGE: list[dict[str, Any]] = [
     {"what": "crash", "at_s": 8, "share": 0.24},
     {"what": "deploy", "at_s": 14, "share": 0.6, "over_s": 20, "drain_s": 1},
     {"what": "pause", "at_s": 38, "for_s": 3, "share": 0.2},
@@ -34,59 +34,66 @@
     """One run to play."""
 
     dispatchers: int
-    way: str
+    variant: str
     seed: int
     span: float = 50.0
 
 
-def play(run: Run) -> dict[str, float]:
+def measure_run(run: Run) -> dict[str, float]:
     """The figures of one run."""
     scenario = load(
-        FILE, {"dispatchers.count": run.dispatchers, "dispatchers.halls": run.way == WAYS[1], "span_s": run.span}
+        SCENARIO_FILE,
+        {"dispatchers.count": run.dispatchers, "dispatchers.halls": run.variant == VARIANTS[1], "span_s": run.span},
     )
-    if run.way == Oracle.name:
+    if run.variant == Oracle.name:
         scenario.policy = Oracle.name
     sent: list[Sent] = []
     world = World(scenario, run.seed, record=lambda event: sent.append(event) if isinstance(event, Sent) else None)
-    zones = {host.name: host.zone for host in world.servers.values()}
+    zone_by_server = {server.name: server.zone for server in world.servers.values()}
     figures = world.run()
-    trouble = scenario.trouble[0]
-    dies, back = trouble.at_s * 1000, (trouble.at_s + trouble.for_s) * 1000
-    hall = scenario.zones.index(trouble.zone)
-    into = np.array([event.at for event in sent if zones[event.host] == hall])
-    earned, asked = figures.value_by_second
+    fault = scenario.trouble[0]
+    fails_at, returns_at = fault.at_s * 1000, (fault.at_s + fault.for_s) * 1000
+    zone = scenario.zones.index(fault.zone)
+    sent_at = np.array([event.at for event in sent if zone_by_server[event.host] == zone])
+    earned_value, requested_value = figures.value_by_second
 
-    def came(begin: float, end: float) -> float:
-        return float(((into >= begin) & (into < end)).sum()) * 1000 / (end - begin)
+    def attempts_per_s(begin: float, end: float) -> float:
+        return float(((sent_at >= begin) & (sent_at < end)).sum()) * 1000 / (end - begin)
 
-    def share(begin: float, end: float) -> float:
+    def value_share(begin: float, end: float) -> float:
         seconds = slice(int(begin / 1000), int(end / 1000))
-        return float(earned[seconds].sum() / asked[seconds].sum())
-
-    usual = came(dies - 5000, dies)
-    full = next(
-        (at for at in range(int(back), int(run.span * 1000) - 2000, 500) if came(at, at + 2000) >= 0.9 * usual),
+        return float(earned_value[seconds].sum() / requested_value[seconds].sum())
+
+    usual_rate = attempts_per_s(fails_at - 5000, fails_at)
+    full_share_at = next(
+        (
+            at
+            for at in range(int(returns_at), int(run.span * 1000) - 2000, 500)
+            if attempts_per_s(at, at + 2000) >= 0.9 * usual_rate
+        ),
         float("nan"),
     )
-    flat = figures.by_name()
+    named_figures = figures.by_name()
     return {
-        "worth": flat["service"],
-        "worth while dead": share(dies, back),
-        "worth after": share(back, run.span * 1000),
-        "spent on finding out": came(dies, dies + 1000),
-        "in the 2nd s": came(dies + 1000, dies + 2000),
-        "then a second": came(dies + 2000, back),
-        "1st s back": came(back, back + 1000),
-        "full share after s": (full - back) / 1000,
-        "cold load": flat["cold_peak"],
-        "fell": flat["fell"],
-        "rules broken": flat["violations"],
+        "worth": named_figures["service"],
+        "worth while dead": value_share(fails_at, returns_at),
+        "worth after": value_share(returns_at, run.span * 1000),
+        "spent on finding out": attempts_per_s(fails_at, fails_at + 1000),
+        "in the 2nd s": attempts_per_s(fails_at + 1000, fails_at + 2000),
+        "then a second": attempts_per_s(fails_at + 2000, returns_at),
+        "1st s back": attempts_per_s(returns_at, returns_at + 1000),
+        "full share after s": (full_share_at - returns_at) / 1000,
+        "cold load": named_figures["cold_peak"],
+        "fell": named_figures["fell"],
+        "rules broken": named_figures["violations"],
     }
 
 
-def calm(run: Run) -> int:
+def count_wrong_exclusions(run: Run) -> int:
     """How many times some dispatcher left a hall on a day on which no hall failed."""
-    scenario = load(FILE, {"dispatchers.count": run.dispatchers, "span_s": 54, "trouble": CALM})
+    scenario = load(
+        SCENARIO_FILE, {"dispatchers.count": run.dispatchers, "span_s": 54, "trouble": FAULTS_WITHOUT_ZONE_OUTAGE}
+    )
     world = World(scenario, run.seed)
     world.run()
     return sum(
@@ -96,23 +103,23 @@
     )
 
 
-def table(runs: list[Run], pool: ProcessPoolExecutor) -> list[list[str]]:
+def result_rows(runs: list[Run], pool: ProcessPoolExecutor) -> list[list[str]]:
     """A row for each size and way: the mean over the seeds, with half of its 95% interval for the worth."""
-    played = list(zip(runs, pool.map(play, runs), strict=True))
+    played = list(zip(runs, pool.map(measure_run, runs), strict=True))
     rows: list[list[str]] = []
-    for (count, way), group in groupby(played, key=lambda each: each[0][:2]):
-        found = [figures for _, figures in group]
+    for (count, variant), group in groupby(played, key=lambda item: item[0][:2]):
+        figures_by_seed = [figures for _, figures in group]
         if not rows:
-            rows.append(["dispatchers", "way", *found[0]])
+            rows.append(["dispatchers", "way", *figures_by_seed[0]])
         cells = []
-        for name in found[0]:
-            values = np.array([figures[name] for figures in found])
+        for name in figures_by_seed[0]:
+            values = np.array([figures[name] for figures in figures_by_seed])
             cell = f"{np.nanmean(values):.3g}" if not np.isnan(values).all() else "-"
             if name == "worth" and len(values) > 1:
-                half = stats.t.ppf(0.975, len(values) - 1) * values.std(ddof=1) / len(values) ** 0.5
-                cell = f"{values.mean():.3f} ± {half:.3f}"
+                half_width = stats.t.ppf(0.975, len(values) - 1) * values.std(ddof=1) / len(values) ** 0.5
+                cell = f"{values.mean():.3f} ± {half_width:.3f}"
             cells.append(cell)
-        rows.append([str(count), way, *cells])
+        rows.append([str(count), variant, *cells])
     return rows
 
 
@@ -126,10 +133,17 @@
     with ProcessPoolExecutor() as pool:
         if days:
             for count in sizes:
-                left = list(pool.map(calm, [Run(count, WAYS[1], seed) for seed in range(days)]))
-                print(f"{count} dispatchers, {days} days: {sum(map(bool, left))} with a hall left, {sum(left)} leaves")
+                exclusion_counts = list(
+                    pool.map(count_wrong_exclusions, [Run(count, VARIANTS[1], seed) for seed in range(days)])
+                )
+                print(
+                    f"{count} dispatchers, {days} days: "
+                    f"{sum(map(bool, exclusion_counts))} with a hall left, {sum(exclusion_counts)} leaves"
+                )
             return
-        rows = table([Run(n, way, seed) for n in sizes for way in WAYS for seed in range(1, seeds + 1)], pool)
+        rows = result_rows(
+            [Run(n, variant, seed) for n in sizes for variant in VARIANTS for seed in range(1, seeds + 1)], pool
+        )
     if as_json:
         print_json([dict(zip(rows[0], row, strict=True)) for row in rows[1:]])
     else:
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -19,8 +19,8 @@
 import click
 
 ROOT = Path(__file__).parents[1]
-CLASSES, OPEN, ROUNDS = 200, 5_000, 15
-REPLAY = """
+CLASS_COUNT, OPEN_REQUESTS, ROUNDS = 200, 5_000, 15
+REPLAY_SCRIPT = """
 import sys, time
 sys.path[:0] = [{tests!r}, {root!r}]
 from recorded import record
@@ -39,43 +39,47 @@
 """
 
 
-def file(classes: int, fault: str = "") -> str:
+def config_text(classes: int, extra_line: str = "") -> str:
     """A whole file with so many classes, each with limits."""
     site = "".join(
         f'[[site.class]]\nname = "c{n}"\neffect = "repeatable"\naim_ms = 500\ndeadline_ms = 10000\n'
         for n in range(classes)
     )
     limits = "".join(
-        f"[class.c{n}]\nattempts = 4\nattempt_timeout_ms = 2000\nwait_ms = [100, 200, 400]\ngive_up_ms = 9000\n{fault}"
+        f"[class.c{n}]\nattempts = 4\nattempt_timeout_ms = 2000\nwait_ms = [100, 200, 400]\n"
+        f"give_up_ms = 9000\n{extra_line}"
         for n in range(classes)
     )
     return f'[serve]\nlisten = "127.0.0.1:8081"\n[site]\n{site}{limits}'
 
 
-def timed(what: Callable[[], Any], rounds: int = ROUNDS) -> list[float]:
+def measure_ms(call: Callable[[], Any], rounds: int = ROUNDS) -> list[float]:
     """Milliseconds of each round."""
     times = []
     for _ in range(rounds):
         start = time.perf_counter()
-        what()
+        call()
         times.append((time.perf_counter() - start) * 1000)
     return times
 
 
-def checks(folder: Path) -> list[tuple[str, list[float]]]:
+def measure_checks(folder: Path) -> list[tuple[str, list[float]]]:
     """The time to check files, in one process, after its first."""
     from heronlug.cli.inspect import check_file
 
     rows = []
-    for name, fault, faults in (("good", "", 0), ("a fault in each class", 'second_copy = "x"\n', CLASSES)):
+    for name, extra_line, problem_count in (
+        ("good", "", 0),
+        ("a fault in each class", 'second_copy = "x"\n', CLASS_COUNT),
+    ):
         path = folder / "x.toml"
-        path.write_text(file(CLASSES, fault))
-        assert len(check_file(path, None)[2]) == faults
-        rows.append((f"check a file of {CLASSES} classes, {name}", timed(partial(check_file, path, None))))
+        path.write_text(config_text(CLASS_COUNT, extra_line))
+        assert len(check_file(path, None)[2]) == problem_count
+        rows.append((f"check a file of {CLASS_COUNT} classes, {name}", measure_ms(partial(check_file, path, None))))
     return rows
 
 
-def swaps(folder: Path) -> list[tuple[str, list[float]]]:
+def measure_swaps(folder: Path) -> list[tuple[str, list[float]]]:
     """How long the loop stands still while a file is read, checked and swapped in, with jobs open; and idle."""
     from heronlug.balancer.settings import RequestClass, Settings
     from heronlug.config.files import Files
@@ -87,11 +91,13 @@
 
     paths = [folder / "a.toml", folder / "b.toml"]
     for path, attempts in zip(paths, ("attempts = 4", "attempts = 3"), strict=True):
-        path.write_text(file(CLASSES).replace("attempts = 4", attempts).replace("[100, 200, 400]", "[100, 200]"))
+        path.write_text(
+            config_text(CLASS_COUNT).replace("attempts = 4", attempts).replace("[100, 200, 400]", "[100, 200]")
+        )
     config, _ = Files(paths[0], {}).load()
     settings: Settings = config.settings
 
-    class Quiet:
+    class StubParts:
         """Takes everything and does nothing: a front, and the parts of a daemon that limits have nothing to do with."""
 
         def __getattr__(self, name: str) -> Callable[..., None]:
@@ -106,57 +112,57 @@
         def use_limits(self, classes: tuple[RequestClass, ...]) -> None:
             start = time.perf_counter()
             core.use_classes(classes)
-            swapped.append((time.perf_counter() - start) * 1000)
-
-    quiet: Any = Quiet()
-    core = Core(settings, 1, quiet, Deadlines(lambda: 1e6), max_open=OPEN + 1)
-    for number in range(OPEN):
-        core.accept(None, number % CLASSES, 9_000.0)
-    swapped: list[float] = []
-    stops: dict[str, list[float]] = {"idle": [], "reload": []}
-
-    async def turns(over: asyncio.Event) -> float:
-        longest, last = 0.0, time.perf_counter()
-        while not over.is_set():
+            swap_times.append((time.perf_counter() - start) * 1000)
+
+    stub: Any = StubParts()
+    core = Core(settings, 1, stub, Deadlines(lambda: 1e6), max_open=OPEN_REQUESTS + 1)
+    for number in range(OPEN_REQUESTS):
+        core.accept(None, number % CLASS_COUNT, 9_000.0)
+    swap_times: list[float] = []
+    pauses_ms: dict[str, list[float]] = {"idle": [], "reload": []}
+
+    async def longest_pause(finished: asyncio.Event) -> float:
+        longest, last_turn_at = 0.0, time.perf_counter()
+        while not finished.is_set():
             await asyncio.sleep(0)
             now = time.perf_counter()
-            longest, last = max(longest, now - last), now
+            longest, last_turn_at = max(longest, now - last_turn_at), now
         return longest * 1000
 
-    async def stand(name: str, work: Callable[[], Any]) -> None:
-        over = asyncio.Event()
-        watch = asyncio.create_task(turns(over))
+    async def record_pause(name: str, work: Callable[[], Any]) -> None:
+        finished = asyncio.Event()
+        pause_task = asyncio.create_task(longest_pause(finished))
         await work()
-        over.set()
-        stops[name].append(await watch)
+        finished.set()
+        pauses_ms[name].append(await pause_task)
 
-    async def play() -> None:
-        running = RunningState(quiet)
+    async def run_rounds() -> None:
+        running = RunningState(stub)
         for number in range(ROUNDS):
-            await stand("idle", lambda: asyncio.sleep(0.15))
+            await record_pause("idle", lambda: asyncio.sleep(0.15))
 
             async def reload(path: Path = paths[number % 2]) -> None:
                 _, state = await run_in_background(Files(path, {}).load)
                 assert await running.limit(state["classes"])
 
-            await stand("reload", reload)
+            await record_pause("reload", reload)
 
-    asyncio.run(play())
-    assert len(core.requests) == OPEN
+    asyncio.run(run_rounds())
+    assert len(core.requests) == OPEN_REQUESTS
     return [
-        (f"the swap alone, {CLASSES} classes and {OPEN} open jobs", swapped),
-        ("longest stop of a busy loop in 0.15 s, nothing else going on", stops["idle"]),
-        ("longest stop of a busy loop over a whole reload", stops["reload"]),
+        (f"the swap alone, {CLASS_COUNT} classes and {OPEN_REQUESTS} open jobs", swap_times),
+        ("longest stop of a busy loop in 0.15 s, nothing else going on", pauses_ms["idle"]),
+        ("longest stop of a busy loop over a whole reload", pauses_ms["reload"]),
     ]
 
 
-def replays() -> list[tuple[str, list[float]]]:
+def measure_replays() -> list[tuple[str, list[float]]]:
     """The CPU time of the decisions for one request, in fresh processes."""
     times = []
     for _ in range(ROUNDS):
-        code = REPLAY.format(tests=str(ROOT / "tests"), root=str(ROOT))
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
-        times.append(float(done.stdout) / 1000)
+        code = REPLAY_SCRIPT.format(tests=str(ROOT / "tests"), root=str(ROOT))
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
+        times.append(float(process.stdout) / 1000)
     return [("the decisions for one request", times)]
 
 
@@ -166,7 +172,7 @@
     sys.path.insert(0, str(ROOT))
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        rows = [*checks(folder), *swaps(folder), *replays()]
+        rows = [*measure_checks(folder), *measure_swaps(folder), *measure_replays()]
     print(f"{'':62}{'least ms':>10}{'median':>10}{'most':>10}")
     for row_name, times in rows:
         print(f"{row_name:62}{min(times):10.4f}{median(times):10.4f}{max(times):10.4f}")
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -18,7 +18,7 @@
 from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
 
-CLASSES = (
+REQUEST_CLASSES = (
     RequestClass(
         latency_objective=500,
         deadline=10_000,
@@ -42,13 +42,13 @@
         name="keyed",
     ),
 )
-START = 1_700_000_000_000.0
-WARMUP_TIME = 18_000.0
-CHANGES = 100  # servers in one list of changes
+START_TIME_MS = 1_700_000_000_000.0
+WARMUP_TIME_MS = 18_000.0
+CHANGED_SERVERS = 100  # servers in one list of changes
 REPEATS = 40  # of each event that is cheap to repeat
 
 
-class Sockets:
+class StubFrontend:
     """A frontend that keeps what it is told to send."""
 
     def __init__(self) -> None:
@@ -78,13 +78,13 @@
     servers: int
     peers: bool
     started_at: float = 0.0
-    now: float = START
+    now: float = START_TIME_MS
     version: int = 0
-    sockets: Sockets = field(default_factory=Sockets)
+    frontend: StubFrontend = field(default_factory=StubFrontend)
 
     def __post_init__(self) -> None:
         settings = Settings(
-            classes=CLASSES,
+            classes=REQUEST_CLASSES,
             instances=200,
             position=7,
             poll_interval=1_000,
@@ -97,7 +97,7 @@
             progress_interval=1_000,
             drain_grace=2_500,
             warmup_capacity=0.2,
-            warmup_time=WARMUP_TIME,
+            warmup_time=WARMUP_TIME_MS,
             overload_multiple=3,
             overload_window=3_000,
             cpu_per_request=10,
@@ -105,13 +105,13 @@
             worst_class_weight=0.3,
         )
         self.deadlines = Deadlines(lambda: self.now)
-        self.core = Core(settings, 1, self.sockets, self.deadlines)
+        self.core = Core(settings, 1, self.frontend, self.deadlines)
 
     def entries(self, first: int, count: int, state: ServerState = ServerState.READY) -> list[ListedServer]:
         """Lines of a list, by number."""
-        at = self.started_at
+        started_at = self.started_at
         return [
-            ListedServer(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, at)
+            ListedServer(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, started_at)
             for n in range(first, first + count)
         ]
 
@@ -125,7 +125,7 @@
 
     def serve_one(self) -> None:
         """The oldest attempt starts and is served."""
-        attempt = self.sockets.sent.pop(0)
+        attempt = self.frontend.sent.pop(0)
         self.core.attempt_progressed(attempt, ProgressKind.STARTED)
         self.now += 1
         self.core.attempt_ended(attempt, Outcome.SERVED, b"ok")
@@ -139,15 +139,15 @@
         self.now = end
 
 
-def timed(act: Callable[[], object], repeats: int = 1) -> float:
+def call_time_us(call: Callable[[], object], repeats: int = 1) -> float:
     """Microseconds of CPU that one call takes in the mean."""
-    begin = time.process_time_ns()
+    started_ns = time.process_time_ns()
     for _ in range(repeats):
-        act()
-    return (time.process_time_ns() - begin) / repeats / 1000
+        call()
+    return (time.process_time_ns() - started_ns) / repeats / 1000
 
 
-def warm(servers: int, peers: bool) -> Fleet:
+def warm_fleet(servers: int, peers: bool) -> Fleet:
     """A fleet of warm servers that has served some requests."""
     fleet = Fleet(servers, peers)
     fleet.list_all()
@@ -157,107 +157,109 @@
     return fleet
 
 
-def cold(servers: int, peers: bool, waiting: int) -> Fleet:
+def cold_fleet(servers: int, peers: bool, waiting: int) -> Fleet:
     """A fleet of which all servers have just started, with requests that wait."""
-    fleet = Fleet(servers, peers, started_at=START - 100)
+    fleet = Fleet(servers, peers, started_at=START_TIME_MS - 100)
     fleet.list_all()
     for n in range(waiting):
         fleet.arrive(n % 3, 9_000.0)
     return fleet
 
 
-def whole_list(servers: int, peers: bool, _: int) -> float:
+def first_full_list(servers: int, peers: bool, _: int) -> float:
     """A first list."""
     fleet = Fleet(servers, peers)
-    return timed(fleet.list_all)
+    return call_time_us(fleet.list_all)
 
 
-def same_list(servers: int, peers: bool, _: int) -> float:
+def repeated_full_list(servers: int, peers: bool, _: int) -> float:
     """The whole list once more."""
-    return timed(warm(servers, peers).list_all)
+    return call_time_us(warm_fleet(servers, peers).list_all)
 
 
 def new_servers(servers: int, peers: bool, _: int) -> float:
     """Changes: servers that were not listed before."""
-    fleet = warm(servers, peers)
-    fleet.started_at = START
-    lines = fleet.entries(servers, CHANGES)
-    return timed(lambda: fleet.core.update_servers(ListKind.CHANGES, lines))
+    fleet = warm_fleet(servers, peers)
+    fleet.started_at = START_TIME_MS
+    entries = fleet.entries(servers, CHANGED_SERVERS)
+    return call_time_us(lambda: fleet.core.update_servers(ListKind.CHANGES, entries))
 
 
 def draining(servers: int, peers: bool, _: int) -> float:
     """Changes: servers that begin to drain."""
-    fleet = warm(servers, peers)
-    lines = fleet.entries(0, CHANGES, ServerState.DRAINING)
-    return timed(lambda: fleet.core.update_servers(ListKind.CHANGES, lines))
+    fleet = warm_fleet(servers, peers)
+    entries = fleet.entries(0, CHANGED_SERVERS, ServerState.DRAINING)
+    return call_time_us(lambda: fleet.core.update_servers(ListKind.CHANGES, entries))
 
 
 def arrival(servers: int, peers: bool, _: int) -> float:
     """A request for which there is a server."""
-    return timed(warm(servers, peers).arrive, REPEATS)
+    return call_time_us(warm_fleet(servers, peers).arrive, REPEATS)
 
 
-def end(servers: int, peers: bool, _: int) -> float:
+def attempt_end(servers: int, peers: bool, _: int) -> float:
     """An attempt that is served."""
-    fleet = warm(servers, peers)
+    fleet = warm_fleet(servers, peers)
     for _ in range(REPEATS):
         fleet.arrive()
-    return timed(fleet.serve_one, REPEATS)
+    return call_time_us(fleet.serve_one, REPEATS)
 
 
-def arrival_held(servers: int, peers: bool, waiting: int) -> float:
+def arrival_queued(servers: int, peers: bool, waiting: int) -> float:
     """A request for which there is none: all are cold."""
-    return timed(cold(servers, peers, waiting).arrive, REPEATS)
+    return call_time_us(cold_fleet(servers, peers, waiting).arrive, REPEATS)
 
 
 def idle_second(servers: int, peers: bool, waiting: int) -> float:
     """A second in which nothing comes, while requests wait."""
-    fleet = cold(servers, peers, waiting)
-    return timed(lambda: fleet.pass_time(1_000.0))
+    fleet = cold_fleet(servers, peers, waiting)
+    return call_time_us(lambda: fleet.pass_time(1_000.0))
 
 
-def datagram(servers: int, peers: bool, waiting: int) -> float:
+def peer_counts(servers: int, peers: bool, waiting: int) -> float:
     """Counts that another dispatcher tells."""
-    fleet = cold(servers, peers, waiting)
+    fleet = cold_fleet(servers, peers, waiting)
     server_ids = list(fleet.core.directory.by_number)[:40]
     peer_load = fleet.core.dispatcher.state.peer_load
-    content = peer_load.STAMP.pack(peer_load.COUNTS, START) + b"".join(peer_load.PAIR.pack(n, 2) for n in server_ids)
-    return timed(lambda: fleet.core.peer_message(3, content), REPEATS)
+    content = peer_load.STAMP.pack(peer_load.COUNTS, START_TIME_MS) + b"".join(
+        peer_load.PAIR.pack(n, 2) for n in server_ids
+    )
+    return call_time_us(lambda: fleet.core.peer_message(3, content), REPEATS)
 
 
 def load_summary(servers: int, peers: bool, waiting: int) -> float:
     """All parts of a summary of load that another dispatcher tells."""
-    fleet = cold(servers, peers, waiting)
+    fleet = cold_fleet(servers, peers, waiting)
     parts = fleet.core.dispatcher.state.peer_load.summary([1] * servers)
-    return timed(lambda: [fleet.core.peer_message(1, part) for part in parts], 4)
+    return call_time_us(lambda: [fleet.core.peer_message(1, part) for part in parts], 4)
 
 
-def figures(servers: int, peers: bool, _: int) -> float:
+def operator_figures(servers: int, peers: bool, _: int) -> float:
     """The operators' call."""
-    return timed(warm(servers, peers).core.server_counts, REPEATS)
+    return call_time_us(warm_fleet(servers, peers).core.server_counts, REPEATS)
 
 
-ROWS: dict[str, Callable[[int, bool, int], float]] = {
-    "whole list, first": whole_list,
-    "whole list, again": same_list,
+MEASUREMENTS: dict[str, Callable[[int, bool, int], float]] = {
+    "whole list, first": first_full_list,
+    "whole list, again": repeated_full_list,
     "100 new servers": new_servers,
     "100 draining": draining,
     "request, placed": arrival,
-    "attempt served": end,
-    "request, held": arrival_held,
+    "attempt served": attempt_end,
+    "request, held": arrival_queued,
     "a second, requests held": idle_second,
-    "peer's counts": datagram,
+    "peer's counts": peer_counts,
     "load summary": load_summary,
-    "figures": figures,
+    "figures": operator_figures,
 }
-WAITING = frozenset({"request, held", "a second, requests held", "peer's counts", "load summary"})
+MEASUREMENTS_WITH_QUEUE = frozenset({"request, held", "a second, requests held", "peer's counts", "load summary"})
 
 
 def measure(name: str, servers: Sequence[int], peers: bool, waiting: int) -> list[str]:
     """One row of the table."""
-    costs = [ROWS[name](count, peers, waiting) for count in servers]
-    shown = f"{name} ({waiting} wait)" if name in WAITING else name
-    return [shown, "yes" if peers else "no", *(f"{cost:.0f}" for cost in costs), f"{costs[-1] / max(costs[0], 1):.1f}"]
+    costs = [MEASUREMENTS[name](count, peers, waiting) for count in servers]
+    label = f"{name} ({waiting} wait)" if name in MEASUREMENTS_WITH_QUEUE else name
+    return [label, "yes" if peers else "no", *(f"{cost:.0f}" for cost in costs), f"{costs[-1] / max(costs[0], 1):.1f}"]
 
 
 @click.command()
@@ -266,16 +268,16 @@
 @click.option("--only", default="", help="rows whose name begins so")
 def main(sizes: str, queues: str, only: str) -> None:
     """Print microseconds of CPU by event."""
-    servers, queue = [int(n) for n in sizes.split(",")], [int(n) for n in queues.split(",")]
+    servers, queue_sizes = [int(n) for n in sizes.split(",")], [int(n) for n in queues.split(",")]
     rows = [
         measure(name, servers, peers, waiting)
-        for name in ROWS
+        for name in MEASUREMENTS
         if name.startswith(only)
         for peers in (True, False)
-        for waiting in (queue if name in WAITING else queue[:1])
+        for waiting in (queue_sizes if name in MEASUREMENTS_WITH_QUEUE else queue_sizes[:1])
     ]
-    head = ["event", "peers", *(f"{count} servers" for count in servers), "ratio"]
-    print_columns([head, *rows])
+    heading = ["event", "peers", *(f"{count} servers" for count in servers), "ratio"]
+    print_columns([heading, *rows])
 
 
 if __name__ == "__main__":
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -27,8 +27,12 @@
 from heronlug.standins.ports import free_port
 from heronlug.standins.server import StandInServer
 
-SERVERS, RATE, SPAN = 12, 60.0, 8.0  # servers, requests a second, s of load
-BEGIN, WINDOW, SHORT = 3_000.0, 4_000.0, 1_000.0  # ms after the start of the process; of the failures
+SERVER_COUNT, REQUESTS_PER_S, LOAD_S = 12, 60.0, 8.0  # servers, requests a second, s of load
+FAILURES_START_MS, LONG_WINDOW_MS, SHORT_WINDOW_MS = (
+    3_000.0,
+    4_000.0,
+    1_000.0,
+)  # ms after the start of the process; of the failures
 ROWS = (
     "accept:ENFILE",
     "accept:EMFILE",
@@ -45,14 +49,17 @@
     "recv:ETIMEDOUT",
     "send:EHOSTUNREACH",
 )
-RARE = {"recv:ETIMEDOUT", "send:EHOSTUNREACH"}  # a connection that ends so is over: one call in twenty
-DEADLINE = 3.0  # s
+CONNECTION_ENDING_ERRORS = {
+    "recv:ETIMEDOUT",
+    "send:EHOSTUNREACH",
+}  # a connection that ends so is over: one call in twenty
+DEADLINE_S = 3.0  # s
 
 
 class Result(NamedTuple):
     """What came of one row."""
 
-    ends: Counter[str]
+    outcomes: Counter[str]
     cpu_s: float
 
 
@@ -64,7 +71,7 @@
         "skus": ["m1"],
         "discovery": "on_request",
         "tick": 5.0,
-        "lanes": [{"name": "once", "deadline": 1000 * DEADLINE, "effect": "once", "goal_time": 500.0, "worth": 1.0}],
+        "lanes": [{"name": "once", "deadline": 1000 * DEADLINE_S, "effect": "once", "goal_time": 500.0, "worth": 1.0}],
         "limits": {
             "attempts_cap": 4,
             "conn_idle": 10_000.0,
@@ -74,36 +81,36 @@
         },
         "safety": {"ask_every": 10_000.0, "drain_grace": 2_500.0, "warm_after": 1.0},
     }
-    known = {"generation": 0, "reset": True, "instances": []}
-    raw = {
+    endpoint_list = {"generation": 0, "reset": True, "instances": []}
+    config = {
         "name": "n0",
         "listen": listen,
         "discovery": discovery,
         "seed": "1",
         "settings": settings,
-        "known": known,
+        "known": endpoint_list,
         "limits": {"sockets": 512, "memory_mb": 128},
     }
-    path = folder / "config.json"
-    path.write_text(json.dumps(raw))
-    return path
+    config_path = folder / "config.json"
+    config_path.write_text(json.dumps(config))
+    return config_path
 
 
-async def _request(address: str, number: int, ends: Counter[str]) -> None:
+async def _request(address: str, number: int, outcomes: Counter[str]) -> None:
     host, port = address.split(":")
-    head = f"POST /once HTTP/1.1\r\nHost: x\r\nX-Txn: t{number}\r\nX-Lane: once\r\n"
-    head += f"X-Remaining-Ms: {DEADLINE * 1000:.0f}"
+    request_head = f"POST /once HTTP/1.1\r\nHost: x\r\nX-Txn: t{number}\r\nX-Lane: once\r\n"
+    request_head += f"X-Remaining-Ms: {DEADLINE_S * 1000:.0f}"
     try:
-        async with asyncio.timeout(DEADLINE + 1.0):
+        async with asyncio.timeout(DEADLINE_S + 1.0):
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(head.encode() + b"\r\nContent-Length: 2\r\n\r\nhi")
+            writer.write(request_head.encode() + b"\r\nContent-Length: 2\r\n\r\nhi")
             status = await reader.readline()
-            ends[status.split(b" ")[1].decode() if status else "closed"] += 1
+            outcomes[status.split(b" ")[1].decode() if status else "closed"] += 1
             writer.close()
     except TimeoutError:
-        ends["nothing in time"] += 1
+        outcomes["nothing in time"] += 1
     except OSError:
-        ends["closed"] += 1
+        outcomes["closed"] += 1
 
 
 def _cpu_s(pid: int) -> float:
@@ -111,33 +118,33 @@
     return sum(map(int, fields[UTIME_FIELD : UTIME_FIELD + 2])) / os.sysconf("SC_CLK_TCK")
 
 
-async def play(shim: Path, rule: str, source: Path | None) -> Result:
+async def run_row(shim: Path, rule: str, source: Path | None) -> Result:
     """One row: load from before the failures until after them."""
-    register, servers = StandInDiscovery(), [StandInServer() for _ in range(SERVERS)]
+    discovery, servers = StandInDiscovery(), [StandInServer() for _ in range(SERVER_COUNT)]
     ports = [await server.open() for server in servers]
     for number, port in enumerate(ports):
-        register.put(f"s{number}", hostPort=f"127.0.0.1:{port}", zone="a", machineType="m1")
-    listen, ends, tasks = f"127.0.0.1:{free_port()}", Counter[str](), set[asyncio.Task[None]]()
+        discovery.put(f"s{number}", hostPort=f"127.0.0.1:{port}", zone="a", machineType="m1")
+    listen, outcomes, tasks = f"127.0.0.1:{free_port()}", Counter[str](), set[asyncio.Task[None]]()
     with tempfile.TemporaryDirectory(prefix="heronlug-calls-") as folder:
-        path = _config(Path(folder), listen, f"127.0.0.1:{await register.open()}")
-        env = {**os.environ, "RELAY_CONFIG": str(path), "LD_PRELOAD": str(shim), "FAIL_CALLS": rule}
+        config_path = _config(Path(folder), listen, f"127.0.0.1:{await discovery.open()}")
+        env = {**os.environ, "RELAY_CONFIG": str(config_path), "LD_PRELOAD": str(shim), "FAIL_CALLS": rule}
         command = [sys.executable, "-m", "heronlug"]
         with subprocess.Popen(command, env=env, stdout=subprocess.DEVNULL, cwd=source) as process:
-            began = monotonic()
-            await asyncio.sleep(BEGIN / 1000 - 1.0)
+            started_at = monotonic()
+            await asyncio.sleep(FAILURES_START_MS / 1000 - 1.0)
             for number in count():
-                if monotonic() - began > BEGIN / 1000 - 1.0 + SPAN:
+                if monotonic() - started_at > FAILURES_START_MS / 1000 - 1.0 + LOAD_S:
                     break
-                tasks.add(asyncio.create_task(_request(listen, number, ends)))
-                await asyncio.sleep(1 / RATE)
+                tasks.add(asyncio.create_task(_request(listen, number, outcomes)))
+                await asyncio.sleep(1 / REQUESTS_PER_S)
             await asyncio.gather(*tasks)
-            cpu = _cpu_s(process.pid)
+            cpu_s = _cpu_s(process.pid)
             process.terminate()
             await asyncio.to_thread(process.wait)
     for server in servers:
         server.close()
-    register.close()
-    return Result(ends, cpu)
+    discovery.close()
+    return Result(outcomes, cpu_s)
 
 
 @click.command()
@@ -147,19 +154,23 @@
     """Print the table."""
     with tempfile.TemporaryDirectory(prefix="heronlug-shim-") as folder:
         shim = Path(folder) / "shim.so"
-        here = Path(__file__).with_suffix(".c")
-        subprocess.run(["cc", "-O2", "-shared", "-fPIC", "-o", shim, here, "-ldl"], check=True)
+        shim_source = Path(__file__).with_suffix(".c")
+        subprocess.run(["cc", "-O2", "-shared", "-fPIC", "-o", shim, shim_source, "-ldl"], check=True)
         print("| call, error | share, for | 200 | 500 | 503 | closed with no answer | nothing in time | CPU s |")
         print("| --- | --- | --- | --- | --- | --- | --- | --- |")
         for row in rows or ROWS:
             call, name = row.split(":")
-            ways = [(0.05, WINDOW)] if row in RARE else [(0.5, WINDOW), (1.0, SHORT)]
-            for share, span in ways:
-                rule = f"{call}:{getattr(errno, name)}:{share}:{BEGIN}:{BEGIN + span}"
-                ends, cpu = asyncio.run(play(shim, rule, source))
-                cells = [str(ends[end]) for end in ("200", "500", "503", "closed", "nothing in time")]
-                way = f"{share:.0%}, {span / 1000:.0f} s"
-                print(f"| {call} {name} | {way} | {' | '.join(cells)} | {cpu:.2f} |", flush=True)
+            windows = (
+                [(0.05, LONG_WINDOW_MS)]
+                if row in CONNECTION_ENDING_ERRORS
+                else [(0.5, LONG_WINDOW_MS), (1.0, SHORT_WINDOW_MS)]
+            )
+            for share, window_ms in windows:
+                rule = f"{call}:{getattr(errno, name)}:{share}:{FAILURES_START_MS}:{FAILURES_START_MS + window_ms}"
+                outcomes, cpu_s = asyncio.run(run_row(shim, rule, source))
+                cells = [str(outcomes[outcome]) for outcome in ("200", "500", "503", "closed", "nothing in time")]
+                window_text = f"{share:.0%}, {window_ms / 1000:.0f} s"
+                print(f"| {call} {name} | {window_text} | {' | '.join(cells)} | {cpu_s:.2f} |", flush=True)
 
 
 if __name__ == "__main__":
