--- a/heronlug/cli/__init__.py
+++ b/heronlug/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The command line.  The daemon as the platform starts it imports none of this."""
+"""Defines the command line.
+
+A dispatcher that is started without arguments, as the platform does, does not import this package.
+"""
 
 import sys
 
@@ -17,15 +20,16 @@
 from heronlug.config.desired_state import StateError
 from heronlug.config.platform import ConfigError
 
-LAB_PACKAGES = {"hdrh", "jinja2", "matplotlib", "numpy", "rich", "scipy"}  # of requirements-lab.txt
+LAB_PACKAGES = {"hdrh", "jinja2", "matplotlib", "numpy", "rich", "scipy"}
+"""Top-level modules of the packages in requirements-lab.txt, which are optional."""
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="heronlug")
 def group() -> None:
-    """A dispatcher of jobs: serve, check its files, and change what runs.
+    """Run a request dispatcher, check its files, and change a running dispatcher.
 
-    Without any words, one dispatcher starts as the environment tells (RELAY_CONFIG).
+    Without arguments, a dispatcher starts with the configuration that the environment variable RELAY_CONFIG names.
     """
 
 
@@ -51,7 +55,12 @@
 
 
 def main() -> int:
-    """The exit status: 0 done, 1 it could not be done, 2 the words or the files are wrong."""
+    """Runs the command that the arguments name.
+
+    Returns:
+        The exit status of the command, where 0 is success; 1 if the command fails or the configuration or desired state
+        is invalid; 2 if the arguments are invalid or a package of the extra ``lab`` is missing.
+    """
     try:
         status = group.main(prog_name="heronlug", standalone_mode=False)
     except click.ClickException as error:
@@ -62,7 +71,7 @@
     except ModuleNotFoundError as error:
         if (error.name or "").split(".")[0] not in LAB_PACKAGES:
             raise
-        print(f"heronlug: {error.name} is not installed: this command needs the extra, heronlug[lab]", file=sys.stderr)
+        print(f"heronlug: {error.name} is not installed: this command needs the extra heronlug[lab]", file=sys.stderr)
         return 2
     except (ConfigError, StateError) as error:
         print("\n".join(f"heronlug: {line}" for line in str(error).splitlines()), file=sys.stderr)
--- a/heronlug/cli/change.py
+++ b/heronlug/cli/change.py
@@ -1,4 +1,4 @@
-"""``plan`` and ``apply``: the difference between desired and running state, and its making."""
+"""Defines ``plan`` and ``apply``, which show and apply the changes from the running state to a desired state."""
 
 from pathlib import Path
 from typing import Any
@@ -14,12 +14,17 @@
 
 
 def _running_state(control: str) -> State:
+    """Returns the state of the running dispatcher."""
     state: State = ask(control, {"ask": "state"})["state"]
     return state
 
 
 def _desired_state(control: str, path: Path) -> State:
-    """A file's state, checked against what runs; all of its faults with their lines."""
+    """Reads the desired state from a file and checks it against the running dispatcher.
+
+    Raises:
+        StateError: if the file cannot be read or has problems; the message lists each problem with its line.
+    """
     try:
         source = Source.read(path)
         state = parse(source)
@@ -33,6 +38,7 @@
 
 
 def _print_changes(changes: list[str]) -> None:
+    """Prints the changes and their number by kind."""
     for line in changes:
         print(line)
     counts = [sum(1 for line in changes if line.startswith(sign)) for sign in "+~-"]
@@ -41,10 +47,10 @@
 
 @click.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--save", type=FILE_PATH, help="keep the plan in this file")
+@click.option("--save", type=FILE_PATH, help="write the plan to this file")
 @CONTROL_OPTION
 def plan(file: Path, save: Path | None, control: str) -> None:
-    """Print what FILE would change of the running daemon."""
+    """Print the changes that the desired state in FILE would make to the running dispatcher."""
     running = _running_state(control)
     desired = _desired_state(control, file)
     _print_changes(difference(running, desired))
@@ -54,14 +60,19 @@
 
 
 def _read_saved_plan(path: Path, data: bytes) -> tuple[str, Any]:
+    """Returns the digest of the state that a saved plan starts from, and the desired state of the plan.
+
+    Raises:
+        StateError: if the data is not a saved plan of this version.
+    """
     try:
         saved_plan = orjson.loads(data)
         if saved_plan["heronlug_plan"] != 1:
-            msg = "not of this version"
+            msg = "unsupported version, expected 1"
             raise ValueError(msg)
         return str(saved_plan["base"]), saved_plan["desired"]
     except (ValueError, KeyError, TypeError) as error:
-        msg = f"{path}: heronlug_plan: no saved plan: {error!r}"
+        msg = f"{path}: heronlug_plan: not a saved plan: {error!r}"
         raise StateError(msg) from None
 
 
@@ -69,7 +80,7 @@
 @click.argument("file", type=FILE_PATH)
 @CONTROL_OPTION
 def apply(file: Path, control: str) -> None:
-    """Carry out FILE: a saved plan, or a desired state, which is planned and carried out."""
+    """Apply FILE, a saved plan or a desired state, to the running dispatcher."""
     try:
         with file.open("rb") as opened_file:
             data = opened_file.read(8 * 1024 * 1024)
--- a/heronlug/cli/cluster.py
+++ b/heronlug/cli/cluster.py
@@ -1,4 +1,4 @@
-"""``cluster members`` and ``cluster duties``: the cluster as the running dispatcher sees it."""
+"""Defines ``cluster members`` and ``cluster duties``, which show the cluster as the running dispatcher sees it."""
 
 import click
 
@@ -8,10 +8,11 @@
 
 @click.group()
 def cluster() -> None:
-    """The dispatchers that share leases, as the running one sees them."""
+    """Show the cluster of dispatchers that share leases, as the running dispatcher sees it."""
 
 
 def _print_overview(control: str, subject: str, as_json: bool) -> None:
+    """Prints the rows that the running dispatcher returns for ``members`` or ``duties``."""
     print_rows(ask(control, {"ask": subject})[subject], as_json)
 
 
@@ -19,7 +20,7 @@
 @JSON_OPTION
 @CONTROL_OPTION
 def members(as_json: bool, control: str) -> None:
-    """The members, their health, and since when."""
+    """Show the members, the health of each member and the time since its last change."""
     _print_overview(control, "members", as_json)
 
 
@@ -27,5 +28,5 @@
 @JSON_OPTION
 @CONTROL_OPTION
 def leases(as_json: bool, control: str) -> None:
-    """Each lease: whether this member holds it, its fencing token, the time left, the last run, runs and takeovers."""
+    """Show each lease: whether this member is the holder, fencing token, time left, last run, runs and takeovers."""
     _print_overview(control, "duties", as_json)
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -1,4 +1,4 @@
-"""``emulate``, ``experiment`` and ``rules``: the emulator, sweeps over it, and the checker of any run's events."""
+"""Defines ``emulate``, ``experiment`` and ``rules``: emulator runs, sweeps and the conformance checker."""
 
 import os
 from pathlib import Path
@@ -10,12 +10,13 @@
 from heronlug.cli.helpers import FILE_PATH, print_columns, print_json
 
 SET_OPTION = click.option(
-    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="another value of the scenario's"
+    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="replace a value of the scenario"
 )
 STORE_ARGUMENT = click.argument("store", type=FILE_PATH)
 
 
 def _parse_value(text: str) -> Any:
+    """Returns the value of a JSON text, or the text itself if it is not valid JSON."""
     try:
         return orjson.loads(text)
     except ValueError:
@@ -23,12 +24,16 @@
 
 
 def parse_changes(changes: tuple[str, ...]) -> dict[str, Any]:
-    """``--set`` as keys and values."""
+    """Returns the keys and values of the ``--set`` options.
+
+    Raises:
+        click.BadParameter: if an option does not have the form KEY=VALUE.
+    """
     result = {}
     for text in changes:
         key, equals, value = text.partition("=")
         if not equals:
-            msg = f"{text!r} is no KEY=VALUE"
+            msg = f"{text!r} does not have the form KEY=VALUE"
             raise click.BadParameter(msg, param_hint="--set")
         result[key] = _parse_value(value)
     return result
@@ -37,11 +42,11 @@
 @click.command()
 @click.argument("file", type=FILE_PATH)
 @SET_OPTION
-@click.option("--seed", type=int, help="in place of the scenario's")
-@click.option("--events", type=FILE_PATH, help="write all events of the run there, a line each")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object of all figures")
+@click.option("--seed", type=int, help="seed to use instead of the scenario's")
+@click.option("--events", type=FILE_PATH, help="write all events of the run to this file, one per line")
+@click.option("--json", "as_json", is_flag=True, help="print all figures as one JSON object")
 def emulate(file: Path, changes: tuple[str, ...], seed: int | None, events: Path | None, as_json: bool) -> int:
-    """Play the scenario FILE once.  The exit status is 1 where a rule was broken."""
+    """Run the scenario FILE once on the emulator. The exit status is 1 if a rule is violated."""
     from heronlug.conformance import write
     from heronlug.emulator.scenario import load
     from heronlug.emulator.world import World
@@ -63,8 +68,8 @@
         print_columns(figures.class_table())
         loads = figures.by_name()
         print(
-            f"service {figures.service:.4f}, hosts {loads['load_mean']:.0%} loaded, "
-            f"{loads['attempts_per_job']:.3f} attempts a job; "
+            f"service {figures.service:.4f}, servers {loads['load_mean']:.0%} loaded, "
+            f"{loads['attempts_per_job']:.3f} attempts per request; "
             f"{figures.event_count} events in {figures.wall_time_s:.1f} s"
         )
         for violation in world.checker.violations[:10]:
@@ -74,15 +79,19 @@
 
 @click.group()
 def rules() -> None:
-    """The four rules, on the events of any run."""
+    """Check the four rules on the recorded events of a run."""
 
 
 @rules.command("check")
 @click.argument("file", type=FILE_PATH)
-@click.option("--drain-grace-ms", default=2500.0, help="from the register's word to the last send")
-@click.option("--slack-ms", default=50.0, help="for the clocks of several processes")
+@click.option(
+    "--drain-grace-ms",
+    default=2500.0,
+    help="milliseconds after a server's notified change in which attempts may still be sent",
+)
+@click.option("--slack-ms", default=50.0, help="tolerance in milliseconds for clock differences between processes")
 def check_rules(file: Path, drain_grace_ms: float, slack_ms: float) -> int:
-    """Check the events in FILE, as ``emulate --events`` writes them.  The exit status is 1 where a rule was broken."""
+    """Check the events in FILE, which ``emulate --events`` writes. The exit status is 1 if a rule is violated."""
     from heronlug.conformance import Checker, read
 
     checker, last_event_at = Checker(drain_grace_ms, slack_ms), 0.0
@@ -104,19 +113,22 @@
 
 @click.group()
 def experiment() -> None:
-    """Sweeps over scenarios, on all cores."""
+    """Run sweeps over scenarios on all cores, and evaluate their results."""
 
 
 def _store_path(file: Path, store: Path | None) -> Path:
+    """Returns the path of the store, by default that of the experiment with the suffix ``.sqlite``."""
     return store if store is not None else file.with_suffix(".sqlite")
 
 
 @experiment.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--store", type=FILE_PATH, help="where runs are kept; beside FILE if not given")
-@click.option("--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="processes at once")
+@click.option("--store", type=FILE_PATH, help="file to store the runs in; default: FILE with the suffix .sqlite")
+@click.option(
+    "--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="number of parallel processes"
+)
 def run(file: Path, store: Path | None, workers: int) -> int:
-    """Play what of FILE has not been played yet.  Interrupted, it goes on from there next time."""
+    """Run those runs of the experiment FILE that are not stored yet, also after an interruption."""
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from heronlug.experiments import runner
@@ -150,11 +162,14 @@
 @STORE_ARGUMENT
 @click.argument("a")
 @click.argument("b")
-@click.option("--figure", "figures", multiple=True, help="only these; all if not given")
-@click.option("--experiment", "name", default="", help="of these runs, where the store has several")
+@click.option("--figure", "figures", multiple=True, help="a figure to compare; default: all figures")
+@click.option("--experiment", "name", default="", help="experiment to read, if the store has several")
 @click.option("--json", "as_json", is_flag=True)
 def compare(store: Path, a: str, b: str, figures: tuple[str, ...], name: str, as_json: bool) -> int:
-    """What changes from A to B in STORE, each such as ``policy=heronlug``, over pairs of the same seed."""
+    """Compare variants A and B in STORE over pairs of runs with the same seed.
+
+    A and B are parameter settings such as ``policy=heronlug``.
+    """
     from heronlug.experiments import compare as comparison
     from heronlug.experiments.store import Store
 
@@ -177,10 +192,10 @@
 
 @experiment.command()
 @STORE_ARGUMENT
-@click.option("--out", type=FILE_PATH, help="the page; beside STORE if not given")
-@click.option("--experiment", "name", default="", help="of these runs, where the store has several")
+@click.option("--out", type=FILE_PATH, help="HTML file to write; default: STORE with the suffix .html")
+@click.option("--experiment", "name", default="", help="experiment to read, if the store has several")
 def report(store: Path, out: Path | None, name: str) -> int:
-    """Write one HTML page of what is in STORE."""
+    """Write an HTML report on the runs in STORE."""
     from heronlug.experiments.report import page
     from heronlug.experiments.store import Store
 
@@ -188,7 +203,7 @@
         with Store(store, create=False) as run_store:
             names = [item for item, _, _ in run_store.experiments()]
             if not name and len(set(names)) > 1:
-                msg = f"{store}: --experiment names one of {', '.join(sorted(set(names)))}"
+                msg = f"{store}: --experiment must name one of {', '.join(sorted(set(names)))}"
                 raise ValueError(msg)
             text = page(name or (names[0] if names else str(store)), run_store.runs(name))
     except (OSError, ValueError) as error:
--- a/heronlug/cli/fleet.py
+++ b/heronlug/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``fleet``: many processes of the program with faults between them, by a script."""
+"""Defines ``fleet``, which runs dispatcher processes and injects faults as a test plan says."""
 
 from pathlib import Path
 
@@ -9,12 +9,14 @@
 
 @click.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--keep", type=click.Path(file_okay=False, path_type=Path), help="keep files and logs in this folder")
-@click.option("--events", type=FILE_PATH, help="write the history there, a line an event")
-@click.option("--seed", type=int, help="in place of the script's")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object of verdict and figures")
+@click.option(
+    "--keep", type=click.Path(file_okay=False, path_type=Path), help="write files and logs to this folder and keep them"
+)
+@click.option("--events", type=FILE_PATH, help="write the event history to this file, one event per line")
+@click.option("--seed", type=int, help="seed to use instead of the test plan's")
+@click.option("--json", "as_json", is_flag=True, help="print the verdict and the figures as one JSON object")
 def fleet(file: Path, keep: Path | None, events: Path | None, seed: int | None, as_json: bool) -> int:
-    """Play the script FILE on loopback.  The exit status is 1 where a rule or an expectation was broken."""
+    """Run the test plan FILE on loopback. The exit status is 1 if a rule is violated or an expectation is not met."""
     from heronlug.config.strict_toml import ConfigProblems
     from heronlug.faults.harness import play
     from heronlug.faults.plan import load as load_plan
--- a/heronlug/cli/helpers.py
+++ b/heronlug/cli/helpers.py
@@ -1,4 +1,4 @@
-"""What the commands share: arguments, and how they print."""
+"""Options and output functions that the commands share."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -9,25 +9,29 @@
 
 FILE_PATH = click.Path(dir_okay=False, path_type=Path)
 CONTROL_OPTION = click.option(
-    "--control", envvar="HERONLUG_CONTROL", default="", metavar="SOCKET", help="the running daemon's control socket"
+    "--control",
+    envvar="HERONLUG_CONTROL",
+    default="",
+    metavar="SOCKET",
+    help="control socket of the running dispatcher",
 )
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="a JSON list")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print a JSON list")
 
 
 def print_json(value: object) -> None:
-    """For programs."""
+    """Prints a value as indented JSON."""
     print(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode())
 
 
 def print_columns(rows: Sequence[Sequence[str]]) -> None:
-    """For people: columns as wide as their widest word."""
+    """Prints rows of cells as text in aligned columns."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
         print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
 def print_rows(rows: Sequence[dict[str, Any]], as_json: bool) -> None:
-    """Rows with the same keys: for programs, or for people under their names."""
+    """Prints rows with the same keys, as JSON or as a text table headed by the keys."""
     if as_json:
         print_json(rows)
     elif rows:
--- a/heronlug/cli/inspect.py
+++ b/heronlug/cli/inspect.py
@@ -1,4 +1,4 @@
-"""``check`` and ``limits show``: files looked at without a daemon."""
+"""Defines ``check`` and ``limits show``, which read files and need no running dispatcher."""
 
 from pathlib import Path
 
@@ -14,12 +14,25 @@
 from heronlug.config.strict_toml import ConfigProblem
 
 CONFIG_OPTION = click.option(
-    "--config", type=FILE_PATH, envvar="RELAY_CONFIG", help="the platform's JSON, where FILE holds no [site]"
+    "--config",
+    type=FILE_PATH,
+    envvar="RELAY_CONFIG",
+    help="the platform's JSON configuration, for a FILE without [site]",
 )
 
 
 def check_file(file: Path, config: Path | None) -> tuple[State | None, Settings | None, list[ConfigProblem]]:
-    """A file's state, the site that it was checked against, and all its faults."""
+    """Reads and checks a file.
+
+    Args:
+        file: path of the operators' file.
+        config: path of the platform's JSON configuration; None if there is none, which leaves a file without ``[site]``
+            checked for its form only.
+
+    Returns:
+        The state, the settings that the state was checked against, and all problems. The state and the settings are
+        None if unavailable.
+    """
     platform = load({"RELAY_CONFIG": str(config)}) if config is not None else None
     file_config, state, problems = gather(file, lambda: platform)
     return state, file_config.settings if file_config is not None else None, problems
@@ -28,13 +41,16 @@
 @click.command()
 @click.argument("file", type=FILE_PATH)
 @CONFIG_OPTION
-@click.option("--json", "as_json", is_flag=True, help="one JSON object: ok, faults, notes")
+@click.option("--json", "as_json", is_flag=True, help="print one JSON object with the keys ok, faults and notes")
 def check(file: Path, config: Path | None, as_json: bool) -> int:
-    """Check FILE: its form and, with a [site] in it or --config, every rule.  The exit status is 1 for a fault."""
+    """Check the form of FILE and, if FILE has a [site] or --config is given, all rules.
+
+    The exit status is 1 if FILE has a problem.
+    """
     state, settings, problems = check_file(file, config)
     notes = advice(settings, state["classes"]) if state is not None and settings is not None and not problems else []
     if settings is None and state is not None and not problems:
-        notes.append("checked by its form alone: --config names the platform's settings")
+        notes.append("only the form was checked; --config names the platform's settings for a full check")
     if as_json:
         report = {"ok": not problems, "faults": [problem._asdict() for problem in problems], "notes": notes}
         print_json(report)
@@ -49,20 +65,20 @@
 
 @click.group()
 def limits() -> None:
-    """The limits of each class."""
+    """Show the limits of the request classes."""
 
 
 @limits.command()
 @click.argument("file", type=FILE_PATH)
 @CONFIG_OPTION
-@click.option("--json", "as_json", is_flag=True, help="a JSON list of rows")
+@click.option("--json", "as_json", is_flag=True, help="print the rows as a JSON list")
 def show(file: Path, config: Path | None, as_json: bool) -> int:
-    """The resolved table: every limit of every class, and where it comes from."""
+    """Show the resolved value and the origin of every limit of every class."""
     state, settings, problems = check_file(file, config)
     if problems or state is None:
         raise StateError("\n".join(map(str, problems)))
     if settings is None:
-        msg = f"{file}: no [site] in it, and no --config"
+        msg = f"{file}: no [site] in the file and no --config given"
         raise ConfigError(msg)
     limit_rows = list(rows(settings, state["classes"], str(file)))
     if as_json:
@@ -74,4 +90,5 @@
 
 
 def _format_value(value: object) -> str:
+    """Returns a string unchanged, and any other value as JSON."""
     return value if isinstance(value, str) else orjson.dumps(value).decode()
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -1,4 +1,4 @@
-"""``load``, ``stand-in`` and ``demo``: a scenario in real time, on loopback."""
+"""Defines ``load``, ``stand-in`` and ``demo``, which run a scenario in real time on loopback."""
 
 import asyncio
 import signal
@@ -16,6 +16,11 @@
 
 
 def _read_scenario(file: Path, changes: tuple[str, ...]) -> "Scenario":
+    """Returns the scenario of a file, changed by ``--set`` options.
+
+    Raises:
+        click.ClickException: if the scenario is invalid.
+    """
     from heronlug.emulator.scenario import load as load_scenario
 
     try:
@@ -26,11 +31,15 @@
 
 @click.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--http", "doors", multiple=True, metavar="HOST:PORT", help="a dispatcher; several take turns")
-@click.option("--faktory", metavar="HOST:PORT", help="its Faktory front: producers and stand-in workers")
-@click.option("--seconds", type=click.FloatRange(0.1, 3600), default=600.0, help="at most so long")
-@click.option("--seed", type=int, help="in place of the scenario's")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@click.option(
+    "--http", "doors", multiple=True, metavar="HOST:PORT", help="address of a dispatcher; requests rotate over several"
+)
+@click.option(
+    "--faktory", metavar="HOST:PORT", help="Faktory address of a dispatcher, used by producers and stand-in workers"
+)
+@click.option("--seconds", type=click.FloatRange(0.1, 3600), default=600.0, help="maximum duration in seconds")
+@click.option("--seed", type=int, help="seed to use instead of the scenario's")
+@click.option("--json", "as_json", is_flag=True, help="print one JSON object")
 @SET_OPTION
 def load(
     file: Path,
@@ -41,7 +50,7 @@
     as_json: bool,
     changes: tuple[str, ...],
 ) -> int:
-    """Play the arrivals of the scenario FILE against running dispatchers, each job when it is due."""
+    """Send the requests of the scenario FILE to running dispatchers, each at its due time."""
     from heronlug.loadgen import tally as tally_report
     from heronlug.loadgen.faktory import FaktoryLoad
     from heronlug.loadgen.http import HttpLoad
@@ -49,7 +58,7 @@
 
     scenario = _read_scenario(file, changes)
     if bool(doors) is bool(faktory):
-        msg = "either --http or --faktory says where"
+        msg = "exactly one of --http and --faktory must be given"
         raise click.UsageError(msg)
     tallies = {request_class.name: tally_report.Tally(request_class) for request_class in scenario.classes}
     planned_requests = plan(scenario, scenario.seed if seed is None else seed)
@@ -76,17 +85,21 @@
     else:
         print_columns(tally_report.table(all_tallies))
         late_count = sum(tally.started_late for tally in all_tallies)
-        print(f"service {tally_report.service(all_tallies):.4f}; {late_count} jobs begun late by the tool")
+        print(
+            f"service {tally_report.service(all_tallies):.4f}; {late_count} requests started late by the load generator"
+        )
     return 0
 
 
 @click.command("stand-in")
 @click.argument("file", type=FILE_PATH)
-@click.option("--port", type=click.IntRange(0, 65535), default=0, help="of the register; any if not given")
-@click.option("--seconds", type=click.FloatRange(0.1, 86_400), default=3600.0, help="at most so long")
+@click.option(
+    "--port", type=click.IntRange(0, 65535), default=0, help="port of service discovery; default: any free port"
+)
+@click.option("--seconds", type=click.FloatRange(0.1, 86_400), default=3600.0, help="maximum duration in seconds")
 @SET_OPTION
 def stand_in(file: Path, port: int, seconds: float, changes: tuple[str, ...]) -> int:
-    """Run the hosts of the scenario FILE and a register that lists them, on 127.0.0.1."""
+    """Run stand-ins for the servers of the scenario FILE, and service discovery with their list, on 127.0.0.1."""
     from heronlug.standins.fleet import Fleet
 
     scenario = _read_scenario(file, changes)
@@ -115,10 +128,10 @@
 
 @click.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--seed", type=int, help="in place of the scenario's")
+@click.option("--seed", type=int, help="seed to use instead of the scenario's")
 @SET_OPTION
 def demo(file: Path, seed: int | None, changes: tuple[str, ...]) -> int:
-    """Stand-in hosts, dispatchers and load of the scenario FILE in one go; then the same on the model, and the gap."""
+    """Run the scenario FILE with stand-in servers and dispatchers, then on the emulator, and compare the results."""
     from heronlug.loadgen import demo as demo_runner
     from heronlug.loadgen import tally as tally_report
 
--- a/heronlug/cli/serve.py
+++ b/heronlug/cli/serve.py
@@ -1,4 +1,4 @@
-"""``serve`` and ``try``: a whole dispatcher from one file, and a first job for it."""
+"""Defines ``serve``, which runs a dispatcher from one file, and ``try``, which sends first requests to a dispatcher."""
 
 import os
 import sys
@@ -18,8 +18,8 @@
 def serve(file: Path | None) -> int:
     """Run a dispatcher in the foreground.
 
-    FILE is the operators' file.  With [serve] and [site] in it, it is the whole configuration; else RELAY_CONFIG names
-    the rest.
+    FILE is the operators' file. A FILE with [serve] and [site] is the whole configuration; otherwise the environment
+    variable RELAY_CONFIG names the platform's configuration.
     """
     from heronlug.__main__ import start
 
@@ -31,7 +31,7 @@
 
 
 def _announce(file: Path, config: Config, state: State) -> None:
-    """Where it will listen and one command to try, for people."""
+    """Prints the addresses on which the dispatcher will listen, and a command that sends first requests."""
     addresses = [("clients (HTTP)", config.listen), ("operators (HTTP)", config.admin)]
     lines = [f"{label:18}{address[0]}:{address[1]}" for label, address in addresses if address is not None]
     if state["faktory"]:
@@ -45,11 +45,11 @@
 
 @click.command("try")
 @click.argument("file", type=FILE_PATH)
-@click.option("--seconds", default=5.0, help="how long to wait for each answer")
+@click.option("--seconds", default=5.0, help="seconds to wait for each answer")
 def try_(file: Path, seconds: float) -> int:
-    """Hand one job of each class to the dispatcher that runs FILE.
+    """Send one request of each class to the dispatcher that runs FILE.
 
-    Where nothing listens at a host's loopback address in FILE, a stand-in host answers there meanwhile.
+    During the command, a stand-in server answers at each loopback address of a server in FILE where nothing listens.
     """
     from heronlug.standins.first_request import run
 
--- a/heronlug/cli/store.py
+++ b/heronlug/cli/store.py
@@ -1,4 +1,4 @@
-"""``store``: the file of accepted work, looked at while no daemon has it."""
+"""Defines ``store``, which checks, dumps and compacts the store of accepted requests while no dispatcher uses it."""
 
 from pathlib import Path
 
@@ -12,10 +12,15 @@
 
 @click.group()
 def store() -> None:
-    """The file of accepted work.  A daemon that runs has it for itself."""
+    """Inspect the store of accepted requests. A running dispatcher locks its store."""
 
 
 def _count_states(path: Path) -> dict[str, int]:
+    """Returns the number of stored requests by state.
+
+    Raises:
+        StoreError: if the store cannot be read or is locked.
+    """
     database = sqlite.connect(path, create=False)
     try:
         states: dict[str, int] = {}
@@ -30,7 +35,7 @@
 @store.command()
 @click.argument("file", type=FILE_PATH)
 def check(file: Path) -> int:
-    """Whether FILE is whole, and how many jobs it holds in which state."""
+    """Check that FILE is intact, and show the number of requests by state."""
     try:
         states = _count_states(file)
     except sqlite.StoreError as error:
@@ -41,7 +46,7 @@
 
 
 def _dump_row(request: StoredRequest) -> dict[str, object]:
-    """A stored request under the keys that the dump has always had."""
+    """Returns a stored request under the keys of the dump format, which stay stable for programs that read dumps."""
     return {
         "jid": request.jid,
         "lane": request.class_name,
@@ -59,7 +64,7 @@
 @store.command()
 @click.argument("file", type=FILE_PATH)
 def dump(file: Path) -> int:
-    """All jobs in FILE, a JSON object a line."""
+    """Print all requests in FILE, one JSON object per line."""
     try:
         database = sqlite.connect(file, create=False)
         try:
@@ -75,7 +80,7 @@
 @store.command()
 @click.argument("file", type=FILE_PATH)
 def compact(file: Path) -> int:
-    """Give back what FILE holds and does not need."""
+    """Release unused space in FILE to the file system."""
     try:
         before, after = sqlite.compact(file)
     except sqlite.StoreError as error:
--- a/heronlug/cli/zones.py
+++ b/heronlug/cli/zones.py
@@ -1,4 +1,4 @@
-"""``halls``: what a running dispatcher knows of each hall; ``halls leave|return|release``: an operator's word."""
+"""Defines ``halls``, which shows the zones of a running dispatcher, and lets operators exclude and return zones."""
 
 import click
 
@@ -6,7 +6,7 @@
 from heronlug.lifecycle.control import ask
 
 FOR_OPTION = click.option(
-    "--for", "seconds", type=float, help="seconds, then what is seen decides again; else until told"
+    "--for", "seconds", type=float, help="seconds until zone failover decides again; default: until released"
 )
 
 
@@ -15,12 +15,13 @@
 @CONTROL_OPTION
 @click.pass_context
 def halls(context: click.Context, as_json: bool, control: str) -> None:
-    """The halls as the running dispatcher sees them: state, what is offered, evidence, who decides."""
+    """Show each zone as the running dispatcher sees it: state, servers offered, evidence and decider."""
     if context.invoked_subcommand is None:
         print_rows(ask(control, {"ask": "halls"})["halls"], as_json)
 
 
 def _send_order(do: str, hall: str, seconds: float | None, as_json: bool, control: str) -> None:
+    """Sends an operator's order for a zone to the running dispatcher, and prints the resulting state of all zones."""
     print_rows(ask(control, {"ask": "hall", "do": do, "hall": hall, "for_s": seconds})["halls"], as_json)
 
 
@@ -30,7 +31,7 @@
 @JSON_OPTION
 @CONTROL_OPTION
 def leave(hall: str, seconds: float | None, as_json: bool, control: str) -> None:
-    """Send nothing new to a hall; refused where more than half of all hosts would be left."""
+    """Exclude a zone from new traffic; rejected if more than half of all servers would be excluded."""
     _send_order("leave", hall, seconds, as_json, control)
 
 
@@ -40,7 +41,7 @@
 @JSON_OPTION
 @CONTROL_OPTION
 def return_(hall: str, seconds: float | None, as_json: bool, control: str) -> None:
-    """Offer all of a hall again, whatever is seen of it; its hosts are taken for cold."""
+    """Return traffic to a whole zone regardless of evidence; its servers count as cold."""
     _send_order("return", hall, seconds, as_json, control)
 
 
@@ -49,5 +50,5 @@
 @JSON_OPTION
 @CONTROL_OPTION
 def release(hall: str, as_json: bool, control: str) -> None:
-    """What is seen decides again; a hall that was left returns in stages."""
+    """Let zone failover decide again; an excluded zone returns in stages."""
     _send_order("release", hall, None, as_json, control)
--- a/tests/cli/test_zones.py
+++ b/tests/cli/test_zones.py
@@ -1,4 +1,4 @@
-"""The command and the control socket, against a running program."""
+"""Runs the command ``halls`` against a running dispatcher through the control socket."""
 
 import json
 import os
@@ -52,6 +52,11 @@
 
 
 def test_operator_excludes_and_returns_a_zone_within_limits(tmp_path: Path) -> None:
+    """Guards against an order that is not applied, and against an order that is accepted although the order is invalid.
+
+    With one of three zones excluded, the exclusion of a second zone would exclude 4 of 6 servers, more than half.
+    An unknown zone and a negative duration are rejected too. A release lets the dispatcher decide again.
+    """
     process = start_dispatcher(tmp_path, "true")
     try:
         rows = json.loads(run_command(tmp_path, "halls", "--json").stdout)
@@ -75,6 +80,7 @@
 
 
 def test_command_fails_and_names_the_setting_if_zone_exclusion_is_off(tmp_path: Path) -> None:
+    """Guards against a command that prints nothing, or an empty table, if ``leave_halls`` is false."""
     process = start_dispatcher(tmp_path, "false")
     try:
         refused = run_command(tmp_path, "halls")
