--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -1,9 +1,10 @@
-"""The cluster in virtual time: ``python benchmarks/cluster.py [--kills N]``.
+"""Measures the cluster in virtual time: ``python benchmarks/cluster.py [--kills N]``.
 
-Takeover times of owners killed at several rates of loss; false suspicions an hour; datagrams and bytes a second,
-and CPU for each member at 4 to 200 members; how long a change of a sheet takes to reach all; the datagrams' form beside
-msgpack. The virtual network of the tests is used, so no socket bounds the size; its cost is in the CPU figures, which
-are an upper bound.
+The output shows, for several loss rates, the takeover times after kills of the lease holder and the false suspicions
+per hour; for 4 to 200 members, the datagrams, bytes and CPU time per second and member; the time until a change of a
+replicated table reaches all members; and the datagram encoding in comparison with msgpack. The virtual network of the
+tests is used, so sockets do not limit the cluster size. The CPU figures include the cost of the virtual network and are
+therefore an upper bound.
 """
 
 import sys
@@ -29,10 +30,10 @@
 
 
 def measure_takeover(run_parameters: tuple[int, float]) -> float:
-    """Milliseconds from a kill of a duty's owner until somebody else acts; four members."""
+    """Returns the ms from a kill of the lease holder to the takeover, with four members; nan without a holder."""
     seed, loss = run_parameters
     network = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
-    network.may_overlap = True  # counted by the tests; here a run is never given up
+    network.may_overlap = True  # the tests check overlaps; an overlap must not abort a measurement
     for name in network.names:
         network.start(name)
     network.run(8000 + seed % 400)
@@ -47,7 +48,7 @@
 
 
 def count_suspicions(run_parameters: tuple[int, float]) -> tuple[int, int, float]:
-    """Suspicions and deaths of members that live, in how many hours of all members together."""
+    """Returns the numbers of false suspicions and false deaths, and the sum of the members' running times in hours."""
     seed, loss = run_parameters
     network = VirtualNetwork("abcd", seed, loss=loss, leases=["one"])
     network.may_overlap = True
@@ -60,7 +61,7 @@
 
 
 def measure_traffic(size: int) -> tuple[int, float, float, float]:
-    """Datagrams and bytes a second for each member, and milliseconds of CPU a second."""
+    """Returns the cluster size, and datagrams, bytes and milliseconds of CPU time, each per second and member."""
     network = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=0.0)
     network.may_overlap = True
     for name in network.names:
@@ -79,7 +80,7 @@
 
 
 def measure_table(run_parameters: tuple[int, float, int]) -> tuple[float, list[float]]:
-    """Milliseconds until all have a first sheet of so many rows, and until all know each of ten changes."""
+    """Returns the milliseconds until all members have a new table, and until all members have each of ten changes."""
     size, loss, rows = run_parameters
     network = VirtualNetwork([f"m{n:03}" for n in range(size)], 1, loss=loss, leases=["register"], topics=["register"])
     network.may_overlap = True
@@ -109,7 +110,7 @@
 
 
 def call_time_us(call: Callable[[], object], rounds: int = 20_000) -> float:
-    """Microseconds of a call, the least of three runs."""
+    """Returns the microseconds per call, the minimum of three measurements."""
     best = float("inf")
     for _ in range(3):
         start = time.perf_counter()
@@ -120,7 +121,7 @@
 
 
 def compare_encodings() -> None:
-    """The fixed form beside msgpack of the same tuples, by size and cost."""
+    """Prints the sizes and costs of the datagram encoding and of msgpack for the same data."""
     pack, unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
     token = FencingToken(1_796_138_343_696, 0xB5C3A1D2)
     for part in (
@@ -146,9 +147,9 @@
 
 
 @click.command()
-@click.option("--kills", default=500, help="kills at each rate of loss")
+@click.option("--kills", default=500, help="number of kills at each loss rate")
 def main(kills: int) -> None:
-    """Measure and print."""
+    """Measure the cluster and print the results."""
     with ProcessPoolExecutor() as pool:
         print(f"{'loss':>5} {'takeover p50':>13} {'p99':>7} {'most':>7} ms   suspicions, false deaths an hour a member")
         for loss in LOSS_RATES:
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -1,8 +1,8 @@
-"""Cold starts of many processes of the program, before and after in one run: ``python benchmarks/coldstart.py``.
+"""Measures simultaneous cold starts of many dispatchers: ``python benchmarks/coldstart.py``.
 
-Each case is a script of the rig without relays: N processes start at once on this machine against a stand-in register
-that works through calls one after another and turns away what would wait over a second. ``--before FOLDER`` is a
-checkout of an earlier version of this program, played in turns with this one.
+Each case is a test plan without proxies between the processes: N dispatchers start at once on this machine. The
+stand-in for service discovery processes calls one after another and rejects a call that would wait longer than one
+second. With ``--before FOLDER``, a checkout of an earlier version, each case runs with that version and with this one.
 """
 
 import asyncio
@@ -25,7 +25,8 @@
 from heronlug.faults.harness import FaultHarness
 from heronlug.faults.plan import parse
 
-CASE_TIMEOUT_S = 150.0  # s for a case
+CASE_TIMEOUT_S = 150.0
+"""Duration of the test plan of a case in seconds."""
 COLUMNS = (
     "case",
     "version",
@@ -44,18 +45,28 @@
 
 
 class Case(NamedTuple):
-    """One start, or one outage."""
+    """A simultaneous start, or a start followed by an outage of service discovery.
+
+    Attributes:
+        name: name of the case.
+        count: number of dispatchers.
+        call_ms: milliseconds that service discovery takes for a call.
+        cluster: whether the dispatchers form a cluster.
+        down_s: duration in seconds of the outage that begins after all dispatchers are ready; 0 measures the start.
+        more: TOML text added to the configuration of each dispatcher.
+        settle_s: seconds to wait before the outage, or before the final counts if there is no outage.
+    """
 
     name: str
     count: int
     call_ms: float
     cluster: bool = False
-    down_s: float = 0.0  # the register goes down for so long once all are there; 0: it is the start that is measured
+    down_s: float = 0.0
     more: str = ""
-    settle_s: float = 0.0  # before the register goes down, or before the end is counted
+    settle_s: float = 0.0
 
     def text(self) -> str:
-        """The script."""
+        """Returns the test plan as TOML."""
         more = self.more.replace("{count}", str(self.count)).replace("{call_ms}", str(self.call_ms))
         return f"""
 name = "{self.name}"
@@ -90,7 +101,7 @@
 
 
 async def run_case(case: Case, source: Path | None) -> dict[str, Any]:
-    """One case with one version."""
+    """Returns the figures of a case; ``source`` is a checkout of another version, None for this version."""
     plan = parse(Source.parse("case.toml", case.text().encode()))
     with tempfile.TemporaryDirectory() as folder:
         harness = FaultHarness(plan, Path(folder), None, source)
@@ -153,7 +164,11 @@
 
 
 def starts_on_emulator() -> list[list[str]]:
-    """Calls of a start from nothing, alone, by a guess and told; the hosts are warm and few jobs come."""
+    """Returns table rows on the service discovery calls of a cold start, by dispatcher count and pacing.
+
+    The calls are not paced (``alone``), paced with a guessed cost of a call (``guess``), or paced with the configured
+    cost (``told``). The servers are warm and the request rate is low.
+    """
     pacing_variants = {"alone": (False, False), "guess": (True, False), "told": (True, True)}
     cases = [(count, pacing, *pacing_variants[pacing]) for count in (50, 200, 500, 1000) for pacing in pacing_variants]
     rows = [
@@ -165,6 +180,7 @@
 
 
 def _run_on_emulator(case: tuple[int, str, bool, bool]) -> list[str]:
+    """Returns the table row of one emulator run."""
     count, pacing, paced, cost_configured = case
     changes = {
         "dispatchers.count": count,
@@ -192,7 +208,7 @@
 
 
 def _cpu_s(harness: FaultHarness) -> float:
-    """Seconds of all processes that run, and of those that have ended."""
+    """Returns the CPU time in seconds of all running dispatchers and of all child processes that have ended."""
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     cpu_s = usage.ru_utime + usage.ru_stime
     for process in harness.processes.values():
@@ -206,7 +222,7 @@
 
 
 def _memory_mb(pid: int) -> float:
-    """Private memory of a process in MB."""
+    """Returns the private memory of a process in MB; 0 if the process has ended meanwhile."""
     try:
         lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
     except OSError:
@@ -216,12 +232,12 @@
 
 @click.command()
 @click.option("--before", type=click.Path(file_okay=False, path_type=Path), help="a checkout of an earlier version")
-@click.option("--only", multiple=True, help="cases whose names hold this")
-@click.option("--more", default="", help="TOML at the end of this version's files")
+@click.option("--only", multiple=True, help="run only cases whose name contains this text")
+@click.option("--more", default="", help="TOML to append to the configuration files of this version")
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--model", is_flag=True, help="on the emulator, at 50 to 1,000 dispatchers")
+@click.option("--model", is_flag=True, help="run on the emulator with 50 to 1,000 dispatchers")
 def main(before: Path | None, only: tuple[str, ...], more: str, as_json: bool, model: bool) -> None:
-    """Print the table."""
+    """Run the cases and print the table."""
     if model:
         print_columns(starts_on_emulator())
         return
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -1,7 +1,8 @@
-"""The emulator's own cost: ``python benchmarks/emulator.py [--quick]``.
+"""Measures the cost of the emulator itself: ``python benchmarks/emulator.py [--quick]``.
 
-A plain heap beside simpy; events a second, simulated seconds a second and memory at 10 to 5,000 hosts; the speed-up of
-an experiment on 1 to 8 processes; a rolling deploy of 81% of 1,000 hosts under 50 dispatchers.
+The output shows the event rates of the emulator's timeline, which is a plain heap, and of simpy; events per second,
+simulated seconds per second and memory for 10 to 5,000 servers; a rolling deploy of 81% of 1,000 servers with 50
+dispatchers; and the speed-up of an experiment on 1 to 8 processes.
 """
 
 import resource
@@ -27,7 +28,7 @@
 
 
 def heap_rate() -> float:
-    """Events a second of the plain heap: a thousand actors, each waiting in turn."""
+    """Returns the events per second of the emulator's timeline, with 1,000 actors that wait repeatedly."""
     timeline, remaining = Timeline(), EVENT_COUNT
 
     def step(interval: float) -> None:
@@ -44,7 +45,7 @@
 
 
 def simpy_rate() -> float:
-    """The same on simpy."""
+    """Returns the events per second of simpy with the same actors."""
     import simpy
 
     environment, event_count = simpy.Environment(), 0
@@ -66,7 +67,7 @@
 def build_scenario(
     server_count: int, dispatcher_count: int, span_s: float, extra_toml: str = "", load_factor: float = 1.0
 ) -> Scenario:
-    """The tests' fleet at another size, with the same load for each host: 7.5 jobs a second, or a share of that."""
+    """Returns the tests' scenario with other sizes, at ``load_factor`` times 7.5 requests per second and server."""
     source = Source.parse("benchmark.toml", (TEXT + extra_toml).encode())
     for key, value in {
         "pool.0.count": server_count // 2,
@@ -83,7 +84,12 @@
 def measure_run(
     run_parameters: tuple[int, int, float, str, float],
 ) -> tuple[int, int, float, float, float, float, dict[int, int]]:
-    """Hosts, dispatchers, events a second, simulated seconds a second, MB, service and violations of one run."""
+    """Returns the figures of one run.
+
+    Returns:
+        Number of servers, number of dispatchers, events per second, simulated seconds per second, peak memory in MB,
+        service and violations by rule.
+    """
     server_count, dispatcher_count, span_s, extra_toml, load_factor = run_parameters
     figures = World(build_scenario(server_count, dispatcher_count, span_s, extra_toml, load_factor), 1).run()
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
@@ -99,14 +105,14 @@
 
 
 def run_for_speedup(seed: int) -> float:
-    """A run of the speed-up."""
+    """Returns the wall time in seconds of one run of the speed-up measurement."""
     return World(build_scenario(20, 4, 10), seed).run().wall_time_s
 
 
 @click.command()
-@click.option("--quick", is_flag=True, help="without 5,000 hosts and the deploy")
+@click.option("--quick", is_flag=True, help="skip the runs with 5,000 servers and with the deploy")
 def main(quick: bool) -> None:
-    """Measure and print."""
+    """Measure the emulator and print the results."""
     print(f"heap {heap_rate():,.0f} events/s, simpy {simpy_rate():,.0f} events/s")
     print(f"{'hosts':>6} {'dispatchers':>11} {'events/s':>9} {'s/s':>7} {'MB':>6} {'service':>8}  violations")
     runs = [(10, 4, 60.0, "", 1.0), (100, 8, 20.0, "", 1.0), (1000, 16, 4.0, "", 1.0)]
@@ -125,7 +131,8 @@
     single_process_s = 0.0
     for process_count in (1, 2, 4, 8):
         with ProcessPoolExecutor(process_count) as pool:
-            list(pool.map(run_for_speedup, range(process_count)))  # the processes are there
+            # These runs start the processes, so the measurement does not include their start.
+            list(pool.map(run_for_speedup, range(process_count)))
             started_at = time.perf_counter()
             list(pool.map(run_for_speedup, range(16)))
             elapsed_s = time.perf_counter() - started_at
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -1,7 +1,8 @@
-"""A hall that dies and comes back cold, on the emulator: what leaving and returning cost, and what is left by mistake.
+"""Measures on the emulator what a zone outage costs with and without zone failover, and counts wrong exclusions.
 
-``python benchmarks/halls.py`` plays ``scenarios/halls-dead.toml`` with halls left as one and without; ``--calm N``
-plays N days on which hosts of all halls crash, are replaced and stand still, and counts the halls that were left.
+``python benchmarks/halls.py`` runs ``scenarios/halls-dead.toml``, in which a zone fails and returns cold, with zone
+failover, without zone failover and with the oracle policy. ``--calm N`` runs N simulated days on which servers of all
+zones crash, are replaced and pause but no zone fails, and counts the exclusions of zones.
 """
 
 from concurrent.futures import ProcessPoolExecutor
@@ -31,7 +32,14 @@
 
 
 class Run(NamedTuple):
-    """One run to play."""
+    """Parameters of one run.
+
+    Attributes:
+        dispatchers: number of dispatchers.
+        variant: a name of ``VARIANTS``.
+        seed: seed of the run.
+        span: simulated time in seconds.
+    """
 
     dispatchers: int
     variant: str
@@ -40,7 +48,7 @@
 
 
 def measure_run(run: Run) -> dict[str, float]:
-    """The figures of one run."""
+    """Returns the figures of one run by the column heads of the table."""
     scenario = load(
         SCENARIO_FILE,
         {"dispatchers.count": run.dispatchers, "dispatchers.halls": run.variant == VARIANTS[1], "span_s": run.span},
@@ -58,9 +66,11 @@
     earned_value, requested_value = figures.value_by_second
 
     def attempts_per_s(begin: float, end: float) -> float:
+        """Returns the attempts per second that are sent to the failing zone between two times in ms."""
         return float(((sent_at >= begin) & (sent_at < end)).sum()) * 1000 / (end - begin)
 
     def value_share(begin: float, end: float) -> float:
+        """Returns the earned share of the requested value between two times in ms."""
         seconds = slice(int(begin / 1000), int(end / 1000))
         return float(earned_value[seconds].sum() / requested_value[seconds].sum())
 
@@ -90,7 +100,7 @@
 
 
 def count_wrong_exclusions(run: Run) -> int:
-    """How many times some dispatcher left a hall on a day on which no hall failed."""
+    """Returns how many times a dispatcher excludes a zone on a day on which no zone fails."""
     scenario = load(
         SCENARIO_FILE, {"dispatchers.count": run.dispatchers, "span_s": 54, "trouble": FAULTS_WITHOUT_ZONE_OUTAGE}
     )
@@ -104,7 +114,10 @@
 
 
 def result_rows(runs: list[Run], pool: ProcessPoolExecutor) -> list[list[str]]:
-    """A row for each size and way: the mean over the seeds, with half of its 95% interval for the worth."""
+    """Returns a row of means over the seeds for each dispatcher count and variant.
+
+    The worth also has the half-width of its 95% confidence interval.
+    """
     played = list(zip(runs, pool.map(measure_run, runs), strict=True))
     rows: list[list[str]] = []
     for (count, variant), group in groupby(played, key=lambda item: item[0][:2]):
@@ -126,10 +139,10 @@
 @click.command()
 @click.option("--dispatchers", "sizes", multiple=True, type=int, default=(4, 16, 50, 200), show_default=True)
 @click.option("--seeds", default=4, show_default=True)
-@click.option("--calm", "days", default=0, help="days on which no hall fails, in place of the table")
+@click.option("--calm", "days", default=0, help="number of days without a zone failure to run instead of the table")
 @click.option("--json", "as_json", is_flag=True)
 def main(sizes: tuple[int, ...], seeds: int, days: int, as_json: bool) -> None:
-    """Print the table."""
+    """Run the scenario and print the table, or the exclusions of ``--calm``."""
     with ProcessPoolExecutor() as pool:
         if days:
             for count in sizes:
@@ -138,7 +151,7 @@
                 )
                 print(
                     f"{count} dispatchers, {days} days: "
-                    f"{sum(map(bool, exclusion_counts))} with a hall left, {sum(exclusion_counts)} leaves"
+                    f"{sum(map(bool, exclusion_counts))} with an excluded zone, {sum(exclusion_counts)} exclusions"
                 )
             return
         rows = result_rows(
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,8 +1,8 @@
-"""What limits cost: ``python benchmarks/limits.py``.
+"""Measures the cost of limits: ``python benchmarks/limits.py``.
 
-Prints a table: the time to check a file of 200 classes, good and with a fault in each; the time of a swap with 5,000
-open jobs, and how long a loop that has always something to do stands still over a whole reload and without one; and the
-CPU time of the decisions for one request of the recorded streams, in fresh processes.
+Prints a table: the time to check a file of 200 classes, once valid and once with a problem in each class; the time of a
+swap of the limits with 5,000 open requests; the longest pause of a busy event loop with and without a reload; and the
+CPU time of the decisions for one request of the recorded streams, measured in new processes.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 def config_text(classes: int, extra_line: str = "") -> str:
-    """A whole file with so many classes, each with limits."""
+    """Returns a complete operators' file with the given number of classes and limits for each class."""
     site = "".join(
         f'[[site.class]]\nname = "c{n}"\neffect = "repeatable"\naim_ms = 500\ndeadline_ms = 10000\n'
         for n in range(classes)
@@ -54,7 +54,7 @@
 
 
 def measure_ms(call: Callable[[], Any], rounds: int = ROUNDS) -> list[float]:
-    """Milliseconds of each round."""
+    """Returns the milliseconds of each call."""
     times = []
     for _ in range(rounds):
         start = time.perf_counter()
@@ -64,13 +64,13 @@
 
 
 def measure_checks(folder: Path) -> list[tuple[str, list[float]]]:
-    """The time to check files, in one process, after its first."""
+    """Returns the times to check files, after a first check of each file in the same process."""
     from heronlug.cli.inspect import check_file
 
     rows = []
     for name, extra_line, problem_count in (
-        ("good", "", 0),
-        ("a fault in each class", 'second_copy = "x"\n', CLASS_COUNT),
+        ("valid", "", 0),
+        ("a problem in each class", 'second_copy = "x"\n', CLASS_COUNT),
     ):
         path = folder / "x.toml"
         path.write_text(config_text(CLASS_COUNT, extra_line))
@@ -80,7 +80,11 @@
 
 
 def measure_swaps(folder: Path) -> list[tuple[str, list[float]]]:
-    """How long the loop stands still while a file is read, checked and swapped in, with jobs open; and idle."""
+    """Returns the times of a swap with open requests, and the longest pauses of the event loop.
+
+    The event loop always has a task to run. The pauses are measured without other work, and while a file is read,
+    checked and swapped in.
+    """
     from heronlug.balancer.settings import RequestClass, Settings
     from heronlug.config.files import Files
     from heronlug.config.limits import load, resolve
@@ -98,7 +102,7 @@
     settings: Settings = config.settings
 
     class StubParts:
-        """Takes everything and does nothing: a front, and the parts of a daemon that limits have nothing to do with."""
+        """Stub for the frontend and for the dispatcher parts unrelated to limits; undefined methods do nothing."""
 
         def __getattr__(self, name: str) -> Callable[..., None]:
             return lambda *args, **fields: None
@@ -122,6 +126,7 @@
     pauses_ms: dict[str, list[float]] = {"idle": [], "reload": []}
 
     async def longest_pause(finished: asyncio.Event) -> float:
+        """Returns the longest time in ms between two turns of the event loop until the event is set."""
         longest, last_turn_at = 0.0, time.perf_counter()
         while not finished.is_set():
             await asyncio.sleep(0)
@@ -130,6 +135,7 @@
         return longest * 1000
 
     async def record_pause(name: str, work: Callable[[], Any]) -> None:
+        """Records the longest pause of the event loop during some work."""
         finished = asyncio.Event()
         pause_task = asyncio.create_task(longest_pause(finished))
         await work()
@@ -150,14 +156,14 @@
     asyncio.run(run_rounds())
     assert len(core.requests) == OPEN_REQUESTS
     return [
-        (f"the swap alone, {CLASS_COUNT} classes and {OPEN_REQUESTS} open jobs", swap_times),
-        ("longest stop of a busy loop in 0.15 s, nothing else going on", pauses_ms["idle"]),
-        ("longest stop of a busy loop over a whole reload", pauses_ms["reload"]),
+        (f"swap only, {CLASS_COUNT} classes and {OPEN_REQUESTS} open requests", swap_times),
+        ("longest pause of a busy event loop in 0.15 s without a reload", pauses_ms["idle"]),
+        ("longest pause of a busy event loop during a reload", pauses_ms["reload"]),
     ]
 
 
 def measure_replays() -> list[tuple[str, list[float]]]:
-    """The CPU time of the decisions for one request, in fresh processes."""
+    """Returns the CPU times in ms of the decisions for one request, each measured in a new process."""
     times = []
     for _ in range(ROUNDS):
         code = REPLAY_SCRIPT.format(tests=str(ROOT / "tests"), root=str(ROOT))
@@ -168,7 +174,7 @@
 
 @click.command()
 def main() -> None:
-    """Measure and print."""
+    """Measure the cost of limits and print the table."""
     sys.path.insert(0, str(ROOT))
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,8 +1,9 @@
-"""What one dispatcher needs before 200 and 3,200 servers, as real processes: ``python benchmarks/processes.py``.
+"""Compares the resources that dispatchers need for 200 and for 3,200 servers: ``python benchmarks/processes.py``.
 
-The same traffic before both fleets: calm, then a release that takes six in ten servers away in steps, with discovery
-down for a while.  All servers together have the same slots.  Each figure stands against the line of the operators'
-page: so many times the small fleet's, and an allowance for each thousand servers.
+The dispatchers are real processes. Both fleets get the same traffic and have the same total number of slots. After a
+calm phase, a release removes 60% of the servers in steps, with an outage of service discovery during the release. Each
+figure of the large fleet is checked against the limit on the operators' page: a multiple of the small fleet's figure
+plus an allowance per thousand servers.
 """
 
 from typing import NamedTuple
@@ -23,12 +24,19 @@
 from heronlug.faults.verdict import Verdict
 
 SMALL_FLEET, LARGE_FLEET = 200, 3200
-DISPATCHER_COUNT, TOTAL_SLOTS = 2, 3200  # of all servers together
+DISPATCHER_COUNT, TOTAL_SLOTS = 2, 3200
 RELEASE_STEPS = 6
 
 
 class GrowthLimit(NamedTuple):
-    """How far a figure may grow: so many times, plus so much, plus so much for each thousand servers."""
+    """Limit on the growth of a figure from the small to the large fleet.
+
+    Attributes:
+        figure: name of the figure.
+        factor: factor on the figure of the small fleet.
+        constant: constant allowance.
+        per_thousand_servers: allowance for each thousand servers of the large fleet.
+    """
 
     figure: str
     factor: float
@@ -36,7 +44,7 @@
     per_thousand_servers: float
 
     def upper_bound(self, small: float, servers: int) -> float:
-        """What the large fleet's may be."""
+        """Returns the highest permitted figure of the large fleet."""
         return self.factor * small + self.constant + self.per_thousand_servers * servers / 1000
 
 
@@ -50,7 +58,7 @@
 
 
 def release_plan(servers: int, span: float, peers: bool) -> FaultPlan:
-    """A release under steady traffic, and an outage of discovery in it."""
+    """Returns the test plan of a release under steady traffic, with an outage of service discovery meanwhile."""
     servers_per_step = servers * 6 // 10 // RELEASE_STEPS
     plan = FaultPlan(
         name=f"{servers} servers",
@@ -78,7 +86,7 @@
 
 
 def compare_fleets(span: float, peers: bool) -> tuple[list[list[str]], list[str]]:
-    """The table of both fleets, and what is over its line or broke a rule."""
+    """Returns the table of both fleets, and descriptions of exceeded limits and violated rules."""
     small, large = (play(release_plan(servers, span, peers)) for servers in (SMALL_FLEET, LARGE_FLEET))
     rows, failures = [], _violations(small) + _violations(large)
     for limit in GROWTH_LIMITS:
@@ -95,13 +103,14 @@
 
 
 def _violations(verdict: Verdict) -> list[str]:
+    """Returns the text of a verdict that reports violations; an empty list if there are none."""
     return [] if verdict.kept else [verdict.text()]
 
 
 @click.command()
-@click.option("--span", default=20.0, help="seconds of the day")
+@click.option("--span", default=20.0, help="duration of each test plan in seconds")
 def main(span: float) -> None:
-    """Print the table, with and without datagrams; the exit status is 1 where a line is passed."""
+    """Print the tables with and without gossip. The exit status is 1 if a limit is exceeded or a rule is violated."""
     failures: list[str] = []
     for peers in (True, False):
         rows, fleet_failures = compare_fleets(span, peers)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,8 +1,9 @@
-"""What each event costs as the list of servers and the queue of waiting requests grow: ``python benchmarks/scale.py``.
+"""Measures the CPU cost of each event by fleet size and queue length: ``python benchmarks/scale.py``.
 
-One core of a dispatcher, driven in virtual time round a stand-in for its sockets.  Each row is one kind of event; each
-column a fleet size.  A row that grows faster than what the event changes is a fault.  The ratio at the end of a row is
-the largest fleet's cost over the smallest one's, in the same run, so that it does not depend on the machine.
+The core of one dispatcher runs in virtual time with a stub frontend. Each row is a kind of event, and each column is a
+fleet size. A cost that grows faster than the amount of data that the event changes is a defect. The ratio at the end
+of a row is the cost for the largest fleet divided by the cost for the smallest fleet; both costs come from the same
+run, so the ratio does not depend on the machine.
 """
 
 import time
@@ -44,36 +45,45 @@
 )
 START_TIME_MS = 1_700_000_000_000.0
 WARMUP_TIME_MS = 18_000.0
-CHANGED_SERVERS = 100  # servers in one list of changes
-REPEATS = 40  # of each event that is cheap to repeat
+CHANGED_SERVERS = 100  # number of servers in a list of changes
+REPEATS = 40  # repetitions of an event that is cheap to repeat
 
 
 class StubFrontend:
-    """A frontend that keeps what it is told to send."""
+    """Frontend that stores the attempts and counts the answers instead of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
         self.answers = 0
 
     def send(self, attempt: Attempt) -> None:
-        """Keep an attempt."""
+        """Stores an attempt."""
         self.sent.append(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Nothing is on a wire."""
+        """Does nothing, since no attempt is really sent."""
 
     def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
-        """Count an answer."""
+        """Counts an answer."""
         self.answers += 1
 
     def client_waits(self, request: Request) -> bool:
-        """Clients stay."""
+        """Returns True, since clients never disconnect."""
         return True
 
 
 @dataclass
 class Fleet:
-    """One dispatcher and its list of servers, on a clock that is moved by hand."""
+    """A dispatcher and its servers, with a manual clock.
+
+    Attributes:
+        servers: number of servers.
+        peers: whether the dispatcher exchanges gossip and capacity loans with peers.
+        started_at: start time of the servers as Unix time in ms.
+        now: current time as Unix time in ms.
+        version: not used by any measurement.
+        frontend: stub that receives attempts and answers.
+    """
 
     servers: int
     peers: bool
@@ -108,7 +118,7 @@
         self.core = Core(settings, 1, self.frontend, self.deadlines)
 
     def entries(self, first: int, count: int, state: ServerState = ServerState.READY) -> list[ListedServer]:
-        """Lines of a list, by number."""
+        """Returns the entries of ``count`` servers from number ``first`` on."""
         started_at = self.started_at
         return [
             ListedServer(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, started_at)
@@ -116,22 +126,22 @@
         ]
 
     def list_all(self) -> None:
-        """The whole list."""
+        """Passes the full endpoint list to the core."""
         self.core.update_servers(ListKind.FULL, self.entries(0, self.servers))
 
     def arrive(self, class_index: int = 0, remaining: float = 9_000.0) -> None:
-        """A request."""
+        """Passes a request to the core; ``remaining`` is the time allowed in ms."""
         self.core.accept(None, class_index, remaining)
 
     def serve_one(self) -> None:
-        """The oldest attempt starts and is served."""
+        """Reports that the oldest attempt has started and, after 1 ms, that the attempt is served."""
         attempt = self.frontend.sent.pop(0)
         self.core.attempt_progressed(attempt, ProgressKind.STARTED)
         self.now += 1
         self.core.attempt_ended(attempt, Outcome.SERVED, b"ok")
 
     def pass_time(self, span: float) -> None:
-        """Timers that are due fire in order."""
+        """Advances the clock by ``span`` ms and runs the timers that become due, in order."""
         end = self.now + span
         while (due := self.deadlines.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
@@ -140,7 +150,7 @@
 
 
 def call_time_us(call: Callable[[], object], repeats: int = 1) -> float:
-    """Microseconds of CPU that one call takes in the mean."""
+    """Returns the mean CPU time of a call in microseconds."""
     started_ns = time.process_time_ns()
     for _ in range(repeats):
         call()
@@ -148,7 +158,7 @@
 
 
 def warm_fleet(servers: int, peers: bool) -> Fleet:
-    """A fleet of warm servers that has served some requests."""
+    """Returns a fleet of warm servers that has served 50 requests."""
     fleet = Fleet(servers, peers)
     fleet.list_all()
     for _ in range(50):
@@ -158,7 +168,7 @@
 
 
 def cold_fleet(servers: int, peers: bool, waiting: int) -> Fleet:
-    """A fleet of which all servers have just started, with requests that wait."""
+    """Returns a fleet whose servers have all just started, with waiting requests."""
     fleet = Fleet(servers, peers, started_at=START_TIME_MS - 100)
     fleet.list_all()
     for n in range(waiting):
@@ -167,18 +177,18 @@
 
 
 def first_full_list(servers: int, peers: bool, _: int) -> float:
-    """A first list."""
+    """Returns the cost of the first full endpoint list."""
     fleet = Fleet(servers, peers)
     return call_time_us(fleet.list_all)
 
 
 def repeated_full_list(servers: int, peers: bool, _: int) -> float:
-    """The whole list once more."""
+    """Returns the cost of an unchanged full endpoint list."""
     return call_time_us(warm_fleet(servers, peers).list_all)
 
 
 def new_servers(servers: int, peers: bool, _: int) -> float:
-    """Changes: servers that were not listed before."""
+    """Returns the cost of a list of changes with new servers."""
     fleet = warm_fleet(servers, peers)
     fleet.started_at = START_TIME_MS
     entries = fleet.entries(servers, CHANGED_SERVERS)
@@ -186,19 +196,19 @@
 
 
 def draining(servers: int, peers: bool, _: int) -> float:
-    """Changes: servers that begin to drain."""
+    """Returns the cost of a list of changes with servers that begin to drain."""
     fleet = warm_fleet(servers, peers)
     entries = fleet.entries(0, CHANGED_SERVERS, ServerState.DRAINING)
     return call_time_us(lambda: fleet.core.update_servers(ListKind.CHANGES, entries))
 
 
 def arrival(servers: int, peers: bool, _: int) -> float:
-    """A request for which there is a server."""
+    """Returns the cost of a request that a server can take at once."""
     return call_time_us(warm_fleet(servers, peers).arrive, REPEATS)
 
 
 def attempt_end(servers: int, peers: bool, _: int) -> float:
-    """An attempt that is served."""
+    """Returns the cost of the start and the end of an attempt that is served."""
     fleet = warm_fleet(servers, peers)
     for _ in range(REPEATS):
         fleet.arrive()
@@ -206,18 +216,18 @@
 
 
 def arrival_queued(servers: int, peers: bool, waiting: int) -> float:
-    """A request for which there is none: all are cold."""
+    """Returns the cost of a request that is queued because all servers are cold."""
     return call_time_us(cold_fleet(servers, peers, waiting).arrive, REPEATS)
 
 
 def idle_second(servers: int, peers: bool, waiting: int) -> float:
-    """A second in which nothing comes, while requests wait."""
+    """Returns the cost of one second without arrivals while requests wait."""
     fleet = cold_fleet(servers, peers, waiting)
     return call_time_us(lambda: fleet.pass_time(1_000.0))
 
 
 def peer_counts(servers: int, peers: bool, waiting: int) -> float:
-    """Counts that another dispatcher tells."""
+    """Returns the cost of a gossip message with a peer's request counts of 40 servers."""
     fleet = cold_fleet(servers, peers, waiting)
     server_ids = list(fleet.core.directory.by_number)[:40]
     peer_load = fleet.core.dispatcher.state.peer_load
@@ -228,14 +238,14 @@
 
 
 def load_summary(servers: int, peers: bool, waiting: int) -> float:
-    """All parts of a summary of load that another dispatcher tells."""
+    """Returns the cost of all parts of a peer's load summary."""
     fleet = cold_fleet(servers, peers, waiting)
     parts = fleet.core.dispatcher.state.peer_load.summary([1] * servers)
     return call_time_us(lambda: [fleet.core.peer_message(1, part) for part in parts], 4)
 
 
 def operator_figures(servers: int, peers: bool, _: int) -> float:
-    """The operators' call."""
+    """Returns the cost of the server counts that operators read."""
     return call_time_us(warm_fleet(servers, peers).core.server_counts, REPEATS)
 
 
@@ -256,18 +266,20 @@
 
 
 def measure(name: str, servers: Sequence[int], peers: bool, waiting: int) -> list[str]:
-    """One row of the table."""
+    """Returns one row of the table."""
     costs = [MEASUREMENTS[name](count, peers, waiting) for count in servers]
     label = f"{name} ({waiting} wait)" if name in MEASUREMENTS_WITH_QUEUE else name
     return [label, "yes" if peers else "no", *(f"{cost:.0f}" for cost in costs), f"{costs[-1] / max(costs[0], 1):.1f}"]
 
 
 @click.command()
-@click.option("--servers", "sizes", default="200,800,3200", help="fleet sizes")
-@click.option("--waiting", "queues", default="10,100,1000", help="requests that wait, for the rows where it matters")
-@click.option("--only", default="", help="rows whose name begins so")
+@click.option("--servers", "sizes", default="200,800,3200", help="numbers of servers")
+@click.option(
+    "--waiting", "queues", default="10,100,1000", help="numbers of waiting requests, for the rows that depend on them"
+)
+@click.option("--only", default="", help="measure only rows whose name begins with this text")
 def main(sizes: str, queues: str, only: str) -> None:
-    """Print microseconds of CPU by event."""
+    """Print the CPU time of each event in microseconds."""
     servers, queue_sizes = [int(n) for n in sizes.split(",")], [int(n) for n in queues.split(",")]
     rows = [
         measure(name, servers, peers, waiting)
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -1,8 +1,8 @@
-"""What clients get while system calls of the program fail: a row for each call and error, real processes on loopback.
+"""Counts the answers that clients get while system calls of a dispatcher fail, for each call and error.
 
-One process, twelve servers, 60 requests a second, each on a new connection; the call fails for a share of its calls
-during a window.  Needs a C compiler (``cc``) for the shim, ``system_calls.c``.  ``--source DIR`` plays another version
-of the program, ``--row accept:EMFILE`` one row.
+A dispatcher process serves 60 requests per second, each on a new connection, with twelve servers on loopback. A share
+of the calls fails during a time window. The shim ``system_calls.c`` needs a C compiler (``cc``). ``--source DIR`` runs
+another version of the program, and ``--row accept:EMFILE`` runs a single row.
 
     python benchmarks/system_calls.py
 """
@@ -27,12 +27,9 @@
 from heronlug.standins.ports import free_port
 from heronlug.standins.server import StandInServer
 
-SERVER_COUNT, REQUESTS_PER_S, LOAD_S = 12, 60.0, 8.0  # servers, requests a second, s of load
-FAILURES_START_MS, LONG_WINDOW_MS, SHORT_WINDOW_MS = (
-    3_000.0,
-    4_000.0,
-    1_000.0,
-)  # ms after the start of the process; of the failures
+SERVER_COUNT, REQUESTS_PER_S, LOAD_S = 12, 60.0, 8.0
+# The failures start this time after the start of the process, and last for the long or the short window.
+FAILURES_START_MS, LONG_WINDOW_MS, SHORT_WINDOW_MS = 3_000.0, 4_000.0, 1_000.0
 ROWS = (
     "accept:ENFILE",
     "accept:EMFILE",
@@ -49,21 +46,25 @@
     "recv:ETIMEDOUT",
     "send:EHOSTUNREACH",
 )
-CONNECTION_ENDING_ERRORS = {
-    "recv:ETIMEDOUT",
-    "send:EHOSTUNREACH",
-}  # a connection that ends so is over: one call in twenty
-DEADLINE_S = 3.0  # s
+CONNECTION_ENDING_ERRORS = {"recv:ETIMEDOUT", "send:EHOSTUNREACH"}
+"""Errors that end their connection, so only 5% of the calls fail."""
+DEADLINE_S = 3.0
 
 
 class Result(NamedTuple):
-    """What came of one row."""
+    """Result of one row.
+
+    Attributes:
+        outcomes: number of requests by HTTP status, ``closed`` or ``nothing in time``.
+        cpu_s: CPU time of the dispatcher in seconds.
+    """
 
     outcomes: Counter[str]
     cpu_s: float
 
 
 def _config(folder: Path, listen: str, discovery: str) -> Path:
+    """Writes the configuration of the dispatcher to a file, and returns the path of the file."""
     settings = {
         "instances": 1,
         "position": 0,
@@ -97,6 +98,7 @@
 
 
 async def _request(address: str, number: int, outcomes: Counter[str]) -> None:
+    """Sends a request on a new connection, and counts the outcome."""
     host, port = address.split(":")
     request_head = f"POST /once HTTP/1.1\r\nHost: x\r\nX-Txn: t{number}\r\nX-Lane: once\r\n"
     request_head += f"X-Remaining-Ms: {DEADLINE_S * 1000:.0f}"
@@ -114,12 +116,13 @@
 
 
 def _cpu_s(pid: int) -> float:
+    """Returns the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return sum(map(int, fields[UTIME_FIELD : UTIME_FIELD + 2])) / os.sysconf("SC_CLK_TCK")
 
 
 async def run_row(shim: Path, rule: str, source: Path | None) -> Result:
-    """One row: load from before the failures until after them."""
+    """Returns the result of one row; the load begins before the failures and ends after them."""
     discovery, servers = StandInDiscovery(), [StandInServer() for _ in range(SERVER_COUNT)]
     ports = [await server.open() for server in servers]
     for number, port in enumerate(ports):
@@ -148,10 +151,10 @@
 
 
 @click.command()
-@click.option("--row", "rows", multiple=True, help="CALL:ERROR; all rows without it")
-@click.option("--source", type=click.Path(path_type=Path), help="the folder of another version of the program")
+@click.option("--row", "rows", multiple=True, help="row to run, as CALL:ERROR; default: all rows")
+@click.option("--source", type=click.Path(path_type=Path), help="folder of another version of the program")
 def main(rows: tuple[str, ...], source: Path | None) -> None:
-    """Print the table."""
+    """Run the rows and print the table."""
     with tempfile.TemporaryDirectory(prefix="heronlug-shim-") as folder:
         shim = Path(folder) / "shim.so"
         shim_source = Path(__file__).with_suffix(".c")
--- a/heronlug/cli/load.py
+++ b/heronlug/cli/load.py
@@ -99,7 +99,7 @@
 @click.option("--seconds", type=click.FloatRange(0.1, 86_400), default=3600.0, help="maximum duration in seconds")
 @SET_OPTION
 def stand_in(file: Path, port: int, seconds: float, changes: tuple[str, ...]) -> int:
-    """Run stand-ins for the servers of the scenario FILE, and service discovery with their list, on 127.0.0.1."""
+    """Run stand-ins on 127.0.0.1 for the servers of the scenario FILE and for service discovery."""
     from heronlug.standins.fleet import Fleet
 
     scenario = _read_scenario(file, changes)
@@ -139,7 +139,7 @@
     seed = scenario.seed if seed is None else seed
     count = min(demo_runner.MAX_DISPATCHERS, scenario.dispatchers.count)
     print(
-        f"{scenario.name}: {sum(pool.count for pool in scenario.pool)} hosts, "
+        f"{scenario.name}: {sum(pool.count for pool in scenario.pool)} servers, "
         f"{count} dispatchers, {scenario.span_s:g} s"
     )
     started_at = time.monotonic()
--- a/heronlug/cli/serve.py
+++ b/heronlug/cli/serve.py
@@ -37,7 +37,7 @@
     if state["faktory"]:
         lines.append(f"{'workers (Faktory)':18}{state['faktory']['listen']}")
     server_count = len((config.known or {}).get("instances", ()))
-    lines.append(f"{'hosts':18}{server_count} listed in {file}")
+    lines.append(f"{'servers':18}{server_count} listed in {file}")
     if not config.discovery:
         lines.append(f"to try it:        {Path(sys.executable)} -m heronlug try {file}")
     print("\n".join(lines), file=sys.stderr, flush=True)
