--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,8 +1,9 @@
-"""What each event costs as the list of servers and the queue of waiting requests grow: ``python benchmarks/scale.py``.
+"""Measures the CPU cost of each event by fleet size and queue length: ``python benchmarks/scale.py``.
 
-One core of a dispatcher, driven in virtual time round a stand-in for its sockets.  Each row is one kind of event; each
-column a fleet size.  A row that grows faster than what the event changes is a fault.  The ratio at the end of a row is
-the largest fleet's cost over the smallest one's, in the same run, so that it does not depend on the machine.
+The core of one dispatcher runs in virtual time with a stub frontend. Each row is a kind of event, and each column is a
+fleet size. A cost that grows faster than the amount of data that the event changes is a defect. The ratio at the end
+of a row is the cost for the largest fleet divided by the cost for the smallest fleet; both costs come from the same
+run, so the ratio does not depend on the machine.
 """
 
 import time
@@ -18,7 +19,7 @@
 from heronlug.requests.deadlines import Deadlines
 from heronlug.requests.model import Attempt, FinalAnswer, ListedServer, Request
 
-CLASSES = (
+REQUEST_CLASSES = (
     RequestClass(
         latency_objective=500,
         deadline=10_000,
@@ -42,49 +43,58 @@
         name="keyed",
     ),
 )
-START = 1_700_000_000_000.0
-WARMUP_TIME = 18_000.0
-CHANGES = 100  # servers in one list of changes
-REPEATS = 40  # of each event that is cheap to repeat
+START_TIME_MS = 1_700_000_000_000.0
+WARMUP_TIME_MS = 18_000.0
+CHANGED_SERVERS = 100  # number of servers in a list of changes
+REPEATS = 40  # repetitions of an event that is cheap to repeat
 
 
-class Sockets:
-    """A frontend that keeps what it is told to send."""
+class StubFrontend:
+    """Frontend that stores the attempts and counts the answers instead of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
         self.answers = 0
 
     def send(self, attempt: Attempt) -> None:
-        """Keep an attempt."""
+        """Stores an attempt."""
         self.sent.append(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Nothing is on a wire."""
+        """Does nothing, since no attempt is really sent."""
 
     def answer(self, request: Request, final: FinalAnswer, body: bytes, retry_after: float) -> None:
-        """Count an answer."""
+        """Counts an answer."""
         self.answers += 1
 
     def client_waits(self, request: Request) -> bool:
-        """Clients stay."""
+        """Returns True, since clients never disconnect."""
         return True
 
 
 @dataclass
 class Fleet:
-    """One dispatcher and its list of servers, on a clock that is moved by hand."""
+    """A dispatcher and its servers, with a manual clock.
+
+    Attributes:
+        servers: number of servers.
+        peers: whether the dispatcher exchanges gossip and capacity loans with peers.
+        started_at: start time of the servers as Unix time in ms.
+        now: current time as Unix time in ms.
+        version: not used by any measurement.
+        frontend: stub that receives attempts and answers.
+    """
 
     servers: int
     peers: bool
     started_at: float = 0.0
-    now: float = START
+    now: float = START_TIME_MS
     version: int = 0
-    sockets: Sockets = field(default_factory=Sockets)
+    frontend: StubFrontend = field(default_factory=StubFrontend)
 
     def __post_init__(self) -> None:
         settings = Settings(
-            classes=CLASSES,
+            classes=REQUEST_CLASSES,
             instances=200,
             position=7,
             poll_interval=1_000,
@@ -97,7 +107,7 @@
             progress_interval=1_000,
             drain_grace=2_500,
             warmup_capacity=0.2,
-            warmup_time=WARMUP_TIME,
+            warmup_time=WARMUP_TIME_MS,
             overload_multiple=3,
             overload_window=3_000,
             cpu_per_request=10,
@@ -105,33 +115,33 @@
             worst_class_weight=0.3,
         )
         self.deadlines = Deadlines(lambda: self.now)
-        self.core = Core(settings, 1, self.sockets, self.deadlines)
+        self.core = Core(settings, 1, self.frontend, self.deadlines)
 
     def entries(self, first: int, count: int, state: ServerState = ServerState.READY) -> list[ListedServer]:
-        """Lines of a list, by number."""
-        at = self.started_at
+        """Returns the entries of ``count`` servers from number ``first`` on."""
+        started_at = self.started_at
         return [
-            ListedServer(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, at)
+            ListedServer(f"s-{n * 2654435761 % 2**32:08x}", "127.0.0.1:9", state, n % 4, n % 3, n // 6, 1.0, started_at)
             for n in range(first, first + count)
         ]
 
     def list_all(self) -> None:
-        """The whole list."""
+        """Passes the full endpoint list to the core."""
         self.core.update_servers(ListKind.FULL, self.entries(0, self.servers))
 
     def arrive(self, class_index: int = 0, remaining: float = 9_000.0) -> None:
-        """A request."""
+        """Passes a request to the core; ``remaining`` is the time allowed in ms."""
         self.core.accept(None, class_index, remaining)
 
     def serve_one(self) -> None:
-        """The oldest attempt starts and is served."""
-        attempt = self.sockets.sent.pop(0)
+        """Reports that the oldest attempt has started and, after 1 ms, that the attempt is served."""
+        attempt = self.frontend.sent.pop(0)
         self.core.attempt_progressed(attempt, ProgressKind.STARTED)
         self.now += 1
         self.core.attempt_ended(attempt, Outcome.SERVED, b"ok")
 
     def pass_time(self, span: float) -> None:
-        """Timers that are due fire in order."""
+        """Advances the clock by ``span`` ms and runs the timers that become due, in order."""
         end = self.now + span
         while (due := self.deadlines.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
@@ -139,16 +149,16 @@
         self.now = end
 
 
-def timed(act: Callable[[], object], repeats: int = 1) -> float:
-    """Microseconds of CPU that one call takes in the mean."""
-    begin = time.process_time_ns()
+def call_time_us(call: Callable[[], object], repeats: int = 1) -> float:
+    """Returns the mean CPU time of a call in microseconds."""
+    started_ns = time.process_time_ns()
     for _ in range(repeats):
-        act()
-    return (time.process_time_ns() - begin) / repeats / 1000
+        call()
+    return (time.process_time_ns() - started_ns) / repeats / 1000
 
 
-def warm(servers: int, peers: bool) -> Fleet:
-    """A fleet of warm servers that has served some requests."""
+def warm_fleet(servers: int, peers: bool) -> Fleet:
+    """Returns a fleet of warm servers that has served 50 requests."""
     fleet = Fleet(servers, peers)
     fleet.list_all()
     for _ in range(50):
@@ -157,125 +167,129 @@
     return fleet
 
 
-def cold(servers: int, peers: bool, waiting: int) -> Fleet:
-    """A fleet of which all servers have just started, with requests that wait."""
-    fleet = Fleet(servers, peers, started_at=START - 100)
+def cold_fleet(servers: int, peers: bool, waiting: int) -> Fleet:
+    """Returns a fleet whose servers have all just started, with waiting requests."""
+    fleet = Fleet(servers, peers, started_at=START_TIME_MS - 100)
     fleet.list_all()
     for n in range(waiting):
         fleet.arrive(n % 3, 9_000.0)
     return fleet
 
 
-def whole_list(servers: int, peers: bool, _: int) -> float:
-    """A first list."""
+def first_full_list(servers: int, peers: bool, _: int) -> float:
+    """Returns the cost of the first full endpoint list."""
     fleet = Fleet(servers, peers)
-    return timed(fleet.list_all)
+    return call_time_us(fleet.list_all)
 
 
-def same_list(servers: int, peers: bool, _: int) -> float:
-    """The whole list once more."""
-    return timed(warm(servers, peers).list_all)
+def repeated_full_list(servers: int, peers: bool, _: int) -> float:
+    """Returns the cost of an unchanged full endpoint list."""
+    return call_time_us(warm_fleet(servers, peers).list_all)
 
 
 def new_servers(servers: int, peers: bool, _: int) -> float:
-    """Changes: servers that were not listed before."""
-    fleet = warm(servers, peers)
-    fleet.started_at = START
-    lines = fleet.entries(servers, CHANGES)
-    return timed(lambda: fleet.core.update_servers(ListKind.CHANGES, lines))
+    """Returns the cost of a list of changes with new servers."""
+    fleet = warm_fleet(servers, peers)
+    fleet.started_at = START_TIME_MS
+    entries = fleet.entries(servers, CHANGED_SERVERS)
+    return call_time_us(lambda: fleet.core.update_servers(ListKind.CHANGES, entries))
 
 
 def draining(servers: int, peers: bool, _: int) -> float:
-    """Changes: servers that begin to drain."""
-    fleet = warm(servers, peers)
-    lines = fleet.entries(0, CHANGES, ServerState.DRAINING)
-    return timed(lambda: fleet.core.update_servers(ListKind.CHANGES, lines))
+    """Returns the cost of a list of changes with servers that begin to drain."""
+    fleet = warm_fleet(servers, peers)
+    entries = fleet.entries(0, CHANGED_SERVERS, ServerState.DRAINING)
+    return call_time_us(lambda: fleet.core.update_servers(ListKind.CHANGES, entries))
 
 
 def arrival(servers: int, peers: bool, _: int) -> float:
-    """A request for which there is a server."""
-    return timed(warm(servers, peers).arrive, REPEATS)
+    """Returns the cost of a request that a server can take at once."""
+    return call_time_us(warm_fleet(servers, peers).arrive, REPEATS)
 
 
-def end(servers: int, peers: bool, _: int) -> float:
-    """An attempt that is served."""
-    fleet = warm(servers, peers)
+def attempt_end(servers: int, peers: bool, _: int) -> float:
+    """Returns the cost of the start and the end of an attempt that is served."""
+    fleet = warm_fleet(servers, peers)
     for _ in range(REPEATS):
         fleet.arrive()
-    return timed(fleet.serve_one, REPEATS)
+    return call_time_us(fleet.serve_one, REPEATS)
 
 
-def arrival_held(servers: int, peers: bool, waiting: int) -> float:
-    """A request for which there is none: all are cold."""
-    return timed(cold(servers, peers, waiting).arrive, REPEATS)
+def arrival_queued(servers: int, peers: bool, waiting: int) -> float:
+    """Returns the cost of a request that is queued because all servers are cold."""
+    return call_time_us(cold_fleet(servers, peers, waiting).arrive, REPEATS)
 
 
 def idle_second(servers: int, peers: bool, waiting: int) -> float:
-    """A second in which nothing comes, while requests wait."""
-    fleet = cold(servers, peers, waiting)
-    return timed(lambda: fleet.pass_time(1_000.0))
+    """Returns the cost of one second without arrivals while requests wait."""
+    fleet = cold_fleet(servers, peers, waiting)
+    return call_time_us(lambda: fleet.pass_time(1_000.0))
 
 
-def datagram(servers: int, peers: bool, waiting: int) -> float:
-    """Counts that another dispatcher tells."""
-    fleet = cold(servers, peers, waiting)
+def peer_counts(servers: int, peers: bool, waiting: int) -> float:
+    """Returns the cost of a gossip message with a peer's request counts of 40 servers."""
+    fleet = cold_fleet(servers, peers, waiting)
     server_ids = list(fleet.core.directory.by_number)[:40]
     peer_load = fleet.core.dispatcher.state.peer_load
-    content = peer_load.STAMP.pack(peer_load.COUNTS, START) + b"".join(peer_load.PAIR.pack(n, 2) for n in server_ids)
-    return timed(lambda: fleet.core.peer_message(3, content), REPEATS)
+    content = peer_load.STAMP.pack(peer_load.COUNTS, START_TIME_MS) + b"".join(
+        peer_load.PAIR.pack(n, 2) for n in server_ids
+    )
+    return call_time_us(lambda: fleet.core.peer_message(3, content), REPEATS)
 
 
 def load_summary(servers: int, peers: bool, waiting: int) -> float:
-    """All parts of a summary of load that another dispatcher tells."""
-    fleet = cold(servers, peers, waiting)
+    """Returns the cost of all parts of a peer's load summary."""
+    fleet = cold_fleet(servers, peers, waiting)
     parts = fleet.core.dispatcher.state.peer_load.summary([1] * servers)
-    return timed(lambda: [fleet.core.peer_message(1, part) for part in parts], 4)
+    return call_time_us(lambda: [fleet.core.peer_message(1, part) for part in parts], 4)
 
 
-def figures(servers: int, peers: bool, _: int) -> float:
-    """The operators' call."""
-    return timed(warm(servers, peers).core.server_counts, REPEATS)
+def operator_figures(servers: int, peers: bool, _: int) -> float:
+    """Returns the cost of the server counts that operators read."""
+    return call_time_us(warm_fleet(servers, peers).core.server_counts, REPEATS)
 
 
-ROWS: dict[str, Callable[[int, bool, int], float]] = {
-    "whole list, first": whole_list,
-    "whole list, again": same_list,
+MEASUREMENTS: dict[str, Callable[[int, bool, int], float]] = {
+    "whole list, first": first_full_list,
+    "whole list, again": repeated_full_list,
     "100 new servers": new_servers,
     "100 draining": draining,
     "request, placed": arrival,
-    "attempt served": end,
-    "request, held": arrival_held,
+    "attempt served": attempt_end,
+    "request, held": arrival_queued,
     "a second, requests held": idle_second,
-    "peer's counts": datagram,
+    "peer's counts": peer_counts,
     "load summary": load_summary,
-    "figures": figures,
+    "figures": operator_figures,
 }
-WAITING = frozenset({"request, held", "a second, requests held", "peer's counts", "load summary"})
+MEASUREMENTS_WITH_QUEUE = frozenset({"request, held", "a second, requests held", "peer's counts", "load summary"})
 
 
 def measure(name: str, servers: Sequence[int], peers: bool, waiting: int) -> list[str]:
-    """One row of the table."""
-    costs = [ROWS[name](count, peers, waiting) for count in servers]
-    shown = f"{name} ({waiting} wait)" if name in WAITING else name
-    return [shown, "yes" if peers else "no", *(f"{cost:.0f}" for cost in costs), f"{costs[-1] / max(costs[0], 1):.1f}"]
+    """Returns one row of the table."""
+    costs = [MEASUREMENTS[name](count, peers, waiting) for count in servers]
+    label = f"{name} ({waiting} wait)" if name in MEASUREMENTS_WITH_QUEUE else name
+    return [label, "yes" if peers else "no", *(f"{cost:.0f}" for cost in costs), f"{costs[-1] / max(costs[0], 1):.1f}"]
 
 
 @click.command()
-@click.option("--servers", "sizes", default="200,800,3200", help="fleet sizes")
-@click.option("--waiting", "queues", default="10,100,1000", help="requests that wait, for the rows where it matters")
-@click.option("--only", default="", help="rows whose name begins so")
+@click.option("--servers", "sizes", default="200,800,3200", help="numbers of servers")
+@click.option(
+    "--waiting", "queues", default="10,100,1000", help="numbers of waiting requests, for the rows that depend on them"
+)
+@click.option("--only", default="", help="measure only rows whose name begins with this text")
 def main(sizes: str, queues: str, only: str) -> None:
-    """Print microseconds of CPU by event."""
-    servers, queue = [int(n) for n in sizes.split(",")], [int(n) for n in queues.split(",")]
+    """Print the CPU time of each event in microseconds."""
+    servers, queue_sizes = [int(n) for n in sizes.split(",")], [int(n) for n in queues.split(",")]
     rows = [
         measure(name, servers, peers, waiting)
-        for name in ROWS
+        for name in MEASUREMENTS
         if name.startswith(only)
         for peers in (True, False)
-        for waiting in (queue if name in WAITING else queue[:1])
+        for waiting in (queue_sizes if name in MEASUREMENTS_WITH_QUEUE else queue_sizes[:1])
     ]
-    head = ["event", "peers", *(f"{count} servers" for count in servers), "ratio"]
-    print_columns([head, *rows])
+    heading = ["event", "peers", *(f"{count} servers" for count in servers), "ratio"]
+    print_columns([heading, *rows])
 
 
 if __name__ == "__main__":
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -1,4 +1,4 @@
-"""``emulate``, ``experiment`` and ``rules``: the emulator, sweeps over it, and the checker of any run's events."""
+"""Defines ``emulate``, ``experiment`` and ``rules``: emulator runs, sweeps and the conformance checker."""
 
 import os
 from pathlib import Path
@@ -7,53 +7,60 @@
 import click
 import orjson
 
-from heronlug.cli.helpers import FILE, print_columns, print_json
+from heronlug.cli.helpers import FILE_PATH, print_columns, print_json
 
-SET = click.option("--set", "changes", multiple=True, metavar="KEY=VALUE", help="another value of the scenario's")
-STORE = click.argument("store", type=FILE)
+SET_OPTION = click.option(
+    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="replace a value of the scenario"
+)
+STORE_ARGUMENT = click.argument("store", type=FILE_PATH)
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
+    """Returns the value of a JSON text, or the text itself if it is not valid JSON."""
     try:
         return orjson.loads(text)
     except ValueError:
         return text
 
 
-def changed(changes: tuple[str, ...]) -> dict[str, Any]:
-    """``--set`` as keys and values."""
-    found = {}
+def parse_changes(changes: tuple[str, ...]) -> dict[str, Any]:
+    """Returns the keys and values of the ``--set`` options.
+
+    Raises:
+        click.BadParameter: if an option does not have the form KEY=VALUE.
+    """
+    result = {}
     for text in changes:
         key, equals, value = text.partition("=")
         if not equals:
-            msg = f"{text!r} is no KEY=VALUE"
+            msg = f"{text!r} does not have the form KEY=VALUE"
             raise click.BadParameter(msg, param_hint="--set")
-        found[key] = _value(value)
-    return found
+        result[key] = _parse_value(value)
+    return result
 
 
 @click.command()
-@click.argument("file", type=FILE)
-@SET
-@click.option("--seed", type=int, help="in place of the scenario's")
-@click.option("--events", type=FILE, help="write all events of the run there, a line each")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object of all figures")
+@click.argument("file", type=FILE_PATH)
+@SET_OPTION
+@click.option("--seed", type=int, help="seed to use instead of the scenario's")
+@click.option("--events", type=FILE_PATH, help="write all events of the run to this file, one per line")
+@click.option("--json", "as_json", is_flag=True, help="print all figures as one JSON object")
 def emulate(file: Path, changes: tuple[str, ...], seed: int | None, events: Path | None, as_json: bool) -> int:
-    """Play the scenario FILE once.  The exit status is 1 where a rule was broken."""
+    """Run the scenario FILE once on the emulator. The exit status is 1 if a rule is violated."""
     from heronlug.conformance import write
     from heronlug.emulator.scenario import load
     from heronlug.emulator.world import World
 
     try:
-        scenario = load(file, changed(changes))
+        scenario = load(file, parse_changes(changes))
     except ValueError as error:
         raise click.ClickException(str(error)) from None
     if events is None:
         world = World(scenario, seed)
         figures = world.run()
     else:
-        with events.open("wb") as out:
-            world = World(scenario, seed, record=lambda event: out.writelines((write(event),)))
+        with events.open("wb") as event_file:
+            world = World(scenario, seed, record=lambda event: event_file.writelines((write(event),)))
             figures = world.run()
     if as_json:
         print_json(figures.by_name())
@@ -61,8 +68,8 @@
         print_columns(figures.class_table())
         loads = figures.by_name()
         print(
-            f"service {figures.service:.4f}, hosts {loads['load_mean']:.0%} loaded, "
-            f"{loads['attempts_per_job']:.3f} attempts a job; "
+            f"service {figures.service:.4f}, servers {loads['load_mean']:.0%} loaded, "
+            f"{loads['attempts_per_job']:.3f} attempts per request; "
             f"{figures.event_count} events in {figures.wall_time_s:.1f} s"
         )
         for violation in world.checker.violations[:10]:
@@ -72,27 +79,31 @@
 
 @click.group()
 def rules() -> None:
-    """The four rules, on the events of any run."""
+    """Check the four rules on the recorded events of a run."""
 
 
 @rules.command("check")
-@click.argument("file", type=FILE)
-@click.option("--drain-grace-ms", default=2500.0, help="from the register's word to the last send")
-@click.option("--slack-ms", default=50.0, help="for the clocks of several processes")
+@click.argument("file", type=FILE_PATH)
+@click.option(
+    "--drain-grace-ms",
+    default=2500.0,
+    help="milliseconds after a server's notified change in which attempts may still be sent",
+)
+@click.option("--slack-ms", default=50.0, help="tolerance in milliseconds for clock differences between processes")
 def check_rules(file: Path, drain_grace_ms: float, slack_ms: float) -> int:
-    """Check the events in FILE, as ``emulate --events`` writes them.  The exit status is 1 where a rule was broken."""
+    """Check the events in FILE, which ``emulate --events`` writes. The exit status is 1 if a rule is violated."""
     from heronlug.conformance import Checker, read
 
-    checker, last = Checker(drain_grace_ms, slack_ms), 0.0
+    checker, last_event_at = Checker(drain_grace_ms, slack_ms), 0.0
     try:
-        with file.open("rb") as lines:
-            for event in read(lines):
+        with file.open("rb") as event_file:
+            for event in read(event_file):
                 checker.see(event)
-                last = event.at
+                last_event_at = event.at
     except (OSError, ValueError) as error:
         msg = f"{file}: {error}"
         raise click.ClickException(msg) from None
-    for violation in checker.finish(last):
+    for violation in checker.finish(last_event_at):
         print(f"rule {violation.rule} broken at {violation.at:.0f} ms: {violation.what}")
         for event in violation.trail:
             print("    " + " ".join(map(str, (type(event).__name__, *event))))
@@ -102,19 +113,22 @@
 
 @click.group()
 def experiment() -> None:
-    """Sweeps over scenarios, on all cores."""
+    """Run sweeps over scenarios on all cores, and evaluate their results."""
 
 
-def _store_of(file: Path, store: Path | None) -> Path:
+def _store_path(file: Path, store: Path | None) -> Path:
+    """Returns the path of the store, by default that of the experiment with the suffix ``.sqlite``."""
     return store if store is not None else file.with_suffix(".sqlite")
 
 
 @experiment.command()
-@click.argument("file", type=FILE)
-@click.option("--store", type=FILE, help="where runs are kept; beside FILE if not given")
-@click.option("--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="processes at once")
+@click.argument("file", type=FILE_PATH)
+@click.option("--store", type=FILE_PATH, help="file to store the runs in; default: FILE with the suffix .sqlite")
+@click.option(
+    "--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="number of parallel processes"
+)
 def run(file: Path, store: Path | None, workers: int) -> int:
-    """Play what of FILE has not been played yet.  Interrupted, it goes on from there next time."""
+    """Run those runs of the experiment FILE that are not stored yet, also after an interruption."""
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from heronlug.experiments import runner
@@ -122,70 +136,76 @@
     from heronlug.experiments.store import Store, StoredRun
 
     try:
-        experiment, jobs = read(file)
+        experiment, planned_runs = read(file)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
-    with Store(_store_of(file, store)) as kept:
-        there = kept.has(experiment.name, [job.key for job in jobs])
+    with Store(_store_path(file, store)) as run_store:
+        stored_keys = run_store.has(experiment.name, [planned_run.key for planned_run in planned_runs])
         columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
         with Progress(*columns) as progress:
-            task = progress.add_task(experiment.name, total=len(jobs), completed=len(there))
+            task = progress.add_task(experiment.name, total=len(planned_runs), completed=len(stored_keys))
 
-            def done(job: PlannedRun, run: StoredRun | None, why: str) -> None:
+            def on_run_done(planned_run: PlannedRun, stored_run: StoredRun | None, reason: str) -> None:
                 progress.advance(task)
-                if run is None:
-                    progress.console.print(f"seed {job.seed} of {job.params}: {why}")
-
-            good, failed = runner.run(experiment.name, jobs, kept, workers, done)
-    print(f"{good} of {len(jobs)} runs are in {_store_of(file, store)}; {len(there)} were there before")
+                if stored_run is None:
+                    progress.console.print(f"seed {planned_run.seed} of {planned_run.params}: {reason}")
+
+            succeeded, failed = runner.run(experiment.name, planned_runs, run_store, workers, on_run_done)
+    print(
+        f"{succeeded} of {len(planned_runs)} runs are in {_store_path(file, store)}; "
+        f"{len(stored_keys)} were there before"
+    )
     return 1 if failed else 0
 
 
 @experiment.command()
-@STORE
+@STORE_ARGUMENT
 @click.argument("a")
 @click.argument("b")
-@click.option("--figure", "figures", multiple=True, help="only these; all if not given")
-@click.option("--experiment", "name", default="", help="of these runs, where the store has several")
+@click.option("--figure", "figures", multiple=True, help="a figure to compare; default: all figures")
+@click.option("--experiment", "name", default="", help="experiment to read, if the store has several")
 @click.option("--json", "as_json", is_flag=True)
 def compare(store: Path, a: str, b: str, figures: tuple[str, ...], name: str, as_json: bool) -> int:
-    """What changes from A to B in STORE, each such as ``policy=heronlug``, over pairs of the same seed."""
-    from heronlug.experiments import compare as comparing
+    """Compare variants A and B in STORE over pairs of runs with the same seed.
+
+    A and B are parameter settings such as ``policy=heronlug``.
+    """
+    from heronlug.experiments import compare as comparison
     from heronlug.experiments.store import Store
 
     try:
-        with Store(store, create=False) as kept:
-            matched = comparing.pairs(kept.runs(name), comparing.parse_params(a), comparing.parse_params(b))
-        found = comparing.compare(matched, figures)
+        with Store(store, create=False) as run_store:
+            run_pairs = comparison.pairs(run_store.runs(name), comparison.parse_params(a), comparison.parse_params(b))
+        result = comparison.compare(run_pairs, figures)
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
     if as_json:
-        print_json([{**each._asdict(), "noise": each.noise} for each in found])
+        print_json([{**item._asdict(), "noise": item.noise} for item in result])
         return 0
     rows = [["figure", a, b, "change", "95% from", "to", "pairs", ""]]
-    for each in found:
-        numbers = [f"{value:.4g}" for value in (each.a, each.b, each.change, each.low, each.high)]
-        rows.append([each.figure, *numbers, str(each.pairs), "noise" if each.noise else ""])
+    for item in result:
+        numbers = [f"{value:.4g}" for value in (item.a, item.b, item.change, item.low, item.high)]
+        rows.append([item.figure, *numbers, str(item.pairs), "noise" if item.noise else ""])
     print_columns(rows)
     return 0
 
 
 @experiment.command()
-@STORE
-@click.option("--out", type=FILE, help="the page; beside STORE if not given")
-@click.option("--experiment", "name", default="", help="of these runs, where the store has several")
+@STORE_ARGUMENT
+@click.option("--out", type=FILE_PATH, help="HTML file to write; default: STORE with the suffix .html")
+@click.option("--experiment", "name", default="", help="experiment to read, if the store has several")
 def report(store: Path, out: Path | None, name: str) -> int:
-    """Write one HTML page of what is in STORE."""
+    """Write an HTML report on the runs in STORE."""
     from heronlug.experiments.report import page
     from heronlug.experiments.store import Store
 
     try:
-        with Store(store, create=False) as kept:
-            names = [each for each, _, _ in kept.experiments()]
+        with Store(store, create=False) as run_store:
+            names = [item for item, _, _ in run_store.experiments()]
             if not name and len(set(names)) > 1:
-                msg = f"{store}: --experiment names one of {', '.join(sorted(set(names)))}"
+                msg = f"{store}: --experiment must name one of {', '.join(sorted(set(names)))}"
                 raise ValueError(msg)
-            text = page(name or (names[0] if names else str(store)), kept.runs(name))
+            text = page(name or (names[0] if names else str(store)), run_store.runs(name))
     except (OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
     target = out if out is not None else store.with_suffix(".html")
--- a/heronlug/cli/store.py
+++ b/heronlug/cli/store.py
@@ -1,38 +1,43 @@
-"""``store``: the file of accepted work, looked at while no daemon has it."""
+"""Defines ``store``, which checks, dumps and compacts the store of accepted requests while no dispatcher uses it."""
 
 from pathlib import Path
 
 import click
 import orjson
 
-from heronlug.cli.helpers import FILE, print_columns
+from heronlug.cli.helpers import FILE_PATH, print_columns
 from heronlug.storage import sqlite
 from heronlug.storage.model import StoredRequest
 
 
 @click.group()
 def store() -> None:
-    """The file of accepted work.  A daemon that runs has it for itself."""
+    """Inspect the store of accepted requests. A running dispatcher locks its store."""
 
 
-def _states(path: Path) -> dict[str, int]:
-    db = sqlite.connect(path, create=False)
+def _count_states(path: Path) -> dict[str, int]:
+    """Returns the number of stored requests by state.
+
+    Raises:
+        StoreError: if the store cannot be read or is locked.
+    """
+    database = sqlite.connect(path, create=False)
     try:
         states: dict[str, int] = {}
-        for job in sqlite.read_requests(db):
-            state = job.final_state or ("delivered" if job.first_delivered_at else "waiting")
+        for request in sqlite.read_requests(database):
+            state = request.final_state or ("delivered" if request.first_delivered_at else "waiting")
             states[state] = states.get(state, 0) + 1
         return states
     finally:
-        db.close()
+        database.close()
 
 
 @store.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def check(file: Path) -> int:
-    """Whether FILE is whole, and how many jobs it holds in which state."""
+    """Check that FILE is intact, and show the number of requests by state."""
     try:
-        states = _states(file)
+        states = _count_states(file)
     except sqlite.StoreError as error:
         raise click.ClickException(str(error)) from None
     print_columns([["state", "jobs"], *([state, str(count)] for state, count in sorted(states.items()))])
@@ -40,8 +45,8 @@
     return 0
 
 
-def _dumped(request: StoredRequest) -> dict[str, object]:
-    """A stored request under the keys that the dump has always had."""
+def _dump_row(request: StoredRequest) -> dict[str, object]:
+    """Returns a stored request under the keys of the dump format, which stay stable for programs that read dumps."""
     return {
         "jid": request.jid,
         "lane": request.class_name,
@@ -57,25 +62,25 @@
 
 
 @store.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def dump(file: Path) -> int:
-    """All jobs in FILE, a JSON object a line."""
+    """Print all requests in FILE, one JSON object per line."""
     try:
-        db = sqlite.connect(file, create=False)
+        database = sqlite.connect(file, create=False)
         try:
-            for job in sqlite.read_requests(db):
-                print(orjson.dumps(_dumped(job)).decode())
+            for request in sqlite.read_requests(database):
+                print(orjson.dumps(_dump_row(request)).decode())
         finally:
-            db.close()
+            database.close()
     except sqlite.StoreError as error:
         raise click.ClickException(str(error)) from None
     return 0
 
 
 @store.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 def compact(file: Path) -> int:
-    """Give back what FILE holds and does not need."""
+    """Release unused space in FILE to the file system."""
     try:
         before, after = sqlite.compact(file)
     except sqlite.StoreError as error:
