--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -32,11 +32,11 @@
 class LimitCheckingHost(Host):
     """A host that cancels attempts on request and checks each request against the limits of its arrival."""
 
-    def __init__(self, site: Settings, workers: int = 4, seed: int = 1) -> None:
+    def __init__(self, site: Settings, server_count: int = 4, seed: int = 1) -> None:
         self.policies: dict[int, RequestClass] = {}
         self.ended_at: dict[int, float] = {}  # when the last attempt of a request ended
-        self.overrun: set[int] = set()  # requests with an attempt that timed out
-        super().__init__(site, seed, workers)
+        self.timed_out: set[int] = set()  # requests with an attempt that timed out
+        super().__init__(site, seed, server_count)
 
     def handle(self, event: Any) -> list[Action]:
         """Records the limits of new requests and cancels attempts as the dispatcher asks."""
@@ -47,7 +47,7 @@
             if isinstance(action, CancelAttempt) and (action.request, action.attempt) not in self.outcomes:
                 timeout = self.policies[action.request].attempt_timeout
                 if timeout and self.now >= self.sent_at[action.request, action.attempt] + timeout:
-                    self.overrun.add(action.request)
+                    self.timed_out.add(action.request)
                 self.end_attempt(action.request, action.attempt, Outcome.CANCELLED)
         return actions
 
@@ -73,7 +73,7 @@
             wait = request_class.backoff_before(len(sent))
             assert self.now >= self.ended_at[send.request] + wait, f"no wait of {wait} before attempt {len(sent) + 1}"
         assert (
-            request_class.retry_after_timeout or out or send.request not in self.overrun
+            request_class.retry_after_timeout or out or send.request not in self.timed_out
         ), "a retry after a timeout that its limits forbid"
         super()._check_send(send)
 
@@ -95,7 +95,7 @@
 def test_a_request_has_the_attempts_that_its_class_allows() -> None:
     """Guards against more or fewer attempts than the class allows; 0 means the cap of the site."""
     for attempts in (1, 2, 3, 0):
-        host = LimitCheckingHost(site(max_attempts=attempts), workers=6)
+        host = LimitCheckingHost(site(max_attempts=attempts), server_count=6)
         request = host.new_request(0)
         while request not in host.final_states:
             host.end_attempt(request, len(host.sent_to[request]) - 1, Outcome.ERROR)
@@ -302,7 +302,7 @@
     """
     rng = Random(seed)
     unlimited = (SAFE, KEYED, ONCE)
-    host = LimitCheckingHost(site(), workers=6, seed=seed)
+    host = LimitCheckingHost(site(), server_count=6, seed=seed)
     for _ in range(120):
         classes = tuple(
             replace(request_class, **limits)
