--- a/heronlug/adapter/host.py
+++ b/heronlug/adapter/host.py
@@ -1,4 +1,4 @@
-"""Runs many dispatchers in one process and serves them on standard input and output."""
+"""Runs many dispatchers in one process and exchanges their events and actions over standard input and output."""
 
 import sys
 import traceback
@@ -15,7 +15,7 @@
         self._instances: dict[int, Dispatcher] = {}
 
     def answer(self, count: int, now: float, body: bytes) -> bytes:
-        """Returns the reply to one batch; the batch ends early if an instance fails."""
+        """Returns the reply to one batch; if an instance fails, the rest of the batch is skipped."""
         reply = Reply()
         instances = self._instances
         for instance, event in decode_events(count, body):
--- a/heronlug/config/cluster_section.py
+++ b/heronlug/config/cluster_section.py
@@ -35,7 +35,16 @@
 
 
 class PeriodicTaskTable(Struct, forbid_unknown_fields=True):
-    """A ``[[cluster.duty]]`` table: a periodic task, which one member at a time runs at each interval."""
+    """A ``[[cluster.duty]]`` table: a periodic task, which one member at a time runs at each interval.
+
+    Attributes:
+        name: Unique name of the task, which is also the name of its lease.
+        every_s: Interval of the runs, in seconds.
+        command: Words of the command that a run executes; None if the task deletes files instead.
+        sweep: A :class:`FileDeletionTable`; None if the task executes a command instead.
+        longest_s: Time limit of a run, in seconds.
+        jitter_s: Maximum additional delay of a run, in seconds; each run uses a different fraction.
+    """
 
     name: Text
     every_s: Seconds
@@ -54,7 +63,13 @@
 
 
 class SharedDiscoveryTable(Struct, forbid_unknown_fields=True):
-    """The ``[cluster.register]`` table: sharing of service discovery among the members."""
+    """The ``[cluster.register]`` table: sharing of service discovery among the members.
+
+    Attributes:
+        share: ``list`` if one member reads service discovery for all members; ``news`` if each member reads service
+            discovery and the members share only which servers are drained or removed.
+        stale_after_ms: Age from which the shared list is stale, in ms.
+    """
 
     share: Annotated[Literal["list", "news"], Meta(description='"list" or "news"')]
     stale_after_ms: Annotated[
@@ -63,7 +78,17 @@
 
 
 class HealthCheckTable(Struct, forbid_unknown_fields=True):
-    """The ``[cluster.probe]`` table: health checks of the servers."""
+    """The ``[cluster.probe]`` table: health checks of the servers.
+
+    Attributes:
+        every_s: Interval between two checks of a server, in seconds.
+        timeout_ms: Time limit of a check, in ms.
+        fall: Number of consecutive failures after which a server is down.
+        rise: Number of consecutive successes after which a server is up again.
+        shards: Number of groups into which the servers are divided; one member at a time checks a group.
+        path: Path that a check requests; a check with an empty path only opens a connection.
+        panic_share: Fraction of servers that are down above which the results of the checks are ignored.
+    """
 
     every_s: Annotated[float, Meta(ge=0.1, le=3600, description="seconds, 0.1 to 3600")] = 2.0
     timeout_ms: Annotated[float, Meta(ge=10, le=60_000, description="milliseconds, 10 to 60000")] = 500.0
@@ -136,7 +161,7 @@
 
 
 def _read_tasks(tables: list[Any], source: Source, problems: Problems) -> list[dict[str, Any]]:
-    """Returns the valid periodic tasks and adds the problems of the other ones."""
+    """Returns the periodic tasks that can be decoded; adds the problems of all tasks to ``problems``."""
     tasks: list[dict[str, Any]] = []
     for index, table in enumerate(tables):
         task, found = decode(PeriodicTaskTable, table, source, (SECTION, "duty", index))
@@ -195,7 +220,7 @@
 
 
 def read_keys(files: list[str]) -> dict[int, bytes]:
-    """Returns the keys by their numbers; the first key is the one that signs.
+    """Returns the keys by their numbers, in the order of the files; the first key signs.
 
     Raises:
         OSError: If a file cannot be read.
--- a/heronlug/config/desired_state.py
+++ b/heronlug/config/desired_state.py
@@ -1,4 +1,4 @@
-"""Reads the desired state of a dispatcher from the operators' file and compares the state with the running one.
+"""Reads the desired state of a dispatcher from the operators' file and compares desired and running state.
 
 The file is read at the start and by the plan and apply commands:
 
@@ -89,8 +89,8 @@
 
     Args:
         source: The file.
-        site: The settings against which the limits of the classes are checked; None checks the limits by their schema
-            only.
+        site: The settings against which the limits of the classes are checked; None if the limits are
+            checked only against their schema.
 
     Raises:
         ConfigProblems: If the file is invalid; the error has all problems.
--- a/heronlug/config/files.py
+++ b/heronlug/config/files.py
@@ -55,8 +55,8 @@
 
     Args:
         path: Path of the operators' file.
-        platform: Returns the platform's configuration if the file is not the whole configuration; if it returns None,
-            the file is checked without a site.
+        platform: Called if the file is not the whole configuration; returns the platform's configuration, or None to
+            check the file without a site.
     """
     problems: list[ConfigProblem] = []
     conf: Config | None = None
--- a/heronlug/config/limits/rules.py
+++ b/heronlug/config/limits/rules.py
@@ -66,7 +66,7 @@
 
     @property
     def hedge_time_given(self) -> bool:
-        """Whether the file sets the time of the hedged request."""
+        """Whether the file sets the time of the hedged request and does not disable hedging."""
         return "second_copy_after_ms" in self.given and self.given.get("second_copy", True)
 
     @property
@@ -93,7 +93,7 @@
 
     @property
     def times_in_range(self) -> bool:
-        """Whether each time is in range, so that a rule on their sum reports a problem of its own."""
+        """Whether each time is in range, so that a rule on their sum reports a separate problem."""
         return self.limited.attempt_timeout <= self.give_up_time and self.total_wait < self.give_up_time
 
 
--- a/heronlug/config/limits/schema.py
+++ b/heronlug/config/limits/schema.py
@@ -1,4 +1,4 @@
-"""Defines the ``[class.NAME]`` table with the ranges that apply to every site; ``rules`` checks them against a site."""
+"""Defines the ``[class.NAME]`` table with the ranges for every site; ``rules`` checks limits against a site."""
 
 from typing import Annotated, Literal
 
--- a/heronlug/config/settings_json.py
+++ b/heronlug/config/settings_json.py
@@ -1,4 +1,4 @@
-"""Parses the platform's settings from JSON; no other module maps their keys to the balancer's settings."""
+"""Parses the platform's settings from JSON; only this module maps the JSON keys to the balancer's settings."""
 
 import json
 from collections.abc import Mapping
--- a/heronlug/config/site.py
+++ b/heronlug/config/site.py
@@ -31,7 +31,7 @@
     name: Text = "heronlug"
     operators: Address | None = None
     discovery: Address | None = None  # service discovery; without it the servers are those that the file lists
-    peers: list[Address] = msgspec.field(default_factory=list)  # UDP, of all dispatchers by position, with this one
+    peers: list[Address] = msgspec.field(default_factory=list)  # UDP, of all dispatchers by position, also this one
     position: Annotated[int, Meta(ge=0, le=9999, description="a whole number, 0 to 9999")] = 0
     memory_mb: Annotated[float, Meta(ge=32, le=1e6, description="megabytes, 32 or more")] = 512.0
     sockets: Annotated[int, Meta(ge=128, le=1_000_000, description="file descriptors, 128 or more")] = 1024
@@ -59,7 +59,7 @@
     kinds: Names = msgspec.field(default_factory=lambda: ["any"])
     attempts_cap: Annotated[int, Meta(ge=1, le=64, description="a whole number, 1 to 64")] = 6
     second_copies: Annotated[bool, Meta(description="true or false")] = True
-    leave_halls: Annotated[bool, Meta(description="true or false")] = False  # joint zone failover; needs [serve] peers
+    leave_halls: Annotated[bool, Meta(description="true or false")] = False  # whole-zone failover; needs [serve] peers
     may_cancel: Annotated[bool, Meta(description="true or false")] = True
     tells_start: Annotated[bool, Meta(description="true or false")] = True
     progress_every_ms: Wait = 1000.0
--- a/heronlug/config/strict_toml/source.py
+++ b/heronlug/config/strict_toml/source.py
@@ -86,7 +86,7 @@
 
 
 def _read_unchanged(path: Path) -> bytes:
-    """Returns the bytes of a file and reads the file again if it has changed meanwhile.
+    """Returns the bytes of a file; reads the file again if the file changed during the read.
 
     Raises:
         OSError: If the file cannot be read.
--- a/heronlug/lifecycle/admin.py
+++ b/heronlug/lifecycle/admin.py
@@ -39,7 +39,7 @@
 
 
 Calls = dict[CallKey, Callable[[], Answer]]
-"""The functions that answer each call."""
+"""The function that answers each call."""
 
 
 class AdminConnection(asyncio.Protocol):
--- a/heronlug/lifecycle/cluster_member.py
+++ b/heronlug/lifecycle/cluster_member.py
@@ -108,7 +108,7 @@
         return cluster_section.read_keys(self._key_files)
 
     def _configure_poll_pacing(self, discovery_options: dict[str, Any], core: Core) -> None:
-        """Configures the pacing of polls: a single reader polls alone, while several readers each have a position."""
+        """Configures the pacing of polls: a single reader polls alone, while several readers poll by position."""
         if not discovery_options:
             return
         single_reader = discovery_options["share"] == SHARE_ENDPOINT_LIST
--- a/heronlug/lifecycle/configuration_changes.py
+++ b/heronlug/lifecycle/configuration_changes.py
@@ -55,7 +55,7 @@
         self._faktory.discard(listener)
 
     def use_discovery_options(self, table: State) -> None:
-        """Configures the pacing of the polls and the cached list of service discovery, from the start on."""
+        """Configures the pacing of the polls and the cached list of service discovery; called only at the start."""
         self._discovery.use_options(table)
 
     async def join_cluster(self, table: State) -> None:
--- a/heronlug/lifecycle/graceful_shutdown.py
+++ b/heronlug/lifecycle/graceful_shutdown.py
@@ -27,7 +27,7 @@
 """Time before the kill by which all answers are sent, in ms."""
 
 CLOSE_BEFORE_LAST_ANSWER_MS = 1000.0
-"""Time before the last answer in which connections are closed after their answers, in ms.
+"""Length of the period before the last answer in which each connection is closed after its next answer, in ms.
 
 A request that arrives this late is unlikely to be served in time.
 """
@@ -104,7 +104,7 @@
         return float("inf") if self._stopped_at is None else self._stopped_at + self._time_to_answer_ms
 
     def sends_clients_away(self) -> bool:
-        """Returns whether each client connection is closed after its next answer so that the client moves elsewhere.
+        """Returns whether each client connection is closed after its next answer, so that clients reconnect elsewhere.
 
         True during a drain, and during a stop while another dispatcher accepts clients or shortly before the last
         answer; always false while clients are handed over to a successor.
@@ -172,7 +172,7 @@
             self._deadlines.call_after(interval, self._check)
 
     def _new_clients_ceased(self) -> bool:
-        """Returns whether new clients have ceased to arrive, so that clients who reconnect arrive elsewhere."""
+        """Returns whether new clients have ceased to arrive, so that reconnecting clients reach another dispatcher."""
         now = self._deadlines.clock()
         began_at = max(self._drained_at or 0.0, self._stopped_at or 0.0)
         last_event_at = max(began_at, self._hooks.last_client_at())
--- a/heronlug/lifecycle/hot_restart/channel.py
+++ b/heronlug/lifecycle/hot_restart/channel.py
@@ -59,14 +59,14 @@
     try:
         with _short_path(path) as short_path:
             sock.connect(short_path)
-    except OSError:  # no file, a stale one, or a full backlog
+    except OSError:  # no socket file, a stale socket file, or a full backlog
         sock.close()
         return None
     return sock
 
 
 def listen(path: str) -> socket.socket:
-    """Returns a listening socket that replaces any earlier one at ``path``; only processes of this user can connect.
+    """Returns a listening socket that replaces any earlier socket at ``path``; only processes of this user can connect.
 
     Raises:
         OSError: if the socket cannot be created, bound or listened on.
@@ -173,7 +173,7 @@
         except (BlockingIOError, InterruptedError):
             self._loop.add_writer(self._sock.fileno(), self._write)
         except (BrokenPipeError, ConnectionResetError):
-            # The other process has ended. Its last packets may be unread; the reader detects the end after them.
+            # The other process has ended. The reader receives its last packets, if unread, and then detects the end.
             self._loop.remove_writer(self._sock.fileno())
             self._drop_outgoing()
         except OSError as error:
--- a/heronlug/lifecycle/hot_restart/handed_over_requests.py
+++ b/heronlug/lifecycle/hot_restart/handed_over_requests.py
@@ -67,7 +67,10 @@
             exchange.detach()
 
     def _pausable_connections(self, request: Request) -> _PausableConnections | None:
-        """Returns the connections of a request; None while one connection is in the middle of a read or write."""
+        """Returns the connections of a request; None while a connection is in the middle of a read or write.
+
+        Returns None also if the descriptors of the connections would exceed :data:`MAX_FDS`.
+        """
         client = request.payload.connection
         servers = [attempt.exchange for attempt in request.attempts if attempt.in_flight]
         if client is None or not client.can_hand_over() or len(servers) >= MAX_FDS:
--- a/heronlug/lifecycle/hot_restart/messages.py
+++ b/heronlug/lifecycle/hot_restart/messages.py
@@ -60,7 +60,7 @@
 
 
 def serving() -> Message:
-    """Returns the message that this process accepts clients."""
+    """Returns the message that announces that this process accepts clients."""
     return {"kind": MessageKind.SERVING}
 
 
@@ -75,12 +75,12 @@
 
 
 def request_opened(request_id: str) -> Message:
-    """Returns the update that a request was accepted."""
+    """Returns the update that reports that a request was accepted."""
     return {"kind": MessageKind.REQUEST_UPDATE, "opened": [request_id]}
 
 
 def request_ended(request_id: str) -> Message:
-    """Returns the update that a request was removed from the request table."""
+    """Returns the update that reports that a request was removed from the request table."""
     return {"kind": MessageKind.REQUEST_UPDATE, "ended": [request_id]}
 
 
--- a/heronlug/lifecycle/hot_restart/session.py
+++ b/heronlug/lifecycle/hot_restart/session.py
@@ -51,7 +51,7 @@
         """Returns the state message for a new process and the descriptors of the sockets that accompany the message."""
 
     def successor_serves(self) -> None:
-        """Stops accepting clients and closes the peer socket, since the successor now uses both."""
+        """Pauses the listener and closes the peer socket, since the successor now uses both sockets."""
 
     def successor_lost(self) -> None:
         """Accepts clients again after the successor has ended."""
@@ -147,7 +147,7 @@
         return self.successor is not None
 
     def hand_over_client(self, fd: int, served: bool) -> None:
-        """Sends a client connection to the successor; ``served`` is true if an answer has been sent on it."""
+        """Sends a client connection to the successor; ``served`` is true if an answer was sent on the connection."""
         if self.successor is not None:
             self.successor.send(messages.client(served), [fd])
 
--- a/heronlug/lifecycle/running_state.py
+++ b/heronlug/lifecycle/running_state.py
@@ -54,7 +54,7 @@
         """Executes the order for a zone, if the request has one, and returns all zones; raises :class:`StateError`."""
 
     def use_discovery_options(self, table: State) -> None:
-        """Configures the pacing of the polls and the cached list of service discovery, from the start on."""
+        """Configures the pacing of the polls and the cached list of service discovery; called only at the start."""
 
     def load_plugins(self, plugins: dict[str, PluginModule]) -> "list[Plugin]":
         """Compiles plug-ins; raises ``ValueError``."""
@@ -84,7 +84,7 @@
 
 
 class RunningState:
-    """The running state, which changes are applied to one at a time.
+    """The running state, to which changes are applied one at a time.
 
     Attributes:
         state: The running state, in the form that :func:`heronlug.config.desired_state.parse` returns.
--- a/tests/config/files.py
+++ b/tests/config/files.py
@@ -219,7 +219,7 @@
         "no repeat window applies",
     ),
     ConfigFault(
-        "window past hosts",
+        "window past servers",
         PRINT_LINE + 5,
         "repeat_window_ms = 40001",
         "class.print.repeat_window_ms",
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -1,7 +1,8 @@
 """Tests reloads under load: 18 requests a second and a surge of 200 while the limits change ten times.
 
-Servers never answer every fifteenth request and count its attempts: there must be as many as the limits allow under
-which the request was accepted.  A request that is accepted during a reload may have the old or the new limits.
+Every fifteenth request gets no answer from the servers, which count its attempts: there must be as many attempts as the
+limits allow under which the request was accepted.  A request that is accepted during a reload may have the old or the
+new limits.
 """
 
 import asyncio
--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -119,7 +119,7 @@
 
 
 def test_a_request_is_not_kept_for_a_backoff_past_its_deadline() -> None:
-    """Guards against a request that waits until near its deadline although no further attempt can be made."""
+    """Guards against a request that gets no answer until near its deadline although no further attempt can be made."""
     host = LimitCheckingHost(site(retry_backoff=(4900.0,), hedge=False))
     request = host.new_request(0)
     host.advance_to(host.now + 200)
@@ -173,7 +173,7 @@
 
 
 def test_a_non_idempotent_request_that_never_ran_is_retried_after_its_backoff() -> None:
-    """Guards against failing a request whose connection failed, so that it certainly never ran."""
+    """Guards against the failure of a request that certainly never ran, since its connection failed."""
     host = LimitCheckingHost(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
     request = host.new_request(2)
     host.end_attempt(request, 0, Outcome.CONNECT_FAILED)
@@ -184,7 +184,7 @@
 
 
 def test_a_class_with_hedging_disabled_is_not_hedged() -> None:
-    """The same silent request is hedged if the limit allows hedging."""
+    """Guards against a hedge that the class forbids; if the class allows hedging, the same silent request is hedged."""
     for second_copy, sent in ((True, 2), (False, 1)):
         host = LimitCheckingHost(site(hedge=second_copy))
         request = host.new_request(0)
@@ -229,7 +229,7 @@
 
 
 def test_limits_are_handed_over_to_another_process() -> None:
-    """Hands over one request that waits for a retry and one with a running attempt."""
+    """Guards against a handover that loses the backoff of a waiting request or the timeout of an attempt in flight."""
     request_class = replace(SAFE, max_attempts=2, attempt_timeout=300.0, retry_backoff=(200.0,), hedge=False)
     received = model.read(SAFE, model.write(request_class))
     assert received == request_class
