--- a/tests/config/test_limits_in_dispatcher.py
+++ b/tests/config/test_limits_in_dispatcher.py
@@ -32,11 +32,11 @@
 class LimitCheckingHost(Host):
     """A host that cancels attempts on request and checks each request against the limits of its arrival."""
 
-    def __init__(self, site: Settings, workers: int = 4, seed: int = 1) -> None:
+    def __init__(self, site: Settings, server_count: int = 4, seed: int = 1) -> None:
         self.policies: dict[int, RequestClass] = {}
         self.ended_at: dict[int, float] = {}  # when the last attempt of a request ended
-        self.overrun: set[int] = set()  # requests with an attempt that timed out
-        super().__init__(site, seed, workers)
+        self.timed_out: set[int] = set()  # requests with an attempt that timed out
+        super().__init__(site, seed, server_count)
 
     def handle(self, event: Any) -> list[Action]:
         """Records the limits of new requests and cancels attempts as the dispatcher asks."""
@@ -47,7 +47,7 @@
             if isinstance(action, CancelAttempt) and (action.request, action.attempt) not in self.outcomes:
                 timeout = self.policies[action.request].attempt_timeout
                 if timeout and self.now >= self.sent_at[action.request, action.attempt] + timeout:
-                    self.overrun.add(action.request)
+                    self.timed_out.add(action.request)
                 self.end_attempt(action.request, action.attempt, Outcome.CANCELLED)
         return actions
 
@@ -73,7 +73,7 @@
             wait = request_class.backoff_before(len(sent))
             assert self.now >= self.ended_at[send.request] + wait, f"no wait of {wait} before attempt {len(sent) + 1}"
         assert (
-            request_class.retry_after_timeout or out or send.request not in self.overrun
+            request_class.retry_after_timeout or out or send.request not in self.timed_out
         ), "a retry after a timeout that its limits forbid"
         super()._check_send(send)
 
@@ -95,7 +95,7 @@
 def test_a_request_has_the_attempts_that_its_class_allows() -> None:
     """Guards against more or fewer attempts than the class allows; 0 means the cap of the site."""
     for attempts in (1, 2, 3, 0):
-        host = LimitCheckingHost(site(max_attempts=attempts), workers=6)
+        host = LimitCheckingHost(site(max_attempts=attempts), server_count=6)
         request = host.new_request(0)
         while request not in host.final_states:
             host.end_attempt(request, len(host.sent_to[request]) - 1, Outcome.ERROR)
@@ -119,7 +119,7 @@
 
 
 def test_a_request_is_not_kept_for_a_backoff_past_its_deadline() -> None:
-    """Guards against a request that waits until near its deadline although no further attempt can be made."""
+    """Guards against a request that gets no answer until near its deadline although no further attempt can be made."""
     host = LimitCheckingHost(site(retry_backoff=(4900.0,), hedge=False))
     request = host.new_request(0)
     host.advance_to(host.now + 200)
@@ -173,7 +173,7 @@
 
 
 def test_a_non_idempotent_request_that_never_ran_is_retried_after_its_backoff() -> None:
-    """Guards against failing a request whose connection failed, so that it certainly never ran."""
+    """Guards against the failure of a request that certainly never ran, since its connection failed."""
     host = LimitCheckingHost(site(ONCE, retry_backoff=(50.0,), max_attempts=2))
     request = host.new_request(2)
     host.end_attempt(request, 0, Outcome.CONNECT_FAILED)
@@ -184,7 +184,7 @@
 
 
 def test_a_class_with_hedging_disabled_is_not_hedged() -> None:
-    """The same silent request is hedged if the limit allows hedging."""
+    """Guards against a hedge that the class forbids; if the class allows hedging, the same silent request is hedged."""
     for second_copy, sent in ((True, 2), (False, 1)):
         host = LimitCheckingHost(site(hedge=second_copy))
         request = host.new_request(0)
@@ -229,7 +229,7 @@
 
 
 def test_limits_are_handed_over_to_another_process() -> None:
-    """Hands over one request that waits for a retry and one with a running attempt."""
+    """Guards against a handover that loses the backoff of a waiting request or the timeout of an attempt in flight."""
     request_class = replace(SAFE, max_attempts=2, attempt_timeout=300.0, retry_backoff=(200.0,), hedge=False)
     received = model.read(SAFE, model.write(request_class))
     assert received == request_class
@@ -302,7 +302,7 @@
     """
     rng = Random(seed)
     unlimited = (SAFE, KEYED, ONCE)
-    host = LimitCheckingHost(site(), workers=6, seed=seed)
+    host = LimitCheckingHost(site(), server_count=6, seed=seed)
     for _ in range(120):
         classes = tuple(
             replace(request_class, **limits)
