--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -41,7 +41,7 @@
     """
 
     async def test(class_name: str) -> None:
-        async with DispatcherHarness(2, endpoint_list=["h1"], limits=LONG_IDLE_LIMIT).open() as harness:
+        async with DispatcherHarness(2, listed=["h1"], limits=LONG_IDLE_LIMIT).open() as harness:
             await open_connections(harness, "h1")
             client = harness.blocking_client()
             await harness.settle()
