--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -378,9 +378,9 @@
     return f"POST /{class_name} HTTP/1.1\r\nHost: x\r\n{names}Content-Length: 2\r\n\r\nhi".encode()
 
 
-def progress_chunk(request_id: str, state: str, more: str = "") -> bytes:
+def progress_chunk(request_id: str, state: str, result: str = "") -> bytes:
     """Returns a chunk with one progress line of a server."""
-    text = json.dumps({"id": request_id, "from": "h", "state": state, **({"result": more} if more else {})}) + "\n"
+    text = json.dumps({"id": request_id, "from": "h", "state": state, **({"result": result} if result else {})}) + "\n"
     return f"{len(text):x}\r\n{text}\r\n".encode()
 
 
--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -47,7 +47,7 @@
         assert client.received.startswith(b"HTTP/1.1 200 ")
 
 
-async def start_two_waiting_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
+async def send_two_unstarted_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
     """Sends two requests that servers receive and do not start; returns their connections by request id."""
     await learn_run_times(harness)
     for number in range(2):
@@ -59,7 +59,7 @@
 
 async def queue_third_request(harness: DispatcherHarness) -> tuple[StandInConnection, dict[str, StandInConnection]]:
     """Queues a third request behind two that wait at servers; returns its client and the connections of the two."""
-    waiting = await start_two_waiting_requests(harness)
+    waiting = await send_two_unstarted_requests(harness)
     client = await harness.post("t")
     assert not await received_requests(harness)
     return client, waiting
@@ -118,7 +118,7 @@
 
     async def test() -> None:
         async with overloaded_harness().open() as harness:
-            waiting = await start_two_waiting_requests(harness)
+            waiting = await send_two_unstarted_requests(harness)
             client = harness.blocking_client()
             client.send(request_bytes("t", "safe", 4000))
             assert not await received_requests(harness)
