--- a/tests/balancer/test_dispatcher.py
+++ b/tests/balancer/test_dispatcher.py
@@ -114,7 +114,7 @@
 def test_non_idempotent_request_waits_for_a_slot_that_becomes_free() -> None:
     """Failure: a request sent at once may queue behind other dispatchers' requests, and no hedge is allowed.
 
-    The benchmark then gave 0.90 in `burn-in` and 0.99 in `preview`.
+    The benchmark score was then 0.90 in `burn-in` and 0.99 in `preview`.
     """
     host = Host(with_settings(reports_start=True), server_count=6)
     running_request = host.new_request(0)
--- a/tests/balancer/test_load_reports.py
+++ b/tests/balancer/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Tests load reports and the summaries of the two aggregators that sum reports up in large groups of dispatchers.
+"""Tests load reports, and the summaries that two aggregators compute from them in large groups of dispatchers.
 
 A docstring that begins with *Failure* describes the failure that the test guards against.
 """
@@ -245,8 +245,8 @@
 
 
 def test_own_attempts_since_the_last_summary_are_counted() -> None:
-    """Failure: a dispatcher whose attempt ends learns of the free slot only with the summary, when all dispatchers send
-    requests to it, and has to wait (51% outcome `FULL`).
+    """Failure: a dispatcher whose attempt ends counts the freed slot only when the next summary arrives, at the same
+    time as all other dispatchers, and has to wait behind their requests (51% of the outcomes were `FULL`).
     """
     host = make_host_in_fleet(9, servers=1)
     host.handle(PeerMessage(0, make_summary(host, [0])[0]))
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -69,7 +69,7 @@
         outcomes: outcome of each ended attempt, by request and index.
         final_states: final state of each answered request: served, refused or failed.
         entries: latest entry of each listed server.
-        not_ready: servers that are draining or removed, by a notification.
+        not_ready: servers whose drain or removal the dispatcher was notified of.
         warmup_starts: start times in ms of attempts at each server while the server warmed up.
         actions: all actions of the dispatcher.
     """
--- a/tests/end_to_end/harness.py
+++ b/tests/end_to_end/harness.py
@@ -216,7 +216,7 @@
 
     def __init__(self, servers: int = 2, **changes: Any) -> None:
         self.clock, self.lines = ManualClock(), list[tuple[str, dict[str, object]]]()
-        self.discovery, self.other_discovery = StandIn("register"), StandIn("other register")
+        self.discovery, self.other_discovery = StandIn("service discovery"), StandIn("other service discovery")
         self.servers = {f"h{n + 1}": StandIn(f"h{n + 1}") for n in range(servers)}
         settings = {**SETTINGS, "instances": 1, **changes.pop("settings", {})}
         for table in ("limits", "safety"):
--- a/tests/end_to_end/process.py
+++ b/tests/end_to_end/process.py
@@ -61,7 +61,7 @@
         await self.harness.confirm()
 
     async def dial(self, address: str = "") -> StandInConnection:
-        """Opens a connection to the listener for clients or to ``address``; it may still wait to be accepted."""
+        """Opens a connection to the listener for clients or to ``address``; the program may accept it later."""
         host, port = (address or self.harness.listen).split(":")
         return (await asyncio.get_running_loop().create_connection(StandInConnection, host, int(port)))[1]
 
--- a/tests/end_to_end/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -1,8 +1,8 @@
 """Tests that a connection stays queued while ``accept`` fails and is served afterwards.
 
-After ENFILE or EMFILE, the event loop's server accepts the connection with a spare descriptor and closes it, so the
-client cannot tell whether its request ran. With half the calls failing, 73 of 231 requests were closed unread; with
-other errors, which leave connections queued, none.
+Guards against the server class of the event loop: after ENFILE or EMFILE, that class accepts the connection with a
+spare descriptor and closes it, so the client cannot tell whether its request ran. With half of the calls failing, 73 of
+231 requests were closed unread; with other errors, which leave connections queued, none.
 """
 
 import os
--- a/tests/end_to_end/test_client_leaves.py
+++ b/tests/end_to_end/test_client_leaves.py
@@ -28,7 +28,7 @@
 from heronlug.requests.model import Workload
 
 ENDINGS = ["fin", "half", "reset", "behind"]
-STALL_MS = 400.0  # longer than the 300 ms after a disconnect for which the protocol allows bytes to be sent
+STALL_MS = 400.0  # longer than the 300 ms after a disconnect within which bytes may still be sent
 
 
 async def open_connections(harness: DispatcherHarness) -> None:
--- a/tests/end_to_end/test_closed_connections.py
+++ b/tests/end_to_end/test_closed_connections.py
@@ -1,4 +1,4 @@
-"""Tests that the dispatcher closes no connection whose client has already sent a request.
+"""Tests that the dispatcher closes no connection on which a client has already sent a request.
 
 In each test the client's bytes are unread in the socket when the dispatcher is about to close the connection.
 """
--- a/tests/end_to_end/test_deployments.py
+++ b/tests/end_to_end/test_deployments.py
@@ -40,7 +40,7 @@
 
 
 async def response_after_broken_connection(harness: DispatcherHarness, class_name: str) -> bytes:
-    """Resets the server connection of a request, serves the retry if there is one, and returns the client's status."""
+    """Resets the server connection of a request, serves a retry, and returns the status that the client received."""
     client = await harness.post(f"b-{class_name}", class_name)
     await harness.pass_time(20)
     server_connection, _ = await next(server for server in harness.servers.values() if server.requests).request()
@@ -58,7 +58,7 @@
 def test_two_deployments_in_turn_behave_by_their_own_settings() -> None:
     """Guards against settings that remain from another deployment, which uses the same class names differently.
 
-    Both deployments run twice, and the second round must behave as the first one.
+    Both deployments run twice, and the second round must behave like the first one.
     """
 
     async def run_first_deployment() -> None:
--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -1,7 +1,8 @@
 """Tests that a list that arrived while the event loop was stalled is read before any attempt begins.
 
-The loop stalls for seconds because the process is suspended or gets no CPU time. A list that was written to its socket
-counts as notified, even if unread. The tests put the bytes into the kernel in the least favourable order.
+The loop stalls for seconds because the process is suspended or gets no CPU time. A list counts as notified once its
+bytes are in the socket of the dispatcher, even if unread. The tests put the bytes into the kernel in the least
+favourable order.
 """
 
 from functools import partial
--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -1,6 +1,7 @@
-"""Tests the queue of one of many dispatchers without gossip while its attempts wait at servers.
+"""Tests that one of many dispatchers without gossip queues requests while its earlier attempts wait at servers.
 
-Servers report the start of an attempt only when a test sends the report.
+A queued request that cannot start in time is rejected from the queue. Servers report the start of an attempt only when
+a test sends the report.
 """
 
 import pytest
--- a/tests/end_to_end/test_watch_events.py
+++ b/tests/end_to_end/test_watch_events.py
@@ -157,7 +157,8 @@
 def test_pushed_list_stays_in_use_while_discovery_refuses_connections() -> None:
     """Guards against an outage while discovery refuses connections.
 
-    Each refused connection shows that discovery notifies no dispatcher of changes, so the list stays usable.
+    Each refused connection shows that discovery notifies no dispatcher of changes, so the list stays usable until
+    discovery is silent instead.
     """
 
     async def test() -> None:
@@ -213,7 +214,8 @@
 def test_polled_list_stays_in_use_in_an_outage_after_a_reset_watch() -> None:
     """Guards against an outage of the dispatcher while discovery refuses connections and lists are polled.
 
-    Each refused connection shows that discovery is down and notifies nobody, so the list stays usable.
+    Without a watch, a change counts as notified 6 s after it was made. Each refused connection shows that discovery is
+    down and notifies no dispatcher, and extends the time for which the list may be used.
     """
 
     async def test() -> None:
@@ -256,10 +258,11 @@
 def test_change_counts_as_notified_though_each_poll_fails() -> None:
     """Guards against postponing the expiry of a list with each failed poll.
 
-    A change counts as notified 6 s after discovery had it, if discovery is reachable. A failed poll extended the list
-    to four poll intervals, and each sent poll extended it to the end of its wait.
+    A change counts as notified 6 s after discovery had it, if discovery is reachable. With the fault, each failed poll
+    extended the use of the list to four poll intervals, and each sent poll extended it to the end of its wait.
     """
-    # One process at 25 requests per second sent 74 to 172 requests to servers that had drained for over 8.5 s.
+    # With the fault, one process at 25 requests per second sent 74 to 172 requests, depending on how the polls ended,
+    # to servers that had drained for over 8.5 s.
 
     async def test(ending: str) -> None:
         async with DispatcherHarness(1).open() as harness:
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -249,7 +249,7 @@
         taken: bool = False,
         **changes: Any,
     ) -> None:
-        """Starts the program; the files of exchanges contain the names of the parameters.
+        """Starts the program; header lines ``# NAME JSON`` of exchange files set these parameters by name.
 
         Args:
             hosts: number of servers.
