--- a/tests/end_to_end/test_overload.py
+++ b/tests/end_to_end/test_overload.py
@@ -1,6 +1,7 @@
-"""Tests the queue of one of many dispatchers without gossip while its attempts wait at servers.
+"""Tests that one of many dispatchers without gossip queues requests while its earlier attempts wait at servers.
 
-Servers report the start of an attempt only when a test sends the report.
+A queued request that cannot start in time is rejected from the queue. Servers report the start of an attempt only when
+a test sends the report.
 """
 
 import pytest
@@ -47,7 +48,7 @@
         assert client.received.startswith(b"HTTP/1.1 200 ")
 
 
-async def start_two_waiting_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
+async def send_two_unstarted_requests(harness: DispatcherHarness) -> dict[str, StandInConnection]:
     """Sends two requests that servers receive and do not start; returns their connections by request id."""
     await learn_run_times(harness)
     for number in range(2):
@@ -59,7 +60,7 @@
 
 async def queue_third_request(harness: DispatcherHarness) -> tuple[StandInConnection, dict[str, StandInConnection]]:
     """Queues a third request behind two that wait at servers; returns its client and the connections of the two."""
-    waiting = await start_two_waiting_requests(harness)
+    waiting = await send_two_unstarted_requests(harness)
     client = await harness.post("t")
     assert not await received_requests(harness)
     return client, waiting
@@ -118,7 +119,7 @@
 
     async def test() -> None:
         async with overloaded_harness().open() as harness:
-            waiting = await start_two_waiting_requests(harness)
+            waiting = await send_two_unstarted_requests(harness)
             client = harness.blocking_client()
             client.send(request_bytes("t", "safe", 4000))
             assert not await received_requests(harness)
