--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -88,7 +88,7 @@
 def compare_fleets(span: float, peers: bool) -> tuple[list[list[str]], list[str]]:
     """Returns the table of both fleets, and descriptions of exceeded limits and violated rules."""
     small, large = (play(release_plan(servers, span, peers)) for servers in (SMALL_FLEET, LARGE_FLEET))
-    rows, failures = [], _violations(small) + _violations(large)
+    rows, failures = [], _verdict_failures(small) + _verdict_failures(large)
     for limit in GROWTH_LIMITS:
         small_value, large_value = float(small.figures[limit.figure]), float(large.figures[limit.figure])
         bound = limit.upper_bound(small_value, LARGE_FLEET)
@@ -102,7 +102,7 @@
     return rows, failures
 
 
-def _violations(verdict: Verdict) -> list[str]:
+def _verdict_failures(verdict: Verdict) -> list[str]:
     """Returns the text of a verdict that reports violations; an empty list if there are none."""
     return [] if verdict.kept else [verdict.text()]
 
