--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -142,7 +142,7 @@
     sender, receiver = datagrams.DatagramCodec(1, {1: b"k" * 32}, 0), datagrams.DatagramCodec(2, {1: b"k" * 32}, 0)
     print(
         f"seal a datagram {call_time_us(lambda: sender.pack([messages.Ping(1)])):.2f} us, "
-        f"open one {call_time_us(lambda: receiver.unpack(sender.pack([messages.Ping(1)])[0])):.2f} us with its sealing"
+        f"seal and open a datagram {call_time_us(lambda: receiver.unpack(sender.pack([messages.Ping(1)])[0])):.2f} us"
     )
 
 
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -110,6 +110,11 @@
         cpu_before_s = _cpu_s(harness)
 
         async def wait_until(condition: Any) -> float:
+            """Waits until the condition holds, the harness ends or ``CASE_TIMEOUT_S`` - 20 seconds have passed.
+
+            Returns:
+                The time waited in seconds.
+            """
             wait_started_at = time.monotonic()
             while time.monotonic() - wait_started_at < CASE_TIMEOUT_S - 20 and not harness_task.done():
                 if condition():
@@ -231,7 +236,9 @@
 
 
 @click.command()
-@click.option("--before", type=click.Path(file_okay=False, path_type=Path), help="a checkout of an earlier version")
+@click.option(
+    "--before", type=click.Path(file_okay=False, path_type=Path), help="folder with a checkout of an earlier version"
+)
 @click.option("--only", multiple=True, help="run only cases whose name contains this text")
 @click.option("--more", default="", help="TOML to append to the configuration files of this version")
 @click.option("--json", "as_json", is_flag=True)
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -23,6 +23,7 @@
 
 SCENARIO_FILE = Path(__file__).parents[1] / "scenarios" / "halls-dead.toml"
 VARIANTS = ("each for itself", "as one", "oracle")
+"""Names of the runs without zone failover, with zone failover, and with the oracle policy."""
 FAULTS_WITHOUT_ZONE_OUTAGE: list[dict[str, Any]] = [
     {"what": "crash", "at_s": 8, "share": 0.24},
     {"what": "deploy", "at_s": 14, "share": 0.6, "over_s": 20, "drain_s": 1},
@@ -70,7 +71,7 @@
         return float(((sent_at >= begin) & (sent_at < end)).sum()) * 1000 / (end - begin)
 
     def value_share(begin: float, end: float) -> float:
-        """Returns the earned share of the requested value between two times in ms."""
+        """Returns the earned value as a share of the requested value between two times in ms."""
         seconds = slice(int(begin / 1000), int(end / 1000))
         return float(earned_value[seconds].sum() / requested_value[seconds].sum())
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -86,7 +86,7 @@
 
 
 def compare_fleets(span: float, peers: bool) -> tuple[list[list[str]], list[str]]:
-    """Returns the table of both fleets, and descriptions of exceeded limits and violated rules."""
+    """Returns the table of both fleets, and descriptions of exceeded limits and of failed test plans."""
     small, large = (play(release_plan(servers, span, peers)) for servers in (SMALL_FLEET, LARGE_FLEET))
     rows, failures = [], _verdict_failures(small) + _verdict_failures(large)
     for limit in GROWTH_LIMITS:
@@ -103,14 +103,17 @@
 
 
 def _verdict_failures(verdict: Verdict) -> list[str]:
-    """Returns the text of a verdict that reports violations; an empty list if there are none."""
+    """Returns the text of a verdict with violated rules, unmet expectations or failed processes, else an empty list."""
     return [] if verdict.kept else [verdict.text()]
 
 
 @click.command()
 @click.option("--span", default=20.0, help="duration of each test plan in seconds")
 def main(span: float) -> None:
-    """Print the tables with and without gossip. The exit status is 1 if a limit is exceeded or a rule is violated."""
+    """Print the tables with and without gossip.
+
+    The exit status is 1 if a limit is exceeded, a rule is violated or an expectation is not met.
+    """
     failures: list[str] = []
     for peers in (True, False):
         rows, fleet_failures = compare_fleets(span, peers)
--- a/heronlug/__main__.py
+++ b/heronlug/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of ``python -m heronlug``: runs a dispatcher as the environment configures, or a command."""
+"""Entry point of ``python -m heronlug``: runs a command, or without arguments a dispatcher."""
 
 import os
 import sys
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Runs the command named by the arguments, or a dispatcher if there are none; returns the exit status."""
+    """Runs the command that the arguments name, or a dispatcher if there are none, and returns the exit status."""
     if sys.argv[1:]:
         from heronlug.cli import main as run_command
 
@@ -24,7 +24,7 @@
 
 
 def start(files: Files, on_loaded: Callable[[Config, State], None] = lambda config, desired: None) -> int:
-    """Runs a dispatcher, after a call of ``on_loaded`` with the loaded configuration and desired state.
+    """Loads the files, calls ``on_loaded`` with the configuration and the desired state, and runs a dispatcher.
 
     Returns:
         The exit status: 2 if the configuration is invalid, else that of the dispatcher.
--- a/heronlug/cli/__init__.py
+++ b/heronlug/cli/__init__.py
@@ -1,6 +1,6 @@
 """Defines the command line.
 
-A dispatcher that is started without arguments, as the platform does, does not import this package.
+The platform starts a dispatcher without arguments; such a dispatcher does not import this package.
 """
 
 import sys
@@ -58,8 +58,8 @@
     """Runs the command that the arguments name.
 
     Returns:
-        The exit status of the command, where 0 is success; 1 if the command fails or the configuration or desired state
-        is invalid; 2 if the arguments are invalid or a package of the extra ``lab`` is missing.
+        The exit status: 0 if the command succeeds; 1 if the command fails, or the configuration or the desired state is
+        invalid; 2 if the arguments are invalid, or a package of the extra ``lab`` is missing.
     """
     try:
         status = group.main(prog_name="heronlug", standalone_mode=False)
--- a/heronlug/cli/emulate.py
+++ b/heronlug/cli/emulate.py
@@ -87,7 +87,7 @@
 @click.option(
     "--drain-grace-ms",
     default=2500.0,
-    help="milliseconds after a server's notified change in which attempts may still be sent",
+    help="milliseconds for which attempts may still be sent to a server after its change is notified",
 )
 @click.option("--slack-ms", default=50.0, help="tolerance in milliseconds for clock differences between processes")
 def check_rules(file: Path, drain_grace_ms: float, slack_ms: float) -> int:
@@ -128,7 +128,10 @@
     "--workers", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="number of parallel processes"
 )
 def run(file: Path, store: Path | None, workers: int) -> int:
-    """Run those runs of the experiment FILE that are not stored yet, also after an interruption."""
+    """Run the experiment FILE, except the runs that are already stored.
+
+    After an interruption, the same command continues the experiment.
+    """
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from heronlug.experiments import runner
--- a/heronlug/cli/inspect.py
+++ b/heronlug/cli/inspect.py
@@ -26,11 +26,11 @@
 
     Args:
         file: path of the operators' file.
-        config: path of the platform's JSON configuration; None if there is none, which leaves a file without ``[site]``
-            checked for its form only.
+        config: path of the platform's JSON configuration, or None. Without the configuration, only the form of a file
+            without ``[site]`` is checked.
 
     Returns:
-        The state, the settings that the state was checked against, and all problems. The state and the settings are
+        The state, the settings that the state was checked against, and all problems. The state or the settings are
         None if unavailable.
     """
     platform = load({"RELAY_CONFIG": str(config)}) if config is not None else None
--- a/heronlug/cli/serve.py
+++ b/heronlug/cli/serve.py
@@ -1,4 +1,4 @@
-"""Defines ``serve``, which runs a dispatcher from one file, and ``try``, which sends first requests to a dispatcher."""
+"""Defines ``serve``, which runs a dispatcher from one file, and ``try``, which sends test requests to a dispatcher."""
 
 import os
 import sys
@@ -31,7 +31,7 @@
 
 
 def _announce(file: Path, config: Config, state: State) -> None:
-    """Prints the addresses on which the dispatcher will listen, and a command that sends first requests."""
+    """Prints the addresses on which the dispatcher will listen and, without service discovery, the ``try`` command."""
     addresses = [("clients (HTTP)", config.listen), ("operators (HTTP)", config.admin)]
     lines = [f"{label:18}{address[0]}:{address[1]}" for label, address in addresses if address is not None]
     if state["faktory"]:
@@ -49,7 +49,7 @@
 def try_(file: Path, seconds: float) -> int:
     """Send one request of each class to the dispatcher that runs FILE.
 
-    During the command, a stand-in server answers at each loopback address of a server in FILE where nothing listens.
+    If nothing listens at the loopback address of a server in FILE, a stand-in server answers there during the command.
     """
     from heronlug.standins.first_request import run
 
--- a/heronlug/cli/zones.py
+++ b/heronlug/cli/zones.py
@@ -15,7 +15,7 @@
 @CONTROL_OPTION
 @click.pass_context
 def halls(context: click.Context, as_json: bool, control: str) -> None:
-    """Show each zone as the running dispatcher sees it: state, servers offered, evidence and decider."""
+    """Show each zone as the running dispatcher sees it: state, offered servers, evidence, and who decides the state."""
     if context.invoked_subcommand is None:
         print_rows(ask(control, {"ask": "halls"})["halls"], as_json)
 
