--- a/heronlug/faults/observed_load.py
+++ b/heronlug/faults/observed_load.py
@@ -8,7 +8,7 @@
 from heronlug.loadgen.http import HttpLoad, SentRequest
 from heronlug.loadgen.tally import Tally
 
-FRONT_NOTICES_AFTER_S = 0.4
+FRONT_END_NOTICE_DELAY_S = 0.4
 """Seconds after SIGTERM during which the platform's front end still opens new connections to a dispatcher."""
 
 
@@ -30,34 +30,34 @@
         self._dispatchers = dispatchers
         self._history = history
 
-    def takes(self, door: int) -> bool:
+    def may_open_connection(self, dispatcher: int) -> bool:
         """Returns whether new connections go to a dispatcher.
 
-        They stop ``FRONT_NOTICES_AFTER_S`` after the dispatcher received SIGTERM.
+        They stop ``FRONT_END_NOTICE_DELAY_S`` after the dispatcher received SIGTERM.
         """
-        requested_at_s = self._dispatchers.processes[f"d{door}"].stop_requested_at_s
-        return requested_at_s is None or time.monotonic() - requested_at_s < FRONT_NOTICES_AFTER_S
+        requested_at_s = self._dispatchers.processes[f"d{dispatcher}"].stop_requested_at_s
+        return requested_at_s is None or time.monotonic() - requested_at_s < FRONT_END_NOTICE_DELAY_S
 
-    def handed(self, job: SentRequest, door: int) -> None:
+    def request_sent(self, request: SentRequest, dispatcher: int) -> None:
         """Records that a dispatcher received a request."""
-        now, name, request_class = self._history.now(), f"d{door}", job.due.request_class
-        self.dispatcher_of[job.txn] = name
-        self.incarnation_of[job.txn] = self._dispatchers.processes[name].incarnation
-        remaining_ms = max(1.0, request_class.deadline_ms - (self.now() - job.due.due_at))
+        now, name, request_class = self._history.now(), f"d{dispatcher}", request.planned.request_class
+        self.dispatcher_of[request.txn] = name
+        self.incarnation_of[request.txn] = self._dispatchers.processes[name].incarnation
+        remaining_ms = max(1.0, request_class.deadline_ms - (self.now() - request.planned.due_at))
         once = request_class.effect == "once"
-        self._history.record(Taken(now, name, job.txn, request_class.name, once, now + remaining_ms))
+        self._history.record(Taken(now, name, request.txn, request_class.name, once, now + remaining_ms))
 
-    def ended(self, job: SentRequest, how: str) -> None:
+    def request_ended(self, request: SentRequest, outcome: str) -> None:
         """Records the end of a request, unless its dispatcher had been killed before the answer was read."""
-        super().ended(job, how)
-        name = self.dispatcher_of.get(job.txn)
+        super().request_ended(request, outcome)
+        name = self.dispatcher_of.get(request.txn)
         if name is None:
             return
         process = self._dispatchers.processes[name]
-        if how != "lost":
+        if outcome != "lost":
             # The kill of a dispatcher already ended its requests in the history, so an answer read later is skipped.
-            if process.last_ended_incarnation < self.incarnation_of[job.txn]:
-                self._dispatchers.report_end(Answered(self._history.now(), name, job.txn, how))
+            if process.last_ended_incarnation < self.incarnation_of[request.txn]:
+                self._dispatchers.report_end(Answered(self._history.now(), name, request.txn, outcome))
         elif not process.should_run or not process.running:
-            self._dispatchers.report_end(Ended(self._history.now(), name, job.txn))
+            self._dispatchers.report_end(Ended(self._history.now(), name, request.txn))
             self.lost_count += 1
--- a/heronlug/loadgen/http.py
+++ b/heronlug/loadgen/http.py
@@ -21,15 +21,15 @@
     """A request that was given out.
 
     Attributes:
-        due: the planned request.
+        planned: the planned request.
         began: time in ms at which the request was given out.
         txn: transaction id of the request.
     """
 
-    __slots__ = ("began", "due", "txn")
+    __slots__ = ("began", "planned", "txn")
 
-    def __init__(self, due: PlannedRequest, began: float) -> None:
-        self.due, self.began, self.txn = due, began, secrets.token_hex(8)
+    def __init__(self, planned: PlannedRequest, began: float) -> None:
+        self.planned, self.began, self.txn = planned, began, secrets.token_hex(8)
 
 
 class Connection(asyncio.Protocol):
@@ -38,13 +38,13 @@
     Attributes:
         load: load generator that the connection belongs to.
         dispatcher: index of the dispatcher.
-        job: request in flight on the connection, if any.
+        request: request in flight on the connection, if any.
         transport: transport while the connection is open.
     """
 
     def __init__(self, load: "HttpLoad", dispatcher: int) -> None:
         self.load, self.dispatcher = load, dispatcher
-        self.job: SentRequest | None = None
+        self.request: SentRequest | None = None
         self.transport: asyncio.Transport | None = None
         self._parser: Any = None
 
@@ -52,16 +52,17 @@
         """Stores the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def send(self, job: SentRequest) -> None:
+    def send(self, request: SentRequest) -> None:
         """Sends a request."""
         assert self.transport is not None
-        self.job, self._parser = job, httptools.HttpResponseParser(self)
-        self.load.handed(job, self.dispatcher)
-        request_class, body = job.due.request_class, f"{job.due.work_ms:.3f}".encode()
-        remaining_ms = max(1, round(request_class.deadline_ms - (self.load.now() - job.due.due_at)))
+        self.request, self._parser = request, httptools.HttpResponseParser(self)
+        self.load.request_sent(request, self.dispatcher)
+        request_class, body = request.planned.request_class, f"{request.planned.work_ms:.3f}".encode()
+        remaining_ms = max(1, round(request_class.deadline_ms - (self.load.now() - request.planned.due_at)))
         head = (
-            f"POST /{request_class.name} HTTP/1.1\r\nHost: load\r\nX-Txn: {job.txn}\r\nX-Lane: {request_class.name}\r\n"
-            f"X-Remaining-Ms: {remaining_ms}\r\nIdempotency-Key: {job.txn * 2}\r\nContent-Length: {len(body)}\r\n\r\n"
+            f"POST /{request_class.name} HTTP/1.1\r\nHost: load\r\n"
+            f"X-Txn: {request.txn}\r\nX-Lane: {request_class.name}\r\nX-Remaining-Ms: {remaining_ms}\r\n"
+            f"Idempotency-Key: {request.txn * 2}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         self.transport.write(head.encode() + body)
 
@@ -80,9 +81,9 @@
     def on_message_complete(self) -> None:
         """Handles the end of an answer."""
         status, keep_alive = self._parser.get_status_code(), self._parser.should_keep_alive()
-        job, self.job, self._parser = self.job, None, None
-        assert job is not None
-        self.load.ended(job, "served" if status == 200 else "refused" if status in (429, 503) else "failed")
+        request, self.request, self._parser = self.request, None, None
+        assert request is not None
+        self.load.request_ended(request, "served" if status == 200 else "refused" if status in (429, 503) else "failed")
         if keep_alive and self.transport is not None and not self.transport.is_closing():
             self.load.connection_idle(self)
         elif self.transport is not None:
@@ -91,9 +92,9 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Handles the end of the connection; a request in flight counts as lost."""
         self.load.connection_closed(self)
-        job, self.job = self.job, None
-        if job is not None:
-            self.load.ended(job, "lost")
+        request, self.request = self.request, None
+        if request is not None:
+            self.load.request_ended(request, "lost")
 
 
 class HttpLoad(OpenLoopPacer):
@@ -124,29 +125,29 @@
 
     async def run(self, due: Iterable[PlannedRequest]) -> None:
         """Sends planned requests when they are due and waits for the last answers."""
-        async for request in self.due(due):
+        async for planned in self.due(due):
             self.in_flight += 1
-            self._send_or_queue(SentRequest(request, self.now()))
+            self._send_or_queue(SentRequest(planned, self.now()))
         while self.in_flight and not self.is_over():
             await asyncio.sleep(0.02)
-        for job in self._queued:
-            self.ended(job, "lost")
+        for request in self._queued:
+            self.request_ended(request, "lost")
         for connection in list(self._connections):
             if connection.transport is not None:
                 connection.transport.abort()
         await asyncio.sleep(0)
 
-    def takes(self, door: int) -> bool:
+    def may_open_connection(self, dispatcher: int) -> bool:
         """Returns whether new connections to a dispatcher may be opened; open connections are used in any case."""
         return True
 
-    def handed(self, job: SentRequest, door: int) -> None:
+    def request_sent(self, request: SentRequest, dispatcher: int) -> None:
         """Called when a request is sent to a dispatcher."""
 
-    def ended(self, job: SentRequest, how: str) -> None:
+    def request_ended(self, request: SentRequest, outcome: str) -> None:
         """Counts a request that has ended; its latency counts from its due time."""
         self.in_flight -= 1
-        self.tallies[job.due.request_class.name].request_ended(how, self.now() - job.due.due_at)
+        self.tallies[request.planned.request_class.name].request_ended(outcome, self.now() - request.planned.due_at)
 
     def connection_idle(self, connection: Connection) -> None:
         """Sends the next queued request on an idle connection, or keeps the connection for later requests."""
@@ -162,26 +163,26 @@
         if connection in self._idle[connection.dispatcher]:
             self._idle[connection.dispatcher].remove(connection)
 
-    def _send_or_queue(self, job: SentRequest) -> None:
+    def _send_or_queue(self, request: SentRequest) -> None:
         for _ in self.addresses:
             self._last_dispatcher = (self._last_dispatcher + 1) % len(self.addresses)
             idle_connections = self._idle[self._last_dispatcher]
             while idle_connections:
                 connection = idle_connections.pop()
                 if connection.transport is not None and not connection.transport.is_closing():
-                    connection.send(job)
+                    connection.send(request)
                     return
-            if self.takes(self._last_dispatcher):
+            if self.may_open_connection(self._last_dispatcher):
                 break
         if self._open_count >= MAX_CONNECTIONS:
-            self._queued.append(job)
+            self._queued.append(request)
             return
         self._open_count += 1
-        task = asyncio.get_running_loop().create_task(self._dial(self._last_dispatcher, job))
+        task = asyncio.get_running_loop().create_task(self._dial(self._last_dispatcher, request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, dispatcher: int, job: SentRequest) -> None:
+    async def _dial(self, dispatcher: int, request: SentRequest) -> None:
         loop = asyncio.get_running_loop()
         for offset in range(len(self.addresses)):  # skips dispatchers that do not listen
             dispatcher = (dispatcher + offset) % len(self.addresses)
@@ -193,7 +194,7 @@
                 continue
             self._connections.add(connection)
             if connection.transport is not None:  # the connection may be closed already
-                connection.send(job)
+                connection.send(request)
                 return
         self._open_count -= 1
-        self.ended(job, "lost")
+        self.request_ended(request, "lost")
