--- a/heronlug/emulator/clients.py
+++ b/heronlug/emulator/clients.py
@@ -66,7 +66,7 @@
     if arrivals.shape == "bursts":
         return _burst_arrivals(arrivals, rng, begin, end)
     if arrivals.rate is None:
-        msg = f"arrivals of class {arrivals.lane!r} have no rate, which shape {arrivals.shape!r} requires"
+        msg = f"arrivals of class {arrivals.class_name!r} have no rate, which shape {arrivals.shape!r} requires"
         raise ValueError(msg)
     if arrivals.shape == "waves":
         return _wave_arrivals(arrivals, arrivals.rate, rng, begin, end)
@@ -155,7 +155,7 @@
         scenario = self._world.scenario
         for number, arrivals in enumerate(scenario.arrivals):
             times = arrival_times(arrivals, self._world.seed, number, scenario.span_s * 1000, scenario.folder)
-            self._schedule_arrival(self._class_numbers[arrivals.lane], times)
+            self._schedule_arrival(self._class_numbers[arrivals.class_name], times)
 
     def change_open_requests(self, change: int) -> None:
         """Changes the number of open requests and updates its integral over time, for the check of Little's law."""
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -171,11 +171,11 @@
     retry_wait_ms: NonNegativeMillis = 500.0
 
 
-class Arrivals(Struct, forbid_unknown_fields=True, rename={"lane": "class"}):
+class Arrivals(Struct, forbid_unknown_fields=True, rename={"class_name": "class"}):
     """An ``[[arrivals]]`` table: arrivals of requests of one class.
 
     Attributes:
-        lane: name of the class, ``class`` in the file.
+        class_name: name of the class, ``class`` in the file.
         shape: Poisson process with a constant rate, Poisson process with a rate that follows a sine wave, bursts, or a
             recorded trace.
         rate: mean rate of ``poisson`` and ``waves``.
@@ -189,7 +189,7 @@
         to_s: time after which no request arrives; the end of the run if not given.
     """
 
-    lane: Text
+    class_name: Text
     shape: Annotated[
         Literal["poisson", "waves", "bursts", "trace"], Meta(description='"poisson", "waves", "bursts" or "trace"')
     ] = "poisson"
@@ -422,10 +422,10 @@
         if request_class.slots > widest:
             yield problem(("class", number, "slots"), "exceeds the slots of every kind", f"expected at most {widest}")
     for number, arrivals in enumerate(scenario.arrivals):
-        if arrivals.lane not in class_names:
+        if arrivals.class_name not in class_names:
             yield problem(
                 ("arrivals", number, "class"),
-                f"unknown class {arrivals.lane!r}",
+                f"unknown class {arrivals.class_name!r}",
                 "expected one of " + ", ".join(class_names),
             )
         if arrivals.shape in ("poisson", "waves") and arrivals.rate is None:
--- a/heronlug/loadgen/plan.py
+++ b/heronlug/loadgen/plan.py
@@ -33,7 +33,7 @@
 
     def arrivals_of_table(number: int, arrivals: Arrivals) -> Iterator[tuple[float, int, str]]:
         for due_at in arrival_times(arrivals, seed, number, span, scenario.folder):
-            yield due_at, number, arrivals.lane
+            yield due_at, number, arrivals.class_name
 
     for due_at, _, name in heapq.merge(*(arrivals_of_table(*each) for each in enumerate(scenario.arrivals))):
         yield PlannedRequest(due_at, classes[name], work_draws[name].next())
