--- a/heronlug/emulator/backend.py
+++ b/heronlug/emulator/backend.py
@@ -110,7 +110,7 @@
             self._timeline.schedule_after(PROGRESS_INTERVAL_MS, self._report_progress, execution)
 
     def _report(self, execution: Execution, callback: Callable[..., None], *args: Any) -> None:
-        """Calls back with the attempt after the delay from its server; a partition defers the call until it heals."""
+        """Calls ``callback`` after the network delay from the server; a partition defers the call until it heals."""
         if self._closed:
             return
         attempt, server = execution.owner
--- a/heronlug/emulator/clients.py
+++ b/heronlug/emulator/clients.py
@@ -74,7 +74,7 @@
 
 
 def _trace_arrivals(file: Path, begin: float, end: float) -> Iterator[float]:
-    """Yields recorded arrivals; the file has one line for each, in seconds from the beginning of the table."""
+    """Returns recorded arrivals in ascending order; the file has one line per arrival, in seconds from ``begin``."""
     times = sorted(begin + float(line) * 1000 for line in file.read_text().split())
     return (time for time in times if time < end)
 
--- a/heronlug/emulator/faults.py
+++ b/heronlug/emulator/faults.py
@@ -92,7 +92,7 @@
         }
 
     def _choose_servers(self, table: FaultTable, rng: np.random.Generator) -> list[EmulatedServer]:
-        """Chooses the table's share of the servers that are up, in the table's zone if it names one."""
+        """Chooses the table's share of the servers that are up, of the table's zone if the table names a zone."""
         servers = [server for server in self._target.servers.values() if server.up]
         if table.zone:
             zone = self._zones.index(table.zone)
@@ -112,7 +112,7 @@
             self.crash_server(server)
 
     def _hang(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """Suspends servers; after the time of the fault the servers crash and are restarted."""
+        """Suspends servers; at the end of the fault the servers crash and are restarted later."""
         for server in self._choose_servers(table, rng):
             server.suspend()
             self._timeline.schedule_after(table.for_s * 1000, self._end_hang, server)
@@ -122,7 +122,7 @@
             self.crash_server(server)
 
     def _pause(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """Suspends servers and resumes them after the time of the fault."""
+        """Suspends servers and resumes them at the end of the fault."""
         for server in self._choose_servers(table, rng):
             server.suspend()
             self._timeline.schedule_after(table.for_s * 1000, server.resume)
@@ -150,7 +150,7 @@
     # -- zones
 
     def _zone_failure(self, table: FaultTable, rng: np.random.Generator) -> None:
-        """Ends a share of a zone's servers, which stay listed if the table says so, and restores them together."""
+        """Stops a share of a zone's servers and restores them together; ``listed`` keeps them in service discovery."""
         servers = self._choose_servers(table, rng)
         for server in servers:
             self._target.stop_server(server)
--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -313,7 +313,7 @@
         changes: values that replace values of the file, by dotted key as for :func:`put`.
 
     Raises:
-        ConfigProblems: if the file or a changed value is invalid; names all problems found.
+        ConfigProblems: if the file or a changed value is invalid, with every problem found.
         ValueError: if a dotted key names no place in the scenario.
     """
     source = Source.read(path)
@@ -346,7 +346,7 @@
     """Returns the scenario of a file that was read.
 
     Raises:
-        ConfigProblems: if the file is invalid; names all problems found.
+        ConfigProblems: if the file is invalid, with every problem found.
     """
     scenario, problems = decode(Scenario, {k: v for k, v in source.table.items() if k != "folder"}, source, ())
     if scenario is None:
--- a/heronlug/emulator/world.py
+++ b/heronlug/emulator/world.py
@@ -22,7 +22,7 @@
 ANSWER_SLACK_MS = 5.0
 """Time in ms that an answer needs to reach its client."""
 CHECKER_SLACK_MS = 1e-6
-"""Tolerance in ms of the checker for deadlines, since events of the same time have no defined order."""
+"""Tolerance in ms of the checker for deadlines, since events of the same time may be recorded in any order."""
 TICK_MS = 1.0
 """Tick of the emulated dispatchers in ms."""
 PROGRESS_INTERVAL_MS = 1000.0
--- a/heronlug/experiments/compare.py
+++ b/heronlug/experiments/compare.py
@@ -39,7 +39,7 @@
 
     @property
     def noise(self) -> bool:
-        """Whether the confidence interval does not exclude a change of zero."""
+        """Whether the confidence interval contains zero or is unknown (nan)."""
         return not (self.low > 0 or self.high < 0)
 
 
--- a/heronlug/experiments/experiment.py
+++ b/heronlug/experiments/experiment.py
@@ -66,7 +66,7 @@
         params: varied values, by dotted key.
         fixed: values set for all runs, by dotted key.
         seed: seed of the run.
-        code: version of the program when the experiment was read, even if files change before the run.
+        code: version of the program at the time when the experiment was read; a later change of the files is ignored.
     """
 
     key: str
--- a/heronlug/faults/network.py
+++ b/heronlug/faults/network.py
@@ -213,7 +213,7 @@
         self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Stores the transport and forwards pending bytes; closing the socket will send a reset."""
+        """Stores the transport, makes the socket send a reset when it is closed, and forwards pending bytes."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
--- a/heronlug/faults/observed_load.py
+++ b/heronlug/faults/observed_load.py
@@ -17,7 +17,7 @@
 
     Attributes:
         dispatcher_of: dispatcher that received the request, by request id.
-        incarnation_of: incarnation of that dispatcher at the time, by request id.
+        incarnation_of: incarnation of the dispatcher that received the request, by request id.
         lost_count: requests that were lost because their dispatcher ended.
     """
 
@@ -31,9 +31,9 @@
         self._history = history
 
     def may_open_connection(self, dispatcher: int) -> bool:
-        """Returns whether new connections go to a dispatcher.
+        """Returns whether new connections to a dispatcher may be opened.
 
-        They stop ``FRONT_END_NOTICE_DELAY_S`` after the dispatcher received SIGTERM.
+        New connections stop ``FRONT_END_NOTICE_DELAY_S`` after the dispatcher received SIGTERM.
         """
         requested_at_s = self._dispatchers.processes[f"d{dispatcher}"].stop_requested_at_s
         return requested_at_s is None or time.monotonic() - requested_at_s < FRONT_END_NOTICE_DELAY_S
--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -1,9 +1,9 @@
 """Reads test plans: TOML files that say which parties run, which faults happen when, and which results are expected.
 
 Parties are named ``d0`` (a dispatcher), ``r0`` (a server), ``register`` (service discovery) and ``clients``. A selector
-is one of: a name; a pattern (``d*``); ``hall:a`` (parties in zone a); ``hall:a/r*`` (those that match the pattern);
-``share:0.7/d*`` (that share of the matching parties, drawn from the seed); ``but:d1`` (all dispatchers except these);
-``reading`` (dispatchers that have a watch open at service discovery when the step begins).
+is one of: a name; a pattern (``d*``); ``hall:a`` (parties in zone a); ``hall:a/r*`` (parties in zone a that match the
+pattern); ``share:0.7/d*`` (that share of the matching parties, drawn from the seed); ``but:d1`` (all dispatchers except
+the named ones); ``reading`` (dispatchers that have a watch open at service discovery when the step begins).
 """
 
 from fnmatch import fnmatchcase
@@ -29,7 +29,7 @@
 PATH_ACTIONS = ("cut", "silent", "refuse", "full", "reset", "delay", "loss", "trickle", "half", "heal")
 """Steps that set, or with ``heal`` end, a fault on network paths."""
 DISCOVERY_ACTIONS = ("down", "up", "hang", "speak", "anew", "costs", "turn")
-"""Steps on service discovery: stop, start, stop answering, answer, lose versions, set ``call_ms``, reject calls."""
+"""Steps on service discovery: stop, start, stop answering, answer, restart versions, set ``call_ms``, reject calls."""
 SERVER_ACTIONS = ("die", "back", "list", "slow")
 """Steps on servers: end the process, start it, change its lifecycle in the endpoint list, slow it down."""
 ACTIONS = (*DISPATCHER_ACTIONS, *PATH_ACTIONS, *DISCOVERY_ACTIONS, *SERVER_ACTIONS)
@@ -57,6 +57,7 @@
 
     count: Annotated[int, Meta(ge=1, le=400, description="a whole number, 1 to 400")]
     peers: Flag = True  # dispatchers exchange peer messages over UDP, as on the platform
+    # Sharing mode of the endpoint list in a cluster; empty: the dispatchers form no cluster.
     cluster: Annotated[Literal["", "list", "news"], Meta(description='"", "list" or "news"')] = ""
     seeds: Annotated[int, Meta(ge=0, le=64, description="a whole number, 0 to 64")] = 3  # seed members of the cluster
     platform: Flag = False  # platform config with the endpoint list as of the start of the run
--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -21,6 +21,7 @@
 )
 
 SPAN_S = 18.0
+"""Length of each drawn run in seconds."""
 FIRST_STEP_S, LAST_STEP_S = 1.0, 9.0
 """Earliest and latest time at which a drawn fault begins, in seconds."""
 PLATFORM_SHARE = 0.8
--- a/heronlug/faults/tasks.py
+++ b/heronlug/faults/tasks.py
@@ -1,4 +1,4 @@
-"""Owns the background tasks of a run."""
+"""Runs the background tasks of a run and collects their failures."""
 
 import asyncio
 from collections.abc import Coroutine
--- a/heronlug/loadgen/demo.py
+++ b/heronlug/loadgen/demo.py
@@ -164,7 +164,11 @@
 
 
 def on_the_model(scenario: Scenario, seed: int) -> Figures:
-    """Emulates a run on sockets: limits dispatchers, removes retries of clients and sets the delays of loopback."""
+    """Emulates a scenario under conditions as close as possible to those of :func:`on_sockets`; returns the figures.
+
+    The scenario is changed in place: it gets at most ``MAX_DISPATCHERS`` dispatchers, the delays of loopback, no loss
+    of datagrams, no warm-up time and no retries of clients.
+    """
     scenario.dispatchers.count = min(MAX_DISPATCHERS, scenario.dispatchers.count)
     scenario.network.inside_ms = scenario.network.across_ms = 0.1
     scenario.network.loss, scenario.register.lag_ms, scenario.warm_up_s = 0.0, 1.0, 0.0
--- a/heronlug/loadgen/faktory.py
+++ b/heronlug/loadgen/faktory.py
@@ -1,7 +1,7 @@
 """Generates load over the Faktory work protocol, version 2: producers push due jobs, stand-in workers execute them.
 
 The protocol does not report the end of a job to its producer. A job therefore counts as served when its worker has
-acknowledged it, and as refused if no worker has acknowledged it by the end of the run.
+acknowledged it, and as refused if the server rejects its PUSH or no worker has acknowledged it by the end of the run.
 """
 
 import asyncio
--- a/heronlug/loadgen/http.py
+++ b/heronlug/loadgen/http.py
@@ -18,11 +18,11 @@
 
 
 class SentRequest:
-    """A request that was given out.
+    """A planned request that has become due.
 
     Attributes:
         planned: the planned request.
-        began: time in ms at which the request was given out.
+        began: time in ms at which the load generator started the request.
         txn: transaction id of the request.
     """
 
@@ -102,7 +102,7 @@
 
     Attributes:
         addresses: hosts and ports of the dispatchers.
-        in_flight: number of requests that were given out and have not ended.
+        in_flight: number of requests that were started and have not ended, including those that wait for a connection.
     """
 
     def __init__(self, addresses: list[tuple[str, int]], tallies: dict[str, Tally], seconds: float) -> None:
@@ -142,7 +142,7 @@
         return True
 
     def request_sent(self, request: SentRequest, dispatcher: int) -> None:
-        """Called when a request is sent to a dispatcher."""
+        """Does nothing; a subclass handles a request that is about to be sent to a dispatcher."""
 
     def request_ended(self, request: SentRequest, outcome: str) -> None:
         """Counts a request that has ended; its latency counts from its due time."""
--- a/heronlug/loadgen/pace.py
+++ b/heronlug/loadgen/pace.py
@@ -1,4 +1,4 @@
-"""Paces an open loop: gives out each request when it is due, whatever the outcome of earlier requests."""
+"""Paces an open loop: yields each request when it is due, whatever the outcome of earlier requests."""
 
 import asyncio
 import time
@@ -27,14 +27,14 @@
         """
         self.tallies, self._span_ms = tallies, seconds * 1000
         self._started_at = time.monotonic()
-        self._last_deadline = 0.0  # the latest deadline of all requests given out, in ms
+        self._last_deadline = 0.0  # latest deadline of all yielded requests, in ms
 
     def now(self) -> float:
         """Returns the time since the start of the run in ms."""
         return (time.monotonic() - self._started_at) * 1000
 
     def is_over(self) -> bool:
-        """Returns whether the deadlines of all requests given out passed at least a second ago."""
+        """Returns whether the deadlines of all yielded requests passed at least a second ago."""
         return self.now() >= self._last_deadline + 1000
 
     async def due(self, plan: Iterable[PlannedRequest]) -> AsyncIterator[PlannedRequest]:
--- a/heronlug/standins/discovery.py
+++ b/heronlug/standins/discovery.py
@@ -138,7 +138,7 @@
             connection.update_available()
 
     def begin_watch(self, connection: "Connection") -> None:
-        """Numbers a call that begins to wait and reports it."""
+        """Assigns a number to a call that begins to wait for a change, and reports the call."""
         self._watch_count += 1
         connection.call_number = self._watch_count
         self.on_watch(connection.caller, connection.call_number, connection.wait_ms)
@@ -149,7 +149,11 @@
         self._changed = [(1, name) for name in self.instances]
 
     def list_after(self, after: int | None, caller: str = "") -> bytes:
-        """Returns the encoded changes after a version, or the complete list if these are not known."""
+        """Returns the encoded changes after a version.
+
+        The complete list is returned if ``after`` is None or an unknown version, or if changes after this version are
+        no longer kept.
+        """
         covered = not self._changed or after is None or self._changed[0][0] <= after + 1
         if after is None or after > self.version or not covered:
             instances, complete = [*self.instances.values()], True
--- a/heronlug/standins/ports.py
+++ b/heronlug/standins/ports.py
@@ -1,4 +1,4 @@
-"""Hands out free ports for stand-ins and for the processes that tests start beside them."""
+"""Provides free ports for stand-ins and for the processes that tests start beside them."""
 
 import os
 import socket
--- a/tests/faults/test_ordering.py
+++ b/tests/faults/test_ordering.py
@@ -88,6 +88,8 @@
 
 
 def test_ends_keep_their_order_and_close_records_pending_ends() -> None:
+    """Guards against ends that overtake each other, or that are lost if the run closes while they wait."""
+
     async def run() -> list[int]:
         recorded: list[int] = []
         network = FaultyNetwork(1)
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -22,10 +22,12 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_rules_hold_under_random_faults(seed: int, verdicts: dict[int, str]) -> None:
+    """Guards against a combination of faults, not covered by a written plan, under which the program breaks a rule."""
     assert verdicts[seed] == ""
 
 
 def test_seed_determines_plan_and_seeds_cover_each_kind_of_fault() -> None:
+    """Guards against a failing plan that cannot be drawn again, and against a fault that no plan contains."""
     assert draw(3) == draw(3) != draw(4)
     drawn = {step.do for seed in range(100) for step in draw(seed).step}
     assert (
