--- a/heronlug/faults/soak.py
+++ b/heronlug/faults/soak.py
@@ -111,25 +111,25 @@
 
 
 def _discovery_rejects(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """Service discovery is up but rejects calls while watches break and servers drain."""
+    """Makes service discovery, which is up, reject calls while watches break and servers drain."""
     rejecting = Step(at_s=at, do="turn", share=rng.choice([0.7, 1.0]), for_s=rng.uniform(2, 12))
     return [rejecting, *_discovery_reset(rng, at + 0.1, plan), *_servers_drain(rng, at + 0.3, plan)]
 
 
 def _discovery_hangs(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """Service discovery accepts calls without answering while watches break and servers drain."""
+    """Makes service discovery accept calls without answering while watches break and servers drain."""
     hanging = Step(at_s=at, do="hang", for_s=rng.uniform(2, 12))
     return [hanging, *_discovery_reset(rng, at + 0.1, plan), *_servers_drain(rng, at + 0.3, plan)]
 
 
 def _discovery_answers_cut(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """Answers of service discovery are reset half-way or arrive slowly."""
+    """Resets answers of service discovery half-way or slows them down."""
     fault, size = rng.choice([("half", 120), ("trickle", 400)])
     return [Step(at_s=at, do=fault, source=["d*"], target=["register"], bytes=size, for_s=rng.uniform(1, 5))]
 
 
 def _dispatcher_misses_removal(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """A dispatcher is down while servers are removed, and restarts with its earlier list."""
+    """Kills a dispatcher, which is down while servers are removed and restarts with its earlier list."""
     who, since_s = _dispatcher(rng, plan), min(at, 4.0)
     removed = Step(at_s=since_s + 0.4, do="list", who=_some_servers(rng, plan), state="left")
     return [Step(at_s=since_s, do="kill", who=who, for_s=rng.uniform(7, 10)), removed]
@@ -172,7 +172,7 @@
 
 
 def _servers_drain(rng: Random, at: float, plan: FaultPlan) -> list[Step]:
-    """Servers begin to drain and are later removed or active again."""
+    """Drains servers and later removes them or makes them active again."""
     who = _some_servers(rng, plan)
     return [
         Step(at_s=at, do="list", who=who, state="leaving"),
--- a/tests/faults/test_network.py
+++ b/tests/faults/test_network.py
@@ -1,6 +1,7 @@
 """Tests each fault of the network proxies against an echo server, without the program.
 
-A fault that the proxies do not inject would let test plans pass without testing anything. No test requires a minimum speed.
+A fault that the proxies do not inject would let test plans pass without testing anything. No test requires a
+minimum speed.
 """
 
 import asyncio
