--- a/heronlug/faults/servers.py
+++ b/heronlug/faults/servers.py
@@ -99,7 +99,7 @@
         self.endpoints: dict[str, ServerEndpoint] = {}
         self._dispatcher_of, self._set_gone = dispatcher_of, set_gone
         table = plan.runners
-        self._warmth = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
+        self._warmup = WarmupModel(table.cold_from, table.warm_after_ms, table.tip_multiple, table.overload_for_ms)
 
     async def open(self) -> None:
         """Starts and lists all servers, each on its own port.
@@ -112,7 +112,7 @@
             name = f"r{number}"
             kind = ServerKind(MACHINE_TYPE, table.slots, 1.0, table.queue)
             server = self.emulated_servers[name] = EmulatedServer(
-                name, kind, number % len(self.plan.halls), self.timeline, self._warmth
+                name, kind, number % len(self.plan.halls), self.timeline, self._warmup
             )
             server.on_overload, server.on_execution_start = self._handle_overload, self._record_execution_start
             if table.cold:
@@ -186,7 +186,7 @@
         self.history.record(Began(self.history.now(), server.name, request.txn))
 
     def _handle_overload(self, server: EmulatedServer) -> None:
-        overload_slots = self._warmth.overload_multiple * server.capacity()
+        overload_slots = self._warmup.overload_multiple * server.capacity()
         self.history.record(
             Load(self.history.now(), server.name, server.occupied_slots / overload_slots, server.warming_up)
         )
--- a/heronlug/standins/fleet.py
+++ b/heronlug/standins/fleet.py
@@ -78,7 +78,7 @@
         self.endpoints: dict[str, ServerEndpoint] = {}
         self._record = record
         safety = scenario.safety
-        self._warmth = WarmupModel(safety.cold_from, safety.warm_after_ms, safety.tip_multiple, safety.overload_for_ms)
+        self._warmup = WarmupModel(safety.cold_from, safety.warm_after_ms, safety.tip_multiple, safety.overload_for_ms)
         self.request_classes = {request_class.name: request_class for request_class in scenario.classes}
         self.work_draws = {
             request_class.name: Draws(distribution(request_class.work), stream(self.seed, "work", request_class.name))
@@ -167,7 +167,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _add(self, name: str, kind: ServerKind, zone: int) -> EmulatedServer:
-        server = self.emulated_servers[name] = EmulatedServer(name, kind, zone, self.timeline, self._warmth)
+        server = self.emulated_servers[name] = EmulatedServer(name, kind, zone, self.timeline, self._warmup)
         server.on_overload, server.on_execution_start = self._handle_overload, self._record_execution_start
         endpoint = self.endpoints[name] = ServerEndpoint(self, server)
         await endpoint.open()
@@ -183,7 +183,7 @@
 
     def _handle_overload(self, server: EmulatedServer) -> None:
         self.overload_count += 1
-        overload_slots = self._warmth.overload_multiple * server.capacity()
+        overload_slots = self._warmup.overload_multiple * server.capacity()
         self.record_event(
             Load(
                 self.unix_ms(self.timeline.now), server.name, server.occupied_slots / overload_slots, server.warming_up
