--- a/heronlug/faults/plan.py
+++ b/heronlug/faults/plan.py
@@ -246,16 +246,24 @@
     for index, selector in enumerate(plan.dispatchers.later):
         if not select_parties([selector], plan, Random(1)):
             problems.append(
-                source.problem(("dispatchers", "later", index), f"{selector!r} matches no party", "such as d3")
+                source.problem(
+                    ("dispatchers", "later", index), f"{selector!r} matches no party", "expected a selector such as d3"
+                )
             )
     bounds = plan.expect.reading
     if bounds is not None and (len(bounds) != 2 or bounds[0] > bounds[1]):
         problems.append(
-            source.problem(("expect", "reading"), f"{bounds} is not a pair of minimum and maximum", "such as [1, 2]")
+            source.problem(
+                ("expect", "reading"),
+                f"{bounds} is not a pair of minimum and maximum",
+                "expected a pair such as [1, 2]",
+            )
         )
     if plan.dispatchers.cluster and "runners" in plan.relays and plan.runners.count:
-        wrong = "with [dispatchers] cluster all dispatchers share one address of each server, so these have no proxies"
-        problems.append(source.problem(("relays",), wrong, '["register", "peers"]'))
+        wrong = (
+            "with [dispatchers] cluster all dispatchers share one address of each server, so servers have no proxies"
+        )
+        problems.append(source.problem(("relays",), wrong, 'expected ["register", "peers"]'))
     return problems
 
 
@@ -266,19 +274,23 @@
     if step.at_s >= plan.span_s:
         problems.append(
             source.problem(
-                (*step_key, "at_s"), "the step begins after the end of the run", f"less than {plan.span_s:g}"
+                (*step_key, "at_s"),
+                "the step begins at or after the end of the run",
+                f"expected less than {plan.span_s:g}",
             )
         )
     if step.do in (*DISPATCHER_ACTIONS, *SERVER_ACTIONS) and not step.who:
-        problems.append(source.problem((*step_key, "who"), "the action names no party", 'such as ["d0"]'))
+        problems.append(
+            source.problem((*step_key, "who"), "the action names no party", 'expected a list such as ["d0"]')
+        )
     if step.for_s is not None and step.do not in TIMED_ACTIONS:
-        accepted = "no for_s; actions with a duration are " + ", ".join(sorted(TIMED_ACTIONS))
+        accepted = "expected no for_s; actions with a duration are " + ", ".join(sorted(TIMED_ACTIONS))
         problems.append(source.problem((*step_key, "for_s"), f"{step.do!r} has no duration", accepted))
     for key, selectors in (("who", step.who), ("from", step.source), ("to", step.target)):
         for index, selector in enumerate(selectors):
             if selector != "reading" and not select_parties([selector], plan, Random(1), ["d0"]):
                 wrong = f"{selector!r} matches no party"
-                problems.append(source.problem((*step_key, key, index), wrong, "a party of the plan"))
+                problems.append(source.problem((*step_key, key, index), wrong, "expected a party of the plan"))
     return problems
 
 
