--- a/heronlug/emulator/scenario.py
+++ b/heronlug/emulator/scenario.py
@@ -171,11 +171,11 @@
     retry_wait_ms: NonNegativeMillis = 500.0
 
 
-class Arrivals(Struct, forbid_unknown_fields=True, rename={"lane": "class"}):
+class Arrivals(Struct, forbid_unknown_fields=True, rename={"class_name": "class"}):
     """An ``[[arrivals]]`` table: arrivals of requests of one class.
 
     Attributes:
-        lane: name of the class, ``class`` in the file.
+        class_name: name of the class, ``class`` in the file.
         shape: Poisson process with a constant rate, Poisson process with a rate that follows a sine wave, bursts, or a
             recorded trace.
         rate: mean rate of ``poisson`` and ``waves``.
@@ -189,7 +189,7 @@
         to_s: time after which no request arrives; the end of the run if not given.
     """
 
-    lane: Text
+    class_name: Text
     shape: Annotated[
         Literal["poisson", "waves", "bursts", "trace"], Meta(description='"poisson", "waves", "bursts" or "trace"')
     ] = "poisson"
@@ -313,7 +313,7 @@
         changes: values that replace values of the file, by dotted key as for :func:`put`.
 
     Raises:
-        ConfigProblems: if the file or a changed value is invalid; names all problems found.
+        ConfigProblems: if the file or a changed value is invalid, with every problem found.
         ValueError: if a dotted key names no place in the scenario.
     """
     source = Source.read(path)
@@ -346,7 +346,7 @@
     """Returns the scenario of a file that was read.
 
     Raises:
-        ConfigProblems: if the file is invalid; names all problems found.
+        ConfigProblems: if the file is invalid, with every problem found.
     """
     scenario, problems = decode(Scenario, {k: v for k, v in source.table.items() if k != "folder"}, source, ())
     if scenario is None:
@@ -422,10 +422,10 @@
         if request_class.slots > widest:
             yield problem(("class", number, "slots"), "exceeds the slots of every kind", f"expected at most {widest}")
     for number, arrivals in enumerate(scenario.arrivals):
-        if arrivals.lane not in class_names:
+        if arrivals.class_name not in class_names:
             yield problem(
                 ("arrivals", number, "class"),
-                f"unknown class {arrivals.lane!r}",
+                f"unknown class {arrivals.class_name!r}",
                 "expected one of " + ", ".join(class_names),
             )
         if arrivals.shape in ("poisson", "waves") and arrivals.rate is None:
