--- a/heronlug/balancer/rules.py
+++ b/heronlug/balancer/rules.py
@@ -60,7 +60,7 @@
     zone_failover: ZoneFailover
 
     def rerank(self, now: float) -> None:
-        """Scores all servers again."""
+        """Expires old load reports and scores all servers again."""
         rerank(self.load_reports, self.ranking, self.selection, now)
 
 
--- a/heronlug/standins/discovery.py
+++ b/heronlug/standins/discovery.py
@@ -24,7 +24,7 @@
 BIND_RETRIES = 20
 """Retries to listen on a port that the service used before."""
 BIND_RETRY_S = 0.05
-"""Seconds between these retries."""
+"""Seconds between two bind retries."""
 
 
 class Call(NamedTuple):
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Writes all files."""
+    """Writes the recorded files into the data folder."""
     for name, writer in WRITERS.items():
         (DATA_FOLDER / name).write_bytes(writer())
     (DATA_FOLDER / "learned.json").write_bytes(record_snapshot(False))
