--- a/tests/config/files.py
+++ b/tests/config/files.py
@@ -74,25 +74,15 @@
 
 
 class ConfigFault(NamedTuple):
-    """A change that makes the valid file invalid.
+    """A change that makes the valid file invalid."""
 
-    Attributes:
-        name: Name of the fault, unique.
-        line: Line that is changed, starting at 1.
-        text: New text of the line.
-        key: Key of the reported problem.
-        message_part: Text that the reported problem must contain.
-        reported_line: Line of the reported problem; 0 if it is the changed line.
-        other_changes: Further lines that change with the fault, and their new texts.
-    """
-
-    name: str
-    line: int
-    text: str
-    key: str
-    message_part: str
-    reported_line: int = 0
-    other_changes: tuple[tuple[int, str], ...] = ()
+    name: str  # unique name of the fault
+    line: int  # line that is changed, starting at 1
+    text: str  # new text of the line
+    key: str  # key of the reported problem
+    message_part: str  # text that the reported problem must contain
+    reported_line: int = 0  # line of the reported problem; 0 if it is the changed line
+    other_changes: tuple[tuple[int, str], ...] = ()  # further lines that change with the fault, and their new texts
 
 
 HUGE_NUMBER = "9" * 400
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -1,8 +1,7 @@
 """Tests reloads under load: 18 requests a second and a surge of 200 while the limits change ten times.
 
-Every fifteenth request gets no answer from the servers, which count its attempts: there must be as many attempts as the
-limits allow under which the request was accepted.  A request that is accepted during a reload may have the old or the
-new limits.
+The servers leave every fifteenth request unanswered and count its attempts, which must be as many as the limits allow
+under which the request was accepted.
 """
 
 import asyncio
@@ -111,7 +110,7 @@
         )
 
     async def _post(self, txn: str, class_name: str) -> Result:
-        possible_sets = {self.current_set, self.next_set}
+        possible_sets = {self.current_set, self.next_set}  # during a reload the old or the new limits may apply
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(
             f"POST /{class_name} HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: {class_name}\r\nX-Remaining-Ms: 11000\r\n"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,7 @@
 """Makes the result of a test run reproducible, and excludes known failures from the result.
 
 Hypothesis generates the same examples in every run. ``KNOWN-RED.txt`` at the root lists tests that fail because of a
-known fault, one per line: the id of the test, the cause and the issue, separated by `` | ``. These tests are run and
-their results are printed, but do not count. A line without an existing test, or a fourth line, ends the run.
+known fault. These tests are run and their results are printed, but do not count.
 """
 
 from pathlib import Path
@@ -15,6 +14,8 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
+# One test per line: the id of the test, the cause and the issue, separated by " | ". A line without an existing test,
+# or a fourth line, ends the run.
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
 SLOWEST_FILES = (  # files that take 15 s or more, slowest first; parallel test processes start with them
--- a/tests/drive.py
+++ b/tests/drive.py
@@ -58,36 +58,22 @@
 
 
 class Host:
-    """Embeds a dispatcher with a virtual clock, and checks the safety rules on every action.
-
-    Attributes:
-        now: the time of the virtual clock in ms.
-        timers: due times of the pending timers, in ms.
-        requests: arrival of each request.
-        sent_to: servers of the attempts of each request, in order.
-        sent_at: start time in ms of each attempt, by request and index.
-        outcomes: outcome of each ended attempt, by request and index.
-        final_states: final state of each answered request: served, refused or failed.
-        entries: latest entry of each listed server.
-        not_ready: servers whose drain or removal the dispatcher was notified of.
-        warmup_starts: start times in ms of attempts at each server while the server warmed up.
-        actions: all actions of the dispatcher.
-    """
+    """Embeds a dispatcher with a virtual clock, and checks the safety rules on every action."""
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1, server_count: int = 4) -> None:
         self.settings = settings
         self.dispatcher = Dispatcher(settings, seed)
-        self.now = 1000.0
-        self.timers: list[float] = []
-        self.requests: dict[int, RequestArrived] = {}
-        self.sent_to: dict[int, list[int]] = {}
-        self.sent_at: dict[tuple[int, int], float] = {}
-        self.outcomes: dict[tuple[int, int], int] = {}
-        self.final_states: dict[int, str] = {}
-        self.entries: dict[int, ServerEntry] = {}
-        self.not_ready: set[int] = set()
-        self.warmup_starts: dict[int, list[float]] = {}
-        self.actions: list[Action] = []
+        self.now = 1000.0  # time of the virtual clock in ms
+        self.timers: list[float] = []  # due times of the pending timers, in ms
+        self.requests: dict[int, RequestArrived] = {}  # arrival of each request
+        self.sent_to: dict[int, list[int]] = {}  # servers of the attempts of each request, in order
+        self.sent_at: dict[tuple[int, int], float] = {}  # start time in ms of each attempt, by request and index
+        self.outcomes: dict[tuple[int, int], int] = {}  # outcome of each ended attempt, by request and index
+        self.final_states: dict[int, str] = {}  # final state of each answered request: served, refused or failed
+        self.entries: dict[int, ServerEntry] = {}  # latest entry of each listed server
+        self.not_ready: set[int] = set()  # servers whose drain or removal the dispatcher was notified of
+        self.warmup_starts: dict[int, list[float]] = {}  # start times in ms of attempts during the warm-up, by server
+        self.actions: list[Action] = []  # all actions of the dispatcher
         self.next_request = 1
         if server_count:
             self.update_servers(ListKind.CACHED, server_entries(server_count))
--- a/tests/end_to_end/test_accept.py
+++ b/tests/end_to_end/test_accept.py
@@ -1,8 +1,7 @@
 """Tests that a connection stays queued while ``accept`` fails and is served afterwards.
 
 Guards against the server class of the event loop: after ENFILE or EMFILE, that class accepts the connection with a
-spare descriptor and closes it, so the client cannot tell whether its request ran. With half of the calls failing, 73 of
-231 requests were closed unread; with other errors, which leave connections queued, none.
+spare descriptor and closes it, so the client cannot tell whether its request ran.
 """
 
 import os
@@ -30,7 +29,11 @@
 
 
 def test_connection_that_cannot_be_accepted_is_accepted_later(tmp_path: Path) -> None:
-    """Guards, for each listener, against closing a connection that arrives while no descriptor is free."""
+    """Guards, for each listener, against closing a connection that arrives while no descriptor is free.
+
+    With half of the ``accept`` calls failing, the server class of the event loop closed 73 of 231 requests unread; with
+    other errors, which leave connections queued, none.
+    """
 
     async def test(listener: str) -> None:
         folder = tmp_path / listener
--- a/tests/end_to_end/test_event_loop_stall.py
+++ b/tests/end_to_end/test_event_loop_stall.py
@@ -1,8 +1,7 @@
 """Tests that a list that arrived while the event loop was stalled is read before any attempt begins.
 
-The loop stalls for seconds because the process is suspended or gets no CPU time. A list counts as notified once its
-bytes are in the socket of the dispatcher, even if unread. The tests put the bytes into the kernel in the least
-favourable order.
+The loop stalls for seconds because the process is suspended or gets no CPU time. The tests put the bytes into the
+kernel in the least favourable order.
 """
 
 from functools import partial
@@ -28,7 +27,10 @@
 
 
 async def send_drain_unread(harness: DispatcherHarness) -> None:
-    """Sends a list in which h1 drains, and stalls the loop before the list is read."""
+    """Sends a list in which h1 drains, and stalls the loop before the list is read.
+
+    A list counts as notified once its bytes are in the socket of the dispatcher, even if unread.
+    """
     watch, _ = await harness.discovery.request()
     watch.send_now(harness.list_response(4, "h1:leaving", "h2"))
     harness.stall(STALL_MS)
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -1,32 +1,7 @@
 """Plays a recorded exchange against the program: sends bytes and compares received bytes; no speed is asserted.
 
-An exchange is a file of steps, one per line:
-
-* ``WHO > BYTES``: the stand-in WHO sends these bytes.
-* ``WHO < BYTES``: the program must send exactly these bytes to WHO.
-* ``WHO close``, ``WHO reset``: the stand-in closes or resets its connection.
-* ``WHO eof``: the program must have closed the connection.
-* ``WHO refuse``: the server WHO stops listening.
-* ``list [inv2] whole|changes VERSION SERVER...``: discovery answers the next poll with an endpoint list.
-* ``wait MS``: time passes.
-* ``signal NAME``: the program receives a signal.
-* ``exit N``: the program must exit with status N; a second process then becomes the program.
-* ``configure WHO``: replaces the configuration by one with the discovery WHO; ``nothing`` makes the file unreadable.
-* ``state TEXT``: replaces the state file.
-* ``figure LINE``: the metrics must contain this line within the timeout.
-* ``logged TEXT``: the log must contain this text within the timeout.
-* ``beside``: starts a second process, whose first poll discovery answers with no changes.
-* ``kill``: kills the second process.
-* ``free``: releases the peer address that the exchange had ``taken``.
-* ``next WHO``: the name WHO stands for the next connection; the current one stays open.
-* ``rename WHO NAME``: the current connection of WHO gets another name.
-* ``dial WHO N``: opens N connections that send nothing.
-* ``let NAME = TEXT``: defines a text, used as ``{NAME arg arg}``; ``$1`` in the text stands for the first argument.
-
-WHO is ``c1`` for a client, ``a1`` for an operator, ``f1`` for a connection to the Faktory frontend, ``h1`` for a
-server, ``inv`` for discovery and ``p1`` for a peer. A step of a server or of discovery that has no connection accepts
-the next one. In BYTES, ``[[TEXT]]`` is a chunk, ``((TEXT))`` is a bulk string, and ``<9xa>`` is nine letters a.
-Bytes or connections at a server that no step has taken fail the exchange at its end.
+An exchange is a file of steps, one per line; comments in :class:`ExchangePlayer` describe the steps. Bytes or
+connections at a server that no step has taken fail the exchange at its end.
 """
 
 import json
@@ -242,23 +217,14 @@
 
     def __init__(
         self,
-        hosts: int = 1,
-        state: str = "",
-        inherited: bool = False,
-        partner: str = "",
-        taken: bool = False,
-        **changes: Any,
+        hosts: int = 1,  # number of servers
+        state: str = "",  # the desired state
+        inherited: bool = False,  # whether the program inherits its listening socket
+        partner: str = "",  # kind of the socket that stands in for an earlier process, if any
+        taken: bool = False,  # whether the address for peers is in use
+        **changes: Any,  # keys of the configuration
     ) -> None:
-        """Starts the program; header lines ``# NAME JSON`` of exchange files set these parameters by name.
-
-        Args:
-            hosts: number of servers.
-            state: the desired state.
-            inherited: whether the program inherits its listening socket.
-            partner: kind of the socket that stands in for an earlier process, if any.
-            taken: whether the address for peers is in use.
-            changes: keys of the configuration.
-        """
+        """Starts the program; header lines ``# NAME JSON`` of exchange files set these parameters by name."""
         self.standins = StandIns(hosts, self._connect_address)
         self.listen, self.admin = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
         self.faktory_address = f"127.0.0.1:{free_port()}"
@@ -299,7 +265,15 @@
         self.standins.expect_nothing_more()
 
     def step(self, line: str) -> None:
-        """Carries out one step."""
+        """Carries out a step of the exchange."""
+        # `let NAME = TEXT`: defines a text, used as `{NAME arg arg}`; `$1` in the text stands for the first argument.
+        # `WHO > BYTES`: the stand-in WHO sends these bytes.
+        # `WHO < BYTES`: the program must send exactly these bytes to WHO.
+        # `list [inv2] whole|changes VERSION SERVER...`: discovery answers the next poll with an endpoint list.
+        # WHO is `c1` for a client, `a1` for an operator, `f1` for a connection to the Faktory frontend, `h1` for a
+        # server, `inv` for discovery and `p1` for a peer. A step of a server or of discovery that has no connection
+        # accepts the next one. In BYTES, `[[TEXT]]` is a chunk, `((TEXT))` is a bulk string, and `<9xa>` is nine
+        # letters a.
         if match := re.fullmatch(r"let (\w+) = (.*)", line):
             self.definitions[match[1]] = match[2]
         elif match := re.fullmatch(r"(\w+) > (.*)", line):
@@ -316,6 +290,19 @@
             self._named_step(name, rest)
 
     def _named_step(self, name: str, rest: str) -> None:
+        # `wait MS`: time passes.
+        # `signal NAME`: the program receives a signal.
+        # `exit N`: the program must exit with status N; a second process then becomes the program.
+        # `configure WHO`: replaces the configuration by one with discovery WHO; `nothing` makes the file unreadable.
+        # `state TEXT`: replaces the state file.
+        # `figure LINE`: the metrics must contain this line within the timeout.
+        # `logged TEXT`: the log must contain this text within the timeout.
+        # `beside`: starts a second process, whose first poll discovery answers with no changes.
+        # `kill`: kills the second process.
+        # `free`: releases the peer address that the exchange had `taken`.
+        # `next WHO`: the name WHO stands for the next connection; the current one stays open.
+        # `rename WHO NAME`: the current connection of WHO gets another name.
+        # `dial WHO N`: opens N connections that send nothing.
         steps = {
             "wait": lambda: time.sleep(int(rest) / 1000),
             "next": lambda: self.standins.replace(rest.strip()),
@@ -331,6 +318,9 @@
             "kill": self._kill_second_process,
             "free": self.peer_address_socket.close,
         }
+        # `WHO close`, `WHO reset`: the stand-in closes or resets its connection.
+        # `WHO eof`: the program must have closed the connection.
+        # `WHO refuse`: the server WHO stops listening.
         endings = {
             "close": lambda: self.standins.connections.pop(name).close(),
             "reset": lambda: self.standins.reset(name),
--- a/tests/scale/fleet.py
+++ b/tests/scale/fleet.py
@@ -1,8 +1,7 @@
 """Runs a dispatcher with a part of a core in front of a large fleet, on real sockets.
 
-Clients, service discovery and server stand-ins run in the same process. Time jumps from event to event, and CPU time
-advances the clock by ``1 / CPU_SHARE`` of its length. While work that grows with the number of servers runs, no request
-is accepted, answered or given up, as on the platform.
+Clients, service discovery and server stand-ins run in the same process. Time jumps from event to event. While work that
+grows with the number of servers runs, no request is accepted, answered or given up, as on the platform.
 """
 
 import asyncio
@@ -45,7 +44,7 @@
 
 
 class CpuMeteredClock(ManualClock):
-    """A clock that tests set and that also advances with the CPU time of the thread."""
+    """A clock that tests set; CPU time of the thread also advances it, by ``1 / CPU_SHARE`` of its length."""
 
     def __init__(self) -> None:
         self._base_time, self._base_cpu = START_TIME, time.thread_time()
